--- a/decide/backoff.go
+++ b/decide/backoff.go
@@ -4,7 +4,7 @@
 
 // firstAsk is the time until the list is first asked for, drawn from a slot for each balancer.
 func (b *Balancer) firstAsk() int64 {
-	span := max(askFirst, askSlot*float64(b.set.Balancers))
+	span := max(askFirst, askSlot*float64(b.set.BalancerCount))
 	return int64(b.askWithin(span) * (0.1 + 0.9*b.rng.Float64()))
 }
 
@@ -16,7 +16,7 @@
 // worked through calls that it had given up, and served none for as long as all came back at once.
 func (b *Balancer) backoff(waited int64) int64 {
 	turn := b.askWithin(askTurn)
-	span := max(askFirst, askSlot*float64(b.set.Balancers)) * math.Exp2(float64(b.asks))
+	span := max(askFirst, askSlot*float64(b.set.BalancerCount)) * math.Exp2(float64(b.asks))
 	left := max(askFirst, turn*(0.9+0.1*b.rng.Float64())-float64(waited))
 	if b.asks > 0 && span >= turn {
 		return int64(left)
@@ -24,10 +24,10 @@
 	return int64(min(left, min(span, turn)*(0.1+0.9*b.rng.Float64())))
 }
 
-// askWithin bounds a time between two asks by the part of Rules.AskEvery that leaves room for the call.
+// askWithin bounds a time between two asks by the part of Rules.PollInterval that leaves room for the call.
 func (b *Balancer) askWithin(t float64) float64 {
-	if b.set.Rules.AskEvery > 0 {
-		return min(t, askPart*float64(b.set.Rules.AskEvery))
+	if b.set.Rules.PollInterval > 0 {
+		return min(t, askPart*float64(b.set.Rules.PollInterval))
 	}
 	return t
 }
--- a/decide/backoff_test.go
+++ b/decide/backoff_test.go
@@ -13,7 +13,7 @@
 		for _, waited := range []int64{0, 1000, second, 2_500_000, 4_400_000, 30 * second} {
 			for seed := range uint64(50) {
 				set := testSettings()
-				set.Balancers = balancers
+				set.BalancerCount = balancers
 				b := New(set, seed, silent{})
 				for b.asks = range 20 {
 					wait := b.backoff(waited)
@@ -35,7 +35,7 @@
 		for _, hangs := range []int64{0, 2_500_000} {
 			t.Run(fmt.Sprintf("%d hang %d us", n, hangs), func(t *testing.T) {
 				set := testSettings()
-				set.Balancers = n
+				set.BalancerCount = n
 				var calls [(span + 10*second) / window]int
 				for seed := range uint64(n) {
 					b := New(set, seed, silent{})
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -10,11 +10,11 @@
 	for _, warm := range []bool{false, true} {
 		b.Run(fmt.Sprint("warm keys ", warm), func(b *testing.B) {
 			set := testSettings()
-			set.WarmKeys, set.Balancers = warm, 800
+			set.KeyAffinity, set.BalancerCount = warm, 800
 			bal := New(set, 1, silent{})
 			now := int64(1000 * second)
-			bal.Begin(now)
-			bal.Listed(now, fleet(250), true)
+			bal.Start(now)
+			bal.OnEndpoints(now, fleet(250), true)
 			ids := make([]string, 1024)
 			for i := range ids {
 				ids[i] = fmt.Sprint("r", i)
@@ -23,12 +23,12 @@
 			for i := 0; b.Loop(); i++ {
 				now += 100_000
 				id := ids[i%len(ids)]
-				bal.Request(now, Request{ID: id, Tenant: -1, Left: 2 * second, Key: id})
+				bal.OnRequest(now, Request{ID: id, Tenant: -1, TimeLeft: 2 * second, Key: id})
 				if r := bal.open[id]; r != nil && len(r.tries) > 0 {
-					bal.Outcome(now, Outcome{Request: id, Server: r.tries[0].server.ID, Latency: 60_000, Closed: true})
+					bal.OnOutcome(now, Outcome{Request: id, Server: r.tries[0].server.ID, Latency: 60_000, RequestAnswered: true})
 				}
 				if i%10 == 0 {
-					bal.Timer(now, tokenSecond)
+					bal.OnTimer(now, tokenSecond)
 				}
 			}
 		})
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -21,8 +21,8 @@
 // rampOf makes a fleet before warm servers that take so much each, and lets it learn.
 func rampOf(seed uint64, balancers, warm int, rate, skew float64, keys int) *ramp {
 	set := testSettings()
-	set.Rules.FallFor, set.Rules.ColdFor = second, 20*second // the more windows a warm-up has, the more can be saved in it
-	set.WarmKeys = keys > 0
+	set.Rules.OverloadWindow, set.Rules.SlowStartWindow = second, 20*second // the more windows a warm-up has, the more can be saved in it
+	set.KeyAffinity = keys > 0
 	f := &ramp{set: set, seed: seed, servers: warm, rate: rate, since: map[string]int64{}, sends: map[string][]int64{}}
 	f.crowd = newCrowdOf(seed+1, balancers, set, skew, fleet(warm))
 	f.keys = keys
@@ -66,18 +66,18 @@
 }
 
 // begin starts servers now and names them; who is to tell of them.
-func (f *ramp) begin(n int) (list []Server) {
+func (f *ramp) begin(n int) (list []Endpoint) {
 	for i := range n {
 		id := fmt.Sprint("cold", i)
 		f.since[id] = f.now
-		list = append(list, Server{ID: id, Size: 1, Zone: "z0", UpSince: f.now})
+		list = append(list, Endpoint{ID: id, Capacity: 1, Zone: "z0", StartedAt: f.now})
 	}
 	return list
 }
 
-func (f *ramp) tell(list []Server) {
+func (f *ramp) tell(list []Endpoint) {
 	for _, b := range f.bs {
-		b.Listed(f.now, list, false)
+		b.OnEndpoints(f.now, list, false)
 	}
 }
 
@@ -88,26 +88,26 @@
 	rules := f.set.Rules
 	for id, times := range f.sends {
 		for i, at := range times {
-			age, in := float64(at-f.since[id])/float64(rules.ColdFor), 0.0
+			age, in := float64(at-f.since[id])/float64(rules.SlowStartWindow), 0.0
 			if age >= 1 {
 				break
 			}
 			for _, other := range times[i:] {
-				if other-at >= rules.FallFor {
+				if other-at >= rules.OverloadWindow {
 					break
 				}
 				in++
 			}
-			budget := rules.OverloadFactor * (rules.ColdFrom + (1-rules.ColdFrom)*age) * f.rate * float64(rules.FallFor) / 1e6
+			budget := rules.OverloadFactor * (rules.SlowStartMinShare + (1-rules.SlowStartMinShare)*age) * f.rate * float64(rules.OverloadWindow) / 1e6
 			most = max(most, in/(budget+2*math.Sqrt(budget)+2))
 		}
 		n := 0.0
 		for _, at := range times {
-			if at < f.since[id]+rules.ColdFor {
+			if at < f.since[id]+rules.SlowStartWindow {
 				n++
 			}
 		}
-		got += n / (rules.OverloadFactor * f.rate * float64(rules.ColdFor) / 1e6 * (1 + rules.ColdFrom) / 2) / float64(len(f.since))
+		got += n / (rules.OverloadFactor * f.rate * float64(rules.SlowStartWindow) / 1e6 * (1 + rules.SlowStartMinShare) / 2) / float64(len(f.since))
 	}
 	return most, got
 }
@@ -176,7 +176,7 @@
 	{"told at other times", 0, func(f *ramp) {
 		list := f.begin(1)
 		for i := range f.bs {
-			f.bs[i].Listed(f.now, list, false)
+			f.bs[i].OnEndpoints(f.now, list, false)
 			f.play(2/float64(len(f.bs)), 1)
 		}
 		f.all(4)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -77,7 +77,7 @@
 	askFirst = 200_000 // µs within which the list is asked for at the least, twice that after a failure
 	askSlot  = 50_000  // µs of that time for each balancer: a list service takes them in turn
 	askTurn  = 4.5e6   // µs from a failed call to the next at most: in force 6 s after it could be had
-	askPart  = 0.7     // of Rules.AskEvery bounds both, past which the list counts as told
+	askPart  = 0.7     // of Rules.PollInterval bounds both, past which the list counts as told
 )
 
 const (
@@ -92,48 +92,48 @@
 	b := &Balancer{
 		act: act, rng: rand.New(rand.NewPCG(seed, 0)), retries: retryBurst, salt: mix(seed),
 		known: map[string]*server{}, open: map[string]*request{},
-		learnRate: gamma, density: limitStart / float64(max(1, set.Balancers)),
+		learnRate: gamma, density: limitStart / float64(max(1, set.BalancerCount)),
 		helped: evenOdds(), idleSafe: 1e16, idleDoubt: 1e16, idleTold: 1e16,
 		byTag: map[[2]byte]*server{},
 	}
 	b.adopt(set)
 	if b.talks() { // a start anew draws from the same servers, as the others know
-		b.salt = mix(uint64(set.Me) + 1)
+		b.salt = mix(uint64(set.BalancerIndex) + 1)
 		b.density = limitStart / 2
 	}
 	return b
 }
 
-// Begin plans the first ask for the list where it does not come by itself.
-func (b *Balancer) Begin(now int64) {
+// Start plans the first ask for the list where it does not come by itself.
+func (b *Balancer) Start(now int64) {
 	b.tally.since = now
-	b.act.Wake(second, tokenSecond)
-	if !b.set.ListPushed {
-		b.act.Wake(0, tokenFirst)
+	b.act.SetTimer(second, tokenSecond)
+	if !b.set.EndpointsPushed {
+		b.act.SetTimer(0, tokenFirst)
 	}
 }
 
 // ---- A request, from taking it to its one final answer
 
-// Request takes a request; it is sent, waits, or is refused at once.
-func (b *Balancer) Request(now int64, in Request) {
+// OnRequest takes a request; it is sent, waits, or is refused at once.
+func (b *Balancer) OnRequest(now int64, in Request) {
 	class := b.classes[in.Class]
 	r := &request{Request: in, class: class, rules: class.Class, most: b.set.Limits.MaxAttempts, taken: now,
-		value: class.value, home: b.replica(in.Key), former: formerly(now, in.Former)}
-	r.aim = int64(min(float64(class.Aim)+class.AimStretch*float64(max(0, in.Work)), float64(class.Deadline)))
-	if r.Left < 0 {
-		r.Left = class.Deadline
+		value: class.value, home: b.replica(in.Key), former: formerly(now, in.PriorAttemptAge)}
+	r.aim = int64(min(float64(class.LatencyObjective)+class.ObjectivePerWork*float64(max(0, in.WorkHint)), float64(class.Deadline)))
+	if r.TimeLeft < 0 {
+		r.TimeLeft = class.Deadline
 	}
 	if !in.IsRetry {
-		class.firstLeft = max(class.firstLeft, r.Left)
-	} else if r.Left < class.firstLeft-b.set.Rules.AnswerSlack { // cut by what its client has waited
-		r.spent = max(0, class.Deadline-r.Left)
+		class.firstLeft = max(class.firstLeft, r.TimeLeft)
+	} else if r.TimeLeft < class.firstLeft-b.set.Rules.AnswerSlack { // cut by what its client has waited
+		r.spent = max(0, class.Deadline-r.TimeLeft)
 	}
-	r.heavy = class.heavy(in.Work)
-	r.deadline = now + r.Left
+	r.heavy = class.heavy(in.WorkHint)
+	r.deadline = now + r.TimeLeft
 	r.until = min(now+int64(queueShare*float64(max(0, r.aim-r.spent))), r.deadline)
 	if b.overShare(in.Tenant) {
-		r.value *= b.set.OverShareWorth
+		r.value *= b.set.OverQuotaWeight
 	}
 	class.taken++
 	b.taken++
@@ -143,7 +143,7 @@
 		b.giveUp(now, r) // at fault of late: see blame
 		return
 	}
-	if class.LateShare == 0 && float64(r.aim-r.spent) < class.half {
+	if class.LateValueShare == 0 && float64(r.aim-r.spent) < class.half {
 		b.giveUp(now, r) // worth nothing any more: guards against repeats that keep a jam going
 		return
 	}
@@ -197,11 +197,11 @@
 // earlier ones ended. Every send asks for it. Guards against retries of what servers turn away, which cost
 // the retry budget nothing: 27 in 10 s where 26.7 were allowed.
 func (b *Balancer) furtherLeft(now int64) float64 {
-	if b.set.Rules.ResendSpan == 0 {
+	if b.set.Rules.AttemptBudgetWindow == 0 {
 		return math.Inf(1)
 	}
 	taken, further := b.further.count(now)
-	return b.floor(now) + b.set.Rules.ResendRatio*float64(taken) - float64(further)
+	return b.floor(now) + b.set.Rules.AttemptBudgetRatio*float64(taken) - float64(further)
 }
 
 // roomMayCome tells whether r lacks only room: some arm could take it without harm.
@@ -216,7 +216,7 @@
 		at--
 	}
 	b.queue = slices.Insert(b.queue, at, r)
-	b.act.Wake(r.until-now, tokenQueue)
+	b.act.SetTimer(r.until-now, tokenQueue)
 	for float64(len(b.queue)) > max(queueLeast, b.drain*queueShare*float64(r.aim)) {
 		last := b.queue[len(b.queue)-1]
 		b.queue = b.queue[:len(b.queue)-1]
@@ -257,7 +257,7 @@
 	b.out++
 	b.tally.tries++
 	s.ramp.tokens--
-	b.act.Send(r.ID, s.ID, b.timeout(now, r))
+	b.act.SendAttempt(r.ID, s.ID, b.timeout(now, r))
 }
 
 // reuse tells how long the connection to s has been idle, 0 where there is none or it closes one that may be
@@ -269,7 +269,7 @@
 	if idle := now - s.idleAt; !s.lost && float64(idle) < b.idleSafe {
 		return idle
 	}
-	b.act.CloseIdle(s.ID)
+	b.act.CloseIdleConnections(s.ID)
 	return 0
 }
 
@@ -278,19 +278,19 @@
 // work goes on at many servers, and its retry only adds to it.
 func (b *Balancer) timeout(now int64, r *request) int64 {
 	left := r.deadline - now
-	if r.blamed() && b.set.Limits.HeldReplies > 0 { // a client that reads on would hold all other answers up
+	if r.blamed() && b.set.Limits.MaxBufferedResponses > 0 { // a client that reads on would hold all other answers up
 		left = min(left, max(minTimeout, int64(heldPart*float64(r.aim))))
 	}
 	t := max(int64(timeoutMark*r.class.mark), minTimeout)
-	last := len(r.tries) >= r.most || r.rules.Stream || r.Once || r.rules.Semantics == AtMostOnce
+	last := len(r.tries) >= r.most || r.rules.Stream || r.BodyUnbuffered || r.rules.Semantics == AtMostOnce
 	if last || t >= left || now-r.taken+t+int64(r.class.half) > r.aim {
 		return left
 	}
 	return t
 }
 
-// Outcome settles an attempt: its server learns, and its request is answered or tried again.
-func (b *Balancer) Outcome(now int64, o Outcome) {
+// OnOutcome settles an attempt: its server learns, and its request is answered or tried again.
+func (b *Balancer) OnOutcome(now int64, o Outcome) {
 	r := b.open[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.tries) || r.tries[o.Attempt].done {
 		return
@@ -310,13 +310,13 @@
 	case r.ended && r.out == 0:
 		delete(b.open, r.ID)
 	case r.ended:
-	case o.Closed:
+	case o.RequestAnswered:
 		b.end(r)
 	case r.out > 0:
-	case o.Result == Rejected: // others would too: guards against bad requests that use up the retries
+	case o.Result == InvalidRequest: // others would too: guards against bad requests that use up the retries
 		b.act.Fail(r.ID)
 		b.end(r)
-	case !o.Spent && !blamed && now < r.deadline && b.affordRetry(now, r, a):
+	case !o.BodyConsumed && !blamed && now < r.deadline && b.affordRetry(now, r, a):
 		b.try(now, r, false)
 	default:
 		b.giveUp(now, r)
@@ -339,9 +339,9 @@
 	return true
 }
 
-// Started hands an attempt to the client: its stream has no deadline and gets no further attempt. Its server
+// OnStreamStarted hands an attempt to the client: its stream has no deadline and gets no further attempt. Its server
 // has done its work. Guards against slow clients whose long answers take the place of requests.
-func (b *Balancer) Started(now int64, id string, n int) {
+func (b *Balancer) OnStreamStarted(now int64, id string, n int) {
 	if r := b.open[id]; r != nil && !r.ended && n < len(r.tries) {
 		r.started, r.tries[n].server.heardAt = true, now
 		b.release(now, r, &r.tries[n])
@@ -360,8 +360,8 @@
 	}
 }
 
-// Gone ends a request whose client left.
-func (b *Balancer) Gone(now int64, id string) {
+// OnClientDisconnected ends a request whose client left.
+func (b *Balancer) OnClientDisconnected(now int64, id string) {
 	if r := b.open[id]; r != nil && !r.ended {
 		b.end(r)
 	}
@@ -374,7 +374,7 @@
 	}
 	b.tally.shed++
 	if r.mayRefuse(now) {
-		b.act.Refuse(r.ID, b.retryAfter(r))
+		b.act.Reject(r.ID, b.retryAfter(r))
 	} else {
 		b.act.Fail(r.ID)
 	}
@@ -398,7 +398,7 @@
 	}
 	for i := range r.tries {
 		if !r.tries[i].done && b.set.Limits.Cancel {
-			b.act.Cancel(r.ID, i)
+			b.act.CancelAttempt(r.ID, i)
 		}
 	}
 }
@@ -411,10 +411,10 @@
 	if first == nil || r.rules.Semantics == Idempotent {
 		return true
 	}
-	if r.rules.Semantics == AtMostOnce || now-first.sentAt >= r.rules.Window {
+	if r.rules.Semantics == AtMostOnce || now-first.sentAt >= r.rules.DedupWindow {
 		return false
 	}
-	switch r.rules.Group {
+	switch r.rules.DedupScope {
 	case ScopeZone:
 		return s.Zone == first.zone
 	case ScopeCell:
@@ -427,7 +427,7 @@
 func (r *request) mayRefuse(now int64) bool {
 	first := r.effect()
 	return first == nil || r.rules.Semantics == Idempotent ||
-		r.rules.Semantics == Deduplicated && r.rules.Group == ScopeAll && now-first.sentAt < r.rules.Window
+		r.rules.Semantics == IdempotencyKeyed && r.rules.DedupScope == ScopeAll && now-first.sentAt < r.rules.DedupWindow
 }
 
 // ---- EXP3
@@ -444,7 +444,7 @@
 		s, p := b.pick(sum, size, home)
 		bound := crowd
 		if s == home || b.near(s.Zone) > 1 && !b.talks() {
-			bound = 1/s.Size + 2*crowd // the design's bound: a home or a near one may hold more
+			bound = 1/s.Capacity + 2*crowd // the design's bound: a home or a near one may hold more
 		}
 		if n == redraws || b.load(now, s) <= bound {
 			return s, p
@@ -499,14 +499,14 @@
 
 // odds is how likely a draw among servers of that weight and size in all picks s.
 func (b *Balancer) odds(s, home *server, sum, size float64) float64 {
-	return (1-gamma)*b.armWeight(s, home)/sum + gamma*s.Size/size
+	return (1-gamma)*b.armWeight(s, home)/sum + gamma*s.Capacity/size
 }
 
 // armWeight is the server's weight over all its arms, raised where the request's key is at home. A limit
 // under one counts as that part of it. Guards against many balancers that take turns at a jammed server and
 // keep it so: work they gave up on still goes on there.
 func (b *Balancer) armWeight(s, home *server) float64 {
-	w := s.Size * s.weight * min(1, b.bound(s)) * b.near(s.Zone) * b.ease(s) * s.ramp.turn(len(b.arms))
+	w := s.Capacity * s.weight * min(1, b.bound(s)) * b.near(s.Zone) * b.ease(s) * s.ramp.turn(len(b.arms))
 	if s == home {
 		return warmBoost * float64(len(b.arms)) * w
 	}
@@ -516,7 +516,7 @@
 // replica counts a request for a key and picks one of its homes, more for a key that is a large part of the
 // requests seen here; 0: none. Guards against hot keys that flood one server from every balancer.
 func (b *Balancer) replica(name string) uint64 {
-	if !b.set.WarmKeys || name == "" {
+	if !b.set.KeyAffinity || name == "" {
 		return 0
 	}
 	key := hash(name)
@@ -536,7 +536,7 @@
 	least := math.Inf(1)
 	for _, s := range b.servers {
 		if s.Phase == InService && !s.health[r.Class].suspended {
-			if far := -math.Log(unit(r.home^s.hash)) / s.Size; far < least {
+			if far := -math.Log(unit(r.home^s.hash)) / s.Capacity; far < least {
 				best, least = s, far
 			}
 		}
@@ -550,11 +550,11 @@
 	if b.talks() {
 		least, sharers, most = armsLeastTold, armsTold, armsHeard
 	}
-	if b.set.ConnPrice > 0 {
+	if b.set.ConnectionPrice > 0 {
 		each = armPriced
 	}
 	servers := float64(len(b.servers))
-	cover := min(sharers*(servers/float64(max(1, b.set.Balancers))), most)
+	cover := min(sharers*(servers/float64(max(1, b.set.BalancerCount))), most)
 	return int(min(max(least, b.rate/each, cover), servers))
 }
 
@@ -586,7 +586,7 @@
 // all servers suspended. It does harm where one key alone jams its home.
 func (b *Balancer) blame(r *request, o Outcome) bool {
 	bad, k := !b.early(r.class, o), r.books
-	if k == nil || !bad && o.Result != Served {
+	if k == nil || !bad && o.Result != Succeeded {
 		return false
 	}
 	k.answers, b.judged.answers = k.answers+1, b.judged.answers+1
@@ -605,14 +605,14 @@
 
 // observe takes in what an outcome tells of its server: a cancelled, unsent or rejected one tells nothing.
 func (b *Balancer) observe(now int64, r *request, a *attempt, o Outcome) {
-	if o.Result == Served || o.Result == Errored || o.Result == Full || o.Result == Rejected {
+	if o.Result == Succeeded || o.Result == Errored || o.Result == Saturated || o.Result == InvalidRequest {
 		a.server.heardAt = now
 	}
 	b.hearLoad(a.server, o.Load)
-	if o.Result == Cancelled || o.Result == Moot || o.Result == Rejected {
+	if o.Result == Cancelled || o.Result == NotSent || o.Result == InvalidRequest {
 		return
 	}
-	if o.Result == Served {
+	if o.Result == Succeeded {
 		b.answers++
 		if a.sentAt+o.Latency-r.taken+r.spent <= r.aim { // a stream ends later
 			r.class.served++
@@ -620,7 +620,7 @@
 		a.server.answered++
 		b.retries = min(b.retries+retryPerServed, retryBurst)
 	}
-	if o.Result == Served || o.Result == TimedOut {
+	if o.Result == Succeeded || o.Result == TimedOut {
 		r.class.sample(float64(o.Latency))
 	}
 	b.judge(now, r.Class, a.server, o.Result)
@@ -636,29 +636,29 @@
 // payoff is 1 for an answer as fast as from a server at ease, falls with the latency after that, and is 0 for
 // a failure. Guards against slow machines that keep their part at every balancer until they are late.
 func (r *request) payoff(o Outcome) float64 {
-	if o.Result != Served {
+	if o.Result != Succeeded {
 		return 0
 	}
-	return min(1, payoffShare*r.class.base*float64(r.aim)/float64(r.rules.Aim*max(1, o.Latency)))
+	return min(1, payoffShare*r.class.base*float64(r.aim)/float64(r.rules.LatencyObjective*max(1, o.Latency)))
 }
 
 // ---- Limits of what is out
 
 // adapt moves the limit of the server that answered.
 func (b *Balancer) adapt(now int64, c *classState, a *attempt, o Outcome) {
-	s, early := a.server, o.Result == Served && b.early(c, o)
+	s, early := a.server, o.Result == Succeeded && b.early(c, o)
 	if !early {
 		b.tally.late++
 	}
-	s.early = early || o.Result != Served && s.early
+	s.early = early || o.Result != Succeeded && s.early
 	if b.talks() { // the density is of what all hold there, and moves by little
-		early = o.Result == Served && float64(o.Latency) <= earlyTold*float64(c.Aim)
+		early = o.Result == Succeeded && float64(o.Latency) <= earlyTold*float64(c.LatencyObjective)
 	}
 	calm, well := b.atEase(c, s, o)
 	b.crowding(now, s, early || calm, o.Result)
 	switch {
-	case b.talks() || o.Result != Served && o.Result != TimedOut && o.Result != Full:
-	case s.early && (o.Result == TimedOut || o.Result == Full && b.set.Rules.ResendSpan == 0):
+	case b.talks() || o.Result != Succeeded && o.Result != TimedOut && o.Result != Saturated:
+	case s.early && (o.Result == TimedOut || o.Result == Saturated && b.set.Rules.AttemptBudgetWindow == 0):
 		// Lost by itself, or turned away early: guards against cuts where nothing is crowded. Where further
 		// attempts are rationed a full server costs one, and the cut keeps others away from it.
 	case (early || well) && float64(s.inFlight+2) > s.limit && s.cutAt == 0:
@@ -667,7 +667,7 @@
 		s.limit *= limitUp
 	case early || well:
 	default:
-		if (o.Result == TimedOut && o.Latency >= c.Aim || o.Result == Full) && a.sentAt > s.cutAt {
+		if (o.Result == TimedOut && o.Latency >= c.LatencyObjective || o.Result == Saturated) && a.sentAt > s.cutAt {
 			s.limit, s.cutAt = min(s.limit, float64(s.inFlight+1))*failCut, now
 		}
 		s.limit = max(limitLeast, s.limit*limitDown)
@@ -678,14 +678,14 @@
 // crowding moves the density by an answer: up where it is early and the room was used, down where it is late,
 // less for each where much is out. Guards against a burst of late answers that leaves a busy one no room.
 func (b *Balancer) crowding(now int64, s *server, early bool, result Result) {
-	held, room, part, up, least := b.held(now, s), b.density*s.Size, 1.0, poolUpTold, 1.0
+	held, room, part, up, least := b.held(now, s), b.density*s.Capacity, 1.0, poolUpTold, 1.0
 	if !b.talks() { // else one server's answer tells of what all hold there
 		held, room = b.room(now)
 		part, up, least = min(1, poolAnswers/float64(b.out+1)), poolUp, 1/float64(max(1, len(b.servers)))
 	}
 	switch {
 	case early && held+2 <= room:
-	case !early && result == Served: // a full server tells of itself
+	case !early && result == Succeeded: // a full server tells of itself
 		b.density, b.jammed = max(least, b.density*(1-poolDown*part)), true
 	case early && !b.jammed:
 		b.density *= limitFirst
@@ -696,7 +696,7 @@
 
 // startLimit allows this balancer's part of a guess for all: what came before tells nothing.
 func (b *Balancer) startLimit(s *server) {
-	s.limit, s.cutAt = max(limitLeast, limitStart*s.Size/b.sharersOf()), 0
+	s.limit, s.cutAt = max(limitLeast, limitStart*s.Capacity/b.sharersOf()), 0
 }
 
 // full tells whether as much is out as the limits of arms and of homes in use add up to, or as this
@@ -727,7 +727,7 @@
 // bound is how much all may hold at s.
 func (b *Balancer) bound(s *server) float64 {
 	if b.talks() {
-		return max(1, b.density*s.Size)
+		return max(1, b.density*s.Capacity)
 	}
 	return s.limit
 }
@@ -737,7 +737,7 @@
 	if b.talks() && s.arm && len(s.sharers) > 0 {
 		w := b.word(s)
 		for _, p := range s.sharers[:min(len(s.sharers), b.tellMost())] {
-			b.act.Tell(p.from, w)
+			b.act.SendGossip(p.from, w)
 		}
 	}
 }
@@ -746,18 +746,18 @@
 func (b *Balancer) tellAll(now int64) {
 	if b.talks() && now >= b.tellAt {
 		b.toldAt, b.tellAt = now, now+b.tellEvery()+b.rng.Int64N(b.tellEvery())
-		b.act.Tell(-1, b.word(b.arms...))
+		b.act.SendGossip(-1, b.word(b.arms...))
 	}
 }
 
-// Told takes in another balancer's message.
-func (b *Balancer) Told(now int64, from int, word []byte) {
+// OnGossip takes in another balancer's message.
+func (b *Balancer) OnGossip(now int64, from int, word []byte) {
 	if !b.talks() {
 		return
 	}
 	ok, met := b.hear(now, from, word)
 	if met { // it may not know of this one: it started anew, or a word to all was lost
-		b.act.Tell(from, b.word(b.arms...))
+		b.act.SendGossip(from, b.word(b.arms...))
 	}
 	if ok {
 		b.heardOf = now
@@ -773,14 +773,14 @@
 // the black hole: a dead process turns attempts away at once, holds nothing, and always has room. An error
 // tells of its class alone: a server can fail one and serve the others.
 func (b *Balancer) judge(now int64, class int, s *server, result Result) {
-	if result == Full {
+	if result == Saturated {
 		return
 	}
 	for i := range s.health {
 		h := &s.health[i]
 		switch {
-		case i != class && (result == Errored || result == Served && h.cause == Errored):
-		case result == Served:
+		case i != class && (result == Errored || result == Succeeded && h.cause == Errored):
+		case result == Succeeded:
 			if h.suspended {
 				b.bringBack(now, s, i)
 			}
@@ -792,7 +792,7 @@
 			}
 		}
 	}
-	if result == Served {
+	if result == Succeeded {
 		s.lastServed = now
 	}
 }
@@ -841,11 +841,11 @@
 // ask probes the arms where servers tell of themselves to probes alone, as often as their price leaves little
 // to notice. Guards against slow machines that get as much as fast ones until they choke: in two seconds.
 func (b *Balancer) ask(now int64) {
-	wait := float64(second*int64(len(b.arms))) * b.set.ProbePrice / (askSpend * max(1, b.rate))
-	if b.set.ProbeLoad && b.set.Limits.Probes && float64(now-b.askedAt) >= wait {
+	wait := float64(second*int64(len(b.arms))) * b.set.HealthCheckPrice / (askSpend * max(1, b.rate))
+	if b.set.LoadFromHealthChecks && b.set.Limits.HealthChecks && float64(now-b.askedAt) >= wait {
 		b.askedAt = now
 		for _, s := range b.arms {
-			b.act.Probe(s.ID)
+			b.act.CheckHealth(s.ID)
 		}
 	}
 }
@@ -863,32 +863,32 @@
 		return true
 	}
 	w *= max(1, b.set.Rules.OverloadFactor*coldPart)
-	return s.ramp.take(now, w*b.perSize[s.role()]*s.Size, b.burst())
+	return s.ramp.take(now, w*b.perSize[s.role()]*s.Capacity, b.burst())
 }
 
 // ---- Time and the list of servers
 
-// Timer serves the timers set by Wake.
-func (b *Balancer) Timer(now, token int64) {
+// OnTimer serves the timers set by Wake.
+func (b *Balancer) OnTimer(now, token int64) {
 	switch token {
 	case tokenSecond:
 		b.everySecond(now)
 	case tokenQueue:
 		b.pump(now)
 	case tokenAsk:
-		b.act.Watch(true)
+		b.act.WatchEndpoints(true)
 	case tokenFirst:
 		if len(b.servers) == 0 { // nothing can be served before
-			b.act.Watch(true)
+			b.act.WatchEndpoints(true)
 		} else {
-			b.act.Wake(b.firstAsk(), tokenAsk)
+			b.act.SetTimer(b.firstAsk(), tokenAsk)
 		}
 	}
 }
 
 // everySecond forgets, log-weights shrinking to their mean, and takes the second's rates.
 func (b *Balancer) everySecond(now int64) {
-	b.act.Wake(second, tokenSecond)
+	b.act.SetTimer(second, tokenSecond)
 	b.drain += (float64(b.answers)/float64(second) - b.drain) / 2
 	b.idleSafe, b.idleDoubt = b.idleSafe*idleRise, b.idleDoubt*idleRise
 	b.forgetService()
@@ -906,7 +906,7 @@
 	for _, s := range b.servers {
 		s.setLog((s.log - mean) * keep)
 		if s.Phase == InService && !s.suspended && b.warmth(now, s) >= 1 {
-			answered[s.role()], size[s.role()] = answered[s.role()]+s.answered, size[s.role()]+s.Size
+			answered[s.role()], size[s.role()] = answered[s.role()]+s.answered, size[s.role()]+s.Capacity
 		}
 		s.answered = 0
 	}
@@ -922,8 +922,8 @@
 	b.summary(now)
 }
 
-// Listed takes the list, whole or its changes.
-func (b *Balancer) Listed(now int64, list []Server, whole bool) {
+// OnEndpoints takes the list, whole or its changes.
+func (b *Balancer) OnEndpoints(now int64, list []Endpoint, whole bool) {
 	b.asks = 0
 	if whole {
 		for _, s := range b.servers {
@@ -933,12 +933,12 @@
 	var fresh []*server
 	for _, in := range list {
 		s := b.meet(now, in)
-		if s.listed == 0 || in.UpSince > s.UpSince { // a new process: cold, and no old failure counts
+		if s.listed == 0 || in.StartedAt > s.StartedAt { // a new process: cold, and no old failure counts
 			s.heal()
-			b.chill(now, s, max(in.UpSince, 0))
+			b.chill(now, s, max(in.StartedAt, 0))
 			fresh = append(fresh, s)
 		}
-		s.list(in, b.set.SizesListed)
+		s.list(in, b.set.CapacityListed)
 		if in.Phase != Removed && !s.held {
 			s.held, b.servers = true, append(b.servers, s)
 		}
@@ -955,12 +955,12 @@
 	b.pump(now)
 }
 
-// ListFailed asks again, later each time, and at most a turn after the failed call began; waited is for how
+// OnPollFailed asks again, later each time, and at most a turn after the failed call began; waited is for how
 // long it had no answer.
-func (b *Balancer) ListFailed(now, waited int64) {
+func (b *Balancer) OnPollFailed(now, waited int64) {
 	wait := b.backoff(waited)
 	if b.asks++; b.asks == 1 {
 		b.act.Log("list failed, asking again")
 	}
-	b.act.Wake(wait, tokenAsk)
+	b.act.SetTimer(wait, tokenAsk)
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -39,9 +39,9 @@
 // A server of listed size 4 beside two of size 1 counts as four arms of six: means scale to 2, 0.5, 0.5.
 func TestListedSizesCountAsArms(t *testing.T) {
 	set := testSettings()
-	set.SizesListed = true
+	set.CapacityListed = true
 	list := fleet(3)
-	list[0].Size = 4
+	list[0].Capacity = 4
 	w := newWorld(t, set, list...)
 	w.b.candidates(w.now, plain(w.b), nil)
 	for range 200 {
@@ -87,16 +87,16 @@
 // aim of 400 ms; the failure: machines that took six times as long as others in a crowded fleet kept their part.
 // A request whose aim is stretched to twice the class's may take twice as long.
 func TestPayoff(t *testing.T) {
-	class := &classState{Class: Class{Aim: 400_000}, base: 100_000}
+	class := &classState{Class: Class{LatencyObjective: 400_000}, base: 100_000}
 	c := &request{aim: 400_000, class: class, rules: class.Class}
 	long := &request{aim: 800_000, class: class, rules: class.Class}
-	near(t, "payoff of a long one", long.payoff(Outcome{Result: Served, Latency: 240_000}), 0.5, 1e-12)
+	near(t, "payoff of a long one", long.payoff(Outcome{Result: Succeeded, Latency: 240_000}), 0.5, 1e-12)
 	for _, v := range []struct {
 		result  Result
 		latency int64
 		want    float64
-	}{{Served, 1000, 1}, {Served, 60_000, 1}, {Served, 120_000, 0.5}, {Served, 600_000, 0.1}, {Served, 0, 1}, {Errored, 10, 0},
-		{Full, 10, 0}, {TimedOut, 10, 0}, {Reset, 10, 0}, {ConnectFailed, 10, 0}} {
+	}{{Succeeded, 1000, 1}, {Succeeded, 60_000, 1}, {Succeeded, 120_000, 0.5}, {Succeeded, 600_000, 0.1}, {Succeeded, 0, 1}, {Errored, 10, 0},
+		{Saturated, 10, 0}, {TimedOut, 10, 0}, {Reset, 10, 0}, {ConnectFailed, 10, 0}} {
 		near(t, fmt.Sprint("payoff of ", v.result, v.latency), c.payoff(Outcome{Result: v.result, Latency: v.latency}),
 			v.want, 1e-12)
 	}
@@ -135,7 +135,7 @@
 		if n := w.count("send"); n != want {
 			t.Errorf("%v answers a second from each server: %d sent with room for one, want %d", perSecond, n, want)
 		}
-		w.settle(w.pending[0], Full)
+		w.settle(w.pending[0], Saturated)
 		near(t, "density after a full server", w.b.density, 0.1, 0)
 	}
 }
@@ -147,7 +147,7 @@
 	w := newWorld(t, testSettings(), fleet(10)...)
 	w.request("quick", 0, 2*second) // so that it is known how quick answers are at ease
 	w.advance(20_000)
-	w.settle(w.pending[0], Served)
+	w.settle(w.pending[0], Succeeded)
 	w.b.density = 20
 	for i := range 40 {
 		w.request(fmt.Sprint("r", i), 0, 2*second)
@@ -158,7 +158,7 @@
 	before := w.b.density
 	w.advance(350_000)
 	for len(w.pending) > 0 {
-		w.settle(w.pending[0], Served)
+		w.settle(w.pending[0], Succeeded)
 	}
 	near(t, "part of the room kept", w.b.density/before, 0.13, 0.03)
 }
@@ -169,20 +169,20 @@
 	_, before := w.b.room(w.now)
 	w.request("slow", 0, 2*second)
 	w.advance(350_000) // past 3/4 of the aim
-	w.settle(w.pending[0], Served)
+	w.settle(w.pending[0], Succeeded)
 	_, after := w.b.room(w.now)
 	near(t, "room after a late answer", after/before, 0.85, 1e-9)
 	w.b.density = 0.1
 	for i := range 5 {
 		w.request(fmt.Sprint("quick", i), 0, 2*second)
 		w.advance(20_000)
-		w.settle(w.pending[0], Served)
+		w.settle(w.pending[0], Succeeded)
 	}
 	near(t, "density after five early ones", w.b.density, 0.1*math.Pow(1.05, 5), 1e-9)
 }
 
 func TestCancelledAndUnsentAttemptsTeachNothing(t *testing.T) {
-	for _, result := range []Result{Cancelled, Moot} {
+	for _, result := range []Result{Cancelled, NotSent} {
 		w := newWorld(t, testSettings(), fleet(1)...)
 		w.request("a", 0, second)
 		w.settle(w.pending[0], result)
@@ -228,7 +228,7 @@
 	w := newWorld(t, testSettings(), fleet(3)...)
 	r := w.request("a", 0, 2*second)
 	for len(r.tries) < 3 {
-		w.settle(r.tries[len(r.tries)-1], Full)
+		w.settle(r.tries[len(r.tries)-1], Saturated)
 	}
 	seen := map[string]bool{}
 	for _, f := range r.tries {
@@ -259,7 +259,7 @@
 // Rule 2, every class with every outcome of its first attempt: what may follow. The world checks each
 // action against its own books; here the wanted kind of action is named too.
 func TestEffectsAfterEachOutcome(t *testing.T) {
-	never := []Result{Full, ConnectFailed, Moot}
+	never := []Result{Saturated, ConnectFailed, NotSent}
 	maybe := []Result{Errored, TimedOut, Reset, Cancelled}
 	for class, c := range testSettings().Classes {
 		for _, result := range append(never, maybe...) {
@@ -310,16 +310,16 @@
 
 // Rule 3: draining, removed and unlisted servers get nothing, however they are told.
 func TestDrainedServersGetNothing(t *testing.T) {
-	for name, tell := range map[string]func(*world, []Server){
-		"draining": func(w *world, l []Server) { l[0].Phase = Draining; w.list(false, l[0]) },
-		"removed":  func(w *world, l []Server) { l[0].Phase = Removed; w.list(false, l[0]) },
-		"unlisted": func(w *world, l []Server) { w.list(true, l[1]) },
+	for name, tell := range map[string]func(*world, []Endpoint){
+		"draining": func(w *world, l []Endpoint) { l[0].Phase = Draining; w.list(false, l[0]) },
+		"removed":  func(w *world, l []Endpoint) { l[0].Phase = Removed; w.list(false, l[0]) },
+		"unlisted": func(w *world, l []Endpoint) { w.list(true, l[1]) },
 	} {
 		w := newWorld(t, testSettings(), fleet(2)...)
 		tell(w, fleet(2))
 		for i := range 50 {
 			r := w.request(fmt.Sprint("r", i), 0, second)
-			w.settle(r.tries[0], Served)
+			w.settle(r.tries[0], Succeeded)
 			if r.tries[0].server.ID != "s1" {
 				t.Errorf("%s: sent to %s", name, r.tries[0].server.ID)
 			}
@@ -340,13 +340,13 @@
 	list := fleet(3)
 	w := newWorld(t, testSettings(), list...)
 	w.advance(second)
-	cold := Server{ID: "new", Size: 1, Zone: "z0", UpSince: w.now}
+	cold := Endpoint{ID: "new", Capacity: 1, Zone: "z0", StartedAt: w.now}
 	w.list(false, cold)
 	for i := range 400 { // a jam: everything turned away, many sends, no answers
 		r := w.request(fmt.Sprint("r", i), 0, second)
 		for range 4 {
 			if n := len(r.tries); n > 0 {
-				w.settle(r.tries[n-1], Full)
+				w.settle(r.tries[n-1], Saturated)
 			}
 		}
 		w.advance(5000)
@@ -375,7 +375,7 @@
 		w.advance(20_000)
 		for _, f := range slices.Clone(w.pending) {
 			if w.now-f.sent >= 900_000 {
-				w.settle(f, Served)
+				w.settle(f, Succeeded)
 			}
 		}
 		if i > 1500 {
@@ -401,7 +401,7 @@
 	w := newWorld(t, testSettings(), fleet(4)...)
 	hung := true
 	answer := func(f *flight) (Result, bool) {
-		return Served, w.now-f.sent >= 200_000 && (f.server.ID != "s0" || !hung)
+		return Succeeded, w.now-f.sent >= 200_000 && (f.server.ID != "s0" || !hung)
 	}
 	w.traffic(300, answer)
 	if w.count("log suspend") == 0 {
@@ -436,7 +436,7 @@
 				if f.server.ID < "s2" {
 					served++
 				}
-				w.settle(f, Served)
+				w.settle(f, Succeeded)
 			}
 		}
 		w.advance(20_000)
@@ -453,8 +453,8 @@
 func TestServersLongGoneAreForgotten(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(3)...)
 	for i := range 50 {
-		w.b.Listed(w.now, []Server{{ID: fmt.Sprint("new", i), Size: 1}}, true)
-		w.b.Timer(w.now, tokenSecond)
+		w.b.OnEndpoints(w.now, []Endpoint{{ID: fmt.Sprint("new", i), Capacity: 1}}, true)
+		w.b.OnTimer(w.now, tokenSecond)
 		w.now += 2 * second
 	}
 	if n := len(w.b.known); n > int(keepGone/(2*second))+2 {
@@ -475,7 +475,7 @@
 func TestOwnZoneWeighsMoreWhereCrossingHasAPrice(t *testing.T) {
 	for price, want := range map[float64]float64{0: 0.25, 0.03: 0.93*5/8 + 0.07/4} {
 		set := testSettings()
-		set.Zone, set.ZonePrice = "home", price
+		set.Zone, set.CrossZonePrice = "home", price
 		list := fleet(4)
 		for i := range list {
 			list[i].Zone = fmt.Sprint("z", i)
@@ -502,7 +502,7 @@
 	before := w.b.retries
 	for i := range 6 {
 		r := w.request(fmt.Sprint("bad", i), 0, 2*second)
-		w.settle(w.pending[0], Rejected)
+		w.settle(w.pending[0], InvalidRequest)
 		if r.answered != "fail" || len(r.tries) != 1 {
 			t.Fatalf("answered %q after %d tries", r.answered, len(r.tries))
 		}
@@ -523,11 +523,11 @@
 		w.b.adapt(w.now, c, &attempt{server: s, sentAt: w.now - latency}, Outcome{Result: result, Latency: latency})
 		return s.limit / before
 	}
-	end(Served, 1000)
+	end(Succeeded, 1000)
 	if f := end(TimedOut, c.Deadline); f != 1 {
 		t.Errorf("a time-out after an early answer moved the limit by %v", f)
 	}
-	end(Served, c.Aim)
+	end(Succeeded, c.LatencyObjective)
 	if f := end(TimedOut, c.Deadline); f >= 1 {
 		t.Errorf("a time-out after a late answer moved the limit by %v", f)
 	}
@@ -553,7 +553,7 @@
 	w := newWorld(t, testSettings(), fleet(2)...)
 	c := w.b.classes[0]
 	r := plain(w.b)
-	r.aim, r.taken, r.deadline = c.Aim, w.now, w.now+2*second
+	r.aim, r.taken, r.deadline = c.LatencyObjective, w.now, w.now+2*second
 	c.mark, c.half = 100_000, 50_000
 	if got := w.b.timeout(w.now, r); got != 200_000 {
 		t.Errorf("time-out %d, want 200000: a retry still fits", got)
@@ -578,7 +578,7 @@
 	if low[0].answered != "refuse" || high.answered != "" {
 		t.Errorf("the oldest of the low is %q and the high %q, want refuse and waiting", low[0].answered, high.answered)
 	}
-	w.settle(w.pending[0], Served)
+	w.settle(w.pending[0], Succeeded)
 	if len(high.tries) != 1 || len(low[2].tries) != 0 { // the limit grew a little: one more may go
 		t.Error("room came, and the worthiest was not the one sent")
 	}
@@ -593,7 +593,7 @@
 // Every balancer with the same list sends a key to the same home, each with its own seed.
 func TestHomesAgree(t *testing.T) {
 	set := testSettings()
-	set.WarmKeys = true
+	set.KeyAffinity = true
 	w, other := newWorld(t, set, fleet(9)...), newWorld(t, set, fleet(9)...)
 	seen := map[string]bool{}
 	for i := range 200 {
@@ -614,8 +614,8 @@
 	asked := w.count("watch")
 	for range 12 {
 		w.timers = nil
-		w.b.ListFailed(w.now, 0)
-		if in := w.timers[0].at - w.now; in <= 0 || in > w.set.Rules.AskEvery/2 {
+		w.b.OnPollFailed(w.now, 0)
+		if in := w.timers[0].at - w.now; in <= 0 || in > w.set.Rules.PollInterval/2 {
 			t.Errorf("asks again in %d us", in)
 		}
 		w.advance(5 * second)
@@ -628,7 +628,7 @@
 func TestAStreamIsLeftToItsClient(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(3)...)
 	r := w.request("a", 5, 2*second)
-	w.b.Started(w.now, "a", 0)
+	w.b.OnStreamStarted(w.now, "a", 0)
 	r.tries[0].expires, r.deadline = w.now+100*second, w.now+100*second
 	w.advance(5 * second)
 	r.answered = "stream"
@@ -643,16 +643,16 @@
 	if err := set.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	w := newWorld(t, set, Server{ID: "s0"}, Server{ID: "s1", Size: math.Inf(1)})
+	w := newWorld(t, set, Endpoint{ID: "s0"}, Endpoint{ID: "s1", Capacity: math.Inf(1)})
 	for i := range 100 {
 		r := w.request(fmt.Sprint("r", i), 0, second)
 		for len(r.tries) > 0 && r.answered == "" && len(w.pending) > 0 {
-			w.settle(r.tries[len(r.tries)-1], Full)
+			w.settle(r.tries[len(r.tries)-1], Saturated)
 		}
 		if r.answered == "" {
 			w.advance(2 * second)
 		}
-		w.b.Probed(w.now, Probe{Server: "nobody", Load: &Load{InFlight: math.NaN()}})
+		w.b.OnHealthCheck(w.now, HealthCheck{Server: "nobody", Load: &LoadReport{InFlight: math.NaN()}})
 	}
 	w.list(true)
 	if r := w.request("last", 0, second); r.answered != "refuse" {
@@ -663,11 +663,11 @@
 func TestValidate(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no classes":       func(s *Settings) { s.Classes = nil },
-		"negative window":  func(s *Settings) { s.Classes[0].Window = -1 },
-		"negative aim":     func(s *Settings) { s.Classes[0].Aim = -1 },
-		"worth not number": func(s *Settings) { s.Classes[0].Worth = math.NaN() },
-		"cold share":       func(s *Settings) { s.Rules.ColdFrom = 2 },
-		"negative rule":    func(s *Settings) { s.Rules.FallFor = -1 },
+		"negative window":  func(s *Settings) { s.Classes[0].DedupWindow = -1 },
+		"negative aim":     func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"worth not number": func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
+		"cold share":       func(s *Settings) { s.Rules.SlowStartMinShare = 2 },
+		"negative rule":    func(s *Settings) { s.Rules.OverloadWindow = -1 },
 		"negative limit":   func(s *Settings) { s.Limits.MaxAttempts = -1 },
 		"nameless class":   func(s *Settings) { s.Classes[0].Name = "" },
 		"tenant":           func(s *Settings) { s.Tenants = []Tenant{{Name: "x", Allowance: -1}} },
@@ -699,7 +699,7 @@
 	s := w.b.servers[0]
 	w.b.judge(w.now, 0, s, ConnectFailed)
 	fallIll(w.b, w.now, s, ConnectFailed)
-	w.b.judge(w.now+second, 0, s, Served)
+	w.b.judge(w.now+second, 0, s, Succeeded)
 	if s.suspended || s.coldSince != 0 {
 		t.Errorf("suspended %v, cold since %d, want neither", s.suspended, s.coldSince)
 	}
@@ -759,7 +759,7 @@
 // first seconds. By hand: 8 for all, a ninth of it each.
 func TestStartLimitsShareAmongBalancers(t *testing.T) {
 	set := testSettings()
-	set.Balancers = 9
+	set.BalancerCount = 9
 	w := newWorld(t, set, fleet(2)...)
 	near(t, "start limit", w.b.servers[0].limit, 8.0/9, 1e-9)
 }
@@ -782,7 +782,7 @@
 // The failure: a busy balancer's jam doubled its idea of uncrowded within seconds, by its many answers, and
 // then took the jam for normal. Only time forgets it now, 1% a second.
 func TestAJamDoesNotTeachItself(t *testing.T) {
-	c := &classState{Class: Class{Aim: 400_000}, mark: 100_000, half: 50_000, calm: 100_000, base: 100_000}
+	c := &classState{Class: Class{LatencyObjective: 400_000}, mark: 100_000, half: 50_000, calm: 100_000, base: 100_000}
 	for range 5000 {
 		c.sample(300_000)
 	}
@@ -799,9 +799,9 @@
 	s := w.b.servers[0]
 	s.limit = 0.1
 	fallIll(w.b, w.now, s, TimedOut)
-	w.b.judge(w.now+3*second, 0, s, Served)
+	w.b.judge(w.now+3*second, 0, s, Succeeded)
 	near(t, "limit after silence", s.limit, 4, 1e-9)
-	again := Server{ID: "s1", Size: 1, Zone: "z1", UpSince: w.now}
+	again := Endpoint{ID: "s1", Capacity: 1, Zone: "z1", StartedAt: w.now}
 	w.b.servers[1].limit = 0.1
 	w.list(false, again)
 	near(t, "limit of a new process", w.b.known["s1"].limit, 4, 1e-9)
@@ -811,11 +811,11 @@
 // deadline of 2 s, none the class's own.
 func TestTheAimStretchesWithTheWork(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].AimStretch = 3
+	set.Classes[0].ObjectivePerWork = 3
 	w := newWorld(t, set, fleet(3)...)
 	for work, want := range map[int64]int64{0: 400_000, 100_000: 700_000, 900_000: 2 * second} {
 		id := fmt.Sprint("r", work)
-		w.take(Request{ID: id, Tenant: -1, Left: 2 * second, Work: work})
+		w.take(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, WorkHint: work})
 		if got := w.b.open[id].aim; got != want {
 			t.Errorf("aim with %d us of work: %d, want %d", work, got, want)
 		}
@@ -826,7 +826,7 @@
 // balancer. By hand, ten equal arms of which one is home: it weighs 20 beside 9, p = 0.93*20/29 + 0.07/10 = 0.648379.
 func TestAHomeWeighsTwiceAllArms(t *testing.T) {
 	set := testSettings()
-	set.WarmKeys = true
+	set.KeyAffinity = true
 	w := newWorld(t, set, fleet(10)...)
 	r := plain(w.b)
 	r.home = hash("key") | 1
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -39,16 +39,16 @@
 // silent carries out nothing.
 type silent struct{}
 
-func (silent) Send(string, string, int64) {}
-func (silent) Cancel(string, int)         {}
-func (silent) Refuse(string, int64)       {}
-func (silent) Fail(string)                {}
-func (silent) Probe(string)               {}
-func (silent) Watch(bool)                 {}
-func (silent) Wake(int64, int64)          {}
-func (silent) Log(string)                 {}
-func (silent) CloseIdle(string)           {}
-func (silent) Tell(int, []byte)           {}
+func (silent) SendAttempt(string, string, int64) {}
+func (silent) CancelAttempt(string, int)         {}
+func (silent) Reject(string, int64)              {}
+func (silent) Fail(string)                       {}
+func (silent) CheckHealth(string)                {}
+func (silent) WatchEndpoints(bool)               {}
+func (silent) SetTimer(int64, int64)             {}
+func (silent) Log(string)                        {}
+func (silent) CloseIdleConnections(string)       {}
+func (silent) SendGossip(int, []byte)            {}
 
 // mouth is one balancer's Actions: only its sends count.
 type mouth struct {
@@ -58,7 +58,7 @@
 	n map[string]int
 }
 
-func (m *mouth) Send(request, server string, timeout int64) {
+func (m *mouth) SendAttempt(request, server string, timeout int64) {
 	done := m.c.now + 60_000
 	if m.c.busy != nil { // one after the other, 30 ms each, and 30 ms on the way
 		done = max(m.c.now, m.c.busy[server]) + 30_000
@@ -74,12 +74,12 @@
 }
 
 // newCrowd makes n balancers; skew 0 spreads traffic evenly, more gives the first ones most of it.
-func newCrowd(n int, set Settings, skew float64, servers []Server) *crowd {
+func newCrowd(n int, set Settings, skew float64, servers []Endpoint) *crowd {
 	return newCrowdOf(0, n, set, skew, servers)
 }
 
 // newCrowdOf does so with seeds of its own.
-func newCrowdOf(seed uint64, n int, set Settings, skew float64, servers []Server) *crowd {
+func newCrowdOf(seed uint64, n int, set Settings, skew float64, servers []Endpoint) *crowd {
 	c := &crowd{now: 1000 * second, rng: rand.New(rand.NewPCG(3, 3+seed))}
 	for i := range n {
 		c.bs = append(c.bs, c.join(seed, i, n, set, servers))
@@ -94,12 +94,12 @@
 }
 
 // join starts one balancer.
-func (c *crowd) join(seed uint64, me, n int, set Settings, servers []Server) *Balancer {
-	set.Me, set.Balancers = me, n
+func (c *crowd) join(seed uint64, me, n int, set Settings, servers []Endpoint) *Balancer {
+	set.BalancerIndex, set.BalancerCount = me, n
 	m := &mouth{c: c, n: map[string]int{}}
 	m.b = New(set, seed<<16+uint64(me+1), m)
-	m.b.Begin(c.now)
-	m.b.Listed(c.now, servers, true)
+	m.b.Start(c.now)
+	m.b.OnEndpoints(c.now, servers, true)
 	return m.b
 }
 
@@ -126,13 +126,13 @@
 		if c.served != nil {
 			c.served[c.now-d.at <= 400_000]++
 		}
-		d.from.Outcome(c.now, Outcome{Request: d.request, Attempt: d.attempt, Server: d.server, Result: Served,
-			Latency: c.now - d.at, Closed: true})
+		d.from.OnOutcome(c.now, Outcome{Request: d.request, Attempt: d.attempt, Server: d.server, Result: Succeeded,
+			Latency: c.now - d.at, RequestAnswered: true})
 	}
 	c.due = append(later, c.due...)
 	if c.now%second == 0 {
 		for _, b := range c.bs {
-			b.Timer(c.now, tokenSecond)
+			b.OnTimer(c.now, tokenSecond)
 		}
 	}
 	for range requests {
@@ -148,11 +148,11 @@
 // ask hands a request to a balancer.
 func (c *crowd) ask(i int) {
 	c.requests++
-	r := Request{ID: fmt.Sprint("r", c.requests), Tenant: -1, Left: 2 * second}
+	r := Request{ID: fmt.Sprint("r", c.requests), Tenant: -1, TimeLeft: 2 * second}
 	if c.keys > 0 {
 		r.Key = fmt.Sprint("k", c.rng.IntN(c.keys))
 	}
-	c.bs[i].Request(c.now, r)
+	c.bs[i].OnRequest(c.now, r)
 }
 
 // coldSends tells all balancers of a server that starts now, and returns the times of what they send it in some seconds.
@@ -163,7 +163,7 @@
 		}
 	}
 	for _, b := range c.bs {
-		b.Listed(c.now, []Server{{ID: "cold", Size: 1, Zone: "z0", UpSince: c.now}}, false)
+		b.OnEndpoints(c.now, []Endpoint{{ID: "cold", Capacity: 1, Zone: "z0", StartedAt: c.now}}, false)
 	}
 	c.run(seconds, perSecond)
 	return times
@@ -179,14 +179,14 @@
 			t.Run(fmt.Sprint(n, " balancers, skew ", skew), func(t *testing.T) {
 				set := testSettings()
 				set.Rules.OverloadFactor = 2
-				set.WarmKeys = n == 10 // all servers are met, as homes
+				set.KeyAffinity = n == 10 // all servers are met, as homes
 				const servers, perSecond = 20, 800
 				c := newCrowd(n, set, skew, fleet(servers))
 				c.keys = 300
 				c.run(6, perSecond)
 				start := c.now
 				times := c.coldSends(8, perSecond)
-				window := set.Rules.FallFor
+				window := set.Rules.OverloadWindow
 				for i, at := range times {
 					in := 0
 					for _, other := range times[i:] {
@@ -194,7 +194,7 @@
 							in++
 						}
 					}
-					part := set.Rules.ColdFrom + (1-set.Rules.ColdFrom)*float64(at-start)/float64(set.Rules.ColdFor)
+					part := set.Rules.SlowStartMinShare + (1-set.Rules.SlowStartMinShare)*float64(at-start)/float64(set.Rules.SlowStartWindow)
 					budget := set.Rules.OverloadFactor * part * perSecond / servers * float64(window) / float64(second)
 					if float64(in) > budget {
 						t.Fatalf("%d sends within a window from %.2f s after the start, budget %.1f", in,
@@ -246,7 +246,7 @@
 		t.Errorf("%d arms after one fell ill, want the same and one more", n)
 	}
 	b.bringBack(now, before[0], 0)
-	b.Listed(now, []Server{{ID: b.servers[100].ID, Size: 1, Phase: Removed}}, false)
+	b.OnEndpoints(now, []Endpoint{{ID: b.servers[100].ID, Capacity: 1, Phase: Removed}}, false)
 	if !slices.Equal(b.arms, before) {
 		t.Error("the arms are not the same after the return and a change elsewhere")
 	}
@@ -257,7 +257,7 @@
 // keeps one, and balancers agree on them.
 func TestAHotKeyHasSeveralHomes(t *testing.T) {
 	set := testSettings()
-	set.WarmKeys = true
+	set.KeyAffinity = true
 	bs := newCrowd(2, set, 0, fleet(50)).bs // each with its own seed
 	homes := [2]map[string]bool{{}, {}}
 	for j, b := range bs {
@@ -286,9 +286,9 @@
 // starves: whatever is listed is used, at any size.
 func TestAListOfAnySize(t *testing.T) {
 	set := testSettings()
-	set.Balancers = 500
+	set.BalancerCount = 500
 	w := newWorld(t, set, fleet(1)...)
-	serve := func(f *flight) (Result, bool) { return Served, w.now-f.sent >= 20_000 }
+	serve := func(f *flight) (Result, bool) { return Succeeded, w.now-f.sent >= 20_000 }
 	for _, n := range []int{1, 2, 10, 100, 1000, 1, 0, 300} {
 		list := fleet(n)
 		w.list(true, append(list, list...)...)
@@ -308,7 +308,7 @@
 // second of the 1,600 asked for, so a fleet that holds back what is over can be early with nearly all of those.
 func TestQuietBalancersHoldBackTogetherWhenServersLeave(t *testing.T) {
 	set := testSettings()
-	set.WarmKeys = true // each balancer meets all servers, as keys' homes
+	set.KeyAffinity = true // each balancer meets all servers, as keys' homes
 	c := newCrowd(80, set, 0, fleet(60))
 	c.busy, c.keys = map[string]int64{}, 300
 	c.run(6, 1600)
@@ -317,7 +317,7 @@
 		for i := range list {
 			list[i].Phase = Draining
 		}
-		b.Listed(c.now, list, false)
+		b.OnEndpoints(c.now, list, false)
 	}
 	c.run(2, 1600)
 	c.served = map[bool]int{}
@@ -332,7 +332,7 @@
 // over 8 s from 0.3 to 1 of it are 104, and a random first part of one send.
 func TestAColdServerGetsItsPartFromItsArms(t *testing.T) {
 	set := testSettings()
-	set.WarmKeys = true
+	set.KeyAffinity = true
 	c := newCrowd(80, set, 0, fleet(60))
 	c.run(6, 1200)
 	if n := len(c.coldSends(8, 1200)); n < 52 || n > 208 {
@@ -373,15 +373,15 @@
 		const servers, perSecond = 20, 800
 		c := newCrowd(50, set, 0.3, fleet(servers))
 		for _, b := range c.bs {
-			b.set.Balancers = told
-			b.Listed(c.now, fleet(servers), true)
+			b.set.BalancerCount = told
+			b.OnEndpoints(c.now, fleet(servers), true)
 		}
 		c.run(5, perSecond)
 		if c.sent < 3*perSecond {
 			t.Errorf("told %d: %d attempts for %d requests", told, c.sent, c.requests)
 		}
 		cold := len(c.coldSends(2, perSecond))
-		if most := set.Rules.OverloadFactor * set.Rules.ColdFrom * perSecond / servers * 2; float64(cold) > most {
+		if most := set.Rules.OverloadFactor * set.Rules.SlowStartMinShare * perSecond / servers * 2; float64(cold) > most {
 			t.Errorf("told %d: %d sends to a cold server in its first window, budget %.0f", told, cold, most)
 		}
 	}
@@ -390,12 +390,12 @@
 // An infinite or absurd listed size counts as one: it would leave all others without a part.
 func TestAnAbsurdSizeCountsAsOne(t *testing.T) {
 	set := testSettings()
-	set.SizesListed = true
+	set.CapacityListed = true
 	list := fleet(3)
-	list[0].Size, list[1].Size = math.Inf(1), 1e300
+	list[0].Capacity, list[1].Capacity = math.Inf(1), 1e300
 	w := newWorld(t, set, list...)
 	for _, s := range w.b.servers {
-		near(t, "size of "+s.ID, s.Size, 1, 1e-9)
+		near(t, "size of "+s.ID, s.Capacity, 1, 1e-9)
 	}
 }
 
@@ -424,9 +424,9 @@
 	calls  []int64
 }
 
-func (c *caller) Wake(in, token int64) { c.timers = append(c.timers, alarm{c.q.now + in, token}) }
+func (c *caller) SetTimer(in, token int64) { c.timers = append(c.timers, alarm{c.q.now + in, token}) }
 
-func (c *caller) Watch(bool) {
+func (c *caller) WatchEndpoints(bool) {
 	c.calls = append(c.calls, c.q.now)
 	c.q.waiting = append(c.q.waiting, &call{from: c, at: c.q.now})
 }
@@ -440,21 +440,21 @@
 			c.timers = slices.DeleteFunc(c.timers, func(a alarm) bool { return a.at <= q.now })
 			for _, a := range due {
 				if a.at <= q.now {
-					c.b.Timer(q.now, a.token)
+					c.b.OnTimer(q.now, a.token)
 				}
 			}
 		}
 		for i, w := range q.waiting {
 			if !w.dead && (i >= holds || q.now-w.at >= patience) {
 				w.dead = true
-				w.from.b.ListFailed(q.now, q.now-w.at)
+				w.from.b.OnPollFailed(q.now, q.now-w.at)
 			}
 		}
 		q.waiting = q.waiting[:min(holds, len(q.waiting))]
 		for q.worked += perSecond * tick / float64(second); q.worked >= 1 && len(q.waiting) > 0; q.worked-- {
 			if w := q.waiting[0]; !w.dead {
 				w.from.served = q.now
-				w.from.b.Listed(q.now, nil, false)
+				w.from.b.OnEndpoints(q.now, nil, false)
 			}
 			q.waiting = q.waiting[1:]
 		}
@@ -466,15 +466,15 @@
 // came back within 0.2 s, again and again: over twenty seconds the list service worked through calls that it had
 // given up, and served none. By hand: it takes 15 a second, so 80 take 5.3 s where none is wasted.
 func TestAFleetThatAsksTogetherIsServed(t *testing.T) {
-	for _, known := range [][]Server{fleet(60), nil} {
+	for _, known := range [][]Endpoint{fleet(60), nil} {
 		q := &queue{now: 1000 * second}
 		for i := range 80 {
 			set := testSettings()
-			set.Balancers = 80
+			set.BalancerCount = 80
 			c := &caller{q: q}
 			c.b = New(set, uint64(i+1), c)
-			c.b.Begin(q.now)
-			c.b.Listed(q.now, known, true)
+			c.b.Start(q.now)
+			c.b.OnEndpoints(q.now, known, true)
 			q.callers = append(q.callers, c)
 		}
 		start, late, within := q.now, 0, int64(14)
--- a/decide/follow.go
+++ b/decide/follow.go
@@ -5,10 +5,10 @@
 
 import "slices"
 
-// Follow takes in that the balancer watched has sent an attempt of a request to a server, or, where that is empty,
+// FollowAttempt takes in that the balancer watched has sent an attempt of a request to a server, or, where that is empty,
 // that it has sent none: an attempt of this balancer's own that was never made is struck out. A request that this one
 // has answered, and a server that it does not know, stay as they are.
-func (b *Balancer) Follow(now int64, id, server string) {
+func (b *Balancer) FollowAttempt(now int64, id, server string) {
 	r := b.open[id]
 	if r == nil || r.ended {
 		return
@@ -33,8 +33,8 @@
 	}
 }
 
-// Open tells whether a request has no final answer of this balancer's yet.
-func (b *Balancer) Open(id string) bool {
+// IsOpen tells whether a request has no final answer of this balancer's yet.
+func (b *Balancer) IsOpen(id string) bool {
 	r := b.open[id]
 	return r != nil && !r.ended
 }
--- a/decide/former_test.go
+++ b/decide/former_test.go
@@ -24,7 +24,7 @@
 		{"unsafe", 4, 100_000, 1, false, "fail"},
 	} {
 		w := newWorld(t, budgeted(c.floor, 0, 10*second), fleet(6)...)
-		r := w.take(Request{ID: "x", Class: c.class, Tenant: -1, Left: 2 * second, Key: "k", Former: c.former})
+		r := w.take(Request{ID: "x", Class: c.class, Tenant: -1, TimeLeft: 2 * second, Key: "k", PriorAttemptAge: c.former})
 		w.advance(2 * second)
 		_, further := w.b.further.count(w.now)
 		if sent := len(r.tries) > 0; sent != c.sent || !sent && r.answered != c.answer || (further > 0) != (sent && c.former > 0) {
--- a/decide/fuzz_test.go
+++ b/decide/fuzz_test.go
@@ -12,11 +12,11 @@
 	set := testSettings()
 	if len(data) > 0 {
 		set.Limits.Cancel = data[0]&1 == 0
-		set.ListPushed = data[0]&2 == 0
-		set.WarmKeys = data[0]&4 == 0
-		set.Limits.Peers = data[0]&8 == 0
+		set.EndpointsPushed = data[0]&2 == 0
+		set.KeyAffinity = data[0]&4 == 0
+		set.Limits.Gossip = data[0]&8 == 0
 		if data[0]&16 == 0 {
-			set.Rules.ExtraFloor, set.Rules.ResendRatio, set.Rules.ResendSpan = 3, 0.15, 10*second
+			set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio, set.Rules.AttemptBudgetWindow = 3, 0.15, 10*second
 		}
 		set.Limits.MaxAttempts = int(data[0] >> 5)
 	}
@@ -24,7 +24,7 @@
 	if len(data) > 1 {
 		size = int(data[1] % 9)
 		if data[1] >= 240 { // a large fleet before one of many balancers
-			size, set.Balancers = 100*int(data[1]-238), 500
+			size, set.BalancerCount = 100*int(data[1]-238), 500
 		}
 	}
 	w := newWorld(t, set, fleet(size)...)
@@ -42,7 +42,7 @@
 		w.request(fmt.Sprint("r", i), arg%len(w.set.Classes), []int64{2 * second, 300_000, 1, 900_000}[arg/8%4])
 	case 5, 6, 7, 8:
 		if n := len(w.pending); n > 0 {
-			w.settle(w.pending[arg%n], []Result{Served, Served, Errored, Full, ConnectFailed, Reset, Cancelled, Moot}[arg/32])
+			w.settle(w.pending[arg%n], []Result{Succeeded, Succeeded, Errored, Saturated, ConnectFailed, Reset, Cancelled, NotSent}[arg/32])
 		}
 	case 9, 10:
 		w.advance(int64(arg) * 1000)
@@ -57,16 +57,16 @@
 			w.gone(w.reqs[ids[arg%len(ids)]])
 		}
 	case 13:
-		s := Server{ID: fmt.Sprint("s", arg%10), Size: 1, Zone: fmt.Sprint("z", arg%2), Cell: int64(arg % 3)}
-		s.UpSince = w.phase[s.ID].UpSince
+		s := Endpoint{ID: fmt.Sprint("s", arg%10), Capacity: 1, Zone: fmt.Sprint("z", arg%2), Cell: int64(arg % 3)}
+		s.StartedAt = w.phase[s.ID].StartedAt
 		s.Phase = Phase(arg / 10 % 3)
 		if arg > 127 && s.Phase == InService {
-			s.UpSince = w.now
+			s.StartedAt = w.now
 		}
 		w.list(false, s)
 	case 14:
 		if arg < 128 {
-			w.b.ListFailed(w.now, 0)
+			w.b.OnPollFailed(w.now, 0)
 		} else {
 			w.list(true, fleet(arg%7)...)
 		}
@@ -76,14 +76,14 @@
 			s.inFlight = arg / 16
 			word := slices.Clone(w.b.word(&s))
 			word[arg%len(word)] ^= byte(arg & 32)
-			w.b.Told(w.now, arg%3, word)
+			w.b.OnGossip(w.now, arg%3, word)
 		}
 		if arg%8 == 2 { // another budget of attempts, or none
 			set := w.set
-			set.Rules.ResendSpan = []int64{0, 1, 777_777, 3 * second, 10 * second, 60 * second}[arg/8%6]
-			set.Rules.ExtraFloor, set.Rules.ResendRatio = 0, 0
-			if set.Rules.ResendSpan > 0 {
-				set.Rules.ExtraFloor, set.Rules.ResendRatio = float64(arg/8%3), float64(arg/64)/10
+			set.Rules.AttemptBudgetWindow = []int64{0, 1, 777_777, 3 * second, 10 * second, 60 * second}[arg/8%6]
+			set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio = 0, 0
+			if set.Rules.AttemptBudgetWindow > 0 {
+				set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio = float64(arg/8%3), float64(arg/64)/10
 			}
 			w.retune(set)
 		}
--- a/decide/peers.go
+++ b/decide/peers.go
@@ -68,7 +68,7 @@
 // listed here it keeps nothing. met: the sender is new as a sharer of an arm.
 func (b *Balancer) hear(now int64, from int, w []byte) (ok, met bool) {
 	if len(w) < wordHead || len(w) > wordMost || (len(w)-wordHead)%wordEntry != 0 || w[0]&^seqMask != wordVersion ||
-		from == b.set.Me || from < 0 || from >= b.set.Balancers {
+		from == b.set.BalancerIndex || from < 0 || from >= b.set.BalancerCount {
 		return false, false
 	}
 	for e := wordHead; e < len(w); e += wordEntry {
@@ -136,7 +136,7 @@
 
 // meetSharer adds a sharer to a server's: those that come next after this balancer's number are first.
 func (b *Balancer) meetSharer(s *server, from int) int {
-	far := func(n int) int { return (n - b.set.Me + b.set.Balancers) % b.set.Balancers }
+	far := func(n int) int { return (n - b.set.BalancerIndex + b.set.BalancerCount) % b.set.BalancerCount }
 	at := 0
 	for at < len(s.sharers) && far(s.sharers[at].from) < far(from) {
 		at++
@@ -146,11 +146,11 @@
 }
 
 // tellEvery is the time between two words to all, at the most: longer where there are many to tell.
-func (b *Balancer) tellEvery() int64 { return max(tellLeast, int64(b.set.Balancers)*tellSlot) }
+func (b *Balancer) tellEvery() int64 { return max(tellLeast, int64(b.set.BalancerCount)*tellSlot) }
 
 // tellSoon is the time between them where what this balancer draws from has changed.
 func (b *Balancer) tellSoon() int64 {
-	return max(tellAgain, tellPair*int64(b.set.Balancers)*int64(b.set.Balancers))
+	return max(tellAgain, tellPair*int64(b.set.BalancerCount)*int64(b.set.BalancerCount))
 }
 
 // forgetSharers drops those not heard for long.
@@ -161,7 +161,7 @@
 }
 
 // talks tells whether balancers may tell one another what they have out.
-func (b *Balancer) talks() bool { return b.set.Limits.Peers }
+func (b *Balancer) talks() bool { return b.set.Limits.Gossip }
 
 // deaf tells whether the words of the others are lost.
 func (b *Balancer) deaf(now int64) bool { return b.talks() && now-b.heardOf > unheard }
@@ -185,7 +185,7 @@
 
 // tellMost is how many a word goes to: each that comes costs its receiver some of the CPU that it has.
 func (b *Balancer) tellMost() int {
-	most := min(tellMost, tellFleet/float64(max(1, b.set.Balancers)))
+	most := min(tellMost, tellFleet/float64(max(1, b.set.BalancerCount)))
 	if b.set.Limits.CPU > 0 {
 		most = min(most, float64(b.set.Limits.CPU)/tellCPU)
 	}
@@ -194,5 +194,5 @@
 
 // sharersOf is how many balancers draw from a server, on average.
 func (b *Balancer) sharersOf() float64 {
-	return max(1, float64(b.set.Balancers*b.armsWanted())/float64(max(1, len(b.servers))))
+	return max(1, float64(b.set.BalancerCount*b.armsWanted())/float64(max(1, len(b.servers))))
 }
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -19,11 +19,11 @@
 	sent *int
 }
 
-func (p post) Tell(peer int, word []byte) {
+func (p post) SendGossip(peer int, word []byte) {
 	*p.sent++
 	for i, b := range p.to {
 		if b != nil && i != p.from && (peer < 0 || peer == i) && !*p.lost {
-			b.Told(*p.now, p.from, slices.Clone(word))
+			b.OnGossip(*p.now, p.from, slices.Clone(word))
 		}
 	}
 }
@@ -33,13 +33,13 @@
 	*now = 1000 * second
 	for i := range bs {
 		set := testSettings()
-		set.ListPushed, set.Limits.Peers, set.Balancers, set.Me = true, true, n, i
+		set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount, set.BalancerIndex = true, true, n, i
 		bs[i] = New(set, uint64(i+1), post{from: i, to: bs, now: now, lost: lost, sent: sent})
 	}
 	for range 2 { // the second time all are known
 		for _, b := range bs {
 			b.tellAt = 0
-			b.Listed(*now, fleet(servers), true)
+			b.OnEndpoints(*now, fleet(servers), true)
 		}
 	}
 	return bs, now, lost, sent
@@ -49,7 +49,7 @@
 // few attempts and all choose the same server.
 func TestSharersCountWhatAllHold(t *testing.T) {
 	bs, now, _, _ := talkers(t, 3, 3)
-	bs[0].Request(*now, Request{ID: "a", Tenant: -1, Left: second})
+	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: second})
 	busy := -1
 	for i, s := range bs[0].servers {
 		if s.inFlight == 1 {
@@ -62,7 +62,7 @@
 			t.Errorf("balancer %d knows of %v held at %s, want 1", i+1, got, id)
 		}
 	}
-	bs[0].Outcome(*now, Outcome{Request: "a", Server: id, Result: Served, Latency: 1000, Closed: true})
+	bs[0].OnOutcome(*now, Outcome{Request: "a", Server: id, Result: Succeeded, Latency: 1000, RequestAnswered: true})
 	if got := bs[1].held(*now, bs[1].known[id]); got != 0 {
 		t.Errorf("after the end %v held, want 0", got)
 	}
@@ -72,7 +72,7 @@
 // what it holds itself. Guards against a collapse while all messages are lost.
 func TestLostWords(t *testing.T) {
 	bs, now, lost, _ := talkers(t, 4, 2)
-	bs[0].Request(*now, Request{ID: "a", Tenant: -1, Left: 3 * second})
+	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: 3 * second})
 	*lost = true
 	s := bs[1].servers[0]
 	*now += unheard + 1
@@ -81,7 +81,7 @@
 	}
 	s.inFlight = 0
 	*lost, *now = false, *now+second
-	bs[2].Request(*now, Request{ID: "b", Tenant: -1, Left: second})
+	bs[2].OnRequest(*now, Request{ID: "b", Tenant: -1, TimeLeft: second})
 	sum := 0.0
 	for _, s := range bs[1].servers {
 		sum += bs[1].held(*now, s)
@@ -131,7 +131,7 @@
 	}
 	before := state()
 	for _, from := range []int{0, -1, 3, math.MaxInt} {
-		if b.Told(*now, from, good); state() != before {
+		if b.OnGossip(*now, from, good); state() != before {
 			t.Errorf("from %d: state changed", from)
 		}
 	}
@@ -141,7 +141,7 @@
 		for i := range w {
 			w[i] = byte(rng.Uint32())
 		}
-		b.Told(*now, rng.IntN(5)-1, w)
+		b.OnGossip(*now, rng.IntN(5)-1, w)
 	}
 	for _, s := range b.servers {
 		if h := b.held(*now, s); h > 2*heldMost || len(s.sharers) > 2 {
@@ -159,9 +159,9 @@
 	s.inFlight = 2
 	fresh := slices.Clone(bs[1].word(s))
 	b := bs[0]
-	b.Told(*now, 1, fresh)
-	b.Told(*now, 1, old)
-	b.Told(*now, 1, fresh)
+	b.OnGossip(*now, 1, fresh)
+	b.OnGossip(*now, 1, old)
+	b.OnGossip(*now, 1, fresh)
 	if got := b.held(*now, b.servers[0]); got != 2 {
 		t.Errorf("%v held, want the 2 of the newest word", got)
 	}
@@ -170,8 +170,8 @@
 // No balancer without leave sends or hears a word.
 func TestNoWordsWithoutLeave(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(3)...)
-	w.traffic(50, func(*flight) (Result, bool) { return Served, true })
-	w.b.Told(w.now, 1, []byte{wordVersion | 1, 0, 0, 0, 0})
+	w.traffic(50, func(*flight) (Result, bool) { return Succeeded, true })
+	w.b.OnGossip(w.now, 1, []byte{wordVersion | 1, 0, 0, 0, 0})
 	if slices.ContainsFunc(w.acts, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.voices) > 0 {
 		t.Error("words were sent or heard where the settings permit none")
 	}
@@ -188,7 +188,7 @@
 		}
 	}
 	set := testSettings()
-	set.Balancers = 2000
+	set.BalancerCount = 2000
 	if got := New(set, 1, silent{}).tellMost(); got != 8 {
 		t.Errorf("2,000 balancers: to %d, want 8", got)
 	}
@@ -197,15 +197,15 @@
 // Live weights give the size by their largest, at the median of a kind; wild ones change nothing.
 func TestSizesFromLiveWeights(t *testing.T) {
 	set := testSettings()
-	set.SizesListed, set.SizesLive = true, true
-	list := []Server{{ID: "a", Kind: "big", Size: 3}, {ID: "b", Kind: "big", Size: 1.1}, {ID: "c", Kind: "big", Size: 3},
-		{ID: "d", Kind: "small", Size: 1}}
+	set.CapacityListed, set.CapacityLive = true, true
+	list := []Endpoint{{ID: "a", MachineKind: "big", Capacity: 3}, {ID: "b", MachineKind: "big", Capacity: 1.1}, {ID: "c", MachineKind: "big", Capacity: 3},
+		{ID: "d", MachineKind: "small", Capacity: 1}}
 	w := newWorld(t, set, list...)
 	for _, wild := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300, 0.4, 1e8} {
-		list[0].Size, list[3].Size = 0.5, min(wild, 1) // loads swing
-		list[1].Size = wild
+		list[0].Capacity, list[3].Capacity = 0.5, min(wild, 1) // loads swing
+		list[1].Capacity = wild
 		w.list(false, list...)
-		near(t, fmt.Sprint("big against small after ", wild), w.b.known["a"].Size/w.b.known["d"].Size, 3, 1e-9)
+		near(t, fmt.Sprint("big against small after ", wild), w.b.known["a"].Capacity/w.b.known["d"].Capacity, 3, 1e-9)
 	}
 }
 
@@ -213,7 +213,7 @@
 // Guards against connections dropped unseen, a payout sent on one is lost, and against handshakes for slow answers.
 func TestDeadConnectionsAreClosed(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(1)...)
-	served := func(id string) { w.settle(w.request(id, 0, 2*second).tries[0], Served) }
+	served := func(id string) { w.settle(w.request(id, 0, 2*second).tries[0], Succeeded) }
 	closes := func() (n int) {
 		for _, a := range w.acts {
 			if strings.Contains(a, " close ") {
@@ -262,7 +262,7 @@
 	w := newWorld(t, testSettings(), fleet(3)...)
 	w.request("first", 0, 1_200_000)
 	repeat := func(id string, left int64) *booked {
-		return w.take(Request{ID: id, Tenant: -1, Left: left, IsRetry: true})
+		return w.take(Request{ID: id, Tenant: -1, TimeLeft: left, IsRetry: true})
 	}
 	if r := repeat("late", 800_000); r.answered == "" || len(r.tries) > 0 {
 		t.Error("a repeat 1.2 s after its start was sent with an aim of 0.4 s")
@@ -276,7 +276,7 @@
 // dead connection, and against hung servers.
 func TestSilentServersWait(t *testing.T) {
 	set := testSettings()
-	set.Limits.Peers = true
+	set.Limits.Gossip = true
 	w := newWorld(t, set, fleet(1)...)
 	w.request("a", 0, 2*second)
 	w.advance(250_000)
@@ -289,10 +289,10 @@
 // at dozens of servers: a fleet of 400 that grew to 436 servers took more CPU than there was.
 func TestArmsStayFewWhereBalancersTalk(t *testing.T) {
 	set := testSettings()
-	set.ListPushed, set.Limits.Peers, set.Balancers = true, true, 400
+	set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount = true, true, 400
 	b := New(set, 1, silent{})
 	for servers, want := range map[int]int{57: 2, 119: 4, 436: 8} {
-		b.Listed(1000*second, fleet(servers), true)
+		b.OnEndpoints(1000*second, fleet(servers), true)
 		if got := b.armsWanted(); got != want {
 			t.Errorf("%d servers: %d arms, want %d", servers, got, want)
 		}
@@ -305,22 +305,22 @@
 	sent := 0
 	for seed := range uint64(200) {
 		set := testSettings()
-		set.ListPushed, set.Limits.Peers, set.Balancers, set.Me = true, true, 8, 0
+		set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount, set.BalancerIndex = true, true, 8, 0
 		b := New(set, seed, silent{})
-		set.Me = 1
+		set.BalancerIndex = 1
 		other := New(set, 1, silent{})
 		now := 1000 * second
-		b.Listed(now, fleet(1), true)
-		other.Listed(now, fleet(1), true)
+		b.OnEndpoints(now, fleet(1), true)
+		other.OnEndpoints(now, fleet(1), true)
 		s := other.servers[0]
 		b.density, s.inFlight = 0.5, 1
-		b.Told(now, 1, other.word(s))
-		b.Request(now, Request{ID: "a", Tenant: -1, Left: second})
+		b.OnGossip(now, 1, other.word(s))
+		b.OnRequest(now, Request{ID: "a", Tenant: -1, TimeLeft: second})
 		if len(b.queue) != 1 {
 			t.Fatal("the request does not wait")
 		}
 		s.inFlight = 0
-		b.Told(now+1000, 1, other.word(s))
+		b.OnGossip(now+1000, 1, other.word(s))
 		sent += b.servers[0].inFlight
 	}
 	if sent < 25 || sent > 85 { // a quarter of 200
--- a/decide/ramp.go
+++ b/decide/ramp.go
@@ -13,11 +13,11 @@
 // warmth is the least share of its capacity that s has by now: even growth over the stated time.
 func (b *Balancer) warmth(now int64, s *server) float64 {
 	age := now - s.coldSince
-	if s.coldSince == 0 || age >= b.set.Rules.ColdFor {
+	if s.coldSince == 0 || age >= b.set.Rules.SlowStartWindow {
 		return 1
 	}
-	from := b.set.Rules.ColdFrom
-	return from + (1-from)*float64(max(age, 0))/float64(b.set.Rules.ColdFor)
+	from := b.set.Rules.SlowStartMinShare
+	return from + (1-from)*float64(max(age, 0))/float64(b.set.Rules.SlowStartWindow)
 }
 
 // chill makes s cold since a time. Its bucket starts at random between two tokens, so that balancers have theirs at times
@@ -29,7 +29,7 @@
 // burst is how long a token holds, in µs: what is earned in a window and in that time is what would push a cold server
 // over, at the most and on average. For factors from 2 on it is a window, since half of that is earned in one.
 func (b *Balancer) burst() float64 {
-	window, factor := float64(b.set.Rules.FallFor), b.set.Rules.OverloadFactor
+	window, factor := float64(b.set.Rules.OverloadWindow), b.set.Rules.OverloadFactor
 	if window == 0 {
 		window = float64(coldWindow)
 	}
--- a/decide/ration.go
+++ b/decide/ration.go
@@ -75,10 +75,10 @@
 	return taken, further
 }
 
-// Beside takes in whether another process of this sidecar serves too, as in an upgrade.
-func (b *Balancer) Beside(now int64, other bool) {
+// SetPeerProcessActive takes in whether another process of this sidecar serves too, as in an upgrade.
+func (b *Balancer) SetPeerProcessActive(now int64, other bool) {
 	if b.beside && !other {
-		b.aloneFrom = now + b.set.Rules.ResendSpan
+		b.aloneFrom = now + b.set.Rules.AttemptBudgetWindow
 	}
 	b.beside = other
 }
@@ -89,5 +89,5 @@
 	if b.beside || now < b.aloneFrom {
 		return 0
 	}
-	return b.set.Rules.ExtraFloor
+	return b.set.Rules.AttemptBudgetMin
 }
--- a/decide/ration_test.go
+++ b/decide/ration_test.go
@@ -8,7 +8,7 @@
 // budgeted are test settings with a budget of attempts.
 func budgeted(floor, ratio float64, span int64) Settings {
 	set := testSettings()
-	set.Rules.ExtraFloor, set.Rules.ResendRatio, set.Rules.ResendSpan = floor, ratio, span
+	set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio, set.Rules.AttemptBudgetWindow = floor, ratio, span
 	return set
 }
 
@@ -16,7 +16,7 @@
 // that were full, which the retry budget does not count. However an attempt ends, the next one asks the budget, the
 // reference of the world counts exactly, and a request that may not be sent again has its answer at once.
 func TestFurtherAttemptsStayWithinTheBudget(t *testing.T) {
-	for _, end := range []Result{Full, ConnectFailed, Errored, Reset, TimedOut, Moot} {
+	for _, end := range []Result{Saturated, ConnectFailed, Errored, Reset, TimedOut, NotSent} {
 		for _, set := range []Settings{budgeted(3, 0.15, 10*second), budgeted(0, 0.05, 5*second), budgeted(2, 0, 10*second),
 			budgeted(0, 0, 10*second), budgeted(1, 0.3, 333_333)} {
 			w := newWorld(t, set, fleet(9)...)
@@ -25,7 +25,7 @@
 				for len(w.pending) > 0 {
 					f, result := w.pending[0], end
 					if i%8 > 4 {
-						result = Served
+						result = Succeeded
 					}
 					w.settle(f, result)
 					if left := w.b.furtherLeft(w.now); left < 1 && f.r.answered == "" && f.r.tries[len(f.r.tries)-1].over {
@@ -34,7 +34,7 @@
 				}
 				w.advance(20_000)
 			}
-			if rules := set.Rules; len(w.further) == 0 && rules.ExtraFloor+rules.ResendRatio > 0 {
+			if rules := set.Rules; len(w.further) == 0 && rules.AttemptBudgetMin+rules.AttemptBudgetRatio > 0 {
 				t.Errorf("%v: no further attempt at all under %+v", end, rules)
 			}
 		}
@@ -49,7 +49,7 @@
 		w.request(fmt.Sprint("r", i), 0, second)
 		for range 3 {
 			if len(w.pending) > 0 {
-				w.settle(w.pending[0], Full)
+				w.settle(w.pending[0], Saturated)
 			}
 		}
 		w.advance(50_000)
@@ -74,18 +74,18 @@
 // one's attempts have left the span.
 func TestOneFloorForTwoProcesses(t *testing.T) {
 	w := newWorld(t, budgeted(3, 0.1, 10*second), fleet(4)...)
-	w.b.Beside(w.now, true)
+	w.b.SetPeerProcessActive(w.now, true)
 	for i := range 5 {
 		w.request(fmt.Sprint("r", i), 0, second)
 		if len(w.pending) > 0 {
-			w.settle(w.pending[0], Full)
+			w.settle(w.pending[0], Saturated)
 		}
 	}
 	if len(w.further) > 0 {
 		t.Fatalf("%d further attempts for 5 requests beside another process", len(w.further))
 	}
 	w.advance(9 * second)
-	w.b.Beside(w.now, false)
+	w.b.SetPeerProcessActive(w.now, false)
 	if w.advance(9 * second); w.b.furtherLeft(w.now) > 0 {
 		t.Fatalf("%v left while the other process counts", w.b.furtherLeft(w.now))
 	}
@@ -115,8 +115,8 @@
 func TestScarceAttemptsGoWhereTheyHelp(t *testing.T) {
 	w := newWorld(t, budgeted(3, 0, 10*second), fleet(5)...)
 	b, r := w.b, &request{value: 1}
-	b.meanValue, b.helped[Errored], b.helped[Full] = 1, 0.01, 0.9
-	failed, full := &attempt{result: Errored}, &attempt{result: Full}
+	b.meanValue, b.helped[Errored], b.helped[Saturated] = 1, 0.01, 0.9
+	failed, full := &attempt{result: Errored}, &attempt{result: Saturated}
 	if b.affordRetry(w.now, r, failed) || !b.affordRetry(w.now, r, full) {
 		t.Error("of three left one was spent after an error, or none after full")
 	}
@@ -130,7 +130,7 @@
 		}
 	}
 	near(t, "odds after one more that failed", oddsAfter(b, Errored, Errored), 0.01*(1-1/oddsOver), 1e-9)
-	near(t, "odds after one that helped", oddsAfter(b, Full, Served), 0.9+0.1/oddsOver, 1e-9)
+	near(t, "odds after one that helped", oddsAfter(b, Saturated, Succeeded), 0.9+0.1/oddsOver, 1e-9)
 }
 
 func oddsAfter(b *Balancer, cause, result Result) float64 {
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -15,7 +15,7 @@
 
 func (w *world) retune(set Settings) {
 	w.set = set
-	w.b.Retune(w.now, set)
+	w.b.UpdateSettings(w.now, set)
 }
 
 // What was learned of servers and of classes that stay is kept, wherever the class now stands; a new one starts as new.
@@ -23,13 +23,13 @@
 func TestRetuneKeepsWhatWasLearned(t *testing.T) {
 	set := testSettings()
 	w := newWorld(t, set, fleet(4)...)
-	w.traffic(200, func(f *flight) (Result, bool) { return Served, w.now-f.sent >= 20_000 })
+	w.traffic(200, func(f *flight) (Result, bool) { return Succeeded, w.now-f.sent >= 20_000 })
 	weights, limits := map[string]float64{}, map[string]float64{}
 	for id, s := range w.b.known {
 		weights[id], limits[id] = s.log, s.limit
 	}
 	first := *w.b.classes[0]
-	fresh := Class{Name: "fresh", Worth: 1, Aim: 100_000, Deadline: second}
+	fresh := Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: 100_000, Deadline: second}
 	slower := set.Classes[0]
 	slower.Deadline *= 2
 	w.retune(retuned(fresh, slower))
@@ -54,9 +54,9 @@
 	w := newWorld(t, set, fleet(4)...)
 	name := set.Classes[0].Name
 	old := w.request("old", 0, 2*second)
-	next := retuned(Class{Name: name, Worth: 1, Aim: second, Deadline: 2 * second, Semantics: AtMostOnce})
+	next := retuned(Class{Name: name, PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second, Semantics: AtMostOnce})
 	next.Limits.MaxAttempts = 1
-	w.b.Retune(w.now, next) // the checker of the world goes by the old settings: the open request does
+	w.b.UpdateSettings(w.now, next) // the checker of the world goes by the old settings: the open request does
 	for len(old.tries) < 3 {
 		n := len(old.tries)
 		w.settle(old.tries[n-1], Errored)
@@ -79,7 +79,7 @@
 // A class that is dropped is forgotten when its last request ends, not before; its failures until then are its own.
 func TestDroppedClassIsForgotten(t *testing.T) {
 	set := testSettings()
-	a, z := Class{Name: "a", Worth: 1, Aim: second, Deadline: 2 * second}, Class{Name: "z", Worth: 1, Aim: second, Deadline: 2 * second}
+	a, z := Class{Name: "a", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second}, Class{Name: "z", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second}
 	set.Classes = []Class{a, z}
 	w := newWorld(t, set, fleet(4)...)
 	open := w.request("open", 0, 2*second)
@@ -88,7 +88,7 @@
 	if len(w.b.classes) != 2 || w.b.open["open"].Class != 1 {
 		t.Fatalf("%d classes while a request is open, its class %d", len(w.b.classes), w.b.open["open"].Class)
 	}
-	w.settle(open.tries[0], Served)
+	w.settle(open.tries[0], Succeeded)
 	w.advance(second)
 	if len(w.b.classes) != 1 {
 		t.Fatalf("%d classes", len(w.b.classes))
@@ -98,7 +98,7 @@
 			t.Errorf("%s: health %+v", id, s.health)
 		}
 	}
-	w.traffic(50, func(f *flight) (Result, bool) { return Served, true })
+	w.traffic(50, func(f *flight) (Result, bool) { return Succeeded, true })
 }
 
 // A server that is out of the draw for every class is not tried anew for a class that is new.
@@ -108,13 +108,13 @@
 		if f.server.ID == "s0" {
 			return ConnectFailed, true
 		}
-		return Served, true
+		return Succeeded, true
 	})
 	if !w.b.known["s0"].suspended {
 		t.Fatal("the dead server is in the draw")
 	}
 	set := testSettings()
-	w.retune(retuned(append(set.Classes, Class{Name: "fresh", Worth: 1, Aim: second, Deadline: 2 * second})...))
+	w.retune(retuned(append(set.Classes, Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second})...))
 	s := w.b.known["s0"]
 	if h := s.health[len(s.health)-1]; !h.suspended || !s.suspended {
 		t.Fatalf("%+v", h)
@@ -139,7 +139,7 @@
 	play := func(retune bool) []string {
 		w := newWorld(t, testSettings(), fleet(5)...)
 		for i := range 50 {
-			w.traffic(4, func(f *flight) (Result, bool) { return Served, w.now-f.sent >= 15_000 })
+			w.traffic(4, func(f *flight) (Result, bool) { return Succeeded, w.now-f.sent >= 15_000 })
 			if retune {
 				w.retune(testSettings())
 				if n := len(w.b.classes); n != len(testSettings().Classes) {
--- a/decide/state.go
+++ b/decide/state.go
@@ -57,28 +57,28 @@
 	known     map[string]*server
 	classes   []*classState // of the settings in force, then those that only open requests still have
 	open      map[string]*request
-	queue     []*request            // waiting for room, worthiest first
-	out       int                   // own attempts out now
-	density   float64               // own attempts that may be out for each server of mean size
-	jammed    bool                  // an answer was late
-	keys      [512]keyBooks         // of late by key, in as many slots
-	heats     float64               // sum of their requests
-	retries   float64               // retry budget
-	helped    [Rejected + 1]float64 // that a further attempt is served, by how the one before ended
-	meanValue float64               // of the requests of late
-	further   ration                // attempts beyond a request's first
-	asks      int                   // failed asks for the list in a row
-	tenants   []float64             // requests of each tenant of late
-	answers   int                   // this second
-	drain     float64               // answers per µs
-	perSize   [2]float64            // answers that a warm server of size one gives this balancer, per µs: no arm, arm
-	seconds   float64               // since its start
-	told      float64               // requests that servers hold, as they tell, on average
-	judged    keyBooks              // answers of all keys
-	askedAt   int64                 // when servers were probed last
-	heard     bool                  // servers tell of their load
-	beside    bool                  // another process of this sidecar serves too
-	aloneFrom int64                 // when the last such has left the books of the budget of attempts
+	queue     []*request                  // waiting for room, worthiest first
+	out       int                         // own attempts out now
+	density   float64                     // own attempts that may be out for each server of mean size
+	jammed    bool                        // an answer was late
+	keys      [512]keyBooks               // of late by key, in as many slots
+	heats     float64                     // sum of their requests
+	retries   float64                     // retry budget
+	helped    [InvalidRequest + 1]float64 // that a further attempt is served, by how the one before ended
+	meanValue float64                     // of the requests of late
+	further   ration                      // attempts beyond a request's first
+	asks      int                         // failed asks for the list in a row
+	tenants   []float64                   // requests of each tenant of late
+	answers   int                         // this second
+	drain     float64                     // answers per µs
+	perSize   [2]float64                  // answers that a warm server of size one gives this balancer, per µs: no arm, arm
+	seconds   float64                     // since its start
+	told      float64                     // requests that servers hold, as they tell, on average
+	judged    keyBooks                    // answers of all keys
+	askedAt   int64                       // when servers were probed last
+	heard     bool                        // servers tell of their load
+	beside    bool                        // another process of this sidecar serves too
+	aloneFrom int64                       // when the last such has left the books of the budget of attempts
 
 	voices    []voice // by balancer, as far as heard of
 	byTag     map[[2]byte]*server
@@ -104,7 +104,7 @@
 
 // server is what this balancer knows of one server.
 type server struct {
-	Server              // Size is scaled to a mean of one
+	Endpoint            // Size is scaled to a mean of one
 	listed     float64  // size as listed
 	peak       float64  // the largest so far
 	hash       uint64   // of its ID
@@ -225,7 +225,7 @@
 		}
 	}
 	b.set, b.classes, b.tenants = set, classes, tenants
-	b.further.keep(set.Rules.ResendSpan)
+	b.further.keep(set.Rules.AttemptBudgetWindow)
 }
 
 // newClass starts the memory of a class.
@@ -233,17 +233,17 @@
 	if c.Deadline == 0 {
 		c.Deadline = 60 * second // a class that sets none: longer than a call between services takes
 	}
-	if c.Aim == 0 {
-		c.Aim = c.Deadline
+	if c.LatencyObjective == 0 {
+		c.LatencyObjective = c.Deadline
 	}
-	aim := float64(c.Aim)
-	return &classState{Class: c, mark: aim / 2, calm: aim / 2, base: aim / 2, half: aim / 4, value: c.Worth}
+	aim := float64(c.LatencyObjective)
+	return &classState{Class: c, mark: aim / 2, calm: aim / 2, base: aim / 2, half: aim / 4, value: c.PriorityWeight}
 }
 
-// Retune takes other settings in force from now on. Open requests keep the rules they were taken under, and their place
+// UpdateSettings takes other settings in force from now on. Open requests keep the rules they were taken under, and their place
 // among the classes as long as they are open, also where their class is none any more. Guards against a request that
 // changes its effect between two attempts, and against a balancer that learns anew.
-func (b *Balancer) Retune(now int64, set Settings) {
+func (b *Balancer) UpdateSettings(now int64, set Settings) {
 	old := b.classes
 	b.adopt(set)
 	servers := map[*server]bool{}
@@ -300,7 +300,7 @@
 }
 
 // meet returns what is known of a listed server; a new one starts at the mean log-weight, not yet silent.
-func (b *Balancer) meet(now int64, in Server) *server {
+func (b *Balancer) meet(now int64, in Endpoint) *server {
 	s, met := b.known[in.ID]
 	if !met {
 		s = &server{hash: hash(in.ID), lastServed: now, health: make([]health, len(b.classes)), told: b.told}
@@ -329,13 +329,13 @@
 }
 
 // list takes over an entry; a size that says nothing, or is past all measure, counts as one.
-func (s *server) list(in Server, sized bool) {
-	if !sized || !(in.Size > 0 && in.Size <= sizeMost) {
-		in.Size = 1
+func (s *server) list(in Endpoint, sized bool) {
+	if !sized || !(in.Capacity > 0 && in.Capacity <= sizeMost) {
+		in.Capacity = 1
 	} else {
-		s.peak = max(s.peak, in.Size)
+		s.peak = max(s.peak, in.Capacity)
 	}
-	s.Server, s.listed = in, in.Size
+	s.Endpoint, s.listed = in, in.Capacity
 }
 
 // meanLog is the mean log-weight, where a new server starts.
@@ -351,9 +351,9 @@
 func (b *Balancer) scaleSizes() {
 	sum := 0.0
 	peaks := map[string][]float64{}
-	if b.set.SizesLive {
+	if b.set.CapacityLive {
 		for _, s := range b.servers {
-			peaks[s.Kind] = append(peaks[s.Kind], s.peak)
+			peaks[s.MachineKind] = append(peaks[s.MachineKind], s.peak)
 		}
 		delete(peaks, "")
 		for _, p := range peaks {
@@ -361,30 +361,30 @@
 		}
 	}
 	for _, s := range b.servers {
-		s.Size = s.listed
-		if b.set.SizesLive && s.peak > 0 {
-			s.Size = s.peak
+		s.Capacity = s.listed
+		if b.set.CapacityLive && s.peak > 0 {
+			s.Capacity = s.peak
 		}
-		if p := peaks[s.Kind]; len(p) > 0 && p[len(p)/2] > 0 {
-			s.Size = p[len(p)/2]
+		if p := peaks[s.MachineKind]; len(p) > 0 && p[len(p)/2] > 0 {
+			s.Capacity = p[len(p)/2]
 		}
-		sum += s.Size
+		sum += s.Capacity
 	}
 	for _, s := range b.servers {
-		s.base = s.Size * float64(len(b.servers)) / sum
+		s.base = s.Capacity * float64(len(b.servers)) / sum
 	}
 	b.speeds()
 }
 
-// Probed takes in what a server tells to a probe.
-func (b *Balancer) Probed(now int64, p Probe) {
-	if s := b.known[p.Server]; s != nil && p.Result == Served {
+// OnHealthCheck takes in what a server tells to a probe.
+func (b *Balancer) OnHealthCheck(now int64, p HealthCheck) {
+	if s := b.known[p.Server]; s != nil && p.Result == Succeeded {
 		b.hearLoad(s, p.Load)
 	}
 }
 
 // evenOdds are those of further attempts before any was tried.
-func evenOdds() (odds [Rejected + 1]float64) {
+func evenOdds() (odds [InvalidRequest + 1]float64) {
 	for i := range odds {
 		odds[i] = 0.5
 	}
@@ -397,14 +397,14 @@
 		return
 	}
 	served, odds := 0.0, &b.helped[r.tries[o.Attempt-1].result]
-	if o.Result == Served {
+	if o.Result == Succeeded {
 		served = 1
 	}
 	*odds += (served - *odds) / oddsOver
 }
 
 // hearLoad takes in what a server tells of itself, with an answer or to a probe.
-func (b *Balancer) hearLoad(s *server, l *Load) {
+func (b *Balancer) hearLoad(s *server, l *LoadReport) {
 	if l == nil {
 		return
 	}
@@ -428,7 +428,7 @@
 
 // ease is how much more a server weighs for holding less than the mean, as told: by the square, since reports are old.
 func (b *Balancer) ease(s *server) float64 {
-	part := (b.told + 1) / (s.told/s.Size + 1)
+	part := (b.told + 1) / (s.told/s.Capacity + 1)
 	return part * part
 }
 
@@ -439,8 +439,8 @@
 	kinds, all := map[string]mean{}, mean{}
 	for _, s := range b.servers {
 		if s.pace > 0 {
-			k := kinds[s.Kind]
-			kinds[s.Kind], all = mean{k.sum + s.pace, k.n + 1}, mean{all.sum + s.pace, all.n + 1}
+			k := kinds[s.MachineKind]
+			kinds[s.MachineKind], all = mean{k.sum + s.pace, k.n + 1}, mean{all.sum + s.pace, all.n + 1}
 		}
 	}
 	sum := 0.0
@@ -448,18 +448,18 @@
 		speed := 1.0
 		if all.n > 0 {
 			pace := s.pace
-			if k := kinds[s.Kind]; pace == 0 && k.n > 0 {
+			if k := kinds[s.MachineKind]; pace == 0 && k.n > 0 {
 				pace = k.sum / k.n
 			} else if pace == 0 {
 				pace = all.sum / all.n
 			}
 			speed = min(max(all.sum/all.n/pace, 1/speedMost), speedMost)
 		}
-		s.Size = s.base * speed
-		sum += s.Size
+		s.Capacity = s.base * speed
+		sum += s.Capacity
 	}
 	for _, s := range b.servers {
-		s.Size *= float64(len(b.servers)) / sum
+		s.Capacity *= float64(len(b.servers)) / sum
 	}
 }
 
@@ -518,7 +518,7 @@
 // sampleQuick moves the mark of the quickest answers: within about a second where there are many, by each one where there are few.
 func (c *classState) sampleQuick(latency float64) {
 	if c.samples++; c.samples == 1 {
-		c.quick, c.ease = latency, float64(c.Aim)
+		c.quick, c.ease = latency, float64(c.LatencyObjective)
 	}
 	c.fresh++
 	c.quick = towards(c.quick, latency, min(quickMost, max(quickLeast, quickSecond/max(1, c.rate), quickSecond/c.samples)))
@@ -536,9 +536,9 @@
 // load is what s holds for its size; where balancers tell one another, as it would be with one attempt more.
 func (b *Balancer) load(now int64, s *server) float64 {
 	if b.talks() {
-		return (b.held(now, s) + 1) / s.Size
+		return (b.held(now, s) + 1) / s.Capacity
 	}
-	return float64(s.inFlight) / s.Size
+	return float64(s.inFlight) / s.Capacity
 }
 
 // crowd is the mean load of the arms: a server with more is drawn again. Attempts that pile up show a paused or
@@ -546,7 +546,7 @@
 func (b *Balancer) crowd(now int64) float64 {
 	size, n, load := 0.0, 0.0, 0.0
 	for _, s := range b.arms {
-		size += s.Size
+		size += s.Capacity
 		if !s.suspended {
 			n, load = n+1, load+b.load(now, s)
 		}
@@ -572,7 +572,7 @@
 // weigh sums the weights and sizes of servers, as the odds of a draw among them need.
 func (b *Balancer) weigh(servers []*server, home *server) (sum, size float64) {
 	for _, s := range servers {
-		sum, size = sum+b.armWeight(s, home), size+s.Size
+		sum, size = sum+b.armWeight(s, home), size+s.Capacity
 	}
 	return sum, size
 }
@@ -614,7 +614,7 @@
 	if b.heard {
 		share = earlyShare
 	}
-	late := min(share*float64(c.Aim), crowdedBase*c.base)
+	late := min(share*float64(c.LatencyObjective), crowdedBase*c.base)
 	return o.Result != Errored && o.Result != TimedOut && float64(o.Latency) <= late
 }
 
@@ -622,7 +622,7 @@
 // are as quick as ever; well, as those of s are too. Guards against refusals for a slow tail, which no refusal makes quicker.
 // Where servers or balancers tell what is held, that tells of a crowd, and where answers are few they tell of one too late.
 func (b *Balancer) atEase(c *classState, s *server, o Outcome) (calm, well bool) {
-	if o.Result != Served {
+	if o.Result != Succeeded {
 		return false, false
 	}
 	part := float64(o.Latency) / max(1, c.ease)
@@ -716,15 +716,15 @@
 func (b *Balancer) valueClasses() {
 	worth, taken, worst := 1e-9, 1e-9, b.classes[0]
 	for _, c := range b.classes[:len(b.set.Classes)] {
-		worth, taken = worth+c.Worth*c.taken, taken+c.taken
+		worth, taken = worth+c.PriorityWeight*c.taken, taken+c.taken
 		if c.served*worst.taken < worst.served*c.taken {
 			worst = c
 		}
 	}
 	for _, c := range b.classes[:len(b.set.Classes)] {
-		c.value = (b.set.Goal.Whole + b.set.Goal.WorstWindow) * c.Worth * taken / worth
+		c.value = (b.set.Objective.Overall + b.set.Objective.WorstWindow) * c.PriorityWeight * taken / worth
 		if c == worst {
-			c.value += b.set.Goal.WorstClass * taken / max(c.taken, 1)
+			c.value += b.set.Objective.WorstClass * taken / max(c.taken, 1)
 		}
 		c.value /= c.half
 	}
@@ -737,7 +737,7 @@
 // near is how much more a server of the own zone weighs, where attempts to other zones have a price.
 func (b *Balancer) near(zone string) float64 {
 	if zone == b.set.Zone {
-		return 1 + b.set.ZonePrice*nearBoost
+		return 1 + b.set.CrossZonePrice*nearBoost
 	}
 	return 1
 }
@@ -751,7 +751,7 @@
 	for _, s := range b.servers {
 		if s.Phase == InService && !s.suspended && !b.silent(now, s) && (s.arm || !b.talks()) {
 			held += b.held(now, s)
-			usable += s.Size * b.warmth(now, s)
+			usable += s.Capacity * b.warmth(now, s)
 		}
 	}
 	return held, b.density * usable
--- a/decide/stream_test.go
+++ b/decide/stream_test.go
@@ -12,12 +12,12 @@
 		t.Fatal(s.inFlight, w.b.out)
 	}
 	r.answered = "served"
-	w.b.Started(w.now, "long", 0)
-	w.b.Started(w.now, "long", 0)
+	w.b.OnStreamStarted(w.now, "long", 0)
+	w.b.OnStreamStarted(w.now, "long", 0)
 	if s.inFlight != 0 || w.b.out != 0 || s.health[0].out != 0 {
 		t.Fatalf("held at the server %d, in all %d, on trial %d", s.inFlight, w.b.out, s.health[0].out)
 	}
-	w.settle(r.tries[0], Served)
+	w.settle(r.tries[0], Succeeded)
 	if s.inFlight != 0 || w.b.out != 0 || s.health[0].out != 0 || len(w.b.open) != 0 {
 		t.Fatalf("after its end: %d, %d, %d, %d open", s.inFlight, w.b.out, s.health[0].out, len(w.b.open))
 	}
@@ -28,7 +28,7 @@
 func TestBodyThatGoesOnce(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(3)...)
 	once := func(id string, spent bool) *booked {
-		r := w.take(Request{ID: id, Tenant: -1, Left: 2 * second, Once: true})
+		r := w.take(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, BodyUnbuffered: true})
 		if got := r.tries[0].expires - w.now; got != 2*second {
 			t.Fatalf("%s: %d of %d µs", id, got, 2*second)
 		}
@@ -38,7 +38,7 @@
 		if spent {
 			r.answered = "" // the module has to answer it
 		}
-		w.b.Outcome(w.now, Outcome{Request: id, Server: f.server.ID, Result: ConnectFailed, Spent: spent})
+		w.b.OnOutcome(w.now, Outcome{Request: id, Server: f.server.ID, Result: ConnectFailed, BodyConsumed: spent})
 		return r
 	}
 	if r := once("gone", true); len(r.tries) != 1 || r.answered != "refuse" {
--- a/decide/tails_test.go
+++ b/decide/tails_test.go
@@ -20,7 +20,7 @@
 	queue  []tailEvent // by time
 	asked  int
 	how    map[string]int
-	points float64 // earned of worth 1 each: whole within the aim, LateShare after
+	points float64 // earned of worth 1 each: whole within the aim, LateValueShare after
 }
 
 // tailServer draws its times from a list, each as likely; places 0: any number at once.
@@ -60,11 +60,11 @@
 	t.queue = slices.Insert(t.queue, at, e)
 }
 
-func (m *tailMouth) Wake(in, token int64) {
-	m.t.after(max(in, 1), func() { m.t.bs[m.i].Timer(m.t.now, token) })
+func (m *tailMouth) SetTimer(in, token int64) {
+	m.t.after(max(in, 1), func() { m.t.bs[m.i].OnTimer(m.t.now, token) })
 }
 
-func (m *tailMouth) Send(id, server string, timeout int64) {
+func (m *tailMouth) SendAttempt(id, server string, timeout int64) {
 	t := m.t
 	r, s := t.open[id], &t.set[t.names[server]]
 	n, sent := r.tries, t.now
@@ -93,19 +93,19 @@
 		begins = max(begins, s.busy[at])
 		s.busy[at] = begins + takes
 	}
-	done, result := begins+takes-sent, Served
+	done, result := begins+takes-sent, Succeeded
 	if timeout > 0 && done > timeout {
 		done, result = timeout, TimedOut
 	}
 	t.after(done, func() {
-		if result == Served && !r.over {
+		if result == Succeeded && !r.over {
 			t.ends(id, "served")
 		}
-		t.bs[m.i].Outcome(t.now, Outcome{Request: id, Attempt: n, Server: server, Result: result, Latency: t.now - sent, Closed: r.over})
+		t.bs[m.i].OnOutcome(t.now, Outcome{Request: id, Attempt: n, Server: server, Result: result, Latency: t.now - sent, RequestAnswered: r.over})
 	})
 }
 
-func (m *tailMouth) Refuse(id string, _ int64) { m.t.ends(id, "refused") }
+func (m *tailMouth) Reject(id string, _ int64) { m.t.ends(id, "refused") }
 func (m *tailMouth) Fail(id string)            { m.t.ends(id, "failed") }
 
 func (t *tails) ends(id, how string) {
@@ -116,9 +116,9 @@
 	r.over = true
 	t.how[how]++
 	class := t.bs[0].set.Classes[r.in.Class]
-	switch late := t.now-r.at > class.Aim; {
+	switch late := t.now-r.at > class.LatencyObjective; {
 	case how == "served" && late:
-		t.points += class.LateShare
+		t.points += class.LateValueShare
 	case how == "served":
 		t.points++
 	}
@@ -128,8 +128,8 @@
 func tailSettings() Settings {
 	set := testSettings()
 	set.Classes = []Class{
-		{Name: "quick", Aim: 200_000, Deadline: 2 * second, Worth: 1, LateShare: 0.3, Semantics: Idempotent},
-		{Name: "slow", Aim: 400_000, Deadline: 2 * second, Worth: 1, LateShare: 0.3, Semantics: Idempotent},
+		{Name: "quick", LatencyObjective: 200_000, Deadline: 2 * second, PriorityWeight: 1, LateValueShare: 0.3, Semantics: Idempotent},
+		{Name: "slow", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 1, LateValueShare: 0.3, Semantics: Idempotent},
 	}
 	return set
 }
@@ -137,27 +137,27 @@
 // play has n balancers take so many requests a second together, for some seconds.
 func playTails(n int, perSecond, seconds float64, seed uint64, set ...tailServer) *tails {
 	t := &tails{now: 1000 * second, rng: rand.New(rand.NewPCG(seed, 5)), names: map[string]int{}, set: set, open: map[string]*tailRequest{}, how: map[string]int{}}
-	var list []Server
+	var list []Endpoint
 	for i := range set {
 		id := fmt.Sprint("s", i)
 		t.names[id] = i
-		list = append(list, Server{ID: id, Size: 1, Zone: "a"})
+		list = append(list, Endpoint{ID: id, Capacity: 1, Zone: "a"})
 	}
 	for i := range n {
 		s := tailSettings()
-		s.Me, s.Balancers = i, n
+		s.BalancerIndex, s.BalancerCount = i, n
 		b := New(s, seed+uint64(i), &tailMouth{t: t, i: i})
 		t.bs = append(t.bs, b)
-		b.Begin(t.now)
-		b.Listed(t.now, list, true)
+		b.Start(t.now)
+		b.OnEndpoints(t.now, list, true)
 	}
 	var next func()
 	next = func() {
 		t.asked++
 		id, i := fmt.Sprint("r", t.asked), t.rng.IntN(n)
-		r := &tailRequest{in: Request{ID: id, Class: t.asked % 2, Tenant: -1, Left: 2 * second}, at: t.now}
+		r := &tailRequest{in: Request{ID: id, Class: t.asked % 2, Tenant: -1, TimeLeft: 2 * second}, at: t.now}
 		t.open[id] = r
-		t.bs[i].Request(t.now, r.in)
+		t.bs[i].OnRequest(t.now, r.in)
 		t.after(1+int64(t.rng.ExpFloat64()*float64(second)/perSecond), next)
 	}
 	t.after(1, next)
--- a/decide/told_test.go
+++ b/decide/told_test.go
@@ -8,8 +8,8 @@
 )
 
 // told is a report with some figures; the others are absent.
-func told(held, queue, latency float64) *Load {
-	return &Load{InFlight: held, Queue: queue, Busy: -1, Latency: latency, Rate: -1, FailRate: -1}
+func told(held, queue, latency float64) *LoadReport {
+	return &LoadReport{InFlight: held, Queue: queue, Busy: -1, Latency: latency, Rate: -1, FailRate: -1}
 }
 
 // The failure: at sohar-routes slow machines are listed at the same size as fast ones, and balancers of five requests a
@@ -17,7 +17,7 @@
 // one that tells nothing counts as its kind. Reports that make no sense change nothing.
 func TestServersCountByThePaceTheyTell(t *testing.T) {
 	list := fleet(4)
-	list[2].Kind, list[3].Kind = "old", "old"
+	list[2].MachineKind, list[3].MachineKind = "old", "old"
 	w := newWorld(t, testSettings(), list...)
 	for id, pace := range map[string]float64{"s0": 100, "s1": 100, "s2": 400} {
 		w.b.hearLoad(w.b.known[id], told(-1, -1, pace))
@@ -28,10 +28,10 @@
 	w.b.hearLoad(w.b.known["s0"], nil)
 	w.b.speeds()
 	for id, want := range map[string]float64{"s0": 1.6, "s1": 1.6, "s2": 0.4, "s3": 0.4} {
-		near(t, "size of "+id, w.b.known[id].Size, want, 1e-9)
+		near(t, "size of "+id, w.b.known[id].Capacity, want, 1e-9)
 	}
 	w.list(true, list...)
-	near(t, "size after the list again", w.b.known["s2"].Size, 0.4, 1e-9)
+	near(t, "size after the list again", w.b.known["s2"].Capacity, 0.4, 1e-9)
 }
 
 // A server that tells that it holds three times the mean weighs a quarter of what it would at the mean: the root of
@@ -58,9 +58,9 @@
 	}{{true, true, 0.0031, 20, true}, {true, true, 0.06, 20, true}, {true, true, 0, 20, true}, {false, true, 0.0031, 20, false},
 		{true, false, 0.0031, 20, false}} {
 		set := testSettings()
-		set.ProbeLoad, set.Limits.Probes, set.ProbePrice = c.pull, c.allowed, c.price
+		set.LoadFromHealthChecks, set.Limits.HealthChecks, set.HealthCheckPrice = c.pull, c.allowed, c.price
 		w := newWorld(t, set, fleet(6)...)
-		w.traffic(int(120*c.rate), func(f *flight) (Result, bool) { return Served, true })
+		w.traffic(int(120*c.rate), func(f *flight) (Result, bool) { return Succeeded, true })
 		w.advance(120*second - int64(120*c.rate)*10_000)
 		probes := w.count("probe")
 		if c.any != (probes > 0) {
@@ -75,18 +75,18 @@
 		}
 	}
 	w := newWorld(t, testSettings(), fleet(1)...)
-	w.b.Probed(w.now, Probe{Server: "nobody", Result: Served, Load: told(1, -1, 5)})
-	w.b.Probed(w.now, Probe{Server: "s0", Result: TimedOut, Load: told(1, -1, 5)})
+	w.b.OnHealthCheck(w.now, HealthCheck{Server: "nobody", Result: Succeeded, Load: told(1, -1, 5)})
+	w.b.OnHealthCheck(w.now, HealthCheck{Server: "s0", Result: TimedOut, Load: told(1, -1, 5)})
 	if w.b.known["s0"].pace != 0 {
 		t.Error("a probe that failed told a pace")
 	}
-	w.b.Probed(w.now, Probe{Server: "s0", Result: Served, Load: told(1, -1, 5)})
+	w.b.OnHealthCheck(w.now, HealthCheck{Server: "s0", Result: Succeeded, Load: told(1, -1, 5)})
 	near(t, "pace told to a probe", w.b.known["s0"].pace, 5, 1e-9)
 }
 
 // Latencies count in parts of what the work hinted makes likely: half of the time goes by it.
 func TestHintedWork(t *testing.T) {
-	c := newClass(Class{Aim: second})
+	c := newClass(Class{LatencyObjective: second})
 	near(t, "without a hint", c.heavy(0), 1, 0)
 	near(t, "the first", c.heavy(1000), 1, 1e-9)
 	for range 500 {
@@ -103,7 +103,7 @@
 		want        int
 	}{{0, 40, 10}, {0.04, 40, 3}, {0.04, 160, 10}, {0, 1, 3}} {
 		set := testSettings()
-		set.ConnPrice, set.Balancers = c.price, 1000
+		set.ConnectionPrice, set.BalancerCount = c.price, 1000
 		w := newWorld(t, set, fleet(60)...)
 		if w.b.rate = c.rate; w.b.armsWanted() != c.want {
 			t.Errorf("price %v, %v requests a second: %d arms, want %d", c.price, c.rate, w.b.armsWanted(), c.want)
@@ -120,11 +120,11 @@
 		if i%4 == 0 {
 			key = "lock"
 		}
-		all = append(all, w.take(Request{ID: fmt.Sprint("k", w.now, "-", i), Tenant: -1, Left: 2 * second, Key: key}))
+		all = append(all, w.take(Request{ID: fmt.Sprint("k", w.now, "-", i), Tenant: -1, TimeLeft: 2 * second, Key: key}))
 		w.advance(10_000)
 		for _, f := range slices.Clone(w.pending) {
 			if f.r.Key != "lock" {
-				w.settle(f, Served)
+				w.settle(f, Succeeded)
 			} else if w.now-f.sent >= after {
 				w.settle(f, end)
 			}
@@ -149,9 +149,9 @@
 	for _, c := range []struct {
 		end   Result
 		after int64
-	}{{Served, 390_000}, {Errored, 0}, {Errored, 200_000}} {
+	}{{Succeeded, 390_000}, {Errored, 0}, {Errored, 200_000}} {
 		w := newWorld(t, testSettings(), fleet(6)...)
-		keyed(w, 400, Served, 0)
+		keyed(w, 400, Succeeded, 0)
 		lock, others := keyed(w, 1000, c.end, c.after)
 		if lock < 100 || others > 10 {
 			t.Errorf("%+v: %d of 250 refused for the key, %d of 750 others", c, lock, others)
@@ -161,8 +161,8 @@
 				t.Errorf("%+v: %s suspended %v, limit %v", c, id, s.suspended, s.limit)
 			}
 		}
-		keyed(w, 3000, Served, 0)
-		if lock, _ = keyed(w, 400, Served, 0); lock > 0 {
+		keyed(w, 3000, Succeeded, 0)
+		if lock, _ = keyed(w, 400, Succeeded, 0); lock > 0 {
 			t.Errorf("%+v: %d of 100 refused though all is well again", c, lock)
 		}
 	}
@@ -172,11 +172,11 @@
 func TestNoKeyIsToBlameForServers(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(6)...)
 	for i := range 600 {
-		w.take(Request{ID: fmt.Sprint("r", i), Tenant: -1, Left: 2 * second, Key: fmt.Sprint("k", i%4)})
+		w.take(Request{ID: fmt.Sprint("r", i), Tenant: -1, TimeLeft: 2 * second, Key: fmt.Sprint("k", i%4)})
 		w.advance(10_000)
 		for _, f := range slices.Clone(w.pending) {
 			if w.now-f.sent >= 390_000 {
-				w.settle(f, Served)
+				w.settle(f, Succeeded)
 			}
 		}
 	}
@@ -191,7 +191,7 @@
 func TestBlamedKeysHoldNoAnswersUp(t *testing.T) {
 	for held, want := range map[int]int64{0: 2 * second, 1: 200_000} {
 		set := testSettings()
-		set.Limits.HeldReplies = held
+		set.Limits.MaxBufferedResponses = held
 		w := newWorld(t, set, fleet(3)...)
 		r := &request{Request: Request{Key: "k"}, class: w.b.classes[4], rules: w.b.classes[4].Class, aim: 400_000,
 			deadline: w.now + 2*second, taken: w.now, most: 4, books: &keyBooks{thinned: 0.5}}
@@ -208,15 +208,15 @@
 		kept bool
 	}{{0, true}, {10 * second, false}} {
 		set := testSettings()
-		set.Rules.ResendSpan, set.Rules.ResendRatio = c.span, 0.1
+		set.Rules.AttemptBudgetWindow, set.Rules.AttemptBudgetRatio = c.span, 0.1
 		if c.span == 0 {
-			set.Rules.ResendRatio = 0
+			set.Rules.AttemptBudgetRatio = 0
 		}
 		w := newWorld(t, set, fleet(1)...)
 		s := w.b.known["s0"]
-		w.settle(w.request("a", 0, second).tries[0], Served)
+		w.settle(w.request("a", 0, second).tries[0], Succeeded)
 		before := s.limit
-		w.settle(w.request("b", 0, second).tries[0], Full)
+		w.settle(w.request("b", 0, second).tries[0], Saturated)
 		if kept := s.limit >= before; kept != c.kept {
 			t.Errorf("span %d: limit %v, was %v", c.span, s.limit, before)
 		}
@@ -229,7 +229,7 @@
 	w := newWorld(t, testSettings(), fleet(2)...)
 	c := w.b.classes[0]
 	c.base = float64(10 * second)
-	late := Outcome{Result: Served, Latency: 280_000} // of an aim of 400 ms
+	late := Outcome{Result: Succeeded, Latency: 280_000} // of an aim of 400 ms
 	if !w.b.early(c, late) {
 		t.Error("0.7 of the aim is late where nothing is told")
 	}
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -17,7 +17,7 @@
 	owed    []*booked
 	pending []*flight
 	timers  []alarm
-	phase   map[string]Server
+	phase   map[string]Endpoint
 	warmBy  map[string]int64 // when a server is warm
 	sends   map[string][]int64
 	served  []int64 // times of the last second's answers
@@ -39,7 +39,7 @@
 type flight struct {
 	r             *booked
 	n             int
-	server        Server
+	server        Endpoint
 	sent, expires int64
 	over          bool
 	result        Result
@@ -47,7 +47,7 @@
 
 type alarm struct{ at, token int64 }
 
-func newWorld(t testing.TB, set Settings, servers ...Server) *world {
+func newWorld(t testing.TB, set Settings, servers ...Endpoint) *world {
 	w := &world{t: t, set: set, now: 1000 * second}
 	w.restart()
 	w.list(true, servers...)
@@ -57,10 +57,10 @@
 // restart is a kill and a new start: what was held is the clients' to retry.
 func (w *world) restart() {
 	w.reqs, w.owed, w.pending, w.timers = map[string]*booked{}, nil, nil, nil
-	w.phase, w.warmBy, w.sends = map[string]Server{}, map[string]int64{}, map[string][]int64{}
+	w.phase, w.warmBy, w.sends = map[string]Endpoint{}, map[string]int64{}, map[string][]int64{}
 	w.taken, w.further = nil, nil
 	w.b = New(w.set, 7, w)
-	w.b.Begin(w.now)
+	w.b.Start(w.now)
 }
 
 func (w *world) broken(format string, args ...any) {
@@ -72,7 +72,7 @@
 	w.acts = append(w.acts, fmt.Sprintf("%d ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) list(whole bool, servers ...Server) {
+func (w *world) list(whole bool, servers ...Endpoint) {
 	if whole {
 		for id, s := range w.phase {
 			s.Phase = Removed
@@ -80,27 +80,27 @@
 		}
 	}
 	for _, s := range servers {
-		if old, ok := w.phase[s.ID]; !ok || s.UpSince > old.UpSince {
-			if s.UpSince > 0 {
-				w.warmBy[s.ID] = s.UpSince + w.set.Rules.ColdFor
+		if old, ok := w.phase[s.ID]; !ok || s.StartedAt > old.StartedAt {
+			if s.StartedAt > 0 {
+				w.warmBy[s.ID] = s.StartedAt + w.set.Rules.SlowStartWindow
 			}
 		}
 		w.phase[s.ID] = s
 	}
-	w.b.Listed(w.now, servers, whole)
+	w.b.OnEndpoints(w.now, servers, whole)
 }
 
 func (w *world) request(id string, class int, left int64) *booked {
-	return w.take(Request{ID: id, Class: class, Tenant: -1, Left: left, Key: "k" + id})
+	return w.take(Request{ID: id, Class: class, Tenant: -1, TimeLeft: left, Key: "k" + id})
 }
 
 // take books a request and hands it to the balancer.
 func (w *world) take(in Request) *booked {
-	r := &booked{Request: in, deadline: w.now + in.Left}
+	r := &booked{Request: in, deadline: w.now + in.TimeLeft}
 	w.reqs[in.ID] = r
 	w.owed = append(w.owed, r)
 	w.taken = append(w.taken, w.now)
-	w.b.Request(w.now, in)
+	w.b.OnRequest(w.now, in)
 	return r
 }
 
@@ -126,7 +126,7 @@
 			refused++
 			return ConnectFailed, true
 		}
-		return Served, w.now-f.sent >= answerAfter
+		return Succeeded, w.now-f.sent >= answerAfter
 	})
 	return refused
 }
@@ -139,7 +139,7 @@
 	f.over, f.result = true, result
 	w.pending = slices.DeleteFunc(w.pending, func(g *flight) bool { return g == f })
 	closed := f.r.answered != ""
-	if result == Served {
+	if result == Succeeded {
 		w.served = append(w.served, w.now)
 		for w.now-w.served[0] > second {
 			w.served = w.served[1:]
@@ -149,15 +149,15 @@
 			closed, f.r.answered = true, "served"
 		}
 	}
-	w.b.Outcome(w.now, Outcome{Request: f.r.ID, Attempt: f.n, Server: f.server.ID, Result: result,
-		Latency: w.now - f.sent, Closed: closed})
+	w.b.OnOutcome(w.now, Outcome{Request: f.r.ID, Attempt: f.n, Server: f.server.ID, Result: result,
+		Latency: w.now - f.sent, RequestAnswered: closed})
 }
 
 func (w *world) gone(r *booked) {
 	if r.answered == "" {
 		r.answered = "gone"
 	}
-	w.b.Gone(w.now, r.ID)
+	w.b.OnClientDisconnected(w.now, r.ID)
 }
 
 // advance lets time pass in ticks; attempts expire and timers come due in it.
@@ -174,7 +174,7 @@
 		w.timers = slices.DeleteFunc(w.timers, func(a alarm) bool { return a.at <= w.now })
 		for _, a := range due {
 			if a.at <= w.now {
-				w.b.Timer(w.now, a.token)
+				w.b.OnTimer(w.now, a.token)
 			}
 		}
 		w.overdue()
@@ -193,7 +193,7 @@
 }
 
 // harmless is rule 2, worked out from the books: may server run r again, or may r be refused ("")?
-func (w *world) harmless(r *booked, server *Server) bool {
+func (w *world) harmless(r *booked, server *Endpoint) bool {
 	c := w.set.Classes[r.Class]
 	for _, f := range r.tries {
 		if f.over && f.result.NeverRan() {
@@ -202,14 +202,14 @@
 		switch c.Semantics {
 		case AtMostOnce:
 			return false
-		case Deduplicated:
-			if w.now-f.sent >= c.Window || server == nil && c.Group != ScopeAll {
+		case IdempotencyKeyed:
+			if w.now-f.sent >= c.DedupWindow || server == nil && c.DedupScope != ScopeAll {
 				return false
 			}
-			if server != nil && c.Group == ScopeZone && server.Zone != f.server.Zone {
+			if server != nil && c.DedupScope == ScopeZone && server.Zone != f.server.Zone {
 				return false
 			}
-			if server != nil && c.Group == ScopeCell && server.Cell != f.server.Cell {
+			if server != nil && c.DedupScope == ScopeCell && server.Cell != f.server.Cell {
 				return false
 			}
 		}
@@ -217,7 +217,7 @@
 	return true
 }
 
-func (w *world) Send(id, server string, timeout int64) {
+func (w *world) SendAttempt(id, server string, timeout int64) {
 	w.note("send %s %s %d", id, server, timeout)
 	r, s := w.reqs[id], w.phase[server]
 	if r == nil || r.answered != "" || w.now >= r.deadline {
@@ -231,7 +231,7 @@
 		w.broken("rule 2: %s may run twice at %s", id, server)
 	}
 	for _, f := range r.tries {
-		if !f.over && !w.set.Limits.ParallelTries {
+		if !f.over && !w.set.Limits.Hedging {
 			w.broken("rule 2: two attempts out for %s", id)
 		}
 	}
@@ -253,7 +253,7 @@
 	if w.now >= w.warmBy[server] {
 		return
 	}
-	window := w.set.Rules.FallFor
+	window := w.set.Rules.OverloadWindow
 	sends := append(w.sends[server], w.now)
 	for len(sends) > 0 && w.now-sends[0] >= window {
 		sends = sends[1:]
@@ -268,24 +268,24 @@
 func (w *world) furtherBudget(id string) {
 	w.further = append(w.further, w.now)
 	rules := w.set.Rules
-	if rules.ResendSpan == 0 {
+	if rules.AttemptBudgetWindow == 0 {
 		return
 	}
 	within := func(times []int64) (n float64) {
 		for _, at := range times {
-			if w.now-at < rules.ResendSpan {
+			if w.now-at < rules.AttemptBudgetWindow {
 				n++
 			}
 		}
 		return n
 	}
-	sent, allowed := within(w.further), rules.ExtraFloor+rules.ResendRatio*within(w.taken)
+	sent, allowed := within(w.further), rules.AttemptBudgetMin+rules.AttemptBudgetRatio*within(w.taken)
 	if sent > allowed {
 		w.broken("rule 5: %s got the %.0fth further attempt, %.1f allowed", id, sent, allowed)
 	}
 }
 
-func (w *world) Cancel(id string, n int) {
+func (w *world) CancelAttempt(id string, n int) {
 	w.note("cancel %s %d", id, n)
 	if !w.set.Limits.Cancel || w.reqs[id] == nil || n >= len(w.reqs[id].tries) {
 		w.broken("cancel of %s %d", id, n)
@@ -303,24 +303,24 @@
 	return r
 }
 
-func (w *world) Refuse(id string, after int64) {
+func (w *world) Reject(id string, after int64) {
 	if r := w.answer(id, "refuse"); r != nil && !w.harmless(r, nil) {
 		w.broken("rule 2: %s refused, but it may have run", id)
 	}
 }
 
-func (w *world) Fail(id string) { w.answer(id, "fail") }
-func (w *world) Probe(s string) { w.note("probe %s", s) }
-func (w *world) Watch(on bool)  { w.note("watch %v", on) }
-func (w *world) Tell(p int, word []byte) {
-	if w.note("tell %d %x", p, word); !w.set.Limits.Peers || p >= w.set.Balancers || p == w.set.Me || len(word) > 256 {
+func (w *world) Fail(id string)         { w.answer(id, "fail") }
+func (w *world) CheckHealth(s string)   { w.note("probe %s", s) }
+func (w *world) WatchEndpoints(on bool) { w.note("watch %v", on) }
+func (w *world) SendGossip(p int, word []byte) {
+	if w.note("tell %d %x", p, word); !w.set.Limits.Gossip || p >= w.set.BalancerCount || p == w.set.BalancerIndex || len(word) > 256 {
 		w.broken("message of %d bytes to %d", len(word), p)
 	}
 }
 
-func (w *world) CloseIdle(s string) { w.note("close %s", s) }
-func (w *world) Log(line string)    { w.note("log %s", line) }
-func (w *world) Wake(in, tok int64) { w.timers = append(w.timers, alarm{w.now + in, tok}) }
+func (w *world) CloseIdleConnections(s string) { w.note("close %s", s) }
+func (w *world) Log(line string)               { w.note("log %s", line) }
+func (w *world) SetTimer(in, tok int64)        { w.timers = append(w.timers, alarm{w.now + in, tok}) }
 
 func (w *world) count(prefix string) (n int) {
 	for _, a := range w.acts {
@@ -338,25 +338,25 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "safe", Aim: 400_000, Deadline: 2 * second, Worth: 3, Semantics: Idempotent},
-			{Name: "keyed-all", Aim: 400_000, Deadline: 2 * second, Worth: 8, Semantics: Deduplicated, Window: second},
-			{Name: "keyed-zone", Aim: 400_000, Deadline: 2 * second, Worth: 8, Semantics: Deduplicated,
-				Group: ScopeZone, Window: second},
-			{Name: "keyed-cell", Aim: 400_000, Deadline: 2 * second, Worth: 8, Semantics: Deduplicated,
-				Group: ScopeCell, Window: second},
-			{Name: "unsafe", Aim: 400_000, Deadline: 2 * second, Worth: 5, Semantics: AtMostOnce},
-			{Name: "stream", Aim: 400_000, Deadline: 2 * second, Worth: 5, Semantics: Idempotent, Stream: true},
+			{Name: "safe", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 3, Semantics: Idempotent},
+			{Name: "keyed-all", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 8, Semantics: IdempotencyKeyed, DedupWindow: second},
+			{Name: "keyed-zone", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 8, Semantics: IdempotencyKeyed,
+				DedupScope: ScopeZone, DedupWindow: second},
+			{Name: "keyed-cell", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 8, Semantics: IdempotencyKeyed,
+				DedupScope: ScopeCell, DedupWindow: second},
+			{Name: "unsafe", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 5, Semantics: AtMostOnce},
+			{Name: "stream", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 5, Semantics: Idempotent, Stream: true},
 		},
-		Rules: Rules{AnswerSlack: 20_000, AskEvery: 10 * second, StopSending: second, ColdFrom: 0.3,
-			ColdFor: 8 * second, OverloadFactor: 3, FallFor: 2 * second},
-		Limits:    Limits{Cancel: true, Probes: true, RetryAfter: true, MaxAttempts: 4, Tick: 5000},
-		Balancers: 2,
+		Rules: Rules{AnswerSlack: 20_000, PollInterval: 10 * second, DrainGrace: second, SlowStartMinShare: 0.3,
+			SlowStartWindow: 8 * second, OverloadFactor: 3, OverloadWindow: 2 * second},
+		Limits:        Limits{Cancel: true, HealthChecks: true, RetryAfter: true, MaxAttempts: 4, MinEventInterval: 5000},
+		BalancerCount: 2,
 	}
 }
 
-func fleet(n int) (list []Server) {
+func fleet(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, Server{ID: fmt.Sprintf("s%d", i), Size: 1, Zone: fmt.Sprintf("z%d", i%2), Cell: int64(i % 3)})
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%d", i), Capacity: 1, Zone: fmt.Sprintf("z%d", i%2), Cell: int64(i % 3)})
 	}
 	return list
 }
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -111,13 +111,13 @@
 
 func (c *Config) settings(level int) decide.Settings {
 	return decide.Settings{
-		Classes: []decide.Class{{Name: "call", Aim: aim, Deadline: deadline, Worth: 1, LateShare: 0.3, Semantics: decide.Idempotent}},
-		Rules: decide.Rules{AnswerSlack: slack, AskEvery: 10 * sec, StopSending: sec, ColdFrom: 1, OverloadFactor: 3, FallFor: 2 * sec,
-			ExtraFloor: c.Floor, ResendRatio: c.Ratio, ResendSpan: c.Span.Microseconds()},
-		Goal:       decide.Goal{Whole: 1},
-		Limits:     decide.Limits{MaxAttempts: c.tries(level)},
-		Balancers:  c.Width,
-		ListPushed: true,
+		Classes: []decide.Class{{Name: "call", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, LateValueShare: 0.3, Semantics: decide.Idempotent}},
+		Rules: decide.Rules{AnswerSlack: slack, PollInterval: 10 * sec, DrainGrace: sec, SlowStartMinShare: 1, OverloadFactor: 3, OverloadWindow: 2 * sec,
+			AttemptBudgetMin: c.Floor, AttemptBudgetRatio: c.Ratio, AttemptBudgetWindow: c.Span.Microseconds()},
+		Objective:       decide.ServiceObjective{Overall: 1},
+		Limits:          decide.Limits{MaxAttempts: c.tries(level)},
+		BalancerCount:   c.Width,
+		EndpointsPushed: true,
 	}
 }
 
@@ -230,19 +230,19 @@
 	n := int(conf.For/time.Second)*slots + 5*slots // clients' seconds, and what is in hand after them
 	w := &world{conf: conf, now: start, rng: rand.New(rand.NewPCG(conf.Seed, 7)),
 		report: &Report{Config: conf, Levels: make([]Level, conf.Depth)}, asked: make([]int, n), deep: make([]int, n), served: make([]int, n)}
-	var list []decide.Server
+	var list []decide.Endpoint
 	for i := range conf.Servers {
-		list = append(list, decide.Server{ID: strconv.Itoa(i), Size: 1})
+		list = append(list, decide.Endpoint{ID: strconv.Itoa(i), Capacity: 1})
 	}
 	for level := 1; level <= conf.Depth; level++ {
 		var nodes []*node
 		for i := range conf.Width {
 			d := &node{w: w, level: level, open: map[string]*call{}}
 			set := conf.settings(level)
-			set.Me = i
+			set.BalancerIndex = i
 			d.b = decide.New(set, conf.Seed<<16+uint64(level*1000+i), d)
-			d.b.Begin(w.now)
-			d.b.Listed(w.now, list, true)
+			d.b.Start(w.now)
+			d.b.OnEndpoints(w.now, list, true)
 			nodes = append(nodes, d)
 		}
 		w.nodes = append(w.nodes, nodes)
@@ -287,7 +287,7 @@
 	})
 	w.nodes[0][w.rng.IntN(w.conf.Width)].take(strconv.Itoa(i), deadline, func(how decide.Result) {
 		answered = true
-		if how == decide.Served {
+		if how == decide.Succeeded {
 			w.served[slot]++
 		}
 	})
@@ -309,10 +309,10 @@
 	w.after(own, func() {
 		w.nodes[level][server%w.conf.Width].take(id, left-own-transit, func(how decide.Result) {
 			switch {
-			case how == decide.Served || w.conf.Pass == PassRefusals:
+			case how == decide.Succeeded || w.conf.Pass == PassRefusals:
 				answer(how)
 			case w.conf.Pass == PassMarked:
-				answer(decide.Rejected)
+				answer(decide.InvalidRequest)
 			default:
 				answer(decide.Errored)
 			}
@@ -323,7 +323,7 @@
 // work is the deepest service's, and its faults.
 func (w *world) work(server int, answer func(decide.Result)) {
 	takes, bad := 5*msec+w.rng.Int64N(10*msec), w.rng.Float64() < w.conf.Share
-	result := decide.Served
+	result := decide.Succeeded
 	switch {
 	case !w.faulty():
 	case w.conf.Fault == Crash:
@@ -332,7 +332,7 @@
 		}
 	case !bad:
 	case w.conf.Fault == Declined:
-		takes, result = 0, decide.Full
+		takes, result = 0, decide.Saturated
 	case w.conf.Fault == Slow:
 		takes = slowFor
 	default:
@@ -347,7 +347,7 @@
 	l.Taken++
 	d.taken = append(d.taken, w.now)
 	d.open[id] = &call{id: id, deadline: w.now + left, done: done}
-	d.b.Request(w.now, decide.Request{ID: id, Tenant: -1, Left: max(0, left)})
+	d.b.OnRequest(w.now, decide.Request{ID: id, Tenant: -1, TimeLeft: max(0, left)})
 }
 
 // end is the one answer; where a balancer gives a second the client sees it.
@@ -360,9 +360,9 @@
 	r.answered = true
 	d.forget(r)
 	switch how {
-	case decide.Served:
+	case decide.Succeeded:
 		l.Served++
-	case decide.Full:
+	case decide.Saturated:
 		l.Refused++
 	default:
 		l.Failed++
@@ -380,8 +380,8 @@
 	}
 }
 
-// Send carries an attempt to a server, and its end back.
-func (d *node) Send(id, server string, timeout int64) {
+// SendAttempt carries an attempt to a server, and its end back.
+func (d *node) SendAttempt(id, server string, timeout int64) {
 	w, r, l := d.w, d.open[id], &d.w.report.Levels[d.level-1]
 	if r == nil || r.answered {
 		w.report.After++
@@ -408,11 +408,11 @@
 		over = true
 		r.out--
 		defer d.forget(r)
-		if result == decide.Served && !r.answered {
-			d.end(id, decide.Served)
+		if result == decide.Succeeded && !r.answered {
+			d.end(id, decide.Succeeded)
 		}
 		closed := r.answered
-		d.b.Outcome(w.now, decide.Outcome{Request: id, Attempt: n, Server: server, Result: result, Latency: w.now - sent, Closed: closed})
+		d.b.OnOutcome(w.now, decide.Outcome{Request: id, Attempt: n, Server: server, Result: result, Latency: w.now - sent, RequestAnswered: closed})
 	}
 	w.after(timeout, func() { ends(decide.TimedOut) })
 	w.after(transit, func() {
@@ -447,15 +447,17 @@
 
 // The other actions of a balancer: it may refuse, fail and wake; there is nothing else here to act on.
 
-func (d *node) Refuse(id string, _ int64) { d.end(id, decide.Full) }
+func (d *node) Reject(id string, _ int64) { d.end(id, decide.Saturated) }
 func (d *node) Fail(id string)            { d.end(id, decide.Errored) }
-func (d *node) Wake(in, token int64)      { d.w.after(max(in, 1), func() { d.b.Timer(d.w.now, token) }) }
-func (d *node) Cancel(string, int)        {}
-func (d *node) Probe(string)              {}
-func (d *node) Tell(int, []byte)          {}
-func (d *node) CloseIdle(string)          {}
-func (d *node) Watch(bool)                {}
-func (d *node) Log(string)                {}
+func (d *node) SetTimer(in, token int64) {
+	d.w.after(max(in, 1), func() { d.b.OnTimer(d.w.now, token) })
+}
+func (d *node) CancelAttempt(string, int)   {}
+func (d *node) CheckHealth(string)          {}
+func (d *node) SendGossip(int, []byte)      {}
+func (d *node) CloseIdleConnections(string) {}
+func (d *node) WatchEndpoints(bool)         {}
+func (d *node) Log(string)                  {}
 
 // sum makes the figures of the report from the counts.
 func (w *world) sum() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -126,7 +126,7 @@
 
 // carriesOut refuses what this program cannot do: it has no way to other balancers.
 func carriesOut(set *decide.Settings) error {
-	if set.Limits.Peers {
+	if set.Limits.Gossip {
 		return fmt.Errorf("Limits.Peers: this program carries no messages between balancers")
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 	if c.Name != "n1" || c.Listen != "127.0.0.1:8000" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 256 {
 		t.Errorf("%+v", c)
 	}
-	if len(c.Settings.Classes) != 2 || c.Settings.Rules.AskEvery != 10_000_000 || c.Settings.ListPushed {
+	if len(c.Settings.Classes) != 2 || c.Settings.Rules.PollInterval != 10_000_000 || c.Settings.EndpointsPushed {
 		t.Errorf("%+v", c.Settings)
 	}
 	if c.Transport.ConnIdle != 10*time.Second || c.Transport.DialTimeout != 250*time.Millisecond {
@@ -63,7 +63,7 @@
 		if value != nil {
 			prices["CrossZone"] = value
 		}
-		if c, err := change(t, "settings.Prices", prices); err != nil || c.Settings.ZonePrice != want {
+		if c, err := change(t, "settings.Prices", prices); err != nil || c.Settings.CrossZonePrice != want {
 			t.Errorf("%v: %v %v", value, c, err)
 		}
 	}
@@ -149,16 +149,16 @@
 // What the settings of the new shape say reaches the module; without them it is as it was.
 func TestSettingsOfTheNewShape(t *testing.T) {
 	c, err := Parse(example(t), none)
-	if err != nil || c.Watch != nil || c.Settings.SizesLive || c.Settings.Limits.CPU != 0 || c.Settings.Goal.Tail != 0 ||
-		c.Settings.Goal.BorneMisses != 0 {
+	if err != nil || c.Watch != nil || c.Settings.CapacityLive || c.Settings.Limits.CPU != 0 || c.Settings.Objective.TailLatency != 0 ||
+		c.Settings.Objective.ToleratedLateShare != 0 {
 		t.Errorf("defaults: %v %+v", err, c)
 	}
 	c, err = change(t, "watch", watchedOf(t, "WeightSource", "live"))
-	if err != nil || c.Watch == nil || !c.Watch.Settings.SizesLive || !c.Watch.Settings.SizesListed || c.Watch.Every != 10*time.Second || c.Settings.SizesLive {
+	if err != nil || c.Watch == nil || !c.Watch.Settings.CapacityLive || !c.Watch.Settings.CapacityListed || c.Watch.Every != 10*time.Second || c.Settings.CapacityLive {
 		t.Fatalf("live weights in the watch: %v %+v", err, c)
 	}
 	c, err = change(t, "settings.ScoringMix", map[string]any{"Tail": 0.3, "BorneMisses": 0.01})
-	if err != nil || c.Settings.Goal.Tail != 0.3 || c.Settings.Goal.BorneMisses != 0.01 {
+	if err != nil || c.Settings.Objective.TailLatency != 0.3 || c.Settings.Objective.ToleratedLateShare != 0.01 {
 		t.Errorf("tail: %v %+v", err, c)
 	}
 	if c, err = change(t, "settings.Limits.CpuUsPerS", 8000); err != nil || c.Settings.Limits.CPU != 8000 {
@@ -169,10 +169,10 @@
 // A budget of attempts and the answers held reach the module.
 func TestBudgetOfAttempts(t *testing.T) {
 	c, err := change(t, "settings.Guarantees", map[string]any{"ExtraFloor": 3, "ResendRatio": 0.05, "ResendSpanUs": 10_000_000})
-	if err != nil || c.Settings.Rules.ExtraFloor != 3 || c.Settings.Rules.ResendRatio != 0.05 || c.Settings.Rules.ResendSpan != 10_000_000 {
+	if err != nil || c.Settings.Rules.AttemptBudgetMin != 3 || c.Settings.Rules.AttemptBudgetRatio != 0.05 || c.Settings.Rules.AttemptBudgetWindow != 10_000_000 {
 		t.Errorf("%v %+v", err, c)
 	}
-	if c, err = change(t, "settings.Limits.HeldReplies", 7); err != nil || c.Settings.Limits.HeldReplies != 7 {
+	if c, err = change(t, "settings.Limits.HeldReplies", 7); err != nil || c.Settings.Limits.MaxBufferedResponses != 7 {
 		t.Errorf("%v %+v", err, c)
 	}
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -141,7 +141,7 @@
 	next, err := c.Adopt(with(func(s map[string]any) {
 		s["Me"], s["Zone"], s["Odd"], s["TickUs"] = 7, "z", 2, 6000
 	}), none)
-	if err != nil || next.Settings.Me != 1 || next.Settings.Zone != "a" || next.Settings.Limits.Tick != 6000 || next.Name != "p" || string(next.Text()) != adoptable {
+	if err != nil || next.Settings.BalancerIndex != 1 || next.Settings.Zone != "a" || next.Settings.Limits.MinEventInterval != 6000 || next.Name != "p" || string(next.Text()) != adoptable {
 		t.Fatalf("%v %+v", err, next)
 	}
 	if whole, err := c.Adopt([]byte(strings.Replace(adoptable, `"p"`, `"another"`, 1)), none); err != nil || whole.Name != "p" || whole.Retuned(c) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -36,7 +36,7 @@
 		HeldReplies                               int
 	}
 	Report     struct{ Via string }
-	ScoringMix decide.Goal
+	ScoringMix scoringMix
 	Prices     struct{ CrossZone, Connection, Probe float64 }
 	FamilyInfo struct{ WarmKeys bool }
 	Guarantees struct {
@@ -48,6 +48,16 @@
 	}
 }
 
+// scoringMix is how the service is judged, under the names of the settings.
+type scoringMix struct{ Whole, WorstWindow, WorstClass, WorstTenant, Tail, BorneMisses float64 }
+
+func (m scoringMix) goal() decide.ServiceObjective {
+	return decide.ServiceObjective{
+		Overall: m.Whole, WorstWindow: m.WorstWindow, WorstClass: m.WorstClass, WorstTenant: m.WorstTenant, TailLatency: m.Tail,
+		ToleratedLateShare: m.BorneMisses,
+	}
+}
+
 // What the list's weights tell, and how load reports come; absent: nothing, and none.
 var (
 	weightKinds = []string{"", "silent", "nominal", "rough", "live"}
@@ -55,7 +65,7 @@
 )
 
 var semantics = map[string]decide.Semantics{
-	"idempotent": decide.Idempotent, "deduplicated": decide.Deduplicated, "at_most_once": decide.AtMostOnce,
+	"idempotent": decide.Idempotent, "deduplicated": decide.IdempotencyKeyed, "at_most_once": decide.AtMostOnce,
 }
 
 var scopes = map[string]decide.Scope{
@@ -117,23 +127,23 @@
 		return set, fmt.Errorf("settings: Report.Via: unknown kind %q", in.Report.Via)
 	}
 	set = decide.Settings{
-		Zone: in.Zone, Me: in.Me, Balancers: in.Balancers,
-		ListPushed: in.RegistryMode == "pushed", OverShareWorth: in.OverShareWorth,
-		ZonePrice: in.Prices.CrossZone, ConnPrice: in.Prices.Connection,
-		ProbeLoad: in.Report.Via == "pull", ProbePrice: in.Prices.Probe,
-		SizesListed: in.WeightSource == "nominal" || in.WeightSource == "rough" || in.WeightSource == "live",
-		SizesLive:   in.WeightSource == "live",
-		WarmKeys:    in.FamilyInfo.WarmKeys, Goal: in.ScoringMix,
+		Zone: in.Zone, BalancerIndex: in.Me, BalancerCount: in.Balancers,
+		EndpointsPushed: in.RegistryMode == "pushed", OverQuotaWeight: in.OverShareWorth,
+		CrossZonePrice: in.Prices.CrossZone, ConnectionPrice: in.Prices.Connection,
+		LoadFromHealthChecks: in.Report.Via == "pull", HealthCheckPrice: in.Prices.Probe,
+		CapacityListed: in.WeightSource == "nominal" || in.WeightSource == "rough" || in.WeightSource == "live",
+		CapacityLive:   in.WeightSource == "live",
+		KeyAffinity:    in.FamilyInfo.WarmKeys, Objective: in.ScoringMix.goal(),
 		Limits: decide.Limits{
-			Cancel: in.Limits.Cancel, ParallelTries: in.Limits.ParallelTries, Probes: in.Limits.Probes,
-			RetryAfter: in.Limits.RetryAfter, Peers: in.Limits.Peers, MaxAttempts: in.Limits.MaxAttempts, HeldReplies: in.Limits.HeldReplies,
-			MaxRetryAfter: in.Limits.MaxRetryAfterUs, Tick: in.TickUs, CPU: in.Limits.CpuUsPerS,
+			Cancel: in.Limits.Cancel, Hedging: in.Limits.ParallelTries, HealthChecks: in.Limits.Probes,
+			RetryAfter: in.Limits.RetryAfter, Gossip: in.Limits.Peers, MaxAttempts: in.Limits.MaxAttempts, MaxBufferedResponses: in.Limits.HeldReplies,
+			MaxRetryAfter: in.Limits.MaxRetryAfterUs, MinEventInterval: in.TickUs, CPU: in.Limits.CpuUsPerS,
 		},
 		Rules: decide.Rules{
-			AnswerSlack: in.Guarantees.AnswerSlackUs, AskEvery: in.Guarantees.AskEveryUs,
-			StopSending: in.Guarantees.StopSendingWithinUs, ColdFrom: in.Guarantees.ColdFrom,
-			ColdFor: in.Guarantees.ColdUs, OverloadFactor: in.Guarantees.OverloadFactor,
-			FallFor: in.Guarantees.FallUs, ExtraFloor: in.Guarantees.ExtraFloor,
+			AnswerSlack: in.Guarantees.AnswerSlackUs, PollInterval: in.Guarantees.AskEveryUs,
+			DrainGrace: in.Guarantees.StopSendingWithinUs, SlowStartMinShare: in.Guarantees.ColdFrom,
+			SlowStartWindow: in.Guarantees.ColdUs, OverloadFactor: in.Guarantees.OverloadFactor,
+			OverloadWindow: in.Guarantees.FallUs, AttemptBudgetMin: in.Guarantees.ExtraFloor,
 		},
 	}
 	g := &in.Guarantees
@@ -141,7 +151,7 @@
 		return set, fmt.Errorf("settings: Guarantees.ResendRatio and Guarantees.ResendSpanUs need each other")
 	}
 	if g.ResendRatio != nil {
-		set.Rules.ResendRatio, set.Rules.ResendSpan = *g.ResendRatio, *g.ResendSpanUs
+		set.Rules.AttemptBudgetRatio, set.Rules.AttemptBudgetWindow = *g.ResendRatio, *g.ResendSpanUs
 	}
 	for _, s := range in.Services {
 		kind, ok := semantics[s.Semantics]
@@ -153,8 +163,8 @@
 			return set, fmt.Errorf("settings: class %s: unknown group %q", s.Name, s.Group)
 		}
 		set.Classes = append(set.Classes, decide.Class{
-			Name: s.Name, Aim: s.AimUs, Deadline: s.DeadlineUs, AimStretch: s.AimStretch, Worth: s.Worth,
-			LateShare: s.LateShare, Semantics: kind, Group: group, Window: s.WindowUs, Stream: s.Stream,
+			Name: s.Name, LatencyObjective: s.AimUs, Deadline: s.DeadlineUs, ObjectivePerWork: s.AimStretch, PriorityWeight: s.Worth,
+			LateValueShare: s.LateShare, Semantics: kind, DedupScope: group, DedupWindow: s.WindowUs, Stream: s.Stream,
 		})
 	}
 	for _, t := range in.Realms {
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -24,7 +24,7 @@
 	instances map[int64]*instance
 	about     *instance
 	aboutID   int64 // -1 until ABOUT names an instance in the batch
-	slots     [16][]decide.Server
+	slots     [16][]decide.Endpoint
 	filled    [16]bool
 	servers   map[string]string // addresses met, so that each is allocated once
 	now       int64
@@ -177,29 +177,29 @@
 	v.out.w.Write(b)
 }
 
-func (v voice) Send(request, server string, timeout int64) {
+func (v voice) SendAttempt(request, server string, timeout int64) {
 	b := append(append(v.start("SEND\t"), request...), '\t')
 	b = append(append(b, server...), '\t')
 	v.end(appendInt(b, timeout))
 }
 
-func (v voice) Cancel(request string, attempt int) {
+func (v voice) CancelAttempt(request string, attempt int) {
 	b := append(append(v.start("RETRACT\t"), request...), '\t')
 	v.end(appendInt(b, int64(attempt)))
 }
 
-func (v voice) Refuse(request string, retryAfter int64) {
+func (v voice) Reject(request string, retryAfter int64) {
 	b := append(append(v.start("NOT_NOW\t"), request...), '\t')
 	v.end(appendInt(b, retryAfter))
 }
 
 func (v voice) Fail(request string) { v.end(append(v.start("SURRENDER\t"), request...)) }
 
-func (v voice) Probe(server string) { v.end(append(v.start("HEALTH_CHECK\t"), server...)) }
+func (v voice) CheckHealth(server string) { v.end(append(v.start("HEALTH_CHECK\t"), server...)) }
 
-func (v voice) CloseIdle(server string) { v.end(append(v.start("CLOSE_IDLE\t"), server...)) }
+func (v voice) CloseIdleConnections(server string) { v.end(append(v.start("CLOSE_IDLE\t"), server...)) }
 
-func (v voice) Tell(peer int, word []byte) {
+func (v voice) SendGossip(peer int, word []byte) {
 	b := v.start("NOTIFY\t")
 	if peer < 0 {
 		b = append(b, '*')
@@ -209,7 +209,7 @@
 	v.end(hex.AppendEncode(append(b, '\t'), word))
 }
 
-func (v voice) Watch(on bool) {
+func (v voice) WatchEndpoints(on bool) {
 	if on {
 		v.end(v.start("OBSERVE\t1"))
 	} else {
@@ -217,7 +217,7 @@
 	}
 }
 
-func (v voice) Wake(in, token int64) {
+func (v voice) SetTimer(in, token int64) {
 	b := append(appendInt(v.start("ARM\t"), in), '\t')
 	v.end(appendInt(b, token))
 }
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -216,8 +216,8 @@
 func TestCloseIdleOnTheWire(t *testing.T) {
 	var out strings.Builder
 	w := writer{w: bufio.NewWriter(&out), on: -1}
-	voice{&w, 3}.CloseIdle("10.0.0.1:7001")
-	voice{&w, 3}.Tell(7, []byte{1, 0xab})
+	voice{&w, 3}.CloseIdleConnections("10.0.0.1:7001")
+	voice{&w, 3}.SendGossip(7, []byte{1, 0xab})
 	w.done()
 	if want := "ON_BEHALF\t3\nCLOSE_IDLE\t10.0.0.1:7001\nNOTIFY\t7\t01ab\nACK\n"; out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
--- a/internal/drill/parse.go
+++ b/internal/drill/parse.go
@@ -101,7 +101,7 @@
 	if err != nil || count < 0 {
 		return fmt.Errorf("expected a count of entries, got %q", clip(list))
 	}
-	rows := make([]decide.Server, 0, min(count, 4096))
+	rows := make([]decide.Endpoint, 0, min(count, 4096))
 	for range count {
 		line, err := h.next()
 		if err == io.EOF {
@@ -120,18 +120,18 @@
 	return nil
 }
 
-func (h *host) row(line []byte) (s decide.Server, err error) {
+func (h *host) row(line []byte) (s decide.Endpoint, err error) {
 	f := h.split(line, 8)
 	if len(f) != 8 || string(f[0]) != "ROW" {
 		return s, fmt.Errorf("expected ROW with 7 fields, got %q", clip(line))
 	}
-	if s.UpSince, err = numberOr(f[1], 0); err != nil {
+	if s.StartedAt, err = numberOr(f[1], 0); err != nil {
 		return s, err
 	}
-	s.Size = 1
+	s.Capacity = 1
 	if !absent(f[2]) {
-		s.Size, err = strconv.ParseFloat(string(f[2]), 64)
-		if err != nil || math.IsNaN(s.Size) || math.IsInf(s.Size, 0) {
+		s.Capacity, err = strconv.ParseFloat(string(f[2]), 64)
+		if err != nil || math.IsNaN(s.Capacity) || math.IsInf(s.Capacity, 0) {
 			return s, fmt.Errorf("expected a size, got %q", clip(f[2]))
 		}
 	}
@@ -152,7 +152,7 @@
 		return s, err
 	}
 	if !absent(f[3]) {
-		s.Kind = string(f[3])
+		s.MachineKind = string(f[3])
 	}
 	if !absent(f[7]) {
 		s.Zone = string(f[7])
@@ -185,7 +185,7 @@
 		in.tenants[t.Name] = i
 	}
 	in.Balancer = decide.New(set, seed, voice{&h.out, h.aboutID})
-	in.Begin(h.now)
+	in.Start(h.now)
 	h.instances[h.aboutID], h.about = in, in
 	return nil
 }
@@ -204,7 +204,7 @@
 	"PROBE_DONE":   {4, (*host).probed},
 	"ACCEPTED":     {4, (*host).started},
 	"VANISHED": {1, func(h *host, in *instance, f [][]byte) error {
-		in.Gone(h.now, string(f[0]))
+		in.OnClientDisconnected(h.now, string(f[0]))
 		return nil
 	}},
 	"PEER": {2, (*host).told},
@@ -218,7 +218,7 @@
 func (h *host) registry(in *instance, f [][]byte) error {
 	how := string(f[0])
 	if how == "broken" {
-		in.ListFailed(h.now, 0)
+		in.OnPollFailed(h.now, 0)
 		return nil
 	}
 	if how != "patch" && how != "whole" && how != "stale_copy" {
@@ -228,7 +228,7 @@
 	if err != nil || slot < 0 || slot >= int64(len(h.slots)) || !h.filled[slot] {
 		return fmt.Errorf("expected the slot of a list already given, got %q", clip(f[2]))
 	}
-	in.Listed(h.now, h.slots[slot], how != "patch")
+	in.OnEndpoints(h.now, h.slots[slot], how != "patch")
 	return nil
 }
 
@@ -239,7 +239,7 @@
 		return fmt.Errorf("class %q is not in the settings", clip(f[5]))
 	}
 	r.Class = class
-	if r.Left, err = numberOr(f[2], -1); err != nil {
+	if r.TimeLeft, err = numberOr(f[2], -1); err != nil {
 		return err
 	}
 	if t, ok := in.tenants[string(f[3])]; ok {
@@ -248,10 +248,10 @@
 	if !absent(f[6]) {
 		r.Key = string(f[6])
 	}
-	if r.Work, err = numberOr(f[7], 0); err != nil {
+	if r.WorkHint, err = numberOr(f[7], 0); err != nil {
 		return err
 	}
-	in.Request(h.now, r)
+	in.OnRequest(h.now, r)
 	return nil
 }
 
@@ -263,7 +263,7 @@
 }
 
 func (h *host) outcome(in *instance, f [][]byte) (err error) {
-	o := decide.Outcome{Request: string(f[0]), Closed: string(f[5]) == "1"}
+	o := decide.Outcome{Request: string(f[0]), RequestAnswered: string(f[5]) == "1"}
 	n, err := number(f[1])
 	if err != nil || n < 0 || n > math.MaxInt32 {
 		return fmt.Errorf("expected an attempt's number, got %q", clip(f[1]))
@@ -284,12 +284,12 @@
 	if o.Load, err = load(f[6]); err != nil {
 		return err
 	}
-	in.Outcome(h.now, o)
+	in.OnOutcome(h.now, o)
 	return nil
 }
 
 func (h *host) probed(in *instance, f [][]byte) (err error) {
-	var p decide.Probe
+	var p decide.HealthCheck
 	if p.Server, err = h.address(f[0]); err != nil {
 		return err
 	}
@@ -305,7 +305,7 @@
 	if p.Load, err = load(f[3]); err != nil {
 		return err
 	}
-	in.Probed(h.now, p)
+	in.OnHealthCheck(h.now, p)
 	return nil
 }
 
@@ -314,7 +314,7 @@
 	if err != nil || n < 0 || n > math.MaxInt32 {
 		return fmt.Errorf("expected an attempt's number, got %q", clip(f[1]))
 	}
-	in.Started(h.now, string(f[0]), int(n))
+	in.OnStreamStarted(h.now, string(f[0]), int(n))
 	return nil
 }
 
@@ -326,7 +326,7 @@
 	}
 	if word, err := hex.AppendDecode(h.word[:0], f[1]); err == nil {
 		h.word = word
-		in.Told(h.now, int(from), word)
+		in.OnGossip(h.now, int(from), word)
 	}
 	return nil
 }
@@ -336,16 +336,16 @@
 	if err != nil {
 		return err
 	}
-	in.Timer(h.now, token)
+	in.OnTimer(h.now, token)
 	return nil
 }
 
 // load reads a load report; names it does not know are skipped.
-func load(b []byte) (*decide.Load, error) {
+func load(b []byte) (*decide.LoadReport, error) {
 	if absent(b) || len(b) == 0 {
 		return nil, nil
 	}
-	l := &decide.Load{InFlight: -1, Queue: -1, Busy: -1, Latency: -1, Rate: -1, FailRate: -1}
+	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, Latency: -1, Rate: -1, FailRate: -1}
 	for pair := range bytes.SplitSeq(b, []byte{','}) {
 		name, value, ok := bytes.Cut(pair, []byte{':'})
 		if !ok {
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -41,9 +41,9 @@
 		Transport: config.Transport{ConnIdle: time.Minute, DialTimeout: time.Minute},
 		Settings: decide.Settings{
 			Classes: []decide.Class{
-				{Name: "look", Worth: 1},
-				{Name: "make", Worth: 1, Semantics: decide.Deduplicated, Window: 60_000_000},
-				{Name: "once", Worth: 1, Semantics: decide.AtMostOnce},
+				{Name: "look", PriorityWeight: 1},
+				{Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed, DedupWindow: 60_000_000},
+				{Name: "once", PriorityWeight: 1, Semantics: decide.AtMostOnce},
 			},
 			Limits: decide.Limits{Cancel: true, MaxAttempts: 4},
 		},
@@ -217,7 +217,7 @@
 			})
 			f, side, ln := before(t, s.Addr, 8, func(c *config.Config, f *Frontend) {
 				c.Discovery, c.Known.Hosts[0].BornMs = list, time.Now().UnixMilli()
-				c.Settings.Rules.ColdFor, c.Settings.Rules.ColdFrom = 3_600_000_000, 0.1
+				c.Settings.Rules.SlowStartWindow, c.Settings.Rules.SlowStartMinShare = 3_600_000_000, 0.1
 			})
 			return &scene{s, f, side, ln, 0, func() { close(room) }}
 		}, 0},
@@ -492,10 +492,10 @@
 		classes []decide.Class
 		runs    bool
 	}{
-		{[]decide.Class{{Name: "make", Worth: 1, Semantics: decide.Deduplicated}}, true},
-		{[]decide.Class{{Name: "other", Worth: 1}, {Name: "make", Worth: 1, Semantics: decide.Deduplicated}}, true},
-		{[]decide.Class{{Name: "make", Worth: 1, Semantics: decide.AtMostOnce}}, false},
-		{[]decide.Class{{Name: "made", Worth: 1, Semantics: decide.Deduplicated}}, false},
+		{[]decide.Class{{Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, true},
+		{[]decide.Class{{Name: "other", PriorityWeight: 1}, {Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, true},
+		{[]decide.Class{{Name: "make", PriorityWeight: 1, Semantics: decide.AtMostOnce}}, false},
+		{[]decide.Class{{Name: "made", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, false},
 	} {
 		f.Retune(&decide.Settings{Classes: c.classes})
 		if _, err := f.Unasked(rec, &custody.Stored{}); (err == nil) != c.runs {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -19,7 +19,7 @@
 func serving(t *testing.T, change func(*Frontend)) (*Frontend, net.Listener) {
 	t.Helper()
 	conf := &config.Config{Discovery: "127.0.0.1:1", Settings: decide.Settings{
-		Classes: []decide.Class{{Name: "look", Worth: 1}, {Name: "make", Worth: 1, Semantics: decide.Deduplicated}},
+		Classes: []decide.Class{{Name: "look", PriorityWeight: 1}, {Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}},
 	}}
 	side := sidecar.New(conf, 8)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -56,8 +56,8 @@
 	switch {
 	case b.rest != nil: // it can't be sent again: once begun, it is treated as work that must not be
 		w.Effect = custody.Unsafe
-	case effect == custody.Keyed && class.Group == decide.ScopeAll:
-		w.Window, w.Stored = time.Duration(class.Window)*time.Microsecond, p.store(call, b)
+	case effect == custody.Keyed && class.DedupScope == decide.ScopeAll:
+		w.Window, w.Stored = time.Duration(class.DedupWindow)*time.Microsecond, p.store(call, b)
 	}
 	if b.rest == nil {
 		gone = c.watch()
@@ -84,7 +84,7 @@
 	switch s {
 	case decide.Idempotent:
 		return custody.Safe
-	case decide.Deduplicated:
+	case decide.IdempotencyKeyed:
 		return custody.Keyed
 	}
 	return custody.Unsafe
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -130,7 +130,7 @@
 		if !h.IsGet() {
 			return bad(fasthttp.StatusMethodNotAllowed, "expected GET")
 		}
-	case decide.Deduplicated:
+	case decide.IdempotencyKeyed:
 		if !h.IsPost() {
 			return bad(fasthttp.StatusMethodNotAllowed, "expected POST")
 		}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	client := discovery.New(list, nil, discovery.Source{Balancers: conf.Settings.Balancers}, h)
+	client := discovery.New(list, nil, discovery.Source{Balancers: conf.Settings.BalancerCount}, h)
 	go client.Run(ctx)
 	return nil
 }
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -16,8 +16,8 @@
 // actions carries out what the module does. Its methods run on the actor and never wait.
 type actions struct{ s *Sidecar }
 
-// Send starts an attempt.
-func (x actions) Send(request, server string, timeout int64) {
+// SendAttempt starts an attempt.
+func (x actions) SendAttempt(request, server string, timeout int64) {
 	s, c := x.s, x.s.calls[request]
 	s.note(watch.Act{Do: watch.Send, Request: request, Server: server, Time: timeout})
 	if c == nil {
@@ -33,8 +33,8 @@
 	} else if a.Wait = c.wait(); timeout > 0 {
 		a.Wait = min(a.Wait, time.Duration(timeout)*time.Microsecond)
 	}
-	if k := c.class; k.Semantics == decide.Deduplicated && !c.effectAt.IsZero() {
-		a.WriteBy = c.effectAt.Add(time.Duration(k.Window) * time.Microsecond) // rule 2 at the moment of writing
+	if k := c.class; k.Semantics == decide.IdempotencyKeyed && !c.effectAt.IsZero() {
+		a.WriteBy = c.effectAt.Add(time.Duration(k.DedupWindow) * time.Microsecond) // rule 2 at the moment of writing
 	}
 	a.Done = func(a *upstream.Attempt, r upstream.Report) {
 		s.box <- func(now int64) { s.settle(now, c, n, a, r) }
@@ -57,15 +57,15 @@
 	return c.giveUp
 }
 
-// Cancel calls an attempt back.
-func (x actions) Cancel(request string, attempt int) {
+// CancelAttempt calls an attempt back.
+func (x actions) CancelAttempt(request string, attempt int) {
 	if c := x.s.calls[request]; c != nil && attempt >= 0 && attempt < len(c.attempts) {
 		c.attempts[attempt].Cancel()
 	}
 }
 
-// Refuse answers that a new try is harmless.
-func (x actions) Refuse(request string, retryAfter int64) {
+// Reject answers that a new try is harmless.
+func (x actions) Reject(request string, retryAfter int64) {
 	x.s.note(watch.Act{Do: watch.Refused, Request: request})
 	x.answer(request, Answer{Verdict: Refused, RetryAfter: time.Duration(retryAfter) * time.Microsecond})
 }
@@ -83,13 +83,13 @@
 	}
 }
 
-// Probe asks a server for its state or load.
-func (x actions) Probe(server string) {
+// CheckHealth asks a server for its state or load.
+func (x actions) CheckHealth(server string) {
 	s := x.s
 	s.offer(upstream.Probe(server, s.transport.ProbeLoad, probeTimeout, func(a *upstream.Attempt, r upstream.Report) {
 		s.box <- func(now int64) {
 			s.peers[server].out--
-			s.balancer.Probed(now, decide.Probe{
+			s.balancer.OnHealthCheck(now, decide.HealthCheck{
 				Server: server, Result: r.End.Result(), Latency: r.At.Sub(a.Sent).Microseconds(), Load: r.Load,
 			})
 			s.retire(server)
@@ -97,24 +97,24 @@
 	}))
 }
 
-// CloseIdle closes the idle connections to a server.
-func (x actions) CloseIdle(server string) {
+// CloseIdleConnections closes the idle connections to a server.
+func (x actions) CloseIdleConnections(server string) {
 	x.s.note(watch.Act{Do: watch.Closed, Server: server})
 	x.s.peer(server).CloseIdle()
 }
 
-// Tell is never called: the settings of a sidecar permit no messages.
-func (x actions) Tell(peer int, word []byte) {}
+// SendGossip is never called: the settings of a sidecar permit no messages.
+func (x actions) SendGossip(peer int, word []byte) {}
 
-// Watch is never called: the list's actor asks for changes by itself.
-func (x actions) Watch(on bool) {}
+// WatchEndpoints is never called: the list's actor asks for changes by itself.
+func (x actions) WatchEndpoints(on bool) {}
 
-// Wake sets a timer.
-func (x actions) Wake(in, token int64) {
+// SetTimer sets a timer.
+func (x actions) SetTimer(in, token int64) {
 	s := x.s
 	time.AfterFunc(time.Duration(in)*time.Microsecond, func() {
 		s.box <- func(now int64) {
-			s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.Timer(now, token) }})
+			s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnTimer(now, token) }})
 		}
 	})
 }
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -70,7 +70,7 @@
 		gone: make(chan struct{}), left: left,
 	}
 	if m.Rest != nil {
-		c.Request.Once, c.last = true, came.Add(longestBody)
+		c.Request.BodyUnbuffered, c.last = true, came.Add(longestBody)
 		return c
 	}
 	c.giveUp, c.last = came.Add(c.wait()), c.lastAfter(came)
@@ -91,7 +91,7 @@
 func (c *Call) Under(leave func() bool, former time.Duration) {
 	c.gate.Leave = leave
 	if former > 0 {
-		c.Request.Former = max(1, former.Microseconds())
+		c.Request.PriorAttemptAge = max(1, former.Microseconds())
 		c.effectAt = time.Now().Add(-former)
 	}
 }
--- a/internal/sidecar/herd_test.go
+++ b/internal/sidecar/herd_test.go
@@ -24,8 +24,8 @@
 			fleet := make([]*Sidecar, n)
 			for i := range fleet {
 				set := testSettings()
-				set.Balancers = 18_000
-				set.Rules = decide.Rules{AskEvery: 10_000_000}
+				set.BalancerCount = 18_000
+				set.Rules = decide.Rules{PollInterval: 10_000_000}
 				fleet[i] = New(&config.Config{
 					Discovery: r.Addr, Settings: set, Seed: uint64(i + 1),
 					Transport: config.Transport{ConnIdle: time.Minute, DialTimeout: time.Second},
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -141,11 +141,11 @@
 	if s.watch != nil {
 		go s.watch.Run(s.now(), listed(s.conf.Watch.Settings), s.conf.Seed, s.conf.Watch.Every, ctx.Done())
 	}
-	s.balancer.Begin(s.now())
-	if k := s.conf.Known; k != nil && len(k.Hosts) > 0 && !s.settings.ListPushed {
+	s.balancer.Start(s.now())
+	if k := s.conf.Known; k != nil && len(k.Hosts) > 0 && !s.settings.EndpointsPushed {
 		now := s.now()
 		known := s.servers(now, k)
-		s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.Listed(now, known, true) }})
+		s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, known, true) }})
 	}
 	for {
 		select {
@@ -261,7 +261,7 @@
 // Beside tells that another process of this sidecar serves too, or no longer: they share one budget of attempts.
 func (s *Sidecar) Beside(other bool) {
 	s.box <- func(now int64) {
-		s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.Beside(now, other) }})
+		s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.SetPeerProcessActive(now, other) }})
 	}
 }
 
@@ -279,16 +279,16 @@
 	}
 	s.calls[c.Request.ID] = c
 	if kind := acts.Took; s.ledger != nil {
-		if c.Request.Former > 0 {
+		if c.Request.PriorAttemptAge > 0 {
 			kind = acts.TookOver
 		}
 		s.act(kind, c.Request.ID, c.class.Name)
 	}
-	if c.Request.Left = c.wait().Microseconds(); !c.Request.Once {
-		c.Request.Left = max(0, s.at(c.giveUp)-now)
+	if c.Request.TimeLeft = c.wait().Microseconds(); !c.Request.BodyUnbuffered {
+		c.Request.TimeLeft = max(0, s.at(c.giveUp)-now)
 	}
 	request := c.Request
-	s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.Request(now, request) }})
+	s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnRequest(now, request) }})
 }
 
 // admitted finds the places of a call that was read just before the settings changed; false: its class means another
@@ -322,10 +322,10 @@
 		s.restamp()
 		s.shared.Retune(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
 		set := listed(conf.Settings)
-		e := watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.Retune(now, set) }}
+		e := watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.UpdateSettings(now, set) }}
 		if conf.Watch != nil {
 			second := listed(conf.Watch.Settings)
-			e.Second = func(b *decide.Balancer) { b.Retune(now, second) }
+			e.Second = func(b *decide.Balancer) { b.UpdateSettings(now, second) }
 		}
 		s.tell(e)
 		tell(s.settings)
@@ -341,7 +341,7 @@
 	}
 	c.answered = true
 	id := c.Request.ID
-	s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.Gone(now, id) }, Ends: id})
+	s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnClientDisconnected(now, id) }, Ends: id})
 	s.forget(c)
 }
 
@@ -354,7 +354,7 @@
 				return
 			}
 			id := c.Request.ID
-			s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.Started(now, id, n) }})
+			s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnStreamStarted(now, id, n) }})
 		}
 	}
 }
@@ -375,7 +375,7 @@
 		s.seq = l.Seq
 		s.restamp()
 		list := s.servers(now, l)
-		s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.Listed(now, list, l.Whole) }})
+		s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, list, l.Whole) }})
 		for host := range s.peers {
 			s.retire(host)
 		}
@@ -387,21 +387,21 @@
 
 // source tells the list's actor how the list comes.
 func source(set *decide.Settings) discovery.Source {
-	return discovery.Source{Pushed: set.ListPushed, Balancers: set.Balancers}
+	return discovery.Source{Pushed: set.EndpointsPushed, Balancers: set.BalancerCount}
 }
 
 // listed are the settings for the module: the list comes by itself there, since the list's actor asks for it.
 func listed(set decide.Settings) decide.Settings {
-	set.ListPushed = true
+	set.EndpointsPushed = true
 	return set
 }
 
 // servers puts a list into the module's terms.
-func (s *Sidecar) servers(now int64, l *discovery.List) []decide.Server {
-	out := make([]decide.Server, 0, len(l.Hosts))
+func (s *Sidecar) servers(now int64, l *discovery.List) []decide.Endpoint {
+	out := make([]decide.Endpoint, 0, len(l.Hosts))
 	for i := range l.Hosts {
 		e := &l.Hosts[i]
-		server := decide.Server{ID: e.Host, Size: e.Share, Kind: e.Kind, Zone: e.Zone, Cell: -1, UpSince: s.births.since(e, now)}
+		server := decide.Endpoint{ID: e.Host, Capacity: e.Share, MachineKind: e.Kind, Zone: e.Zone, Cell: -1, StartedAt: s.births.since(e, now)}
 		if e.Cell != nil {
 			server.Cell = *e.Cell
 		}
@@ -480,7 +480,7 @@
 	if !result.NeverRan() && c.effectAt.IsZero() {
 		c.effectAt = a.Sent
 	}
-	if result == decide.Served {
+	if result == decide.Succeeded {
 		s.finish(c, Answer{Verdict: Served, Body: r.Body, ContentType: r.ContentType})
 	}
 	if c.out == 0 && !c.may() { // Guards against tries that end unwritten one after the other, and a client that waits for nothing
@@ -499,10 +499,10 @@
 	}
 	o := decide.Outcome{
 		Request: c.Request.ID, Attempt: n, Server: a.Host, Result: result,
-		Latency: r.At.Sub(sent).Microseconds(), Closed: c.answered, Load: r.Load, Spent: r.Spent,
+		Latency: r.At.Sub(sent).Microseconds(), RequestAnswered: c.answered, Load: r.Load, BodyConsumed: r.Spent,
 	}
-	e := watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.Outcome(now, o) }, Settles: o.Request}
-	if o.Closed {
+	e := watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnOutcome(now, o) }, Settles: o.Request}
+	if o.RequestAnswered {
 		e.Ends = o.Request
 	}
 	s.tell(e)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -35,7 +35,7 @@
 func testSettings() decide.Settings {
 	return decide.Settings{
 		Classes: []decide.Class{
-			{Name: "look", Worth: 1}, {Name: "make", Worth: 1, Semantics: decide.Deduplicated, Window: 1_000_000},
+			{Name: "look", PriorityWeight: 1}, {Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed, DedupWindow: 1_000_000},
 		},
 		Limits: decide.Limits{Cancel: true},
 	}
@@ -182,7 +182,7 @@
 	run(t, s)
 	c := call("a", 0, time.Hour)
 	c.gate.Close()
-	if ask(s, func() bool { s.take(s.now(), c); return s.balancer.Open("a") }) {
+	if ask(s, func() bool { s.take(s.now(), c); return s.balancer.IsOpen("a") }) {
 		t.Fatal("taken")
 	}
 }
@@ -194,7 +194,7 @@
 	c := call("k", 1, time.Minute)
 	c.effectAt = time.Now().Add(-2 * time.Second)
 	s.calls["k"] = c
-	actions{s}.Send("k", "s1", 0)
+	actions{s}.SendAttempt("k", "s1", 0)
 	(<-s.box)(s.now()) // the attempt's end
 	if c.out != 0 || len(came) != 0 {
 		t.Fatalf("%d out, %d written past the window", c.out, len(came))
@@ -205,7 +205,7 @@
 func TestProbeEnds(t *testing.T) {
 	asked := make(chan string, 1)
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { asked <- r.URL.Path }))
-	actions{s}.Probe("s1")
+	actions{s}.CheckHealth("s1")
 	if path := <-asked; path != "/health/live" {
 		t.Errorf("asked %s", path)
 	}
@@ -248,8 +248,8 @@
 		{Host: "a", Zone: "z", Cell: &cell, Health: discovery.Ready, Share: 1.5, BornMs: 7},
 		{Host: "b", Health: discovery.Terminating}, {Host: "c", Health: discovery.Gone}, {Host: "d", Health: "Dozing"},
 	}})
-	want := []decide.Server{
-		{ID: "a", Size: 1.5, Zone: "z", Cell: 3, UpSince: 7000},
+	want := []decide.Endpoint{
+		{ID: "a", Capacity: 1.5, Zone: "z", Cell: 3, StartedAt: 7000},
 		{ID: "b", Cell: -1, Phase: decide.Draining}, {ID: "c", Cell: -1, Phase: decide.Removed},
 		{ID: "d", Cell: -1, Phase: decide.Draining},
 	}
@@ -276,7 +276,7 @@
 	run(t, s)
 	next := &config.Config{Settings: testSettings(), Transport: s.conf.Transport}
 	next.Settings.Classes = []decide.Class{
-		{Name: "make", Worth: 1, Semantics: decide.AtMostOnce}, {Name: "new", Worth: 1}, {Name: "look", Worth: 1},
+		{Name: "make", PriorityWeight: 1, Semantics: decide.AtMostOnce}, {Name: "new", PriorityWeight: 1}, {Name: "look", PriorityWeight: 1},
 	}
 	var told *decide.Settings
 	s.Retune(next, func(set *decide.Settings) { told = set })
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -121,7 +121,7 @@
 	Fresh       bool // a new connection was opened for it
 	Body        []byte
 	ContentType []byte
-	Load        *decide.Load
+	Load        *decide.LoadReport
 	SentAt      time.Time // when the last byte of a body that was not held had gone; zero: at once
 	Spent       bool      // a part of the body has gone that is not held: it can't be sent again
 }
--- a/internal/upstream/end.go
+++ b/internal/upstream/end.go
@@ -34,13 +34,13 @@
 func (e End) Result() decide.Result {
 	switch e {
 	case Answered:
-		return decide.Served
+		return decide.Succeeded
 	case Failed, Spoilt: // a server that answers is up, whatever it says
 		return decide.Errored
 	case Rejected:
-		return decide.Rejected
+		return decide.InvalidRequest
 	case Declined:
-		return decide.Full
+		return decide.Saturated
 	case Unreachable:
 		return decide.ConnectFailed
 	case Expired:
@@ -48,7 +48,7 @@
 	case Withdrawn:
 		return decide.Cancelled
 	case Unwritten:
-		return decide.Moot
+		return decide.NotSent
 	}
 	return decide.Reset // whatever is not known to be better may have run
 }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -10,12 +10,12 @@
 // parseLoad reads a load report in text form, "TEXT name=value, name=value", as a header has it or a probe's
 // body; nil where there is none.
 // Names that it does not know, and values that are no numbers, are skipped: a report is a hint.
-func parseLoad(text []byte) *decide.Load {
+func parseLoad(text []byte) *decide.LoadReport {
 	rest := bytes.TrimPrefix(bytes.TrimSpace(text), []byte("TEXT "))
 	if !bytes.Contains(rest, []byte{'='}) {
 		return nil
 	}
-	l := &decide.Load{InFlight: -1, Queue: -1, Busy: -1, Latency: -1, Rate: -1, FailRate: -1}
+	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, Latency: -1, Rate: -1, FailRate: -1}
 	fields := map[string]*float64{
 		"inflight": &l.InFlight, "queue": &l.Queue, "util": &l.Busy, "latency_ms": &l.Latency, "qps": &l.Rate,
 		"eps": &l.FailRate,
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -171,8 +171,8 @@
 
 func TestResults(t *testing.T) {
 	want := map[End]decide.Result{
-		Answered: decide.Served, Failed: decide.Errored, Declined: decide.Full, Unreachable: decide.ConnectFailed,
-		Rejected: decide.Rejected, Spoilt: decide.Errored, Broken: decide.Reset, Expired: decide.TimedOut, Withdrawn: decide.Cancelled, Unwritten: decide.Moot,
+		Answered: decide.Succeeded, Failed: decide.Errored, Declined: decide.Saturated, Unreachable: decide.ConnectFailed,
+		Rejected: decide.InvalidRequest, Spoilt: decide.Errored, Broken: decide.Reset, Expired: decide.TimedOut, Withdrawn: decide.Cancelled, Unwritten: decide.NotSent,
 	}
 	never := map[End]bool{Declined: true, Unreachable: true, Unwritten: true}
 	for e := Answered; e <= Unwritten; e++ {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -100,25 +100,25 @@
 	}
 }
 
-func (j *judge) Send(request, server string, timeout int64) {
+func (j *judge) SendAttempt(request, server string, timeout int64) {
 	j.note(Act{Send, request, server, timeout})
 }
-func (j *judge) Refuse(request string, _ int64) { j.note(Act{Do: Refused, Request: request}) }
-func (j *judge) Fail(request string)            { j.note(Act{Do: Failed, Request: request}) }
-func (j *judge) CloseIdle(server string)        { j.note(Act{Do: Closed, Server: server}) }
-func (j *judge) Tell(int, []byte)               { j.note(Act{Do: Told}) }
-func (j *judge) Wake(int64, int64)              {} // it is shown the timers of the serving one
-func (j *judge) Cancel(string, int)             {}
-func (j *judge) Probe(string)                   {}
-func (j *judge) Watch(bool)                     {}
-func (j *judge) Log(string)                     {}
+func (j *judge) Reject(request string, _ int64)     { j.note(Act{Do: Refused, Request: request}) }
+func (j *judge) Fail(request string)                { j.note(Act{Do: Failed, Request: request}) }
+func (j *judge) CloseIdleConnections(server string) { j.note(Act{Do: Closed, Server: server}) }
+func (j *judge) SendGossip(int, []byte)             { j.note(Act{Do: Told}) }
+func (j *judge) SetTimer(int64, int64)              {} // it is shown the timers of the serving one
+func (j *judge) CancelAttempt(string, int)          {}
+func (j *judge) CheckHealth(string)                 {}
+func (j *judge) WatchEndpoints(bool)                {}
+func (j *judge) Log(string)                         {}
 
 // see shows the second balancer an event, compares, and brings its books in line with what was really done.
 func (j *judge) see(e Event) {
 	j.acts = j.acts[:0]
 	known := map[string]bool{} // requests that the second has not answered: of others it can say nothing
 	for _, a := range e.Acts {
-		known[a.Request] = a.Request != "" && j.balancer.Open(a.Request)
+		known[a.Request] = a.Request != "" && j.balancer.IsOpen(a.Request)
 	}
 	if e.Second != nil {
 		e.Second(j.balancer)
@@ -139,20 +139,20 @@
 	}
 	for _, a := range j.acts {
 		if a.Do == Send && !sent[a.Request] {
-			j.balancer.Follow(e.Now, a.Request, "")
+			j.balancer.FollowAttempt(e.Now, a.Request, "")
 		}
 	}
 	for _, a := range e.Acts {
 		switch a.Do {
 		case Send:
 			j.out[a.Request]++
-			j.balancer.Follow(e.Now, a.Request, a.Server)
+			j.balancer.FollowAttempt(e.Now, a.Request, a.Server)
 		case Refused, Failed:
-			j.balancer.Gone(e.Now, a.Request)
+			j.balancer.OnClientDisconnected(e.Now, a.Request)
 		}
 	}
 	if e.Ends != "" {
-		j.balancer.Gone(e.Now, e.Ends)
+		j.balancer.OnClientDisconnected(e.Now, e.Ends)
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 	for id, x := range a {
 		y := b[id]
-		if !y.done && !known[id] && !j.balancer.Open(id) {
+		if !y.done && !known[id] && !j.balancer.IsOpen(id) {
 			continue
 		}
 		j.counts.Compared++
@@ -268,7 +268,7 @@
 		}
 	}()
 	j := newJudge(set, seed)
-	j.balancer.Begin(now)
+	j.balancer.Start(now)
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	defer func() { log.Printf("event=watch %s", j.counts) }()
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -15,11 +15,11 @@
 
 func settings() decide.Settings {
 	return decide.Settings{
-		Classes:    []decide.Class{{Name: "look", Aim: 200_000, Deadline: 2_000_000, Worth: 1}},
-		Limits:     decide.Limits{Cancel: true, RetryAfter: true, MaxAttempts: 4},
-		Rules:      decide.Rules{ColdFrom: 0.3, ColdFor: 8_000_000, OverloadFactor: 3, FallFor: 2_000_000, AskEvery: 10_000_000},
-		Balancers:  1,
-		ListPushed: true, SizesListed: true,
+		Classes:         []decide.Class{{Name: "look", LatencyObjective: 200_000, Deadline: 2_000_000, PriorityWeight: 1}},
+		Limits:          decide.Limits{Cancel: true, RetryAfter: true, MaxAttempts: 4},
+		Rules:           decide.Rules{SlowStartMinShare: 0.3, SlowStartWindow: 8_000_000, OverloadFactor: 3, OverloadWindow: 2_000_000, PollInterval: 10_000_000},
+		BalancerCount:   1,
+		EndpointsPushed: true, CapacityListed: true,
 	}
 }
 
@@ -34,18 +34,20 @@
 	ends map[string]int
 }
 
-func (s *serving) Send(request, server string, timeout int64) {
+func (s *serving) SendAttempt(request, server string, timeout int64) {
 	s.acts = append(s.acts, Act{Send, request, server, timeout})
 	s.out = append(s.out, Act{Send, request, server, timeout})
 }
-func (s *serving) Refuse(id string, _ int64) { s.acts = append(s.acts, Act{Do: Refused, Request: id}) }
+func (s *serving) Reject(id string, _ int64) { s.acts = append(s.acts, Act{Do: Refused, Request: id}) }
 func (s *serving) Fail(id string)            { s.acts = append(s.acts, Act{Do: Failed, Request: id}) }
-func (s *serving) CloseIdle(server string)   { s.acts = append(s.acts, Act{Do: Closed, Server: server}) }
-func (s *serving) Tell(int, []byte)          { s.acts = append(s.acts, Act{Do: Told}) }
-func (s *serving) Cancel(string, int)        {}
-func (s *serving) Probe(string)              {}
-func (s *serving) Watch(bool)                {}
-func (s *serving) Wake(int64, int64)         {}
+func (s *serving) CloseIdleConnections(server string) {
+	s.acts = append(s.acts, Act{Do: Closed, Server: server})
+}
+func (s *serving) SendGossip(int, []byte)    { s.acts = append(s.acts, Act{Do: Told}) }
+func (s *serving) CancelAttempt(string, int) {}
+func (s *serving) CheckHealth(string)        {}
+func (s *serving) WatchEndpoints(bool)       {}
+func (s *serving) SetTimer(int64, int64)     {}
 func (s *serving) Log(string)                {}
 
 func (s *serving) tell(e Event) {
@@ -62,25 +64,25 @@
 	s := &serving{t: t, now: 1_000_000_000, ends: map[string]int{}}
 	s.b = decide.New(own, 9, s)
 	s.j = newJudge(watched, 9)
-	s.b.Begin(s.now)
-	s.j.balancer.Begin(s.now)
-	list := []decide.Server{{ID: "a", Size: 3}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}
-	s.tell(Event{Apply: func(b *decide.Balancer) { b.Listed(s.now, list, true) }})
+	s.b.Start(s.now)
+	s.j.balancer.Start(s.now)
+	list := []decide.Endpoint{{ID: "a", Capacity: 3}, {ID: "b", Capacity: 1}, {ID: "c", Capacity: 1}}
+	s.tell(Event{Apply: func(b *decide.Balancer) { b.OnEndpoints(s.now, list, true) }})
 	for i := range n {
 		s.now += 5000
 		id := fmt.Sprint("r", i)
 		s.tell(Event{Apply: func(b *decide.Balancer) {
-			b.Request(s.now, decide.Request{ID: id, Tenant: -1, Left: 2_000_000})
+			b.OnRequest(s.now, decide.Request{ID: id, Tenant: -1, TimeLeft: 2_000_000})
 		}})
 		if i%200 == 0 {
-			s.tell(Event{Apply: func(b *decide.Balancer) { b.Timer(s.now, 0) }})
+			s.tell(Event{Apply: func(b *decide.Balancer) { b.OnTimer(s.now, 0) }})
 		}
 		for len(s.out) > 4 {
 			a := s.out[0]
 			s.out = s.out[1:]
-			o := decide.Outcome{Request: a.Request, Server: a.Server, Result: decide.Served, Latency: 20_000, Closed: true}
+			o := decide.Outcome{Request: a.Request, Server: a.Server, Result: decide.Succeeded, Latency: 20_000, RequestAnswered: true}
 			if i%7 == 0 {
-				o.Result, o.Closed = decide.Errored, false
+				o.Result, o.RequestAnswered = decide.Errored, false
 			}
 			for _, before := range s.out { // attempts of a request are numbered; only the first ends here
 				if before.Request == a.Request {
@@ -88,8 +90,8 @@
 				}
 			}
 			o.Attempt = s.attempt(a)
-			e := Event{Apply: func(b *decide.Balancer) { b.Outcome(s.now, o) }, Settles: a.Request}
-			if o.Closed {
+			e := Event{Apply: func(b *decide.Balancer) { b.OnOutcome(s.now, o) }, Settles: a.Request}
+			if o.RequestAnswered {
 				e.Ends = a.Request
 			}
 			s.tell(e)
@@ -116,12 +118,12 @@
 // Other settings differ by their kind.
 func TestDifferencesByKind(t *testing.T) {
 	sizes := settings()
-	sizes.SizesListed = false
+	sizes.CapacityListed = false
 	if c := play(t, settings(), sizes, 1000); c.Differ[Server] < 50 || c.Differ[Refuse]+c.Differ[Fail] > 0 {
 		t.Errorf("without sizes: %s, want other servers", c)
 	}
 	short := settings()
-	short.Classes = []decide.Class{{Name: "look", Aim: 20_000, Deadline: 2_000_000, Worth: 1}}
+	short.Classes = []decide.Class{{Name: "look", LatencyObjective: 20_000, Deadline: 2_000_000, PriorityWeight: 1}}
 	if c := play(t, settings(), short, 1000); c.Differ[Timeout] == 0 && c.Differ[Wait]+c.Differ[Refuse] == 0 {
 		t.Errorf("with a short aim: %s, want other time-outs or refusals", c)
 	}
@@ -131,7 +133,7 @@
 		t.Errorf("with one attempt: %s, want refusals in place of retries", c)
 	}
 	talk := settings()
-	talk.Limits.Peers, talk.Balancers = true, 4
+	talk.Limits.Gossip, talk.BalancerCount = true, 4
 	if c := play(t, settings(), talk, 100); c.Differ[Message] == 0 {
 		t.Errorf("with messages: %s, want messages", c)
 	}
