--- a/cmd/damsonscale-rig/chain.go
+++ b/cmd/damsonscale-lab/chain.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"damsonscale/internal/chain"
+	"damsonscale/internal/lab/callchain"
 )
 
 // chainCmd is a simulated chain of calls; it needs no processes.
@@ -39,14 +39,14 @@
 	if c.Added {
 		return c.added()
 	}
-	conf := chain.Config{
-		Depth: c.Depth, Width: c.Width, Servers: c.Servers, Fault: chain.Fault(c.Fault), Share: c.Fail, From: c.FaultFrom, FaultFor: c.FaultFor,
-		Rate: c.Rate, For: c.For, Seed: c.Seed, Pass: chain.Pass(c.Pass), Tries: c.Tries, Above: c.Above,
+	conf := callchain.Config{
+		Depth: c.Depth, Width: c.Width, Servers: c.Servers, Fault: callchain.Fault(c.Fault), Share: c.Fail, From: c.FaultFrom, FaultFor: c.FaultFor,
+		Rate: c.Rate, For: c.For, Seed: c.Seed, Pass: callchain.Pass(c.Pass), Tries: c.Tries, Above: c.Above,
 	}
 	if c.Budget {
 		conf.Ratio, conf.Floor, conf.Span = c.Ratio, c.Floor, c.Span
 	}
-	r, err := chain.Run(conf)
+	r, err := callchain.Run(conf)
 	if err != nil {
 		return err
 	}
@@ -67,12 +67,12 @@
 	}
 	p50, p99 := float64(c.AddedP50.Nanoseconds())/1e3, float64(c.AddedP99.Nanoseconds())/1e3
 	bin, most := p99/200, 40*p99
-	normal, err := chain.LogNormal(p50, p99, bin, most)
-	heavy, err2 := chain.Pareto(p50, p99, bin, most)
+	normal, err := callchain.LogNormal(p50, p99, bin, most)
+	heavy, err2 := callchain.Pareto(p50, p99, bin, most)
 	if err = errors.Join(err, err2); err != nil {
 		return err
 	}
-	sums := map[string]chain.Added{"log-normal": chain.Sum(normal, c.Depth, p50, p99), "pareto": chain.Sum(heavy, c.Depth, p50, p99)}
+	sums := map[string]callchain.Added{"log-normal": callchain.Sum(normal, c.Depth, p50, p99), "pareto": callchain.Sum(heavy, c.Depth, p50, p99)}
 	for _, shape := range []string{"log-normal", "pareto"} {
 		fmt.Println(shape, sums[shape])
 	}
--- a/cmd/damsonscale-rig/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -1,4 +1,4 @@
-// Command damsonscale-rig starts several processes of the program, breaks things between them and judges what became of
+// Command damsonscale-lab starts several processes of the program, breaks things between them and judges what became of
 // the requests. It exits with 0 where no rule was broken, 1 where one was, 2 where it could not tell.
 package main
 
@@ -17,10 +17,10 @@
 
 	"github.com/alecthomas/kong"
 
-	"damsonscale/internal/custody"
-	"damsonscale/internal/explore"
-	"damsonscale/internal/rig"
+	"damsonscale/internal/lab/faultinjection"
+	"damsonscale/internal/lab/modelcheck"
 	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
 )
 
 // errBroken is a rule that was broken: told, and the exit is 1.
@@ -55,10 +55,10 @@
 	Audit     bool   `help:"They keep account, and operators roll versions out."`
 }
 
-func (s *shape) draw(seed uint64) *rig.Timeline {
-	t := rig.Draw(seed, s.Processes, s.LengthMs, s.PerSecond, s.Fleet)
+func (s *shape) draw(seed uint64) *faultinjection.Timeline {
+	t := faultinjection.Draw(seed, s.Processes, s.LengthMs, s.PerSecond, s.Fleet)
 	if s.Audit {
-		t = rig.Audited(t)
+		t = faultinjection.Audited(t)
 	}
 	return t
 }
@@ -68,14 +68,16 @@
 	Fleet bool   `help:"The processes take work over from each other." default:"true" negatable:""`
 }
 
-func (c *lostCmd) Run(p *player) error { return p.one(rig.Lost(c.Seed, c.Fleet), p.dir) }
+func (c *lostCmd) Run(p *player) error { return p.one(faultinjection.Lost(c.Seed, c.Fleet), p.dir) }
 
 type rolloutsCmd struct {
 	Seed uint64 `help:"Of the requests and the servers' times." default:"1"`
 	With string `help:"What is broken: none, stopped, cut, refused, barred." enum:"none,stopped,cut,refused,barred" default:"none"`
 }
 
-func (c *rolloutsCmd) Run(p *player) error { return p.one(rig.Rollouts(c.Seed, c.With), p.dir) }
+func (c *rolloutsCmd) Run(p *player) error {
+	return p.one(faultinjection.Rollouts(c.Seed, c.With), p.dir)
+}
 
 type replayCmd struct {
 	File  string `arg:"" type:"existingfile"`
@@ -83,7 +85,7 @@
 }
 
 func (c *replayCmd) Run(p *player) error {
-	t, err := rig.Read(c.File)
+	t, err := faultinjection.Read(c.File)
 	if err != nil {
 		return err
 	}
@@ -115,7 +117,7 @@
 func (c *searchCmd) Run(p *player) error {
 	seeds := make(chan uint64)
 	var mu sync.Mutex
-	var all rig.Report
+	var all faultinjection.Report
 	var kept []string
 	var fault error
 	void := 0
@@ -125,7 +127,7 @@
 			for seed := range seeds {
 				t := c.draw(seed)
 				dir := filepath.Join(p.dir, fmt.Sprint(seed))
-				r, err := rig.Run(p.ctx, p.setup(dir), t)
+				r, err := faultinjection.Run(p.ctx, p.setup(dir), t)
 				mu.Lock()
 				switch {
 				case err != nil:
@@ -137,7 +139,7 @@
 				case !r.Kept():
 					to := filepath.Join(c.Keep, fmt.Sprintf("%d-%d", c.Processes, seed))
 					kept = append(kept, to)
-					fault = errors.Join(fault, rig.Save(to, t, r))
+					fault = errors.Join(fault, faultinjection.Save(to, t, r))
 					fmt.Printf("seed %d: %s\n", seed, r.Why())
 				default:
 					os.RemoveAll(dir)
@@ -171,14 +173,14 @@
 }
 
 func (c *shrinkCmd) Run(p *player) error {
-	t, err := rig.Read(c.File)
+	t, err := faultinjection.Read(c.File)
 	if err != nil {
 		return err
 	}
 	n := 0
-	small, err := rig.Shrink(p.ctx, t, c.Tries, func(t *rig.Timeline) (bool, error) {
+	small, err := faultinjection.Shrink(p.ctx, t, c.Tries, func(t *faultinjection.Timeline) (bool, error) {
 		n++
-		r, err := rig.Run(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(n))), t)
+		r, err := faultinjection.Run(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(n))), t)
 		return err == nil && !r.Kept(), err
 	}, func(step string) { fmt.Println(step) })
 	return errors.Join(err, small.Write(c.Out))
@@ -200,7 +202,7 @@
 func (c *overheadCmd) Run(p *player) error {
 	var lines []byte
 	for i := range c.Times {
-		r, err := rig.MeasureOverhead(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(i))), &rig.Overhead{
+		r, err := faultinjection.MeasureOverhead(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(i))), &faultinjection.Overhead{
 			PerSecond: c.PerSecond, For: c.For, Servers: c.Servers, Balancers: c.Balancers, Members: c.Members, Class: c.Class, ServerMs: c.ServerMs, Seed: c.Seed + uint64(i),
 		})
 		if err != nil {
@@ -230,10 +232,10 @@
 
 // cells goes ways at random through a world of cells.
 func (c *exploreCmd) cells(p *player) error {
-	steps, met := 0, explore.Met{}
+	steps, met := 0, modelcheck.Met{}
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
-		f := explore.WalkCells(explore.CellsOf(seed), seed, c.Steps)
+		f := modelcheck.WalkCells(modelcheck.CellsOf(seed), seed, c.Steps)
 		steps, met = steps+f.States, met.Add(f.Met)
 		if f.Broken != "" {
 			fmt.Printf("%s\n%s\nseed=%d\n", f.Broken, strings.Join(f.Trace, "\n"), seed)
@@ -246,10 +248,10 @@
 
 // fences looks at every order of events of leases and versions.
 func (c *exploreCmd) fences(p *player) error {
-	conf := explore.FenceConfig{
+	conf := modelcheck.FenceConfig{
 		Members: 1, Orders: []rollout.Kind{rollout.RollOut, rollout.Fence}, Turns: 1, Starts: 1, Ticks: 4, Asks: 2,
 	}
-	f, err := explore.ExhaustFence(p.ctx, conf)
+	f, err := modelcheck.ExhaustFence(p.ctx, conf)
 	if err != nil {
 		return err
 	}
@@ -270,7 +272,7 @@
 	case c.Cells:
 		return c.cells(p)
 	}
-	broken := func(f explore.Found) bool {
+	broken := func(f modelcheck.Found) bool {
 		if f.Broken == "" {
 			return false
 		}
@@ -278,8 +280,8 @@
 		return true
 	}
 	for _, strict := range []bool{false, true} {
-		conf := explore.Config{Effects: []custody.Effect{custody.Unsafe}, Strict: strict, Budget: explore.Little}
-		f, err := explore.Exhaust(p.ctx, conf, c.Depth)
+		conf := modelcheck.Config{Effects: []takeover.Effect{takeover.Unsafe}, Strict: strict, Budget: modelcheck.Little}
+		f, err := modelcheck.Exhaust(p.ctx, conf, c.Depth)
 		if err != nil {
 			return err
 		}
@@ -291,8 +293,8 @@
 	steps := 0
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
-		f := explore.Walk(explore.Config{
-			Effects: []custody.Effect{custody.Unsafe, custody.Keyed}, Strict: seed%2 == 0, Budget: explore.Much,
+		f := modelcheck.Walk(modelcheck.Config{
+			Effects: []takeover.Effect{takeover.Unsafe, takeover.Keyed}, Strict: seed%2 == 0, Budget: modelcheck.Much,
 		}, seed, c.Steps)
 		steps += f.States
 		if broken(f) {
@@ -318,11 +320,13 @@
 	}
 }
 
-func (p *player) setup(dir string) rig.Setup { return rig.Setup{Binary: p.binary, Dir: dir} }
+func (p *player) setup(dir string) faultinjection.Setup {
+	return faultinjection.Setup{Binary: p.binary, Dir: dir}
+}
 
 // one plays a timeline and tells what came of it.
-func (p *player) one(t *rig.Timeline, dir string) error {
-	r, err := rig.Run(p.ctx, p.setup(dir), t)
+func (p *player) one(t *faultinjection.Timeline, dir string) error {
+	r, err := faultinjection.Run(p.ctx, p.setup(dir), t)
 	if err != nil {
 		return err
 	}
@@ -350,7 +354,7 @@
 
 func main() {
 	var c line
-	k := kong.Parse(&c, kong.Name("damsonscale-rig"), kong.UsageOnError(), kong.Description("Plays faults on several sidecars and judges what became of the requests."))
+	k := kong.Parse(&c, kong.Name("damsonscale-lab"), kong.UsageOnError(), kong.Description("Plays faults on several sidecars and judges what became of the requests."))
 	os.Exit(run(&c, k))
 }
 
--- a/cmd/damsonscale-rig/scale.go
+++ b/cmd/damsonscale-lab/scale.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"damsonscale/internal/scale"
+	"damsonscale/internal/lab/fleetscale"
 )
 
 // scaleCmd measures what control costs by size. docs/scale.md is its page.
@@ -37,12 +37,12 @@
 }
 
 // conf makes a run's configuration in a directory of its own.
-func (f *scaleFlags) conf(p *player, dir string, hollow int) (scale.Config, error) {
+func (f *scaleFlags) conf(p *player, dir string, hollow int) (fleetscale.Config, error) {
 	here, err := os.Executable()
 	if err != nil {
-		return scale.Config{}, err
+		return fleetscale.Config{}, err
 	}
-	c := scale.Config{
+	c := fleetscale.Config{
 		Real: f.Real, Hollow: hollow, CellSize: f.CellSize, For: f.For, Changes: f.Changes, ListChanges: f.ListChanges, Servers: f.Servers,
 		Lease: f.Lease, Audit: f.Audit, Fault: f.Fault, MemoryMB: f.MemoryMB, PerProcess: f.PerProcess, CountedCells: f.CountedCells, Cores: f.Cores,
 		Binary: p.binary, Dir: dir, Worker: []string{here, "--binary", p.binary, "scale", "worker"},
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := scale.Run(p.ctx, conf)
+	r, err := fleetscale.Run(p.ctx, conf)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 	if f.JSON == "" {
 		return nil
 	}
-	return scale.Write(f.JSON, v)
+	return fleetscale.Write(f.JSON, v)
 }
 
 type scaleSweep struct {
@@ -83,7 +83,7 @@
 
 func (c *scaleSweep) Run(p *player) error {
 	defer p.forget()
-	var all []*scale.Report
+	var all []*fleetscale.Report
 	for i, n := range c.Sizes {
 		one := c.scaleFlags
 		one.Real = min(one.Real, n)
@@ -91,23 +91,23 @@
 		if err != nil {
 			return err
 		}
-		r, err := scale.Run(p.ctx, conf)
+		r, err := fleetscale.Run(p.ctx, conf)
 		if err != nil {
 			return fmt.Errorf("%d members: %w", n, err)
 		}
 		r.Print(os.Stdout)
 		if all = append(all, r); c.JSON != "" { // what was measured is kept, whatever becomes of the rest
-			if err := scale.Write(c.JSON, all); err != nil {
+			if err := fleetscale.Write(c.JSON, all); err != nil {
 				return err
 			}
 		}
 		p.forget()
 	}
-	slopes, left, err := scale.Slopes(all)
+	slopes, left, err := fleetscale.Slopes(all)
 	if err != nil {
 		return err
 	}
-	scale.PrintSlopes(os.Stdout, slopes, left)
+	fleetscale.PrintSlopes(os.Stdout, slopes, left)
 	return nil
 }
 
@@ -117,15 +117,15 @@
 
 func (c *scaleSlopes) Run(p *player) error {
 	defer p.forget()
-	all, err := scale.Read(c.Files)
+	all, err := fleetscale.Read(c.Files)
 	if err != nil {
 		return err
 	}
-	slopes, left, err := scale.Slopes(all)
+	slopes, left, err := fleetscale.Slopes(all)
 	if err != nil {
 		return err
 	}
-	scale.PrintSlopes(os.Stdout, slopes, left)
+	fleetscale.PrintSlopes(os.Stdout, slopes, left)
 	return nil
 }
 
@@ -141,20 +141,20 @@
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return err
 	}
-	all, err := scale.Lists(p.ctx, scale.ListsConfig{Sizes: c.Sizes, For: c.For, Changes: c.Changes, Binary: p.binary, Dir: p.dir})
+	all, err := fleetscale.Lists(p.ctx, fleetscale.ListsConfig{Sizes: c.Sizes, For: c.For, Changes: c.Changes, Binary: p.binary, Dir: p.dir})
 	if err != nil {
 		return err
 	}
-	scale.PrintLists(os.Stdout, all)
+	fleetscale.PrintLists(os.Stdout, all)
 	if c.JSON == "" {
 		return nil
 	}
-	return scale.Write(c.JSON, all)
+	return fleetscale.Write(c.JSON, all)
 }
 
 type scaleWorker struct{}
 
 func (*scaleWorker) Run(p *player) error {
 	p.forget() // it has been told its own
-	return scale.WorkerMain()
+	return fleetscale.WorkerMain()
 }
--- a/cmd/damsonscale-rig/scale_test.go
+++ b/cmd/damsonscale-lab/scale_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"damsonscale/internal/scale"
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/fleetscale"
+	"damsonscale/internal/lab/standin"
 )
 
 func TestMain(m *testing.M) {
@@ -23,7 +23,7 @@
 func rigged(t *testing.T, args ...string) int {
 	t.Helper()
 	var c line
-	k, err := kong.New(&c, kong.Name("damsonscale-rig"))
+	k, err := kong.New(&c, kong.Name("damsonscale-lab"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 		t.Error("interrupted: exit", code)
 	}
 	empty("an interrupted run")
-	all, err := scale.Read([]string{figures, figures})
+	all, err := fleetscale.Read([]string{figures, figures})
 	if err != nil || len(all) != 2 || all[0].Leases != 3 || all[0].Members != 3 {
 		t.Errorf("%+v %v", all, err)
 	}
--- a/cmd/damsonscale/crossings_test.go
+++ b/cmd/damsonscale/crossings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 func (p *program) signal(all ...syscall.Signal) {
--- a/cmd/damsonscale/descriptors_test.go
+++ b/cmd/damsonscale/descriptors_test.go
@@ -16,7 +16,7 @@
 	"time"
 	"unsafe"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // outage is a discovery that is down in one way, and comes back at the same address.
--- a/cmd/damsonscale/drawn_test.go
+++ b/cmd/damsonscale/drawn_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 const (
--- a/cmd/damsonscale/fleet_test.go
+++ b/cmd/damsonscale/fleet_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // deadAddr is an address that refuses connections: bound, so that no other stand-in gets it, and never listened on. Guards
--- a/cmd/damsonscale/leavers_test.go
+++ b/cmd/damsonscale/leavers_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // halt stops the program, and returns once none of its threads runs.
--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -20,7 +20,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // TestMain lets the test's own binary be the program: the tests start it and speak to it on loopback.
--- a/cmd/damsonscale/ready_test.go
+++ b/cmd/damsonscale/ready_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // What the test's own binary may be besides the program.
--- a/cmd/damsonscale/stream_test.go
+++ b/cmd/damsonscale/stream_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // script is a server that answers each connection's first request by hand.
--- a/cmd/damsonscale/told_test.go
+++ b/cmd/damsonscale/told_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 const (
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"damsonscale/internal/drill"
+	"damsonscale/internal/simwire"
 )
 
 func main() {
-	if err := drill.Run(os.Stdin, os.Stdout); err != nil {
+	if err := simwire.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
 		os.Exit(1)
 	}
--- a/internal/audit/account.go
+++ b/internal/audit/account.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"slices"
 
-	"damsonscale/internal/acts"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/auditevent"
+	"damsonscale/internal/takeover"
 )
 
 // Span is acts by number, both included.
@@ -15,14 +15,14 @@
 
 // Account is what is known of one incarnation.
 type Account struct {
-	Member custody.Member
+	Member takeover.Member
 	Known  []Span // acts that can be told, in order
 	Last   uint64 // the last act known of, told or counted
 	Ended  bool   // in good order: there are no acts after Last
 	Counts []Count
-	Faults []string   // segments that are spoilt, that don't fit each other
-	Acts   []acts.Act // of those told, the ones asked for
-	Wall   int64      // Unix ms by its own clock, of its last segment; 0: not told
+	Faults []string         // segments that are spoilt, that don't fit each other
+	Acts   []auditevent.Act // of those told, the ones asked for
+	Wall   int64            // Unix ms by its own clock, of its last segment; 0: not told
 }
 
 // Gaps lists the acts that are known to have been and can't be told. Those before the first told one are out of the window, or lost.
@@ -49,13 +49,13 @@
 	Since   int64   // Unix ms, by the clock of the member that acted; 0: ever
 }
 
-func (q *Query) wants(a *acts.Act) bool {
+func (q *Query) wants(a *auditevent.Act) bool {
 	return (q.ID == "" || q.ID == a.ID) && (q.Version == nil || *q.Version == a.Version.Settings)
 }
 
 // Assemble makes accounts of segments, which may be doubled, spoilt, or of several members, in any order.
 func (c *Codec) Assemble(fleet uint64, all []Sealed, q *Query) []Account {
-	chains := map[custody.Member][]*link{}
+	chains := map[takeover.Member][]*link{}
 	var unread []string
 	for i := range all {
 		seg, err := c.Open(fleet, &all[i])
@@ -86,7 +86,7 @@
 	hash Hash
 }
 
-func account(m custody.Member, chain []*link, q *Query) Account {
+func account(m takeover.Member, chain []*link, q *Query) Account {
 	a := Account{Member: m}
 	slices.SortStableFunc(chain, func(x, y *link) int { return cmp.Compare(x.Index, y.Index) })
 	var last *link
@@ -116,7 +116,7 @@
 			continue
 		}
 		raw, err := l.unpack()
-		var told []acts.Act
+		var told []auditevent.Act
 		if err == nil && (q.ID == "" || bytes.Contains(raw, []byte(q.ID))) { // reading is most of an inquiry's time
 			told, err = l.read(raw)
 		}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -10,8 +10,8 @@
 
 	"pgregory.net/rapid"
 
-	"damsonscale/internal/acts"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/auditevent"
+	"damsonscale/internal/takeover"
 )
 
 const fleet = 77
@@ -25,7 +25,7 @@
 
 func newWriter(t testing.TB, plant Plant) *writer {
 	w := &writer{t: t}
-	book, err := NewBook(fleet, custody.Member{Name: "a", Incarnation: 1}, "build", 1, func() int64 { return w.now }, plant)
+	book, err := NewBook(fleet, takeover.Member{Name: "a", Incarnation: 1}, "build", 1, func() int64 { return w.now }, plant)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,10 +34,10 @@
 }
 
 // does notes n acts under a stamp and cuts after them.
-func (w *writer) does(n int, under acts.Stamp) {
+func (w *writer) does(n int, under auditevent.Stamp) {
 	for i := range n {
 		w.now += 10
-		w.book.Add(acts.Kind(1+i%int(acts.Kinds)), under, fmt.Sprintf("id-%d", i), "s-1")
+		w.book.Add(auditevent.Kind(1+i%int(auditevent.Kinds)), under, fmt.Sprintf("id-%d", i), "s-1")
 	}
 	w.cut(w.book.Cut(w.now))
 }
@@ -69,7 +69,7 @@
 	w.does(10, two)
 	w.does(10, one)
 	w.does(0, one)
-	w.cut(w.book.End(w.now, custody.Member{Name: "a", Incarnation: 2}))
+	w.cut(w.book.End(w.now, takeover.Member{Name: "a", Incarnation: 2}))
 	a := codec(t).Assemble(fleet, w.all, &Query{})
 	if len(a) != 1 || len(a[0].Faults) > 0 || !a[0].Ended || a[0].Last != 20 || len(a[0].Gaps()) > 0 || len(a[0].Acts) != 20 {
 		t.Fatalf("%+v", a)
@@ -90,10 +90,10 @@
 	if ended, served := w.book.Service(1); ended != 0 || served != 0 {
 		t.Error("counts of another incarnation", ended, served)
 	}
-	if ref := w.book.Add(acts.Took, two, "x", ""); ref.N != 1 || ref.Member.Incarnation != 2 {
+	if ref := w.book.Add(auditevent.Took, two, "x", ""); ref.N != 1 || ref.Member.Incarnation != 2 {
 		t.Errorf("%+v", ref)
 	}
-	if back, err := acts.ParseRef(string((&acts.Ref{Member: custody.Member{Name: "a/b", Incarnation: 9}, N: 7, Version: acts.Version{List: -1, Digest: 3}}).Append(nil))); err != nil ||
+	if back, err := auditevent.ParseRef(string((&auditevent.Ref{Member: takeover.Member{Name: "a/b", Incarnation: 9}, N: 7, Version: auditevent.Version{List: -1, Digest: 3}}).Append(nil))); err != nil ||
 		back.Member.Name != "a/b" || back.N != 7 || back.Version.List != -1 || back.Version.Digest != 3 {
 		t.Error(back, err)
 	}
@@ -111,7 +111,7 @@
 		}
 		ended := rapid.Bool().Draw(r, "ended")
 		if ended {
-			w.cut(w.book.End(w.now, custody.Member{Name: "a", Incarnation: 2}))
+			w.cut(w.book.End(w.now, takeover.Member{Name: "a", Incarnation: 2}))
 		}
 		var have []Sealed
 		known, last, end, spoilt := map[uint64]bool{}, uint64(0), false, false
@@ -181,7 +181,7 @@
 	for range 3 {
 		other.does(5, 0)
 	}
-	newer, err := c.seal(&Segment{Format: format + 1, Fleet: fleet, Member: custody.Member{Name: "a"}, Index: 1, First: 1})
+	newer, err := c.seal(&Segment{Format: format + 1, Fleet: fleet, Member: takeover.Member{Name: "a"}, Index: 1, First: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,7 +259,7 @@
 		t.Error("sent again too soon, or not at all")
 	}
 	for i := range uint64(4) {
-		p.Taken("b", custody.Member{Name: "a", Incarnation: 1}, i+1)
+		p.Taken("b", takeover.Member{Name: "a", Incarnation: 1}, i+1)
 	}
 	if due := p.Due(now+200, "b", 100, 1<<20); len(due) != 1 || due[0].Hash != w.all[4].Hash || len(p.Due(0, "c", 100, 1)) != 1 {
 		t.Errorf("%d are due", len(due))
@@ -270,7 +270,7 @@
 	w := newWriter(b, Sound)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		w.book.Add(acts.Sent, 0, "0000232b0000014d", "s-17")
+		w.book.Add(auditevent.Sent, 0, "0000232b0000014d", "s-17")
 		if i%1000 == 0 {
 			w.book.Cut(0)
 		}
@@ -305,9 +305,9 @@
 		for i := range requests {
 			id := idOf(uint64(i))
 			w.now += 1000
-			w.book.Add(acts.Took, 0, id, "look")
-			w.book.Add(acts.Sent, 0, id, "s-1")
-			w.book.Add(acts.Served, 0, id, "200")
+			w.book.Add(auditevent.Took, 0, id, "look")
+			w.book.Add(auditevent.Sent, 0, id, "s-1")
+			w.book.Add(auditevent.Served, 0, id, "200")
 			if i%100 == 0 {
 				w.cut(w.book.Cut(w.now))
 			}
--- a/internal/audit/book.go
+++ b/internal/audit/book.go
@@ -7,8 +7,8 @@
 
 	"github.com/klauspost/compress/s2"
 
-	"damsonscale/internal/acts"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/auditevent"
+	"damsonscale/internal/takeover"
 )
 
 const (
@@ -34,13 +34,13 @@
 type Book struct {
 	codec *Codec
 	fleet uint64
-	fixed acts.Version // what doesn't change while the process runs
+	fixed auditevent.Version // what doesn't change while the process runs
 	now   func() int64
 	plant Plant
 
 	mu       sync.Mutex
-	me       custody.Member
-	versions []acts.Version // by stamp
+	me       takeover.Member
+	versions []auditevent.Version // by stamp
 	counts   []Count
 	countOf  []int // in counts, by stamp; -1: none yet
 	n        uint64
@@ -49,19 +49,19 @@
 	first    uint64
 	at, last int64 // µs: of the open segment's start, of its last act
 	open     []byte
-	used     []acts.Stamp
+	used     []auditevent.Stamp
 	before   Hash
 	cut      []Sealed
 	faulty   error
 }
 
 // NewBook makes the book of a member. now is µs of the process's own clock.
-func NewBook(fleet uint64, me custody.Member, build string, protocol uint16, now func() int64, plant Plant) (*Book, error) {
+func NewBook(fleet uint64, me takeover.Member, build string, protocol uint16, now func() int64, plant Plant) (*Book, error) {
 	codec, err := NewCodec()
 	if err != nil {
 		return nil, err
 	}
-	b := &Book{codec: codec, fleet: fleet, fixed: acts.Version{Build: build, Protocol: protocol}, now: now, plant: plant, me: me}
+	b := &Book{codec: codec, fleet: fleet, fixed: auditevent.Version{Build: build, Protocol: protocol}, now: now, plant: plant, me: me}
 	b.begin()
 	b.Under(0, 0, -1)
 	return b, nil
@@ -78,31 +78,31 @@
 }
 
 // Under tells the version in force from now on, and returns its stamp.
-func (b *Book) Under(settings, digest uint64, list int64) acts.Stamp {
+func (b *Book) Under(settings, digest uint64, list int64) auditevent.Stamp {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	v := b.fixed
 	v.Settings, v.Digest, v.List = settings, digest, list
 	if n := len(b.versions); n > 0 && b.versions[n-1] == v {
-		return acts.Stamp(n - 1)
+		return auditevent.Stamp(n - 1)
 	}
 	b.versions, b.countOf = append(b.versions, v), append(b.countOf, -1)
-	return acts.Stamp(len(b.versions) - 1)
+	return auditevent.Stamp(len(b.versions) - 1)
 }
 
 // Add notes an act under a version, and names it.
-func (b *Book) Add(k acts.Kind, under acts.Stamp, id, note string) acts.Ref {
+func (b *Book) Add(k auditevent.Kind, under auditevent.Stamp, id, note string) auditevent.Ref {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.plant == StampLate {
-		under = acts.Stamp(len(b.versions) - 1)
+		under = auditevent.Stamp(len(b.versions) - 1)
 	}
-	if int(under) >= len(b.versions) || k == 0 || k > acts.Kinds {
-		return acts.Ref{}
+	if int(under) >= len(b.versions) || k == 0 || k > auditevent.Kinds {
+		return auditevent.Ref{}
 	}
 	b.n++
 	b.count(k, under)
-	ref := acts.Ref{Member: b.me, N: b.n, Version: b.versions[under]}
+	ref := auditevent.Ref{Member: b.me, N: b.n, Version: b.versions[under]}
 	if b.plant == ActDropped && (b.n+b.dropped)%100 == 0 {
 		b.dropped++
 		b.n-- // and the next one has its number
@@ -136,7 +136,7 @@
 }
 
 // count counts an act. Past a number of versions the oldest go into one count for their settings.
-func (b *Book) count(k acts.Kind, under acts.Stamp) {
+func (b *Book) count(k auditevent.Kind, under auditevent.Stamp) {
 	at := b.countOf[under]
 	if at < 0 {
 		v := b.versions[under]
@@ -163,7 +163,7 @@
 	for i, c := range b.counts {
 		at := -1
 		if i < mostCounts/2 {
-			c.Merged, c.Version = true, acts.Version{Settings: c.Version.Settings, Digest: c.Version.Digest, List: -1}
+			c.Merged, c.Version = true, auditevent.Version{Settings: c.Version.Settings, Digest: c.Version.Digest, List: -1}
 		}
 		for j := range kept {
 			if c.Merged && kept[j].Merged && kept[j].Version == c.Version {
@@ -229,7 +229,7 @@
 }
 
 // End closes the account in good order, and returns what was cut. Acts noted later begin that of another incarnation.
-func (b *Book) End(wall int64, next custody.Member) ([]Sealed, error) {
+func (b *Book) End(wall int64, next takeover.Member) ([]Sealed, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seal(wall, true)
@@ -245,8 +245,8 @@
 	defer b.mu.Unlock()
 	for i := range b.counts {
 		if c := &b.counts[i]; c.Version.Settings == settings {
-			served += c.Of[acts.Served-1]
-			ended += c.Of[acts.Served-1] + c.Of[acts.Refused-1] + c.Of[acts.Failed-1]
+			served += c.Of[auditevent.Served-1]
+			ended += c.Of[auditevent.Served-1] + c.Of[auditevent.Refused-1] + c.Of[auditevent.Failed-1]
 		}
 	}
 	return ended, served
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/klauspost/compress/s2"
 
-	"damsonscale/internal/acts"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/auditevent"
+	"damsonscale/internal/takeover"
 )
 
 const (
@@ -22,16 +22,16 @@
 // Count is how often each kind of act was done under a version.
 type Count struct {
 	_       struct{} `cbor:",toarray"`
-	Version acts.Version
-	Of      [acts.Kinds]uint64 // by kind less 1
-	Merged  bool               // several lists' and builds', under one version of the settings
+	Version auditevent.Version
+	Of      [auditevent.Kinds]uint64 // by kind less 1
+	Merged  bool                     // several lists' and builds', under one version of the settings
 }
 
 // stamped is a version with its place.
 type stamped struct {
 	_       struct{} `cbor:",toarray"`
-	Stamp   acts.Stamp
-	Version acts.Version
+	Stamp   auditevent.Stamp
+	Version auditevent.Version
 }
 
 // Segment is a part of the account of one incarnation.
@@ -39,7 +39,7 @@
 	_        struct{} `cbor:",toarray"`
 	Format   uint8
 	Fleet    uint64
-	Member   custody.Member
+	Member   takeover.Member
 	Index    uint64 // from 1
 	First    uint64 // number of its first act
 	Last     uint64 // of its last; First-1: it has none
@@ -132,7 +132,7 @@
 }
 
 // Acts reads the acts of a segment.
-func (s *Segment) Acts() ([]acts.Act, error) {
+func (s *Segment) Acts() ([]auditevent.Act, error) {
 	b, err := s.unpack()
 	if err != nil {
 		return nil, err
@@ -140,19 +140,19 @@
 	return s.read(b)
 }
 
-func (s *Segment) read(b []byte) ([]acts.Act, error) {
-	versions := map[acts.Stamp]acts.Version{}
+func (s *Segment) read(b []byte) ([]auditevent.Act, error) {
+	versions := map[auditevent.Stamp]auditevent.Version{}
 	for _, v := range s.Versions {
 		versions[v.Stamp] = v.Version
 	}
 	r := &reader{b: b}
-	var out []acts.Act
+	var out []auditevent.Act
 	at := s.At
 	for n := s.First; len(r.b) > 0; n++ {
-		kind := acts.Kind(r.byte())
-		stamp := acts.Stamp(r.number())
+		kind := auditevent.Kind(r.byte())
+		stamp := auditevent.Stamp(r.number())
 		at += int64(r.number())
-		a := acts.Act{N: n, Kind: kind, Version: versions[stamp], At: at, ID: r.text(), Note: r.text()}
+		a := auditevent.Act{N: n, Kind: kind, Version: versions[stamp], At: at, ID: r.text(), Note: r.text()}
 		if r.bad || n > s.Last {
 			break
 		}
--- a/internal/audit/shelf.go
+++ b/internal/audit/shelf.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 // Shelf holds segments, of others and of this member itself, up to a number of bytes. It is not safe for several goroutines.
@@ -12,13 +12,13 @@
 	fleet  uint64
 	most   int
 	bytes  int
-	chains map[custody.Member]map[uint64]*Sealed
-	latest map[custody.Member]uint64
+	chains map[takeover.Member]map[uint64]*Sealed
+	latest map[takeover.Member]uint64
 	order  []place // as they came
 }
 
 type place struct {
-	of    custody.Member
+	of    takeover.Member
 	index uint64
 }
 
@@ -27,7 +27,7 @@
 
 // NewShelf makes one that holds at most so many bytes.
 func NewShelf(codec *Codec, fleet uint64, most int) *Shelf {
-	return &Shelf{codec: codec, fleet: fleet, most: most, chains: map[custody.Member]map[uint64]*Sealed{}, latest: map[custody.Member]uint64{}}
+	return &Shelf{codec: codec, fleet: fleet, most: most, chains: map[takeover.Member]map[uint64]*Sealed{}, latest: map[takeover.Member]uint64{}}
 }
 
 // Put holds a segment. One that is held already changes nothing.
@@ -106,7 +106,7 @@
 type pushed struct {
 	z     Sealed
 	index uint64
-	of    custody.Member
+	of    takeover.Member
 	to    map[string]int64 // those who have not said yes, and when it was last sent, µs
 }
 
@@ -147,7 +147,7 @@
 }
 
 // Taken notes that a name holds a segment.
-func (p *Pushing) Taken(name string, of custody.Member, index uint64) {
+func (p *Pushing) Taken(name string, of takeover.Member, index uint64) {
 	for i := range p.waiting {
 		w := &p.waiting[i]
 		if w.of != of || w.index != index {
--- a/internal/acts/acts.go
+++ b/internal/auditevent/acts.go
@@ -1,13 +1,13 @@
-// Package acts has the words of an audited fleet: what a sidecar does, and the version of what it goes by. docs/audit.md
+// Package auditevent has the words of an audited fleet: what a sidecar does, and the version of what it goes by. docs/audit.md
 // tells how and why.
-package acts
+package auditevent
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 // Version is what a decision was made by.
@@ -62,7 +62,7 @@
 
 // Ref names an act.
 type Ref struct {
-	Member  custody.Member
+	Member  takeover.Member
 	N       uint64
 	Version Version
 }
--- a/internal/cells/cells.go
+++ b/internal/cells/cells.go
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 // Plant is a fault put in on purpose, to show that the explorer finds it.
@@ -118,8 +118,8 @@
 type Departure struct {
 	_      struct{} `cbor:",toarray"`
 	Cell   ID
-	Epoch  uint64         // of that cell's log
-	Member custody.Member // its last incarnation there; no incarnation: it had none when it left
+	Epoch  uint64          // of that cell's log
+	Member takeover.Member // its last incarnation there; no incarnation: it had none when it left
 	To     ID
 	Move   uint64
 }
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 const lease = 600_000 // µs
@@ -55,8 +55,8 @@
 	return &Entry{Kind: Hear, Told: &Told{Version: j.d.Version(), Global: j.d.Global(), Part: j.d.Part(l.ID)}}
 }
 
-func member(name string, inc uint64) custody.Member {
-	return custody.Member{Name: name, Incarnation: inc}
+func member(name string, inc uint64) takeover.Member {
+	return takeover.Member{Name: name, Incarnation: inc}
 }
 
 func apply(t testing.TB, l *Log, all ...*Entry) {
--- a/internal/cells/log.go
+++ b/internal/cells/log.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 // EntryKind is what an entry of a cell's log says.
@@ -25,9 +25,9 @@
 	_      struct{} `cbor:",toarray"`
 	Kind   EntryKind
 	Told   *Told
-	Member custody.Member // with Leave and Drop its name counts
-	Came   *Certificate   // with Join and Expect, of a name that comes from another cell
-	Move   uint64         // with Leave
+	Member takeover.Member // with Leave and Drop its name counts
+	Came   *Certificate    // with Join and Expect, of a name that comes from another cell
+	Move   uint64          // with Leave
 }
 
 // Log is the state of a cell after some entries of its log.
@@ -35,9 +35,9 @@
 	ID      ID
 	Epoch   uint64
 	Heard   Told
-	Living  map[custody.Member]uint64 // epoch of joining
-	Gone    map[string][]uint64       // incarnations that are out
-	Arrived map[string]uint64         // Move of the seat that a name has arrived at
+	Living  map[takeover.Member]uint64 // epoch of joining
+	Gone    map[string][]uint64        // incarnations that are out
+	Arrived map[string]uint64          // Move of the seat that a name has arrived at
 	Left    map[string]Departure
 	Came    map[string][]Departure // cells that may hold records of a name's requests, oldest first
 	Sealed  bool
@@ -48,7 +48,7 @@
 // NewLog makes that of a cell whose first word from the directory is known.
 func NewLog(id ID, p Plant) *Log {
 	return &Log{
-		ID: id, Heard: Told{Part: &Part{ID: id}}, Living: map[custody.Member]uint64{}, Gone: map[string][]uint64{}, Arrived: map[string]uint64{},
+		ID: id, Heard: Told{Part: &Part{ID: id}}, Living: map[takeover.Member]uint64{}, Gone: map[string][]uint64{}, Arrived: map[string]uint64{},
 		Left: map[string]Departure{}, Came: map[string][]Departure{}, plant: p,
 	}
 }
@@ -62,7 +62,7 @@
 }
 
 // Lives tells whether a member has joined and is not out.
-func (l *Log) Lives(m custody.Member) bool { _, ok := l.Living[m]; return ok }
+func (l *Log) Lives(m takeover.Member) bool { _, ok := l.Living[m]; return ok }
 
 // Apply takes an entry, and tells whether it changed anything. What an entry may do is decided here alone, by the log's order:
 // leaders that follow one another can't disagree.
@@ -144,7 +144,7 @@
 }
 
 // May tells whether a member may join now.
-func (l *Log) May(m custody.Member, cert *Certificate) bool {
+func (l *Log) May(m takeover.Member, cert *Certificate) bool {
 	s := l.Heard.Part.Seat(m.Name)
 	switch {
 	case l.Sealed || s == nil || l.Lives(m) || slices.Contains(l.Gone[m.Name], m.Incarnation):
@@ -200,14 +200,14 @@
 	return true
 }
 
-func (l *Log) out(m custody.Member) {
+func (l *Log) out(m takeover.Member) {
 	delete(l.Living, m)
 	old := append(slices.Clone(l.Gone[m.Name]), m.Incarnation)
 	l.Gone[m.Name] = old[max(0, len(old)-mostGone):]
 }
 
 func (l *Log) leave(s *Seat) {
-	d := Departure{Cell: l.ID, Epoch: l.Epoch + 1, Member: custody.Member{Name: s.Name}, To: s.To, Move: s.ToMove}
+	d := Departure{Cell: l.ID, Epoch: l.Epoch + 1, Member: takeover.Member{Name: s.Name}, To: s.To, Move: s.ToMove}
 	if gone := l.Gone[s.Name]; len(gone) > 0 {
 		d.Member.Incarnation = gone[len(gone)-1]
 	}
@@ -219,13 +219,13 @@
 }
 
 // living lists the members of a name, of all with an empty one, in a fixed order.
-func (l *Log) living(name string) (out []custody.Member) {
+func (l *Log) living(name string) (out []takeover.Member) {
 	for m := range l.Living {
 		if name == "" || m.Name == name {
 			out = append(out, m)
 		}
 	}
-	slices.SortFunc(out, func(a, b custody.Member) int { return custody.Ballot{By: a}.Compare(custody.Ballot{By: b}) })
+	slices.SortFunc(out, func(a, b takeover.Member) int { return takeover.Ballot{By: a}.Compare(takeover.Ballot{By: b}) })
 	return out
 }
 
@@ -296,14 +296,14 @@
 // Grants is the book of a cell's leader. It is kept by one term and begun anew with the next.
 type Grants struct {
 	Lease   int64 // µs
-	last    map[custody.Member]int64
-	yielded map[custody.Member]bool
+	last    map[takeover.Member]int64
+	yielded map[takeover.Member]bool
 	plant   Plant
 }
 
 // NewGrants begins a term.
 func NewGrants(lease int64, p Plant) *Grants {
-	return &Grants{Lease: lease, last: map[custody.Member]int64{}, yielded: map[custody.Member]bool{}, plant: p}
+	return &Grants{Lease: lease, last: map[takeover.Member]int64{}, yielded: map[takeover.Member]bool{}, plant: p}
 }
 
 // Clone copies it.
@@ -315,7 +315,7 @@
 
 // Grant tells whether a member that acts on a version gets a lease, by a log that has all that was agreed before a quorum
 // confirmed, after the ask came, that this one leads.
-func (g *Grants) Grant(now int64, l *Log, m custody.Member, acts uint64) bool {
+func (g *Grants) Grant(now int64, l *Log, m takeover.Member, acts uint64) bool {
 	s := l.Heard.Part.Seat(m.Name)
 	if !l.Lives(m) || l.Sealed || s == nil || g.yielded[m] || acts < l.Heard.Global.Fence {
 		return false
@@ -328,10 +328,10 @@
 }
 
 // Yield takes a member's word that it acts no more as this incarnation.
-func (g *Grants) Yield(m custody.Member) { g.yielded[m] = true }
+func (g *Grants) Yield(m takeover.Member) { g.yielded[m] = true }
 
 // over tells whether no lease of a member can be valid by any clock.
-func (g *Grants) over(now int64, m custody.Member) bool {
+func (g *Grants) over(now int64, m takeover.Member) bool {
 	if g.yielded[m] {
 		return true
 	}
@@ -354,7 +354,7 @@
 			delete(g.yielded, m)
 		}
 	}
-	over, all := map[custody.Member]bool{}, true
+	over, all := map[takeover.Member]bool{}, true
 	for _, m := range l.living("") {
 		over[m] = g.over(now, m)
 		all = all && over[m]
@@ -373,8 +373,8 @@
 			continue
 		}
 		leaving[s.Name] = true
-		if g.plant == EarlyLeave || !slices.ContainsFunc(l.living(s.Name), func(m custody.Member) bool { return !over[m] }) {
-			out = append(out, Entry{Kind: Leave, Member: custody.Member{Name: s.Name}, Move: s.ToMove})
+		if g.plant == EarlyLeave || !slices.ContainsFunc(l.living(s.Name), func(m takeover.Member) bool { return !over[m] }) {
+			out = append(out, Entry{Kind: Leave, Member: takeover.Member{Name: s.Name}, Move: s.ToMove})
 		}
 	}
 	for _, m := range l.living("") {
--- a/internal/cells/member.go
+++ b/internal/cells/member.go
@@ -1,12 +1,12 @@
 package cells
 
-import "damsonscale/internal/custody"
+import "damsonscale/internal/takeover"
 
 // Ask is a member's ask for a lease. It tells how far it has heard, so that the answer brings what it lacks.
 type Ask struct {
 	_      struct{} `cbor:",toarray"`
 	Cell   ID
-	Member custody.Member
+	Member takeover.Member
 	Sent   int64 // µs by its own clock
 	Acts   uint64
 	Epoch  uint64
@@ -16,14 +16,14 @@
 type Grant struct {
 	_      struct{} `cbor:",toarray"`
 	Cell   ID
-	Member custody.Member
+	Member takeover.Member
 	Sent   int64
 	Epoch  uint64
 }
 
 // Node is a member: it belongs to one cell, and acts by that one's leases alone.
 type Node struct {
-	Me    custody.Member
+	Me    takeover.Member
 	Cell  ID
 	Acts  uint64       // number of the settings that it acts on; it only grows
 	Came  *Certificate // of its departure, until it has joined
@@ -32,7 +32,7 @@
 }
 
 // NewNode makes a process that has just started; it knows its cell by the options or the directory.
-func NewNode(me custody.Member, cell ID) *Node { return &Node{Me: me, Cell: cell} }
+func NewNode(me takeover.Member, cell ID) *Node { return &Node{Me: me, Cell: cell} }
 
 // Ask is what to send now.
 func (n *Node) Ask(now int64, epoch uint64) Ask {
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 func running(t *testing.T, c *Client) {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 func entry(host, dial string, s State) Entry { return Entry{Host: host, Dial: dial, Health: s} }
--- a/internal/fleet/desk.go
+++ b/internal/fleet/desk.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"damsonscale/internal/audit"
-	"damsonscale/internal/custody"
 	"damsonscale/internal/frame"
 	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
 )
 
 const (
@@ -61,13 +61,13 @@
 type Standing struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string   // whose word it is
-	Me      custody.Member
+	Me      takeover.Member
 	Leads   bool
 	Leader  string
 	Epoch   uint64
 	Plan    rollout.Plan
 	Names   []string
-	Living  []custody.Member
+	Living  []takeover.Member
 	Reports map[string]Told // of a leader alone
 	Waits   string
 }
--- a/internal/fleet/disk.go
+++ b/internal/fleet/disk.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"damsonscale/internal/audit"
-	"damsonscale/internal/custody"
 	"damsonscale/internal/frame"
+	"damsonscale/internal/takeover"
 )
 
 // disk keeps segments in a directory, a file for each incarnation. It is no more than a copy, but owed: where a write fails what
@@ -41,7 +41,7 @@
 }
 
 // open reads what is there, mends the ends of files that were cut off, and begins a file.
-func (d *disk) open(me custody.Member) (out []audit.Sealed) {
+func (d *disk) open(me takeover.Member) (out []audit.Sealed) {
 	files, err := segmentFiles(d.dir)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		d.wrong(err)
@@ -116,7 +116,7 @@
 
 // begin begins a file, and drops the oldest ones where there is too much. What could not be written to the one before goes to it: each
 // segment names its member.
-func (d *disk) begin(me custody.Member) {
+func (d *disk) begin(me takeover.Member) {
 	if d.path != "" {
 		d.flush()
 		d.close()
--- a/internal/fleet/disk_test.go
+++ b/internal/fleet/disk_test.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"testing"
 
-	"damsonscale/internal/acts"
 	"damsonscale/internal/audit"
+	"damsonscale/internal/auditevent"
 )
 
 // tornFile is a file whose writes fail for a while, some after a part of their bytes.
@@ -64,7 +64,7 @@
 			if n < segments-2 && random.IntN(3) == 0 {
 				faults += random.IntN(6)
 			}
-			book.Add(acts.Took, 0, "id", "look")
+			book.Add(auditevent.Took, 0, "id", "look")
 			all, err := book.Cut(0)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/fleet/epochs.go
+++ b/internal/fleet/epochs.go
@@ -13,8 +13,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"damsonscale/internal/custody"
 	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
 )
 
 const (
@@ -28,7 +28,7 @@
 // askLease is a member's ask for a lease. Sent is its own clock's, and comes back with the grant.
 type askLease struct {
 	_       struct{} `cbor:",toarray"`
-	Member  custody.Member
+	Member  takeover.Member
 	Sent    int64
 	Address string // where it listens, if not where the options say
 	Report  rollout.Report
@@ -37,7 +37,7 @@
 // granted answers it. Out: the member is out, and has to come back as another.
 type granted struct {
 	_      struct{} `cbor:",toarray"`
-	Member custody.Member
+	Member takeover.Member
 	Sent   int64
 	Epoch  uint64
 	Out    bool
@@ -79,7 +79,7 @@
 	asked   []askLease // for the one under way
 	read    uint64     // its number
 	index   uint64     // of the log, which has to be applied before they are answered; 0: not known yet
-	joining map[custody.Member]time.Time
+	joining map[takeover.Member]time.Time
 }
 
 // quiet is the library's log: warnings and worse go into ours.
@@ -117,7 +117,7 @@
 	}
 	e := &epochs{
 		lease: lease, every: max(lease/20, 5*time.Millisecond), voters: voters, store: s, box: make(chan func(), epochsBox),
-		roster: &roster{}, joining: map[custody.Member]time.Time{}, grants: grants{lease: lease}, texts: map[string][]byte{},
+		roster: &roster{}, joining: map[takeover.Member]time.Time{}, grants: grants{lease: lease}, texts: map[string][]byte{},
 		driver: rollout.Driver{Name: name}, heard: map[string]rollout.Heard{}, orders: map[uint64]func(error){},
 	}
 	e.grants.reset(time.Now())
@@ -232,7 +232,7 @@
 		if rd.SoftState != nil {
 			if leads := rd.SoftState.RaftState == raft.StateLeader; leads != e.leads {
 				e.leads, e.waiting, e.asked = leads, nil, nil
-				e.joining = map[custody.Member]time.Time{}
+				e.joining = map[takeover.Member]time.Time{}
 				e.heard = map[string]rollout.Heard{}
 				e.driver.Reset()
 				for id, reply := range e.orders {
@@ -391,7 +391,7 @@
 }
 
 // left puts a member out that says it has ended its work.
-func (e *epochs) left(m custody.Member) {
+func (e *epochs) left(m takeover.Member) {
 	if e.leads && e.roster.lives(m) {
 		e.grants.outing[m] = time.Now()
 		e.propose(&entry{Out: true, Member: m})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,12 +16,12 @@
 	"sync/atomic"
 	"time"
 
-	"damsonscale/internal/acts"
 	"damsonscale/internal/audit"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/auditevent"
 	"damsonscale/internal/frame"
 	"damsonscale/internal/options"
 	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
 )
 
 const (
@@ -33,7 +33,7 @@
 // Hooks are what a fleet needs of the program.
 type Hooks interface {
 	// Unasked makes what runs a recorded request that nobody has asked for again.
-	Unasked(rec *custody.Record, stored *custody.Stored) (func(custody.Leave) custody.Result, error)
+	Unasked(rec *takeover.Record, stored *takeover.Stored) (func(takeover.Leave) takeover.Result, error)
 	// Unheard ends a live answer that nobody is left to take.
 	Unheard(live any)
 }
@@ -50,7 +50,7 @@
 
 // plants are faults on purpose.
 type plants struct {
-	custody    custody.Plant
+	custody    takeover.Plant
 	audit      audit.Plant
 	noFence    bool // leases are given below the fence
 	looseGuard bool // the guard lets one more be without a lease
@@ -82,7 +82,7 @@
 	wait    int64
 
 	ctx    context.Context
-	me     atomic.Pointer[custody.Member]
+	me     atomic.Pointer[takeover.Member]
 	lease  atomic.Pointer[Lease]
 	roster atomic.Pointer[roster]
 	epochs atomic.Pointer[epochs]
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	f.wire = newWire(c, f.names)
-	f.wire.me, f.wire.take, f.wire.desk = func() custody.Member { return *f.me.Load() }, f.take, f.desk
+	f.wire.me, f.wire.take, f.wire.desk = func() takeover.Member { return *f.me.Load() }, f.take, f.desk
 	if o.Audit.Enabled {
 		if f.book, err = audit.NewBook(f.wire.id, *f.me.Load(), f.build, protocol, f.micros, f.plant.audit); err != nil {
 			return nil, err
@@ -127,7 +127,7 @@
 	}
 	f.wire.where = func(name string) string { return f.roster.Load().addressOf(name, f.listed[name]) }
 	f.keeper = &keeper{f: f, box: make(chan func(int64), keeperBox), flights: map[string]*flight{}}
-	f.keeper.node = custody.New(custody.Config{
+	f.keeper.node = takeover.New(takeover.Config{
 		Me: *f.me.Load(), Names: f.names, Holders: o.Takeover.Holders, Records: o.Takeover.Records, Bytes: o.Takeover.Bytes,
 		Keep: o.Takeover.KeepAnswers.Microseconds(), Longest: longest.Microseconds(), Wait: f.wait, Again: f.again, Slack: o.Fleet.Lease.Microseconds(),
 		Stagger: o.Fleet.Lease.Microseconds() / 2, Plant: f.plant.custody,
@@ -144,7 +144,7 @@
 	if old := f.lease.Load(); old != nil {
 		old.end()
 	}
-	f.me.Store(&custody.Member{Name: f.name, Incarnation: binary.BigEndian.Uint64(b[:])})
+	f.me.Store(&takeover.Member{Name: f.name, Incarnation: binary.BigEndian.Uint64(b[:])})
 	f.lease.Store(&Lease{start: f.start, plant: f.plant.custody, shut: &f.shut, over: make(chan struct{})})
 	return nil
 }
@@ -372,7 +372,7 @@
 var errKind = errors.New("a frame of a kind that this build does not know")
 
 // take takes a frame of another member, or of this one.
-func (f *Fleet) take(from custody.Member, kind byte, payload []byte) {
+func (f *Fleet) take(from takeover.Member, kind byte, payload []byte) {
 	err := error(nil)
 	switch kind {
 	case kindRaft:
@@ -387,7 +387,7 @@
 			}
 		}
 	case kindLeave:
-		var m custody.Member
+		var m takeover.Member
 		if err = f.coder.in.Unmarshal(payload, &m); err == nil && m.Name == from.Name {
 			if e := f.epochs.Load(); e != nil {
 				e.post(func() { e.left(m) })
@@ -429,7 +429,7 @@
 			})
 		}
 	case kindCustody:
-		var all []custody.Message
+		var all []takeover.Message
 		if err = f.coder.in.Unmarshal(payload, &all); err == nil {
 			f.custody(from, all)
 		}
@@ -449,7 +449,7 @@
 }
 
 // custody hands messages to the keeper. Whoever speaks of a later epoch is asked for it first.
-func (f *Fleet) custody(from custody.Member, all []custody.Message) {
+func (f *Fleet) custody(from takeover.Member, all []takeover.Message) {
 	latest := uint64(0)
 	for i := range all {
 		latest = max(latest, all[i].Epoch)
@@ -477,14 +477,14 @@
 
 // Do brings a request under custody, has it run if that is this member's to do, and tells its outcome. gone is closed
 // when its client leaves.
-func (f *Fleet) Do(w custody.Work, gone <-chan struct{}, run func(custody.Leave) custody.Result) custody.Outcome {
-	wait := make(chan custody.Outcome, 1)
+func (f *Fleet) Do(w takeover.Work, gone <-chan struct{}, run func(takeover.Leave) takeover.Result) takeover.Outcome {
+	wait := make(chan takeover.Outcome, 1)
 	end := time.NewTimer(w.Left)
 	defer end.Stop()
 	select {
 	case f.keeper.box <- func(now int64) { f.keeper.open(now, w, wait, run) }:
 	case <-end.C:
-		return custody.Outcome{Word: custody.Gone}
+		return takeover.Outcome{Word: takeover.Gone}
 	}
 	for more := true; more; {
 		select {
@@ -506,26 +506,26 @@
 	case o := <-wait:
 		return o
 	default:
-		return custody.Outcome{Word: custody.Gone}
+		return takeover.Outcome{Word: takeover.Gone}
 	}
 }
 
 // Custody tells what becomes of a class's work.
-func (f *Fleet) Custody(class string, e custody.Effect) options.Custody {
+func (f *Fleet) Custody(class string, e takeover.Effect) options.Custody {
 	if c, ok := f.opts.Takeover.Classes[class]; ok {
 		return c
 	}
 	switch e {
-	case custody.Unsafe:
+	case takeover.Unsafe:
 		return options.Strict
-	case custody.Keyed:
+	case takeover.Keyed:
 		return options.BestEffort
 	}
 	return options.None
 }
 
 // Needed is the lease without which nothing at all is taken or sent; nil: none is.
-func (f *Fleet) Needed() custody.Lease {
+func (f *Fleet) Needed() takeover.Lease {
 	if f.ledger == nil {
 		return nil
 	}
@@ -544,7 +544,7 @@
 }
 
 // Ledger is the account that this member keeps of itself; nil: none.
-func (f *Fleet) Ledger() acts.Ledger {
+func (f *Fleet) Ledger() auditevent.Ledger {
 	if f.book == nil {
 		return nil
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,15 +16,15 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"damsonscale/internal/acts"
 	"damsonscale/internal/audit"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/auditevent"
 	"damsonscale/internal/frame"
 	"damsonscale/internal/options"
+	"damsonscale/internal/takeover"
 )
 
-func member(name string, n uint64) custody.Member {
-	return custody.Member{Name: name, Incarnation: n}
+func member(name string, n uint64) takeover.Member {
+	return takeover.Member{Name: name, Incarnation: n}
 }
 
 // The epoch counts what changed, and no late or doubled word changes anything.
@@ -249,15 +249,15 @@
 	}
 	ctx := t.Context()
 	type heard struct {
-		from custody.Member
+		from takeover.Member
 		text string
 	}
 	got := make(chan heard, 64)
 	to, from := newWire(c, []string{"a", "b"}), newWire(c, []string{"a", "b"})
-	to.take = func(from custody.Member, _ byte, payload []byte) { got <- heard{from, string(payload)} }
+	to.take = func(from takeover.Member, _ byte, payload []byte) { got <- heard{from, string(payload)} }
 	go to.serve(ctx, ln)
-	var me atomic.Pointer[custody.Member]
-	from.me, from.where = func() custody.Member { return *me.Load() }, func(string) string { return ln.Addr().String() }
+	var me atomic.Pointer[takeover.Member]
+	from.me, from.where = func() takeover.Member { return *me.Load() }, func(string) string { return ln.Addr().String() }
 	for n := range uint64(5) {
 		now := member("b", n+1)
 		me.Store(&now)
@@ -330,7 +330,7 @@
 		t.Fatal(err)
 	}
 	for range 5 {
-		book.Add(acts.Took, 0, "id", "look")
+		book.Add(auditevent.Took, 0, "id", "look")
 		all, err := book.Cut(0)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 // Whatever a member says, custody stays bounded and panics at nothing.
@@ -13,25 +13,25 @@
 		f.Fatal(err)
 	}
 	a, b := member("a", 1), member("b", 1)
-	rec := custody.Record{ID: "x", Effect: custody.Keyed, Owner: b, Epoch: 9, Life: 1 << 62, Age: -5, Request: []byte("r")}
-	good, err := c.out.Marshal([]custody.Message{
-		{Kind: custody.Write, ID: "x", Ballot: custody.Ballot{By: b}, Epoch: 2, Record: &rec}, {Kind: custody.Ask, ID: "x", Ballot: custody.Ballot{Round: 2, By: b}},
-		{Kind: custody.Promised, To: custody.Ask, ID: "mine", Known: true, Ballot: custody.Ballot{Round: 1, By: a}},
+	rec := takeover.Record{ID: "x", Effect: takeover.Keyed, Owner: b, Epoch: 9, Life: 1 << 62, Age: -5, Request: []byte("r")}
+	good, err := c.out.Marshal([]takeover.Message{
+		{Kind: takeover.Write, ID: "x", Ballot: takeover.Ballot{By: b}, Epoch: 2, Record: &rec}, {Kind: takeover.Ask, ID: "x", Ballot: takeover.Ballot{Round: 2, By: b}},
+		{Kind: takeover.Promised, To: takeover.Ask, ID: "mine", Known: true, Ballot: takeover.Ballot{Round: 1, By: a}},
 	})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, in []byte) {
-		var all []custody.Message
+		var all []takeover.Message
 		if c.in.Unmarshal(in, &all) != nil {
 			return
 		}
-		n := custody.New(custody.Config{
+		n := takeover.New(takeover.Config{
 			Me: a, Names: []string{"a", "b", "c"}, Holders: 3, Records: 8, Bytes: 4096, Keep: 1000, Longest: 1000, Wait: 100, Again: 10, Stagger: 10,
 		})
 		n.See(0, (&roster{}).apply(&entry{Member: a}, nil).apply(&entry{Member: b}, nil).view())
-		n.Resume(0, custody.Record{ID: "mine", Effect: custody.Unsafe, Life: 1000})
+		n.Resume(0, takeover.Record{ID: "mine", Effect: takeover.Unsafe, Life: 1000})
 		for i := range all {
 			n.Handle(5, b, &all[i])
 		}
--- a/internal/fleet/grants.go
+++ b/internal/fleet/grants.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 const (
@@ -19,21 +19,21 @@
 	ended atomic.Bool
 	over  chan struct{} // closed once the incarnation is out
 	shut  *atomic.Bool  // while this process may not act by what it knows of the fleet's plan
-	plant custody.Plant
+	plant takeover.Plant
 }
 
 // Over is closed once the incarnation is out for good.
 func (l *Lease) Over() <-chan struct{} { return l.over }
 
 func (l *Lease) end() {
-	if l.ended.CompareAndSwap(false, true) && l.plant != custody.LeaseUnchecked {
+	if l.ended.CompareAndSwap(false, true) && l.plant != takeover.LeaseUnchecked {
 		close(l.over)
 	}
 }
 
 // Valid tells whether this process may act now. Asked as late as can be before a byte goes out.
 func (l *Lease) Valid() bool {
-	if l.plant == custody.LeaseUnchecked {
+	if l.plant == takeover.LeaseUnchecked {
 		return true
 	}
 	return !l.ended.Load() && !l.shut.Load() && int64(time.Since(l.start)) < l.until.Load()
@@ -48,14 +48,14 @@
 type grants struct {
 	lease  time.Duration
 	since  time.Time // before it an earlier leader, or this one before a stall, may have granted unseen
-	last   map[custody.Member]time.Time
-	outing map[custody.Member]time.Time // put out, not agreed yet: gets none
+	last   map[takeover.Member]time.Time
+	outing map[takeover.Member]time.Time // put out, not agreed yet: gets none
 	ticked time.Time
 }
 
 // reset begins a term, or begins again after a stall.
 func (g *grants) reset(now time.Time) {
-	g.since, g.last, g.outing = now, map[custody.Member]time.Time{}, map[custody.Member]time.Time{}
+	g.since, g.last, g.outing = now, map[takeover.Member]time.Time{}, map[takeover.Member]time.Time{}
 }
 
 // tick notes that time has passed. Guards against a leader that was stopped, and takes all for silent whose asks wait for it.
@@ -67,7 +67,7 @@
 }
 
 // grant tells whether a member may have a lease now, and notes that it has.
-func (g *grants) grant(now time.Time, m custody.Member) bool {
+func (g *grants) grant(now time.Time, m takeover.Member) bool {
 	if !g.outing[m].IsZero() {
 		return false
 	}
@@ -76,7 +76,7 @@
 }
 
 // due lists the members whose last lease is over by any clock: they are to be put out.
-func (g *grants) due(now time.Time, r *roster) (out []custody.Member) {
+func (g *grants) due(now time.Time, r *roster) (out []takeover.Member) {
 	for m := range g.last {
 		if !r.lives(m) {
 			delete(g.last, m)
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 const (
@@ -19,17 +19,17 @@
 
 // flight is a request under custody here.
 type flight struct {
-	work    custody.Work
-	run     func(custody.Leave) custody.Result
-	waits   []chan custody.Outcome
+	work    takeover.Work
+	run     func(takeover.Leave) takeover.Result
+	waits   []chan takeover.Outcome
 	running bool
-	lease   custody.Lease // that it runs under
+	lease   takeover.Lease // that it runs under
 }
 
 // keeper is the actor of custody: one goroutine owns the node and all flights.
 type keeper struct {
 	f       *Fleet
-	node    *custody.Node
+	node    *takeover.Node
 	box     chan func(now int64)
 	flights map[string]*flight
 	blind   int64 // until then no quorum is to be expected: strict work is refused at once
@@ -110,7 +110,7 @@
 	if len(out) == 0 {
 		return
 	}
-	batches := map[string][]custody.Message{}
+	batches := map[string][]takeover.Message{}
 	for i := range out {
 		batches[out[i].Name] = append(batches[out[i].Name], out[i].Message)
 	}
@@ -120,7 +120,7 @@
 }
 
 // batch sends messages in as few frames as may be.
-func (k *keeper) batch(name string, all []custody.Message) {
+func (k *keeper) batch(name string, all []takeover.Message) {
 	for len(all) > 0 {
 		n, bytes := 0, 0
 		for n < len(all) && n < batchMost && bytes < batchBytes {
@@ -140,21 +140,21 @@
 }
 
 // open takes a request.
-func (k *keeper) open(now int64, w custody.Work, wait chan custody.Outcome, run func(custody.Leave) custody.Result) {
+func (k *keeper) open(now int64, w takeover.Work, wait chan takeover.Outcome, run func(takeover.Leave) takeover.Result) {
 	if fl := k.flights[w.ID]; fl != nil {
 		switch {
 		case fl.work.Digest != w.Digest:
-			wait <- custody.Outcome{Word: custody.Foreign}
+			wait <- takeover.Outcome{Word: takeover.Foreign}
 		case !w.Resume:
-			wait <- custody.Outcome{Word: custody.Taken}
+			wait <- takeover.Outcome{Word: takeover.Taken}
 		default:
 			fl.waits = append(fl.waits, wait)
 		}
 		return
 	}
-	fl := &flight{work: w, run: run, waits: []chan custody.Outcome{wait}, lease: k.f.lease.Load()}
+	fl := &flight{work: w, run: run, waits: []chan takeover.Outcome{wait}, lease: k.f.lease.Load()}
 	k.flights[w.ID] = fl
-	rec := custody.Record{
+	rec := takeover.Record{
 		ID: w.ID, Class: w.Class, Effect: w.Effect, Digest: w.Digest, Life: w.Left.Microseconds(),
 	}
 	if len(w.Stored.Head) > 0 {
@@ -169,7 +169,7 @@
 		k.counts.resumed++
 		k.node.Resume(now, rec)
 	case w.Strict && now < k.blind && k.fresh(now):
-		k.does(&custody.Event{Does: custody.Missing, ID: w.ID, Record: rec, Fresh: true, AtOnce: true})
+		k.does(&takeover.Event{Does: takeover.Missing, ID: w.ID, Record: rec, Fresh: true, AtOnce: true})
 	default:
 		k.counts.taken++
 		k.node.Take(now, rec)
@@ -177,7 +177,7 @@
 }
 
 // left takes one who asked from the list. What was not begun is asked for no more; what was goes on.
-func (k *keeper) left(id string, wait chan custody.Outcome) {
+func (k *keeper) left(id string, wait chan takeover.Outcome) {
 	fl := k.flights[id]
 	if fl == nil {
 		return
@@ -195,7 +195,7 @@
 }
 
 // runs tells whether a request runs here for one who asked.
-func (k *keeper) runs(id string, wait chan custody.Outcome) bool {
+func (k *keeper) runs(id string, wait chan takeover.Outcome) bool {
 	back := make(chan bool, 1)
 	k.box <- func(int64) {
 		fl := k.flights[id]
@@ -205,81 +205,81 @@
 }
 
 // does carries out one word of the node.
-func (k *keeper) does(e *custody.Event) {
+func (k *keeper) does(e *takeover.Event) {
 	fl := k.flights[e.ID]
-	if fl == nil && e.Does != custody.Orphan {
+	if fl == nil && e.Does != takeover.Orphan {
 		return
 	}
 	switch e.Does {
-	case custody.Run:
+	case takeover.Run:
 		k.blind = 0
 		var former time.Duration
 		if e.Taken {
 			former = since(e)
 			log.Printf("event=taken_over id=%s class=%s effect=%d age_us=%d asked=%t", e.ID, e.Record.Class, e.Record.Effect, e.Record.Age, len(fl.waits) > 0)
 		}
-		k.start(fl, custody.Leave{Lease: fl.lease, Former: former})
-	case custody.Give:
+		k.start(fl, takeover.Leave{Lease: fl.lease, Former: former})
+	case takeover.Give:
 		k.counts.given++
-		k.tell(fl, custody.Outcome{Answer: e.Record.Answer, Lease: k.f.lease.Load()})
-	case custody.Missing:
+		k.tell(fl, takeover.Outcome{Answer: e.Record.Answer, Lease: k.f.lease.Load()})
+	case takeover.Missing:
 		k.missing(fl, e)
-	case custody.Doubled:
+	case takeover.Doubled:
 		k.counts.doubled++
-		k.tell(fl, custody.Outcome{Word: custody.Foreign})
-	case custody.Lost:
+		k.tell(fl, takeover.Outcome{Word: takeover.Foreign})
+	case takeover.Lost:
 		k.counts.lost++
-		k.tell(fl, custody.Outcome{Word: custody.Nothing}) // one that runs is called back by the end of its lease
-	case custody.Orphan:
+		k.tell(fl, takeover.Outcome{Word: takeover.Nothing}) // one that runs is called back by the end of its lease
+	case takeover.Orphan:
 		k.orphan(e)
 	}
 }
 
 // missing goes on without a quorum, as the request's effect and class have it.
-func (k *keeper) missing(fl *flight, e *custody.Event) {
+func (k *keeper) missing(fl *flight, e *takeover.Event) {
 	k.counts.missing++
 	now := k.f.micros()
 	if !e.AtOnce && k.fresh(now) {
 		k.blind = now + k.f.wait
 	}
 	next := e.Next(fl.work.Strict)
-	if w := &fl.work; next == custody.GoOn && w.Effect == custody.Keyed && w.Window < w.Left {
+	if w := &fl.work; next == takeover.GoOn && w.Effect == takeover.Keyed && w.Window < w.Left {
 		next = e.Next(true) // Guards against two members that send the same key, none knowing of the other, past its window
-		if next == custody.GoOn {
-			next = custody.Fail
+		if next == takeover.GoOn {
+			next = takeover.Fail
 		}
 	}
 	switch next {
-	case custody.Refuse:
+	case takeover.Refuse:
 		if !k.fresh(now) {
-			k.tell(fl, custody.Outcome{Word: custody.Nothing})
+			k.tell(fl, takeover.Outcome{Word: takeover.Nothing})
 			return
 		}
-		k.tell(fl, custody.Outcome{Answer: custody.Answer{Verdict: custody.Refused, RetryAfter: k.f.wait, Why: "no custody"}})
-	case custody.Fail:
+		k.tell(fl, takeover.Outcome{Answer: takeover.Answer{Verdict: takeover.Refused, RetryAfter: k.f.wait, Why: "no custody"}})
+	case takeover.Fail:
 		why := "may have run: nobody can say"
 		if e.Fresh {
 			why = "no custody"
 		}
 		k.node.Drop(e.ID)
-		k.tell(fl, custody.Outcome{Answer: custody.Answer{Verdict: custody.Failed, Why: why}, Lease: k.f.lease.Load()})
+		k.tell(fl, takeover.Outcome{Answer: takeover.Answer{Verdict: takeover.Failed, Why: why}, Lease: k.f.lease.Load()})
 	default:
 		k.node.Drop(e.ID)
 		var former time.Duration
 		if !e.Fresh {
 			former = since(e)
 		}
-		k.start(fl, custody.Leave{Former: former})
+		k.start(fl, takeover.Leave{Former: former})
 	}
 }
 
 // since is how long ago another member may have sent a request; never 0, which means that none has.
-func since(e *custody.Event) time.Duration {
+func since(e *takeover.Event) time.Duration {
 	return max(1, time.Duration(e.Record.Age)*time.Microsecond)
 }
 
 // start runs a request that may be sent.
-func (k *keeper) start(fl *flight, l custody.Leave) {
+func (k *keeper) start(fl *flight, l takeover.Leave) {
 	if fl.running {
 		return
 	}
@@ -298,14 +298,14 @@
 			if l.Lease == nil || l.Lease.Valid() {
 				k.node.Answered(now, id, r.Answer)
 			}
-			k.tell(fl, custody.Outcome{Answer: r.Answer, Live: r.Live, Lease: l.Lease})
+			k.tell(fl, takeover.Outcome{Answer: r.Answer, Live: r.Live, Lease: l.Lease})
 		}
 	}()
 }
 
 // await waits for a lease that is not valid until it is, or is over. Guards against an answer that is dropped by an owner which
 // goes on living: nobody else may take its work over, so nobody would answer.
-func (k *keeper) await(l custody.Lease) {
+func (k *keeper) await(l takeover.Lease) {
 	const step = 2 * time.Millisecond
 	for end := time.Now().Add(2 * k.f.opts.Fleet.Lease); !l.Valid() && time.Now().Before(end); {
 		select {
@@ -317,7 +317,7 @@
 }
 
 // tell answers all that wait for a request. What is live goes to the first.
-func (k *keeper) tell(fl *flight, o custody.Outcome) {
+func (k *keeper) tell(fl *flight, o takeover.Outcome) {
 	delete(k.flights, fl.work.ID)
 	for _, w := range fl.waits {
 		w <- o
@@ -333,14 +333,14 @@
 }
 
 // orphan takes over unasked what a member that is out had leave to send.
-func (k *keeper) orphan(e *custody.Event) {
+func (k *keeper) orphan(e *takeover.Event) {
 	rec := e.Record
 	if k.flights[e.ID] != nil {
 		return
 	}
-	var stored custody.Stored
+	var stored takeover.Stored
 	err := k.f.coder.in.Unmarshal(rec.Request, &stored)
-	var run func(custody.Leave) custody.Result
+	var run func(takeover.Leave) takeover.Result
 	if err == nil {
 		run, err = k.f.hooks.Unasked(&rec, &stored)
 	}
@@ -350,7 +350,7 @@
 	}
 	k.counts.unasked++
 	k.flights[e.ID] = &flight{
-		work: custody.Work{ID: rec.ID, Class: rec.Class, Effect: rec.Effect, Digest: rec.Digest, Resume: true}, run: run, lease: k.f.lease.Load(),
+		work: takeover.Work{ID: rec.ID, Class: rec.Class, Effect: rec.Effect, Digest: rec.Digest, Resume: true}, run: run, lease: k.f.lease.Load(),
 	}
 	k.node.Resume(k.f.micros(), rec)
 }
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"damsonscale/internal/audit"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 const (
@@ -21,7 +21,7 @@
 // takenOf says that a segment is held.
 type takenOf struct {
 	_     struct{} `cbor:",toarray"`
-	Of    custody.Member
+	Of    takeover.Member
 	Index uint64
 }
 
@@ -57,9 +57,9 @@
 }
 
 // choose finds who holds the segments of an incarnation: the first names by rendezvous.
-func (l *ledger) choose(me custody.Member) {
+func (l *ledger) choose(me takeover.Member) {
 	others := slices.DeleteFunc(slices.Clone(l.f.names), func(n string) bool { return n == me.Name })
-	l.holders, l.met = custody.Holders(others, fmt.Sprintf("%s/%x", me.Name, me.Incarnation), l.f.opts.Audit.Holders), map[string]uint64{}
+	l.holders, l.met = takeover.Holders(others, fmt.Sprintf("%s/%x", me.Name, me.Incarnation), l.f.opts.Audit.Holders), map[string]uint64{}
 }
 
 // see sends all there is of this incarnation to a holder that has started anew: it has forgotten. Guards against an account that
@@ -150,7 +150,7 @@
 }
 
 // hold takes segments of another member, and says so.
-func (l *ledger) hold(from custody.Member, all []audit.Sealed) {
+func (l *ledger) hold(from takeover.Member, all []audit.Sealed) {
 	var taken []takenOf
 	for _, z := range all {
 		seg, err := l.shelf.Put(z)
@@ -170,7 +170,7 @@
 }
 
 // next closes the account of an incarnation that is out, in good order, and begins that of the next.
-func (l *ledger) next(me custody.Member) {
+func (l *ledger) next(me takeover.Member) {
 	l.add(l.f.book.End(time.Now().UnixMilli(), me))
 	l.push()
 	l.choose(me)
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"damsonscale/internal/custody"
 	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
 )
 
 var (
@@ -180,7 +180,7 @@
 }
 
 // want answers who asks for bytes that are known here.
-func (f *Fleet) want(from custody.Member, digest []byte) {
+func (f *Fleet) want(from takeover.Member, digest []byte) {
 	text, ok := f.tuned.texts[string(digest)]
 	if !ok {
 		return
--- a/internal/fleet/plant_on.go
+++ b/internal/fleet/plant_on.go
@@ -7,14 +7,14 @@
 	"strconv"
 
 	"damsonscale/internal/audit"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 // planted is the fault that this build is to have.
 func planted() (p plants) {
 	switch n, _ := strconv.Atoi(os.Getenv("DAMSONSCALE_PLANT")); {
 	case n < 10:
-		p.custody = custody.Plant(n)
+		p.custody = takeover.Plant(n)
 	case n < 20:
 		p.audit = audit.Plant(n - 10)
 	case n == 20:
--- a/internal/fleet/roster.go
+++ b/internal/fleet/roster.go
@@ -8,8 +8,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"damsonscale/internal/custody"
 	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
 )
 
 const goneKept = 16 // incarnations of a name that are known to be out
@@ -18,7 +18,7 @@
 type entry struct {
 	_       struct{} `cbor:",toarray"`
 	Out     bool
-	Member  custody.Member
+	Member  takeover.Member
 	Address string         // where it listens, if not where the options say
 	Order   *rollout.Order // instead of all that
 }
@@ -26,7 +26,7 @@
 // seat is a living member's.
 type seat struct {
 	_       struct{} `cbor:",toarray"`
-	Member  custody.Member
+	Member  takeover.Member
 	Joined  uint64
 	First   bool
 	Address string
@@ -41,13 +41,13 @@
 	Plan  rollout.Plan        // of the versions that members are to act on
 }
 
-func (r *roster) find(m custody.Member) int {
+func (r *roster) find(m takeover.Member) int {
 	return slices.IndexFunc(r.Seats, func(s seat) bool { return s.Member == m })
 }
 
-func (r *roster) lives(m custody.Member) bool { return r.find(m) >= 0 }
+func (r *roster) lives(m takeover.Member) bool { return r.find(m) >= 0 }
 
-func (r *roster) gone(m custody.Member) bool { return slices.Contains(r.Gone[m.Name], m.Incarnation) }
+func (r *roster) gone(m takeover.Member) bool { return slices.Contains(r.Gone[m.Name], m.Incarnation) }
 
 // living are the names that have a member.
 func (r *roster) living() (out []string) {
@@ -93,10 +93,10 @@
 }
 
 // view is the roster in custody's terms.
-func (r *roster) view() *custody.View {
-	v := &custody.View{Epoch: r.Epoch, Live: make(map[custody.Member]custody.Standing, len(r.Seats))}
+func (r *roster) view() *takeover.View {
+	v := &takeover.View{Epoch: r.Epoch, Live: make(map[takeover.Member]takeover.Standing, len(r.Seats))}
 	for _, s := range r.Seats {
-		v.Live[s.Member] = custody.Standing{Joined: s.Joined, First: s.First}
+		v.Live[s.Member] = takeover.Standing{Joined: s.Joined, First: s.First}
 	}
 	return v
 }
@@ -118,7 +118,7 @@
 
 // check refuses a roster that nobody can have written.
 func (r *roster) check() error {
-	met := map[custody.Member]bool{}
+	met := map[takeover.Member]bool{}
 	for _, s := range r.Seats {
 		if s.Member.Name == "" || s.Joined > r.Epoch || met[s.Member] {
 			return errRoster
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -14,8 +14,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"damsonscale/internal/custody"
 	"damsonscale/internal/frame"
+	"damsonscale/internal/takeover"
 )
 
 // Kinds of frames.
@@ -48,7 +48,7 @@
 type hello struct {
 	_     struct{} `cbor:",toarray"`
 	Fleet uint64   // of the members' names
-	From  custody.Member
+	From  takeover.Member
 }
 
 // fleetID tells fleets apart: it is that of the members' names.
@@ -67,9 +67,9 @@
 	coder *coder
 	id    uint64
 	names map[string]bool
-	me    func() custody.Member
+	me    func() takeover.Member
 	where func(name string) string // a member's address now
-	take  func(from custody.Member, kind byte, payload []byte)
+	take  func(from takeover.Member, kind byte, payload []byte)
 	desk  func(conn net.Conn, payload []byte)
 
 	mu     sync.Mutex
@@ -88,7 +88,7 @@
 
 // queued is a frame with the member that it speaks for.
 type queued struct {
-	as    custody.Member
+	as    takeover.Member
 	frame []byte
 }
 
@@ -245,7 +245,7 @@
 		w.operator(conn, payload)
 		return
 	}
-	var from custody.Member
+	var from takeover.Member
 	if err == nil {
 		from, err = w.greet(kind, payload)
 	}
@@ -290,7 +290,7 @@
 }
 
 // greet reads who dials, and refuses whom this member does not know.
-func (w *wire) greet(kind byte, payload []byte) (from custody.Member, err error) {
+func (w *wire) greet(kind byte, payload []byte) (from takeover.Member, err error) {
 	var h hello
 	switch err := w.coder.in.Unmarshal(payload, &h); {
 	case kind != kindHello:
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -16,10 +16,10 @@
 
 	"damsonscale/decide"
 	"damsonscale/internal/accept"
-	"damsonscale/internal/acts"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/auditevent"
 	"damsonscale/internal/lifecycle"
 	"damsonscale/internal/sidecar"
+	"damsonscale/internal/takeover"
 	"damsonscale/internal/upstream"
 )
 
@@ -62,9 +62,9 @@
 	server  *fasthttp.Server
 	sockets atomic.Int64 // connections past which a new one takes an idle one's place
 	life    *lifecycle.Owner
-	keeper  Keeper        // nil: none
-	ledger  acts.Ledger   // nil: no account is kept
-	room    chan struct{} // a token for each connection that may still be accepted
+	keeper  Keeper            // nil: none
+	ledger  auditevent.Ledger // nil: no account is kept
+	room    chan struct{}     // a token for each connection that may still be accepted
 
 	deaf atomic.Bool // the listener has taken its last connection, and that is among conns
 
@@ -460,7 +460,7 @@
 		f.answer(ctx, c, a)
 	}
 	if left && broken == nil {
-		f.noted(ctx, acts.Left, parsed.request.ID, a.Under)
+		f.noted(ctx, auditevent.Left, parsed.request.ID, a.Under)
 	} else {
 		f.account(ctx, parsed.request.ID, a.Under)
 	}
@@ -478,12 +478,12 @@
 		return
 	}
 	refuse(ctx, sidecar.Answer{RetryAfter: shutRetry})
-	f.noted(ctx, acts.Turned, p.request.ID, f.side.Under())
+	f.noted(ctx, auditevent.Turned, p.request.ID, f.side.Under())
 	ctx.SetConnectionClose() // clients have others to go to
 }
 
 // leave is what this process needs to act at all; nil: nothing.
-func (f *Frontend) leave() custody.Lease {
+func (f *Frontend) leave() takeover.Lease {
 	if f.keeper == nil {
 		return nil
 	}
@@ -491,28 +491,28 @@
 }
 
 // Audit has an account kept of the answers.
-func (f *Frontend) Audit(l acts.Ledger) { f.ledger = l }
+func (f *Frontend) Audit(l auditevent.Ledger) { f.ledger = l }
 
 // account notes the answer to a request, and names it to the client. under is the version that it was decided by.
-func (f *Frontend) account(ctx *fasthttp.RequestCtx, id string, under acts.Stamp) {
+func (f *Frontend) account(ctx *fasthttp.RequestCtx, id string, under auditevent.Stamp) {
 	switch ctx.Response.StatusCode() {
 	case fasthttp.StatusOK:
-		f.noted(ctx, acts.Served, id, under)
+		f.noted(ctx, auditevent.Served, id, under)
 	case fasthttp.StatusServiceUnavailable:
-		f.noted(ctx, acts.Refused, id, under)
+		f.noted(ctx, auditevent.Refused, id, under)
 	case fasthttp.StatusConflict:
-		f.noted(ctx, acts.Doubled, id, under)
+		f.noted(ctx, auditevent.Doubled, id, under)
 	default:
-		f.noted(ctx, acts.Failed, id, under)
+		f.noted(ctx, auditevent.Failed, id, under)
 	}
 }
 
-func (f *Frontend) noted(ctx *fasthttp.RequestCtx, kind acts.Kind, id string, under acts.Stamp) {
+func (f *Frontend) noted(ctx *fasthttp.RequestCtx, kind auditevent.Kind, id string, under auditevent.Stamp) {
 	if f.ledger == nil {
 		return
 	}
 	ref := f.ledger.Add(kind, under, id, strconv.Itoa(ctx.Response.StatusCode()))
-	ctx.Response.Header.SetBytesV(acts.Header, ref.Append(nil))
+	ctx.Response.Header.SetBytesV(auditevent.Header, ref.Append(nil))
 }
 
 // Rest closes connections of clients that are idle.
--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -9,10 +9,10 @@
 	"github.com/valyala/fasthttp"
 
 	"damsonscale/decide"
-	"damsonscale/internal/acts"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/auditevent"
 	"damsonscale/internal/options"
 	"damsonscale/internal/sidecar"
+	"damsonscale/internal/takeover"
 	"damsonscale/internal/upstream"
 )
 
@@ -23,10 +23,10 @@
 type Keeper interface {
 	// Do brings a request under custody, has run send it if that is this member's to do, and tells its outcome. gone is
 	// closed when its client leaves.
-	Do(w custody.Work, gone <-chan struct{}, run func(custody.Leave) custody.Result) custody.Outcome
-	Custody(class string, e custody.Effect) options.Custody
+	Do(w takeover.Work, gone <-chan struct{}, run func(takeover.Leave) takeover.Result) takeover.Outcome
+	Custody(class string, e takeover.Effect) options.Custody
 	Longest() time.Duration // that a request may be in custody
-	Needed() custody.Lease  // without which nothing at all is taken or sent; nil: none is
+	Needed() takeover.Lease // without which nothing at all is taken or sent; nil: none is
 	MayRefuse() bool        // a request that was read just now had not waited, so that its client may have gone elsewhere
 }
 
@@ -48,15 +48,15 @@
 	}
 	call := p.call(h, b, c.readAt)
 	call.Whole = c.watch
-	w := custody.Work{
+	w := takeover.Work{
 		ID: p.request.ID, Class: class.Name, Effect: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.Strict,
 		Left: min(call.Left(time.Now()), p.left), Longest: call.Left(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
 	}
 	var gone <-chan struct{}
 	switch {
 	case b.rest != nil: // it can't be sent again: once begun, it is treated as work that must not be
-		w.Effect = custody.Unsafe
-	case effect == custody.Keyed && class.DedupScope == decide.ScopeAll:
+		w.Effect = takeover.Unsafe
+	case effect == takeover.Keyed && class.DedupScope == decide.ScopeAll:
 		w.Window, w.Stored = time.Duration(class.DedupWindow)*time.Microsecond, p.store(call, b)
 	}
 	if b.rest == nil {
@@ -67,27 +67,27 @@
 	broken := b.close()
 	c.unwatch()
 	switch {
-	case broken != nil && o.Word != custody.Answered:
+	case broken != nil && o.Word != takeover.Answered:
 		bad := b.fault(broken)
 		ctx.Error(bad.text, bad.status)
 		f.account(ctx, w.ID, f.side.Under())
 	default:
 		f.tell(ctx, c, call, &o, min(call.Left(time.Now()), p.left-time.Since(began))) // a body that is not held counts from its end
 	}
-	if broken != nil || o.Word == custody.Gone {
+	if broken != nil || o.Word == takeover.Gone {
 		ctx.SetConnectionClose()
 	}
 	return true
 }
 
-func effectOf(s decide.Semantics) custody.Effect {
+func effectOf(s decide.Semantics) takeover.Effect {
 	switch s {
 	case decide.Idempotent:
-		return custody.Safe
+		return takeover.Safe
 	case decide.IdempotencyKeyed:
-		return custody.Keyed
+		return takeover.Keyed
 	}
-	return custody.Unsafe
+	return takeover.Unsafe
 }
 
 // digest tells requests of one id apart.
@@ -102,8 +102,8 @@
 }
 
 // store makes what holders keep of a request.
-func (p *parsed) store(call *sidecar.Call, b *body) custody.Stored {
-	s := custody.Stored{Head: call.Message.Head, Body: b.held, Key: p.request.Key}
+func (p *parsed) store(call *sidecar.Call, b *body) takeover.Stored {
+	s := takeover.Stored{Head: call.Message.Head, Body: b.held, Key: p.request.Key}
 	if t := p.request.Tenant; t >= 0 {
 		s.Tenant = p.now.settings.Tenants[t].Name
 	}
@@ -111,8 +111,8 @@
 }
 
 // run makes what sends a call, under a leave that it may lose.
-func (f *Frontend) run(call *sidecar.Call) func(custody.Leave) custody.Result {
-	return func(l custody.Leave) custody.Result {
+func (f *Frontend) run(call *sidecar.Call) func(takeover.Leave) takeover.Result {
+	return func(l takeover.Leave) takeover.Result {
 		var over <-chan struct{}
 		var leave func() bool
 		if l.Lease != nil {
@@ -120,25 +120,25 @@
 		}
 		call.Under(leave, l.Former)
 		a, left := f.side.Do(call, over)
-		r := custody.Result{Live: a}
+		r := takeover.Result{Live: a}
 		switch {
 		case left:
-			r.Answer = custody.Answer{Verdict: custody.Failed, Why: "its member is out"}
+			r.Answer = takeover.Answer{Verdict: takeover.Failed, Why: "its member is out"}
 		case a.Verdict == sidecar.Served && a.Stream != nil:
-			r.Answer.Verdict = custody.TooLong
+			r.Answer.Verdict = takeover.TooLong
 		case a.Verdict == sidecar.Served:
-			r.Answer = custody.Answer{Verdict: custody.Served, Body: a.Body, ContentType: a.ContentType}
+			r.Answer = takeover.Answer{Verdict: takeover.Served, Body: a.Body, ContentType: a.ContentType}
 		case a.Verdict == sidecar.Refused:
-			r.Answer = custody.Answer{Verdict: custody.Refused, RetryAfter: a.RetryAfter.Microseconds()}
+			r.Answer = takeover.Answer{Verdict: takeover.Refused, RetryAfter: a.RetryAfter.Microseconds()}
 		default:
-			r.Answer = custody.Answer{Verdict: custody.Failed, Why: "no server answered"}
+			r.Answer = takeover.Answer{Verdict: takeover.Failed, Why: "no server answered"}
 		}
 		return r
 	}
 }
 
 // Unasked makes what runs a recorded request that nobody has asked for again.
-func (f *Frontend) Unasked(rec *custody.Record, s *custody.Stored) (func(custody.Leave) custody.Result, error) {
+func (f *Frontend) Unasked(rec *takeover.Record, s *takeover.Stored) (func(takeover.Leave) takeover.Result, error) {
 	now := f.now.Load()
 	class, ok := now.classes[rec.Class]
 	if !ok {
@@ -164,23 +164,23 @@
 }
 
 // tell answers as custody has it, where so much of the request's time is left. A member that has lost its leave answers nothing: another one does.
-func (f *Frontend) tell(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *custody.Outcome, left time.Duration) {
-	if o.Word == custody.Answered && o.Lease != nil && !o.Lease.Valid() {
+func (f *Frontend) tell(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, left time.Duration) {
+	if o.Word == takeover.Answered && o.Lease != nil && !o.Lease.Valid() {
 		f.Unheard(o.Live)
-		o.Word = custody.Nothing
+		o.Word = takeover.Nothing
 	}
 	under := f.side.Under()
 	switch o.Word {
-	case custody.Nothing:
+	case takeover.Nothing:
 		f.silent(ctx, c, call.Request.ID, left)
 		return
-	case custody.Gone:
+	case takeover.Gone:
 		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Late})
-		f.noted(ctx, acts.Left, call.Request.ID, under)
+		f.noted(ctx, auditevent.Left, call.Request.ID, under)
 		return
-	case custody.Taken:
+	case takeover.Taken:
 		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Duplicate})
-	case custody.Foreign:
+	case takeover.Foreign:
 		ctx.Error("the id is that of another request", fasthttp.StatusConflict)
 	default:
 		if a, ok := o.Live.(sidecar.Answer); ok {
@@ -207,13 +207,13 @@
 }
 
 // recorded gives an answer that was kept.
-func (f *Frontend) recorded(ctx *fasthttp.RequestCtx, c *clientConn, a *custody.Answer) {
+func (f *Frontend) recorded(ctx *fasthttp.RequestCtx, c *clientConn, a *takeover.Answer) {
 	switch a.Verdict {
-	case custody.Served:
+	case takeover.Served:
 		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Served, Body: a.Body, ContentType: a.ContentType})
-	case custody.Refused:
+	case takeover.Refused:
 		refuse(ctx, sidecar.Answer{RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
-	case custody.TooLong:
+	case takeover.TooLong:
 		ctx.Error("takeover: served, the answer was too long to keep", fasthttp.StatusBadGateway)
 	default:
 		ctx.Error("takeover: "+a.Why, fasthttp.StatusBadGateway)
--- a/internal/frontend/look_test.go
+++ b/internal/frontend/look_test.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"testing"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // ends returns both ends of a connection.
--- a/internal/chain/chain.go
+++ b/internal/lab/callchain/chain.go
@@ -1,7 +1,7 @@
-// Package chain simulates a deep chain of calls: services one below the other, each called through real balancers
+// Package callchain simulates a deep chain of calls: services one below the other, each called through real balancers
 // (decide.Balancer, by its interface), in simulated time and without sockets. It counts from outside what the balancers
 // do: how many attempts reach the deepest service for each client's request. Docs: docs/chain.md.
-package chain
+package callchain
 
 import (
 	"container/heap"
--- a/internal/chain/chain_test.go
+++ b/internal/lab/callchain/chain_test.go
@@ -1,4 +1,4 @@
-package chain
+package callchain
 
 import (
 	"fmt"
--- a/internal/rig/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
-	"damsonscale/internal/acts"
 	"damsonscale/internal/audit"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/auditevent"
 	"damsonscale/internal/fleet"
 	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
 )
 
 const (
@@ -131,7 +131,7 @@
 		return err
 	}
 	var all []audit.Sealed
-	living := map[custody.Member]bool{}
+	living := map[takeover.Member]bool{}
 	heard := 0
 	for _, addr := range p.members {
 		s, err := fleet.Call(ctx, addr, p.names(), fleet.Ask{Do: fleet.AskSegments})
@@ -156,7 +156,7 @@
 		return errors.New("no member tells the account")
 	}
 	p.mu.Lock()
-	a := &auditor{r: r, accounts: map[custody.Member]*told{}, living: living, fences: p.fences, ordered: p.ordered, lease: ms(p.line.LeaseMs)}
+	a := &auditor{r: r, accounts: map[takeover.Member]*told{}, living: living, fences: p.fences, ordered: p.ordered, lease: ms(p.line.LeaseMs)}
 	r.Steps, r.OverGuard = p.steps, p.over
 	p.mu.Unlock()
 	if a.lease == 0 {
@@ -175,8 +175,8 @@
 // auditor compares.
 type auditor struct {
 	r        *Report
-	accounts map[custody.Member]*told
-	living   map[custody.Member]bool
+	accounts map[takeover.Member]*told
+	living   map[takeover.Member]bool
 	fences   map[uint64]time.Time
 	ordered  map[uint64]time.Time
 	lease    time.Duration
@@ -185,18 +185,18 @@
 // told is an account with its acts by number.
 type told struct {
 	*audit.Account
-	by   map[uint64]acts.Act
+	by   map[uint64]auditevent.Act
 	sent map[string]int // by request and server: sent, less unsent
 }
 
 func (a *auditor) add(one *audit.Account) {
-	t := &told{Account: one, by: map[uint64]acts.Act{}, sent: map[string]int{}}
+	t := &told{Account: one, by: map[uint64]auditevent.Act{}, sent: map[string]int{}}
 	for _, act := range one.Acts {
 		t.by[act.N] = act
 		switch act.Kind {
-		case acts.Sent:
+		case auditevent.Sent:
 			t.sent[act.ID+" "+act.Note]++
-		case acts.Unsent:
+		case auditevent.Unsent:
 			t.sent[act.ID+" "+act.Note]--
 		}
 	}
@@ -211,11 +211,11 @@
 }
 
 // see compares one thing that was seen with the act that it names.
-func (a *auditor) see(what, actor, id, note string, kinds ...acts.Kind) (acts.Ref, bool) {
+func (a *auditor) see(what, actor, id, note string, kinds ...auditevent.Kind) (auditevent.Ref, bool) {
 	wrong := func(format string, args ...any) {
 		a.broke(&a.r.Misstated, "misstated", fmt.Sprintf("%s of %s, by %q: %s", what, id, actor, fmt.Sprintf(format, args...)))
 	}
-	ref, err := acts.ParseRef(actor)
+	ref, err := auditevent.ParseRef(actor)
 	if err != nil {
 		wrong("%v", err)
 		return ref, false
@@ -250,11 +250,11 @@
 }
 
 func (a *auditor) compare(rec *record) {
-	seen := map[custody.Member]map[string]int{}
+	seen := map[takeover.Member]map[string]int{}
 	a.r.TurnMs = map[uint64]int64{}
 	for id, runs := range rec.runs {
 		for _, run := range runs {
-			ref, ok := a.see("a run at "+run.Server, run.Actor, id, run.Server, acts.Sent)
+			ref, ok := a.see("a run at "+run.Server, run.Actor, id, run.Server, auditevent.Sent)
 			if !ok {
 				continue
 			}
@@ -292,14 +292,14 @@
 			if ask.Status == 0 || ask.Actor == "" && strings.HasPrefix(ask.Err, "EOF") {
 				continue
 			}
-			kinds := []acts.Kind{acts.Failed, acts.Left}
+			kinds := []auditevent.Kind{auditevent.Failed, auditevent.Left}
 			switch ask.Status {
 			case http.StatusOK:
-				kinds = []acts.Kind{acts.Served}
+				kinds = []auditevent.Kind{auditevent.Served}
 			case http.StatusServiceUnavailable:
-				kinds = []acts.Kind{acts.Refused, acts.Turned}
+				kinds = []auditevent.Kind{auditevent.Refused, auditevent.Turned}
 			case http.StatusConflict:
-				kinds = []acts.Kind{acts.Doubled}
+				kinds = []auditevent.Kind{auditevent.Doubled}
 			}
 			a.see("an answer", ask.Actor, q.ID, fmt.Sprint(ask.Status), kinds...)
 		}
--- a/internal/rig/client.go
+++ b/internal/lab/faultinjection/client.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"damsonscale/internal/acts"
+	"damsonscale/internal/auditevent"
 )
 
 const (
@@ -224,7 +224,7 @@
 		a.Err = err.Error()
 		return a
 	}
-	a.Status, a.Body, a.Actor = resp.StatusCode, string(text), resp.Header.Get(acts.Header)
+	a.Status, a.Body, a.Actor = resp.StatusCode, string(text), resp.Header.Get(auditevent.Header)
 	return a
 }
 
--- a/internal/rig/draw.go
+++ b/internal/lab/faultinjection/draw.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"context"
--- a/internal/rig/timeline.go
+++ b/internal/lab/faultinjection/timeline.go
@@ -1,8 +1,8 @@
-// Package rig plays faults on several real processes of the program and judges what became of the requests.
+// Package faultinjection plays faults on several real processes of the program and judges what became of the requests.
 //
 // It starts the built program with servers, discovery, clients and links of its own, all on loopback, and judges by
 // the clients' records and the servers' tallies alone, never by what the program counts or logs.
-package rig
+package faultinjection
 
 import (
 	"bytes"
--- a/internal/scale/children.go
+++ b/internal/lab/fleetscale/children.go
@@ -1,4 +1,4 @@
-package scale
+package fleetscale
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"damsonscale/internal/rig"
+	"damsonscale/internal/lab/faultinjection"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // children starts processes and hands on what is seen of them.
 type children struct {
-	starter *rig.Starter
+	starter *faultinjection.Starter
 	dir     string
 	see     func(*child, Event)
 	all     []*child
@@ -46,7 +46,7 @@
 }
 
 func newChildren(dir string, see func(*child, Event)) *children {
-	return &children{starter: rig.NewStarter(), dir: dir, see: see, stop: make(chan struct{})}
+	return &children{starter: faultinjection.NewStarter(), dir: dir, see: see, stop: make(chan struct{})}
 }
 
 func (c *children) start(name string, members []int, cmd *exec.Cmd) (*child, error) {
--- a/internal/scale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -1,4 +1,4 @@
-package scale
+package fleetscale
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"time"
 
 	"damsonscale/internal/config"
-	"damsonscale/internal/custody"
 	"damsonscale/internal/discovery"
 	"damsonscale/internal/fleet"
 	"damsonscale/internal/options"
+	"damsonscale/internal/takeover"
 )
 
 // hollow is a member without a data path: its fleet, custody, account, versions and list are the program's own.
@@ -27,7 +27,7 @@
 var errHollow = errors.New("a hollow member runs nothing")
 
 // Unasked refuses: nobody sends requests in such a run.
-func (h *hollow) Unasked(*custody.Record, *custody.Stored) (func(custody.Leave) custody.Result, error) {
+func (h *hollow) Unasked(*takeover.Record, *takeover.Stored) (func(takeover.Leave) takeover.Result, error) {
 	return nil, errHollow
 }
 
--- a/internal/scale/layout.go
+++ b/internal/lab/fleetscale/layout.go
@@ -1,4 +1,4 @@
-package scale
+package fleetscale
 
 import "fmt"
 
--- a/internal/scale/lists.go
+++ b/internal/lab/fleetscale/lists.go
@@ -1,4 +1,4 @@
-package scale
+package fleetscale
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"damsonscale/internal/rig"
+	"damsonscale/internal/lab/faultinjection"
 )
 
 const mostLists = 32 // sizes of one run
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	defer list.close()
-	addrs, err := rig.FreeAddrs(1)
+	addrs, err := faultinjection.FreeAddrs(1)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/run.go
+++ b/internal/lab/fleetscale/run.go
@@ -1,4 +1,4 @@
-package scale
+package fleetscale
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"time"
 
 	"damsonscale/internal/fleet"
-	"damsonscale/internal/rig"
+	"damsonscale/internal/lab/faultinjection"
 	"damsonscale/internal/rollout"
 )
 
@@ -190,7 +190,7 @@
 		}
 	}
 	for part := range slices.Chunk(want, addrsAtOnce) {
-		addrs, err := rig.FreeAddrs(len(part))
+		addrs, err := faultinjection.FreeAddrs(len(part))
 		if err != nil {
 			return err
 		}
--- a/internal/scale/scale.go
+++ b/internal/lab/fleetscale/scale.go
@@ -1,8 +1,8 @@
-// Package scale measures what control costs by the number of members: real processes of the program beside hollow members, which
+// Package fleetscale measures what control costs by the number of members: real processes of the program beside hollow members, which
 // run the program's own packages of control without a data path, several in a process. All figures are taken from outside: of
 // /proc, of links between the members, of the list service's own counts and of when a version or a list was seen in force.
 // It is no part of the sidecar. docs/scale.md is its page.
-package scale
+package fleetscale
 
 import (
 	"errors"
--- a/internal/scale/scale_test.go
+++ b/internal/lab/fleetscale/scale_test.go
@@ -1,4 +1,4 @@
-package scale
+package fleetscale
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 
 	"damsonscale/internal/discovery"
 	"damsonscale/internal/frame"
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // program is where the program was built, once for all tests.
--- a/internal/explore/cells.go
+++ b/internal/lab/modelcheck/cells.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 
 	"damsonscale/internal/cells"
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 // CellsBudget bounds what may go wrong in one way through a world of cells.
@@ -20,7 +20,7 @@
 
 // CellsConfig is a world of two cells of one region, of two members each, which move, split and merge under requests.
 type CellsConfig struct {
-	Effects []custody.Effect // of the requests
+	Effects []takeover.Effect // of the requests
 	Plant   cells.Plant
 	Budget  CellsBudget
 }
@@ -28,7 +28,7 @@
 // CellsOf is the world that a seed goes through: by turns one with much that goes wrong and one with many requests.
 func CellsOf(seed uint64) CellsConfig {
 	return CellsConfig{
-		Effects: []custody.Effect{custody.Unsafe, custody.Keyed, custody.Unsafe, custody.Unsafe},
+		Effects: []takeover.Effect{takeover.Unsafe, takeover.Keyed, takeover.Unsafe, takeover.Unsafe},
 		Budget:  []CellsBudget{CellsMuch, CellsBusy}[seed%2],
 	}
 }
@@ -45,7 +45,7 @@
 
 // cellRecord is what the holders of a cell have agreed on for one request: custody's own explorer shows that they are as one.
 type cellRecord struct {
-	owner  custody.Member
+	owner  takeover.Member
 	answer int // the run that is the answer; 0: none yet
 	failed bool
 	to     cells.ID    // it is that cell's from now on
@@ -56,7 +56,7 @@
 type cellWork struct {
 	request int
 	cell    cells.ID // in whose records it stands; 0: none
-	as      custody.Member
+	as      takeover.Member
 	checked bool
 	sent    bool
 	run     int
@@ -111,7 +111,7 @@
 func (c *oneCell) now() *cells.Log { return c.log[len(c.log)-1] }
 
 type cellRequest struct {
-	effect custody.Effect
+	effect takeover.Effect
 	former string // whom its client asked first
 	asked  int64  // when; -1: not yet
 	asks   int
@@ -188,7 +188,7 @@
 
 func (w *cellsWorld) process(name string, cell cells.ID) *cellProc {
 	w.ids++
-	return &cellProc{name: name, up: true, inc: w.ids, node: cells.NewNode(custody.Member{Name: name, Incarnation: w.ids}, cell)}
+	return &cellProc{name: name, up: true, inc: w.ids, node: cells.NewNode(takeover.Member{Name: name, Incarnation: w.ids}, cell)}
 }
 
 func (w *cellsWorld) breaks(format string, args ...any) {
@@ -485,7 +485,7 @@
 func (w *cellsWorld) place(c *oneCell) {
 	for _, s := range c.now().Heard.Part.Seats {
 		if o := w.cell(s.From); s.From != 0 && o != nil && !o.cut && !c.cut {
-			w.agree(c, cells.Entry{Kind: cells.Expect, Member: custody.Member{Name: s.Name}, Came: o.now().Certificate(s.Name)})
+			w.agree(c, cells.Entry{Kind: cells.Expect, Member: takeover.Member{Name: s.Name}, Came: o.now().Certificate(s.Name)})
 		}
 	}
 }
@@ -494,7 +494,7 @@
 func (w *cellsWorld) drop(c *oneCell) {
 	for _, name := range []string{"a", "b", "c", "d"} {
 		if at, ok := c.came[name]; ok && w.now-at >= cellKeep {
-			if w.agree(c, cells.Entry{Kind: cells.Drop, Member: custody.Member{Name: name}}) && c.now().Left[name].Move == 0 {
+			if w.agree(c, cells.Entry{Kind: cells.Drop, Member: takeover.Member{Name: name}}) && c.now().Left[name].Move == 0 {
 				delete(c.came, name)
 			}
 		}
@@ -615,7 +615,7 @@
 		if !w.apart() && !w.homeless(q) {
 			w.breaks("nobody can say what became of r%d, though all can be reached", i.request)
 		}
-		if q.effect == custody.Keyed { // within its key's window it goes again, without custody
+		if q.effect == takeover.Keyed { // within its key's window it goes again, without custody
 			p.work = append(p.work, &cellWork{request: i.request, as: p.node.Me})
 			return
 		}
@@ -688,7 +688,7 @@
 		i.hops--
 		return
 	}
-	if (c.records[i.request] != nil || i.with != nil) && w.requests[i.request].effect == custody.Unsafe {
+	if (c.records[i.request] != nil || i.with != nil) && w.requests[i.request].effect == takeover.Unsafe {
 		c.records[i.request] = &cellRecord{failed: true}
 		w.say("%s judges that r%d may have run", t.name, i.request)
 		return
@@ -748,12 +748,12 @@
 		o.checked = true
 	case !o.sent:
 		o.sent = true
-		if q.effect != custody.Keyed || q.runs == 0 {
+		if q.effect != takeover.Keyed || q.runs == 0 {
 			q.runs++
 		}
 		o.run = q.runs
 		w.say("%s sends r%d", p.name, o.request)
-		if q.effect == custody.Unsafe && q.runs > 1 {
+		if q.effect == takeover.Unsafe && q.runs > 1 {
 			w.breaks("r%d runs twice", o.request)
 		}
 	default:
--- a/internal/explore/cells_test.go
+++ b/internal/lab/modelcheck/cells_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"strings"
--- a/internal/explore/explore.go
+++ b/internal/lab/modelcheck/explore.go
@@ -1,9 +1,9 @@
-// Package explore looks for orders of events under which custody breaks a promise.
+// Package modelcheck looks for orders of events under which custody breaks a promise.
 //
 // Its world is abstract: an agreed log, leases that end only when the world says so, a network that loses, doubles
 // and reorders, processes that crash, restart and pause between a check and the write that follows it.
 // What is checked is what servers ran and what clients were told, never a node's own view.
-package explore
+package modelcheck
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"slices"
 	"strings"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 // Budget bounds what may go wrong in one history.
@@ -28,9 +28,9 @@
 
 // Config is what is explored.
 type Config struct {
-	Effects []custody.Effect // of the requests
-	Strict  bool             // keyed work too goes out under custody alone
-	Plant   custody.Plant
+	Effects []takeover.Effect // of the requests
+	Strict  bool              // keyed work too goes out under custody alone
+	Plant   takeover.Plant
 	Budget  Budget
 }
 
@@ -45,19 +45,19 @@
 
 // message is one on its way.
 type message struct {
-	from custody.Member
+	from takeover.Member
 	to   string
-	m    custody.Message
+	m    takeover.Message
 }
 
 // proc is one name's process.
 type proc struct {
 	up    bool
-	me    custody.Member
+	me    takeover.Member
 	lease bool // until the world ends it
 	now   int64
 	epoch int // of the log, as it has learned it
-	node  *custody.Node
+	node  *takeover.Node
 	work  map[int]*work // by request
 	waits map[int]bool  // requests whose clients wait here
 	asked map[int]int   // the step at which they asked
@@ -73,13 +73,13 @@
 
 // entry is one of the log.
 type entry struct {
-	m   custody.Member
+	m   takeover.Member
 	out bool
 }
 
 // request is what the world knows of one.
 type request struct {
-	effect custody.Effect
+	effect takeover.Effect
 	asks   int
 	runs   int  // with an effect
 	owned  int  // runs under custody: no refusal goes with one. A key's other runs are dropped by servers, so that it may
@@ -117,7 +117,7 @@
 	}
 	for _, name := range names {
 		w.incs[name] = 1
-		w.log = append(w.log, entry{m: custody.Member{Name: name, Incarnation: 1}})
+		w.log = append(w.log, entry{m: takeover.Member{Name: name, Incarnation: 1}})
 	}
 	for _, name := range names {
 		p := w.process(name, 1)
@@ -128,10 +128,10 @@
 }
 
 func (w *world) process(name string, inc uint64) *proc {
-	me := custody.Member{Name: name, Incarnation: inc}
+	me := takeover.Member{Name: name, Incarnation: inc}
 	return &proc{
 		up: true, me: me, lease: true, work: map[int]*work{}, waits: map[int]bool{}, asked: map[int]int{},
-		node: custody.New(custody.Config{
+		node: takeover.New(takeover.Config{
 			Me: me, Names: names, Holders: 3, Records: 100, Bytes: 1 << 20, Keep: longest, Longest: longest, Wait: wait, Again: again,
 			Stagger: again, Plant: w.conf.Plant,
 		}),
@@ -139,15 +139,15 @@
 }
 
 // view is the log's meaning up to an epoch.
-func (w *world) view(epoch int) *custody.View {
-	v := &custody.View{Epoch: uint64(epoch), Live: map[custody.Member]custody.Standing{}}
+func (w *world) view(epoch int) *takeover.View {
+	v := &takeover.View{Epoch: uint64(epoch), Live: map[takeover.Member]takeover.Standing{}}
 	met := map[string]bool{}
 	for i, e := range w.log[:epoch] {
 		if e.out {
 			delete(v.Live, e.m)
 			continue
 		}
-		v.Live[e.m] = custody.Standing{Joined: uint64(i + 1), First: !met[e.m.Name]}
+		v.Live[e.m] = takeover.Standing{Joined: uint64(i + 1), First: !met[e.m.Name]}
 		met[e.m.Name] = true
 	}
 	return v
@@ -163,9 +163,9 @@
 
 func index(id string) (i int) { fmt.Sscanf(id, "r%d", &i); return i }
 
-func (w *world) record(i int) custody.Record {
-	r := custody.Record{ID: id(i), Digest: 1, Effect: w.requests[i].effect, Life: longest}
-	if r.Effect == custody.Keyed {
+func (w *world) record(i int) takeover.Record {
+	r := takeover.Record{ID: id(i), Digest: 1, Effect: w.requests[i].effect, Life: longest}
+	if r.Effect == takeover.Keyed {
 		r.Request = []byte("x")
 	}
 	return r
@@ -188,59 +188,59 @@
 }
 
 // does is what the program does on a node's word.
-func (w *world) does(p *proc, e custody.Event) {
+func (w *world) does(p *proc, e takeover.Event) {
 	i := index(e.ID)
-	if e.Taken && (e.Does == custody.Run || e.Does == custody.Give && e.Judged) &&
+	if e.Taken && (e.Does == takeover.Run || e.Does == takeover.Give && e.Judged) &&
 		e.From != p.me && w.view(len(w.log)).Lives(e.From) {
 		w.breaks("%s takes %s from %s, which lives", p.me.Name, e.ID, e.From.Name)
 	}
 	switch e.Does {
-	case custody.Run:
+	case takeover.Run:
 		p.work[i] = &work{owned: true}
-	case custody.Give:
+	case takeover.Give:
 		w.tell(p, i, e.Record.Answer)
-	case custody.Missing:
-		switch e.Next(w.conf.Strict || w.requests[i].effect == custody.Unsafe) { // without records unsafe work may run twice
-		case custody.Refuse:
-			w.tell(p, i, custody.Answer{Verdict: custody.Refused})
-		case custody.Fail:
+	case takeover.Missing:
+		switch e.Next(w.conf.Strict || w.requests[i].effect == takeover.Unsafe) { // without records unsafe work may run twice
+		case takeover.Refuse:
+			w.tell(p, i, takeover.Answer{Verdict: takeover.Refused})
+		case takeover.Fail:
 			p.node.Drop(e.ID)
-			w.tell(p, i, custody.Answer{Verdict: custody.Failed, Why: unknown})
+			w.tell(p, i, takeover.Answer{Verdict: takeover.Failed, Why: unknown})
 		default:
 			p.node.Drop(e.ID)
 			p.work[i] = &work{}
 		}
-	case custody.Doubled, custody.Lost:
+	case takeover.Doubled, takeover.Lost:
 		delete(p.waits, i)
 		delete(p.work, i)
-	case custody.Orphan:
+	case takeover.Orphan:
 		if p.work[i] == nil {
 			p.node.Resume(p.now, e.Record)
 		}
-	case custody.Kept:
+	case takeover.Kept:
 		w.requests[i].kept = w.requests[i].kept || w.requests[i].served != 0
 	}
 }
 
 // tell gives a client that waits here its answer, and looks whether it agrees with what was told before.
-func (w *world) tell(p *proc, i int, a custody.Answer) {
+func (w *world) tell(p *proc, i int, a takeover.Answer) {
 	if !p.waits[i] {
 		return
 	}
 	delete(p.waits, i)
 	r := w.requests[i]
 	w.history = append(w.history, Heard{
-		i, p.asked[i], w.step, fmt.Sprint(a.Verdict, a.Body), a.Verdict == custody.Refused || a.Why == unknown || r.effect == custody.Safe,
+		i, p.asked[i], w.step, fmt.Sprint(a.Verdict, a.Body), a.Verdict == takeover.Refused || a.Why == unknown || r.effect == takeover.Safe,
 	})
 	r.told = append(r.told, fmt.Sprint(a.Verdict, string(a.Body)))
 	switch a.Verdict {
-	case custody.Served:
+	case takeover.Served:
 		run := int(a.Body[0])
-		if r.effect != custody.Safe && r.served != 0 && r.served != run {
+		if r.effect != takeover.Safe && r.served != 0 && r.served != run {
 			w.breaks("two answers to %s", id(i))
 		}
 		r.served = run
-	case custody.Refused:
+	case takeover.Refused:
 		if r.owned > 0 {
 			w.breaks("%s is refused though it ran", id(i))
 		}
@@ -249,7 +249,7 @@
 				o.node.Drop(id(i))
 			}
 		}
-	case custody.Failed:
+	case takeover.Failed:
 		if r.kept && a.Why != unknown {
 			w.breaks("%s fails though a quorum had its answer", id(i))
 		}
@@ -328,7 +328,7 @@
 	case !k.checked:
 		*out = append(*out, move{"check " + name, func(w *world) {
 			p := w.procs[n]
-			if k := p.work[i]; !k.owned || p.lease || w.conf.Plant == custody.LeaseUnchecked {
+			if k := p.work[i]; !k.owned || p.lease || w.conf.Plant == takeover.LeaseUnchecked {
 				k.checked = true
 				if k.owned && !p.lease {
 					w.breaks("%s sends %s after its lease", p.me.Name, id(i))
@@ -342,17 +342,17 @@
 		*out = append(*out, move{"write " + name, func(w *world) {
 			k, r := w.procs[n].work[i], w.requests[i]
 			k.sent = true
-			if r.effect != custody.Keyed || r.runs == 0 { // a key that is known has no second effect
+			if r.effect != takeover.Keyed || r.runs == 0 { // a key that is known has no second effect
 				r.runs++
 			}
 			k.answer = r.runs
 			if k.owned {
 				r.owned++
 			}
-			if r.effect == custody.Unsafe && r.runs > 1 {
+			if r.effect == takeover.Unsafe && r.runs > 1 {
 				w.breaks("%s runs twice", id(i))
 			}
-			if k.owned && slices.ContainsFunc(r.told, func(t string) bool { return strings.HasPrefix(t, fmt.Sprint(custody.Refused)) }) {
+			if k.owned && slices.ContainsFunc(r.told, func(t string) bool { return strings.HasPrefix(t, fmt.Sprint(takeover.Refused)) }) {
 				w.breaks("%s runs though it was refused", id(i))
 			}
 		}})
@@ -365,7 +365,7 @@
 				delete(p.waits, i)
 				return
 			}
-			a := custody.Answer{Verdict: custody.Served, Body: []byte{byte(k.answer)}}
+			a := takeover.Answer{Verdict: takeover.Served, Body: []byte{byte(k.answer)}}
 			if k.owned {
 				p.node.Answered(p.now, id(i), a)
 			}
--- a/internal/explore/explore_test.go
+++ b/internal/lab/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"context"
@@ -7,12 +7,12 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"damsonscale/internal/custody"
+	"damsonscale/internal/takeover"
 )
 
 var (
-	one  = []custody.Effect{custody.Unsafe}
-	both = []custody.Effect{custody.Unsafe, custody.Keyed}
+	one  = []takeover.Effect{takeover.Unsafe}
+	both = []takeover.Effect{takeover.Unsafe, takeover.Keyed}
 )
 
 // No order of events breaks a promise: all short ones, and many long ones.
@@ -71,14 +71,14 @@
 // Each planted fault is found. Guards against an explorer that can find nothing.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
-		plant custody.Plant
+		plant takeover.Plant
 		name  string
 		with  Budget
 	}{
-		{custody.LeaseUnchecked, "lease not checked", Much},
-		{custody.SendEarly, "sent before the holders have it", Budget{Asks: 2, Losses: 4}},
-		{custody.EpochWrong, "epoch compared the wrong way", Much},
-		{custody.AnswerForgot, "answer forgotten", Budget{Asks: 2, Crashes: 1, Fences: 1, Ticks: 2}},
+		{takeover.LeaseUnchecked, "lease not checked", Much},
+		{takeover.SendEarly, "sent before the holders have it", Budget{Asks: 2, Losses: 4}},
+		{takeover.EpochWrong, "epoch compared the wrong way", Much},
+		{takeover.AnswerForgot, "answer forgotten", Budget{Asks: 2, Crashes: 1, Fences: 1, Ticks: 2}},
 	} {
 		found, seed := "", uint64(0)
 		for ; seed < 5_000 && found == ""; seed++ {
--- a/internal/watch/watch.go
+++ b/internal/shadow/watch.go
@@ -1,9 +1,9 @@
-// Package watch judges a second set of settings on the events of a serving balancer, without input or output, and
+// Package shadow judges a second set of settings on the events of a serving balancer, without input or output, and
 // counts where it would have decided otherwise.
 //
 // The watch is an actor of its own. What it is shown it takes from a mailbox that is never waited for: where that is
 // full, or the second balancer fails, the watch ends and says so, and serving goes on untouched.
-package watch
+package shadow
 
 import (
 	"fmt"
--- a/internal/watch/watch_test.go
+++ b/internal/shadow/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package shadow
 
 import (
 	"bytes"
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"damsonscale/decide"
-	"damsonscale/internal/acts"
+	"damsonscale/internal/auditevent"
 	"damsonscale/internal/discovery"
+	"damsonscale/internal/shadow"
 	"damsonscale/internal/upstream"
-	"damsonscale/internal/watch"
 )
 
 // actions carries out what the module does. Its methods run on the actor and never wait.
@@ -19,7 +19,7 @@
 // SendAttempt starts an attempt.
 func (x actions) SendAttempt(request, server string, timeout int64) {
 	s, c := x.s, x.s.calls[request]
-	s.note(watch.Act{Do: watch.Send, Request: request, Server: server, Time: timeout})
+	s.note(shadow.Act{Do: shadow.Send, Request: request, Server: server, Time: timeout})
 	if c == nil {
 		return
 	}
@@ -40,7 +40,7 @@
 		s.box <- func(now int64) { s.settle(now, c, n, a, r) }
 	}
 	if s.ledger != nil {
-		ref := s.act(acts.Sent, request, server)
+		ref := s.act(auditevent.Sent, request, server)
 		a.Actor = ref.Append(nil)
 	}
 	c.attempts = append(c.attempts, a)
@@ -66,13 +66,13 @@
 
 // Reject answers that a new try is harmless.
 func (x actions) Reject(request string, retryAfter int64) {
-	x.s.note(watch.Act{Do: watch.Refused, Request: request})
+	x.s.note(shadow.Act{Do: shadow.Refused, Request: request})
 	x.answer(request, Answer{Verdict: Refused, RetryAfter: time.Duration(retryAfter) * time.Microsecond})
 }
 
 // Fail answers that the request failed.
 func (x actions) Fail(request string) {
-	x.s.note(watch.Act{Do: watch.Failed, Request: request})
+	x.s.note(shadow.Act{Do: shadow.Failed, Request: request})
 	x.answer(request, Answer{Verdict: Failed})
 }
 
@@ -99,7 +99,7 @@
 
 // CloseIdleConnections closes the idle connections to a server.
 func (x actions) CloseIdleConnections(server string) {
-	x.s.note(watch.Act{Do: watch.Closed, Server: server})
+	x.s.note(shadow.Act{Do: shadow.Closed, Server: server})
 	x.s.peer(server).CloseIdle()
 }
 
@@ -114,7 +114,7 @@
 	s := x.s
 	time.AfterFunc(time.Duration(in)*time.Microsecond, func() {
 		s.box <- func(now int64) {
-			s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnTimer(now, token) }})
+			s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnTimer(now, token) }})
 		}
 	})
 }
--- a/internal/sidecar/herd_test.go
+++ b/internal/sidecar/herd_test.go
@@ -7,7 +7,7 @@
 
 	"damsonscale/decide"
 	"damsonscale/internal/config"
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // A list service that works through calls in turn, also through those that were given up, is stuck or down and comes back
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"damsonscale/decide"
-	"damsonscale/internal/acts"
+	"damsonscale/internal/auditevent"
 	"damsonscale/internal/config"
 	"damsonscale/internal/discovery"
+	"damsonscale/internal/shadow"
 	"damsonscale/internal/upstream"
-	"damsonscale/internal/watch"
 )
 
 const (
@@ -33,8 +33,8 @@
 	settings  *decide.Settings // in force
 	transport config.Transport
 	balancer  *decide.Balancer
-	watch     *watch.Watch // nil: off
-	acts      []watch.Act  // of the event at hand, while watched
+	watch     *shadow.Watch // nil: off
+	acts      []shadow.Act  // of the event at hand, while watched
 	list      *discovery.Client
 	shared    upstream.Shared
 	box       chan func(now int64)
@@ -42,11 +42,11 @@
 	calls     map[string]*Call
 	foreign   map[string]bool // ids that another process of this sidecar has under way
 	peers     map[string]*peer
-	known     chan struct{} // closed once any server is known
-	first     sync.Once     // closes it
-	ledger    acts.Ledger   // nil: no account is kept
-	seq       int64         // of the list; -1: none yet
-	number    uint64        // of the settings in force, and their digest, where a fleet gives them
+	known     chan struct{}     // closed once any server is known
+	first     sync.Once         // closes it
+	ledger    auditevent.Ledger // nil: no account is kept
+	seq       int64             // of the list; -1: none yet
+	number    uint64            // of the settings in force, and their digest, where a fleet gives them
 	digest    uint64
 	stamp     atomic.Uint32 // of the version in force
 	ending    chan struct{} // closed by End
@@ -78,13 +78,13 @@
 	s.tellKnown()
 	s.balancer = decide.New(listed(conf.Settings), conf.Seed, actions{s})
 	if conf.Watch != nil {
-		s.watch = watch.New()
+		s.watch = shadow.New()
 	}
 	return s
 }
 
 // Audit has an account kept of what this sidecar does. It must be called before Run.
-func (s *Sidecar) Audit(l acts.Ledger) {
+func (s *Sidecar) Audit(l auditevent.Ledger) {
 	if s.ledger, s.seq = l, -1; s.conf.Known != nil {
 		s.seq = s.conf.Known.Seq
 	}
@@ -100,10 +100,10 @@
 }
 
 // Under is the version in force.
-func (s *Sidecar) Under() acts.Stamp { return acts.Stamp(s.stamp.Load()) }
+func (s *Sidecar) Under() auditevent.Stamp { return auditevent.Stamp(s.stamp.Load()) }
 
 // act notes what this sidecar does, when it decides it.
-func (s *Sidecar) act(k acts.Kind, id, note string) (r acts.Ref) {
+func (s *Sidecar) act(k auditevent.Kind, id, note string) (r auditevent.Ref) {
 	if s.ledger != nil {
 		r = s.ledger.Add(k, s.Under(), id, note)
 	}
@@ -145,7 +145,7 @@
 	if k := s.conf.Known; k != nil && len(k.Hosts) > 0 && !s.settings.EndpointsPushed {
 		now := s.now()
 		known := s.servers(now, k)
-		s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, known, true) }})
+		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, known, true) }})
 	}
 	for {
 		select {
@@ -158,7 +158,7 @@
 }
 
 // tell tells the module of an event, and the watch of both that and what the module did.
-func (s *Sidecar) tell(e watch.Event) {
+func (s *Sidecar) tell(e shadow.Event) {
 	e.Apply(s.balancer)
 	if s.watch != nil {
 		e.Acts, s.acts = s.acts, nil
@@ -167,7 +167,7 @@
 }
 
 // note keeps an action of the module for the watch.
-func (s *Sidecar) note(a watch.Act) {
+func (s *Sidecar) note(a shadow.Act) {
 	if s.watch != nil {
 		s.acts = append(s.acts, a)
 	}
@@ -261,7 +261,7 @@
 // Beside tells that another process of this sidecar serves too, or no longer: they share one budget of attempts.
 func (s *Sidecar) Beside(other bool) {
 	s.box <- func(now int64) {
-		s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.SetPeerProcessActive(now, other) }})
+		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.SetPeerProcessActive(now, other) }})
 	}
 }
 
@@ -278,9 +278,9 @@
 		return
 	}
 	s.calls[c.Request.ID] = c
-	if kind := acts.Took; s.ledger != nil {
+	if kind := auditevent.Took; s.ledger != nil {
 		if c.Request.PriorAttemptAge > 0 {
-			kind = acts.TookOver
+			kind = auditevent.TookOver
 		}
 		s.act(kind, c.Request.ID, c.class.Name)
 	}
@@ -288,7 +288,7 @@
 		c.Request.TimeLeft = max(0, s.at(c.giveUp)-now)
 	}
 	request := c.Request
-	s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnRequest(now, request) }})
+	s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnRequest(now, request) }})
 }
 
 // admitted finds the places of a call that was read just before the settings changed; false: its class means another
@@ -322,7 +322,7 @@
 		s.restamp()
 		s.shared.Retune(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
 		set := listed(conf.Settings)
-		e := watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.UpdateSettings(now, set) }}
+		e := shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.UpdateSettings(now, set) }}
 		if conf.Watch != nil {
 			second := listed(conf.Watch.Settings)
 			e.Second = func(b *decide.Balancer) { b.UpdateSettings(now, second) }
@@ -341,7 +341,7 @@
 	}
 	c.answered = true
 	id := c.Request.ID
-	s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnClientDisconnected(now, id) }, Ends: id})
+	s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnClientDisconnected(now, id) }, Ends: id})
 	s.forget(c)
 }
 
@@ -354,7 +354,7 @@
 				return
 			}
 			id := c.Request.ID
-			s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnStreamStarted(now, id, n) }})
+			s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnStreamStarted(now, id, n) }})
 		}
 	}
 }
@@ -375,7 +375,7 @@
 		s.seq = l.Seq
 		s.restamp()
 		list := s.servers(now, l)
-		s.tell(watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, list, l.Whole) }})
+		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, list, l.Whole) }})
 		for host := range s.peers {
 			s.retire(host)
 		}
@@ -491,7 +491,7 @@
 		s.finish(c, Answer{Verdict: verdict})
 	}
 	if r.End == upstream.Unwritten || r.End == upstream.Unreachable {
-		s.act(acts.Unsent, c.Request.ID, a.Host)
+		s.act(auditevent.Unsent, c.Request.ID, a.Host)
 	}
 	sent := a.Sent
 	if !r.SentAt.IsZero() { // no server could begin before
@@ -501,7 +501,7 @@
 		Request: c.Request.ID, Attempt: n, Server: a.Host, Result: result,
 		Latency: r.At.Sub(sent).Microseconds(), RequestAnswered: c.answered, Load: r.Load, BodyConsumed: r.Spent,
 	}
-	e := watch.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnOutcome(now, o) }, Settles: o.Request}
+	e := shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnOutcome(now, o) }, Settles: o.Request}
 	if o.RequestAnswered {
 		e.Ends = o.Request
 	}
--- a/internal/drill/drill.go
+++ b/internal/simwire/drill.go
@@ -1,6 +1,6 @@
-// Package drill speaks the simulator's wire and hosts one decide.Balancer for each instance on it.
+// Package simwire speaks the simulator's wire and hosts one decide.Balancer for each instance on it.
 // It decides nothing.
-package drill
+package simwire
 
 import (
 	"bufio"
--- a/internal/drill/parse.go
+++ b/internal/simwire/parse.go
@@ -1,4 +1,4 @@
-package drill
+package simwire
 
 import (
 	"bytes"
--- a/internal/custody/port.go
+++ b/internal/takeover/port.go
@@ -1,4 +1,4 @@
-package custody
+package takeover
 
 import "time"
 
--- a/internal/custody/record.go
+++ b/internal/takeover/record.go
@@ -1,9 +1,9 @@
-// Package custody decides who owns a request, so that its work survives the loss of its sidecar and is done once.
+// Package takeover decides who owns a request, so that its work survives the loss of its sidecar and is done once.
 //
 // A Node is one process's part: a holder of others' records, and the owner of its own. It does no input or output and
 // reads no clock; times are µs of the caller's monotonic clock, ages µs since the first owner took the request. The
 // protocol and why it is right are in docs/takeover.md.
-package custody
+package takeover
 
 import (
 	"cmp"
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"damsonscale/internal/standin"
+	"damsonscale/internal/lab/standin"
 )
 
 // A second answer that comes some milliseconds after the first is no answer to the next request: a connection rests before
