--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -24,11 +24,11 @@
 
 	"damsonscale/decide"
 	"damsonscale/internal/config"
-	"damsonscale/internal/custody"
 	"damsonscale/internal/discovery"
+	"damsonscale/internal/lab/standin"
 	"damsonscale/internal/lifecycle"
 	"damsonscale/internal/sidecar"
-	"damsonscale/internal/standin"
+	"damsonscale/internal/takeover"
 	"damsonscale/internal/upstream"
 )
 
@@ -41,9 +41,9 @@
 		Transport: config.Transport{ConnIdle: time.Minute, DialTimeout: time.Minute},
 		Settings: decide.Settings{
 			Classes: []decide.Class{
-				{Name: "look", Worth: 1},
-				{Name: "make", Worth: 1, Semantics: decide.Deduplicated, Window: 60_000_000},
-				{Name: "once", Worth: 1, Semantics: decide.AtMostOnce},
+				{Name: "look", PriorityWeight: 1},
+				{Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed, DedupWindow: 60_000_000},
+				{Name: "once", PriorityWeight: 1, Semantics: decide.AtMostOnce},
 			},
 			Limits: decide.Limits{Cancel: true, MaxAttempts: 4},
 		},
@@ -217,7 +217,7 @@
 			})
 			f, side, ln := before(t, s.Addr, 8, func(c *config.Config, f *Frontend) {
 				c.Discovery, c.Known.Hosts[0].BornMs = list, time.Now().UnixMilli()
-				c.Settings.Rules.ColdFor, c.Settings.Rules.ColdFrom = 3_600_000_000, 0.1
+				c.Settings.Rules.SlowStartWindow, c.Settings.Rules.SlowStartMinShare = 3_600_000_000, 0.1
 			})
 			return &scene{s, f, side, ln, 0, func() { close(room) }}
 		}, 0},
@@ -487,18 +487,18 @@
 // Work that is taken over unasked is not run where its class has another effect by now, or is none.
 func TestUnaskedAcrossAReload(t *testing.T) {
 	f, _ := serving(t, nil)
-	rec := &custody.Record{Class: "make", Effect: custody.Keyed, Life: 1_000_000}
+	rec := &takeover.Record{Class: "make", Effect: takeover.Keyed, Life: 1_000_000}
 	for _, c := range []struct {
 		classes []decide.Class
 		runs    bool
 	}{
-		{[]decide.Class{{Name: "make", Worth: 1, Semantics: decide.Deduplicated}}, true},
-		{[]decide.Class{{Name: "other", Worth: 1}, {Name: "make", Worth: 1, Semantics: decide.Deduplicated}}, true},
-		{[]decide.Class{{Name: "make", Worth: 1, Semantics: decide.AtMostOnce}}, false},
-		{[]decide.Class{{Name: "made", Worth: 1, Semantics: decide.Deduplicated}}, false},
+		{[]decide.Class{{Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, true},
+		{[]decide.Class{{Name: "other", PriorityWeight: 1}, {Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, true},
+		{[]decide.Class{{Name: "make", PriorityWeight: 1, Semantics: decide.AtMostOnce}}, false},
+		{[]decide.Class{{Name: "made", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, false},
 	} {
 		f.Retune(&decide.Settings{Classes: c.classes})
-		if _, err := f.Unasked(rec, &custody.Stored{}); (err == nil) != c.runs {
+		if _, err := f.Unasked(rec, &takeover.Stored{}); (err == nil) != c.runs {
 			t.Errorf("%+v: %v", c.classes, err)
 		}
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"damsonscale/decide"
-	"damsonscale/internal/acts"
+	"damsonscale/internal/auditevent"
 )
 
 // Message is a request as it goes on: its bytes as they came, but for the fields that the sidecar owns.
@@ -30,7 +30,7 @@
 	head = append(append(head, m.Head...), DeadlineHeader+": "...)
 	head = strconv.AppendInt(head, max(1, left.Milliseconds()), 10)
 	if len(actor) > 0 {
-		head = append(append(head, "\r\n"+acts.Header+": "...), actor...)
+		head = append(append(head, "\r\n"+auditevent.Header+": "...), actor...)
 	}
 	head = append(head, "\r\n\r\n"...)
 	if m.chunks() && len(m.Body) > 0 {
@@ -121,7 +121,7 @@
 	Fresh       bool // a new connection was opened for it
 	Body        []byte
 	ContentType []byte
-	Load        *decide.Load
+	Load        *decide.LoadReport
 	SentAt      time.Time // when the last byte of a body that was not held had gone; zero: at once
 	Spent       bool      // a part of the body has gone that is not held: it can't be sent again
 }
