--- a/decide/backoff_test.go
+++ b/decide/backoff_test.go
@@ -15,10 +15,10 @@
 				set := testSettings()
 				set.BalancerCount = balancers
 				b := New(set, seed, silent{})
-				for b.asks = range 20 {
-					wait := b.backoff(waited)
-					if wait < askFirst/10 || wait > max(askFirst, 4_500_000-waited) {
-						t.Fatalf("%d balancers, failure %d after %d us: asks in %d us", balancers, b.asks, waited, wait)
+				for b.pollFailures = range 20 {
+					wait := b.pollBackoff(waited)
+					if wait < minPollSpan/10 || wait > max(minPollSpan, 4_500_000-waited) {
+						t.Fatalf("%d balancers, failure %d after %d us: asks in %d us", balancers, b.pollFailures, waited, wait)
 					}
 				}
 			}
@@ -39,13 +39,13 @@
 				var calls [(span + 10*second) / window]int
 				for seed := range uint64(n) {
 					b := New(set, seed, silent{})
-					for now := b.backoff(0); now < span; {
+					for now := b.pollBackoff(0); now < span; {
 						calls[now/window]++
-						b.asks++
-						now += hangs + b.backoff(hangs)
+						b.pollFailures++
+						now += hangs + b.pollBackoff(hangs)
 					}
 				}
-				expected := float64(window) / 0.9 * max(float64(n)/askTurn, 1.0/askSlot)
+				expected := float64(window) / 0.9 * max(float64(n)/maxPollDelay, 1.0/pollSlotPerBalancer)
 				most := expected + 4*math.Sqrt(expected)
 				for i, got := range calls[:span/window] {
 					if float64(got) > most {
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -24,11 +24,11 @@
 				now += 100_000
 				id := ids[i%len(ids)]
 				bal.OnRequest(now, Request{ID: id, Tenant: -1, TimeLeft: 2 * second, Key: id})
-				if r := bal.open[id]; r != nil && len(r.tries) > 0 {
-					bal.OnOutcome(now, Outcome{Request: id, Server: r.tries[0].server.ID, Latency: 60_000, RequestAnswered: true})
+				if r := bal.openRequests[id]; r != nil && len(r.attempts) > 0 {
+					bal.OnOutcome(now, Outcome{Request: id, Server: r.attempts[0].endpoint.ID, Latency: 60_000, RequestAnswered: true})
 				}
 				if i%10 == 0 {
-					bal.OnTimer(now, tokenSecond)
+					bal.OnTimer(now, timerSecond)
 				}
 			}
 		})
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -254,7 +254,7 @@
 // A token holds for a time, is one at the most, and the next comes when it would have come without it: traffic moves none.
 // By hand: one each 100 µs, holding for 30.
 func TestTokensRunOut(t *testing.T) {
-	k := bucket{tokens: 0.5}
+	k := expiringTokenBucket{tokens: 0.5}
 	for _, at := range []struct {
 		now  int64
 		want bool
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -17,18 +17,18 @@
 // plain is a request of the first class that has done nothing yet.
 func plain(b *Balancer) *request {
 	c := b.classes[0]
-	return &request{class: c, rules: c.Class, most: b.set.Limits.MaxAttempts}
+	return &request{class: c, classRules: c.Class, maxAttempts: b.settings.Limits.MaxAttempts}
 }
 
 // The design's formula by hand: weights 1, 2, 1 give (1-0.07)*2/4 + 0.07/3 = 0.488333.
 func TestProbabilityOfADraw(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(3)...)
-	w.b.known["s1"].setLog(math.Log(2))
+	w.b.knownEndpoints["s1"].setLogWeight(math.Log(2))
 	want := []float64{0.255833, 0.488333, 0.255833}
 	seen := map[string]float64{}
 	for range 200 {
-		w.b.candidates(w.now, plain(w.b), nil)
-		s, p := w.b.pick(4, 3, nil)
+		w.b.collectCandidates(w.now, plain(w.b), nil)
+		s, p := w.b.sampleCandidate(4, 3, nil)
 		seen[s.ID] = p
 	}
 	for i, p := range want {
@@ -43,9 +43,9 @@
 	list := fleet(3)
 	list[0].Capacity = 4
 	w := newWorld(t, set, list...)
-	w.b.candidates(w.now, plain(w.b), nil)
+	w.b.collectCandidates(w.now, plain(w.b), nil)
 	for range 200 {
-		if s, p := w.b.pick(3, 3, nil); s.ID == "s0" {
+		if s, p := w.b.sampleCandidate(3, 3, nil); s.ID == "s0" {
 			near(t, "p of the big server", p, 4.0/6, 1e-9)
 			return
 		}
@@ -56,13 +56,13 @@
 // By hand: a payoff of 1 drawn with p 0.5 among 3 adds 0.07*1/(0.5*3) = 0.046667; one of 0 adds nothing.
 func TestUpdateOfTheDrawnServer(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(3)...)
-	s := w.b.servers[0]
-	w.b.learn(&attempt{server: s, p: 0.5}, 1)
-	near(t, "log-weight after an answer", s.log, 0.0466667, 1e-6)
-	w.b.learn(&attempt{server: s, p: 0.5}, 0)
-	near(t, "log-weight after a failure", s.log, 0.0466667, 1e-6)
-	for _, other := range w.b.servers[1:] {
-		near(t, "log-weight of a server not drawn", other.log, 0, 0)
+	s := w.b.endpoints[0]
+	w.b.updateWeight(&attempt{endpoint: s, probability: 0.5}, 1)
+	near(t, "log-weight after an answer", s.logWeight, 0.0466667, 1e-6)
+	w.b.updateWeight(&attempt{endpoint: s, probability: 0.5}, 0)
+	near(t, "log-weight after a failure", s.logWeight, 0.0466667, 1e-6)
+	for _, other := range w.b.endpoints[1:] {
+		near(t, "log-weight of a server not drawn", other.logWeight, 0, 0)
 	}
 }
 
@@ -73,13 +73,13 @@
 	for perSecond, want := range map[int]float64{2: 3 * gamma, 10: 2 * gamma, 40: gamma} {
 		w := newWorld(t, testSettings(), fleet(4)...)
 		for range 20 {
-			for _, s := range w.b.servers {
-				s.answered = perSecond / 4
+			for _, s := range w.b.endpoints {
+				s.successesThisSecond = perSecond / 4
 			}
-			w.b.servers[0].answered += perSecond % 4
-			w.b.everySecond(w.now)
+			w.b.endpoints[0].successesThisSecond += perSecond % 4
+			w.b.onSecond(w.now)
 		}
-		near(t, fmt.Sprint("rate at ", perSecond, " answers a second"), w.b.learnRate, want, 0.01*want)
+		near(t, fmt.Sprint("rate at ", perSecond, " answers a second"), w.b.learningRate, want, 0.01*want)
 	}
 }
 
@@ -87,9 +87,9 @@
 // aim of 400 ms; the failure: machines that took six times as long as others in a crowded fleet kept their part.
 // A request whose aim is stretched to twice the class's may take twice as long.
 func TestPayoff(t *testing.T) {
-	class := &classState{Class: Class{LatencyObjective: 400_000}, base: 100_000}
-	c := &request{aim: 400_000, class: class, rules: class.Class}
-	long := &request{aim: 800_000, class: class, rules: class.Class}
+	class := &classState{Class: Class{LatencyObjective: 400_000}, baselineP90: 100_000}
+	c := &request{latencyObjective: 400_000, class: class, classRules: class.Class}
+	long := &request{latencyObjective: 800_000, class: class, classRules: class.Class}
 	near(t, "payoff of a long one", long.payoff(Outcome{Result: Succeeded, Latency: 240_000}), 0.5, 1e-12)
 	for _, v := range []struct {
 		result  Result
@@ -106,7 +106,7 @@
 // and requests for servers at ease were refused.
 func TestSilentServersHoldNoRoom(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(10)...)
-	w.b.density = 0.3
+	w.b.poolLimit = 0.3
 	for i := range 3 {
 		w.request(fmt.Sprint("lost", i), 0, 2*second)
 	}
@@ -128,7 +128,7 @@
 func TestTheOneBoundIsForQuietBalancers(t *testing.T) {
 	for perSecond, want := range map[float64]int{0.5: 1, 20: 4} {
 		w := newWorld(t, testSettings(), fleet(10)...)
-		w.b.perSize[1], w.b.density = perSecond/float64(second), 0.1
+		w.b.throughputPerCapacity[1], w.b.poolLimit = perSecond/float64(second), 0.1
 		for i := range 4 {
 			w.request(fmt.Sprint("r", i), 0, 2*second)
 		}
@@ -136,7 +136,7 @@
 			t.Errorf("%v answers a second from each server: %d sent with room for one, want %d", perSecond, n, want)
 		}
 		w.settle(w.pending[0], Saturated)
-		near(t, "density after a full server", w.b.density, 0.1, 0)
+		near(t, "density after a full server", w.b.poolLimit, 0.1, 0)
 	}
 }
 
@@ -148,37 +148,37 @@
 	w.request("quick", 0, 2*second) // so that it is known how quick answers are at ease
 	w.advance(20_000)
 	w.settle(w.pending[0], Succeeded)
-	w.b.density = 20
+	w.b.poolLimit = 20
 	for i := range 40 {
 		w.request(fmt.Sprint("r", i), 0, 2*second)
 	}
 	if n := len(w.pending); n != 40 {
 		t.Fatalf("%d out, want 40", n)
 	}
-	before := w.b.density
+	before := w.b.poolLimit
 	w.advance(350_000)
 	for len(w.pending) > 0 {
 		w.settle(w.pending[0], Succeeded)
 	}
-	near(t, "part of the room kept", w.b.density/before, 0.13, 0.03)
+	near(t, "part of the room kept", w.b.poolLimit/before, 0.13, 0.03)
 }
 
 // A late answer cuts what may be out at all servers together, at once; early ones that find no room bring it back.
 func TestLateAnswersCutTheRoom(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(10)...)
-	_, before := w.b.room(w.now)
+	_, before := w.b.poolCapacity(w.now)
 	w.request("slow", 0, 2*second)
 	w.advance(350_000) // past 3/4 of the aim
 	w.settle(w.pending[0], Succeeded)
-	_, after := w.b.room(w.now)
+	_, after := w.b.poolCapacity(w.now)
 	near(t, "room after a late answer", after/before, 0.85, 1e-9)
-	w.b.density = 0.1
+	w.b.poolLimit = 0.1
 	for i := range 5 {
 		w.request(fmt.Sprint("quick", i), 0, 2*second)
 		w.advance(20_000)
 		w.settle(w.pending[0], Succeeded)
 	}
-	near(t, "density after five early ones", w.b.density, 0.1*math.Pow(1.05, 5), 1e-9)
+	near(t, "density after five early ones", w.b.poolLimit, 0.1*math.Pow(1.05, 5), 1e-9)
 }
 
 func TestCancelledAndUnsentAttemptsTeachNothing(t *testing.T) {
@@ -186,8 +186,8 @@
 		w := newWorld(t, testSettings(), fleet(1)...)
 		w.request("a", 0, second)
 		w.settle(w.pending[0], result)
-		if s := w.b.servers[0]; s.log != 0 || s.health[0].bad != 0 {
-			t.Errorf("result %d moved log %v, failures %d", result, s.log, s.health[0].bad)
+		if s := w.b.endpoints[0]; s.logWeight != 0 || s.ejections[0].consecutiveFailures != 0 {
+			t.Errorf("result %d moved log %v, failures %d", result, s.logWeight, s.ejections[0].consecutiveFailures)
 		}
 	}
 }
@@ -195,19 +195,19 @@
 // At a fixed seed 20,000 draws lie within 0.015 (over four standard deviations) of the formula.
 func TestDrawFrequencies(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(4)...)
-	for i, s := range w.b.servers {
-		s.setLog(float64(i) / 2)
+	for i, s := range w.b.endpoints {
+		s.setLogWeight(float64(i) / 2)
 	}
 	sum, n, hits := 0.0, 20_000, map[string]int{}
-	for _, s := range w.b.servers {
+	for _, s := range w.b.endpoints {
 		sum += s.weight
 	}
 	r := plain(w.b)
 	for range n {
-		s, _ := w.b.draw(w.now, r)
+		s, _ := w.b.drawEndpoint(w.now, r)
 		hits[s.ID]++
 	}
-	for _, s := range w.b.servers {
+	for _, s := range w.b.endpoints {
 		near(t, "share of "+s.ID, float64(hits[s.ID])/float64(n), 0.93*s.weight/sum+0.07/4, 0.015)
 	}
 }
@@ -217,10 +217,10 @@
 func TestForgetting(t *testing.T) {
 	for answers, keep := range map[int]float64{0: 1, 2: 0.98, 1000: 0.9} {
 		w := newWorld(t, testSettings(), fleet(2)...)
-		w.b.servers[0].setLog(1)
-		w.b.answers = answers
-		w.b.everySecond(w.now)
-		near(t, fmt.Sprint("distance kept after ", answers), w.b.servers[0].log-w.b.servers[1].log, keep, 1e-9)
+		w.b.endpoints[0].setLogWeight(1)
+		w.b.successesThisSecond = answers
+		w.b.onSecond(w.now)
+		near(t, fmt.Sprint("distance kept after ", answers), w.b.endpoints[0].logWeight-w.b.endpoints[1].logWeight, keep, 1e-9)
 	}
 }
 
@@ -242,12 +242,12 @@
 func TestACrowdedServerIsDrawnAgain(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(2)...)
 	for range 3 {
-		w.b.servers[0].inFlight++
-		w.b.out++
+		w.b.endpoints[0].inFlight++
+		w.b.inFlight++
 	}
 	away := 0
 	for range 100 {
-		if s, _ := w.b.draw(w.now, plain(w.b)); s.ID == "s1" {
+		if s, _ := w.b.drawEndpoint(w.now, plain(w.b)); s.ID == "s1" {
 			away++
 		}
 	}
@@ -358,11 +358,11 @@
 
 func TestAColdServerWarmsUpOverItsTime(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(1)...)
-	s := &server{coldSince: w.now}
-	near(t, "at its start", w.b.warmth(w.now, s), 0.3, 1e-9)
-	near(t, "half way", w.b.warmth(w.now+4*second, s), 0.65, 1e-9)
-	near(t, "warm", w.b.warmth(w.now+8*second, s), 1, 1e-9)
-	near(t, "a clock before its start", w.b.warmth(w.now-second, s), 0.3, 1e-9)
+	s := &endpointState{slowStartSince: w.now}
+	near(t, "at its start", w.b.warmupFraction(w.now, s), 0.3, 1e-9)
+	near(t, "half way", w.b.warmupFraction(w.now+4*second, s), 0.65, 1e-9)
+	near(t, "warm", w.b.warmupFraction(w.now+8*second, s), 1, 1e-9)
+	near(t, "a clock before its start", w.b.warmupFraction(w.now-second, s), 0.3, 1e-9)
 }
 
 // The failure: many small balancers each kept one attempt at every server and together filled the fleet;
@@ -412,10 +412,10 @@
 		w.settle(f, Reset)
 	}
 	w.traffic(1700, answer)
-	if w.count("log return") == 0 || w.b.known["s0"].suspended {
+	if w.count("log return") == 0 || w.b.knownEndpoints["s0"].ejectedForAll {
 		t.Error("the server answers again but was not brought back")
 	}
-	if w.b.known["s0"].coldSince == 0 {
+	if w.b.knownEndpoints["s0"].slowStartSince == 0 {
 		t.Error("a server back from a long silence counts as cold")
 	}
 }
@@ -454,19 +454,19 @@
 	w := newWorld(t, testSettings(), fleet(3)...)
 	for i := range 50 {
 		w.b.OnEndpoints(w.now, []Endpoint{{ID: fmt.Sprint("new", i), Capacity: 1}}, true)
-		w.b.OnTimer(w.now, tokenSecond)
+		w.b.OnTimer(w.now, timerSecond)
 		w.now += 2 * second
 	}
-	if n := len(w.b.known); n > int(keepGone/(2*second))+2 {
+	if n := len(w.b.knownEndpoints); n > int(removedRetention/(2*second))+2 {
 		t.Errorf("%d servers remembered of 53, one of them listed", n)
 	}
 }
 
 // fallIll suspends a server for every class.
-func fallIll(b *Balancer, now int64, s *server, cause Result) {
-	for i := range s.health {
-		s.health[i].cause = cause
-		b.suspend(now, s, i)
+func fallIll(b *Balancer, now int64, s *endpointState, cause Result) {
+	for i := range s.ejections {
+		s.ejections[i].lastFailure = cause
+		b.eject(now, s, i)
 	}
 }
 
@@ -485,7 +485,7 @@
 		r := plain(w.b)
 		met := false
 		for range 200 {
-			if s, p := w.b.draw(w.now, r); s.Zone == "home" {
+			if s, p := w.b.drawEndpoint(w.now, r); s.Zone == "home" {
 				met = true
 				near(t, fmt.Sprint("p of the own zone at price ", price), p, want, 1e-9)
 			}
@@ -499,7 +499,7 @@
 // What servers find faulty fails at once: no server is blamed, and no retry is spent on it.
 func TestARejectedRequestFailsAtOnce(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(2)...)
-	before := w.b.retries
+	before := w.b.retryTokens
 	for i := range 6 {
 		r := w.request(fmt.Sprint("bad", i), 0, 2*second)
 		w.settle(w.pending[0], InvalidRequest)
@@ -507,8 +507,8 @@
 			t.Fatalf("answered %q after %d tries", r.answered, len(r.tries))
 		}
 	}
-	if w.b.retries != before || w.count("log suspend") != 0 || w.b.servers[0].log != 0 {
-		t.Errorf("%v retries of %v left, %d suspensions", w.b.retries, before, w.count("log suspend"))
+	if w.b.retryTokens != before || w.count("log suspend") != 0 || w.b.endpoints[0].logWeight != 0 {
+		t.Errorf("%v retries of %v left, %d suspensions", w.b.retryTokens, before, w.count("log suspend"))
 	}
 }
 
@@ -516,12 +516,12 @@
 // a third of the requests was refused. In a jam answers are late as well: there a time-out still cuts.
 func TestALoneTimeOutCutsNoLimit(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(1)...)
-	s, c := w.b.servers[0], w.b.classes[0]
+	s, c := w.b.endpoints[0], w.b.classes[0]
 	end := func(result Result, latency int64) float64 {
-		before := s.limit
+		before := s.concurrencyLimit
 		w.now += second
-		w.b.adapt(w.now, c, &attempt{server: s, sentAt: w.now - latency}, Outcome{Result: result, Latency: latency})
-		return s.limit / before
+		w.b.adaptLimits(w.now, c, &attempt{endpoint: s, sentAt: w.now - latency}, Outcome{Result: result, Latency: latency})
+		return s.concurrencyLimit / before
 	}
 	end(Succeeded, 1000)
 	if f := end(TimedOut, c.Deadline); f != 1 {
@@ -538,8 +538,8 @@
 	w := newWorld(t, testSettings(), fleet(8)...)
 	w.traffic(200, func(*flight) (Result, bool) { return Errored, true })
 	well := 0
-	for _, s := range w.b.servers {
-		if !s.health[0].suspended {
+	for _, s := range w.b.endpoints {
+		if !s.ejections[0].ejected {
 			well++
 		}
 	}
@@ -553,13 +553,13 @@
 	w := newWorld(t, testSettings(), fleet(2)...)
 	c := w.b.classes[0]
 	r := plain(w.b)
-	r.aim, r.taken, r.deadline = c.LatencyObjective, w.now, w.now+2*second
-	c.mark, c.half = 100_000, 50_000
-	if got := w.b.timeout(w.now, r); got != 200_000 {
+	r.latencyObjective, r.arrivedAt, r.deadline = c.LatencyObjective, w.now, w.now+2*second
+	c.latencyP95, c.latencyMedian = 100_000, 50_000
+	if got := w.b.attemptTimeout(w.now, r); got != 200_000 {
 		t.Errorf("time-out %d, want 200000: a retry still fits", got)
 	}
-	c.mark = 300_000
-	if got := w.b.timeout(w.now, r); got != 2*second {
+	c.latencyP95 = 300_000
+	if got := w.b.attemptTimeout(w.now, r); got != 2*second {
 		t.Errorf("time-out %d, want all that is left", got)
 	}
 }
@@ -598,7 +598,7 @@
 	seen := map[string]bool{}
 	for i := range 200 {
 		key := fmt.Sprint("key", i)
-		a, b := w.b.home(&request{home: hash(key) | 1}), other.b.home(&request{home: hash(key) | 1})
+		a, b := w.b.preferredReplica(&request{affinityHash: hash(key) | 1}), other.b.preferredReplica(&request{affinityHash: hash(key) | 1})
 		if a.ID != b.ID {
 			t.Fatalf("%s is at home at %s and at %s", key, a.ID, b.ID)
 		}
@@ -633,8 +633,8 @@
 	w.advance(5 * second)
 	r.answered = "stream"
 	w.settle(r.tries[0], Reset)
-	if len(r.tries) != 1 || len(w.b.open) != 0 {
-		t.Errorf("%d attempts, %d requests open, want one and none", len(r.tries), len(w.b.open))
+	if len(r.tries) != 1 || len(w.b.openRequests) != 0 {
+		t.Errorf("%d attempts, %d requests open, want one and none", len(r.tries), len(w.b.openRequests))
 	}
 }
 
@@ -696,12 +696,12 @@
 // good trial made it cold, with one attempt a window, at every small balancer.
 func TestAServerNeverAskedIsNotSilent(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(3)...)
-	s := w.b.servers[0]
-	w.b.judge(w.now, 0, s, ConnectFailed)
+	s := w.b.endpoints[0]
+	w.b.updateEjection(w.now, 0, s, ConnectFailed)
 	fallIll(w.b, w.now, s, ConnectFailed)
-	w.b.judge(w.now+second, 0, s, Succeeded)
-	if s.suspended || s.coldSince != 0 {
-		t.Errorf("suspended %v, cold since %d, want neither", s.suspended, s.coldSince)
+	w.b.updateEjection(w.now+second, 0, s, Succeeded)
+	if s.ejectedForAll || s.slowStartSince != 0 {
+		t.Errorf("suspended %v, cold since %d, want neither", s.ejectedForAll, s.slowStartSince)
 	}
 }
 
@@ -724,7 +724,7 @@
 	over := [2]int{}
 	for i := range 8000 {
 		tenant := min(i%4, 1) // b three times of four
-		if w.b.overShare(tenant) && i >= 2000 {
+		if w.b.overQuota(tenant) && i >= 2000 {
 			over[tenant]++
 		}
 	}
@@ -732,7 +732,7 @@
 	if over[0] != 0 {
 		t.Errorf("%d requests of a over its share, want none", over[0])
 	}
-	if w.b.overShare(-1) || w.b.overShare(2) {
+	if w.b.overQuota(-1) || w.b.overQuota(2) {
 		t.Error("a request without a known tenant is over no share")
 	}
 }
@@ -744,7 +744,7 @@
 		set := testSettings()
 		set.Limits.RetryAfter, set.Limits.MaxRetryAfter = told, 50_000
 		w := newWorld(t, set)
-		w.b.classes[0].half = 80_000
+		w.b.classes[0].latencyMedian = 80_000
 		got, want := w.b.retryAfter(plain(w.b)), int64(0)
 		if told {
 			want = 50_000
@@ -761,17 +761,17 @@
 	set := testSettings()
 	set.BalancerCount = 9
 	w := newWorld(t, set, fleet(2)...)
-	near(t, "start limit", w.b.servers[0].limit, 8.0/9, 1e-9)
+	near(t, "start limit", w.b.endpoints[0].concurrencyLimit, 8.0/9, 1e-9)
 }
 
 // The failure: many balancers took turns at a jammed server, one attempt each, and kept it jammed. By hand: a
 // limit of 0.1 counts as a tenth of an arm, so p = 0.93*0.1/1.1 + 0.07/2 = 0.119545.
 func TestALowLimitLowersTheDraw(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(2)...)
-	jammed := w.b.servers[0]
-	jammed.limit = 0.1
+	jammed := w.b.endpoints[0]
+	jammed.concurrencyLimit = 0.1
 	for range 400 {
-		if s, p := w.b.draw(w.now, plain(w.b)); s == jammed {
+		if s, p := w.b.drawEndpoint(w.now, plain(w.b)); s == jammed {
 			near(t, "p of the jammed server", p, 0.93*0.1/1.1+0.07/2, 1e-9)
 			return
 		}
@@ -782,29 +782,29 @@
 // The failure: a busy balancer's jam doubled its idea of uncrowded within seconds, by its many answers, and
 // then took the jam for normal. Only time forgets it now, 1% a second.
 func TestAJamDoesNotTeachItself(t *testing.T) {
-	c := &classState{Class: Class{LatencyObjective: 400_000}, mark: 100_000, half: 50_000, calm: 100_000, base: 100_000}
+	c := &classState{Class: Class{LatencyObjective: 400_000}, latencyP95: 100_000, latencyMedian: 50_000, latencyP90: 100_000, baselineP90: 100_000}
 	for range 5000 {
-		c.sample(300_000)
+		c.observeLatency(300_000)
 	}
-	near(t, "uncrowded mark after 5000 late answers", c.base, 100_000, 0)
+	near(t, "uncrowded mark after 5000 late answers", c.baselineP90, 100_000, 0)
 	w := newWorld(t, testSettings(), fleet(1)...)
-	before := w.b.classes[0].base
-	w.b.everySecond(w.now)
-	near(t, "uncrowded mark after a second", w.b.classes[0].base/before, 1.01, 1e-9)
+	before := w.b.classes[0].baselineP90
+	w.b.onSecond(w.now)
+	near(t, "uncrowded mark after a second", w.b.classes[0].baselineP90/before, 1.01, 1e-9)
 }
 
 // The failure: a server back from silence kept the limit that its failures had cut, and regrew 2% an answer.
 func TestAServerBackFromSilenceStartsAnew(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(3)...)
-	s := w.b.servers[0]
-	s.limit = 0.1
+	s := w.b.endpoints[0]
+	s.concurrencyLimit = 0.1
 	fallIll(w.b, w.now, s, TimedOut)
-	w.b.judge(w.now+3*second, 0, s, Succeeded)
-	near(t, "limit after silence", s.limit, 4, 1e-9)
+	w.b.updateEjection(w.now+3*second, 0, s, Succeeded)
+	near(t, "limit after silence", s.concurrencyLimit, 4, 1e-9)
 	again := Endpoint{ID: "s1", Capacity: 1, Zone: "z1", StartedAt: w.now}
-	w.b.servers[1].limit = 0.1
+	w.b.endpoints[1].concurrencyLimit = 0.1
 	w.list(false, again)
-	near(t, "limit of a new process", w.b.known["s1"].limit, 4, 1e-9)
+	near(t, "limit of a new process", w.b.knownEndpoints["s1"].concurrencyLimit, 4, 1e-9)
 }
 
 // By hand: an aim of 400 ms stretched by 3 times the work hinted: 100 ms of work 700 ms, 900 ms of work no more than the
@@ -816,7 +816,7 @@
 	for work, want := range map[int64]int64{0: 400_000, 100_000: 700_000, 900_000: 2 * second} {
 		id := fmt.Sprint("r", work)
 		w.take(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, WorkHint: work})
-		if got := w.b.open[id].aim; got != want {
+		if got := w.b.openRequests[id].latencyObjective; got != want {
 			t.Errorf("aim with %d us of work: %d, want %d", work, got, want)
 		}
 	}
@@ -829,10 +829,10 @@
 	set.KeyAffinity = true
 	w := newWorld(t, set, fleet(10)...)
 	r := plain(w.b)
-	r.home = hash("key") | 1
-	home := w.b.home(r)
+	r.affinityHash = hash("key") | 1
+	home := w.b.preferredReplica(r)
 	for range 100 {
-		if s, p := w.b.draw(w.now, r); s == home {
+		if s, p := w.b.drawEndpoint(w.now, r); s == home {
 			near(t, "p of the home", p, 0.93*20/29+0.07/10, 1e-9)
 			return
 		}
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -132,7 +132,7 @@
 	c.due = append(later, c.due...)
 	if c.now%second == 0 {
 		for _, b := range c.bs {
-			b.OnTimer(c.now, tokenSecond)
+			b.OnTimer(c.now, timerSecond)
 		}
 	}
 	for range requests {
@@ -210,16 +210,16 @@
 }
 
 // The failure: quiet balancers of a large fleet met each server once a minute, learned nothing, and kept a
-// connection to each. By hand: 1,000 balancers and 200 servers leave armsLeast arms to each; all arms together are 15
+// connection to each. By hand: 1,000 balancers and 200 servers leave minSubset arms to each; all arms together are 15
 // a server, so none is without and none has over three times that. With two balancers every server is an arm.
 func TestArmsOfManyBalancers(t *testing.T) {
 	c := newCrowd(1000, testSettings(), 0, fleet(200))
 	held := map[string]int{}
 	for _, b := range c.bs {
-		if len(b.arms) != armsLeast {
-			t.Fatalf("%d arms, want %d", len(b.arms), armsLeast)
+		if len(b.subset) != minSubset {
+			t.Fatalf("%d arms, want %d", len(b.subset), minSubset)
 		}
-		for _, s := range b.arms {
+		for _, s := range b.subset {
 			held[s.ID]++
 		}
 	}
@@ -228,8 +228,8 @@
 			t.Errorf("%s is an arm of %d balancers, want 15 or so", s.ID, n)
 		}
 	}
-	if b := newCrowd(2, testSettings(), 0, fleet(12)).bs[0]; len(b.arms) != 12 {
-		t.Errorf("%d arms of 12 servers at two balancers, want all", len(b.arms))
+	if b := newCrowd(2, testSettings(), 0, fleet(12)).bs[0]; len(b.subset) != 12 {
+		t.Errorf("%d arms of 12 servers at two balancers, want all", len(b.subset))
 	}
 }
 
@@ -237,17 +237,17 @@
 // list far away moves no arm.
 func TestAnIllArmIsMadeUpFor(t *testing.T) {
 	b := newCrowd(1000, testSettings(), 0, fleet(200)).bs[0]
-	now, before := 1000*second, slices.Clone(b.arms)
+	now, before := 1000*second, slices.Clone(b.subset)
 	for _, s := range before[1:] {
-		s.answered, s.lastServed = 1, now
+		s.successesThisSecond, s.lastSuccessAt = 1, now
 	}
 	fallIll(b, now, before[0], TimedOut)
-	if n := len(b.arms); n != len(before)+1 || !slices.Equal(b.arms[:len(before)], before) {
+	if n := len(b.subset); n != len(before)+1 || !slices.Equal(b.subset[:len(before)], before) {
 		t.Errorf("%d arms after one fell ill, want the same and one more", n)
 	}
-	b.bringBack(now, before[0], 0)
-	b.OnEndpoints(now, []Endpoint{{ID: b.servers[100].ID, Capacity: 1, Phase: Removed}}, false)
-	if !slices.Equal(b.arms, before) {
+	b.restore(now, before[0], 0)
+	b.OnEndpoints(now, []Endpoint{{ID: b.endpoints[100].ID, Capacity: 1, Phase: Removed}}, false)
+	if !slices.Equal(b.subset, before) {
 		t.Error("the arms are not the same after the return and a change elsewhere")
 	}
 }
@@ -266,7 +266,7 @@
 			if i%10 == 0 {
 				key = "hot"
 			}
-			if s := b.home(&request{home: b.replica(key)}); key == "hot" && i >= 1000 {
+			if s := b.preferredReplica(&request{affinityHash: b.affinityReplica(key)}); key == "hot" && i >= 1000 {
 				homes[j][s.ID] = true
 			}
 		}
@@ -277,7 +277,7 @@
 	if !maps.Equal(homes[0], homes[1]) {
 		t.Errorf("one balancer has the hot key at home at %v, the other at %v", homes[0], homes[1])
 	}
-	if a, b := bs[0].replica("once"), bs[0].replica("once"); a != b {
+	if a, b := bs[0].affinityReplica("once"), bs[0].affinityReplica("once"); a != b {
 		t.Error("a rare key has two homes")
 	}
 }
@@ -292,8 +292,8 @@
 	for _, n := range []int{1, 2, 10, 100, 1000, 1, 0, 300} {
 		list := fleet(n)
 		w.list(true, append(list, list...)...)
-		if len(w.b.servers) != n || len(w.b.arms) > max(n, 3*armsLeast) || n > 0 && len(w.b.arms) == 0 {
-			t.Fatalf("%d listed: %d servers kept, %d arms", n, len(w.b.servers), len(w.b.arms))
+		if len(w.b.endpoints) != n || len(w.b.subset) > max(n, 3*minSubset) || n > 0 && len(w.b.subset) == 0 {
+			t.Fatalf("%d listed: %d servers kept, %d arms", n, len(w.b.endpoints), len(w.b.subset))
 		}
 		before := w.count("send")
 		w.traffic(50, serve)
@@ -348,10 +348,10 @@
 		set := testSettings()
 		set.Rules.OverloadFactor = factor
 		b := newCrowd(2, set, 0, fleet(4)).bs[0]
-		s, now := b.servers[0], 2000*second
-		b.perSize[1], s.coldSince, s.ramp = 10/float64(second), now-1, bucket{at: now - second/10}
-		b.allowance(now, s)
-		near(t, fmt.Sprint("tokens where the factor is ", factor), s.ramp.tokens, want, 1e-3)
+		s, now := b.endpoints[0], 2000*second
+		b.throughputPerCapacity[1], s.slowStartSince, s.slowStartTokens = 10/float64(second), now-1, expiringTokenBucket{updatedAt: now - second/10}
+		b.slowStartAdmits(now, s)
+		near(t, fmt.Sprint("tokens where the factor is ", factor), s.slowStartTokens.tokens, want, 1e-3)
 	}
 }
 
@@ -373,7 +373,7 @@
 		const servers, perSecond = 20, 800
 		c := newCrowd(50, set, 0.3, fleet(servers))
 		for _, b := range c.bs {
-			b.set.BalancerCount = told
+			b.settings.BalancerCount = told
 			b.OnEndpoints(c.now, fleet(servers), true)
 		}
 		c.run(5, perSecond)
@@ -394,7 +394,7 @@
 	list := fleet(3)
 	list[0].Capacity, list[1].Capacity = math.Inf(1), 1e300
 	w := newWorld(t, set, list...)
-	for _, s := range w.b.servers {
+	for _, s := range w.b.endpoints {
 		near(t, "size of "+s.ID, s.Capacity, 1, 1e-9)
 	}
 }
--- a/decide/former_test.go
+++ b/decide/former_test.go
@@ -26,7 +26,7 @@
 		w := newWorld(t, budgeted(c.floor, 0, 10*second), fleet(6)...)
 		r := w.take(Request{ID: "x", Class: c.class, Tenant: -1, TimeLeft: 2 * second, Key: "k", PriorAttemptAge: c.former})
 		w.advance(2 * second)
-		_, further := w.b.further.count(w.now)
+		_, further := w.b.attemptBudget.counts(w.now)
 		if sent := len(r.tries) > 0; sent != c.sent || !sent && r.answered != c.answer || (further > 0) != (sent && c.former > 0) {
 			t.Errorf("%s: sent %t, answered %q, %d further", c.name, sent, r.answered, further)
 		}
--- a/decide/fuzz_test.go
+++ b/decide/fuzz_test.go
@@ -71,10 +71,10 @@
 			w.list(true, fleet(arg%7)...)
 		}
 	case 15:
-		if arg%8 == 1 && len(w.b.servers) > 0 { // another tells of its attempts, or of nonsense
-			s := *w.b.servers[arg%len(w.b.servers)]
+		if arg%8 == 1 && len(w.b.endpoints) > 0 { // another tells of its attempts, or of nonsense
+			s := *w.b.endpoints[arg%len(w.b.endpoints)]
 			s.inFlight = arg / 16
-			word := slices.Clone(w.b.word(&s))
+			word := slices.Clone(w.b.encodeGossip(&s))
 			word[arg%len(word)] ^= byte(arg & 32)
 			w.b.OnGossip(w.now, arg%3, word)
 		}
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -38,7 +38,7 @@
 	}
 	for range 2 { // the second time all are known
 		for _, b := range bs {
-			b.tellAt = 0
+			b.nextGossipAt = 0
 			b.OnEndpoints(*now, fleet(servers), true)
 		}
 	}
@@ -51,19 +51,19 @@
 	bs, now, _, _ := talkers(t, 3, 3)
 	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: second})
 	busy := -1
-	for i, s := range bs[0].servers {
+	for i, s := range bs[0].endpoints {
 		if s.inFlight == 1 {
 			busy = i
 		}
 	}
-	id := bs[0].servers[busy].ID
+	id := bs[0].endpoints[busy].ID
 	for i, b := range bs[1:] {
-		if got := b.held(*now, b.known[id]); got != 1 {
+		if got := b.totalInFlight(*now, b.knownEndpoints[id]); got != 1 {
 			t.Errorf("balancer %d knows of %v held at %s, want 1", i+1, got, id)
 		}
 	}
 	bs[0].OnOutcome(*now, Outcome{Request: "a", Server: id, Result: Succeeded, Latency: 1000, RequestAnswered: true})
-	if got := bs[1].held(*now, bs[1].known[id]); got != 0 {
+	if got := bs[1].totalInFlight(*now, bs[1].knownEndpoints[id]); got != 0 {
 		t.Errorf("after the end %v held, want 0", got)
 	}
 }
@@ -74,17 +74,17 @@
 	bs, now, lost, _ := talkers(t, 4, 2)
 	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: 3 * second})
 	*lost = true
-	s := bs[1].servers[0]
-	*now += unheard + 1
-	if s.inFlight = 1; bs[1].held(*now, s) != bs[1].sharersOf() || bs[1].sharersOf() != 4 {
-		t.Errorf("deaf with one out: %v held, want 4", bs[1].held(*now, s))
+	s := bs[1].endpoints[0]
+	*now += gossipLossTimeout + 1
+	if s.inFlight = 1; bs[1].totalInFlight(*now, s) != bs[1].balancersPerEndpoint() || bs[1].balancersPerEndpoint() != 4 {
+		t.Errorf("deaf with one out: %v held, want 4", bs[1].totalInFlight(*now, s))
 	}
 	s.inFlight = 0
 	*lost, *now = false, *now+second
 	bs[2].OnRequest(*now, Request{ID: "b", Tenant: -1, TimeLeft: second})
 	sum := 0.0
-	for _, s := range bs[1].servers {
-		sum += bs[1].held(*now, s)
+	for _, s := range bs[1].endpoints {
+		sum += bs[1].totalInFlight(*now, s)
 	}
 	if sum != 1 {
 		t.Errorf("%v held after one old word and one new, want 1", sum)
@@ -96,8 +96,8 @@
 func TestBadWordsAreIgnored(t *testing.T) {
 	bs, now, _, _ := talkers(t, 3, 3)
 	b := bs[0]
-	bs[1].servers[0].inFlight = 9
-	good := slices.Clone(bs[1].word(bs[1].servers[0]))
+	bs[1].endpoints[0].inFlight = 9
+	good := slices.Clone(bs[1].encodeGossip(bs[1].endpoints[0]))
 	bad := map[string][]byte{"empty": {}, "cut short": good[:len(good)-1], "over-long": append(slices.Clone(good), make([]byte, 300)...),
 		"head alone": good[:1]}
 	for bit := range 8 * len(good) { // any one bit turned over in an entry or the version
@@ -110,15 +110,15 @@
 	}
 	state := func() string {
 		out := ""
-		for _, s := range b.servers {
-			out += fmt.Sprint(s.ID, b.held(*now, s), len(s.sharers), " ")
+		for _, s := range b.endpoints {
+			out += fmt.Sprint(s.ID, b.totalInFlight(*now, s), len(s.peerLoads), " ")
 		}
-		return out + fmt.Sprint(b.idleSafe)
+		return out + fmt.Sprint(b.safeIdleTime)
 	}
 	taken := 0
 	for name, w := range bad {
 		before := state()
-		if ok, _ := b.hear(*now, 1, w); !ok {
+		if ok, _ := b.handleGossip(*now, 1, w); !ok {
 			if state() != before {
 				t.Errorf("%s: state changed to %s", name, state())
 			}
@@ -143,9 +143,9 @@
 		}
 		b.OnGossip(*now, rng.IntN(5)-1, w)
 	}
-	for _, s := range b.servers {
-		if h := b.held(*now, s); h > 2*heldMost || len(s.sharers) > 2 {
-			t.Errorf("random words: %v held, %d sharers", h, len(s.sharers))
+	for _, s := range b.endpoints {
+		if h := b.totalInFlight(*now, s); h > 2*maxGossipInFlight || len(s.peerLoads) > 2 {
+			t.Errorf("random words: %v held, %d sharers", h, len(s.peerLoads))
 		}
 	}
 }
@@ -153,16 +153,16 @@
 // A word is heard once, and not after a newer one.
 func TestOldWordsAreIgnored(t *testing.T) {
 	bs, now, _, _ := talkers(t, 2, 1)
-	s := bs[1].servers[0]
+	s := bs[1].endpoints[0]
 	s.inFlight = 5
-	old := slices.Clone(bs[1].word(s))
+	old := slices.Clone(bs[1].encodeGossip(s))
 	s.inFlight = 2
-	fresh := slices.Clone(bs[1].word(s))
+	fresh := slices.Clone(bs[1].encodeGossip(s))
 	b := bs[0]
 	b.OnGossip(*now, 1, fresh)
 	b.OnGossip(*now, 1, old)
 	b.OnGossip(*now, 1, fresh)
-	if got := b.held(*now, b.servers[0]); got != 2 {
+	if got := b.totalInFlight(*now, b.endpoints[0]); got != 2 {
 		t.Errorf("%v held, want the 2 of the newest word", got)
 	}
 }
@@ -171,8 +171,8 @@
 func TestNoWordsWithoutLeave(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(3)...)
 	w.traffic(50, func(*flight) (Result, bool) { return Succeeded, true })
-	w.b.OnGossip(w.now, 1, []byte{wordVersion | 1, 0, 0, 0, 0})
-	if slices.ContainsFunc(w.acts, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.voices) > 0 {
+	w.b.OnGossip(w.now, 1, []byte{gossipVersion | 1, 0, 0, 0, 0})
+	if slices.ContainsFunc(w.acts, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.peers) > 0 {
 		t.Error("words were sent or heard where the settings permit none")
 	}
 }
@@ -183,13 +183,13 @@
 	for cpu, want := range map[int64]int{0: 24, 8000: 20, 500_000: 24, 1: 1} {
 		set := testSettings()
 		set.Limits.CPU = cpu
-		if got := New(set, 1, silent{}).tellMost(); got != want {
+		if got := New(set, 1, silent{}).gossipFanout(); got != want {
 			t.Errorf("CPU %d: to %d, want %d", cpu, got, want)
 		}
 	}
 	set := testSettings()
 	set.BalancerCount = 2000
-	if got := New(set, 1, silent{}).tellMost(); got != 8 {
+	if got := New(set, 1, silent{}).gossipFanout(); got != 8 {
 		t.Errorf("2,000 balancers: to %d, want 8", got)
 	}
 }
@@ -205,7 +205,7 @@
 		list[0].Capacity, list[3].Capacity = 0.5, min(wild, 1) // loads swing
 		list[1].Capacity = wild
 		w.list(false, list...)
-		near(t, fmt.Sprint("big against small after ", wild), w.b.known["a"].Capacity/w.b.known["d"].Capacity, 3, 1e-9)
+		near(t, fmt.Sprint("big against small after ", wild), w.b.knownEndpoints["a"].Capacity/w.b.knownEndpoints["d"].Capacity, 3, 1e-9)
 	}
 }
 
@@ -293,7 +293,7 @@
 	b := New(set, 1, silent{})
 	for servers, want := range map[int]int{57: 2, 119: 4, 436: 8} {
 		b.OnEndpoints(1000*second, fleet(servers), true)
-		if got := b.armsWanted(); got != want {
+		if got := b.subsetSize(); got != want {
 			t.Errorf("%d servers: %d arms, want %d", servers, got, want)
 		}
 	}
@@ -312,16 +312,16 @@
 		now := 1000 * second
 		b.OnEndpoints(now, fleet(1), true)
 		other.OnEndpoints(now, fleet(1), true)
-		s := other.servers[0]
-		b.density, s.inFlight = 0.5, 1
-		b.OnGossip(now, 1, other.word(s))
+		s := other.endpoints[0]
+		b.poolLimit, s.inFlight = 0.5, 1
+		b.OnGossip(now, 1, other.encodeGossip(s))
 		b.OnRequest(now, Request{ID: "a", Tenant: -1, TimeLeft: second})
 		if len(b.queue) != 1 {
 			t.Fatal("the request does not wait")
 		}
 		s.inFlight = 0
-		b.OnGossip(now+1000, 1, other.word(s))
-		sent += b.servers[0].inFlight
+		b.OnGossip(now+1000, 1, other.encodeGossip(s))
+		sent += b.endpoints[0].inFlight
 	}
 	if sent < 25 || sent > 85 { // a quarter of 200
 		t.Errorf("%d of 200 took the room, want about 50", sent)
--- a/decide/ration_test.go
+++ b/decide/ration_test.go
@@ -28,7 +28,7 @@
 						result = Succeeded
 					}
 					w.settle(f, result)
-					if left := w.b.furtherLeft(w.now); left < 1 && f.r.answered == "" && f.r.tries[len(f.r.tries)-1].over {
+					if left := w.b.attemptBudgetRemaining(w.now); left < 1 && f.r.answered == "" && f.r.tries[len(f.r.tries)-1].over {
 						t.Fatalf("%s is held, though %v further attempts are left", f.r.ID, left)
 					}
 				}
@@ -63,9 +63,9 @@
 		case 80:
 			w.retune(budgeted(4, 0.2, 2*second))
 		}
-		before := w.b.furtherLeft(w.now)
-		if w.retune(w.set); w.b.furtherLeft(w.now) != before {
-			t.Fatalf("the same settings again: %v, was %v", w.b.furtherLeft(w.now), before)
+		before := w.b.attemptBudgetRemaining(w.now)
+		if w.retune(w.set); w.b.attemptBudgetRemaining(w.now) != before {
+			t.Fatalf("the same settings again: %v, was %v", w.b.attemptBudgetRemaining(w.now), before)
 		}
 	}
 }
@@ -86,25 +86,25 @@
 	}
 	w.advance(9 * second)
 	w.b.SetPeerProcessActive(w.now, false)
-	if w.advance(9 * second); w.b.furtherLeft(w.now) > 0 {
-		t.Fatalf("%v left while the other process counts", w.b.furtherLeft(w.now))
+	if w.advance(9 * second); w.b.attemptBudgetRemaining(w.now) > 0 {
+		t.Fatalf("%v left while the other process counts", w.b.attemptBudgetRemaining(w.now))
 	}
-	if w.advance(second); w.b.furtherLeft(w.now) < 3 {
-		t.Fatalf("%v left alone", w.b.furtherLeft(w.now))
+	if w.advance(second); w.b.attemptBudgetRemaining(w.now) < 3 {
+		t.Fatalf("%v left alone", w.b.attemptBudgetRemaining(w.now))
 	}
 }
 
 // A clock that steps back neither forgets nor mints; the books hold their size.
 func TestRationClock(t *testing.T) {
-	var n ration
-	n.keep(10 * second)
+	var n attemptBudget
+	n.setWindow(10 * second)
 	for i := range int64(100_000) {
-		n.slot(1000*second+i*37%(5*second)).further++
+		n.slot(1000*second+i*37%(5*second)).retries++
 	}
-	if _, further := n.count(990 * second); further != 100_000 {
+	if _, further := n.counts(990 * second); further != 100_000 {
 		t.Fatal(further)
 	}
-	if _, further := n.count(1016 * second); further != 0 {
+	if _, further := n.counts(1016 * second); further != 0 {
 		t.Fatal(further)
 	}
 }
@@ -114,26 +114,26 @@
 // without a budget, or with plenty left, all are tried.
 func TestScarceAttemptsGoWhereTheyHelp(t *testing.T) {
 	w := newWorld(t, budgeted(3, 0, 10*second), fleet(5)...)
-	b, r := w.b, &request{value: 1}
-	b.meanValue, b.helped[Errored], b.helped[Saturated] = 1, 0.01, 0.9
+	b, r := w.b, &request{priority: 1}
+	b.meanPriority, b.retrySuccessRates[Errored], b.retrySuccessRates[Saturated] = 1, 0.01, 0.9
 	failed, full := &attempt{result: Errored}, &attempt{result: Saturated}
-	if b.affordRetry(w.now, r, failed) || !b.affordRetry(w.now, r, full) {
+	if b.acquireRetry(w.now, r, failed) || !b.acquireRetry(w.now, r, full) {
 		t.Error("of three left one was spent after an error, or none after full")
 	}
-	if r.value = 100; !b.affordRetry(w.now, r, failed) {
+	if r.priority = 100; !b.acquireRetry(w.now, r, failed) {
 		t.Error("a request of a hundred times the value was not tried again")
 	}
-	r.value = 1
+	r.priority = 1
 	for _, set := range []Settings{testSettings(), budgeted(20, 0, 10*second)} {
-		if w.retune(set); !b.affordRetry(w.now, r, failed) {
-			t.Errorf("not tried again with %v left", b.furtherLeft(w.now))
+		if w.retune(set); !b.acquireRetry(w.now, r, failed) {
+			t.Errorf("not tried again with %v left", b.attemptBudgetRemaining(w.now))
 		}
 	}
-	near(t, "odds after one more that failed", oddsAfter(b, Errored, Errored), 0.01*(1-1/oddsOver), 1e-9)
-	near(t, "odds after one that helped", oddsAfter(b, Saturated, Succeeded), 0.9+0.1/oddsOver, 1e-9)
+	near(t, "odds after one more that failed", oddsAfter(b, Errored, Errored), 0.01*(1-1/retrySuccessRetries), 1e-9)
+	near(t, "odds after one that helped", oddsAfter(b, Saturated, Succeeded), 0.9+0.1/retrySuccessRetries, 1e-9)
 }
 
 func oddsAfter(b *Balancer, cause, result Result) float64 {
-	b.countOdds(&request{tries: []attempt{{result: cause}, {}}}, Outcome{Attempt: 1, Result: result})
-	return b.helped[cause]
+	b.recordRetryResult(&request{attempts: []attempt{{result: cause}, {}}}, Outcome{Attempt: 1, Result: result})
+	return b.retrySuccessRates[cause]
 }
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -25,23 +25,23 @@
 	w := newWorld(t, set, fleet(4)...)
 	w.traffic(200, func(f *flight) (Result, bool) { return Succeeded, w.now-f.sent >= 20_000 })
 	weights, limits := map[string]float64{}, map[string]float64{}
-	for id, s := range w.b.known {
-		weights[id], limits[id] = s.log, s.limit
+	for id, s := range w.b.knownEndpoints {
+		weights[id], limits[id] = s.logWeight, s.concurrencyLimit
 	}
 	first := *w.b.classes[0]
 	fresh := Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: 100_000, Deadline: second}
 	slower := set.Classes[0]
 	slower.Deadline *= 2
 	w.retune(retuned(fresh, slower))
-	for id, s := range w.b.known {
-		if s.log != weights[id] || s.limit != limits[id] || len(s.health) != 2 {
-			t.Errorf("%s: log %v was %v, limit %v was %v, %d classes", id, s.log, weights[id], s.limit, limits[id], len(s.health))
+	for id, s := range w.b.knownEndpoints {
+		if s.logWeight != weights[id] || s.concurrencyLimit != limits[id] || len(s.ejections) != 2 {
+			t.Errorf("%s: log %v was %v, limit %v was %v, %d classes", id, s.logWeight, weights[id], s.concurrencyLimit, limits[id], len(s.ejections))
 		}
 	}
-	if c := w.b.classes[1]; c.mark != first.mark || c.half != first.half || c.Deadline != slower.Deadline {
+	if c := w.b.classes[1]; c.latencyP95 != first.latencyP95 || c.latencyMedian != first.latencyMedian || c.Deadline != slower.Deadline {
 		t.Errorf("the class that stays: %+v was %+v", *c, first)
 	}
-	if c := w.b.classes[0]; c.Name != "fresh" || c.mark != 50_000 {
+	if c := w.b.classes[0]; c.Name != "fresh" || c.latencyP95 != 50_000 {
 		t.Errorf("the new class: %+v", *c)
 	}
 }
@@ -85,17 +85,17 @@
 	open := w.request("open", 0, 2*second)
 	w.retune(retuned(z))
 	w.advance(second)
-	if len(w.b.classes) != 2 || w.b.open["open"].Class != 1 {
-		t.Fatalf("%d classes while a request is open, its class %d", len(w.b.classes), w.b.open["open"].Class)
+	if len(w.b.classes) != 2 || w.b.openRequests["open"].Class != 1 {
+		t.Fatalf("%d classes while a request is open, its class %d", len(w.b.classes), w.b.openRequests["open"].Class)
 	}
 	w.settle(open.tries[0], Succeeded)
 	w.advance(second)
 	if len(w.b.classes) != 1 {
 		t.Fatalf("%d classes", len(w.b.classes))
 	}
-	for id, s := range w.b.known {
-		if len(s.health) != 1 || s.health[0].out != 0 {
-			t.Errorf("%s: health %+v", id, s.health)
+	for id, s := range w.b.knownEndpoints {
+		if len(s.ejections) != 1 || s.ejections[0].inFlight != 0 {
+			t.Errorf("%s: health %+v", id, s.ejections)
 		}
 	}
 	w.traffic(50, func(f *flight) (Result, bool) { return Succeeded, true })
@@ -110,13 +110,13 @@
 		}
 		return Succeeded, true
 	})
-	if !w.b.known["s0"].suspended {
+	if !w.b.knownEndpoints["s0"].ejectedForAll {
 		t.Fatal("the dead server is in the draw")
 	}
 	set := testSettings()
 	w.retune(retuned(append(set.Classes, Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second})...))
-	s := w.b.known["s0"]
-	if h := s.health[len(s.health)-1]; !h.suspended || !s.suspended {
+	s := w.b.knownEndpoints["s0"]
+	if h := s.ejections[len(s.ejections)-1]; !h.ejected || !s.ejectedForAll {
 		t.Fatalf("%+v", h)
 	}
 }
@@ -126,11 +126,11 @@
 	set := testSettings()
 	set.Tenants = []Tenant{{"a", 1}, {"b", 1}}
 	w := newWorld(t, set, fleet(2)...)
-	w.b.tenants[1] = 7
+	w.b.tenantRequests[1] = 7
 	set.Tenants = []Tenant{{"c", 1}, {"b", 1}, {"a", 1}}
 	w.retune(set)
-	if want := []float64{0, 7, 0}; !reflect.DeepEqual(w.b.tenants, want) {
-		t.Fatal(w.b.tenants)
+	if want := []float64{0, 7, 0}; !reflect.DeepEqual(w.b.tenantRequests, want) {
+		t.Fatal(w.b.tenantRequests)
 	}
 }
 
--- a/decide/stream_test.go
+++ b/decide/stream_test.go
@@ -7,19 +7,19 @@
 func TestAnswerThatBeganHoldsNoPlace(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(2)...)
 	r := w.request("long", 0, 2*second)
-	s := w.b.known[r.tries[0].server.ID]
-	if s.inFlight != 1 || w.b.out != 1 {
-		t.Fatal(s.inFlight, w.b.out)
+	s := w.b.knownEndpoints[r.tries[0].server.ID]
+	if s.inFlight != 1 || w.b.inFlight != 1 {
+		t.Fatal(s.inFlight, w.b.inFlight)
 	}
 	r.answered = "served"
 	w.b.OnStreamStarted(w.now, "long", 0)
 	w.b.OnStreamStarted(w.now, "long", 0)
-	if s.inFlight != 0 || w.b.out != 0 || s.health[0].out != 0 {
-		t.Fatalf("held at the server %d, in all %d, on trial %d", s.inFlight, w.b.out, s.health[0].out)
+	if s.inFlight != 0 || w.b.inFlight != 0 || s.ejections[0].inFlight != 0 {
+		t.Fatalf("held at the server %d, in all %d, on trial %d", s.inFlight, w.b.inFlight, s.ejections[0].inFlight)
 	}
 	w.settle(r.tries[0], Succeeded)
-	if s.inFlight != 0 || w.b.out != 0 || s.health[0].out != 0 || len(w.b.open) != 0 {
-		t.Fatalf("after its end: %d, %d, %d, %d open", s.inFlight, w.b.out, s.health[0].out, len(w.b.open))
+	if s.inFlight != 0 || w.b.inFlight != 0 || s.ejections[0].inFlight != 0 || len(w.b.openRequests) != 0 {
+		t.Fatalf("after its end: %d, %d, %d, %d open", s.inFlight, w.b.inFlight, s.ejections[0].inFlight, len(w.b.openRequests))
 	}
 }
 
--- a/decide/tails_test.go
+++ b/decide/tails_test.go
@@ -115,7 +115,7 @@
 	}
 	r.over = true
 	t.how[how]++
-	class := t.bs[0].set.Classes[r.in.Class]
+	class := t.bs[0].settings.Classes[r.in.Class]
 	switch late := t.now-r.at > class.LatencyObjective; {
 	case how == "served" && late:
 		t.points += class.LateValueShare
@@ -265,6 +265,6 @@
 		all := float64(t.how["served"] + t.how["refused"] + t.how["failed"])
 		b.ReportMetric(100*float64(t.how["refused"])/all, "%refused")
 		b.ReportMetric(100*t.points/all, "%earned")
-		b.ReportMetric(t.bs[0].density, "density")
+		b.ReportMetric(t.bs[0].poolLimit, "density")
 	})
 }
--- a/decide/told_test.go
+++ b/decide/told_test.go
@@ -20,32 +20,32 @@
 	list[2].MachineKind, list[3].MachineKind = "old", "old"
 	w := newWorld(t, testSettings(), list...)
 	for id, pace := range map[string]float64{"s0": 100, "s1": 100, "s2": 400} {
-		w.b.hearLoad(w.b.known[id], told(-1, -1, pace))
+		w.b.recordLoadReport(w.b.knownEndpoints[id], told(-1, -1, pace))
 	}
 	for _, wild := range []float64{math.NaN(), math.Inf(1), -5, 0, 1e12} {
-		w.b.hearLoad(w.b.known["s0"], told(wild, wild, wild))
+		w.b.recordLoadReport(w.b.knownEndpoints["s0"], told(wild, wild, wild))
 	}
-	w.b.hearLoad(w.b.known["s0"], nil)
-	w.b.speeds()
+	w.b.recordLoadReport(w.b.knownEndpoints["s0"], nil)
+	w.b.scaleBySpeed()
 	for id, want := range map[string]float64{"s0": 1.6, "s1": 1.6, "s2": 0.4, "s3": 0.4} {
-		near(t, "size of "+id, w.b.known[id].Capacity, want, 1e-9)
+		near(t, "size of "+id, w.b.knownEndpoints[id].Capacity, want, 1e-9)
 	}
 	w.list(true, list...)
-	near(t, "size after the list again", w.b.known["s2"].Capacity, 0.4, 1e-9)
+	near(t, "size after the list again", w.b.knownEndpoints["s2"].Capacity, 0.4, 1e-9)
 }
 
 // A server that tells that it holds three times the mean weighs a quarter of what it would at the mean: the root of
 // ((1+1)/(3+1)) to the power of 2. What waits counts by its root, so less.
 func TestServersWeighByWhatTheyTellThatTheyHold(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(2)...)
-	w.b.told = 1
-	a, q := w.b.known["s0"], w.b.known["s1"]
-	w.b.hearLoad(a, told(3, -1, -1))
-	w.b.told = 1
-	near(t, "ease of one that holds three", w.b.ease(a), 0.25, 1e-9)
-	w.b.hearLoad(q, told(-1, 3, -1))
-	w.b.told = 1
-	near(t, "ease of one where three wait", w.b.ease(q), 1, 1e-9)
+	w.b.meanReportedInFlight = 1
+	a, q := w.b.knownEndpoints["s0"], w.b.knownEndpoints["s1"]
+	w.b.recordLoadReport(a, told(3, -1, -1))
+	w.b.meanReportedInFlight = 1
+	near(t, "ease of one that holds three", w.b.loadWeight(a), 0.25, 1e-9)
+	w.b.recordLoadReport(q, told(-1, 3, -1))
+	w.b.meanReportedInFlight = 1
+	near(t, "ease of one where three wait", w.b.loadWeight(q), 1, 1e-9)
 }
 
 // Probes go to those drawn from, where servers tell of themselves to probes alone, and never past what their price
@@ -68,7 +68,7 @@
 		}
 		most := 6 + 6*120.0 // once a second at the most
 		if c.price > 0 {
-			most = min(most, 12+askSpend*120*c.rate/c.price*1.2)
+			most = min(most, 12+healthCheckSpend*120*c.rate/c.price*1.2)
 		}
 		if float64(probes) > most {
 			t.Errorf("%+v: %d probes, at most %.0f wanted", c, probes, most)
@@ -77,23 +77,23 @@
 	w := newWorld(t, testSettings(), fleet(1)...)
 	w.b.OnHealthCheck(w.now, HealthCheck{Server: "nobody", Result: Succeeded, Load: told(1, -1, 5)})
 	w.b.OnHealthCheck(w.now, HealthCheck{Server: "s0", Result: TimedOut, Load: told(1, -1, 5)})
-	if w.b.known["s0"].pace != 0 {
+	if w.b.knownEndpoints["s0"].reportedLatencyMs != 0 {
 		t.Error("a probe that failed told a pace")
 	}
 	w.b.OnHealthCheck(w.now, HealthCheck{Server: "s0", Result: Succeeded, Load: told(1, -1, 5)})
-	near(t, "pace told to a probe", w.b.known["s0"].pace, 5, 1e-9)
+	near(t, "pace told to a probe", w.b.knownEndpoints["s0"].reportedLatencyMs, 5, 1e-9)
 }
 
 // Latencies count in parts of what the work hinted makes likely: half of the time goes by it.
 func TestHintedWork(t *testing.T) {
-	c := newClass(Class{LatencyObjective: second})
-	near(t, "without a hint", c.heavy(0), 1, 0)
-	near(t, "the first", c.heavy(1000), 1, 1e-9)
+	c := newClassState(Class{LatencyObjective: second})
+	near(t, "without a hint", c.workFactor(0), 1, 0)
+	near(t, "the first", c.workFactor(1000), 1, 1e-9)
 	for range 500 {
-		c.heavy(1000)
+		c.workFactor(1000)
 	}
-	near(t, "three times the mean", c.heavy(3000), 2, 0.06)
-	near(t, "next to nothing", c.heavy(1), 0.5, 0.05)
+	near(t, "three times the mean", c.workFactor(3000), 2, 0.06)
+	near(t, "next to nothing", c.workFactor(1), 0.5, 0.05)
 }
 
 // More traffic wants more to draw from, less where open connections have a price.
@@ -105,8 +105,8 @@
 		set := testSettings()
 		set.ConnectionPrice, set.BalancerCount = c.price, 1000
 		w := newWorld(t, set, fleet(60)...)
-		if w.b.rate = c.rate; w.b.armsWanted() != c.want {
-			t.Errorf("price %v, %v requests a second: %d arms, want %d", c.price, c.rate, w.b.armsWanted(), c.want)
+		if w.b.requestRate = c.rate; w.b.subsetSize() != c.want {
+			t.Errorf("price %v, %v requests a second: %d arms, want %d", c.price, c.rate, w.b.subsetSize(), c.want)
 		}
 	}
 }
@@ -156,9 +156,9 @@
 		if lock < 100 || others > 10 {
 			t.Errorf("%+v: %d of 250 refused for the key, %d of 750 others", c, lock, others)
 		}
-		for id, s := range w.b.known {
-			if s.suspended || s.limit < 1 {
-				t.Errorf("%+v: %s suspended %v, limit %v", c, id, s.suspended, s.limit)
+		for id, s := range w.b.knownEndpoints {
+			if s.ejectedForAll || s.concurrencyLimit < 1 {
+				t.Errorf("%+v: %s suspended %v, limit %v", c, id, s.ejectedForAll, s.concurrencyLimit)
 			}
 		}
 		keyed(w, 3000, Succeeded, 0)
@@ -180,9 +180,9 @@
 			}
 		}
 	}
-	for i := range w.b.keys {
-		if w.b.keys[i].thinned > 0.5 {
-			t.Fatalf("slot %d is thinned by %v", i, w.b.keys[i].thinned)
+	for i := range w.b.keyStats {
+		if w.b.keyStats[i].rejectRatio > 0.5 {
+			t.Fatalf("slot %d is thinned by %v", i, w.b.keyStats[i].rejectRatio)
 		}
 	}
 }
@@ -193,9 +193,9 @@
 		set := testSettings()
 		set.Limits.MaxBufferedResponses = held
 		w := newWorld(t, set, fleet(3)...)
-		r := &request{Request: Request{Key: "k"}, class: w.b.classes[4], rules: w.b.classes[4].Class, aim: 400_000,
-			deadline: w.now + 2*second, taken: w.now, most: 4, books: &keyBooks{thinned: 0.5}}
-		if got := w.b.timeout(w.now, r); got != want {
+		r := &request{Request: Request{Key: "k"}, class: w.b.classes[4], classRules: w.b.classes[4].Class, latencyObjective: 400_000,
+			deadline: w.now + 2*second, arrivedAt: w.now, maxAttempts: 4, keyStats: &keyStats{rejectRatio: 0.5}}
+		if got := w.b.attemptTimeout(w.now, r); got != want {
 			t.Errorf("%d held: %d, want %d", held, got, want)
 		}
 	}
@@ -213,12 +213,12 @@
 			set.Rules.AttemptBudgetRatio = 0
 		}
 		w := newWorld(t, set, fleet(1)...)
-		s := w.b.known["s0"]
+		s := w.b.knownEndpoints["s0"]
 		w.settle(w.request("a", 0, second).tries[0], Succeeded)
-		before := s.limit
+		before := s.concurrencyLimit
 		w.settle(w.request("b", 0, second).tries[0], Saturated)
-		if kept := s.limit >= before; kept != c.kept {
-			t.Errorf("span %d: limit %v, was %v", c.span, s.limit, before)
+		if kept := s.concurrencyLimit >= before; kept != c.kept {
+			t.Errorf("span %d: limit %v, was %v", c.span, s.concurrencyLimit, before)
 		}
 	}
 }
@@ -228,13 +228,13 @@
 func TestEarlyLastsLongerWhereServersTellNothing(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(2)...)
 	c := w.b.classes[0]
-	c.base = float64(10 * second)
+	c.baselineP90 = float64(10 * second)
 	late := Outcome{Result: Succeeded, Latency: 280_000} // of an aim of 400 ms
-	if !w.b.early(c, late) {
+	if !w.b.isEarly(c, late) {
 		t.Error("0.7 of the aim is late where nothing is told")
 	}
-	w.b.hearLoad(w.b.known["s0"], told(1, -1, -1))
-	if w.b.early(c, late) {
+	w.b.recordLoadReport(w.b.knownEndpoints["s0"], told(1, -1, -1))
+	if w.b.isEarly(c, late) {
 		t.Error("0.7 of the aim is early where servers tell of their load")
 	}
 }
