--- a/decide/ration.go
+++ b/decide/attempt_budget.go
@@ -1,21 +1,31 @@
-// Books of the budget of attempts: how many further ones were sent in the last of its span, and how many requests were
-// taken. Decides nothing.
-
 package decide
 
-import "math"
+import (
+	"math"
+)
 
 const (
-	attemptBudgetSlots = 64          // that a span is cut into: what is allowed is less than the exact figure by one slot's part
-	defaultAttemptBudgetWindow  = 10 * second // counted where no budget is stated, so that one that comes later finds its past known
+	attemptBudgetSlots         = 64          // that a span is cut into: what is allowed is less than the exact figure by one slot's part
+	defaultAttemptBudgetWindow = 10 * second // counted where no budget is stated, so that one that comes later finds its past known
 )
 
+// attemptBudgetRemaining is how many attempts beyond a request's first the budget of attempts allows now, however the
+// earlier ones ended. Every send asks for it. Guards against retries of what servers turn away, which cost
+// the retry budget nothing: 27 in 10 s where 26.7 were allowed.
+func (b *Balancer) attemptBudgetRemaining(now int64) float64 {
+	if b.settings.Rules.AttemptBudgetWindow == 0 {
+		return math.Inf(1)
+	}
+	taken, further := b.attemptBudget.counts(now)
+	return b.attemptBudgetFloor(now) + b.settings.Rules.AttemptBudgetRatio*float64(taken) - float64(further)
+}
+
 // attemptBudget counts in slots of time. Where a slot is partly within the span its further attempts count and its requests do
 // not, so that it allows at most what an exact count would. Its size is the same for any traffic and any span.
 type attemptBudget struct {
-	window, slotWidth int64
-	slots       [attemptBudgetSlots + 1]attemptBudgetSlot
-	firstSeenAt, latestAt  int64 // first and latest time seen
+	window, slotWidth     int64
+	slots                 [attemptBudgetSlots + 1]attemptBudgetSlot
+	firstSeenAt, latestAt int64 // first and latest time seen
 	incompleteUntil       int64 // until then part of the span is unknown
 }
 
--- a/decide/backoff.go
+++ b/decide/endpoint_poll.go
@@ -1,6 +1,25 @@
 package decide
 
-import "math"
+import (
+	"math"
+)
+
+const (
+	minPollSpan         = 200_000 // µs within which the list is asked for at the least, twice that after a failure
+	pollSlotPerBalancer = 50_000  // µs of that time for each balancer: a list service takes them in turn
+	maxPollDelay        = 4.5e6   // µs from a failed call to the next at most: in force 6 s after it could be had
+	pollIntervalShare   = 0.7     // of Rules.PollInterval bounds both, past which the list counts as told
+)
+
+// OnPollFailed asks again, later each time, and at most a turn after the failed call began; waited is for how
+// long it had no answer.
+func (b *Balancer) OnPollFailed(now, waited int64) {
+	wait := b.pollBackoff(waited)
+	if b.pollFailures++; b.pollFailures == 1 {
+		b.actions.Log("list failed, asking again")
+	}
+	b.actions.SetTimer(wait, timerPoll)
+}
 
 // initialPollDelay is the time until the list is first asked for, drawn from a slot for each balancer.
 func (b *Balancer) initialPollDelay() int64 {
--- a/decide/peers.go
+++ b/decide/gossip.go
@@ -1,5 +1,3 @@
-// What balancers tell one another of their own attempts, and what one remembers of it. Decides nothing.
-
 package decide
 
 import (
@@ -8,60 +6,64 @@
 )
 
 const (
-	gossipVersion = 1 << 6 // in the two high bits of the first byte; the others are a number that grows with each word
-	gossipSeqMask     = 1<<6 - 1
-	gossipSeqHalf    = 1 << 5              // newer than the last by less than this, in steps of one
-	gossipHeaderBytes    = 2                   // bytes: the one above, and how long connections may be idle, in steps of a tenth
-	gossipIdleUnit   = 50_000              // µs, of which the steps count
-	gossipIdleLogStep    = 0.09531017980432493 // of their logarithm: a tenth
-	gossipEntryBytes   = 3                   // bytes: two of the server's hash; the count and four bits that check the entry
-	maxGossipBytes    = 64                  // bytes of a message
-	peerLoadIntervals  = 3                   // words to all may fail to come before a sharer is forgotten
-	peerLoadTTL     = second              // that a count told holds: its end may be lost
-	gossipLossTimeout     = second / 4          // without a word from anybody, past which words are taken to be lost
-	maxGossipFanout    = 24.0                // balancers that a word goes to
-	gossipCPUPerPeer     = 400.0               // µs of CPU a second for each of them
-	fleetGossipFanout   = 16_000.0            // of all balancers together: words of a large fleet fill the links
-	minGossipInterval   = 20 * second         // µs between two words to all, up to twice that
-	gossipIntervalPerBalancer    = 100_000             // µs of that time for each balancer: a word to all costs each of them
-	minGossipChangeInterval   = 4 * second          // µs, sooner than that where what it draws from has changed
-	gossipChangePerPair    = 100                 // µs of this for each pair of balancers
-	maxGossipInFlight    = 15                  // attempts that an entry can tell of
+	peerLoadIntervals         = 3           // words to all may fail to come before a sharer is forgotten
+	peerLoadTTL               = second      // that a count told holds: its end may be lost
+	gossipLossTimeout         = second / 4  // without a word from anybody, past which words are taken to be lost
+	maxGossipFanout           = 24.0        // balancers that a word goes to
+	gossipCPUPerPeer          = 400.0       // µs of CPU a second for each of them
+	fleetGossipFanout         = 16_000.0    // of all balancers together: words of a large fleet fill the links
+	minGossipInterval         = 20 * second // µs between two words to all, up to twice that
+	gossipIntervalPerBalancer = 100_000     // µs of that time for each balancer: a word to all costs each of them
+	minGossipChangeInterval   = 4 * second  // µs, sooner than that where what it draws from has changed
+	gossipChangePerPair       = 100         // µs of this for each pair of balancers
 )
 
+// gossipEndpoint tells those who draw from s what this balancer has out there.
+func (b *Balancer) gossipEndpoint(now int64, s *endpointState) {
+	if b.gossipEnabled() && s.inSubset && len(s.peerLoads) > 0 {
+		w := b.encodeGossip(s)
+		for _, p := range s.peerLoads[:min(len(s.peerLoads), b.gossipFanout())] {
+			b.actions.SendGossip(p.peer, w)
+		}
+	}
+}
+
+// gossipSubset tells all what this balancer draws from when it is time: soon after that has changed.
+func (b *Balancer) gossipSubset(now int64) {
+	if b.gossipEnabled() && now >= b.nextGossipAt {
+		b.lastGossipAt, b.nextGossipAt = now, now+b.gossipInterval()+b.rng.Int64N(b.gossipInterval())
+		b.actions.SendGossip(-1, b.encodeGossip(b.subset...))
+	}
+}
+
+// OnGossip takes in another balancer's message.
+func (b *Balancer) OnGossip(now int64, from int, word []byte) {
+	if !b.gossipEnabled() {
+		return
+	}
+	ok, met := b.handleGossip(now, from, word)
+	if met { // it may not know of this one: it started anew, or a word to all was lost
+		b.actions.SendGossip(from, b.encodeGossip(b.subset...))
+	}
+	if ok {
+		b.lastGossipReceivedAt = now
+		if len(b.queue) > 0 && b.rng.Float64()*b.balancersPerEndpoint() < expectedDispatchers {
+			b.dispatchQueued(now)
+		}
+	}
+}
+
 // peerLoad is another balancer that draws from a server, as it last told.
 type peerLoad struct {
 	peer, inFlight int
-	reportedAt         int64
+	reportedAt     int64
 }
 
 // peerState is the last word heard of a balancer.
 type peerState struct {
-	seq     byte
-	receivedAt      int64     // 0: never
-	endpoints []*endpointState // where it is a sharer
-}
-
-// encodeGossip writes a message of this balancer's attempts at some servers. More than one entry, or none, are all
-// servers that it draws from.
-func (b *Balancer) encodeGossip(servers ...*endpointState) []byte {
-	b.gossipSeq++
-	head := gossipVersion | b.gossipSeq&gossipSeqMask
-	idle := byte(min(math.Log(max(1, b.safeIdleTime/gossipIdleUnit))/gossipIdleLogStep, 255))
-	b.gossipBuffer = append(b.gossipBuffer[:0], head, idle)
-	for _, s := range servers[:min(len(servers), (maxGossipBytes-gossipHeaderBytes)/gossipEntryBytes)] {
-		hi, lo, held := s.gossipTag()[0], s.gossipTag()[1], byte(min(s.inFlight, maxGossipInFlight))
-		b.gossipBuffer = append(b.gossipBuffer, hi, lo, held<<4|gossipChecksum(head, idle, hi, lo, held))
-	}
-	return b.gossipBuffer
-}
-
-func gossipChecksum(bytes ...byte) byte {
-	sum := uint32(2166136261)
-	for _, c := range bytes {
-		sum = (sum ^ uint32(c)) * 16777619
-	}
-	return byte(sum >> 28)
+	seq        byte
+	receivedAt int64            // 0: never
+	endpoints  []*endpointState // where it is a sharer
 }
 
 // handleGossip takes in a message, unless it is none, damaged, of another version, old, or from itself. Of servers not
@@ -107,19 +109,6 @@
 	return true, met
 }
 
-// gossipTag stands for s in a word: two bytes of its hash. Servers with the same tag are few, and count for one of them.
-func (s *endpointState) gossipTag() [2]byte { return [2]byte{byte(s.idHash >> 40), byte(s.idHash >> 32)} }
-
-// mentions tells whether a word has an entry of s.
-func mentions(w []byte, s *endpointState) bool {
-	for e := gossipHeaderBytes; e < len(w); e += gossipEntryBytes {
-		if [2]byte{w[e], w[e+1]} == s.gossipTag() {
-			return true
-		}
-	}
-	return false
-}
-
 // recordPeerLoad writes down what a sharer holds at s and tells whether it is new as a sharer of an arm.
 func (b *Balancer) recordPeerLoad(now int64, s *endpointState, from, held int) bool {
 	at := slices.IndexFunc(s.peerLoads, func(p peerLoad) bool { return p.peer == from })
@@ -136,7 +125,9 @@
 
 // insertPeerLoad adds a sharer to a server's: those that come next after this balancer's number are first.
 func (b *Balancer) insertPeerLoad(s *endpointState, from int) int {
-	far := func(n int) int { return (n - b.settings.BalancerIndex + b.settings.BalancerCount) % b.settings.BalancerCount }
+	far := func(n int) int {
+		return (n - b.settings.BalancerIndex + b.settings.BalancerCount) % b.settings.BalancerCount
+	}
 	at := 0
 	for at < len(s.peerLoads) && far(s.peerLoads[at].peer) < far(from) {
 		at++
@@ -146,7 +137,9 @@
 }
 
 // gossipInterval is the time between two words to all, at the most: longer where there are many to tell.
-func (b *Balancer) gossipInterval() int64 { return max(minGossipInterval, int64(b.settings.BalancerCount)*gossipIntervalPerBalancer) }
+func (b *Balancer) gossipInterval() int64 {
+	return max(minGossipInterval, int64(b.settings.BalancerCount)*gossipIntervalPerBalancer)
+}
 
 // gossipChangeInterval is the time between them where what this balancer draws from has changed.
 func (b *Balancer) gossipChangeInterval() int64 {
@@ -164,7 +157,9 @@
 func (b *Balancer) gossipEnabled() bool { return b.settings.Limits.Gossip }
 
 // gossipLost tells whether the words of the others are lost.
-func (b *Balancer) gossipLost(now int64) bool { return b.gossipEnabled() && now-b.lastGossipReceivedAt > gossipLossTimeout }
+func (b *Balancer) gossipLost(now int64) bool {
+	return b.gossipEnabled() && now-b.lastGossipReceivedAt > gossipLossTimeout
+}
 
 // totalInFlight is what all balancers that draw from s have out there, as far as this one was told.
 func (b *Balancer) totalInFlight(now int64, s *endpointState) float64 {
@@ -191,8 +186,3 @@
 	}
 	return int(max(1, most))
 }
-
-// balancersPerEndpoint is how many balancers draw from a server, on average.
-func (b *Balancer) balancersPerEndpoint() float64 {
-	return max(1, float64(b.settings.BalancerCount*b.subsetSize())/float64(max(1, len(b.endpoints))))
-}
--- a/decide/follow.go
+++ b/decide/shadow_follow.go
@@ -1,9 +1,8 @@
-// Books of a balancer that watches another serve: its choices are written down, and what really happened is taken
-// into its books in their place. Decides nothing.
-
 package decide
 
-import "slices"
+import (
+	"slices"
+)
 
 // FollowAttempt takes in that the balancer watched has sent an attempt of a request to a server, or, where that is empty,
 // that it has sent none: an attempt of this balancer's own that was never made is struck out. A request that this one
--- a/decide/ramp.go
+++ b/decide/slow_start.go
@@ -1,15 +1,29 @@
-// Slow start of a server: its warm-up and the token bucket that rations what one balancer sends it meanwhile. Decides
-// nothing.
-
 package decide
 
-import "math"
+import (
+	"math"
+)
 
 const (
+	overloadShare         = 0.5    // of what would push a cold server over is its most: its warm-up as stated is the slowest
 	minTokenLifetimeShare = 0.1    // of a window that a token holds, where the factor leaves no room
 	defaultOverloadWindow = second // µs, where none is stated
 )
 
+// slowStartAdmits keeps rule 4 alone, for all balancers together: a cold server gets its warm-up's part of the
+// answers (not sends: they pile up in a jam) that a warm one of its size gives this balancer, or more where
+// that is half of what would push it over: guards against cold ones at ease while warm ones are late. What is
+// not used runs out: see bucket.
+func (b *Balancer) slowStartAdmits(now int64, s *endpointState) bool {
+	w := b.warmupFraction(now, s)
+	if w >= 1 {
+		s.slowStartTokens.availability = 1
+		return true
+	}
+	w *= max(1, b.settings.Rules.OverloadFactor*overloadShare)
+	return s.slowStartTokens.take(now, w*b.throughputPerCapacity[s.throughputGroup()]*s.Capacity, b.slowStartTokenLifetime())
+}
+
 // warmupFraction is the least share of its capacity that s has by now: even growth over the stated time.
 func (b *Balancer) warmupFraction(now int64, s *endpointState) float64 {
 	age := now - s.slowStartSince
@@ -43,9 +57,9 @@
 // each balancer at its own, so what a fleet holds is a sum of independent parts. Guards against hundreds of quiet balancers
 // that each save up a send, and spend it in the same moment: after a lull, at the end of a jam, when other servers fail.
 type expiringTokenBucket struct {
-	tokens float64 // one and a part: a send may go; the part alone: what has grown of the next
-	updatedAt     int64   // when it grew last
-	availability   float64 // of the time that it holds one where none is spent
+	tokens       float64 // one and a part: a send may go; the part alone: what has grown of the next
+	updatedAt    int64   // when it grew last
+	availability float64 // of the time that it holds one where none is spent
 }
 
 // take lets the bucket grow at a rate, in tokens a µs that hold for so many µs, and tells whether it holds one.
