--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -39,16 +39,16 @@
 func addr(i int) string { return fmt.Sprintf("127.0.0.1:%d", firstPort+i) }
 
 // list is the whole list; the last server drains once drained is closed.
-func list(drained <-chan struct{}) discovery.List {
-	l := discovery.List{Seq: 1, Whole: true}
+func list(drained <-chan struct{}) discovery.Update {
+	l := discovery.Update{Seq: 1, Full: true}
 	for i := range servers {
-		e := discovery.Entry{Host: name(i), Dial: addr(i), Zone: "a", Health: discovery.Ready, Share: 1}
-		l.Hosts = append(l.Hosts, e)
+		e := discovery.Endpoint{Host: name(i), Address: addr(i), Zone: "a", Health: discovery.Ready, Capacity: 1}
+		l.Endpoints = append(l.Endpoints, e)
 	}
 	select {
 	case <-drained:
 		l.Seq = 2
-		l.Hosts[servers-1].Health = discovery.Terminating
+		l.Endpoints[servers-1].Health = discovery.Terminating
 	default:
 	}
 	return l
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -26,10 +26,10 @@
 )
 
 const (
-	heapPart   = 0.6                       // of the memory limit: the rest is for stacks, the runtime and the program itself
-	bodyPart   = 0.2                       // of the heap, for bodies that are held
-	ownSockets = 8 + discovery.SocketsMost // the runtime's, the log, the listener; the list
-	clientPart = 0.5                       // of the other sockets: each request out holds one on either side
+	heapPart   = 0.6                      // of the memory limit: the rest is for stacks, the runtime and the program itself
+	bodyPart   = 0.2                      // of the heap, for bodies that are held
+	ownSockets = 8 + discovery.MaxSockets // the runtime's, the log, the listener; the list
+	clientPart = 0.5                      // of the other sockets: each request out holds one on either side
 
 	drainMore = 600 * time.Millisecond // past the longest deadline, after SIGTERM
 	drainMost = 3 * time.Second        // of that deadline: operators wait no longer before SIGKILL. Guards against a class of
@@ -115,8 +115,8 @@
 		}
 		if ledger := members.Ledger(); ledger != nil {
 			tuning.sum = members.Digest
-			conf.Digest = tuning.digest(conf)
-			side.Audit(ledger)
+			conf.SettingsDigest = tuning.digest(conf)
+			side.SetRecorder(ledger)
 			front.Audit(ledger)
 		}
 		if err := members.Run(context.Background()); err != nil {
--- a/internal/app/tuning.go
+++ b/internal/app/tuning.go
@@ -40,14 +40,14 @@
 	}
 	of := ""
 	if t.number > 0 {
-		if next, err = next.Adopt(t.text, t.env); err != nil {
+		if next, err = next.WithFleetSettings(t.text, t.env); err != nil {
 			log.Printf("event=reload_failed err=%q", fmt.Errorf("with the fleet's settings %d: %w", t.number, err))
 			return
 		}
 		of = fmt.Sprintf(" settings=fleet number=%d", t.number)
 	}
 	retuned := t.take(next, t.number, t.digest(next))
-	t.side.Discover(next.Discovery)
+	t.side.SetDiscoveryAddress(next.Discovery)
 	t.version++
 	log.Printf("event=reload version=%d retuned=%t discovery=%s was=%s needs_restart=%q%s", t.version, retuned,
 		next.Discovery, t.conf.Discovery, strings.Join(restart, ","), of)
@@ -67,11 +67,11 @@
 
 // take puts a configuration in force, in one step. The caller holds mu.
 func (t *Tuning) take(next *config.Config, number, digest uint64) (retuned bool) {
-	next.Number, next.Digest = number, digest
-	retuned = next.Retuned(t.conf)
-	if retuned || next.Number != t.conf.Number || next.Digest != t.conf.Digest {
+	next.SettingsVersion, next.SettingsDigest = number, digest
+	retuned = next.SettingsChanged(t.conf)
+	if retuned || next.SettingsVersion != t.conf.SettingsVersion || next.SettingsDigest != t.conf.SettingsDigest {
 		t.most.Store(max(t.most.Load(), longest(next.Settings.Classes)))
-		t.side.Retune(next, t.front.Retune)
+		t.side.ApplyConfig(next, t.front.Retune)
 	}
 	return retuned
 }
@@ -80,7 +80,7 @@
 func (t *Tuning) Adopt(number uint64, text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	next, err := t.conf.Adopt(text, t.env)
+	next, err := t.conf.WithFleetSettings(text, t.env)
 	if err != nil {
 		return err
 	}
@@ -95,14 +95,14 @@
 func (t *Tuning) Check(text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, err := t.conf.Adopt(text, t.env)
+	_, err := t.conf.WithFleetSettings(text, t.env)
 	return err
 }
 
 // Rest closes what is idle: this process may not act.
 func (t *Tuning) Rest() {
 	t.front.Rest()
-	t.side.Rest()
+	t.side.CloseIdleConnections()
 }
 
 func newTuning(conf *config.Config, side *sidecar.Sidecar, front *frontend.Frontend, most *atomic.Int64) *Tuning {
--- a/internal/app/upgrade.go
+++ b/internal/app/upgrade.go
@@ -70,7 +70,7 @@
 			u.life.Drain()
 		}
 		u.share.other(true)
-		u.side.Beside(true)
+		u.side.SetPeerProcessActive(true)
 		go func() {
 			for w := range u.works {
 				u.goOn(w)
@@ -78,12 +78,12 @@
 		}()
 		go func() {
 			<-u.before.Gone()
-			u.side.Foreign(nil)
-			u.side.Beside(false)
+			u.side.SetPeerInFlight(nil)
+			u.side.SetPeerProcessActive(false)
 			u.share.other(false)
 		}()
 	} else if u.held {
-		u.side.Beside(true) // for good: that process does not tell when it ends
+		u.side.SetPeerProcessActive(true) // for good: that process does not tell when it ends
 	} else if err := u.bind(ctx); err != nil {
 		return err
 	}
@@ -106,10 +106,10 @@
 		log.Printf("event=handover_unreadable err=%q", err)
 		return
 	}
-	u.side.Foreign(e.Open)
+	u.side.SetPeerInFlight(e.Open)
 	select {
 	case <-u.before.Gone(): // perhaps before they were named: what it had under way has ended
-		u.side.Foreign(nil)
+		u.side.SetPeerInFlight(nil)
 	default:
 	}
 }
@@ -118,13 +118,13 @@
 func (u *upgrade) follow(ctx context.Context) error {
 	if u.before != nil {
 		select {
-		case <-u.side.Known():
+		case <-u.side.EndpointsKnown():
 		case <-u.before.Gone():
 		}
 		u.serve(u.before.Listener)
 	}
 	select {
-	case <-u.side.Known():
+	case <-u.side.EndpointsKnown():
 	case <-ctx.Done():
 		return nil
 	}
@@ -174,7 +174,7 @@
 	var pass frontend.Pass
 	if offer.Heir() == handover.Serves {
 		pass = offer.Pass
-		if err := offer.Tell(ends{Open: u.side.Open()}); err != nil {
+		if err := offer.Tell(ends{Open: u.side.InFlight()}); err != nil {
 			log.Printf("event=handover_not_told err=%q", err)
 		}
 	}
@@ -220,6 +220,6 @@
 		parts++
 	}
 	s.front.Hold(max(1, s.clients/parts))
-	s.side.Hold(max(1, s.servers/parts))
+	s.side.SetSocketLimit(max(1, s.servers/parts))
 	debug.SetMemoryLimit(int64(s.memory / float64(parts)))
 }
--- a/internal/config/adopt.go
+++ b/internal/config/adopt.go
@@ -15,10 +15,10 @@
 // may be given as it is.
 var fleetKeys = []string{"name", "listen", "discovery", "admin", "seed", "limits", "known", "settings", "watch"}
 
-// Adopt makes the configuration that this one is with the settings of a fleet's file: checked as a reload is. A key of
+// WithFleetSettings makes the configuration that this one is with the settings of a fleet's file: checked as a reload is. A key of
 // settings that neither this build nor the file in force knows is an error. Guards against a member that takes a version for
 // adopted and goes by a part of it.
-func (c *Config) Adopt(text []byte, env func(string) string) (*Config, error) {
+func (c *Config) WithFleetSettings(text []byte, env func(string) string) (*Config, error) {
 	var file, mine map[string]json.RawMessage
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,40 +35,40 @@
 
 // Config is all that a sidecar is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // the operators' address; empty: none
-	Seed      uint64
-	Limits    Limits
-	Known     *discovery.List // the list as last known; nil: none
-	Settings  decide.Settings
-	Transport Transport
-	Watch     *Watch // nil: off
-	Number    uint64 // of the settings, where a fleet gave them
-	Digest    uint64 // of the bytes that they come from, where an account is kept
+	Name            string
+	Listen          string
+	Discovery       string
+	Admin           string // the operators' address; empty: none
+	Seed            uint64
+	Limits          Limits
+	LastEndpoints   *discovery.Update // the list as last known; nil: none
+	Settings        decide.Settings
+	Transport       Transport
+	Shadow          *Shadow // nil: off
+	SettingsVersion uint64  // of the settings, where a fleet gave them
+	SettingsDigest  uint64  // of the bytes that they come from, where an account is kept
 
 	listedAt string // discovery as the file itself has it
 	text     []byte // the file
 }
 
-// Watch is a second set of settings that is judged beside the first, without effect.
-type Watch struct {
-	Settings decide.Settings
-	Every    time.Duration // between two log lines
+// Shadow is a second set of settings that is judged beside the first, without effect.
+type Shadow struct {
+	Settings    decide.Settings
+	LogInterval time.Duration // between two log lines
 }
 
 // file is the configuration file's form.
 type file struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Admin     string          `json:"admin"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     *discovery.List `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
-	Watch     *watched        `json:"watch"`
+	Name      string            `json:"name"`
+	Listen    string            `json:"listen"`
+	Discovery string            `json:"discovery"`
+	Admin     string            `json:"admin"`
+	Seed      string            `json:"seed"`
+	Limits    Limits            `json:"limits"`
+	Known     *discovery.Update `json:"known"`
+	Settings  json.RawMessage   `json:"settings"`
+	Watch     *watched          `json:"watch"`
 }
 
 // watched is the watch's form in the file.
@@ -102,7 +102,7 @@
 	override(&in.Discovery, env("PROXY_DISCOVERY"))
 	override(&in.Admin, env("PROXY_ADMIN"))
 	c.Admin = in.Admin
-	c.Name, c.Listen, c.Discovery, c.Limits, c.Known = in.Name, in.Listen, in.Discovery, in.Limits, in.Known
+	c.Name, c.Listen, c.Discovery, c.Limits, c.LastEndpoints = in.Name, in.Listen, in.Discovery, in.Limits, in.Known
 	if err := c.check(in.Seed); err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 		return nil, fmt.Errorf("config: settings.%w", err)
 	}
 	if in.Watch != nil {
-		if c.Watch, err = parseWatch(in.Watch, &c.Settings); err != nil {
+		if c.Shadow, err = parseWatch(in.Watch, &c.Settings); err != nil {
 			return nil, fmt.Errorf("config: watch.%w", err)
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // parseWatch reads settings that are to be judged on the events of others: requests must mean the same in both.
-func parseWatch(in *watched, serving *decide.Settings) (*Watch, error) {
+func parseWatch(in *watched, serving *decide.Settings) (*Shadow, error) {
 	every := defaultWatchS
 	if in.EveryS != nil {
 		every = *in.EveryS
@@ -157,7 +157,7 @@
 	if !slices.EqualFunc(set.Tenants, serving.Tenants, func(a, b decide.Tenant) bool { return a.Name == b.Name }) {
 		return nil, fmt.Errorf("settings.Realms: expected the tenants of settings in the same order")
 	}
-	return &Watch{Settings: set, Every: time.Duration(every * float64(time.Second))}, nil
+	return &Shadow{Settings: set, LogInterval: time.Duration(every * float64(time.Second))}, nil
 }
 
 // Reload reads the file again, checks it whole, and names the keys that changed and count from the next start on. A
@@ -188,7 +188,7 @@
 	}{
 		{"name", next.Name == c.Name}, {"listen", next.Listen == c.Listen}, {"admin", next.Admin == c.Admin},
 		{"seed", next.Seed == c.Seed}, {"limits", next.Limits == c.Limits},
-		{"watch", (next.Watch == nil) == (c.Watch == nil) && (c.Watch == nil || next.Watch.Every == c.Watch.Every)},
+		{"watch", (next.Shadow == nil) == (c.Shadow == nil) && (c.Shadow == nil || next.Shadow.LogInterval == c.Shadow.LogInterval)},
 	} {
 		if !k.same {
 			restart = append(restart, k.key)
@@ -197,10 +197,10 @@
 	return next, restart, nil
 }
 
-// Retuned tells whether settings differ from those of another configuration.
-func (c *Config) Retuned(other *Config) bool {
+// SettingsChanged tells whether settings differ from those of another configuration.
+func (c *Config) SettingsChanged(other *Config) bool {
 	return !reflect.DeepEqual(c.Settings, other.Settings) || c.Transport != other.Transport ||
-		!reflect.DeepEqual(c.Watch, other.Watch)
+		!reflect.DeepEqual(c.Shadow, other.Shadow)
 }
 
 // bounded refuses what a start would put a default for: in a file that replaces another it is a mistake.
@@ -251,8 +251,8 @@
 			return fmt.Errorf("config: seed: expected up to 16 hex digits, got %q", seed)
 		}
 	}
-	if c.Known != nil {
-		if err := c.Known.Check(); err != nil {
+	if c.LastEndpoints != nil {
+		if err := c.LastEndpoints.Validate(); err != nil {
 			return fmt.Errorf("config: known.%w", err)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -149,12 +149,12 @@
 // What the settings of the new shape say reaches the module; without them it is as it was.
 func TestSettingsOfTheNewShape(t *testing.T) {
 	c, err := Parse(example(t), none)
-	if err != nil || c.Watch != nil || c.Settings.CapacityLive || c.Settings.Limits.CPU != 0 || c.Settings.Objective.TailLatency != 0 ||
+	if err != nil || c.Shadow != nil || c.Settings.CapacityLive || c.Settings.Limits.CPU != 0 || c.Settings.Objective.TailLatency != 0 ||
 		c.Settings.Objective.ToleratedLateShare != 0 {
 		t.Errorf("defaults: %v %+v", err, c)
 	}
 	c, err = change(t, "watch", watchedOf(t, "WeightSource", "live"))
-	if err != nil || c.Watch == nil || !c.Watch.Settings.CapacityLive || !c.Watch.Settings.CapacityListed || c.Watch.Every != 10*time.Second || c.Settings.CapacityLive {
+	if err != nil || c.Shadow == nil || !c.Shadow.Settings.CapacityLive || !c.Shadow.Settings.CapacityListed || c.Shadow.LogInterval != 10*time.Second || c.Settings.CapacityLive {
 		t.Fatalf("live weights in the watch: %v %+v", err, c)
 	}
 	c, err = change(t, "settings.ScoringMix", map[string]any{"Tail": 0.3, "BorneMisses": 0.01})
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -113,8 +113,8 @@
 			continue
 		}
 		old, _ := Parse(example(t), none)
-		if got := strings.Join(restart, ","); got != c.restart || next.Retuned(old) != c.retuned {
-			t.Errorf("%s: needs a restart: %q, retuned %v", name, got, next.Retuned(old))
+		if got := strings.Join(restart, ","); got != c.restart || next.SettingsChanged(old) != c.retuned {
+			t.Errorf("%s: needs a restart: %q, retuned %v", name, got, next.SettingsChanged(old))
 		}
 	}
 }
@@ -138,13 +138,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := c.Adopt(with(func(s map[string]any) {
+	next, err := c.WithFleetSettings(with(func(s map[string]any) {
 		s["Me"], s["Zone"], s["Odd"], s["TickUs"] = 7, "z", 2, 6000
 	}), none)
 	if err != nil || next.Settings.BalancerIndex != 1 || next.Settings.Zone != "a" || next.Settings.Limits.MinEventInterval != 6000 || next.Name != "p" || string(next.Text()) != adoptable {
 		t.Fatalf("%v %+v", err, next)
 	}
-	if whole, err := c.Adopt([]byte(strings.Replace(adoptable, `"p"`, `"another"`, 1)), none); err != nil || whole.Name != "p" || whole.Retuned(c) {
+	if whole, err := c.WithFleetSettings([]byte(strings.Replace(adoptable, `"p"`, `"another"`, 1)), none); err != nil || whole.Name != "p" || whole.SettingsChanged(c) {
 		t.Error(err)
 	}
 	for want, text := range map[string][]byte{
@@ -157,7 +157,7 @@
 		"settings: expected an object":          []byte(`{}`),
 		"config: ":                              []byte(`{`),
 	} {
-		if _, err := c.Adopt(text, none); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := c.WithFleetSettings(text, none); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -39,7 +39,7 @@
 	head  time.Duration // and, from there, the answer's head
 	quiet func()        // nothing whole has come for a while
 	line  func()        // an empty line has come
-	take  func(*List)
+	take  func(*Update)
 }
 
 // watch holds the watch open, and returns why it ended.
@@ -83,7 +83,7 @@
 }
 
 // lists hands on the lists of a watch until it ends or falls silent. A list may stand on one line or on several.
-func lists(b *beats, take func(*List)) error {
+func lists(b *beats, take func(*Update)) error {
 	for dec := json.NewDecoder(b); ; {
 		var text json.RawMessage
 		var wrong *json.SyntaxError
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -19,25 +19,25 @@
 	agentFirst = 300 * time.Millisecond
 )
 
-// SocketsMost is how many the list holds at most: the watch, and calls with no answer.
-const SocketsMost = 1 + callsMost
+// MaxSockets is how many the list holds at most: the watch, and calls with no answer.
+const MaxSockets = 1 + callsMost
 
 // Listener is told of the list. Its method may block; the list's actor then waits.
 type Listener interface {
-	Listed(*List)
+	OnEndpoints(*Update)
 }
 
 // Source tells how the list comes.
 type Source struct {
-	Pushed    bool // from an agent beside this process
-	Balancers int  // how many ask for it
+	Pushed        bool // from an agent beside this process
+	BalancerCount int  // how many ask for it
 }
 
 // Client is the list's actor: it owns the watch, the calls for one and the roster. Calls begin when its schedule says so. A call
 // that has no answer yet goes on waiting beside the next; the first that is answered counts, and the others end. Guards against a
 // fleet whose calls, given up and made anew, keep a service that works through them in turn from answering any.
 type Client struct {
-	Roster *Roster
+	Endpoints *EndpointSet
 
 	addr  string
 	to    Listener
@@ -55,7 +55,7 @@
 	version int64 // the version in force, to compare with; -1: none of this service yet
 	older   int   // answers in a row that were older than that
 
-	known *List // to go by while an agent says nothing; nil: none
+	known *Update // to go by while an agent says nothing; nil: none
 }
 
 // subscription is one call, and the watch that it becomes; a word of one that has been ended is not taken.
@@ -75,20 +75,20 @@
 
 // New makes the actor with the list as last known, which may be nil. Where lists are pushed that one is put off until the
 // agent was asked, and told like any other then: what the agent has goes before it.
-func New(addr string, known *List, source Source, to Listener) *Client {
+func New(addr string, known *Update, source Source, to Listener) *Client {
 	c := &Client{
-		Roster: &Roster{}, addr: addr, to: to, seq: -1, version: -1,
+		Endpoints: &EndpointSet{}, addr: addr, to: to, seq: -1, version: -1,
 		box: make(chan func(), mailbox), due: time.NewTimer(time.Hour),
-		plan: schedule{balancers: source.Balancers, pushed: source.Pushed, random: rand.Float64},
+		plan: schedule{balancers: source.BalancerCount, pushed: source.Pushed, random: rand.Float64},
 	}
 	c.due.Stop()
 	switch {
-	case known == nil || len(known.Hosts) == 0:
+	case known == nil || len(known.Endpoints) == 0:
 	case source.Pushed:
 		c.known = known
 	default:
 		c.seq = known.Seq
-		c.Roster.Replace(known)
+		c.Endpoints.Replace(known)
 	}
 	return c
 }
@@ -96,7 +96,7 @@
 // Run serves the mailbox until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	wait := c.plan.started(time.Now())
-	if !c.Roster.Known() { // nothing can be served before
+	if !c.Endpoints.HasEndpoints() { // nothing can be served before
 		wait = 0
 	}
 	c.due.Reset(wait)
@@ -119,13 +119,13 @@
 	}
 }
 
-// Come tells how the list comes from now on.
-func (c *Client) Come(source Source) {
-	c.box <- func() { c.plan.pushed, c.plan.balancers = source.Pushed, source.Balancers }
+// SetSource tells how the list comes from now on.
+func (c *Client) SetSource(source Source) {
+	c.box <- func() { c.plan.pushed, c.plan.balancers = source.Pushed, source.BalancerCount }
 }
 
-// Move goes on with the list at another address. The list stays as it is until that one speaks.
-func (c *Client) Move(addr string) { c.box <- func() { c.move(addr) } }
+// SetAddress goes on with the list at another address. The list stays as it is until that one speaks.
+func (c *Client) SetAddress(addr string) { c.box <- func() { c.move(addr) } }
 
 // move asks at the new address at once and listens to the old one until it ends or the new one speaks. Version
 // numbers of one service mean nothing to another, so the whole list is asked for.
@@ -145,8 +145,8 @@
 func (c *Client) goBy() {
 	if l := c.known; l != nil {
 		c.known = nil
-		c.Roster.Replace(l)
-		c.to.Listed(&List{Seq: l.Seq, Whole: true, Hosts: l.Hosts})
+		c.Endpoints.Replace(l)
+		c.to.OnEndpoints(&Update{Seq: l.Seq, Full: true, Endpoints: l.Endpoints})
 	}
 }
 
@@ -167,7 +167,7 @@
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	c.waiting = append(c.waiting, s)
 	c.lines.printf(now, "event=list_call call=%d discovery=%s from=%d list_age_ms=%d waiting=%d",
-		s.number, c.addr, c.seq, c.Roster.Age().Milliseconds(), len(c.waiting)-1)
+		s.number, c.addr, c.seq, c.Endpoints.Staleness().Milliseconds(), len(c.waiting)-1)
 	c.due.Reset(c.plan.begin(now))
 	go c.follow(s, c.seq, c.plan.pushed)
 }
@@ -199,7 +199,7 @@
 	}
 	call.line = func() { c.post(s, func() { c.heard(s) }) }
 	call.quiet = func() { c.post(s, func() { c.doubt(s) }) }
-	call.take = func(l *List) { c.post(s, func() { c.take(s, l) }) }
+	call.take = func(l *Update) { c.post(s, func() { c.take(s, l) }) }
 	err := call.watch(s.ctx)
 	c.post(s, func() { c.ended(s, err) })
 }
@@ -227,7 +227,7 @@
 		now := time.Now()
 		c.suspect = false
 		c.plan.heard(now)
-		c.Roster.heard(now)
+		c.Endpoints.heard(now)
 		c.due.Stop()
 		c.endWaiting()
 	}
@@ -241,12 +241,12 @@
 	}
 	now := time.Now()
 	c.suspect = true
-	c.lines.printf(now, "event=watch_suspect call=%d list_age_ms=%d", s.number, c.Roster.Age().Milliseconds())
+	c.lines.printf(now, "event=watch_suspect call=%d list_age_ms=%d", s.number, c.Endpoints.Staleness().Milliseconds())
 	c.due.Reset(c.plan.lost(now))
 }
 
 // take takes a list in, unless a newer one of the same service is in force.
-func (c *Client) take(s *subscription, l *List) {
+func (c *Client) take(s *subscription, l *Update) {
 	if s != c.held && !slices.Contains(c.waiting, s) {
 		return
 	}
@@ -260,16 +260,16 @@
 		c.seq, c.version, c.older = l.Seq, l.Seq, 0
 	}
 	c.known = nil
-	c.lines.printf(time.Now(), "event=list_taken call=%d seq=%d whole=%v entries=%d", s.number, l.Seq, l.Whole, len(l.Hosts))
-	c.Roster.apply(l)
-	c.to.Listed(l)
+	c.lines.printf(time.Now(), "event=list_taken call=%d seq=%d whole=%v entries=%d", s.number, l.Seq, l.Full, len(l.Endpoints))
+	c.Endpoints.apply(l)
+	c.to.OnEndpoints(l)
 }
 
 // beganAnew tells whether a service that sends a lower version counts anew: its next answer, a whole list, says the same.
 // Guards against a replica that lags behind, whose list would bring servers back that have left.
-func (c *Client) beganAnew(l *List) bool {
+func (c *Client) beganAnew(l *Update) bool {
 	c.older++
-	return c.older > 1 && l.Whole
+	return c.older > 1 && l.Full
 }
 
 // ended takes the end of a call or of a watch.
@@ -282,7 +282,7 @@
 	}
 	if !c.plan.pushed || !c.plan.failing { // an agent that is away is asked several times a second
 		c.lines.printf(now, "event=watch_ended discovery=%s call=%d after_ms=%d answered=%v list_age_ms=%d err=%q",
-			s.addr, s.number, now.Sub(s.begun).Milliseconds(), at < 0, c.Roster.Age().Milliseconds(), err)
+			s.addr, s.number, now.Sub(s.begun).Milliseconds(), at < 0, c.Endpoints.Staleness().Milliseconds(), err)
 	}
 	if s.addr == c.addr && (errors.Is(err, errGarbage) || errors.Is(err, errOlder)) {
 		c.seq = -1 // what it meant to say is lost: ask for the whole list
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -44,15 +44,15 @@
 		w.Left()
 	})
 	to := make(told, 16)
-	c := New(addr, &List{Seq: 9, Hosts: []Entry{entry("a", "1", Ready)}}, Source{Pushed: true}, to)
-	if _, ready := c.Roster.Address("a"); ready {
+	c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{entry("a", "1", Ready)}}, Source{Pushed: true}, to)
+	if _, ready := c.Endpoints.Address("a"); ready {
 		t.Fatal("what was known goes before the agent")
 	}
 	running(t, c)
 	if word := next(t, to); word != "listed" {
 		t.Fatal(word)
 	}
-	if _, ready := c.Roster.Address("a"); ready || !c.Roster.Known() {
+	if _, ready := c.Endpoints.Address("a"); ready || !c.Endpoints.HasEndpoints() {
 		t.Fatal("not what the agent has")
 	}
 }
@@ -76,17 +76,17 @@
 				w.Left()
 			})
 			to := make(told, 16)
-			c := New(addr, &List{Seq: 9, Hosts: []Entry{entry("a", "1", Ready)}}, Source{Pushed: true}, to)
+			c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{entry("a", "1", Ready)}}, Source{Pushed: true}, to)
 			running(t, c)
 			next(t, to)
-			if _, ready := c.Roster.Address("a"); !ready {
+			if _, ready := c.Endpoints.Address("a"); !ready {
 				t.Fatal("what was known does not serve")
 			}
 			close(back)
 			if word := next(t, to); word != "listed" {
 				t.Fatal(word)
 			}
-			if _, ready := c.Roster.Address("a"); ready {
+			if _, ready := c.Endpoints.Address("a"); ready {
 				t.Fatal("not what the agent has")
 			}
 		})
@@ -102,7 +102,7 @@
 		<-end
 	})
 	to := make(told, 16)
-	c := New(addr, nil, Source{Balancers: 1}, to)
+	c := New(addr, nil, Source{BalancerCount: 1}, to)
 	running(t, c)
 	for _, pushed := range []bool{true, false, true} {
 		if word := next(t, to); word != "listed" {
@@ -111,7 +111,7 @@
 		held := make(chan *subscription, 2)
 		look := func() { held <- c.held }
 		c.box <- look
-		c.Come(Source{Pushed: pushed, Balancers: 1})
+		c.SetSource(Source{Pushed: pushed, BalancerCount: 1})
 		c.box <- look
 		if before, after := <-held, <-held; before != after {
 			t.Fatal("the watch was left")
@@ -188,7 +188,7 @@
 		})
 	}
 	to := make(told, 16)
-	c := New(addr[0], nil, Source{Balancers: 1}, to)
+	c := New(addr[0], nil, Source{BalancerCount: 1}, to)
 	running(t, c)
 	query := func() {
 		t.Helper()
@@ -198,16 +198,16 @@
 	}
 	query()
 	next(t, to)
-	c.Move(addr[1])
+	c.SetAddress(addr[1])
 	query()
-	c.Move(addr[0])
+	c.SetAddress(addr[0])
 	query()
 	next(t, to) // the first service, asked again, speaks
-	c.Move(addr[2])
+	c.SetAddress(addr[2])
 	query()
 	close(speak)
 	standin.Eventually(t, "the last service's list", func() bool {
-		_, ready := c.Roster.Address("a")
+		_, ready := c.Endpoints.Address("a")
 		return !ready
 	})
 }
@@ -229,7 +229,7 @@
 				to <- w.Query
 				w.Left()
 			})
-			d := New(addr, nil, Source{Balancers: 1}, to)
+			d := New(addr, nil, Source{BalancerCount: 1}, to)
 			d.seq = 3
 			s := watching(d)
 			running(t, d)
@@ -253,7 +253,7 @@
 				server.Close()
 			}
 		}()
-		err := lists(&beats{conn: hurried{client}, from: client}, func(*List) {})
+		err := lists(&beats{conn: hurried{client}, from: client}, func(*Update) {})
 		if errors.Is(err, errSilent) != c.silent {
 			t.Errorf("hung up %v: %v", c.hangUp, err)
 		}
@@ -267,14 +267,14 @@
 	for _, move := range []bool{false, true} {
 		to := make(told, 16)
 		hangsUp := standin.NewDiscovery(t, func(*standin.Watch) { to <- "asked" })
-		d := New(hangsUp, nil, Source{Balancers: 1}, to)
+		d := New(hangsUp, nil, Source{BalancerCount: 1}, to)
 		if move {
 			d.addr = "127.0.0.1:1"
 		}
 		old := watching(d)
 		running(t, d)
 		if move {
-			d.Move(hangsUp)
+			d.SetAddress(hangsUp)
 		} else {
 			d.box <- func() { d.ended(old, errSilent) }
 		}
@@ -284,7 +284,7 @@
 			}
 		}
 		if move {
-			d.box <- func() { d.take(old, &List{Hosts: []Entry{entry("a", "1", Ready)}}) }
+			d.box <- func() { d.take(old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}) }
 			for word := next(t, to); word != "listed"; word = next(t, to) {
 				if word != "asked" {
 					t.Fatalf("the old watch: %s", word)
@@ -361,7 +361,7 @@
 func TestACallKeepsItsPlace(t *testing.T) {
 	for answered := range 3 {
 		q, to := newQueue(t), make(told, 16)
-		c := New(q.addr, nil, Source{Balancers: 1}, to)
+		c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 		go quietly(t, c)
 		for n := range 3 {
 			q.ask(t, c, n)
@@ -386,7 +386,7 @@
 		}
 	}
 	q, to := newQueue(t), make(told, 16)
-	c := New(q.addr, nil, Source{Balancers: 1}, to)
+	c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 	go quietly(t, c)
 	for n := range callsMost {
 		q.ask(t, c, n)
@@ -425,7 +425,7 @@
 func TestASuspectWatchIsHeardOn(t *testing.T) {
 	for _, speaks := range []bool{false, true} {
 		q, to := newQueue(t), make(told, 16)
-		c := New(q.addr, nil, Source{Balancers: 1}, to)
+		c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 		go quietly(t, c)
 		var old *subscription
 		c.box <- func() {
@@ -459,7 +459,7 @@
 // What a suspect watch still says is taken, and ends the call beside it: the list is as discovery has it.
 func TestASuspectWatchThatSpeaksIsInForce(t *testing.T) {
 	q, to := newQueue(t), make(told, 16)
-	c := New(q.addr, nil, Source{Balancers: 1}, to)
+	c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 	go quietly(t, c)
 	var old *subscription
 	c.box <- func() {
@@ -470,7 +470,7 @@
 	if n := number(t, q.asked); n != 0 {
 		t.Fatal(n)
 	}
-	c.box <- func() { c.take(old, &List{Hosts: []Entry{entry("a", "1", Ready)}}) }
+	c.box <- func() { c.take(old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}) }
 	if word := next(t, to); word != "listed" {
 		t.Fatalf("the suspect watch: %s", word)
 	}
@@ -484,29 +484,29 @@
 func TestAnOlderListIsNotTaken(t *testing.T) {
 	ready, gone := entry("a", "1", Ready), entry("a", "1", Terminating)
 	for _, waits := range []bool{false, true} {
-		c := New("here", nil, Source{Balancers: 1}, make(told, 16))
+		c := New("here", nil, Source{BalancerCount: 1}, make(told, 16))
 		s := watching(c)
-		c.take(s, &List{Seq: 9, Whole: true, Hosts: []Entry{gone}})
+		c.take(s, &Update{Seq: 9, Full: true, Endpoints: []Endpoint{gone}})
 		if waits {
 			c.held, c.waiting = nil, []*subscription{s}
 		}
-		c.take(s, &List{Seq: 8, Whole: true, Hosts: []Entry{ready}})
-		if _, is := c.Roster.Address("a"); is || s.ctx.Err() == nil || c.seq != -1 {
+		c.take(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
+		if _, is := c.Endpoints.Address("a"); is || s.ctx.Err() == nil || c.seq != -1 {
 			t.Fatalf("waits %v: an older list was taken, or its call goes on, or its version is asked from: %d", waits, c.seq)
 		}
 		s = watching(c)
-		c.take(s, &List{Seq: 7, Hosts: []Entry{ready}})
-		if _, is := c.Roster.Address("a"); is {
+		c.take(s, &Update{Seq: 7, Endpoints: []Endpoint{ready}})
+		if _, is := c.Endpoints.Address("a"); is {
 			t.Fatal("a part of an older list was taken")
 		}
 		s = watching(c)
-		c.take(s, &List{Seq: 8, Whole: true, Hosts: []Entry{ready}})
-		if _, is := c.Roster.Address("a"); !is || c.seq != 8 {
+		c.take(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
+		if _, is := c.Endpoints.Address("a"); !is || c.seq != 8 {
 			t.Fatal("a service that counts anew is not believed")
 		}
 		c.held.addr = "before"
-		c.take(c.held, &List{Seq: 1, Hosts: []Entry{gone}})
-		if _, is := c.Roster.Address("a"); is {
+		c.take(c.held, &Update{Seq: 1, Endpoints: []Endpoint{gone}})
+		if _, is := c.Endpoints.Address("a"); is {
 			t.Fatal("another service's versions were compared")
 		}
 		c.held.end()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,27 +13,29 @@
 	"damsonscale/internal/lab/standin"
 )
 
-func entry(host, dial string, s State) Entry { return Entry{Host: host, Dial: dial, Health: s} }
+func entry(host, dial string, s HealthState) Endpoint {
+	return Endpoint{Host: host, Address: dial, Health: s}
+}
 
 // The roster holds what was listed last: changes apply on top, a whole list replaces it.
 func TestRoster(t *testing.T) {
-	var r Roster
-	if _, ready := r.Address("a"); ready || r.Known() {
+	var r EndpointSet
+	if _, ready := r.Address("a"); ready || r.HasEndpoints() {
 		t.Fatal("an empty roster knows a server")
 	}
-	r.apply(&List{Hosts: []Entry{entry("a", "1", Ready), entry("b", "2", Ready)}})
-	r.apply(&List{Hosts: []Entry{entry("a", "1", Terminating), entry("c", "3", Ready)}})
-	r.apply(&List{Hosts: []Entry{{Host: "b", Health: Gone}}})
+	r.apply(&Update{Endpoints: []Endpoint{entry("a", "1", Ready), entry("b", "2", Ready)}})
+	r.apply(&Update{Endpoints: []Endpoint{entry("a", "1", Terminating), entry("c", "3", Ready)}})
+	r.apply(&Update{Endpoints: []Endpoint{{Host: "b", Health: Removed}}})
 	for host, want := range map[string]bool{"a": false, "b": false, "c": true} {
 		if _, ready := r.Address(host); ready != want {
 			t.Errorf("%s ready: %v", host, ready)
 		}
 	}
-	if _, listed := r.Find("a"); !listed {
+	if _, listed := r.Lookup("a"); !listed {
 		t.Error("a draining server is still listed")
 	}
-	r.apply(&List{Whole: true, Hosts: []Entry{entry("d", "4", Ready), entry("e", "5", "Dozing")}})
-	if _, listed := r.Find("c"); listed {
+	r.apply(&Update{Full: true, Endpoints: []Endpoint{entry("d", "4", Ready), entry("e", "5", "Dozing")}})
+	if _, listed := r.Lookup("c"); listed {
 		t.Error("a server absent from a whole list is still there")
 	}
 	if _, ready := r.Address("e"); ready {
@@ -110,8 +112,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			addr, _ := talk(t, c.text, false)
 			lists := 0
-			err := calling(addr, 3, func(l *List) {
-				if l.Seq == 7 && len(l.Hosts) == 1 {
+			err := calling(addr, 3, func(l *Update) {
+				if l.Seq == 7 && len(l.Endpoints) == 1 {
 					lists++
 				}
 			}).watch(context.Background())
@@ -158,7 +160,7 @@
 }
 
 // calling is a call of whose lists alone somebody wants to know.
-func calling(addr string, from int64, take func(*List)) *call {
+func calling(addr string, from int64, take func(*Update)) *call {
 	nothing := func() {}
 	return &call{addr: addr, from: from, dial: dialTimeout, head: headMost, line: nothing, quiet: nothing, take: take}
 }
@@ -166,21 +168,21 @@
 // told records what the list's actor tells.
 type told chan string
 
-func (c told) Listed(l *List) { c <- "listed" }
+func (c told) OnEndpoints(l *Update) { c <- "listed" }
 
 // The list is asked for without being told to, from the version known, and again after a call that hung up. Nothing of it may wait
 // for the one who is told.
 func TestAsksByItself(t *testing.T) {
 	for _, c := range []struct {
-		known *List
+		known *Update
 		want  string
-	}{{&List{Seq: 5, Hosts: []Entry{entry("a", "1", Ready)}}, "watch=1&from=5"}, {nil, "watch=1"}} {
+	}{{&Update{Seq: 5, Endpoints: []Endpoint{entry("a", "1", Ready)}}, "watch=1&from=5"}, {nil, "watch=1"}} {
 		asked := make(chan string, 16)
 		addr := standin.NewDiscovery(t, func(w *standin.Watch) {
 			asked <- w.Query
 			w.Begin()
 		})
-		running(t, New(addr, c.known, Source{Balancers: 1}, make(told)))
+		running(t, New(addr, c.known, Source{BalancerCount: 1}, make(told)))
 		for n := range 2 {
 			if got := <-asked; got != c.want {
 				t.Fatalf("call %d asked %q", n, got)
@@ -192,20 +194,20 @@
 // The old address is listened to until the new one speaks, and no longer; an ask that was due does not begin
 // the new watch again.
 func TestMoveKeepsTheOldListUntilTheNewOneSpeaks(t *testing.T) {
-	c := New("old", nil, Source{Balancers: 1}, make(told, 16))
+	c := New("old", nil, Source{BalancerCount: 1}, make(told, 16))
 	old := watching(c)
 	addr, asked := talk(t, ok, true)
 	c.move(addr)
 	if got := <-asked; strings.Contains(got, "from") {
 		t.Fatalf("asked %q", got)
 	}
-	c.take(old, &List{Seq: 90, Hosts: []Entry{entry("a", "1", Ready)}})
-	if !c.Roster.Known() || c.seq != -1 {
+	c.take(old, &Update{Seq: 90, Endpoints: []Endpoint{entry("a", "1", Ready)}})
+	if !c.Endpoints.HasEndpoints() || c.seq != -1 {
 		t.Fatalf("the old address is not heard, or its version %d kept", c.seq)
 	}
-	c.take(c.waiting[0], &List{Seq: 2, Whole: true, Hosts: []Entry{entry("b", "2", Ready)}})
-	c.take(old, &List{Seq: 91, Hosts: []Entry{entry("c", "3", Ready)}})
-	if _, stale := c.Roster.Find("c"); stale || old.ctx.Err() == nil || c.seq != 2 {
+	c.take(c.waiting[0], &Update{Seq: 2, Full: true, Endpoints: []Endpoint{entry("b", "2", Ready)}})
+	c.take(old, &Update{Seq: 91, Endpoints: []Endpoint{entry("c", "3", Ready)}})
+	if _, stale := c.Endpoints.Lookup("c"); stale || old.ctx.Err() == nil || c.seq != 2 {
 		t.Fatalf("the old address is still heard: %v %d", stale, c.seq)
 	}
 	held, begun := c.held, c.begun
@@ -233,7 +235,7 @@
 	f.Add([]byte(`{"hosts":[{"host":"a","dial":"b","block":-1,"born_ms":99999999999}]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		if l, err := parseList(in); err == nil {
-			var r Roster
+			var r EndpointSet
 			r.apply(l)
 		}
 	})
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	longestBody = upstream.LongestBody
+	longestBody = upstream.MaxBodySize
 	ahead       = 8 << 10 // of a body, which is held whatever the budget has left
 )
 
@@ -41,8 +41,8 @@
 	took   int64     // of the budget
 	read   int64     // of src so far
 	held   []byte
-	rest   *upstream.Rest // nil: held is all of it
-	cut    atomic.Bool    // nothing more is to be read
+	rest   *upstream.BodyRemainder // nil: held is all of it
+	cut    atomic.Bool             // nothing more is to be read
 }
 
 // body makes the body of a request whose head was read.
@@ -63,7 +63,7 @@
 	if b.length > longestBody {
 		return bad(fasthttp.StatusRequestEntityTooLarge, "request body too large")
 	}
-	most := int64(upstream.HeldMost)
+	most := int64(upstream.MaxBuffered)
 	if b.length >= 0 {
 		most = min(most, b.length)
 	}
@@ -91,7 +91,7 @@
 	if int64(len(b.held)) == b.length {
 		return nil
 	}
-	b.rest = upstream.NewRest(b, b.length, b.stop)
+	b.rest = upstream.NewBodyRemainder(b, b.length, b.stop)
 	return nil
 }
 
@@ -137,7 +137,7 @@
 		return nil
 	}
 	b.rest.Close()
-	_, err := b.rest.Whole()
+	_, err := b.rest.Complete()
 	return err
 }
 
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -283,7 +283,7 @@
 		return
 	}
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		tcp.SetWriteBuffer(upstream.LongestBody)
+		tcp.SetWriteBuffer(upstream.MaxBodySize)
 	}
 	if followed {
 		s.Detach()
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -36,9 +36,9 @@
 func before(t testing.TB, addr string, servers int, change func(*config.Config, *Frontend)) (*Frontend, *sidecar.Sidecar, net.Listener) {
 	t.Helper()
 	conf := &config.Config{
-		Discovery: "127.0.0.1:1",
-		Known:     &discovery.List{Seq: 1, Hosts: []discovery.Entry{{Host: "s1", Dial: addr, Health: discovery.Ready}}},
-		Transport: config.Transport{ConnIdle: time.Minute, DialTimeout: time.Minute},
+		Discovery:     "127.0.0.1:1",
+		LastEndpoints: &discovery.Update{Seq: 1, Endpoints: []discovery.Endpoint{{Host: "s1", Address: addr, Health: discovery.Ready}}},
+		Transport:     config.Transport{ConnIdle: time.Minute, DialTimeout: time.Minute},
 		Settings: decide.Settings{
 			Classes: []decide.Class{
 				{Name: "look", PriorityWeight: 1},
@@ -216,7 +216,7 @@
 				w.Left()
 			})
 			f, side, ln := before(t, s.Addr, 8, func(c *config.Config, f *Frontend) {
-				c.Discovery, c.Known.Hosts[0].BornMs = list, time.Now().UnixMilli()
+				c.Discovery, c.LastEndpoints.Endpoints[0].StartedAtMs = list, time.Now().UnixMilli()
 				c.Settings.Rules.SlowStartWindow, c.Settings.Rules.SlowStartMinShare = 3_600_000_000, 0.1
 			})
 			return &scene{s, f, side, ln, 0, func() { close(room) }}
@@ -276,7 +276,7 @@
 					}
 					io.WriteString(client, request)
 					eventually(t, "the leaver with the module", func() bool {
-						return slices.Contains(s.side.Open(), "leaver")
+						return slices.Contains(s.side.InFlight(), "leaver")
 					})
 					eventually(t, "the leaver at its place", func() bool { return s.Got("leaver") == s.sent })
 					if strings.Contains(how, "advance") {
@@ -293,7 +293,7 @@
 					s.on()
 					usual := dial(t, s.ln)
 					exchange(t, usual, bufio.NewReader(usual), text("look", "usual", 0), 200) // after all that waited before it
-					eventually(t, "nothing under way", func() bool { return len(s.side.Open()) == 0 })
+					eventually(t, "nothing under way", func() bool { return len(s.side.InFlight()) == 0 })
 					if n := s.Got("leaver"); n != s.sent {
 						t.Fatalf("sent %d times, want %d", n, s.sent)
 					}
@@ -518,7 +518,7 @@
 		c.Close()
 	}
 	usual("first")
-	eventually(t, "a quiet start", func() bool { return f.count() == 0 && len(side.Open()) == 0 })
+	eventually(t, "a quiet start", func() bool { return f.count() == 0 && len(side.InFlight()) == 0 })
 	for i, bad := range []string{
 		"", "\r\n\r\n", "GET\r\n\r\n", "GET /none HTTP/1.1\r\nHost: h\r\n\r\n", strings.Repeat("x", 20<<10), look[:30],
 		text("make", "half", 4000)[:300], text("make", "long", 0) + strings.Repeat(text("look", "more", 0), 400),
@@ -534,7 +534,7 @@
 			io.WriteString(c, bad)
 			leaves(c, n%2 == 0)
 		}
-		eventually(t, fmt.Sprintf("the end of crowd %d", i), func() bool { return f.count() == 0 && len(side.Open()) == 0 })
+		eventually(t, fmt.Sprintf("the end of crowd %d", i), func() bool { return f.count() == 0 && len(side.InFlight()) == 0 })
 		usual(fmt.Sprint("after", i))
 		eventually(t, fmt.Sprintf("no goroutine more after crowd %d", i), func() bool { return runtime.NumGoroutine() <= before+8 })
 	}
@@ -642,7 +642,7 @@
 	defer theirs.Close()
 	c := &clientConn{Conn: ours}
 	b := &body{c: c, src: c, length: 9}
-	b.rest = upstream.NewRest(b, b.length, b.stop)
+	b.rest = upstream.NewBodyRemainder(b, b.length, b.stop)
 	b.stop()
 	go func() { theirs.Write([]byte("late")) }() // nobody is to wait for it
 	if n, err := b.rest.Read(make([]byte, 9)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -107,7 +107,7 @@
 		Handler:            f.handle,
 		ErrorHandler:       badInput,
 		StreamRequestBody:  true,
-		MaxRequestBodySize: upstream.HeldMost, // past it fasthttp reads nothing ahead
+		MaxRequestBodySize: upstream.MaxBuffered, // past it fasthttp reads nothing ahead
 		ReadBufferSize:     readBuffer,
 		ReadTimeout:        readTimeout,
 		IdleTimeout:        idleTimeout,
@@ -199,7 +199,7 @@
 
 // acceptFailed makes room where accept found no descriptor, and logs an error now and then.
 func (f *Frontend) acceptFailed(err error) {
-	if upstream.OutOfSockets(err) {
+	if upstream.IsSocketShortage(err) {
 		f.closeIdlest()
 	}
 	if now := time.Now(); now.Sub(f.acceptLogged) >= acceptLogEvery {
@@ -350,7 +350,7 @@
 	}
 	for ctx.Err() == nil {
 		if bounded && time.Until(end) < lastAnswers {
-			f.side.End()
+			f.side.AbortAll()
 			f.stopReading()
 		}
 		f.hurry(followed)
@@ -373,7 +373,7 @@
 		}
 		time.Sleep(drainStep)
 	}
-	f.side.End()
+	f.side.AbortAll()
 	f.stopReading()
 }
 
@@ -446,10 +446,10 @@
 	}
 	call := parsed.call(h, body, c.readAt)
 	if leave != nil {
-		call.Needs(leave.Valid)
+		call.RequireLease(leave.Valid)
 	}
-	call.Whole = c.watch
-	call.Abandon(c.hungUp)
+	call.OnBodyComplete = c.watch
+	call.SetDisconnectCheck(c.hungUp)
 	a, left := f.side.Do(call, c.watch()) // reading a body on ends that watch
 	broken := body.close()
 	c.unwatch()
@@ -460,9 +460,9 @@
 		f.answer(ctx, c, a)
 	}
 	if left && broken == nil {
-		f.noted(ctx, auditevent.Left, parsed.request.ID, a.Under)
+		f.noted(ctx, auditevent.Left, parsed.request.ID, a.ConfigVersion)
 	} else {
-		f.account(ctx, parsed.request.ID, a.Under)
+		f.account(ctx, parsed.request.ID, a.ConfigVersion)
 	}
 	if left || broken != nil {
 		ctx.SetConnectionClose()
@@ -477,8 +477,8 @@
 		f.silent(ctx, c, p.request.ID, p.left-time.Since(c.readAt))
 		return
 	}
-	refuse(ctx, sidecar.Answer{RetryAfter: shutRetry})
-	f.noted(ctx, auditevent.Turned, p.request.ID, f.side.Under())
+	refuse(ctx, sidecar.Response{RetryAfter: shutRetry})
+	f.noted(ctx, auditevent.Turned, p.request.ID, f.side.ConfigVersion())
 	ctx.SetConnectionClose() // clients have others to go to
 }
 
@@ -533,8 +533,8 @@
 }
 
 // answer writes the final answer.
-func (f *Frontend) answer(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Answer) {
-	switch a.Verdict {
+func (f *Frontend) answer(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Response) {
+	switch a.Status {
 	case sidecar.Served:
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		if len(a.ContentType) > 0 {
@@ -545,18 +545,18 @@
 		} else {
 			ctx.Response.SetBodyRaw(a.Body)
 		}
-	case sidecar.Refused:
+	case sidecar.Rejected:
 		refuse(ctx, a)
-	case sidecar.Duplicate:
+	case sidecar.DuplicateID:
 		ctx.Error("a request of this id is under way", fasthttp.StatusConflict)
-	case sidecar.Late:
+	case sidecar.DeadlineExceeded:
 		ctx.Error("time is up", fasthttp.StatusGatewayTimeout)
 	default:
 		ctx.Error("no server answered", fasthttp.StatusBadGateway)
 	}
 }
 
-func refuse(ctx *fasthttp.RequestCtx, a sidecar.Answer) {
+func refuse(ctx *fasthttp.RequestCtx, a sidecar.Response) {
 	ctx.Error("refused, trying again is harmless", fasthttp.StatusServiceUnavailable)
 	if a.RetryAfter > 0 {
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -47,10 +47,10 @@
 		b.held = slices.Clone(b.held) // it outlasts its client, and is the server's memory; what came as a stream is our own
 	}
 	call := p.call(h, b, c.readAt)
-	call.Whole = c.watch
+	call.OnBodyComplete = c.watch
 	w := takeover.Work{
 		ID: p.request.ID, Class: class.Name, Effect: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.Strict,
-		Left: min(call.Left(time.Now()), p.left), Longest: call.Left(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
+		Left: min(call.TimeLeft(time.Now()), p.left), Longest: call.TimeLeft(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
 	}
 	var gone <-chan struct{}
 	switch {
@@ -70,9 +70,9 @@
 	case broken != nil && o.Word != takeover.Answered:
 		bad := b.fault(broken)
 		ctx.Error(bad.text, bad.status)
-		f.account(ctx, w.ID, f.side.Under())
+		f.account(ctx, w.ID, f.side.ConfigVersion())
 	default:
-		f.tell(ctx, c, call, &o, min(call.Left(time.Now()), p.left-time.Since(began))) // a body that is not held counts from its end
+		f.tell(ctx, c, call, &o, min(call.TimeLeft(time.Now()), p.left-time.Since(began))) // a body that is not held counts from its end
 	}
 	if broken != nil || o.Word == takeover.Gone {
 		ctx.SetConnectionClose()
@@ -118,17 +118,17 @@
 		if l.Lease != nil {
 			over, leave = l.Lease.Over(), l.Lease.Valid
 		}
-		call.Under(leave, l.Former)
+		call.UseLease(leave, l.Former)
 		a, left := f.side.Do(call, over)
 		r := takeover.Result{Live: a}
 		switch {
 		case left:
 			r.Answer = takeover.Answer{Verdict: takeover.Failed, Why: "its member is out"}
-		case a.Verdict == sidecar.Served && a.Stream != nil:
+		case a.Status == sidecar.Served && a.Stream != nil:
 			r.Answer.Verdict = takeover.TooLong
-		case a.Verdict == sidecar.Served:
+		case a.Status == sidecar.Served:
 			r.Answer = takeover.Answer{Verdict: takeover.Served, Body: a.Body, ContentType: a.ContentType}
-		case a.Verdict == sidecar.Refused:
+		case a.Status == sidecar.Rejected:
 			r.Answer = takeover.Answer{Verdict: takeover.Refused, RetryAfter: a.RetryAfter.Microseconds()}
 		default:
 			r.Answer = takeover.Answer{Verdict: takeover.Failed, Why: "no server answered"}
@@ -158,7 +158,7 @@
 
 // Unheard ends a live answer that nobody is left to take.
 func (f *Frontend) Unheard(live any) {
-	if a, ok := live.(sidecar.Answer); ok && a.Stream != nil {
+	if a, ok := live.(sidecar.Response); ok && a.Stream != nil {
 		a.Stream.Close()
 	}
 }
@@ -169,22 +169,22 @@
 		f.Unheard(o.Live)
 		o.Word = takeover.Nothing
 	}
-	under := f.side.Under()
+	under := f.side.ConfigVersion()
 	switch o.Word {
 	case takeover.Nothing:
 		f.silent(ctx, c, call.Request.ID, left)
 		return
 	case takeover.Gone:
-		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Late})
+		f.answer(ctx, c, sidecar.Response{Status: sidecar.DeadlineExceeded})
 		f.noted(ctx, auditevent.Left, call.Request.ID, under)
 		return
 	case takeover.Taken:
-		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Duplicate})
+		f.answer(ctx, c, sidecar.Response{Status: sidecar.DuplicateID})
 	case takeover.Foreign:
 		ctx.Error("the id is that of another request", fasthttp.StatusConflict)
 	default:
-		if a, ok := o.Live.(sidecar.Answer); ok {
-			under = a.Under
+		if a, ok := o.Live.(sidecar.Response); ok {
+			under = a.ConfigVersion
 			f.answer(ctx, c, a)
 		} else {
 			f.recorded(ctx, c, &o.Answer)
@@ -203,16 +203,16 @@
 	}
 	ctx.Error("takeover: this member may not say", fasthttp.StatusBadGateway)
 	ctx.SetConnectionClose()
-	f.account(ctx, id, f.side.Under())
+	f.account(ctx, id, f.side.ConfigVersion())
 }
 
 // recorded gives an answer that was kept.
 func (f *Frontend) recorded(ctx *fasthttp.RequestCtx, c *clientConn, a *takeover.Answer) {
 	switch a.Verdict {
 	case takeover.Served:
-		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Served, Body: a.Body, ContentType: a.ContentType})
+		f.answer(ctx, c, sidecar.Response{Status: sidecar.Served, Body: a.Body, ContentType: a.ContentType})
 	case takeover.Refused:
-		refuse(ctx, sidecar.Answer{RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
+		refuse(ctx, sidecar.Response{RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
 	case takeover.TooLong:
 		ctx.Error("takeover: served, the answer was too long to keep", fasthttp.StatusBadGateway)
 	default:
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -72,7 +72,7 @@
 
 // call makes the call of a request whose body is held as far as it will be; at is when its last byte had come.
 func (p *parsed) call(h *fasthttp.RequestHeader, b *body, at time.Time) *sidecar.Call {
-	m := upstream.Message{Head: head(h, p.uri, b), Body: b.held, Rest: b.rest}
+	m := upstream.Message{Head: head(h, p.uri, b), Body: b.held, Remainder: b.rest}
 	return sidecar.NewCall(p.now.settings, p.request, m, at, p.left)
 }
 
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -20,12 +20,12 @@
 
 // handed is an answer that goes on in another process, between two pieces.
 type handed struct {
-	Answer upstream.Standing `json:"answer"`
-	Chunks bool              `json:"chunks"` // the client takes chunks; else its connection's end is the answer's
+	Answer upstream.StreamState `json:"answer"`
+	Chunks bool                 `json:"chunks"` // the client takes chunks; else its connection's end is the answer's
 }
 
 // stream answers with what comes.
-func (f *Frontend) stream(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Answer) {
+func (f *Frontend) stream(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Response) {
 	c.stream.Store(a.Stream)
 	if ctx.Request.Header.IsHTTP11() {
 		ctx.Response.ImmediateHeaderFlush = true
@@ -37,7 +37,7 @@
 
 // toTheEnd passes an answer on to a client of HTTP/1.0, which takes no chunks: the connection's end is the answer's. One
 // that breaks ends in a reset.
-func (f *Frontend) toTheEnd(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Answer) {
+func (f *Frontend) toTheEnd(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Response) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {
 		defer a.Stream.Close()
@@ -88,7 +88,7 @@
 	if pass == nil {
 		return fmt.Errorf("no process takes it")
 	}
-	standing, server := p.Standing()
+	standing, server := p.State()
 	to, ok := server.(syscall.Conn)
 	from, fine := p.c.Conn.(syscall.Conn)
 	if !ok || !fine {
@@ -125,7 +125,7 @@
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := body.Read(buf)
-		parts := upstream.Frame(buf[:n], h.Chunks, err == io.EOF)
+		parts := upstream.EncodeBodyPiece(buf[:n], h.Chunks, err == io.EOF)
 		client.SetWriteDeadline(time.Now().Add(writeStall))
 		if _, failed := parts.WriteTo(client); failed != nil {
 			return failed
--- a/internal/lab/faultinjection/overhead.go
+++ b/internal/lab/faultinjection/overhead.go
@@ -126,10 +126,10 @@
 		s.ends = append(s.ends, ln)
 		addrs = append(addrs, ln.Addr().String())
 	}
-	s.list = discovery.List{Seq: 1, Whole: true}
+	s.list = discovery.Update{Seq: 1, Full: true}
 	for i := range o.Servers {
-		s.list.Hosts = append(s.list.Hosts, discovery.Entry{
-			Host: fmt.Sprintf("s-%d", i+1), Dial: addrs[i%len(addrs)], Zone: "a", Health: discovery.Ready, Share: 1,
+		s.list.Endpoints = append(s.list.Endpoints, discovery.Endpoint{
+			Host: fmt.Sprintf("s-%d", i+1), Address: addrs[i%len(addrs)], Zone: "a", Health: discovery.Ready, Capacity: 1,
 		})
 	}
 	return nil
@@ -203,7 +203,7 @@
 		}
 	}
 	through := p.processes[0]
-	lanes := []*lane{newLane(p.servers.list.Hosts[0].Dial), newLane(through.listen)}
+	lanes := []*lane{newLane(p.servers.list.Endpoints[0].Address), newLane(through.listen)}
 	watching, unwatch := context.WithCancel(ctx)
 	defer unwatch()
 	stall := make(chan time.Duration, 1)
--- a/internal/lab/faultinjection/registry.go
+++ b/internal/lab/faultinjection/registry.go
@@ -18,7 +18,7 @@
 	*http.Server
 }
 
-func startRegistry(list *discovery.List) (*registry, error) {
+func startRegistry(list *discovery.Update) (*registry, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/internal/lab/faultinjection/servers.go
+++ b/internal/lab/faultinjection/servers.go
@@ -44,14 +44,14 @@
 	keys   map[string]string      // the answer, by key
 	random *rand.Rand
 	count  atomic.Int64
-	list   discovery.List // as discovery tells it
+	list   discovery.Update // as discovery tells it
 	ends   []io.Closer
 }
 
 func startServers(set []Server, seed uint64) (*servers, error) {
 	s := &servers{
 		runs: map[string][]Execution{}, keys: map[string]string{}, random: rand.New(rand.NewPCG(seed, 1)),
-		list: discovery.List{Seq: 1, Whole: true},
+		list: discovery.Update{Seq: 1, Full: true},
 	}
 	for i, one := range set {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,8 +63,8 @@
 		h := &http.Server{Handler: s.handler(name, one)}
 		go h.Serve(ln)
 		s.ends = append(s.ends, h)
-		s.list.Hosts = append(s.list.Hosts, discovery.Entry{
-			Host: name, Dial: ln.Addr().String(), Zone: "a", Health: discovery.Ready, Share: 1,
+		s.list.Endpoints = append(s.list.Endpoints, discovery.Endpoint{
+			Host: name, Address: ln.Addr().String(), Zone: "a", Health: discovery.Ready, Capacity: 1,
 		})
 	}
 	return s, nil
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -38,7 +38,7 @@
 func (h *hollow) Adopt(number uint64, text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	next, err := h.conf.Adopt(text, os.Getenv)
+	next, err := h.conf.WithFleetSettings(text, os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -51,15 +51,15 @@
 func (h *hollow) Check(text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, err := h.conf.Adopt(text, os.Getenv)
+	_, err := h.conf.WithFleetSettings(text, os.Getenv)
 	return err
 }
 
 // Rest has nothing to close.
 func (h *hollow) Rest() {}
 
-// Listed tells of a list in force.
-func (h *hollow) Listed(l *discovery.List) {
+// OnEndpoints tells of a list in force.
+func (h *hollow) OnEndpoints(l *discovery.Update) {
 	h.tell(Event{Kind: Listed, Member: h.name, Number: l.Seq, At: time.Now()})
 }
 
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	client := discovery.New(list, nil, discovery.Source{Balancers: conf.Settings.BalancerCount}, h)
+	client := discovery.New(list, nil, discovery.Source{BalancerCount: conf.Settings.BalancerCount}, h)
 	go client.Run(ctx)
 	return nil
 }
--- a/internal/lab/fleetscale/list.go
+++ b/internal/lab/fleetscale/list.go
@@ -31,9 +31,9 @@
 	deltasTold            atomic.Int64 // changes told, each to each watch
 
 	mu     sync.Mutex
-	list   discovery.List
-	deltas []discovery.List // the latest, in order
-	change chan struct{}    // closed and replaced at each change
+	list   discovery.Update
+	deltas []discovery.Update // the latest, in order
+	change chan struct{}      // closed and replaced at each change
 	told   map[int64]time.Time
 }
 
@@ -44,10 +44,10 @@
 		return nil, err
 	}
 	s := &listService{addr: ln.Addr().String(), change: make(chan struct{}), told: map[int64]time.Time{}}
-	s.list = discovery.List{Seq: 1, Whole: true}
+	s.list = discovery.Update{Seq: 1, Full: true}
 	for i := range servers {
-		s.list.Hosts = append(s.list.Hosts, discovery.Entry{
-			Host: fmt.Sprintf("server-%05d", i), Dial: dial, Zone: "a", Health: discovery.Ready, Share: 1, Kind: "plain",
+		s.list.Endpoints = append(s.list.Endpoints, discovery.Endpoint{
+			Host: fmt.Sprintf("server-%05d", i), Address: dial, Zone: "a", Health: discovery.Ready, Capacity: 1, MachineKind: "plain",
 		})
 	}
 	s.http = &http.Server{Handler: s}
@@ -58,11 +58,11 @@
 func (s *listService) close() { s.http.Close() }
 
 // whole copies the list.
-func (s *listService) whole() *discovery.List {
+func (s *listService) whole() *discovery.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.list
-	l.Hosts = slices.Clone(l.Hosts)
+	l.Endpoints = slices.Clone(l.Endpoints)
 	return &l
 }
 
@@ -71,9 +71,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.Seq++
-	one := &s.list.Hosts[int(s.list.Seq)%len(s.list.Hosts)]
-	one.Share = 1 + float64(s.list.Seq%7)/10
-	s.deltas = append(s.deltas, discovery.List{Seq: s.list.Seq, Hosts: []discovery.Entry{*one}})
+	one := &s.list.Endpoints[int(s.list.Seq)%len(s.list.Endpoints)]
+	one.Capacity = 1 + float64(s.list.Seq%7)/10
+	s.deltas = append(s.deltas, discovery.Update{Seq: s.list.Seq, Endpoints: []discovery.Endpoint{*one}})
 	if len(s.deltas) > deltasKept {
 		s.deltas = slices.Clone(s.deltas[len(s.deltas)-deltasKept:])
 	}
@@ -91,14 +91,14 @@
 }
 
 // news returns what a watch that has seen from is to be told, and what is closed at the next change.
-func (s *listService) news(from int64) (out []discovery.List, next <-chan struct{}, seq int64) {
+func (s *listService) news(from int64) (out []discovery.Update, next <-chan struct{}, seq int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch behind := int(s.list.Seq - from); {
 	case from < 0 || behind < 0 || behind > len(s.deltas):
 		l := s.list
-		l.Hosts = slices.Clone(l.Hosts)
-		out = []discovery.List{l}
+		l.Endpoints = slices.Clone(l.Endpoints)
+		out = []discovery.Update{l}
 	default:
 		out = slices.Clone(s.deltas[len(s.deltas)-behind:])
 	}
@@ -122,7 +122,7 @@
 		from = seq
 		for i := range news {
 			s.words.Add(1)
-			if !news[i].Whole {
+			if !news[i].Full {
 				s.deltasTold.Add(1)
 			}
 			if out.Encode(&news[i]) != nil {
--- a/internal/lab/fleetscale/scale_test.go
+++ b/internal/lab/fleetscale/scale_test.go
@@ -290,12 +290,12 @@
 		t.Fatal(err)
 	}
 	defer s.close()
-	told := make(chan *discovery.List, 10)
-	c := discovery.New(s.addr, nil, discovery.Source{Balancers: 1}, listener(told))
+	told := make(chan *discovery.Update, 10)
+	c := discovery.New(s.addr, nil, discovery.Source{BalancerCount: 1}, listener(told))
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.Run(ctx)
-	next := func() *discovery.List {
+	next := func() *discovery.Update {
 		t.Helper()
 		select {
 		case l := <-told:
@@ -305,13 +305,13 @@
 			return nil
 		}
 	}
-	if l := next(); !l.Whole || len(l.Hosts) != 5 || l.Seq != 1 {
+	if l := next(); !l.Full || len(l.Endpoints) != 5 || l.Seq != 1 {
 		t.Fatalf("%+v", l)
 	}
 	if seq := s.alter(); seq != 2 {
 		t.Fatal(seq)
 	}
-	if l := next(); l.Whole || len(l.Hosts) != 1 || l.Seq != 2 {
+	if l := next(); l.Full || len(l.Endpoints) != 1 || l.Seq != 2 {
 		t.Fatalf("%+v", l)
 	}
 	if s.calls.Load() != 1 || s.deltasTold.Load() != 1 || s.open.Load() != 1 || s.out.Load() == 0 || s.in.Load() == 0 {
@@ -323,15 +323,15 @@
 		}
 	}
 	for _, from := range []int64{-1, 0, 3} {
-		if l, _, _ := s.news(from); len(l) != 1 || !l[0].Whole {
+		if l, _, _ := s.news(from); len(l) != 1 || !l[0].Full {
 			t.Errorf("%d: told %+v", from, l)
 		}
 	}
 }
 
-type listener chan *discovery.List
+type listener chan *discovery.Update
 
-func (l listener) Listed(list *discovery.List) { l <- list }
+func (l listener) OnEndpoints(list *discovery.Update) { l <- list }
 
 // Each member has a lease and the list, versions and lists come into force at all of them, what was sent is what was received, and
 // nothing is left behind.
--- a/internal/shadow/watch_test.go
+++ b/internal/shadow/watch_test.go
@@ -29,21 +29,23 @@
 	b    *decide.Balancer
 	j    *judge
 	now  int64
-	acts []Act
-	out  []Act // sends without their end
+	acts []Action
+	out  []Action // sends without their end
 	ends map[string]int
 }
 
 func (s *serving) SendAttempt(request, server string, timeout int64) {
-	s.acts = append(s.acts, Act{Send, request, server, timeout})
-	s.out = append(s.out, Act{Send, request, server, timeout})
+	s.acts = append(s.acts, Action{SendAttempt, request, server, timeout})
+	s.out = append(s.out, Action{SendAttempt, request, server, timeout})
 }
-func (s *serving) Reject(id string, _ int64) { s.acts = append(s.acts, Act{Do: Refused, Request: id}) }
-func (s *serving) Fail(id string)            { s.acts = append(s.acts, Act{Do: Failed, Request: id}) }
+func (s *serving) Reject(id string, _ int64) {
+	s.acts = append(s.acts, Action{Kind: Reject, Request: id})
+}
+func (s *serving) Fail(id string) { s.acts = append(s.acts, Action{Kind: Fail, Request: id}) }
 func (s *serving) CloseIdleConnections(server string) {
-	s.acts = append(s.acts, Act{Do: Closed, Server: server})
+	s.acts = append(s.acts, Action{Kind: CloseIdleConnections, Server: server})
 }
-func (s *serving) SendGossip(int, []byte)    { s.acts = append(s.acts, Act{Do: Told}) }
+func (s *serving) SendGossip(int, []byte)    { s.acts = append(s.acts, Action{Kind: SendGossip}) }
 func (s *serving) CancelAttempt(string, int) {}
 func (s *serving) CheckHealth(string)        {}
 func (s *serving) WatchEndpoints(bool)       {}
@@ -54,7 +56,7 @@
 	s.acts = nil
 	e.Now = s.now
 	e.Apply(s.b)
-	e.Acts = s.acts
+	e.Actions = s.acts
 	s.j.see(e)
 }
 
@@ -90,9 +92,9 @@
 				}
 			}
 			o.Attempt = s.attempt(a)
-			e := Event{Apply: func(b *decide.Balancer) { b.OnOutcome(s.now, o) }, Settles: a.Request}
+			e := Event{Apply: func(b *decide.Balancer) { b.OnOutcome(s.now, o) }, AttemptEnded: a.Request}
 			if o.RequestAnswered {
-				e.Ends = a.Request
+				e.RequestEnded = a.Request
 			}
 			s.tell(e)
 		}
@@ -101,7 +103,7 @@
 }
 
 // attempt numbers the ends of a request's attempts.
-func (s *serving) attempt(a Act) int {
+func (s *serving) attempt(a Action) int {
 	s.ends[a.Request]++
 	return s.ends[a.Request] - 1
 }
@@ -110,7 +112,7 @@
 // from what was really done.
 func TestTheSameSettingsNeverDiffer(t *testing.T) {
 	c := play(t, settings(), settings(), 2000)
-	if c.Compared < 2000 || c.Differ != [kinds]int{} {
+	if c.Compared < 2000 || c.Differences != [kinds]int{} {
 		t.Errorf("%s, want none to differ", c)
 	}
 }
@@ -119,45 +121,45 @@
 func TestDifferencesByKind(t *testing.T) {
 	sizes := settings()
 	sizes.CapacityListed = false
-	if c := play(t, settings(), sizes, 1000); c.Differ[Server] < 50 || c.Differ[Refuse]+c.Differ[Fail] > 0 {
+	if c := play(t, settings(), sizes, 1000); c.Differences[DifferentServer] < 50 || c.Differences[OnlyOneRejects]+c.Differences[OnlyOneFails] > 0 {
 		t.Errorf("without sizes: %s, want other servers", c)
 	}
 	short := settings()
 	short.Classes = []decide.Class{{Name: "look", LatencyObjective: 20_000, Deadline: 2_000_000, PriorityWeight: 1}}
-	if c := play(t, settings(), short, 1000); c.Differ[Timeout] == 0 && c.Differ[Wait]+c.Differ[Refuse] == 0 {
+	if c := play(t, settings(), short, 1000); c.Differences[DifferentTimeout] == 0 && c.Differences[OnlyOneSends]+c.Differences[OnlyOneRejects] == 0 {
 		t.Errorf("with a short aim: %s, want other time-outs or refusals", c)
 	}
 	once := settings()
 	once.Limits.MaxAttempts = 1
-	if c := play(t, settings(), once, 1000); c.Differ[Refuse] < 20 {
+	if c := play(t, settings(), once, 1000); c.Differences[OnlyOneRejects] < 20 {
 		t.Errorf("with one attempt: %s, want refusals in place of retries", c)
 	}
 	talk := settings()
 	talk.Limits.Gossip, talk.BalancerCount = true, 4
-	if c := play(t, settings(), talk, 100); c.Differ[Message] == 0 {
+	if c := play(t, settings(), talk, 100); c.Differences[DifferentGossip] == 0 {
 		t.Errorf("with messages: %s, want messages", c)
 	}
 }
 
 // decisions of each kind, compared by hand.
 func TestDiffer(t *testing.T) {
-	did := func(do Do, server string, time int64) decision {
-		return decision{done: true, act: Act{Do: do, Server: server, Time: time}}
+	did := func(do ActionKind, server string, time int64) decision {
+		return decision{done: true, act: Action{Kind: do, Server: server, Timeout: time}}
 	}
 	for _, c := range []struct {
 		x, y decision
-		want Kind
+		want DifferenceKind
 		same bool
 	}{
-		{did(Send, "a", 1), did(Send, "a", 1), 0, true},
-		{did(Send, "a", 1), did(Send, "b", 2), Server, false},
-		{did(Send, "a", 1), did(Send, "a", 2), Timeout, false},
-		{did(Send, "a", 1), decision{}, Wait, false},
-		{decision{}, did(Send, "a", 1), Wait, false},
-		{did(Refused, "", 0), did(Send, "a", 1), Refuse, false},
-		{decision{}, did(Refused, "", 0), Refuse, false},
-		{did(Failed, "", 0), decision{}, Fail, false},
-		{did(Failed, "", 0), did(Failed, "", 0), 0, true},
+		{did(SendAttempt, "a", 1), did(SendAttempt, "a", 1), 0, true},
+		{did(SendAttempt, "a", 1), did(SendAttempt, "b", 2), DifferentServer, false},
+		{did(SendAttempt, "a", 1), did(SendAttempt, "a", 2), DifferentTimeout, false},
+		{did(SendAttempt, "a", 1), decision{}, OnlyOneSends, false},
+		{decision{}, did(SendAttempt, "a", 1), OnlyOneSends, false},
+		{did(Reject, "", 0), did(SendAttempt, "a", 1), OnlyOneRejects, false},
+		{decision{}, did(Reject, "", 0), OnlyOneRejects, false},
+		{did(Fail, "", 0), decision{}, OnlyOneFails, false},
+		{did(Fail, "", 0), did(Fail, "", 0), 0, true},
 	} {
 		if kind, differs := differ(c.x, c.y); differs == c.same || differs && kind != c.want {
 			t.Errorf("%+v and %+v: %s %v", c.x, c.y, kind, differs)
@@ -169,8 +171,8 @@
 func TestCopiesAndCloses(t *testing.T) {
 	j := newJudge(settings(), 1)
 	j.out["r"] = 1
-	j.compare([]Act{{Send, "r", "a", 1}, {Do: Closed, Server: "b"}}, []Act{}, map[string]bool{"r": true})
-	if j.counts.Differ[Copy] != 1 || j.counts.Differ[Close] != 1 || j.counts.Differ[Wait] != 1 {
+	j.compare([]Action{{SendAttempt, "r", "a", 1}, {Kind: CloseIdleConnections, Server: "b"}}, []Action{}, map[string]bool{"r": true})
+	if j.counts.Differences[DifferentHedging] != 1 || j.counts.Differences[DifferentIdleClose] != 1 || j.counts.Differences[OnlyOneSends] != 1 {
 		t.Errorf("%s, want a copy, a close and a wait", j.counts)
 	}
 }
@@ -183,20 +185,20 @@
 	w := New()
 	done := make(chan struct{})
 	go func() { w.Run(1, settings(), 1, time.Hour, context.Background().Done()); close(done) }()
-	w.See(Event{Now: 2, Apply: func(*decide.Balancer) { panic("broken on purpose") }})
+	w.Observe(Event{Now: 2, Apply: func(*decide.Balancer) { panic("broken on purpose") }})
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
 		t.Fatal("the watch goes on")
 	}
 	for range 2 * mailbox { // nobody reads any more: the mailbox runs over, and See still returns
-		w.See(Event{Now: 3, Apply: func(*decide.Balancer) {}})
+		w.Observe(Event{Now: 3, Apply: func(*decide.Balancer) {}})
 	}
 	for _, want := range []string{"event=watch_stopped", "broken on purpose", "compared=0", "cannot keep up"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("the log lacks %q: %s", want, out.String())
 		}
 	}
-	var off *Watch
-	off.See(Event{})
+	var off *Evaluator
+	off.Observe(Event{})
 }
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -19,29 +19,29 @@
 // SendAttempt starts an attempt.
 func (x actions) SendAttempt(request, server string, timeout int64) {
 	s, c := x.s, x.s.calls[request]
-	s.note(shadow.Act{Do: shadow.Send, Request: request, Server: server, Time: timeout})
+	s.note(shadow.Action{Kind: shadow.SendAttempt, Request: request, Server: server, Timeout: timeout})
 	if c == nil {
 		return
 	}
 	now := time.Now()
 	n := len(c.attempts)
 	a := &upstream.Attempt{
-		Host: server, Message: &c.Message, Gate: &c.gate, Sent: now, Began: s.began(c, n),
+		Host: server, Message: &c.Message, Gate: &c.gate, DecidedAt: now, OnStream: s.began(c, n),
 	}
-	if c.Message.Rest == nil {
+	if c.Message.Remainder == nil {
 		a.Deadline = c.until(now, timeout)
-	} else if a.Wait = c.wait(); timeout > 0 {
-		a.Wait = min(a.Wait, time.Duration(timeout)*time.Microsecond)
+	} else if a.TimeoutAfterBody = c.wait(); timeout > 0 {
+		a.TimeoutAfterBody = min(a.TimeoutAfterBody, time.Duration(timeout)*time.Microsecond)
 	}
 	if k := c.class; k.Semantics == decide.IdempotencyKeyed && !c.effectAt.IsZero() {
-		a.WriteBy = c.effectAt.Add(time.Duration(k.DedupWindow) * time.Microsecond) // rule 2 at the moment of writing
+		a.LatestStart = c.effectAt.Add(time.Duration(k.DedupWindow) * time.Microsecond) // rule 2 at the moment of writing
 	}
-	a.Done = func(a *upstream.Attempt, r upstream.Report) {
+	a.OnDone = func(a *upstream.Attempt, r upstream.AttemptResult) {
 		s.box <- func(now int64) { s.settle(now, c, n, a, r) }
 	}
 	if s.ledger != nil {
 		ref := s.act(auditevent.Sent, request, server)
-		a.Actor = ref.Append(nil)
+		a.AuditRef = ref.Append(nil)
 	}
 	c.attempts = append(c.attempts, a)
 	c.out++
@@ -66,17 +66,17 @@
 
 // Reject answers that a new try is harmless.
 func (x actions) Reject(request string, retryAfter int64) {
-	x.s.note(shadow.Act{Do: shadow.Refused, Request: request})
-	x.answer(request, Answer{Verdict: Refused, RetryAfter: time.Duration(retryAfter) * time.Microsecond})
+	x.s.note(shadow.Action{Kind: shadow.Reject, Request: request})
+	x.answer(request, Response{Status: Rejected, RetryAfter: time.Duration(retryAfter) * time.Microsecond})
 }
 
 // Fail answers that the request failed.
 func (x actions) Fail(request string) {
-	x.s.note(shadow.Act{Do: shadow.Failed, Request: request})
-	x.answer(request, Answer{Verdict: Failed})
+	x.s.note(shadow.Action{Kind: shadow.Fail, Request: request})
+	x.answer(request, Response{Status: Failed})
 }
 
-func (x actions) answer(request string, a Answer) {
+func (x actions) answer(request string, a Response) {
 	if c := x.s.calls[request]; c != nil {
 		x.s.finish(c, a)
 		x.s.forget(c)
@@ -86,11 +86,11 @@
 // CheckHealth asks a server for its state or load.
 func (x actions) CheckHealth(server string) {
 	s := x.s
-	s.offer(upstream.Probe(server, s.transport.ProbeLoad, probeTimeout, func(a *upstream.Attempt, r upstream.Report) {
+	s.offer(upstream.NewHealthCheck(server, s.transport.ProbeLoad, probeTimeout, func(a *upstream.Attempt, r upstream.AttemptResult) {
 		s.box <- func(now int64) {
 			s.peers[server].out--
 			s.balancer.OnHealthCheck(now, decide.HealthCheck{
-				Server: server, Result: r.End.Result(), Latency: r.At.Sub(a.Sent).Microseconds(), Load: r.Load,
+				Server: server, Result: r.Reason.DecisionResult(), Latency: r.ObservedAt.Sub(a.DecidedAt).Microseconds(), Load: r.Load,
 			})
 			s.retire(server)
 		}
@@ -99,8 +99,8 @@
 
 // CloseIdleConnections closes the idle connections to a server.
 func (x actions) CloseIdleConnections(server string) {
-	x.s.note(shadow.Act{Do: shadow.Closed, Server: server})
-	x.s.peer(server).CloseIdle()
+	x.s.note(shadow.Action{Kind: shadow.CloseIdleConnections, Server: server})
+	x.s.peer(server).CloseIdleConnections()
 }
 
 // SendGossip is never called: the settings of a sidecar permit no messages.
@@ -130,7 +130,7 @@
 
 // noteStaleSend logs, once a second at most, that an attempt goes by a list whose changes may be in force elsewhere.
 func (s *Sidecar) noteStaleSend(now time.Time, request, server string) {
-	age := s.list.Roster.Age()
+	age := s.list.Endpoints.Staleness()
 	if age <= discovery.StalenessBound || now.Sub(s.staleLogged) < time.Second {
 		return
 	}
--- a/internal/sidecar/births.go
+++ b/internal/sidecar/births.go
@@ -28,31 +28,31 @@
 func newBirths() *births { return &births{wall: time.Now, known: map[string]birth{}} }
 
 // since is the start of a listed server in the module's clock, which shows now; 0: long ago.
-func (b *births) since(e *discovery.Entry, now int64) int64 {
-	if e.BornMs == 0 {
+func (b *births) since(e *discovery.Endpoint, now int64) int64 {
+	if e.StartedAtMs == 0 {
 		return 0
 	}
-	if k, ok := b.known[e.Host]; ok && k.toldMs == e.BornMs {
+	if k, ok := b.known[e.Host]; ok && k.toldMs == e.StartedAtMs {
 		return k.since
 	}
-	since := e.BornMs * 1000
+	since := e.StartedAtMs * 1000
 	stepped := time.Duration(b.wall().UnixMicro()-now) * time.Microsecond
 	if stepped.Abs() >= clockStep {
 		since = min(now, max(since, since-stepped.Microseconds()))
 	}
-	b.known[e.Host] = birth{toldMs: e.BornMs, since: since}
+	b.known[e.Host] = birth{toldMs: e.StartedAtMs, since: since}
 	return since
 }
 
 // keep forgets the servers that a whole list does not name, or that a change removes.
-func (b *births) keep(l *discovery.List) {
-	listed := make(map[string]bool, len(l.Hosts))
-	for _, e := range l.Hosts {
-		if listed[e.Host] = e.Health != discovery.Gone; !listed[e.Host] {
+func (b *births) keep(l *discovery.Update) {
+	listed := make(map[string]bool, len(l.Endpoints))
+	for _, e := range l.Endpoints {
+		if listed[e.Host] = e.Health != discovery.Removed; !listed[e.Host] {
 			delete(b.known, e.Host)
 		}
 	}
-	if !l.Whole {
+	if !l.Full {
 		return
 	}
 	for host := range b.known {
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -8,25 +8,25 @@
 	"damsonscale/internal/upstream"
 )
 
-// Verdict is the kind of a final answer.
-type Verdict uint8
+// Status is the kind of a final answer.
+type Status uint8
 
 const (
-	Served    Verdict = iota
-	Refused           // no, and a new try is harmless
-	Failed            // failed, nothing promised
-	Duplicate         // another request of this id is not answered yet
-	Late              // the time was up before the module said anything
+	Served           Status = iota
+	Rejected                // no, and a new try is harmless
+	Failed                  // failed, nothing promised
+	DuplicateID             // another request of this id is not answered yet
+	DeadlineExceeded        // the time was up before the module said anything
 )
 
-// Answer is a request's final answer.
-type Answer struct {
-	Verdict     Verdict
-	Body        []byte
-	Stream      *upstream.Stream // with Served, where the body is not held; it must be closed
-	ContentType []byte
-	RetryAfter  time.Duration    // with Refused; 0: no advice
-	Under       auditevent.Stamp // the version that it was decided by, where an account is kept
+// Response is a request's final answer.
+type Response struct {
+	Status        Status
+	Body          []byte
+	Stream        *upstream.Stream // with Served, where the body is not held; it must be closed
+	ContentType   []byte
+	RetryAfter    time.Duration    // with Refused; 0: no advice
+	ConfigVersion auditevent.Stamp // the version that it was decided by, where an account is kept
 }
 
 // Call is one request of the client, taken and owed one final answer.
@@ -35,7 +35,7 @@
 	Message upstream.Message
 
 	// Whole is called once a body that is not held has come to its end, and returns what is closed when the client leaves.
-	Whole func() <-chan struct{}
+	OnBodyComplete func() <-chan struct{}
 
 	settings *decide.Settings // that it was admitted under
 	class    *decide.Class    // as it was then
@@ -44,7 +44,7 @@
 	last     time.Time        // when it is answered, whatever the module does
 	gate     upstream.Gate
 	needs    bool          // it is answered at once where the gate has no leave; else it waits for that
-	answer   chan Answer   // holds the one answer of the module
+	answer   chan Response // holds the one answer of the module
 	gone     chan struct{} // closed by the actor when an attempt has found that the client left
 	attempts []*upstream.Attempt
 	out      int       // attempts without their end
@@ -66,10 +66,10 @@
 // a part of its body is not held its time counts from the last byte of that.
 func NewCall(set *decide.Settings, r decide.Request, m upstream.Message, came time.Time, left time.Duration) *Call {
 	c := &Call{
-		Request: r, Message: m, settings: set, class: &set.Classes[r.Class], answer: make(chan Answer, 1),
+		Request: r, Message: m, settings: set, class: &set.Classes[r.Class], answer: make(chan Response, 1),
 		gone: make(chan struct{}), left: left,
 	}
-	if m.Rest != nil {
+	if m.Remainder != nil {
 		c.Request.BodyUnbuffered, c.last = true, came.Add(longestBody)
 		return c
 	}
@@ -77,19 +77,19 @@
 	return c
 }
 
-// Needs has the call taken and sent only while leave says so, and answered at once where it does not.
-func (c *Call) Needs(leave func() bool) { c.gate.Leave, c.needs = leave, true }
+// RequireLease has the call taken and sent only while leave says so, and answered at once where it does not.
+func (c *Call) RequireLease(leave func() bool) { c.gate.LeaseValid, c.needs = leave, true }
 
-// Abandon has the call given up, with nothing sent, where hungUp says right before an attempt that the client has left. It
+// SetDisconnectCheck has the call given up, with nothing sent, where hungUp says right before an attempt that the client has left. It
 // must not block.
-func (c *Call) Abandon(hungUp func() bool) { c.gate.HungUp = hungUp }
+func (c *Call) SetDisconnectCheck(hungUp func() bool) { c.gate.IsDisconnected = hungUp }
 
 // may tells whether this process has the leave that the call needs.
-func (c *Call) may() bool { return !c.needs || c.gate.May() }
+func (c *Call) may() bool { return !c.needs || c.gate.MaySend() }
 
-// Under has the call sent only while leave says so. former is the time since another sidecar may have sent it; 0: none has.
-func (c *Call) Under(leave func() bool, former time.Duration) {
-	c.gate.Leave = leave
+// UseLease has the call sent only while leave says so. former is the time since another sidecar may have sent it; 0: none has.
+func (c *Call) UseLease(leave func() bool, former time.Duration) {
+	c.gate.LeaseValid = leave
 	if former > 0 {
 		c.Request.PriorAttemptAge = max(1, former.Microseconds())
 		c.effectAt = time.Now().Add(-former)
@@ -103,11 +103,11 @@
 	return came.Add(c.left - min(answerBefore, c.left/answerPart))
 }
 
-// Left is the time from now until it is answered whatever the module does.
-func (c *Call) Left(now time.Time) time.Duration { return c.last.Sub(now) }
+// TimeLeft is the time from now until it is answered whatever the module does.
+func (c *Call) TimeLeft(now time.Time) time.Duration { return c.last.Sub(now) }
 
 // finish gives the call its answer, once.
-func (c *Call) finish(a Answer) bool {
+func (c *Call) finish(a Response) bool {
 	if c.answered {
 		return false
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -33,10 +33,10 @@
 	settings  *decide.Settings // in force
 	transport config.Transport
 	balancer  *decide.Balancer
-	watch     *shadow.Watch // nil: off
-	acts      []shadow.Act  // of the event at hand, while watched
+	watch     *shadow.Evaluator // nil: off
+	acts      []shadow.Action   // of the event at hand, while watched
 	list      *discovery.Client
-	shared    upstream.Shared
+	shared    upstream.PeerShared
 	box       chan func(now int64)
 	start     time.Time
 	calls     map[string]*Call
@@ -70,25 +70,25 @@
 		calls: map[string]*Call{}, peers: map[string]*peer{},
 		known: make(chan struct{}), ending: make(chan struct{}), births: newBirths(),
 	}
-	s.list = discovery.New(conf.Discovery, conf.Known, source(&conf.Settings), s)
-	s.shared = upstream.Shared{
-		Budget: upstream.NewBudget(sockets), Find: s.list.Roster.Address, Short: s.short, Settle: settle,
+	s.list = discovery.New(conf.Discovery, conf.LastEndpoints, source(&conf.Settings), s)
+	s.shared = upstream.PeerShared{
+		Sockets: upstream.NewSocketBudget(sockets), Resolve: s.list.Endpoints.Address, OnSocketShortage: s.short, ReuseDelay: settle,
 	}
-	s.shared.Retune(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
+	s.shared.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
 	s.tellKnown()
 	s.balancer = decide.New(listed(conf.Settings), conf.Seed, actions{s})
-	if conf.Watch != nil {
+	if conf.Shadow != nil {
 		s.watch = shadow.New()
 	}
 	return s
 }
 
-// Audit has an account kept of what this sidecar does. It must be called before Run.
-func (s *Sidecar) Audit(l auditevent.Ledger) {
-	if s.ledger, s.seq = l, -1; s.conf.Known != nil {
-		s.seq = s.conf.Known.Seq
+// SetRecorder has an account kept of what this sidecar does. It must be called before Run.
+func (s *Sidecar) SetRecorder(l auditevent.Ledger) {
+	if s.ledger, s.seq = l, -1; s.conf.LastEndpoints != nil {
+		s.seq = s.conf.LastEndpoints.Seq
 	}
-	s.number, s.digest = s.conf.Number, s.conf.Digest
+	s.number, s.digest = s.conf.SettingsVersion, s.conf.SettingsDigest
 	s.restamp()
 }
 
@@ -99,35 +99,35 @@
 	}
 }
 
-// Under is the version in force.
-func (s *Sidecar) Under() auditevent.Stamp { return auditevent.Stamp(s.stamp.Load()) }
+// ConfigVersion is the version in force.
+func (s *Sidecar) ConfigVersion() auditevent.Stamp { return auditevent.Stamp(s.stamp.Load()) }
 
 // act notes what this sidecar does, when it decides it.
 func (s *Sidecar) act(k auditevent.Kind, id, note string) (r auditevent.Ref) {
 	if s.ledger != nil {
-		r = s.ledger.Add(k, s.Under(), id, note)
+		r = s.ledger.Add(k, s.ConfigVersion(), id, note)
 	}
 	return r
 }
 
 // finish gives a call its answer, once, under the version by which it was decided.
-func (s *Sidecar) finish(c *Call, a Answer) bool {
-	a.Under = s.Under()
+func (s *Sidecar) finish(c *Call, a Response) bool {
+	a.ConfigVersion = s.ConfigVersion()
 	return c.finish(a)
 }
 
 // Ready tells whether any server is known.
-func (s *Sidecar) Ready() bool { return s.list.Roster.Known() }
+func (s *Sidecar) Ready() bool { return s.list.Endpoints.HasEndpoints() }
 
-// Hold keeps to so many connections to servers from now on.
-func (s *Sidecar) Hold(sockets int) { s.shared.Budget.Hold(sockets) }
+// SetSocketLimit keeps to so many connections to servers from now on.
+func (s *Sidecar) SetSocketLimit(sockets int) { s.shared.Sockets.SetLimit(sockets) }
 
-// End answers all that is open and all that still comes, at once. Guards against requests that this process has taken and
+// AbortAll answers all that is open and all that still comes, at once. Guards against requests that this process has taken and
 // that its end leaves with none: their clients see a failure instead.
-func (s *Sidecar) End() { s.last.Do(func() { close(s.ending) }) }
+func (s *Sidecar) AbortAll() { s.last.Do(func() { close(s.ending) }) }
 
-// Known is closed once any server has been known.
-func (s *Sidecar) Known() <-chan struct{} { return s.known }
+// EndpointsKnown is closed once any server has been known.
+func (s *Sidecar) EndpointsKnown() <-chan struct{} { return s.known }
 
 func (s *Sidecar) tellKnown() {
 	if s.Ready() {
@@ -139,10 +139,10 @@
 func (s *Sidecar) Run(ctx context.Context) {
 	go s.list.Run(ctx)
 	if s.watch != nil {
-		go s.watch.Run(s.now(), listed(s.conf.Watch.Settings), s.conf.Seed, s.conf.Watch.Every, ctx.Done())
+		go s.watch.Run(s.now(), listed(s.conf.Shadow.Settings), s.conf.Seed, s.conf.Shadow.LogInterval, ctx.Done())
 	}
 	s.balancer.Start(s.now())
-	if k := s.conf.Known; k != nil && len(k.Hosts) > 0 && !s.settings.EndpointsPushed {
+	if k := s.conf.LastEndpoints; k != nil && len(k.Endpoints) > 0 && !s.settings.EndpointsPushed {
 		now := s.now()
 		known := s.servers(now, k)
 		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, known, true) }})
@@ -161,13 +161,13 @@
 func (s *Sidecar) tell(e shadow.Event) {
 	e.Apply(s.balancer)
 	if s.watch != nil {
-		e.Acts, s.acts = s.acts, nil
-		s.watch.See(e)
+		e.Actions, s.acts = s.acts, nil
+		s.watch.Observe(e)
 	}
 }
 
 // note keeps an action of the module for the watch.
-func (s *Sidecar) note(a shadow.Act) {
+func (s *Sidecar) note(a shadow.Action) {
 	if s.watch != nil {
 		s.acts = append(s.acts, a)
 	}
@@ -181,17 +181,17 @@
 // ---- Clients
 
 // Do takes a request and returns its final answer; gone is closed when the client leaves.
-func (s *Sidecar) Do(c *Call, gone <-chan struct{}) (a Answer, left bool) {
+func (s *Sidecar) Do(c *Call, gone <-chan struct{}) (a Response, left bool) {
 	last := time.NewTimer(time.Until(c.last))
 	defer last.Stop()
 	select {
 	case s.box <- func(now int64) { s.take(now, c) }:
 	case <-last.C: // the module's mailbox is full: nothing was sent, nothing will be
-		return Answer{Verdict: Late, Under: s.Under()}, false
+		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, false
 	case <-s.ending:
-		return Answer{Verdict: Late, Under: s.Under()}, false
+		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, false
 	case <-gone:
-		return Answer{Verdict: Late, Under: s.Under()}, true
+		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, true
 	}
 	a, left, answered := s.await(c, gone, last)
 	if answered {
@@ -201,14 +201,14 @@
 	// The module calls back what is out; a write under way would hold the gate until its own time ends.
 	go func() { s.box <- func(now int64) { s.left(now, c) } }()
 	c.gate.Close()
-	return Answer{Verdict: Late, Under: s.Under()}, left
+	return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, left
 }
 
 // await waits for the module's answer, for the client's end, or for the end of the request's time.
-func (s *Sidecar) await(c *Call, gone <-chan struct{}, last *time.Timer) (a Answer, left, answered bool) {
+func (s *Sidecar) await(c *Call, gone <-chan struct{}, last *time.Timer) (a Response, left, answered bool) {
 	var coming <-chan struct{}
-	if c.Message.Rest != nil {
-		coming = c.Message.Rest.Ended()
+	if c.Message.Remainder != nil {
+		coming = c.Message.Remainder.Done()
 	}
 	for {
 		select {
@@ -229,18 +229,18 @@
 			}
 		case <-coming:
 			coming = nil
-			at, err := c.Message.Rest.Whole()
+			at, err := c.Message.Remainder.Complete()
 			if err != nil {
 				return a, true, false
 			}
 			last.Reset(time.Until(c.lastAfter(at)))
-			gone = c.Whole()
+			gone = c.OnBodyComplete()
 		}
 	}
 }
 
-// Open lists the requests under way.
-func (s *Sidecar) Open() []string {
+// InFlight lists the requests under way.
+func (s *Sidecar) InFlight() []string {
 	back := make(chan []string, 1)
 	s.box <- func(int64) {
 		back <- slices.Collect(maps.Keys(s.calls))
@@ -248,9 +248,9 @@
 	return <-back
 }
 
-// Foreign names the requests that another process of this sidecar has under way, in place of those named before. Guards
+// SetPeerInFlight names the requests that another process of this sidecar has under way, in place of those named before. Guards
 // against a request of the same id that would run beside it.
-func (s *Sidecar) Foreign(ids []string) {
+func (s *Sidecar) SetPeerInFlight(ids []string) {
 	foreign := map[string]bool{}
 	for _, id := range ids {
 		foreign[id] = true
@@ -258,8 +258,8 @@
 	s.box <- func(int64) { s.foreign = foreign }
 }
 
-// Beside tells that another process of this sidecar serves too, or no longer: they share one budget of attempts.
-func (s *Sidecar) Beside(other bool) {
+// SetPeerProcessActive tells that another process of this sidecar serves too, or no longer: they share one budget of attempts.
+func (s *Sidecar) SetPeerProcessActive(other bool) {
 	s.box <- func(now int64) {
 		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.SetPeerProcessActive(now, other) }})
 	}
@@ -270,11 +270,11 @@
 		return
 	}
 	if s.calls[c.Request.ID] != nil || s.foreign[c.Request.ID] { // Guards against two requests of one id, whose attempts could not be told apart
-		s.finish(c, Answer{Verdict: Duplicate})
+		s.finish(c, Response{Status: DuplicateID})
 		return
 	}
 	if !c.may() || !s.admitted(c) {
-		s.finish(c, Answer{Verdict: Refused}) // it has gone nowhere: a new try is harmless
+		s.finish(c, Response{Status: Rejected}) // it has gone nowhere: a new try is harmless
 		return
 	}
 	s.calls[c.Request.ID] = c
@@ -311,27 +311,27 @@
 	return class >= 0
 }
 
-// Retune takes the settings of a configuration in force, for the module and, by tell, for those who read requests. It
+// ApplyConfig takes the settings of a configuration in force, for the module and, by tell, for those who read requests. It
 // returns once that is done.
-func (s *Sidecar) Retune(conf *config.Config, tell func(*decide.Settings)) {
+func (s *Sidecar) ApplyConfig(conf *config.Config, tell func(*decide.Settings)) {
 	done := make(chan struct{})
 	s.box <- func(now int64) {
 		defer close(done)
 		s.settings, s.transport = &conf.Settings, conf.Transport
-		s.number, s.digest = conf.Number, conf.Digest
+		s.number, s.digest = conf.SettingsVersion, conf.SettingsDigest
 		s.restamp()
-		s.shared.Retune(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
+		s.shared.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
 		set := listed(conf.Settings)
 		e := shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.UpdateSettings(now, set) }}
-		if conf.Watch != nil {
-			second := listed(conf.Watch.Settings)
-			e.Second = func(b *decide.Balancer) { b.UpdateSettings(now, second) }
+		if conf.Shadow != nil {
+			second := listed(conf.Shadow.Settings)
+			e.ApplyShadow = func(b *decide.Balancer) { b.UpdateSettings(now, second) }
 		}
 		s.tell(e)
 		tell(s.settings)
 	}
 	<-done
-	s.list.Come(source(&conf.Settings))
+	s.list.SetSource(source(&conf.Settings))
 }
 
 func (s *Sidecar) left(now int64, c *Call) {
@@ -341,7 +341,7 @@
 	}
 	c.answered = true
 	id := c.Request.ID
-	s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnClientDisconnected(now, id) }, Ends: id})
+	s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnClientDisconnected(now, id) }, RequestEnded: id})
 	s.forget(c)
 }
 
@@ -349,7 +349,7 @@
 func (s *Sidecar) began(c *Call, n int) func(*upstream.Attempt, *upstream.Stream) {
 	return func(_ *upstream.Attempt, st *upstream.Stream) {
 		s.box <- func(now int64) {
-			if !s.finish(c, Answer{Verdict: Served, Stream: st, ContentType: st.ContentType}) {
+			if !s.finish(c, Response{Status: Served, Stream: st, ContentType: st.ContentType}) {
 				st.Close()
 				return
 			}
@@ -368,26 +368,26 @@
 
 // ---- The list
 
-// Listed takes the list from its actor.
-func (s *Sidecar) Listed(l *discovery.List) {
+// OnEndpoints takes the list from its actor.
+func (s *Sidecar) OnEndpoints(l *discovery.Update) {
 	s.tellKnown()
 	s.box <- func(now int64) {
 		s.seq = l.Seq
 		s.restamp()
 		list := s.servers(now, l)
-		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, list, l.Whole) }})
+		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, list, l.Full) }})
 		for host := range s.peers {
 			s.retire(host)
 		}
 	}
 }
 
-// Discover goes on with the list at another address.
-func (s *Sidecar) Discover(addr string) { s.list.Move(addr) }
+// SetDiscoveryAddress goes on with the list at another address.
+func (s *Sidecar) SetDiscoveryAddress(addr string) { s.list.SetAddress(addr) }
 
 // source tells the list's actor how the list comes.
 func source(set *decide.Settings) discovery.Source {
-	return discovery.Source{Pushed: set.EndpointsPushed, Balancers: set.BalancerCount}
+	return discovery.Source{Pushed: set.EndpointsPushed, BalancerCount: set.BalancerCount}
 }
 
 // listed are the settings for the module: the list comes by itself there, since the list's actor asks for it.
@@ -397,18 +397,18 @@
 }
 
 // servers puts a list into the module's terms.
-func (s *Sidecar) servers(now int64, l *discovery.List) []decide.Endpoint {
-	out := make([]decide.Endpoint, 0, len(l.Hosts))
-	for i := range l.Hosts {
-		e := &l.Hosts[i]
-		server := decide.Endpoint{ID: e.Host, Capacity: e.Share, MachineKind: e.Kind, Zone: e.Zone, Cell: -1, StartedAt: s.births.since(e, now)}
+func (s *Sidecar) servers(now int64, l *discovery.Update) []decide.Endpoint {
+	out := make([]decide.Endpoint, 0, len(l.Endpoints))
+	for i := range l.Endpoints {
+		e := &l.Endpoints[i]
+		server := decide.Endpoint{ID: e.Host, Capacity: e.Capacity, MachineKind: e.MachineKind, Zone: e.Zone, Cell: -1, StartedAt: s.births.since(e, now)}
 		if e.Cell != nil {
 			server.Cell = *e.Cell
 		}
 		switch e.Health {
 		case discovery.Ready:
 			server.Phase = decide.InService
-		case discovery.Gone:
+		case discovery.Removed:
 			server.Phase = decide.Removed
 		default: // a state that is not known wants nothing new either
 			server.Phase = decide.Draining
@@ -433,7 +433,7 @@
 // retire stops the actor of a host that is no longer listed, once nothing is out there.
 func (s *Sidecar) retire(host string) {
 	p := s.peers[host]
-	if _, listed := s.list.Roster.Find(host); p != nil && p.out == 0 && !listed {
+	if _, listed := s.list.Endpoints.Lookup(host); p != nil && p.out == 0 && !listed {
 		p.Stop()
 		delete(s.peers, host)
 	}
@@ -445,15 +445,15 @@
 	p.out++
 	if !p.Offer(a) {
 		log.Printf("event=mailbox_full peer=%s", a.Host)
-		go a.Done(a, upstream.Report{End: upstream.Unwritten, At: time.Now()}) // the actor must not wait for itself
+		go a.OnDone(a, upstream.AttemptResult{Reason: upstream.NotSent, ObservedAt: time.Now()}) // the actor must not wait for itself
 	}
 }
 
-// Rest closes all idle connections to servers.
-func (s *Sidecar) Rest() {
+// CloseIdleConnections closes all idle connections to servers.
+func (s *Sidecar) CloseIdleConnections() {
 	s.box <- func(int64) {
 		for _, p := range s.peers {
-			p.CloseIdle()
+			p.CloseIdleConnections()
 		}
 	}
 }
@@ -462,48 +462,48 @@
 func (s *Sidecar) short() {
 	s.box <- func(int64) {
 		for _, p := range s.peers {
-			p.Shed()
+			p.CloseOldestIdle()
 		}
 	}
 }
 
 // settle takes an attempt's end. An answer of a server ends its call.
-func (s *Sidecar) settle(now int64, c *Call, n int, a *upstream.Attempt, r upstream.Report) {
-	if !c.answered && c.gate.Abandoned() { // Guards against further attempts until the client's own goroutine sees it
+func (s *Sidecar) settle(now int64, c *Call, n int, a *upstream.Attempt, r upstream.AttemptResult) {
+	if !c.answered && c.gate.Disconnected() { // Guards against further attempts until the client's own goroutine sees it
 		s.left(now, c)
 		close(c.gone)
 	}
 	p := s.peers[a.Host]
 	p.out--
 	c.out--
-	result := r.End.Result()
+	result := r.Reason.DecisionResult()
 	if !result.NeverRan() && c.effectAt.IsZero() {
-		c.effectAt = a.Sent
+		c.effectAt = a.DecidedAt
 	}
 	if result == decide.Succeeded {
-		s.finish(c, Answer{Verdict: Served, Body: r.Body, ContentType: r.ContentType})
+		s.finish(c, Response{Status: Served, Body: r.Body, ContentType: r.ContentType})
 	}
 	if c.out == 0 && !c.may() { // Guards against tries that end unwritten one after the other, and a client that waits for nothing
 		verdict := Failed
 		if c.effectAt.IsZero() {
-			verdict = Refused
+			verdict = Rejected
 		}
-		s.finish(c, Answer{Verdict: verdict})
+		s.finish(c, Response{Status: verdict})
 	}
-	if r.End == upstream.Unwritten || r.End == upstream.Unreachable {
+	if r.Reason == upstream.NotSent || r.Reason == upstream.ConnectFailed {
 		s.act(auditevent.Unsent, c.Request.ID, a.Host)
 	}
-	sent := a.Sent
-	if !r.SentAt.IsZero() { // no server could begin before
-		sent = r.SentAt
+	sent := a.DecidedAt
+	if !r.BodySentAt.IsZero() { // no server could begin before
+		sent = r.BodySentAt
 	}
 	o := decide.Outcome{
 		Request: c.Request.ID, Attempt: n, Server: a.Host, Result: result,
-		Latency: r.At.Sub(sent).Microseconds(), RequestAnswered: c.answered, Load: r.Load, BodyConsumed: r.Spent,
+		Latency: r.ObservedAt.Sub(sent).Microseconds(), RequestAnswered: c.answered, Load: r.Load, BodyConsumed: r.BodyConsumed,
 	}
-	e := shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnOutcome(now, o) }, Settles: o.Request}
+	e := shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnOutcome(now, o) }, AttemptEnded: o.Request}
 	if o.RequestAnswered {
-		e.Ends = o.Request
+		e.RequestEnded = o.Request
 	}
 	s.tell(e)
 	s.forget(c)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -25,10 +25,10 @@
 func sidecar(t *testing.T, addr string) *Sidecar {
 	t.Helper()
 	return New(&config.Config{
-		Discovery: "127.0.0.1:1",
-		Known:     &discovery.List{Seq: 1, Hosts: []discovery.Entry{{Host: "s1", Dial: addr, Health: discovery.Ready}}},
-		Transport: config.Transport{ConnIdle: time.Minute, DialTimeout: time.Second},
-		Settings:  testSettings(),
+		Discovery:     "127.0.0.1:1",
+		LastEndpoints: &discovery.Update{Seq: 1, Endpoints: []discovery.Endpoint{{Host: "s1", Address: addr, Health: discovery.Ready}}},
+		Transport:     config.Transport{ConnIdle: time.Minute, DialTimeout: time.Second},
+		Settings:      testSettings(),
 	}, 8)
 }
 
@@ -71,7 +71,7 @@
 	run(t, s)
 	for _, id := range []string{"a", "b", "a"} { // an id may come again once it is answered
 		a, left := s.Do(call(id, 0, time.Minute), nil)
-		if left || a.Verdict != Served || string(a.Body) != id {
+		if left || a.Status != Served || string(a.Body) != id {
 			t.Fatalf("%s: %+v", id, a)
 		}
 	}
@@ -84,7 +84,7 @@
 func TestAnsweredInTimeWhateverTheModuleDoes(t *testing.T) {
 	came := make(chan bool, 1)
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { came <- true }))
-	if a, left := s.Do(call("a", 0, 50*time.Millisecond), nil); left || a.Verdict != Late {
+	if a, left := s.Do(call("a", 0, 50*time.Millisecond), nil); left || a.Status != DeadlineExceeded {
 		t.Fatalf("%+v", a)
 	}
 	run(t, s) // only now does it take the request
@@ -135,7 +135,7 @@
 	for range mailbox {
 		s.box <- func(int64) {}
 	}
-	if a, _ := s.Do(call("a", 0, 50*time.Millisecond), nil); a.Verdict != Late {
+	if a, _ := s.Do(call("a", 0, 50*time.Millisecond), nil); a.Status != DeadlineExceeded {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -148,7 +148,7 @@
 		left bool
 	}{
 		{"the client leaves", func(_ *Sidecar, gone chan struct{}) { close(gone) }, true},
-		{"the process ends", func(s *Sidecar, _ chan struct{}) { s.End() }, false},
+		{"the process ends", func(s *Sidecar, _ chan struct{}) { s.AbortAll() }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, gone, done := sidecar(t, "127.0.0.1:1"), make(chan struct{}), make(chan bool)
@@ -157,7 +157,7 @@
 			}
 			go func() {
 				a, left := s.Do(call("a", 0, time.Hour), gone)
-				done <- left == c.left && a.Verdict == Late
+				done <- left == c.left && a.Status == DeadlineExceeded
 			}()
 			c.end(s, gone)
 			select {
@@ -223,20 +223,20 @@
 		<-finish
 	}))
 	run(t, s)
-	done := make(chan Answer)
+	done := make(chan Response)
 	go func() {
 		a, _ := s.Do(call("a", 0, time.Minute), nil)
 		done <- a
 	}()
 	<-came
-	gone := &discovery.List{Seq: 2, Whole: true}
-	ask(s, func() bool { s.list.Roster.Replace(gone); return true })
-	s.Listed(gone)
+	gone := &discovery.Update{Seq: 2, Full: true}
+	ask(s, func() bool { s.list.Endpoints.Replace(gone); return true })
+	s.OnEndpoints(gone)
 	if n := ask(s, func() int { return len(s.peers) }); n != 1 {
 		t.Fatalf("%d peers while an attempt is out", n)
 	}
 	finish <- true
-	if a := <-done; a.Verdict != Served {
+	if a := <-done; a.Status != Served {
 		t.Fatalf("%+v", a)
 	}
 	eventually(t, func() bool { return ask(s, func() int { return len(s.peers) }) == 0 })
@@ -244,9 +244,9 @@
 
 func TestServersInTheModulesTerms(t *testing.T) {
 	cell := int64(3)
-	got := (&Sidecar{births: newBirths()}).servers(time.Now().UnixMicro(), &discovery.List{Hosts: []discovery.Entry{
-		{Host: "a", Zone: "z", Cell: &cell, Health: discovery.Ready, Share: 1.5, BornMs: 7},
-		{Host: "b", Health: discovery.Terminating}, {Host: "c", Health: discovery.Gone}, {Host: "d", Health: "Dozing"},
+	got := (&Sidecar{births: newBirths()}).servers(time.Now().UnixMicro(), &discovery.Update{Endpoints: []discovery.Endpoint{
+		{Host: "a", Zone: "z", Cell: &cell, Health: discovery.Ready, Capacity: 1.5, StartedAtMs: 7},
+		{Host: "b", Health: discovery.Terminating}, {Host: "c", Health: discovery.Removed}, {Host: "d", Health: "Dozing"},
 	}})
 	want := []decide.Endpoint{
 		{ID: "a", Capacity: 1.5, Zone: "z", Cell: 3, StartedAt: 7000},
@@ -279,15 +279,15 @@
 		{Name: "make", PriorityWeight: 1, Semantics: decide.AtMostOnce}, {Name: "new", PriorityWeight: 1}, {Name: "look", PriorityWeight: 1},
 	}
 	var told *decide.Settings
-	s.Retune(next, func(set *decide.Settings) { told = set })
+	s.ApplyConfig(next, func(set *decide.Settings) { told = set })
 	if told != &next.Settings {
 		t.Fatal("those who read requests were not told")
 	}
 	look, dropped := call("a", 0, time.Minute), call("b", 1, time.Minute)
-	if a, _ := s.Do(look, nil); a.Verdict != Served || look.Request.Class != 2 {
+	if a, _ := s.Do(look, nil); a.Status != Served || look.Request.Class != 2 {
 		t.Fatalf("%+v as class %d", a, look.Request.Class)
 	}
-	if a, _ := s.Do(dropped, nil); a.Verdict != Refused {
+	if a, _ := s.Do(dropped, nil); a.Status != Rejected {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -296,17 +296,17 @@
 func TestManyRetunes(t *testing.T) {
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "yes") }))
 	run(t, s)
-	if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Verdict != Served {
+	if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Status != Served {
 		t.Fatalf("%+v", a)
 	}
 	before := runtime.NumGoroutine()
 	for i := range 50 {
 		next := &config.Config{Settings: testSettings(), Transport: s.conf.Transport}
 		next.Settings.Classes[1].Name = fmt.Sprint("make", i)
-		s.Retune(next, func(*decide.Settings) {})
+		s.ApplyConfig(next, func(*decide.Settings) {})
 	}
 	eventually(t, func() bool { return runtime.NumGoroutine() <= before })
-	if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Verdict != Served {
+	if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Status != Served {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -317,18 +317,18 @@
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { came <- true; <-finish }))
 	defer close(finish)
 	run(t, s)
-	answer := make(chan Answer)
+	answer := make(chan Response)
 	go func() {
 		a, _ := s.Do(call("a", 0, time.Minute), nil)
 		answer <- a
 	}()
 	<-came
-	s.End()
-	s.End()
-	if a := <-answer; a.Verdict != Late {
+	s.AbortAll()
+	s.AbortAll()
+	if a := <-answer; a.Status != DeadlineExceeded {
 		t.Fatalf("%+v", a)
 	}
-	if a, left := s.Do(call("b", 0, time.Minute), nil); a.Verdict != Late || left {
+	if a, left := s.Do(call("b", 0, time.Minute), nil); a.Status != DeadlineExceeded || left {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -339,10 +339,10 @@
 	run(t, s)
 	for _, step := range []struct {
 		foreign []string
-		want    Verdict
-	}{{[]string{"a", "b"}, Duplicate}, {[]string{"b"}, Served}, {[]string{"a"}, Duplicate}, {nil, Served}} {
-		s.Foreign(step.foreign)
-		if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Verdict != step.want {
+		want    Status
+	}{{[]string{"a", "b"}, DuplicateID}, {[]string{"b"}, Served}, {[]string{"a"}, DuplicateID}, {nil, Served}} {
+		s.SetPeerInFlight(step.foreign)
+		if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Status != step.want {
 			t.Fatalf("beside %v: %+v", step.foreign, a)
 		}
 	}
@@ -356,12 +356,12 @@
 	done := make(chan bool)
 	go func() { s.Do(call("a", 0, time.Minute), nil); done <- true }()
 	<-came
-	if ids := s.Open(); len(ids) != 1 || ids[0] != "a" {
+	if ids := s.InFlight(); len(ids) != 1 || ids[0] != "a" {
 		t.Fatal(ids)
 	}
 	close(finish)
 	<-done
-	eventually(t, func() bool { return len(s.Open()) == 0 })
+	eventually(t, func() bool { return len(s.InFlight()) == 0 })
 }
 
 // A call that needs a leave is refused at once without it, when it is taken and when it was lost since.
@@ -370,14 +370,14 @@
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { came.Store(true) }))
 	run(t, s)
 	c := call("a", 0, time.Minute)
-	c.Needs(func() bool { return false })
-	if a, _ := s.Do(c, nil); a.Verdict != Refused || came.Load() {
+	c.RequireLease(func() bool { return false })
+	if a, _ := s.Do(c, nil); a.Status != Rejected || came.Load() {
 		t.Fatalf("%+v, sent %t", a, came.Load())
 	}
 	asked := 0
 	c = call("b", 0, time.Minute)
-	c.Needs(func() bool { asked++; return asked == 1 }) // lost before anything is written
-	if a, _ := s.Do(c, nil); a.Verdict != Refused || came.Load() {
+	c.RequireLease(func() bool { asked++; return asked == 1 }) // lost before anything is written
+	if a, _ := s.Do(c, nil); a.Status != Rejected || came.Load() {
 		t.Fatalf("%+v, sent %t", a, came.Load())
 	}
 }
@@ -399,11 +399,11 @@
 	var asked atomic.Int64
 	s := sidecar(t, toy(t, func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
 	var n notes
-	s.Audit(&n)
+	s.SetRecorder(&n)
 	run(t, s)
 	c := call("a", 0, time.Minute)
-	c.Abandon(func() bool { return true })
-	if a, left := s.Do(c, nil); !left || a.Verdict != Late {
+	c.SetDisconnectCheck(func() bool { return true })
+	if a, left := s.Do(c, nil); !left || a.Status != DeadlineExceeded {
 		t.Errorf("left %v, %+v", left, a)
 	}
 	eventually(t, func() bool { return ask(s, func() int { return len(s.calls) }) == 0 })
@@ -421,22 +421,22 @@
 		time.Sleep(50 * time.Millisecond)
 	}))
 	var n notes
-	s.Audit(&n)
+	s.SetRecorder(&n)
 	run(t, s)
-	done := make(chan Answer)
+	done := make(chan Response)
 	go func() {
 		a, _ := s.Do(call("a", 0, time.Minute), nil)
 		done <- a
 	}()
 	told := <-actor
 	next := *s.conf
-	next.Number = 3
-	s.Retune(&next, func(*decide.Settings) {})
-	if a := <-done; a.Under != 301 {
-		t.Errorf("answered under %d", a.Under)
+	next.SettingsVersion = 3
+	s.ApplyConfig(&next, func(*decide.Settings) {})
+	if a := <-done; a.ConfigVersion != 301 {
+		t.Errorf("answered under %d", a.ConfigVersion)
 	}
 	gone := call("b", 0, time.Minute)
-	gone.Under(func() bool { return false }, 0)
+	gone.UseLease(func() bool { return false }, 0)
 	left := make(chan struct{})
 	time.AfterFunc(20*time.Millisecond, func() { close(left) })
 	s.Do(gone, left)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -13,13 +13,13 @@
 
 // Message is a request as it goes on: its bytes as they came, but for the fields that the sidecar owns.
 type Message struct {
-	Head []byte // request line and headers without the closing empty line and without DeadlineHeader
-	Body []byte
-	Rest *Rest // of the body, which is not held; nil: Body is all of it
+	Head      []byte // request line and headers without the closing empty line and without DeadlineHeader
+	Body      []byte
+	Remainder *BodyRemainder // of the body, which is not held; nil: Body is all of it
 }
 
 // chunks tells whether the body goes on in chunks.
-func (m *Message) chunks() bool { return m.Rest != nil && m.Rest.Length < 0 }
+func (m *Message) chunks() bool { return m.Remainder != nil && m.Remainder.BodyLength < 0 }
 
 // DeadlineHeader tells a server how long the sidecar will wait.
 const DeadlineHeader = "Req-Deadline-Ms"
@@ -43,16 +43,16 @@
 // Gate stands between a request's attempts and its final answer: once closed, nothing more is written for it.
 // Guards against an attempt that is written after the final answer because goroutines lag.
 type Gate struct {
-	Leave  func() bool // asked before each write, where this process may lose its leave to send; nil: it may not
-	HungUp func() bool // asked right before an attempt's first byte: the client has left. It must not block; nil: nobody asks
+	LeaseValid     func() bool // asked before each write, where this process may lose its leave to send; nil: it may not
+	IsDisconnected func() bool // asked right before an attempt's first byte: the client has left. It must not block; nil: nobody asks
 
 	mu        sync.Mutex
 	closed    bool
-	abandoned bool // HungUp has said so
+	abandoned bool // IsDisconnected has said so
 }
 
-// May tells whether this process has leave to send.
-func (g *Gate) May() bool { return g.Leave == nil || g.Leave() }
+// MaySend tells whether this process has leave to send.
+func (g *Gate) MaySend() bool { return g.LeaseValid == nil || g.LeaseValid() }
 
 // Close waits for a write under way and lets no other begin.
 func (g *Gate) Close() {
@@ -68,8 +68,8 @@
 	return g.closed
 }
 
-// Abandoned tells that an attempt was not begun, and none will be, because the client had left.
-func (g *Gate) Abandoned() bool {
+// Disconnected tells that an attempt was not begun, and none will be, because the client had left.
+func (g *Gate) Disconnected() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.abandoned
@@ -79,7 +79,7 @@
 // begins although its client has gone, because the goroutine that watches it lags, or its leaving stands behind bytes that
 // nobody reads yet.
 func (g *Gate) abandon() bool {
-	if g.HungUp != nil && g.HungUp() {
+	if g.IsDisconnected != nil && g.IsDisconnected() {
 		g.closed, g.abandoned = true, true
 	}
 	return g.abandoned
@@ -89,7 +89,7 @@
 func (g *Gate) pass(write func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.closed || !g.May() {
+	if g.closed || !g.MaySend() {
 		return false
 	}
 	write()
@@ -98,32 +98,32 @@
 
 // Attempt is one send to one server, or a probe.
 type Attempt struct {
-	Host     string
-	Message  *Message
-	Actor    []byte // tells the server whose act it is; empty: nothing
-	Gate     *Gate
-	Sent     time.Time // when the decision was made
-	Deadline time.Time // when the wait ends; zero: Wait after the last byte of the body has gone
-	Wait     time.Duration
-	WriteBy  time.Time               // when even a first byte would be too late; zero: never
-	Began    func(*Attempt, *Stream) // an answer begins that is not held; nil: all are
-	Done     func(*Attempt, Report)
+	Host             string
+	Message          *Message
+	AuditRef         []byte // tells the server whose act it is; empty: nothing
+	Gate             *Gate
+	DecidedAt        time.Time // when the decision was made
+	Deadline         time.Time // when the wait ends; zero: Wait after the last byte of the body has gone
+	TimeoutAfterBody time.Duration
+	LatestStart      time.Time               // when even a first byte would be too late; zero: never
+	OnStream         func(*Attempt, *Stream) // an answer begins that is not held; nil: all are
+	OnDone           func(*Attempt, AttemptResult)
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	wait   *time.Timer
 }
 
-// Report is what came of an attempt.
-type Report struct {
-	End         End
-	At          time.Time
-	Fresh       bool // a new connection was opened for it
-	Body        []byte
-	ContentType []byte
-	Load        *decide.LoadReport
-	SentAt      time.Time // when the last byte of a body that was not held had gone; zero: at once
-	Spent       bool      // a part of the body has gone that is not held: it can't be sent again
+// AttemptResult is what came of an attempt.
+type AttemptResult struct {
+	Reason        EndReason
+	ObservedAt    time.Time
+	NewConnection bool // a new connection was opened for it
+	Body          []byte
+	ContentType   []byte
+	Load          *decide.LoadReport
+	BodySentAt    time.Time // when the last byte of a body that was not held had gone; zero: at once
+	BodyConsumed  bool      // a part of the body has gone that is not held: it can't be sent again
 }
 
 // Cancel calls an attempt back. It never blocks.
@@ -155,9 +155,9 @@
 func (a *Attempt) withdrawn() bool { return context.Cause(a.ctx) == context.Canceled }
 
 // interrupted tells why the context cut a wait, after the last byte was written.
-func (a *Attempt) interrupted() End {
+func (a *Attempt) interrupted() EndReason {
 	if a.withdrawn() {
-		return Withdrawn
+		return Cancelled
 	}
-	return Expired
+	return TimedOut
 }
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// HeldMost is how much of a body or an answer is held; a longer one goes on as it comes.
-	HeldMost = 64 << 10
-	// LongestBody is the longest body or answer that is passed on.
-	LongestBody = 40 << 20
+	// MaxBuffered is how much of a body or an answer is held; a longer one goes on as it comes.
+	MaxBuffered = 64 << 10
+	// MaxBodySize is the longest body or answer that is passed on.
+	MaxBodySize = 40 << 20
 
 	holdFor     = 300 * time.Millisecond // an answer of unknown length, before it begins at the client
 	stalled     = 5 * time.Second        // without a byte of a body or an answer under way
@@ -34,10 +34,10 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
 
-// Rest is the part of a request's body that is not held. It is read as it comes from the client, once, by the attempt
+// BodyRemainder is the part of a request's body that is not held. It is read as it comes from the client, once, by the attempt
 // that has begun to send it. Its source must not block for good.
-type Rest struct {
-	Length int64 // of the whole body; negative: not known
+type BodyRemainder struct {
+	BodyLength int64 // of the whole body; negative: not known
 
 	mu     sync.Mutex
 	src    io.Reader
@@ -48,13 +48,13 @@
 	cutOff func()
 }
 
-// NewRest makes the rest of a body; cutOff makes a read of src under way end.
-func NewRest(src io.Reader, length int64, cutOff func()) *Rest {
-	return &Rest{Length: length, src: src, cutOff: cutOff, ended: make(chan struct{})}
+// NewBodyRemainder makes the rest of a body; cutOff makes a read of src under way end.
+func NewBodyRemainder(src io.Reader, length int64, cutOff func()) *BodyRemainder {
+	return &BodyRemainder{BodyLength: length, src: src, cutOff: cutOff, ended: make(chan struct{})}
 }
 
 // Read reads on. Its error is io.EOF after the last byte alone.
-func (r *Rest) Read(p []byte) (int, error) {
+func (r *BodyRemainder) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.err != nil {
@@ -71,13 +71,13 @@
 	return n, err
 }
 
-func (r *Rest) end(err error) {
+func (r *BodyRemainder) end(err error) {
 	r.err, r.endAt = err, time.Now()
 	close(r.ended)
 }
 
 // Close ends the reading, and waits for a read under way: the client's connection is the caller's again.
-func (r *Rest) Close() {
+func (r *BodyRemainder) Close() {
 	select {
 	case <-r.ended:
 		return
@@ -91,11 +91,11 @@
 	}
 }
 
-// Ended is closed once the last byte was read, or none will be.
-func (r *Rest) Ended() <-chan struct{} { return r.ended }
+// Done is closed once the last byte was read, or none will be.
+func (r *BodyRemainder) Done() <-chan struct{} { return r.ended }
 
-// Whole tells, once it has ended, when its last byte came, or why it never did.
-func (r *Rest) Whole() (at time.Time, err error) {
+// Complete tells, once it has ended, when its last byte came, or why it never did.
+func (r *BodyRemainder) Complete() (at time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.err == io.EOF {
@@ -104,8 +104,8 @@
 	return r.endAt, r.err
 }
 
-// Taken tells whether any of it has been read: it can't be sent again.
-func (r *Rest) Taken() bool {
+// Started tells whether any of it has been read: it can't be sent again.
+func (r *BodyRemainder) Started() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.taken
@@ -156,7 +156,7 @@
 		}
 		return 0, ErrDetached
 	}
-	if s.sum += int64(n); s.sum > LongestBody {
+	if s.sum += int64(n); s.sum > MaxBodySize {
 		err = errTooLong
 	}
 	s.err = err
@@ -180,7 +180,7 @@
 // answerBody is the body of an answer whose head was read; toTheEnd: that of its connection ends one of no length.
 func answerBody(br *bufio.Reader, resp *fasthttp.Response, toTheEnd bool) (body io.Reader, length int64, err error) {
 	switch n := resp.Header.ContentLength(); {
-	case n > LongestBody:
+	case n > MaxBodySize:
 		return nil, 0, errTooLong
 	case n >= 0:
 		return &exactly{br, int64(n)}, int64(n), nil
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -31,7 +31,7 @@
 	br        *bufio.Reader
 	addr      string
 	idleSince time.Time
-	budget    *Budget
+	budget    *SocketBudget
 }
 
 // shut closes the connection and gives its socket back. Closing by a reset (no linger) was tried and
@@ -63,7 +63,7 @@
 }
 
 // exchange writes the attempt and reads its answer. It returns whether the connection may serve again.
-func (c *conn) exchange(a *Attempt, mayWrite func() bool) (r Report, reuse bool) {
+func (c *conn) exchange(a *Attempt, mayWrite func() bool) (r AttemptResult, reuse bool) {
 	stop := context.AfterFunc(a.ctx, func() { c.SetDeadline(past) })
 	defer func() {
 		if !stop() { // the deadline was, or is about to be, cut: what is read next would fail
@@ -72,13 +72,13 @@
 			c.SetDeadline(time.Time{})
 		}
 	}()
-	r.End = c.write(a, mayWrite)
-	if r.End == Answered && a.Message.Rest != nil {
-		if r.End = c.writeRest(a); r.End == Answered {
-			r.SentAt = time.Now()
+	r.Reason = c.write(a, mayWrite)
+	if r.Reason == Answered && a.Message.Remainder != nil {
+		if r.Reason = c.writeRest(a); r.Reason == Answered {
+			r.BodySentAt = time.Now()
 		}
 	}
-	if r.End != Answered {
+	if r.Reason != Answered {
 		return r, false
 	}
 	reuse = c.read(a, &r)
@@ -86,18 +86,18 @@
 }
 
 // write sends the attempt's bytes, of its body those that are held; Answered means that all of them are written.
-func (c *conn) write(a *Attempt, mayWrite func() bool) (end End) {
-	end = Unwritten
+func (c *conn) write(a *Attempt, mayWrite func() bool) (end EndReason) {
+	end = NotSent
 	a.Gate.pass(func() {
 		now := time.Now()
-		if a.ctx.Err() != nil || !mayWrite() || !a.WriteBy.IsZero() && !now.Before(a.WriteBy) {
+		if a.ctx.Err() != nil || !mayWrite() || !a.LatestStart.IsZero() && !now.Before(a.LatestStart) {
 			return
 		}
-		left := a.Wait
+		left := a.TimeoutAfterBody
 		if !a.Deadline.IsZero() {
 			left = a.Deadline.Sub(now)
 		}
-		parts, size := a.Message.render(left, a.Actor)
+		parts, size := a.Message.render(left, a.AuditRef)
 		if a.Gate.abandon() {
 			return
 		}
@@ -105,9 +105,9 @@
 		case n == size:
 			end = Answered
 		case err != nil && a.withdrawn():
-			end = Unwritten
+			end = NotSent
 		default:
-			end = Unreachable // the last byte was not written: it never ran
+			end = ConnectFailed // the last byte was not written: it never ran
 		}
 	})
 	return end
@@ -115,16 +115,16 @@
 
 // writeRest sends the part of the body that is not held, as it comes, and starts the attempt's clock at its last byte.
 // The gate is passed anew for each piece: the client's last answer may come meanwhile, and waits for none of it.
-func (c *conn) writeRest(a *Attempt) (end End) {
+func (c *conn) writeRest(a *Attempt) (end EndReason) {
 	buf := copyBuffers.Get().(*[copyBuffer]byte)
 	defer copyBuffers.Put(buf)
 	for {
-		n, err := a.Message.Rest.Read(buf[:])
+		n, err := a.Message.Remainder.Read(buf[:])
 		if err != nil && err != io.EOF {
-			return Unwritten // the client's fault
+			return NotSent // the client's fault
 		}
 		last := err == io.EOF
-		end = Unwritten
+		end = NotSent
 		a.Gate.pass(func() {
 			end = c.writePiece(a, buf[:n], last)
 		})
@@ -133,14 +133,14 @@
 		}
 		if last {
 			c.SetWriteDeadline(time.Time{})
-			a.expire(a.Wait)
+			a.expire(a.TimeoutAfterBody)
 			return Answered
 		}
 	}
 }
 
-// Frame makes the bytes of one piece of a body, as a chunk where it goes in chunks, with what ends those after the last.
-func Frame(piece []byte, chunks, last bool) (parts net.Buffers) {
+// EncodeBodyPiece makes the bytes of one piece of a body, as a chunk where it goes in chunks, with what ends those after the last.
+func EncodeBodyPiece(piece []byte, chunks, last bool) (parts net.Buffers) {
 	if !chunks {
 		return net.Buffers{piece}
 	}
@@ -154,47 +154,47 @@
 }
 
 // writePiece sends one piece of a body.
-func (c *conn) writePiece(a *Attempt, piece []byte, last bool) End {
+func (c *conn) writePiece(a *Attempt, piece []byte, last bool) EndReason {
 	c.SetWriteDeadline(time.Now().Add(stalled))
 	if a.ctx.Err() != nil { // the cut may have come before that deadline
-		return Unwritten
+		return NotSent
 	}
-	parts := Frame(piece, a.Message.chunks(), last)
+	parts := EncodeBodyPiece(piece, a.Message.chunks(), last)
 	if _, err := parts.WriteTo(c.Conn); err != nil {
 		if a.withdrawn() {
-			return Unwritten
+			return NotSent
 		}
-		return Unreachable // the last byte was not written: it never ran
+		return ConnectFailed // the last byte was not written: it never ran
 	}
 	return Answered
 }
 
 // read reads one answer: held whole where it is short, else handed on as it comes. Anything short of a whole one may
 // have run.
-func (c *conn) read(a *Attempt, r *Report) (reuse bool) {
+func (c *conn) read(a *Attempt, r *AttemptResult) (reuse bool) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	toTheEnd, err := readHead(c.br, resp)
 	if err == nil {
-		r.End = end(resp)
+		r.Reason = end(resp)
 		r.Load = parseLoad(resp.Header.Peek("Srv-Load"))
-		if r.End == Answered {
+		if r.Reason == Answered {
 			r.ContentType = append([]byte(nil), resp.Header.ContentType()...)
 		}
 		err = c.readBody(a, r, resp, toTheEnd)
 	}
-	if r.At.IsZero() {
-		r.At = time.Now()
+	if r.ObservedAt.IsZero() {
+		r.ObservedAt = time.Now()
 	}
 	if err != nil {
-		r.Body, r.End = nil, Spoilt
+		r.Body, r.Reason = nil, Malformed
 		switch {
 		case a.ctx.Err() != nil:
-			r.End = a.interrupted()
+			r.Reason = a.interrupted()
 		case err == errStopped: // the client's end
-			r.End = Withdrawn
+			r.Reason = Cancelled
 		case brokeOff(err):
-			r.End = Broken
+			r.Reason = Reset
 		}
 		return false
 	}
@@ -202,7 +202,7 @@
 }
 
 // readBody reads the body of an answer whose head was read.
-func (c *conn) readBody(a *Attempt, r *Report, resp *fasthttp.Response, toTheEnd bool) error {
+func (c *conn) readBody(a *Attempt, r *AttemptResult, resp *fasthttp.Response, toTheEnd bool) error {
 	if s := resp.StatusCode(); s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified {
 		return nil
 	}
@@ -210,8 +210,8 @@
 	if err != nil {
 		return err
 	}
-	mayBegin := r.End == Answered && a.Began != nil
-	if length > HeldMost && mayBegin {
+	mayBegin := r.Reason == Answered && a.OnStream != nil
+	if length > MaxBuffered && mayBegin {
 		if _, err := c.br.Peek(1); err != nil { // its first byte is timed
 			return err
 		}
@@ -230,16 +230,16 @@
 
 // hold reads a body as long as it is held: to its end, or, where its length is not known, for a while.
 func (c *conn) hold(a *Attempt, body io.Reader, length int64, mayBegin bool) (held []byte, whole bool, err error) {
-	held = make([]byte, 0, max(512, min(length, HeldMost)+1))
+	held = make([]byte, 0, max(512, min(length, MaxBuffered)+1))
 	until := time.Time{}
 	for {
 		if len(held) == cap(held) {
 			held = append(held, 0)[:len(held)]
 		}
-		n, err := body.Read(held[len(held):min(cap(held), HeldMost+1)])
+		n, err := body.Read(held[len(held):min(cap(held), MaxBuffered+1)])
 		held = held[:len(held)+n]
 		switch {
-		case len(held) > HeldMost && (err == nil || err == io.EOF):
+		case len(held) > MaxBuffered && (err == nil || err == io.EOF):
 			return held, false, nil
 		case err == io.EOF:
 			return held, true, nil
@@ -258,13 +258,13 @@
 }
 
 // begin hands an answer to the client as it comes, and waits for its end.
-func (c *conn) begin(a *Attempt, r *Report, held []byte, body io.Reader) error {
+func (c *conn) begin(a *Attempt, r *AttemptResult, held []byte, body io.Reader) error {
 	if !a.disarm() { // the time was up
 		return errStopped
 	}
-	r.At = time.Now()
+	r.ObservedAt = time.Now()
 	s := &Stream{ContentType: r.ContentType, a: a, c: c, head: held, body: body, sum: int64(len(held)), done: make(chan error, 1)}
-	a.Began(a, s)
+	a.OnStream(a, s)
 	if err := <-s.done; err != io.EOF {
 		return err
 	}
@@ -279,7 +279,7 @@
 }
 
 // end tells what a whole answer means.
-func end(resp *fasthttp.Response) End {
+func end(resp *fasthttp.Response) EndReason {
 	switch status := resp.StatusCode(); {
 	case status == fasthttp.StatusOK:
 		return Answered
@@ -287,11 +287,11 @@
 		string(resp.Header.Peek("Srv-Declined")) == "1":
 		return Declined
 	case status == fasthttp.StatusRequestTimeout || status == fasthttp.StatusTooManyRequests:
-		return Failed // of the server's state, not of the request
+		return ErrorResponse // of the server's state, not of the request
 	case status >= 400 && status < 500:
-		return Rejected
+		return InvalidRequest
 	}
-	return Failed
+	return ErrorResponse
 }
 
 // readHead reads the head of the answer, past those of the 100 kind; toTheEnd: it says that the answer ends with its
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -23,10 +23,10 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
 	})
 	p, sh := peerOf(t, at(s.Addr().String()))
-	sh.Settle = time.Hour
+	sh.ReuseDelay = time.Hour
 	first := send(t, p, nil)
-	if r := send(t, p, nil); r.End != Answered || string(r.Body) != string(first.Body) || !r.Fresh {
-		t.Fatalf("%v %q, fresh %v", r.End, r.Body, r.Fresh)
+	if r := send(t, p, nil); r.Reason != Answered || string(r.Body) != string(first.Body) || !r.NewConnection {
+		t.Fatalf("%v %q, fresh %v", r.Reason, r.Body, r.NewConnection)
 	}
 }
 
@@ -47,8 +47,8 @@
 			t.Fatal(err)
 		}
 		ln.Close()
-		sh.Budget.take()
-		looked := &conn{Conn: here, br: bufio.NewReader(here), addr: s.Addr().String(), budget: sh.Budget, idleSince: time.Now()}
+		sh.Sockets.take()
+		looked := &conn{Conn: here, br: bufio.NewReader(here), addr: s.Addr().String(), budget: sh.Sockets, idleSince: time.Now()}
 		if !looked.quiet() {
 			t.Fatal("not quiet at the look")
 		}
@@ -60,8 +60,8 @@
 		a, done := attempt(nil)
 		a.arm()
 		p.attempt(a, looked)
-		if r := <-done; r.End != Answered || string(r.Body) == "wrong" || sh.Budget.used.Load() != 1 {
-			t.Fatalf("after %q: %v %q, %d sockets", what, r.End, r.Body, sh.Budget.used.Load())
+		if r := <-done; r.Reason != Answered || string(r.Body) == "wrong" || sh.Sockets.used.Load() != 1 {
+			t.Fatalf("after %q: %v %q, %d sockets", what, r.Reason, r.Body, sh.Sockets.used.Load())
 		}
 	}
 }
@@ -71,16 +71,16 @@
 func TestAResetUnderTheWrite(t *testing.T) {
 	for _, c := range []struct {
 		body int
-		want End
-	}{{64 << 20, Unreachable}, {2, Broken}} {
+		want EndReason
+	}{{64 << 20, ConnectFailed}, {2, Reset}} {
 		s := listen(t, func(c net.Conn, br *bufio.Reader) {
 			br.ReadString('\n')
 			c.(*net.TCPConn).SetLinger(0)
 		})
 		p, _ := peerOf(t, at(s.Addr().String()))
 		r := send(t, p, func(a *Attempt) { a.Message.Body = make([]byte, c.body) })
-		if r.End != c.want {
-			t.Errorf("%d bytes: %v, want %v", c.body, r.End, c.want)
+		if r.Reason != c.want {
+			t.Errorf("%d bytes: %v, want %v", c.body, r.Reason, c.want)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	}
 	defer ln.Close()
 	p, sh := peerOf(t, at(ln.Addr().String()))
-	sh.Retune(time.Minute, time.Hour)
+	sh.SetTimeouts(time.Minute, time.Hour)
 	var usual syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &usual); err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 	}
 	defer set(usual)
 	asked := 0
-	sh.Short = func() {
+	sh.OnSocketShortage = func() {
 		asked++
 		set(usual)
 		go func() {
@@ -117,18 +117,18 @@
 		}()
 	}
 	set(syscall.Rlimit{Cur: 0, Max: usual.Max})
-	if r := send(t, p, nil); r.End != Answered || asked != 1 || sh.Budget.used.Load() != 1 {
-		t.Fatalf("%v, asked %d times, %d sockets", r.End, asked, sh.Budget.used.Load())
+	if r := send(t, p, nil); r.Reason != Answered || asked != 1 || sh.Sockets.used.Load() != 1 {
+		t.Fatalf("%v, asked %d times, %d sockets", r.Reason, asked, sh.Sockets.used.Load())
 	}
 	for range 2 { // none comes free: it is the lack's fault, not the server's
-		sh.Retune(50*time.Millisecond, time.Hour) // long enough that the dial begins within it
-		sh.Short = func() { asked++ }
-		p.CloseIdle()
+		sh.SetTimeouts(50*time.Millisecond, time.Hour) // long enough that the dial begins within it
+		sh.OnSocketShortage = func() { asked++ }
+		p.CloseIdleConnections()
 		set(syscall.Rlimit{Cur: 0, Max: usual.Max})
 		r := send(t, p, nil)
 		set(usual)
-		if r.End != Unwritten || sh.Budget.used.Load() != 0 {
-			t.Fatalf("with none: %v, %d sockets", r.End, sh.Budget.used.Load())
+		if r.Reason != NotSent || sh.Sockets.used.Load() != 0 {
+			t.Fatalf("with none: %v, %d sockets", r.Reason, sh.Sockets.used.Load())
 		}
 	}
 }
@@ -138,20 +138,20 @@
 // suspended, all at once, because this machine had no way out for a moment.
 func TestADialThatLacksForAMoment(t *testing.T) {
 	s := standin.NewServer(t, standin.Yes)
-	type ends struct{ once, always End }
+	type ends struct{ once, always EndReason }
 	for errno, want := range map[syscall.Errno]ends{
-		syscall.ENFILE: {Answered, Unwritten}, syscall.ENOBUFS: {Answered, Unwritten}, syscall.EADDRNOTAVAIL: {Answered, Unwritten},
-		syscall.ENETUNREACH: {Answered, Unreachable}, syscall.ENETDOWN: {Answered, Unreachable},
-		syscall.ECONNREFUSED: {Unreachable, Unreachable}, syscall.EHOSTUNREACH: {Unreachable, Unreachable},
+		syscall.ENFILE: {Answered, NotSent}, syscall.ENOBUFS: {Answered, NotSent}, syscall.EADDRNOTAVAIL: {Answered, NotSent},
+		syscall.ENETUNREACH: {Answered, ConnectFailed}, syscall.ENETDOWN: {Answered, ConnectFailed},
+		syscall.ECONNREFUSED: {ConnectFailed, ConnectFailed}, syscall.EHOSTUNREACH: {ConnectFailed, ConnectFailed},
 	} {
 		for _, fails := range []int{1, 1 << 30} {
 			p, sh := peerOf(t, at(s.Addr))
-			sh.Retune(50*time.Millisecond, time.Hour)
+			sh.SetTimeouts(50*time.Millisecond, time.Hour)
 			if fails == 1 {
-				sh.Retune(time.Minute, time.Hour)
+				sh.SetTimeouts(time.Minute, time.Hour)
 			}
 			dials := 0
-			sh.Short = func() {}
+			sh.OnSocketShortage = func() {}
 			sh.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				if dials++; dials <= fails {
 					return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
@@ -163,8 +163,8 @@
 			if fails == 1 {
 				end = want.once
 			}
-			if r := send(t, p, nil); r.End != end {
-				t.Errorf("%v, %d times: %v, want %v", errno, fails, r.End, end)
+			if r := send(t, p, nil); r.Reason != end {
+				t.Errorf("%v, %d times: %v, want %v", errno, fails, r.Reason, end)
 			}
 		}
 	}
--- a/internal/upstream/end.go
+++ b/internal/upstream/end.go
@@ -4,24 +4,24 @@
 
 import "damsonscale/decide"
 
-// End is how an attempt ended. Every way in which a connection can end is one of these.
-type End uint8
+// EndReason is how an attempt ended. Every way in which a connection can end is one of these.
+type EndReason uint8
 
 const (
-	Answered    End = iota // 200 and its whole body
-	Failed                 // an answer that is none of the others
-	Rejected               // the server finds the request itself at fault
-	Declined               // the server says that it never ran
-	Unreachable            // no connection, or it broke before the last byte was written
-	Spoilt                 // what came after the last byte was written can't be read as an answer
-	Broken                 // it broke after the last byte was written, before a whole answer
-	Expired                // the time was up after the last byte was written
-	Withdrawn              // called back after the last byte was written
-	Unwritten              // never written: called back, over, or the server wants nothing new
+	Answered       EndReason = iota // 200 and its whole body
+	ErrorResponse                   // an answer that is none of the others
+	InvalidRequest                  // the server finds the request itself at fault
+	Declined                        // the server says that it never ran
+	ConnectFailed                   // no connection, or it broke before the last byte was written
+	Malformed                       // what came after the last byte was written can't be read as an answer
+	Reset                           // it broke after the last byte was written, before a whole answer
+	TimedOut                        // the time was up after the last byte was written
+	Cancelled                       // called back after the last byte was written
+	NotSent                         // never written: called back, over, or the server wants nothing new
 )
 
 // String names the end as log lines do.
-func (e End) String() string {
+func (e EndReason) String() string {
 	names := [...]string{"answered", "failed", "rejected", "declined", "unreachable", "spoilt", "broken", "expired",
 		"withdrawn", "unwritten"}
 	if int(e) < len(names) {
@@ -30,24 +30,24 @@
 	return "unknown"
 }
 
-// Result is the module's word for an end.
-func (e End) Result() decide.Result {
+// DecisionResult is the module's word for an end.
+func (e EndReason) DecisionResult() decide.Result {
 	switch e {
 	case Answered:
 		return decide.Succeeded
-	case Failed, Spoilt: // a server that answers is up, whatever it says
+	case ErrorResponse, Malformed: // a server that answers is up, whatever it says
 		return decide.Errored
-	case Rejected:
+	case InvalidRequest:
 		return decide.InvalidRequest
 	case Declined:
 		return decide.Saturated
-	case Unreachable:
+	case ConnectFailed:
 		return decide.ConnectFailed
-	case Expired:
+	case TimedOut:
 		return decide.TimedOut
-	case Withdrawn:
+	case Cancelled:
 		return decide.Cancelled
-	case Unwritten:
+	case NotSent:
 		return decide.NotSent
 	}
 	return decide.Reset // whatever is not known to be better may have run
--- a/internal/upstream/peer.go
+++ b/internal/upstream/peer.go
@@ -18,24 +18,24 @@
 	idlePart   = 0.6                  // of the servers' idle limit: a connection older than this is not written to
 )
 
-// Budget counts the sockets that all peers may hold.
-type Budget struct {
+// SocketBudget counts the sockets that all peers may hold.
+type SocketBudget struct {
 	limit   atomic.Int64
 	used    atomic.Int64
 	waiting atomic.Int64 // attempts that have found none
 }
 
-// NewBudget makes a budget of that many sockets.
-func NewBudget(limit int) *Budget {
-	b := &Budget{}
-	b.Hold(limit)
+// NewSocketBudget makes a budget of that many sockets.
+func NewSocketBudget(limit int) *SocketBudget {
+	b := &SocketBudget{}
+	b.SetLimit(limit)
 	return b
 }
 
-// Hold keeps to so many sockets from now on; of those open none is closed for it.
-func (b *Budget) Hold(limit int) { b.limit.Store(int64(limit)) }
+// SetLimit keeps to so many sockets from now on; of those open none is closed for it.
+func (b *SocketBudget) SetLimit(limit int) { b.limit.Store(int64(limit)) }
 
-func (b *Budget) take() bool {
+func (b *SocketBudget) take() bool {
 	if b.used.Add(1) > b.limit.Load() {
 		b.used.Add(-1)
 		return false
@@ -43,11 +43,11 @@
 	return true
 }
 
-func (b *Budget) give() { b.used.Add(-1) }
+func (b *SocketBudget) give() { b.used.Add(-1) }
 
 // await takes a socket as soon as there is one, asking by short for idle ones to be closed; false: ctx ended
 // first. Guards against attempts that use up a request's tries within microseconds while none is free yet.
-func (b *Budget) await(ctx context.Context, short func()) bool {
+func (b *SocketBudget) await(ctx context.Context, short func()) bool {
 	for n := 0; !b.take(); n++ {
 		if n == 0 {
 			b.waiting.Add(1)
@@ -67,20 +67,20 @@
 	return true
 }
 
-// Shared is what all peers have in common.
-type Shared struct {
-	Budget *Budget
-	Find   func(host string) (dial string, ready bool)              // as listed at this moment
-	Short  func()                                                   // asks all peers to shed; it may block
-	Settle time.Duration                                            // that a connection rests after an answer, before its next request
-	Dial   func(ctx context.Context, addr string) (net.Conn, error) // nil: the system's
+// PeerShared is what all peers have in common.
+type PeerShared struct {
+	Sockets          *SocketBudget
+	Resolve          func(host string) (dial string, ready bool)              // as listed at this moment
+	OnSocketShortage func()                                                   // asks all peers to shed; it may block
+	ReuseDelay       time.Duration                                            // that a connection rests after an answer, before its next request
+	Dial             func(ctx context.Context, addr string) (net.Conn, error) // nil: the system's
 
 	dialTimeout atomic.Int64
 	connIdle    atomic.Int64 // the servers' idle limit
 }
 
-// Retune sets how long a dial may take, and how long servers keep idle connections.
-func (s *Shared) Retune(dialTimeout, connIdle time.Duration) {
+// SetTimeouts sets how long a dial may take, and how long servers keep idle connections.
+func (s *PeerShared) SetTimeouts(dialTimeout, connIdle time.Duration) {
 	s.dialTimeout.Store(int64(dialTimeout))
 	s.connIdle.Store(int64(connIdle))
 }
@@ -92,7 +92,7 @@
 type Peer struct {
 	Host string
 
-	shared *Shared
+	shared *PeerShared
 	box    chan any
 	idle   []*conn // the latest used last
 }
@@ -100,7 +100,7 @@
 type ended struct {
 	a *Attempt
 	c *conn // fit to serve again; nil: none
-	r Report
+	r AttemptResult
 }
 
 type shed struct{}
@@ -108,7 +108,7 @@
 type closeIdle struct{}
 
 // NewPeer starts a server's actor.
-func NewPeer(host string, shared *Shared) *Peer {
+func NewPeer(host string, shared *PeerShared) *Peer {
 	p := &Peer{Host: host, shared: shared, box: make(chan any, mailbox)}
 	go p.run()
 	return p
@@ -126,17 +126,17 @@
 	}
 }
 
-// Shed asks the peer to close the connection that has been idle longest. It never blocks.
-func (p *Peer) Shed() {
+// CloseOldestIdle asks the peer to close the connection that has been idle longest. It never blocks.
+func (p *Peer) CloseOldestIdle() {
 	select {
 	case p.box <- shed{}:
 	default:
 	}
 }
 
-// CloseIdle asks the peer to close all idle connections before it serves the attempts offered after this. It
+// CloseIdleConnections asks the peer to close all idle connections before it serves the attempts offered after this. It
 // never blocks: a peer whose mailbox is full turns those attempts down.
-func (p *Peer) CloseIdle() {
+func (p *Peer) CloseIdleConnections() {
 	select {
 	case p.box <- closeIdle{}:
 	default:
@@ -170,14 +170,14 @@
 	case ended:
 		switch {
 		case m.c == nil:
-		case p.shared.Budget.waiting.Load() > 0: // Guards against one that falls idle after the ask for idle ones, and is kept
+		case p.shared.Sockets.waiting.Load() > 0: // Guards against one that falls idle after the ask for idle ones, and is kept
 			m.c.shut()
 		default:
 			m.c.idleSince = time.Now()
 			p.idle = append(p.idle, m.c)
 		}
 		m.a.over()
-		m.a.Done(m.a, m.r)
+		m.a.OnDone(m.a, m.r)
 	case shed:
 		p.shed(min(1, len(p.idle)))
 	case closeIdle:
@@ -188,10 +188,10 @@
 // takeIdle returns the idle connection that is fit to be written to and has been idle longest, or nil. Guards
 // against writing to one that its server closes right after an answer: the latest used may not show it yet.
 func (p *Peer) takeIdle() *conn {
-	addr, _ := p.shared.Find(p.Host)
+	addr, _ := p.shared.Resolve(p.Host)
 	for len(p.idle) > 0 {
 		c := p.idle[0]
-		if time.Since(c.idleSince) < p.shared.Settle { // Guards against a second answer some ms late: it would be read as the next one's
+		if time.Since(c.idleSince) < p.shared.ReuseDelay { // Guards against a second answer some ms late: it would be read as the next one's
 			return nil
 		}
 		p.idle = slices.Delete(p.idle, 0, 1)
@@ -209,7 +209,7 @@
 
 // sweep closes idle connections that are old, closed by the server, or to one that wants nothing new.
 func (p *Peer) sweep() {
-	addr, ready := p.shared.Find(p.Host)
+	addr, ready := p.shared.Resolve(p.Host)
 	p.idle = slices.DeleteFunc(p.idle, func(c *conn) bool {
 		stale := !ready || c.addr != addr || !p.young(c) || !c.quiet()
 		if stale {
@@ -229,19 +229,19 @@
 
 // attempt runs one attempt to its end and reports it to the actor.
 func (p *Peer) attempt(a *Attempt, c *conn) {
-	r := Report{}
+	r := AttemptResult{}
 	if c != nil && !c.quiet() { // Guards against what came since the peer looked
 		c.shut()
 		c = nil
 	}
 	fresh := c == nil
 	if fresh {
-		c, r.End = p.dial(a)
+		c, r.Reason = p.dial(a)
 	}
 	if c != nil {
 		var reuse bool
 		r, reuse = c.exchange(a, func() bool {
-			addr, ready := p.shared.Find(p.Host)
+			addr, ready := p.shared.Resolve(p.Host)
 			return ready && addr == c.addr
 		})
 		if !reuse {
@@ -249,27 +249,27 @@
 			c = nil
 		}
 	}
-	r.Fresh = fresh
-	r.Spent = a.Message.Rest != nil && a.Message.Rest.Taken()
-	if r.At.IsZero() {
-		r.At = time.Now()
+	r.NewConnection = fresh
+	r.BodyConsumed = a.Message.Remainder != nil && a.Message.Remainder.Started()
+	if r.ObservedAt.IsZero() {
+		r.ObservedAt = time.Now()
 	}
 	p.box <- ended{a: a, c: c, r: r}
 }
 
-// OutOfSockets tells of a lack on this side that passes. Guards against servers suspended for it.
-func OutOfSockets(err error) bool {
+// IsSocketShortage tells of a lack on this side that passes. Guards against servers suspended for it.
+func IsSocketShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
 // mayPass tells of an error of socket or connect that may be over within a moment: a lack on this side, or no way to that server.
 func mayPass(err error) bool {
-	return OutOfSockets(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
+	return IsSocketShortage(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
 }
 
 // connect dials.
-func (s *Shared) connect(ctx context.Context, addr string) (net.Conn, error) {
+func (s *PeerShared) connect(ctx context.Context, addr string) (net.Conn, error) {
 	if s.Dial != nil {
 		return s.Dial(ctx, addr)
 	}
@@ -278,17 +278,17 @@
 }
 
 // dial opens a connection for an attempt.
-func (p *Peer) dial(a *Attempt) (*conn, End) {
-	addr, ready := p.shared.Find(p.Host)
+func (p *Peer) dial(a *Attempt) (*conn, EndReason) {
+	addr, ready := p.shared.Resolve(p.Host)
 	ctx, cancel := context.WithTimeout(a.ctx, time.Duration(p.shared.dialTimeout.Load()))
 	defer cancel()
-	if !ready || !p.shared.Budget.await(ctx, p.shared.Short) {
-		return nil, Unwritten
+	if !ready || !p.shared.Sockets.await(ctx, p.shared.OnSocketShortage) {
+		return nil, NotSent
 	}
 	nc, err := p.shared.connect(ctx, addr)
-	short := OutOfSockets(err)
+	short := IsSocketShortage(err)
 	if short {
-		p.shared.Short()
+		p.shared.OnSocketShortage()
 	}
 	for mayPass(err) && ctx.Err() == nil { // Guards against tries that are used up within microseconds while it passes
 		select {
@@ -298,11 +298,11 @@
 		}
 	}
 	if err != nil {
-		p.shared.Budget.give()
-		if a.withdrawn() || OutOfSockets(err) || short && ctx.Err() != nil {
-			return nil, Unwritten
+		p.shared.Sockets.give()
+		if a.withdrawn() || IsSocketShortage(err) || short && ctx.Err() != nil {
+			return nil, NotSent
 		}
-		return nil, Unreachable
+		return nil, ConnectFailed
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr, budget: p.shared.Budget}, Answered
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr, budget: p.shared.Sockets}, Answered
 }
--- a/internal/upstream/resume.go
+++ b/internal/upstream/resume.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Standing is where an answer under way stands between two reads, as another process needs it to go on.
-type Standing struct {
-	Kind     Framing `json:"kind"`
-	Left     int64   `json:"left,omitempty"` // bytes of the answer, or of its chunk
-	After    bool    `json:"after,omitempty"`
-	Trailing bool    `json:"trailing,omitempty"`
-	Trailers int     `json:"trailers,omitempty"`
-	Over     bool    `json:"over,omitempty"`
-	Sum      int64   `json:"sum"`             // bytes passed on so far
-	Ahead    []byte  `json:"ahead,omitempty"` // read and not passed on: of the body first, then as they came
-	Held     int     `json:"held,omitempty"`  // of those, bytes of the body
+// StreamState is where an answer under way stands between two reads, as another process needs it to go on.
+type StreamState struct {
+	Framing      Framing `json:"kind"`
+	Remaining    int64   `json:"left,omitempty"` // bytes of the answer, or of its chunk
+	AtChunkEnd   bool    `json:"after,omitempty"`
+	InTrailers   bool    `json:"trailing,omitempty"`
+	TrailerLines int     `json:"trailers,omitempty"`
+	Complete     bool    `json:"over,omitempty"`
+	Forwarded    int64   `json:"sum"`             // bytes passed on so far
+	ReadAhead    []byte  `json:"ahead,omitempty"` // read and not passed on: of the body first, then as they came
+	BufferedBody int     `json:"held,omitempty"`  // of those, bytes of the body
 }
 
 // Framing is how an answer's end is told.
@@ -44,49 +44,49 @@
 // Attach takes a Detach back.
 func (s *Stream) Attach() { s.detach.Store(false) }
 
-// Standing tells, after ErrDetached, where the answer stands, and its server's connection.
-func (s *Stream) Standing() (Standing, net.Conn) {
-	st := Standing{Sum: s.sum, Held: len(s.head)}
+// State tells, after ErrDetached, where the answer stands, and its server's connection.
+func (s *Stream) State() (StreamState, net.Conn) {
+	st := StreamState{Forwarded: s.sum, BufferedBody: len(s.head)}
 	switch b := s.body.(type) {
 	case *exactly:
-		st.Kind, st.Left = byLength, b.left
+		st.Framing, st.Remaining = byLength, b.left
 	case *chunked:
-		st.Kind, st.Left, st.After, st.Trailing, st.Trailers, st.Over = byChunks, b.left, b.after, b.trailing, b.trailers, b.over
+		st.Framing, st.Remaining, st.AtChunkEnd, st.InTrailers, st.TrailerLines, st.Complete = byChunks, b.left, b.after, b.trailing, b.trailers, b.over
 	default:
-		st.Kind = byEnd
+		st.Framing = byEnd
 	}
 	ahead, _ := s.c.br.Peek(s.c.br.Buffered())
-	st.Ahead = append(append([]byte(nil), s.head...), ahead...)
+	st.ReadAhead = append(append([]byte(nil), s.head...), ahead...)
 	return st, s.c.Conn
 }
 
 // check tells why a standing can't be one.
-func (st *Standing) check() error {
+func (st *StreamState) check() error {
 	switch {
-	case st.Kind != byLength && st.Kind != byChunks && st.Kind != byEnd:
-		return fmt.Errorf("unknown framing %q", st.Kind)
-	case st.Left < 0 || st.Left > LongestBody || st.Sum < 0 || st.Trailers < 0:
-		return fmt.Errorf("figures out of bounds: %d left, %d passed on", st.Left, st.Sum)
-	case st.Held < 0 || st.Held > len(st.Ahead) || len(st.Ahead) > HeldMost+1+readBuffer:
-		return fmt.Errorf("%d bytes held of %d read", st.Held, len(st.Ahead))
+	case st.Framing != byLength && st.Framing != byChunks && st.Framing != byEnd:
+		return fmt.Errorf("unknown framing %q", st.Framing)
+	case st.Remaining < 0 || st.Remaining > MaxBodySize || st.Forwarded < 0 || st.TrailerLines < 0:
+		return fmt.Errorf("figures out of bounds: %d left, %d passed on", st.Remaining, st.Forwarded)
+	case st.BufferedBody < 0 || st.BufferedBody > len(st.ReadAhead) || len(st.ReadAhead) > MaxBuffered+1+readBuffer:
+		return fmt.Errorf("%d bytes held of %d read", st.BufferedBody, len(st.ReadAhead))
 	}
 	return nil
 }
 
 // Resume goes on with an answer that another process began. Its error is io.EOF after the last byte of a whole one alone.
-func Resume(server net.Conn, st Standing) (io.Reader, error) {
+func Resume(server net.Conn, st StreamState) (io.Reader, error) {
 	if err := st.check(); err != nil {
 		return nil, err
 	}
-	br := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(st.Ahead[st.Held:]), stalling{server}), readBuffer)
+	br := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(st.ReadAhead[st.BufferedBody:]), stalling{server}), readBuffer)
 	var body io.Reader = br
-	switch st.Kind {
+	switch st.Framing {
 	case byLength:
-		body = &exactly{br, st.Left}
+		body = &exactly{br, st.Remaining}
 	case byChunks:
-		body = &chunked{br: br, left: st.Left, after: st.After, trailing: st.Trailing, trailers: st.Trailers, over: st.Over}
+		body = &chunked{br: br, left: st.Remaining, after: st.AtChunkEnd, trailing: st.InTrailers, trailers: st.TrailerLines, over: st.Complete}
 	}
-	return &bounded{io.MultiReader(bytes.NewReader(st.Ahead[:st.Held]), body), LongestBody - st.Sum}, nil
+	return &bounded{io.MultiReader(bytes.NewReader(st.ReadAhead[:st.BufferedBody]), body), MaxBodySize - st.Forwarded}, nil
 }
 
 // stalling reads as long as something comes now and then.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -67,10 +67,10 @@
 	}
 }
 
-func peerOf(t *testing.T, find func(string) (string, bool)) (*Peer, *Shared) {
+func peerOf(t *testing.T, find func(string) (string, bool)) (*Peer, *PeerShared) {
 	t.Helper()
-	sh := &Shared{Budget: NewBudget(8), Find: find, Short: func() {}}
-	sh.Retune(time.Second, time.Hour)
+	sh := &PeerShared{Sockets: NewSocketBudget(8), Resolve: find, OnSocketShortage: func() {}}
+	sh.SetTimeouts(time.Second, time.Hour)
 	p := NewPeer("s1", sh)
 	t.Cleanup(p.Stop)
 	return p, sh
@@ -81,13 +81,13 @@
 }
 
 // attempt makes one that reports to the channel.
-func attempt(change func(*Attempt)) (*Attempt, chan Report) {
-	done := make(chan Report, 1)
+func attempt(change func(*Attempt)) (*Attempt, chan AttemptResult) {
+	done := make(chan AttemptResult, 1)
 	now := time.Now()
 	a := &Attempt{
-		Host: "s1", Gate: &Gate{}, Sent: now, Deadline: now.Add(time.Minute),
+		Host: "s1", Gate: &Gate{}, DecidedAt: now, Deadline: now.Add(time.Minute),
 		Message: &Message{Head: []byte("POST /c HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"), Body: []byte("hi")},
-		Done:    func(_ *Attempt, r Report) { done <- r },
+		OnDone:  func(_ *Attempt, r AttemptResult) { done <- r },
 	}
 	if change != nil {
 		change(a)
@@ -96,7 +96,7 @@
 }
 
 // offer sends one attempt and returns the channel of its report.
-func offer(t *testing.T, p *Peer, change func(*Attempt)) (*Attempt, chan Report) {
+func offer(t *testing.T, p *Peer, change func(*Attempt)) (*Attempt, chan AttemptResult) {
 	t.Helper()
 	a, done := attempt(change)
 	if !p.Offer(a) {
@@ -105,7 +105,7 @@
 	return a, done
 }
 
-func send(t *testing.T, p *Peer, change func(*Attempt)) Report {
+func send(t *testing.T, p *Peer, change func(*Attempt)) AttemptResult {
 	t.Helper()
 	_, done := offer(t, p, change)
 	return <-done
@@ -117,50 +117,50 @@
 	ok := "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct {
 		name, answer string
-		want         End
+		want         EndReason
 	}{
 		{"whole", ok + "Content-Length: 3\r\n\r\nyes", Answered},
 		{"empty", ok + "Content-Length: 0\r\n\r\n", Answered},
 		{"chunked", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n", Answered},
 		{"interim first", "HTTP/1.1 100 Continue\r\n\r\n" + ok + "Content-Length: 3\r\n\r\nyes", Answered},
 		{"long head", ok + "A: " + strings.Repeat("x", 9000) + "\r\nContent-Length: 3\r\n\r\nyes", Answered},
-		{"endless head", ok + "A: " + strings.Repeat("x", 30000) + "\r\nContent-Length: 3\r\n\r\nyes", Spoilt},
-		{"short", ok + "Content-Length: 30\r\n\r\nyes", Broken},
-		{"short chunk", ok + "Transfer-Encoding: chunked\r\n\r\n9\r\nyes", Broken},
-		{"no last chunk", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n", Broken},
-		{"no trailer's end", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n", Broken},
+		{"endless head", ok + "A: " + strings.Repeat("x", 30000) + "\r\nContent-Length: 3\r\n\r\nyes", Malformed},
+		{"short", ok + "Content-Length: 30\r\n\r\nyes", Reset},
+		{"short chunk", ok + "Transfer-Encoding: chunked\r\n\r\n9\r\nyes", Reset},
+		{"no last chunk", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n", Reset},
+		{"no trailer's end", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n", Reset},
 		{"to the connection's end", ok + "Connection: close\r\n\r\nyes", Answered},
 		{"of HTTP/1.0", "HTTP/1.0 200 OK\r\n\r\nyes", Answered},
-		{"no length", ok + "\r\nyes", Spoilt},
+		{"no length", ok + "\r\nyes", Malformed},
 		{"extensions and trailers", ok + "Transfer-Encoding: chunked\r\n\r\n1;a=b\r\ny\r\n2 ;c\r\nes\r\n0;x\r\nA: b\r\n\r\n", Answered},
-		{"no chunk", ok + "Transfer-Encoding: chunked\r\n\r\nx\r\nyes\r\n0\r\n\r\n", Spoilt},
-		{"a chunk that runs on", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nyes\r\n0\r\n\r\n", Spoilt},
-		{"a chunk past measure", ok + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\nyes\r\n0\r\n\r\n", Spoilt},
-		{"3 GB", ok + "Content-Length: 3000000000\r\n\r\nyes", Spoilt},
-		{"too long", ok + "Content-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), Spoilt},
-		{"absurd length", ok + "Content-Length: 99999999999999999999\r\n\r\nyes", Spoilt},
-		{"negative length", ok + "Content-Length: -5\r\n\r\nyes", Spoilt},
-		{"garbage", "\x00\xff\x16\x03 nonsense\r\n\r\n", Spoilt},
-		{"half a head", "HTTP/1.1 200 OK\r\nContent-", Broken},
-		{"nothing", "", Broken},
-		{"upgrade", "HTTP/1.1 101 Switching Protocols\r\n\r\n", Spoilt},
-		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", Failed},
+		{"no chunk", ok + "Transfer-Encoding: chunked\r\n\r\nx\r\nyes\r\n0\r\n\r\n", Malformed},
+		{"a chunk that runs on", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nyes\r\n0\r\n\r\n", Malformed},
+		{"a chunk past measure", ok + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\nyes\r\n0\r\n\r\n", Malformed},
+		{"3 GB", ok + "Content-Length: 3000000000\r\n\r\nyes", Malformed},
+		{"too long", ok + "Content-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), Malformed},
+		{"absurd length", ok + "Content-Length: 99999999999999999999\r\n\r\nyes", Malformed},
+		{"negative length", ok + "Content-Length: -5\r\n\r\nyes", Malformed},
+		{"garbage", "\x00\xff\x16\x03 nonsense\r\n\r\n", Malformed},
+		{"half a head", "HTTP/1.1 200 OK\r\nContent-", Reset},
+		{"nothing", "", Reset},
+		{"upgrade", "HTTP/1.1 101 Switching Protocols\r\n\r\n", Malformed},
+		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", ErrorResponse},
 		{"declined", "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Declined},
 		{"declined late", "HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Declined},
-		{"declined, cut short", "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 9\r\n\r\nx", Broken},
-		{"a bad request", "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", Rejected},
-		{"unknown", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", Rejected},
-		{"too many", "HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", Failed},
-		{"503 of another", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Failed},
-		{"500 that claims it", "HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Failed},
-		{"no content", "HTTP/1.1 204 No\r\n\r\n", Failed},
+		{"declined, cut short", "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 9\r\n\r\nx", Reset},
+		{"a bad request", "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", InvalidRequest},
+		{"unknown", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", InvalidRequest},
+		{"too many", "HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", ErrorResponse},
+		{"503 of another", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", ErrorResponse},
+		{"500 that claims it", "HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", ErrorResponse},
+		{"no content", "HTTP/1.1 204 No\r\n\r\n", ErrorResponse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := listen(t, always(c.answer, true))
 			p, _ := peerOf(t, at(s.Addr().String()))
 			r := send(t, p, nil)
-			if r.End != c.want {
-				t.Fatalf("got %v, want %v", r.End, c.want)
+			if r.Reason != c.want {
+				t.Fatalf("got %v, want %v", r.Reason, c.want)
 			}
 			if c.want == Answered && c.name != "empty" && string(r.Body) != "yes" {
 				t.Fatalf("body %q", r.Body)
@@ -170,17 +170,17 @@
 }
 
 func TestResults(t *testing.T) {
-	want := map[End]decide.Result{
-		Answered: decide.Succeeded, Failed: decide.Errored, Declined: decide.Saturated, Unreachable: decide.ConnectFailed,
-		Rejected: decide.InvalidRequest, Spoilt: decide.Errored, Broken: decide.Reset, Expired: decide.TimedOut, Withdrawn: decide.Cancelled, Unwritten: decide.NotSent,
+	want := map[EndReason]decide.Result{
+		Answered: decide.Succeeded, ErrorResponse: decide.Errored, Declined: decide.Saturated, ConnectFailed: decide.ConnectFailed,
+		InvalidRequest: decide.InvalidRequest, Malformed: decide.Errored, Reset: decide.Reset, TimedOut: decide.TimedOut, Cancelled: decide.Cancelled, NotSent: decide.NotSent,
 	}
-	never := map[End]bool{Declined: true, Unreachable: true, Unwritten: true}
-	for e := Answered; e <= Unwritten; e++ {
-		if e.Result() != want[e] || e.Result().NeverRan() != never[e] {
-			t.Errorf("%v maps to %v, never ran %v", e, e.Result(), e.Result().NeverRan())
+	never := map[EndReason]bool{Declined: true, ConnectFailed: true, NotSent: true}
+	for e := Answered; e <= NotSent; e++ {
+		if e.DecisionResult() != want[e] || e.DecisionResult().NeverRan() != never[e] {
+			t.Errorf("%v maps to %v, never ran %v", e, e.DecisionResult(), e.DecisionResult().NeverRan())
 		}
 	}
-	if (Unwritten + 1).Result().NeverRan() {
+	if (NotSent + 1).DecisionResult().NeverRan() {
 		t.Error("an end that is not known must not promise that nothing ran")
 	}
 }
@@ -190,18 +190,18 @@
 	addr := s.Addr().String()
 	s.Close()
 	p, _ := peerOf(t, at(addr))
-	if r := send(t, p, nil); r.End != Unreachable {
-		t.Fatal(r.End)
+	if r := send(t, p, nil); r.Reason != ConnectFailed {
+		t.Fatal(r.Reason)
 	}
 }
 
 func TestSilentServerExpires(t *testing.T) {
 	s := listen(t, func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
 	p, sh := peerOf(t, at(s.Addr().String()))
-	if r := send(t, p, func(a *Attempt) { a.Deadline = a.Sent.Add(500 * time.Millisecond) }); r.End != Expired {
-		t.Fatal(r.End)
+	if r := send(t, p, func(a *Attempt) { a.Deadline = a.DecidedAt.Add(500 * time.Millisecond) }); r.Reason != TimedOut {
+		t.Fatal(r.Reason)
 	}
-	if n := sh.Budget.used.Load(); n != 0 { // given up by closing the connection
+	if n := sh.Sockets.used.Load(); n != 0 { // given up by closing the connection
 		t.Fatalf("%d sockets still held", n)
 	}
 }
@@ -218,8 +218,8 @@
 	a, done := offer(t, p, nil)
 	<-came
 	a.Cancel()
-	if r := <-done; r.End != Withdrawn {
-		t.Fatal(r.End)
+	if r := <-done; r.Reason != Cancelled {
+		t.Fatal(r.Reason)
 	}
 	if !<-closed {
 		t.Fatal("the server still has the connection")
@@ -231,8 +231,8 @@
 	for name, change := range map[string]func(*Attempt){
 		"draining":        nil,
 		"request is over": func(a *Attempt) { a.Gate.Close() },
-		"past the window": func(a *Attempt) { a.WriteBy = a.Sent.Add(-time.Second) },
-		"time is up":      func(a *Attempt) { a.Deadline = a.Sent.Add(-time.Second) },
+		"past the window": func(a *Attempt) { a.LatestStart = a.DecidedAt.Add(-time.Second) },
+		"time is up":      func(a *Attempt) { a.Deadline = a.DecidedAt.Add(-time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := make(chan int64, 1)
@@ -246,8 +246,8 @@
 				return s.Addr().String(), asked.Add(1) <= 2 || name != "draining"
 			})
 			// A clock that is up may cut the dial first, which ends as a dial does.
-			if r := send(t, p, change); r.End != Unwritten && !(name == "time is up" && r.End == Unreachable) {
-				t.Fatal(r.End)
+			if r := send(t, p, change); r.Reason != NotSent && !(name == "time is up" && r.Reason == ConnectFailed) {
+				t.Fatal(r.Reason)
 			}
 			if s.conns.Load() > 0 {
 				if n := <-got; n != 0 {
@@ -264,8 +264,8 @@
 	s := listen(t, always(yes, false))
 	p, _ := peerOf(t, at(s.Addr().String()))
 	for i := range 5 {
-		if r := send(t, p, nil); r.End != Answered || r.Fresh != (i == 0) {
-			t.Fatalf("attempt %d: %v, fresh %v", i, r.End, r.Fresh)
+		if r := send(t, p, nil); r.Reason != Answered || r.NewConnection != (i == 0) {
+			t.Fatalf("attempt %d: %v, fresh %v", i, r.Reason, r.NewConnection)
 		}
 	}
 	if n := s.conns.Load(); n != 1 {
@@ -276,11 +276,11 @@
 func TestConnectionsAreNotKept(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
-		change func(*Shared)
+		change func(*PeerShared)
 	}{
 		"the server says close":  {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\nyes", nil},
 		"bytes after the answer": {yes + "HTTP/1.1 200 OK\r\n", nil},
-		"idle for too long":      {yes, func(s *Shared) { s.Retune(time.Second, 1) }},
+		"idle for too long":      {yes, func(s *PeerShared) { s.SetTimeouts(time.Second, 1) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := listen(t, always(c.answer, false))
@@ -289,8 +289,8 @@
 				c.change(sh)
 			}
 			for range 3 {
-				if r := send(t, p, nil); r.End != Answered || !r.Fresh {
-					t.Fatalf("%v, fresh %v", r.End, r.Fresh)
+				if r := send(t, p, nil); r.Reason != Answered || !r.NewConnection {
+					t.Fatalf("%v, fresh %v", r.Reason, r.NewConnection)
 				}
 			}
 		})
@@ -308,8 +308,8 @@
 	})
 	p, _ := peerOf(t, at(s.Addr().String()))
 	for range 4 {
-		if r := send(t, p, nil); r.End != Answered || !r.Fresh {
-			t.Fatalf("%v, fresh %v", r.End, r.Fresh)
+		if r := send(t, p, nil); r.Reason != Answered || !r.NewConnection {
+			t.Fatalf("%v, fresh %v", r.Reason, r.NewConnection)
 		}
 		<-gone
 	}
@@ -329,25 +329,25 @@
 	mu.Lock()
 	addr = two.Addr().String()
 	mu.Unlock()
-	if r := send(t, p, nil); r.End != Answered || two.conns.Load() != 1 {
-		t.Fatal(r.End, two.conns.Load())
+	if r := send(t, p, nil); r.Reason != Answered || two.conns.Load() != 1 {
+		t.Fatal(r.Reason, two.conns.Load())
 	}
 }
 
 // A peer short of a socket waits for one as long as for a connection; idle ones of others are closed for it.
 func TestWaitsForASocket(t *testing.T) {
 	s := listen(t, always(yes, false))
-	sh := &Shared{Budget: NewBudget(1), Find: at(s.Addr().String())}
-	sh.Retune(time.Minute, time.Hour)
+	sh := &PeerShared{Sockets: NewSocketBudget(1), Resolve: at(s.Addr().String())}
+	sh.SetTimeouts(time.Minute, time.Hour)
 	other, p := NewPeer("s2", sh), NewPeer("s1", sh)
 	defer other.Stop()
 	defer p.Stop()
-	sh.Short = other.Shed
-	if r := send(t, other, nil); r.End != Answered { // holds the only socket, idle, from now on
-		t.Fatal(r.End)
+	sh.OnSocketShortage = other.CloseOldestIdle
+	if r := send(t, other, nil); r.Reason != Answered { // holds the only socket, idle, from now on
+		t.Fatal(r.Reason)
 	}
-	if r := send(t, p, nil); r.End != Answered || sh.Budget.used.Load() != 1 {
-		t.Fatal(r.End, sh.Budget.used.Load())
+	if r := send(t, p, nil); r.Reason != Answered || sh.Sockets.used.Load() != 1 {
+		t.Fatal(r.Reason, sh.Sockets.used.Load())
 	}
 }
 
@@ -365,19 +365,19 @@
 			io.WriteString(c, yes)
 		}
 	})
-	sh, asked := &Shared{Budget: NewBudget(1), Find: at(s.Addr().String())}, make(chan bool, 1)
-	sh.Retune(time.Minute, time.Hour)
+	sh, asked := &PeerShared{Sockets: NewSocketBudget(1), Resolve: at(s.Addr().String())}, make(chan bool, 1)
+	sh.SetTimeouts(time.Minute, time.Hour)
 	p := NewPeer("s1", sh)
 	defer p.Stop()
-	sh.Short = func() { p.Shed(); asked <- true }
+	sh.OnSocketShortage = func() { p.CloseOldestIdle(); asked <- true }
 	_, first := offer(t, p, nil)
 	<-came
 	_, second := offer(t, p, nil)
 	<-asked
 	close(on)
-	for _, done := range []chan Report{first, second} {
-		if r := <-done; r.End != Answered {
-			t.Fatal(r.End)
+	for _, done := range []chan AttemptResult{first, second} {
+		if r := <-done; r.Reason != Answered {
+			t.Fatal(r.Reason)
 		}
 	}
 }
@@ -389,7 +389,7 @@
 	if !p.Offer(a()) || p.Offer(a()) {
 		t.Fatal("one of two fits")
 	}
-	p.Shed()
+	p.CloseOldestIdle()
 }
 
 func TestMessageGoesOnAsItCame(t *testing.T) {
@@ -407,7 +407,7 @@
 		io.WriteString(c, yes)
 	})
 	p, _ := peerOf(t, at(s.Addr().String()))
-	send(t, p, func(a *Attempt) { a.Deadline = a.Sent.Add(time.Hour) })
+	send(t, p, func(a *Attempt) { a.Deadline = a.DecidedAt.Add(time.Hour) })
 	head, tail, _ := bytes.Cut(<-got, []byte("Req-Deadline-Ms: 3"))
 	if string(head) != "POST /c HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n" || !bytes.HasSuffix(tail, []byte("\r\n\r\nhi")) {
 		t.Fatalf("%q ... %q", head, tail)
@@ -440,11 +440,11 @@
 	})
 	p, _ := peerOf(t, at(s.Addr().String()))
 	for load, path := range map[bool]string{true: "/stats", false: "/health/live"} {
-		done := make(chan Report, 1)
-		p.Offer(Probe("s1", load, time.Minute, func(_ *Attempt, r Report) { done <- r }))
+		done := make(chan AttemptResult, 1)
+		p.Offer(NewHealthCheck("s1", load, time.Minute, func(_ *Attempt, r AttemptResult) { done <- r }))
 		r := <-done
-		if got := <-asked; got != path || r.End != Answered {
-			t.Errorf("asked %s: %v", got, r.End)
+		if got := <-asked; got != path || r.Reason != Answered {
+			t.Errorf("asked %s: %v", got, r.Reason)
 		}
 		if load != (r.Load != nil && r.Load.InFlight == 4) {
 			t.Errorf("%s: load %+v", path, r.Load)
@@ -477,16 +477,16 @@
 	})
 }
 
-// After CloseIdle the next attempt goes on a new connection.
+// After CloseIdleConnections the next attempt goes on a new connection.
 func TestCloseIdle(t *testing.T) {
 	s := listen(t, always(yes, false))
 	p, _ := peerOf(t, at(s.Addr().String()))
 	for n, fresh := range []bool{true, false, true, false} {
 		if n == 2 {
-			p.CloseIdle()
+			p.CloseIdleConnections()
 		}
-		if r := send(t, p, nil); r.End != Answered || r.Fresh != fresh {
-			t.Errorf("attempt %d: %v, fresh %v, want %v", n, r.End, r.Fresh, fresh)
+		if r := send(t, p, nil); r.Reason != Answered || r.NewConnection != fresh {
+			t.Errorf("attempt %d: %v, fresh %v, want %v", n, r.Reason, r.NewConnection, fresh)
 		}
 	}
 }
