--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// pause is the time between a failed accept and the next: descriptors are given back, and routes come back, within some of them.
-const pause = 5 * time.Millisecond
+// retryDelay is the time between a failed accept and the next: descriptors are given back, and routes come back, within some of them.
+const retryDelay = 5 * time.Millisecond
 
 // Next returns the next connection. It fails only once the listener is closed; failed is told of each other error.
 func Next(ln net.Listener, failed func(error)) (net.Conn, error) {
@@ -22,6 +22,6 @@
 			return nil, err
 		}
 		failed(err)
-		time.Sleep(pause)
+		time.Sleep(retryDelay)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,14 +23,14 @@
 }
 
 const (
-	defaultCores    = 1.0
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	leastMemoryMB   = 8    // the runtime and the buffers of a few connections
-	defaultWatchS   = 10.0 // between two lines of the watch
-	leastWatchS     = 0.1
-	mostWatchS      = 3600.0
-	leastSockets    = 32 // the runtime's own, one listener, one watch, a few connections each way
+	defaultCores            = 1.0
+	defaultMemoryMB         = 192
+	defaultSockets          = 1024
+	minMemoryMB             = 8    // the runtime and the buffers of a few connections
+	defaultShadowLogSeconds = 10.0 // between two lines of the watch
+	minShadowLogSeconds     = 0.1
+	maxShadowLogSeconds     = 3600.0
+	minSockets              = 32 // the runtime's own, one listener, one watch, a few connections each way
 )
 
 // Config is all that a sidecar is told at its start.
@@ -48,8 +48,8 @@
 	SettingsVersion uint64  // of the settings, where a fleet gave them
 	SettingsDigest  uint64  // of the bytes that they come from, where an account is kept
 
-	listedAt string // discovery as the file itself has it
-	text     []byte // the file
+	fileDiscovery string // discovery as the file itself has it
+	text          []byte // the file
 }
 
 // Shadow is a second set of settings that is judged beside the first, without effect.
@@ -68,13 +68,13 @@
 	Limits    Limits            `json:"limits"`
 	Known     *discovery.Update `json:"known"`
 	Settings  json.RawMessage   `json:"settings"`
-	Watch     *watched          `json:"watch"`
+	Watch     *shadowFile       `json:"watch"`
 }
 
-// watched is the watch's form in the file.
-type watched struct {
-	Settings json.RawMessage `json:"settings"`
-	EveryS   *float64        `json:"every_s"`
+// shadowFile is the watch's form in the file.
+type shadowFile struct {
+	Settings        json.RawMessage `json:"settings"`
+	IntervalSeconds *float64        `json:"every_s"`
 }
 
 // Load reads the file that PROXY_CONFIG names; PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_ADMIN go before it.
@@ -96,7 +96,7 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c := &Config{listedAt: in.Discovery, text: text}
+	c := &Config{fileDiscovery: in.Discovery, text: text}
 	override(&in.Name, env("PROXY_NAME"))
 	override(&in.Listen, env("PROXY_LISTEN"))
 	override(&in.Discovery, env("PROXY_DISCOVERY"))
@@ -113,33 +113,33 @@
 	if c.Settings, c.Transport, err = parseSettings(in.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if err := carriesOut(&c.Settings); err != nil {
+	if err := checkSupported(&c.Settings); err != nil {
 		return nil, fmt.Errorf("config: settings.%w", err)
 	}
 	if in.Watch != nil {
-		if c.Shadow, err = parseWatch(in.Watch, &c.Settings); err != nil {
+		if c.Shadow, err = parseShadow(in.Watch, &c.Settings); err != nil {
 			return nil, fmt.Errorf("config: watch.%w", err)
 		}
 	}
 	return c, nil
 }
 
-// carriesOut refuses what this program cannot do: it has no way to other balancers.
-func carriesOut(set *decide.Settings) error {
+// checkSupported refuses what this program cannot do: it has no way to other balancers.
+func checkSupported(set *decide.Settings) error {
 	if set.Limits.Gossip {
 		return fmt.Errorf("Limits.Peers: this program carries no messages between balancers")
 	}
 	return nil
 }
 
-// parseWatch reads settings that are to be judged on the events of others: requests must mean the same in both.
-func parseWatch(in *watched, serving *decide.Settings) (*Shadow, error) {
-	every := defaultWatchS
-	if in.EveryS != nil {
-		every = *in.EveryS
+// parseShadow reads settings that are to be judged on the events of others: requests must mean the same in both.
+func parseShadow(in *shadowFile, serving *decide.Settings) (*Shadow, error) {
+	every := defaultShadowLogSeconds
+	if in.IntervalSeconds != nil {
+		every = *in.IntervalSeconds
 	}
-	if !(every >= leastWatchS && every <= mostWatchS) {
-		return nil, fmt.Errorf("every_s: expected %v to %v, got %v", leastWatchS, mostWatchS, every)
+	if !(every >= minShadowLogSeconds && every <= maxShadowLogSeconds) {
+		return nil, fmt.Errorf("every_s: expected %v to %v, got %v", minShadowLogSeconds, maxShadowLogSeconds, every)
 	}
 	if len(in.Settings) == 0 {
 		return nil, fmt.Errorf("settings is missing")
@@ -148,7 +148,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := carriesOut(&set); err != nil {
+	if err := checkSupported(&set); err != nil {
 		return nil, fmt.Errorf("settings.%w", err)
 	}
 	if !slices.EqualFunc(set.Classes, serving.Classes, func(a, b decide.Class) bool { return a.Name == b.Name }) {
@@ -167,17 +167,17 @@
 	if next, err = Load(env); err != nil {
 		return nil, nil, err
 	}
-	if key, err := lacks(c.text, next.text); err != nil {
+	if key, err := missingKey(c.text, next.text); err != nil {
 		return nil, nil, fmt.Errorf("config: %w", err)
 	} else if key != "" {
 		return nil, nil, fmt.Errorf("config: %s is missing, the file in force has it", key)
 	}
-	if err := next.bounded(); err != nil {
+	if err := next.checkExplicit(); err != nil {
 		return nil, nil, err
 	}
 	next.Discovery = c.Discovery
-	if next.listedAt != c.listedAt {
-		override(&next.Discovery, next.listedAt)
+	if next.fileDiscovery != c.fileDiscovery {
+		override(&next.Discovery, next.fileDiscovery)
 	}
 	if err := next.checkDiscovery(); err != nil {
 		return nil, nil, err
@@ -203,8 +203,8 @@
 		!reflect.DeepEqual(c.Shadow, other.Shadow)
 }
 
-// bounded refuses what a start would put a default for: in a file that replaces another it is a mistake.
-func (c *Config) bounded() error {
+// checkExplicit refuses what a start would put a default for: in a file that replaces another it is a mistake.
+func (c *Config) checkExplicit() error {
 	for _, k := range c.Settings.Classes {
 		if k.Deadline <= 0 {
 			return fmt.Errorf("config: settings: class %s: DeadlineUs: expected over 0, got %d", k.Name, k.Deadline)
@@ -272,10 +272,10 @@
 	switch {
 	case !(l.Cores > 0):
 		return fmt.Errorf("config: limits.cores: expected more than 0, got %v", l.Cores)
-	case l.MemoryMB < leastMemoryMB:
-		return fmt.Errorf("config: limits.memory_mb: expected at least %d, got %d", leastMemoryMB, l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return fmt.Errorf("config: limits.sockets: expected at least %d, got %d", leastSockets, l.Sockets)
+	case l.MemoryMB < minMemoryMB:
+		return fmt.Errorf("config: limits.memory_mb: expected at least %d, got %d", minMemoryMB, l.MemoryMB)
+	case l.Sockets < minSockets:
+		return fmt.Errorf("config: limits.sockets: expected at least %d, got %d", minSockets, l.Sockets)
 	}
 	return nil
 }
--- a/internal/config/adopt.go
+++ b/internal/config/fleet_settings.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// own are the settings that stay each sidecar's.
-var own = []string{"Me", "Zone"}
+// perSidecarKeys are the settings that stay each sidecar's.
+var perSidecarKeys = []string{"Me", "Zone"}
 
 // fleetKeys are those of a fleet's file. All but settings are each sidecar's own and are passed over, so that a platform's file
 // may be given as it is.
@@ -23,7 +23,7 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	for _, k := range sorted(file) {
+	for _, k := range sortedKeys(file) {
 		if !slices.Contains(fleetKeys, k) {
 			return nil, fmt.Errorf("config: %s: unknown key", k)
 		}
@@ -38,10 +38,10 @@
 	if err := json.Unmarshal(mine["settings"], &old); err != nil {
 		return nil, fmt.Errorf("config: settings: %w", err)
 	}
-	if at := unknown(theirs, old, reflect.TypeFor[info]()); at != "" {
+	if at := unknownKey(theirs, old, reflect.TypeFor[info]()); at != "" {
 		return nil, fmt.Errorf("config: settings.%s: unknown key", at)
 	}
-	for _, k := range own {
+	for _, k := range perSidecarKeys {
 		if v, ok := old[k]; ok {
 			theirs[k] = v
 		} else {
@@ -60,24 +60,24 @@
 	if err != nil {
 		return nil, err
 	}
-	if key, err := lacks(c.text, whole); err != nil {
+	if key, err := missingKey(c.text, whole); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	} else if key != "" {
 		return nil, fmt.Errorf("config: %s is missing, the file in force has it", key)
 	}
-	if err := next.bounded(); err != nil {
+	if err := next.checkExplicit(); err != nil {
 		return nil, err
 	}
-	next.text, next.Discovery, next.listedAt = c.text, c.Discovery, c.listedAt
+	next.text, next.Discovery, next.fileDiscovery = c.text, c.Discovery, c.fileDiscovery
 	return next, nil
 }
 
 // Text is the file as it was read.
 func (c *Config) Text() []byte { return c.text }
 
-// unknown names the first key that has no place in t and is not in old either; empty: none.
-func unknown(in, old map[string]any, t reflect.Type) string {
-	for _, k := range sorted(in) {
+// unknownKey names the first key that has no place in t and is not in old either; empty: none.
+func unknownKey(in, old map[string]any, t reflect.Type) string {
+	for _, k := range sortedKeys(in) {
 		f, ok := t.FieldByNameFunc(func(name string) bool { return strings.EqualFold(name, k) })
 		if _, there := old[k]; !ok && !there {
 			return k
@@ -86,11 +86,11 @@
 		}
 		of := f.Type
 		if of.Kind() == reflect.Slice && of.Elem().Kind() == reflect.Struct {
-			was := keysOf(old[k])
+			was := keysOfElements(old[k])
 			list, _ := in[k].([]any)
 			for i, e := range list {
 				if m, ok := e.(map[string]any); ok {
-					if at := unknown(m, was, of.Elem()); at != "" {
+					if at := unknownKey(m, was, of.Elem()); at != "" {
 						return fmt.Sprintf("%s[%d].%s", k, i, at)
 					}
 				}
@@ -98,7 +98,7 @@
 		}
 		if m, ok := in[k].(map[string]any); ok && of.Kind() == reflect.Struct {
 			was, _ := old[k].(map[string]any)
-			if at := unknown(m, was, of); at != "" {
+			if at := unknownKey(m, was, of); at != "" {
 				return k + "." + at
 			}
 		}
@@ -106,8 +106,8 @@
 	return ""
 }
 
-// keysOf gives all keys that any object of a list has.
-func keysOf(list any) map[string]any {
+// keysOfElements gives all keys that any object of a list has.
+func keysOfElements(list any) map[string]any {
 	all := map[string]any{}
 	elements, _ := list.([]any)
 	for _, e := range elements {
--- a/internal/config/keys.go
+++ b/internal/config/missing_keys.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// mayGo are the keys that a new file may leave out.
-var mayGo = []string{"known", "watch", "admin", "seed"}
+// optionalKeys are the keys that a new file may leave out.
+var optionalKeys = []string{"known", "watch", "admin", "seed"}
 
-// lacks names a key that the one file has and the other lacks, the first by name; empty: none.
-func lacks(old, new []byte) (string, error) {
+// missingKey names a key that the one file has and the other lacks, the first by name; empty: none.
+func missingKey(old, new []byte) (string, error) {
 	var a, b map[string]any
 	if err := json.Unmarshal(old, &a); err != nil {
 		return "", err
@@ -18,16 +18,16 @@
 	if err := json.Unmarshal(new, &b); err != nil {
 		return "", err
 	}
-	for _, k := range mayGo {
+	for _, k := range optionalKeys {
 		delete(a, k)
 	}
-	return missing(a, b), nil
+	return missingFromObject(a, b), nil
 }
 
-// missing compares two objects. Of lists of objects each new element must have the keys that all old ones have: the
+// missingFromObject compares two objects. Of lists of objects each new element must have the keys that all old ones have: the
 // elements themselves may come and go.
-func missing(old, new map[string]any) string {
-	for _, k := range sorted(old) {
+func missingFromObject(old, new map[string]any) string {
+	for _, k := range sortedKeys(old) {
 		value, there := new[k]
 		if !there {
 			return k
@@ -38,7 +38,7 @@
 			if !ok {
 				return k
 			}
-			if at := missing(was, now); at != "" {
+			if at := missingFromObject(was, now); at != "" {
 				return k + "." + at
 			}
 		case []any:
@@ -46,7 +46,7 @@
 			if !ok {
 				return k
 			}
-			if at := missingOf(was, now); at != "" {
+			if at := missingFromList(was, now); at != "" {
 				return k + at
 			}
 		}
@@ -54,7 +54,7 @@
 	return ""
 }
 
-func missingOf(old, new []any) string {
+func missingFromList(old, new []any) string {
 	all, of := map[string]int{}, 0
 	for _, e := range old {
 		if m, ok := e.(map[string]any); ok {
@@ -69,7 +69,7 @@
 		if !ok {
 			continue
 		}
-		for _, k := range sorted(all) {
+		for _, k := range sortedKeys(all) {
 			if _, there := m[k]; !there && all[k] == of {
 				return fmt.Sprintf("[%d].%s", i, k)
 			}
@@ -78,7 +78,7 @@
 	return ""
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -51,7 +51,7 @@
 // scoringMix is how the service is judged, under the names of the settings.
 type scoringMix struct{ Whole, WorstWindow, WorstClass, WorstTenant, Tail, BorneMisses float64 }
 
-func (m scoringMix) goal() decide.ServiceObjective {
+func (m scoringMix) objective() decide.ServiceObjective {
 	return decide.ServiceObjective{
 		Overall: m.Whole, WorstWindow: m.WorstWindow, WorstClass: m.WorstClass, WorstTenant: m.WorstTenant, TailLatency: m.Tail,
 		ToleratedLateShare: m.BorneMisses,
@@ -133,7 +133,7 @@
 		LoadFromHealthChecks: in.Report.Via == "pull", HealthCheckPrice: in.Prices.Probe,
 		CapacityListed: in.WeightSource == "nominal" || in.WeightSource == "rough" || in.WeightSource == "live",
 		CapacityLive:   in.WeightSource == "live",
-		KeyAffinity:    in.FamilyInfo.WarmKeys, Objective: in.ScoringMix.goal(),
+		KeyAffinity:    in.FamilyInfo.WarmKeys, Objective: in.ScoringMix.objective(),
 		Limits: decide.Limits{
 			Cancel: in.Limits.Cancel, Hedging: in.Limits.ParallelTries, HealthChecks: in.Limits.Probes,
 			RetryAfter: in.Limits.RetryAfter, Gossip: in.Limits.Peers, MaxAttempts: in.Limits.MaxAttempts, MaxBufferedResponses: in.Limits.HeldReplies,
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -109,10 +109,10 @@
 			t.Fatal(word)
 		}
 		held := make(chan *subscription, 2)
-		look := func() { held <- c.held }
-		c.box <- look
+		look := func() { held <- c.active }
+		c.mailbox <- look
 		c.SetSource(Source{Pushed: pushed, BalancerCount: 1})
-		c.box <- look
+		c.mailbox <- look
 		if before, after := <-held, <-held; before != after {
 			t.Fatal("the watch was left")
 		}
@@ -138,7 +138,7 @@
 			}
 		}()
 		ended := make(chan error, 1)
-		go func() { ended <- lists(&beats{conn: hurried{client}, from: client}, nil) }()
+		go func() { ended <- readUpdates(&heartbeatReader{conn: hurried{client}, body: client}, nil) }()
 		select {
 		case err := <-ended:
 			if err == nil {
@@ -160,8 +160,8 @@
 			w.Left()
 		})
 		call := calling(addr, -1, nil)
-		call.head = 20 * time.Millisecond
-		err := call.watch(context.Background())
+		call.headTimeout = 20 * time.Millisecond
+		err := call.run(context.Background())
 		if err == nil || !strings.Contains(err.Error(), "timeout") {
 			t.Errorf("%q: %v", text, err)
 		}
@@ -221,7 +221,7 @@
 	}{
 		{"silent", fmt.Errorf("%w: late", errSilent), "watch=1&from=3"},
 		{"ended", io.EOF, "watch=1&from=3"},
-		{"noise", errGarbage, "watch=1"},
+		{"noise", errMalformed, "watch=1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			to := make(told, 16)
@@ -230,10 +230,10 @@
 				w.Left()
 			})
 			d := New(addr, nil, Source{BalancerCount: 1}, to)
-			d.seq = 3
+			d.resumeSeq = 3
 			s := watching(d)
 			running(t, d)
-			d.box <- func() { d.ended(s, c.err) }
+			d.mailbox <- func() { d.onEnded(s, c.err) }
 			if word := next(t, to); word != c.want {
 				t.Fatal(word)
 			}
@@ -253,7 +253,7 @@
 				server.Close()
 			}
 		}()
-		err := lists(&beats{conn: hurried{client}, from: client}, func(*Update) {})
+		err := readUpdates(&heartbeatReader{conn: hurried{client}, body: client}, func(*Update) {})
 		if errors.Is(err, errSilent) != c.silent {
 			t.Errorf("hung up %v: %v", c.hangUp, err)
 		}
@@ -276,7 +276,7 @@
 		if move {
 			d.SetAddress(hangsUp)
 		} else {
-			d.box <- func() { d.ended(old, errSilent) }
+			d.mailbox <- func() { d.onEnded(old, errSilent) }
 		}
 		for range 2 {
 			if word := next(t, to); word != "asked" {
@@ -284,7 +284,7 @@
 			}
 		}
 		if move {
-			d.box <- func() { d.take(old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}) }
+			d.mailbox <- func() { d.onUpdate(old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}) }
 			for word := next(t, to); word != "listed"; word = next(t, to) {
 				if word != "asked" {
 					t.Fatalf("the old watch: %s", word)
@@ -298,11 +298,11 @@
 type queue struct {
 	addr         string
 	asked, ended chan int
-	answer       [callsMost + 1]chan bool
+	answer       [maxPendingPolls + 1]chan bool
 }
 
 func newQueue(t *testing.T) *queue {
-	q := &queue{asked: make(chan int, callsMost+1), ended: make(chan int, callsMost+1)}
+	q := &queue{asked: make(chan int, maxPendingPolls+1), ended: make(chan int, maxPendingPolls+1)}
 	for i := range q.answer {
 		q.answer[i] = make(chan bool)
 	}
@@ -340,7 +340,7 @@
 // ask has the next call made.
 func (q *queue) ask(t *testing.T, c *Client, n int) {
 	t.Helper()
-	c.box <- func() { c.call(time.Now()) }
+	c.mailbox <- func() { c.startPoll(time.Now()) }
 	if number(t, q.asked) != n {
 		t.Fatal("asked out of order")
 	}
@@ -376,8 +376,8 @@
 			}
 		}
 		done := make(chan bool)
-		c.box <- func() {
-			c.call(time.Now()) // one is held
+		c.mailbox <- func() {
+			c.startPoll(time.Now()) // one is held
 			close(done)
 		}
 		<-done
@@ -388,21 +388,21 @@
 	q, to := newQueue(t), make(told, 16)
 	c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 	go quietly(t, c)
-	for n := range callsMost {
+	for n := range maxPendingPolls {
 		q.ask(t, c, n)
 	}
 	waiting := make(chan int)
 	another := func(now time.Time) int {
-		c.box <- func() {
-			c.call(now)
-			waiting <- c.begun
+		c.mailbox <- func() {
+			c.startPoll(now)
+			waiting <- c.polls
 		}
 		return <-waiting
 	}
-	if n := another(time.Now()); n != callsMost {
-		t.Errorf("call %d beside %d that wait", n, callsMost)
+	if n := another(time.Now()); n != maxPendingPolls {
+		t.Errorf("call %d beside %d that wait", n, maxPendingPolls)
 	}
-	if n := another(time.Now().Add(headMost)); n != callsMost+1 || number(t, q.ended) != 0 {
+	if n := another(time.Now().Add(maxHeadWait)); n != maxPendingPolls+1 || number(t, q.ended) != 0 {
 		t.Errorf("%d calls, and the oldest is not given up in its time", n)
 	}
 }
@@ -413,9 +413,9 @@
 		select {
 		case <-t.Context().Done():
 			return
-		case f := <-c.box:
+		case f := <-c.mailbox:
 			f()
-			c.due.Stop()
+			c.pollTimer.Stop()
 		}
 	}
 }
@@ -428,15 +428,15 @@
 		c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 		go quietly(t, c)
 		var old *subscription
-		c.box <- func() {
+		c.mailbox <- func() {
 			old = watching(c)
-			c.doubt(old)
+			c.onQuiet(old)
 			if speaks {
-				c.heard(old)
+				c.onMessage(old)
 			}
-			c.call(time.Now())
+			c.startPoll(time.Now())
 			if speaks {
-				to <- fmt.Sprint(c.held == old, len(c.waiting))
+				to <- fmt.Sprint(c.active == old, len(c.pending))
 			}
 		}
 		if speaks {
@@ -448,7 +448,7 @@
 		if n := number(t, q.asked); n != 0 {
 			t.Fatal(n)
 		}
-		c.box <- func() { c.doubt(old) } // again: nothing more is planned for it
+		c.mailbox <- func() { c.onQuiet(old) } // again: nothing more is planned for it
 		q.reply(t, 0)
 		if word := next(t, to); word != "listed" || old.ctx.Err() == nil {
 			t.Fatalf("the new watch: %s; the old one ended: %v", word, old.ctx.Err())
@@ -462,15 +462,15 @@
 	c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 	go quietly(t, c)
 	var old *subscription
-	c.box <- func() {
+	c.mailbox <- func() {
 		old = watching(c)
-		c.doubt(old)
-		c.call(time.Now())
+		c.onQuiet(old)
+		c.startPoll(time.Now())
 	}
 	if n := number(t, q.asked); n != 0 {
 		t.Fatal(n)
 	}
-	c.box <- func() { c.take(old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}) }
+	c.mailbox <- func() { c.onUpdate(old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}) }
 	if word := next(t, to); word != "listed" {
 		t.Fatalf("the suspect watch: %s", word)
 	}
@@ -486,29 +486,29 @@
 	for _, waits := range []bool{false, true} {
 		c := New("here", nil, Source{BalancerCount: 1}, make(told, 16))
 		s := watching(c)
-		c.take(s, &Update{Seq: 9, Full: true, Endpoints: []Endpoint{gone}})
+		c.onUpdate(s, &Update{Seq: 9, Full: true, Endpoints: []Endpoint{gone}})
 		if waits {
-			c.held, c.waiting = nil, []*subscription{s}
+			c.active, c.pending = nil, []*subscription{s}
 		}
-		c.take(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
-		if _, is := c.Endpoints.Address("a"); is || s.ctx.Err() == nil || c.seq != -1 {
-			t.Fatalf("waits %v: an older list was taken, or its call goes on, or its version is asked from: %d", waits, c.seq)
+		c.onUpdate(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
+		if _, is := c.Endpoints.Address("a"); is || s.ctx.Err() == nil || c.resumeSeq != -1 {
+			t.Fatalf("waits %v: an older list was taken, or its call goes on, or its version is asked from: %d", waits, c.resumeSeq)
 		}
 		s = watching(c)
-		c.take(s, &Update{Seq: 7, Endpoints: []Endpoint{ready}})
+		c.onUpdate(s, &Update{Seq: 7, Endpoints: []Endpoint{ready}})
 		if _, is := c.Endpoints.Address("a"); is {
 			t.Fatal("a part of an older list was taken")
 		}
 		s = watching(c)
-		c.take(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
-		if _, is := c.Endpoints.Address("a"); !is || c.seq != 8 {
+		c.onUpdate(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
+		if _, is := c.Endpoints.Address("a"); !is || c.resumeSeq != 8 {
 			t.Fatal("a service that counts anew is not believed")
 		}
-		c.held.addr = "before"
-		c.take(c.held, &Update{Seq: 1, Endpoints: []Endpoint{gone}})
+		c.active.addr = "before"
+		c.onUpdate(c.active, &Update{Seq: 1, Endpoints: []Endpoint{gone}})
 		if _, is := c.Endpoints.Address("a"); is {
 			t.Fatal("another service's versions were compared")
 		}
-		c.held.end()
+		c.active.cancel()
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -116,8 +116,8 @@
 				if l.Seq == 7 && len(l.Endpoints) == 1 {
 					lists++
 				}
-			}).watch(context.Background())
-			if err == nil || lists != c.lists || errors.Is(err, errGarbage) != c.garbage {
+			}).run(context.Background())
+			if err == nil || lists != c.lists || errors.Is(err, errMalformed) != c.garbage {
 				t.Fatalf("%d lists, then %v", lists, err)
 			}
 		})
@@ -130,7 +130,7 @@
 		41: "GET /registry/instances?watch=1&from=41 HTTP/1.1",
 	} {
 		addr, asked := talk(t, "", false)
-		calling(addr, from, nil).watch(context.Background())
+		calling(addr, from, nil).run(context.Background())
 		if got := <-asked; got != want {
 			t.Errorf("asked %q", got)
 		}
@@ -145,7 +145,7 @@
 	go func() {
 		io.WriteString(server, "\n") // one beat, then nothing
 	}()
-	err := lists(&beats{conn: hurried{client}, from: client}, nil)
+	err := readUpdates(&heartbeatReader{conn: hurried{client}, body: client}, nil)
 	var timeout net.Error
 	if !errors.As(err, &timeout) || !timeout.Timeout() {
 		t.Fatal(err)
@@ -160,9 +160,9 @@
 }
 
 // calling is a call of whose lists alone somebody wants to know.
-func calling(addr string, from int64, take func(*Update)) *call {
+func calling(addr string, from int64, take func(*Update)) *watchCall {
 	nothing := func() {}
-	return &call{addr: addr, from: from, dial: dialTimeout, head: headMost, line: nothing, quiet: nothing, take: take}
+	return &watchCall{addr: addr, fromSeq: from, dialTimeout: dialTimeout, headTimeout: maxHeadWait, onHeartbeat: nothing, onQuiet: nothing, onUpdate: take}
 }
 
 // told records what the list's actor tells.
@@ -197,36 +197,36 @@
 	c := New("old", nil, Source{BalancerCount: 1}, make(told, 16))
 	old := watching(c)
 	addr, asked := talk(t, ok, true)
-	c.move(addr)
+	c.switchAddress(addr)
 	if got := <-asked; strings.Contains(got, "from") {
 		t.Fatalf("asked %q", got)
 	}
-	c.take(old, &Update{Seq: 90, Endpoints: []Endpoint{entry("a", "1", Ready)}})
-	if !c.Endpoints.HasEndpoints() || c.seq != -1 {
-		t.Fatalf("the old address is not heard, or its version %d kept", c.seq)
+	c.onUpdate(old, &Update{Seq: 90, Endpoints: []Endpoint{entry("a", "1", Ready)}})
+	if !c.Endpoints.HasEndpoints() || c.resumeSeq != -1 {
+		t.Fatalf("the old address is not heard, or its version %d kept", c.resumeSeq)
 	}
-	c.take(c.waiting[0], &Update{Seq: 2, Full: true, Endpoints: []Endpoint{entry("b", "2", Ready)}})
-	c.take(old, &Update{Seq: 91, Endpoints: []Endpoint{entry("c", "3", Ready)}})
-	if _, stale := c.Endpoints.Lookup("c"); stale || old.ctx.Err() == nil || c.seq != 2 {
-		t.Fatalf("the old address is still heard: %v %d", stale, c.seq)
+	c.onUpdate(c.pending[0], &Update{Seq: 2, Full: true, Endpoints: []Endpoint{entry("b", "2", Ready)}})
+	c.onUpdate(old, &Update{Seq: 91, Endpoints: []Endpoint{entry("c", "3", Ready)}})
+	if _, stale := c.Endpoints.Lookup("c"); stale || old.ctx.Err() == nil || c.resumeSeq != 2 {
+		t.Fatalf("the old address is still heard: %v %d", stale, c.resumeSeq)
 	}
-	held, begun := c.held, c.begun
-	c.move(addr)
-	if c.held != held || c.begun != begun {
+	held, begun := c.active, c.polls
+	c.switchAddress(addr)
+	if c.active != held || c.polls != begun {
 		t.Fatal("a move to the same address began a watch anew")
 	}
-	c.call(time.Now())
-	if c.held != held || c.begun != begun {
+	c.startPoll(time.Now())
+	if c.active != held || c.polls != begun {
 		t.Fatal("a call that was due began the watch anew")
 	}
-	c.held.end()
+	c.active.cancel()
 }
 
 // watching gives a client that is not running a watch in force at its address.
 func watching(c *Client) *subscription {
-	s := &subscription{addr: c.addr, begun: time.Now()}
-	s.ctx, s.stop = context.WithCancel(context.Background())
-	c.held = s
+	s := &subscription{addr: c.addr, startedAt: time.Now()}
+	s.ctx, s.cancelContext = context.WithCancel(context.Background())
+	c.active = s
 	return s
 }
 
@@ -234,7 +234,7 @@
 	f.Add([]byte(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"b","block":null,"share":1e309}]}`))
 	f.Add([]byte(`{"hosts":[{"host":"a","dial":"b","block":-1,"born_ms":99999999999}]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if l, err := parseList(in); err == nil {
+		if l, err := parseUpdate(in); err == nil {
 			var r EndpointSet
 			r.apply(l)
 		}
--- a/internal/discovery/list.go
+++ b/internal/discovery/endpoints.go
@@ -36,8 +36,8 @@
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// parseList reads one list; entries that name no server or no address are an error.
-func parseList(text []byte) (*Update, error) {
+// parseUpdate reads one list; entries that name no server or no address are an error.
+func parseUpdate(text []byte) (*Update, error) {
 	var l Update
 	if err := json.Unmarshal(text, &l); err != nil {
 		return nil, fmt.Errorf("list is not the JSON expected: %w", err)
@@ -63,16 +63,16 @@
 // EndpointSet is the latest list, readable from any goroutine; only the list's actor changes it.
 // Guards against acting on a list that is older than the moment of writing.
 type EndpointSet struct {
-	now   atomic.Pointer[map[string]Endpoint]
-	fresh atomic.Pointer[time.Time] // when the list was last known to be as discovery has it; nil: never
+	endpoints  atomic.Pointer[map[string]Endpoint]
+	lastSynced atomic.Pointer[time.Time] // when the list was last known to be as discovery has it; nil: never
 }
 
-// heard notes that the list is as discovery has it.
-func (r *EndpointSet) heard(now time.Time) { r.fresh.Store(&now) }
+// markSynced notes that the list is as discovery has it.
+func (r *EndpointSet) markSynced(now time.Time) { r.lastSynced.Store(&now) }
 
 // Staleness is how long ago discovery was last heard; 0: never.
 func (r *EndpointSet) Staleness() time.Duration {
-	if at := r.fresh.Load(); at != nil {
+	if at := r.lastSynced.Load(); at != nil {
 		return time.Since(*at)
 	}
 	return 0
@@ -80,7 +80,7 @@
 
 // Lookup returns the entry of a host that is listed.
 func (r *EndpointSet) Lookup(host string) (Endpoint, bool) {
-	m := r.now.Load()
+	m := r.endpoints.Load()
 	if m == nil {
 		return Endpoint{}, false
 	}
@@ -96,7 +96,7 @@
 
 // HasEndpoints tells whether any server is listed yet.
 func (r *EndpointSet) HasEndpoints() bool {
-	m := r.now.Load()
+	m := r.endpoints.Load()
 	return m != nil && len(*m) > 0
 }
 
@@ -110,7 +110,7 @@
 // apply takes a list in.
 func (r *EndpointSet) apply(l *Update) {
 	next := make(map[string]Endpoint, len(l.Endpoints))
-	if old := r.now.Load(); old != nil && !l.Full {
+	if old := r.endpoints.Load(); old != nil && !l.Full {
 		for h, e := range *old {
 			next[h] = e
 		}
@@ -122,5 +122,5 @@
 			next[e.Host] = e
 		}
 	}
-	r.now.Store(&next)
+	r.endpoints.Store(&next)
 }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -8,12 +8,12 @@
 )
 
 // lastBegin is when, after the list was known to be current, the last call of a burst begins at the latest.
-const lastBegin = StalenessBound - answerTime
+const lastBegin = StalenessBound - responseReserve
 
 // drawn has a schedule for each of many draws, the extremes among them.
-func drawn(balancers int, pushed bool, f func(s *schedule)) {
+func drawn(balancers int, pushed bool, f func(s *pollSchedule)) {
 	for seed := range uint64(300) {
-		s := &schedule{balancers: balancers, pushed: pushed, random: rand.New(rand.NewPCG(seed, 1)).Float64}
+		s := &pollSchedule{balancerCount: balancers, fromAgent: pushed, random: rand.New(rand.NewPCG(seed, 1)).Float64}
 		if seed < 2 {
 			s.random = func() float64 { return float64(seed) * 0.999999 }
 		}
@@ -22,13 +22,13 @@
 }
 
 // burstOf has a schedule's calls fail or hang one after the other, and returns when each begins.
-func burstOf(s *schedule, first time.Time, fails bool, calls int) (begins []time.Time) {
+func burstOf(s *pollSchedule, first time.Time, fails bool, calls int) (begins []time.Time) {
 	at := first
 	for range calls {
 		begins = append(begins, at)
-		next := at.Add(s.begin(at))
+		next := at.Add(s.onPollStarted(at))
 		if fails {
-			if wait, changed := s.failed(at, false); changed {
+			if wait, changed := s.onPollFailed(at, false); changed {
 				next = at.Add(wait)
 			}
 		}
@@ -42,16 +42,16 @@
 	t0 := time.Now()
 	for _, c := range []struct{ balancers, fit int }{{1, 3}, {30, 3}, {300, 3}, {900, 3}, {3000, 2}, {18_000, 2}, {1_000_000, 2}} {
 		for _, pushed := range []bool{false, true} {
-			for _, after := range []time.Duration{0, time.Second, 2 * time.Second, quiet} {
+			for _, after := range []time.Duration{0, time.Second, 2 * time.Second, quietTimeout} {
 				for _, fails := range []bool{false, true} {
-					drawn(c.balancers, pushed, func(s *schedule) {
-						s.heard(t0)
+					drawn(c.balancers, pushed, func(s *pollSchedule) {
+						s.onMessage(t0)
 						lost := t0.Add(after)
-						begins := burstOf(s, lost.Add(s.lost(lost)), fails, c.fit)
+						begins := burstOf(s, lost.Add(s.onWatchLost(lost)), fails, c.fit)
 						if last := begins[c.fit-1].Sub(t0); last > lastBegin+time.Millisecond {
 							t.Fatalf("%+v, pushed %v, lost after %v, fails %v: call %d begins after %v", c, pushed, after, fails, c.fit, last)
 						}
-						if pause := begins[1].Sub(begins[0]); !pushed && pause < time.Duration((1-jitter)*float64(leastGap)) {
+						if pause := begins[1].Sub(begins[0]); !pushed && pause < time.Duration((1-jitterShare)*float64(minBurstInterval)) {
 							t.Fatalf("%+v: %v between two calls", c, pause)
 						}
 					})
@@ -65,10 +65,10 @@
 func TestAStartAsksAtOnce(t *testing.T) {
 	t0 := time.Now()
 	for _, balancers := range []int{1, 300, 18_000} {
-		drawn(balancers, false, func(s *schedule) {
-			begins := burstOf(s, t0.Add(s.started(t0)), true, burst)
+		drawn(balancers, false, func(s *pollSchedule) {
+			begins := burstOf(s, t0.Add(s.initialDelay(t0)), true, burstPolls)
 			first, second, last := begins[0].Sub(t0), begins[1].Sub(t0), begins[2].Sub(t0)
-			if first > startSpread || second > 1600*time.Millisecond || last > lastBegin-startDoubt+time.Millisecond {
+			if first > maxStartSpread || second > 1600*time.Millisecond || last > lastBegin-assumedStartAge+time.Millisecond {
 				t.Fatalf("%d balancers: calls after %v, %v and %v", balancers, first, second, last)
 			}
 		})
@@ -79,14 +79,14 @@
 func TestAfterABurstTwoCallsFit(t *testing.T) {
 	t0 := time.Now()
 	for _, fails := range []bool{false, true} {
-		drawn(300, false, func(s *schedule) {
-			s.heard(t0)
-			begins := burstOf(s, t0.Add(s.lost(t0)), fails, 30)
-			for i := burst; i < len(begins); i++ {
+		drawn(300, false, func(s *pollSchedule) {
+			s.onMessage(t0)
+			begins := burstOf(s, t0.Add(s.onWatchLost(t0)), fails, 30)
+			for i := burstPolls; i < len(begins); i++ {
 				pause := begins[i].Sub(begins[i-1])
-				least := time.Duration((1 - jitter) * float64(turn))
-				if i == burst {
-					least = leastGap
+				least := time.Duration((1 - jitterShare) * float64(steadyInterval))
+				if i == burstPolls {
+					least = minBurstInterval
 				}
 				if 2*pause > lastBegin+300*time.Millisecond || pause < least {
 					t.Fatalf("call %d begins %v after the one before", i, pause)
@@ -99,17 +99,17 @@
 // Where nobody listened before, the bound begins with the call that was refused last: of those after it two may fail.
 func TestTheBoundBeginsWithTheLastRefusal(t *testing.T) {
 	t0 := time.Now()
-	drawn(300, false, func(s *schedule) {
-		s.heard(t0)
-		at := t0.Add(s.lost(t0))
+	drawn(300, false, func(s *pollSchedule) {
+		s.onMessage(t0)
+		at := t0.Add(s.onWatchLost(t0))
 		for range 20 {
-			next := at.Add(s.begin(at))
-			if _, changed := s.failed(at, true); changed {
+			next := at.Add(s.onPollStarted(at))
+			if _, changed := s.onPollFailed(at, true); changed {
 				t.Fatal("a refusal brings the next call forward")
 			}
 			at = next
 		}
-		refused := s.begun
+		refused := s.lastPollAt
 		begins := burstOf(s, at, true, 3)
 		if last := begins[2].Sub(refused); last > lastBegin+time.Millisecond {
 			t.Fatalf("the third call begins %v after the last refusal", last)
@@ -130,13 +130,13 @@
 		random := rand.New(rand.NewPCG(7, 7))
 		calls := map[int]int{} // by tenth of a second
 		for range balancers {
-			s := &schedule{balancers: balancers, random: random.Float64}
-			s.heard(t0.Add(-time.Duration(random.Float64() * float64(2*time.Second)))) // its last line
+			s := &pollSchedule{balancerCount: balancers, random: random.Float64}
+			s.onMessage(t0.Add(-time.Duration(random.Float64() * float64(2*time.Second)))) // its last line
 			lost := t0
 			if c.silent {
-				lost = s.current.Add(quiet)
+				lost = s.lastSynced.Add(quietTimeout)
 			}
-			for _, at := range burstOf(s, lost.Add(s.lost(lost)), true, 12) {
+			for _, at := range burstOf(s, lost.Add(s.onWatchLost(lost)), true, 12) {
 				calls[int(at.Sub(t0)/(100*time.Millisecond))]++
 			}
 		}
@@ -151,7 +151,7 @@
 		if limit := mean + 4*math.Sqrt(mean); float64(worst) > limit {
 			t.Errorf("%s: %d calls in a tenth of a second, %.0f allowed", c.name, worst, limit)
 		}
-		rate := balancers / ((1 - jitter) * turn.Seconds()) / 10
+		rate := balancers / ((1 - jitterShare) * steadyInterval.Seconds()) / 10
 		if limit := rate + 4*math.Sqrt(rate); float64(late) > limit {
 			t.Errorf("%s: %d calls in a tenth of a second after the burst, %.0f allowed", c.name, late, limit)
 		}
--- a/internal/shadow/watch.go
+++ b/internal/shadow/evaluator.go
@@ -26,13 +26,13 @@
 	DifferentHedging                         // a second attempt while the first is out
 	DifferentIdleClose                       // idle connections closed
 	DifferentGossip                          // a message to another balancer
-	kinds
+	differenceKinds
 )
 
-var names = [kinds]string{"server", "wait", "refuse", "fail", "timeout", "copy", "close", "message"}
+var differenceNames = [differenceKinds]string{"server", "wait", "refuse", "fail", "timeout", "copy", "close", "message"}
 
 // String names the kind as log lines do.
-func (k DifferenceKind) String() string { return names[k] }
+func (k DifferenceKind) String() string { return differenceNames[k] }
 
 // Action is one action of a balancer.
 type Action struct {
@@ -66,7 +66,7 @@
 // Counts are the decisions compared and those that differed, by kind.
 type Counts struct {
 	Compared    int
-	Differences [kinds]int
+	Differences [differenceKinds]int
 }
 
 // String renders the counts as fields of a log line.
@@ -79,45 +79,45 @@
 	return b.String()
 }
 
-// judge is the second balancer with what it did on the event at hand. It is the balancer's Actions.
-type judge struct {
+// comparer is the second balancer with what it did on the event at hand. It is the balancer's Actions.
+type comparer struct {
 	balancer  *decide.Balancer
-	acts      []Action
-	out       map[string]int // attempts of the serving balancer out, by request
-	following bool           // what it does now repeats what was really done
+	actions   []Action
+	inFlight  map[string]int // attempts of the serving balancer out, by request
+	replaying bool           // what it does now repeats what was really done
 	counts    Counts
 }
 
-func newJudge(set decide.Settings, seed uint64) *judge {
-	j := &judge{out: map[string]int{}}
+func newComparer(set decide.Settings, seed uint64) *comparer {
+	j := &comparer{inFlight: map[string]int{}}
 	j.balancer = decide.New(set, seed, j)
 	return j
 }
 
-func (j *judge) note(a Action) {
-	if !j.following {
-		j.acts = append(j.acts, a)
+func (j *comparer) record(a Action) {
+	if !j.replaying {
+		j.actions = append(j.actions, a)
 	}
 }
 
-func (j *judge) SendAttempt(request, server string, timeout int64) {
-	j.note(Action{SendAttempt, request, server, timeout})
+func (j *comparer) SendAttempt(request, server string, timeout int64) {
+	j.record(Action{SendAttempt, request, server, timeout})
 }
-func (j *judge) Reject(request string, _ int64) { j.note(Action{Kind: Reject, Request: request}) }
-func (j *judge) Fail(request string)            { j.note(Action{Kind: Fail, Request: request}) }
-func (j *judge) CloseIdleConnections(server string) {
-	j.note(Action{Kind: CloseIdleConnections, Server: server})
+func (j *comparer) Reject(request string, _ int64) { j.record(Action{Kind: Reject, Request: request}) }
+func (j *comparer) Fail(request string)            { j.record(Action{Kind: Fail, Request: request}) }
+func (j *comparer) CloseIdleConnections(server string) {
+	j.record(Action{Kind: CloseIdleConnections, Server: server})
 }
-func (j *judge) SendGossip(int, []byte)    { j.note(Action{Kind: SendGossip}) }
-func (j *judge) SetTimer(int64, int64)     {} // it is shown the timers of the serving one
-func (j *judge) CancelAttempt(string, int) {}
-func (j *judge) CheckHealth(string)        {}
-func (j *judge) WatchEndpoints(bool)       {}
-func (j *judge) Log(string)                {}
+func (j *comparer) SendGossip(int, []byte)    { j.record(Action{Kind: SendGossip}) }
+func (j *comparer) SetTimer(int64, int64)     {} // it is shown the timers of the serving one
+func (j *comparer) CancelAttempt(string, int) {}
+func (j *comparer) CheckHealth(string)        {}
+func (j *comparer) WatchEndpoints(bool)       {}
+func (j *comparer) Log(string)                {}
 
-// see shows the second balancer an event, compares, and brings its books in line with what was really done.
-func (j *judge) see(e Event) {
-	j.acts = j.acts[:0]
+// observe shows the second balancer an event, compares, and brings its books in line with what was really done.
+func (j *comparer) observe(e Event) {
+	j.actions = j.actions[:0]
 	known := map[string]bool{} // requests that the second has not answered: of others it can say nothing
 	for _, a := range e.Actions {
 		known[a.Request] = a.Request != "" && j.balancer.IsOpen(a.Request)
@@ -128,18 +128,18 @@
 		e.Apply(j.balancer)
 	}
 	if e.AttemptEnded != "" {
-		if j.out[e.AttemptEnded]--; j.out[e.AttemptEnded] <= 0 {
-			delete(j.out, e.AttemptEnded)
+		if j.inFlight[e.AttemptEnded]--; j.inFlight[e.AttemptEnded] <= 0 {
+			delete(j.inFlight, e.AttemptEnded)
 		}
 	}
-	j.compare(e.Actions, j.acts, known)
-	j.following = true
-	defer func() { j.following = false }()
+	j.compare(e.Actions, j.actions, known)
+	j.replaying = true
+	defer func() { j.replaying = false }()
 	sent := map[string]bool{}
 	for _, a := range e.Actions {
 		sent[a.Request] = sent[a.Request] || a.Kind == SendAttempt
 	}
-	for _, a := range j.acts {
+	for _, a := range j.actions {
 		if a.Kind == SendAttempt && !sent[a.Request] {
 			j.balancer.FollowAttempt(e.Now, a.Request, "")
 		}
@@ -147,7 +147,7 @@
 	for _, a := range e.Actions {
 		switch a.Kind {
 		case SendAttempt:
-			j.out[a.Request]++
+			j.inFlight[a.Request]++
 			j.balancer.FollowAttempt(e.Now, a.Request, a.Server)
 		case Reject, Fail:
 			j.balancer.OnClientDisconnected(e.Now, a.Request)
@@ -160,14 +160,14 @@
 
 // decision is what a balancer did with one request on one event.
 type decision struct {
-	done   bool
-	act    Action
-	copies int
+	made   bool
+	action Action
+	hedges int
 }
 
 // compare counts the decisions of an event and those that differ. A request counts where either did something with
 // it; one that the second answered on an earlier event does not.
-func (j *judge) compare(real, own []Action, known map[string]bool) {
+func (j *comparer) compare(real, own []Action, known map[string]bool) {
 	a, b := j.decisions(real), j.decisions(own)
 	for id := range b {
 		if _, met := a[id]; !met {
@@ -176,14 +176,14 @@
 	}
 	for id, x := range a {
 		y := b[id]
-		if !y.done && !known[id] && !j.balancer.IsOpen(id) {
+		if !y.made && !known[id] && !j.balancer.IsOpen(id) {
 			continue
 		}
 		j.counts.Compared++
-		if kind, differs := differ(x, y); differs {
+		if kind, differs := difference(x, y); differs {
 			j.counts.Differences[kind]++
 		}
-		if x.copies != y.copies {
+		if x.hedges != y.hedges {
 			j.counts.Differences[DifferentHedging]++
 		}
 	}
@@ -194,31 +194,31 @@
 	}
 }
 
-func (j *judge) decisions(acts []Action) map[string]decision {
+func (j *comparer) decisions(acts []Action) map[string]decision {
 	m := map[string]decision{}
 	for _, a := range acts {
 		if a.Kind > Fail {
 			continue
 		}
 		d := m[a.Request]
-		if a.Kind == SendAttempt && (j.out[a.Request] > 0 || d.done) {
-			d.copies++
+		if a.Kind == SendAttempt && (j.inFlight[a.Request] > 0 || d.made) {
+			d.hedges++
 		}
-		d.done, d.act = true, a
+		d.made, d.action = true, a
 		m[a.Request] = d
 	}
 	return m
 }
 
-// differ tells in what two decisions on one request differ.
-func differ(x, y decision) (DifferenceKind, bool) {
-	either := func(do ActionKind) bool { return x.done && x.act.Kind == do || y.done && y.act.Kind == do }
+// difference tells in what two decisions on one request differ.
+func difference(x, y decision) (DifferenceKind, bool) {
+	either := func(do ActionKind) bool { return x.made && x.action.Kind == do || y.made && y.action.Kind == do }
 	switch {
-	case x.done && y.done && x.act.Kind == y.act.Kind:
-		if x.act.Kind == SendAttempt && x.act.Server != y.act.Server {
+	case x.made && y.made && x.action.Kind == y.action.Kind:
+		if x.action.Kind == SendAttempt && x.action.Server != y.action.Server {
 			return DifferentServer, true
 		}
-		return DifferentTimeout, x.act.Timeout != y.act.Timeout
+		return DifferentTimeout, x.action.Timeout != y.action.Timeout
 	case either(Reject):
 		return OnlyOneRejects, true
 	case either(Fail):
@@ -236,27 +236,29 @@
 	return n
 }
 
-const mailbox = 4096
+const mailboxSize = 4096
 
 // Evaluator is the actor. A nil Watch sees nothing.
 type Evaluator struct {
-	box   chan Event
-	stop  chan struct{} // closed by the serving actor: nothing more is shown
-	ended bool          // of the serving actor
+	mailbox chan Event
+	stop    chan struct{} // closed by the serving actor: nothing more is shown
+	stopped bool          // of the serving actor
 }
 
 // New makes a watch that takes events from now on; Run judges them.
-func New() *Evaluator { return &Evaluator{box: make(chan Event, mailbox), stop: make(chan struct{})} }
+func New() *Evaluator {
+	return &Evaluator{mailbox: make(chan Event, mailboxSize), stop: make(chan struct{})}
+}
 
 // Observe shows the watch an event. It never blocks; the serving actor alone calls it.
 func (w *Evaluator) Observe(e Event) {
-	if w == nil || w.ended {
+	if w == nil || w.stopped {
 		return
 	}
 	select {
-	case w.box <- e:
+	case w.mailbox <- e:
 	default: // a gap would leave its books wrong for good
-		w.ended = true
+		w.stopped = true
 		close(w.stop)
 		log.Print("event=watch_stopped cause=\"cannot keep up\"")
 	}
@@ -269,15 +271,15 @@
 			log.Printf("event=watch_stopped cause=%q", fmt.Sprint(cause))
 		}
 	}()
-	j := newJudge(set, seed)
+	j := newComparer(set, seed)
 	j.balancer.Start(now)
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	defer func() { log.Printf("event=watch %s", j.counts) }()
 	for {
 		select {
-		case e := <-w.box:
-			j.see(e)
+		case e := <-w.mailbox:
+			j.observe(e)
 		case <-tick.C:
 			log.Printf("event=watch %s", j.counts)
 		case <-w.stop:
--- a/internal/shadow/watch_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -27,7 +27,7 @@
 type serving struct {
 	t    *testing.T
 	b    *decide.Balancer
-	j    *judge
+	j    *comparer
 	now  int64
 	acts []Action
 	out  []Action // sends without their end
@@ -57,7 +57,7 @@
 	e.Now = s.now
 	e.Apply(s.b)
 	e.Actions = s.acts
-	s.j.see(e)
+	s.j.observe(e)
 }
 
 // play serves n requests 5 ms apart by two servers, one three times the other's size; slow answers take 100 ms, and
@@ -65,7 +65,7 @@
 func play(t *testing.T, own, watched decide.Settings, n int) Counts {
 	s := &serving{t: t, now: 1_000_000_000, ends: map[string]int{}}
 	s.b = decide.New(own, 9, s)
-	s.j = newJudge(watched, 9)
+	s.j = newComparer(watched, 9)
 	s.b.Start(s.now)
 	s.j.balancer.Start(s.now)
 	list := []decide.Endpoint{{ID: "a", Capacity: 3}, {ID: "b", Capacity: 1}, {ID: "c", Capacity: 1}}
@@ -112,7 +112,7 @@
 // from what was really done.
 func TestTheSameSettingsNeverDiffer(t *testing.T) {
 	c := play(t, settings(), settings(), 2000)
-	if c.Compared < 2000 || c.Differences != [kinds]int{} {
+	if c.Compared < 2000 || c.Differences != [differenceKinds]int{} {
 		t.Errorf("%s, want none to differ", c)
 	}
 }
@@ -144,7 +144,7 @@
 // decisions of each kind, compared by hand.
 func TestDiffer(t *testing.T) {
 	did := func(do ActionKind, server string, time int64) decision {
-		return decision{done: true, act: Action{Kind: do, Server: server, Timeout: time}}
+		return decision{made: true, action: Action{Kind: do, Server: server, Timeout: time}}
 	}
 	for _, c := range []struct {
 		x, y decision
@@ -161,7 +161,7 @@
 		{did(Fail, "", 0), decision{}, OnlyOneFails, false},
 		{did(Fail, "", 0), did(Fail, "", 0), 0, true},
 	} {
-		if kind, differs := differ(c.x, c.y); differs == c.same || differs && kind != c.want {
+		if kind, differs := difference(c.x, c.y); differs == c.same || differs && kind != c.want {
 			t.Errorf("%+v and %+v: %s %v", c.x, c.y, kind, differs)
 		}
 	}
@@ -169,8 +169,8 @@
 
 // Copies and closes count apart from the decision itself.
 func TestCopiesAndCloses(t *testing.T) {
-	j := newJudge(settings(), 1)
-	j.out["r"] = 1
+	j := newComparer(settings(), 1)
+	j.inFlight["r"] = 1
 	j.compare([]Action{{SendAttempt, "r", "a", 1}, {Kind: CloseIdleConnections, Server: "b"}}, []Action{}, map[string]bool{"r": true})
 	if j.counts.Differences[DifferentHedging] != 1 || j.counts.Differences[DifferentIdleClose] != 1 || j.counts.Differences[OnlyOneSends] != 1 {
 		t.Errorf("%s, want a copy, a close and a wait", j.counts)
@@ -191,7 +191,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the watch goes on")
 	}
-	for range 2 * mailbox { // nobody reads any more: the mailbox runs over, and See still returns
+	for range 2 * mailboxSize { // nobody reads any more: the mailbox runs over, and See still returns
 		w.Observe(Event{Now: 3, Apply: func(*decide.Balancer) {}})
 	}
 	for _, want := range []string{"event=watch_stopped", "broken on purpose", "compared=0", "cannot keep up"} {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	mailbox      = 1024
-	probeTimeout = 300 * time.Millisecond
-	settle       = 8 * time.Millisecond // a second answer to one request came 1.2 to 5 ms after the first
+	mailboxSize          = 1024
+	healthCheckTimeout   = 300 * time.Millisecond
+	connectionReuseDelay = 8 * time.Millisecond // a second answer to one request came 1.2 to 5 ms after the first
 )
 
 // Sidecar is the module's actor: one goroutine owns the balancer and all calls.
@@ -29,166 +29,168 @@
 // Clients, peers, the list and timers post events and wait for room. The actor itself never waits: what it
 // hands to a peer or to the list is offered, and an attempt that finds a peer's mailbox full ends as unwritten.
 type Sidecar struct {
-	conf      *config.Config   // of the start
-	settings  *decide.Settings // in force
-	transport config.Transport
-	balancer  *decide.Balancer
-	watch     *shadow.Evaluator // nil: off
-	acts      []shadow.Action   // of the event at hand, while watched
-	list      *discovery.Client
-	shared    upstream.PeerShared
-	box       chan func(now int64)
-	start     time.Time
-	calls     map[string]*Call
-	foreign   map[string]bool // ids that another process of this sidecar has under way
-	peers     map[string]*peer
-	known     chan struct{}     // closed once any server is known
-	first     sync.Once         // closes it
-	ledger    auditevent.Ledger // nil: no account is kept
-	seq       int64             // of the list; -1: none yet
-	number    uint64            // of the settings in force, and their digest, where a fleet gives them
-	digest    uint64
-	stamp     atomic.Uint32 // of the version in force
-	ending    chan struct{} // closed by End
-	last      sync.Once     // closes it
-
-	births *births // of servers
-
-	staleLogged time.Time // when a send by an old list was logged last
+	startConfig        *config.Config   // of the start
+	settings           *decide.Settings // in force
+	transport          config.Transport
+	balancer           *decide.Balancer
+	evaluator          *shadow.Evaluator // nil: off
+	eventActions       []shadow.Action   // of the event at hand, while watched
+	discovery          *discovery.Client
+	peerShared         upstream.PeerShared
+	mailbox            chan func(now int64)
+	startedAt          time.Time
+	calls              map[string]*Call
+	peerInFlight       map[string]bool // ids that another process of this sidecar has under way
+	peers              map[string]*peer
+	endpointsKnown     chan struct{}     // closed once any server is known
+	endpointsKnownOnce sync.Once         // closes it
+	recorder           auditevent.Ledger // nil: no account is kept
+	endpointsSeq       int64             // of the list; -1: none yet
+	settingsVersion    uint64            // of the settings in force, and their digest, where a fleet gives them
+	settingsDigest     uint64
+	configVersion      atomic.Uint32 // of the version in force
+	aborted            chan struct{} // closed by End
+	abortOnce          sync.Once     // closes it
+
+	startTimes *serverStartTimes // of servers
+
+	staleSendLoggedAt time.Time // when a send by an old list was logged last
 }
 
 // peer is a server's actor with what the module has out there.
 type peer struct {
 	*upstream.Peer
-	out int
+	inFlight int
 }
 
 // New makes the actor; sockets is how many connections to servers it may hold.
 func New(conf *config.Config, sockets int) *Sidecar {
 	s := &Sidecar{
-		conf: conf, settings: &conf.Settings, transport: conf.Transport, box: make(chan func(int64), mailbox), start: time.Now(),
+		startConfig: conf, settings: &conf.Settings, transport: conf.Transport, mailbox: make(chan func(int64), mailboxSize), startedAt: time.Now(),
 		calls: map[string]*Call{}, peers: map[string]*peer{},
-		known: make(chan struct{}), ending: make(chan struct{}), births: newBirths(),
+		endpointsKnown: make(chan struct{}), aborted: make(chan struct{}), startTimes: newServerStartTimes(),
 	}
-	s.list = discovery.New(conf.Discovery, conf.LastEndpoints, source(&conf.Settings), s)
-	s.shared = upstream.PeerShared{
-		Sockets: upstream.NewSocketBudget(sockets), Resolve: s.list.Endpoints.Address, OnSocketShortage: s.short, ReuseDelay: settle,
+	s.discovery = discovery.New(conf.Discovery, conf.LastEndpoints, sourceOf(&conf.Settings), s)
+	s.peerShared = upstream.PeerShared{
+		Sockets: upstream.NewSocketBudget(sockets), Resolve: s.discovery.Endpoints.Address, OnSocketShortage: s.onSocketShortage, ReuseDelay: connectionReuseDelay,
 	}
-	s.shared.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
-	s.tellKnown()
-	s.balancer = decide.New(listed(conf.Settings), conf.Seed, actions{s})
+	s.peerShared.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
+	s.signalEndpointsKnown()
+	s.balancer = decide.New(withPushedEndpoints(conf.Settings), conf.Seed, actions{s})
 	if conf.Shadow != nil {
-		s.watch = shadow.New()
+		s.evaluator = shadow.New()
 	}
 	return s
 }
 
 // SetRecorder has an account kept of what this sidecar does. It must be called before Run.
 func (s *Sidecar) SetRecorder(l auditevent.Ledger) {
-	if s.ledger, s.seq = l, -1; s.conf.LastEndpoints != nil {
-		s.seq = s.conf.LastEndpoints.Seq
+	if s.recorder, s.endpointsSeq = l, -1; s.startConfig.LastEndpoints != nil {
+		s.endpointsSeq = s.startConfig.LastEndpoints.Seq
 	}
-	s.number, s.digest = s.conf.SettingsVersion, s.conf.SettingsDigest
-	s.restamp()
+	s.settingsVersion, s.settingsDigest = s.startConfig.SettingsVersion, s.startConfig.SettingsDigest
+	s.updateConfigVersion()
 }
 
-// restamp takes the version in force, on the actor.
-func (s *Sidecar) restamp() {
-	if s.ledger != nil {
-		s.stamp.Store(uint32(s.ledger.Under(s.number, s.digest, s.seq)))
+// updateConfigVersion takes the version in force, on the actor.
+func (s *Sidecar) updateConfigVersion() {
+	if s.recorder != nil {
+		s.configVersion.Store(uint32(s.recorder.Under(s.settingsVersion, s.settingsDigest, s.endpointsSeq)))
 	}
 }
 
 // ConfigVersion is the version in force.
-func (s *Sidecar) ConfigVersion() auditevent.Stamp { return auditevent.Stamp(s.stamp.Load()) }
+func (s *Sidecar) ConfigVersion() auditevent.Stamp { return auditevent.Stamp(s.configVersion.Load()) }
 
-// act notes what this sidecar does, when it decides it.
-func (s *Sidecar) act(k auditevent.Kind, id, note string) (r auditevent.Ref) {
-	if s.ledger != nil {
-		r = s.ledger.Add(k, s.ConfigVersion(), id, note)
+// record notes what this sidecar does, when it decides it.
+func (s *Sidecar) record(k auditevent.Kind, id, note string) (r auditevent.Ref) {
+	if s.recorder != nil {
+		r = s.recorder.Add(k, s.ConfigVersion(), id, note)
 	}
 	return r
 }
 
-// finish gives a call its answer, once, under the version by which it was decided.
-func (s *Sidecar) finish(c *Call, a Response) bool {
+// respond gives a call its answer, once, under the version by which it was decided.
+func (s *Sidecar) respond(c *Call, a Response) bool {
 	a.ConfigVersion = s.ConfigVersion()
-	return c.finish(a)
+	return c.respond(a)
 }
 
 // Ready tells whether any server is known.
-func (s *Sidecar) Ready() bool { return s.list.Endpoints.HasEndpoints() }
+func (s *Sidecar) Ready() bool { return s.discovery.Endpoints.HasEndpoints() }
 
 // SetSocketLimit keeps to so many connections to servers from now on.
-func (s *Sidecar) SetSocketLimit(sockets int) { s.shared.Sockets.SetLimit(sockets) }
+func (s *Sidecar) SetSocketLimit(sockets int) { s.peerShared.Sockets.SetLimit(sockets) }
 
 // AbortAll answers all that is open and all that still comes, at once. Guards against requests that this process has taken and
 // that its end leaves with none: their clients see a failure instead.
-func (s *Sidecar) AbortAll() { s.last.Do(func() { close(s.ending) }) }
+func (s *Sidecar) AbortAll() { s.abortOnce.Do(func() { close(s.aborted) }) }
 
 // EndpointsKnown is closed once any server has been known.
-func (s *Sidecar) EndpointsKnown() <-chan struct{} { return s.known }
+func (s *Sidecar) EndpointsKnown() <-chan struct{} { return s.endpointsKnown }
 
-func (s *Sidecar) tellKnown() {
+func (s *Sidecar) signalEndpointsKnown() {
 	if s.Ready() {
-		s.first.Do(func() { close(s.known) })
+		s.endpointsKnownOnce.Do(func() { close(s.endpointsKnown) })
 	}
 }
 
 // Run serves the mailbox until ctx ends.
 func (s *Sidecar) Run(ctx context.Context) {
-	go s.list.Run(ctx)
-	if s.watch != nil {
-		go s.watch.Run(s.now(), listed(s.conf.Shadow.Settings), s.conf.Seed, s.conf.Shadow.LogInterval, ctx.Done())
+	go s.discovery.Run(ctx)
+	if s.evaluator != nil {
+		go s.evaluator.Run(s.now(), withPushedEndpoints(s.startConfig.Shadow.Settings), s.startConfig.Seed, s.startConfig.Shadow.LogInterval, ctx.Done())
 	}
 	s.balancer.Start(s.now())
-	if k := s.conf.LastEndpoints; k != nil && len(k.Endpoints) > 0 && !s.settings.EndpointsPushed {
+	if k := s.startConfig.LastEndpoints; k != nil && len(k.Endpoints) > 0 && !s.settings.EndpointsPushed {
 		now := s.now()
-		known := s.servers(now, k)
-		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, known, true) }})
+		known := s.toEndpoints(now, k)
+		s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, known, true) }})
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-s.box:
+		case f := <-s.mailbox:
 			f(s.now())
 		}
 	}
 }
 
-// tell tells the module of an event, and the watch of both that and what the module did.
-func (s *Sidecar) tell(e shadow.Event) {
+// dispatch tells the module of an event, and the watch of both that and what the module did.
+func (s *Sidecar) dispatch(e shadow.Event) {
 	e.Apply(s.balancer)
-	if s.watch != nil {
-		e.Actions, s.acts = s.acts, nil
-		s.watch.Observe(e)
+	if s.evaluator != nil {
+		e.Actions, s.eventActions = s.eventActions, nil
+		s.evaluator.Observe(e)
 	}
 }
 
-// note keeps an action of the module for the watch.
-func (s *Sidecar) note(a shadow.Action) {
-	if s.watch != nil {
-		s.acts = append(s.acts, a)
+// noteAction keeps an action of the module for the watch.
+func (s *Sidecar) noteAction(a shadow.Action) {
+	if s.evaluator != nil {
+		s.eventActions = append(s.eventActions, a)
 	}
 }
 
 // now is Unix time in µs at the start, moved on by the monotonic clock.
-func (s *Sidecar) now() int64 { return s.at(time.Now()) }
+func (s *Sidecar) now() int64 { return s.clockTime(time.Now()) }
 
-func (s *Sidecar) at(t time.Time) int64 { return s.start.UnixMicro() + t.Sub(s.start).Microseconds() }
+func (s *Sidecar) clockTime(t time.Time) int64 {
+	return s.startedAt.UnixMicro() + t.Sub(s.startedAt).Microseconds()
+}
 
 // ---- Clients
 
 // Do takes a request and returns its final answer; gone is closed when the client leaves.
 func (s *Sidecar) Do(c *Call, gone <-chan struct{}) (a Response, left bool) {
-	last := time.NewTimer(time.Until(c.last))
+	last := time.NewTimer(time.Until(c.responseDeadline))
 	defer last.Stop()
 	select {
-	case s.box <- func(now int64) { s.take(now, c) }:
+	case s.mailbox <- func(now int64) { s.onRequest(now, c) }:
 	case <-last.C: // the module's mailbox is full: nothing was sent, nothing will be
 		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, false
-	case <-s.ending:
+	case <-s.aborted:
 		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, false
 	case <-gone:
 		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, true
@@ -199,7 +201,7 @@
 		return a, false
 	}
 	// The module calls back what is out; a write under way would hold the gate until its own time ends.
-	go func() { s.box <- func(now int64) { s.left(now, c) } }()
+	go func() { s.mailbox <- func(now int64) { s.onClientDisconnected(now, c) } }()
 	c.gate.Close()
 	return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, left
 }
@@ -212,17 +214,17 @@
 	}
 	for {
 		select {
-		case a = <-c.answer:
+		case a = <-c.response:
 			return a, false, true
 		case <-gone:
 			return a, true, false
-		case <-c.gone:
+		case <-c.disconnected:
 			return a, true, false
 		case <-last.C:
 			return a, false, false
-		case <-s.ending:
+		case <-s.aborted:
 			select { // an answer that is there goes before
-			case a = <-c.answer:
+			case a = <-c.response:
 				return a, false, true
 			default:
 				return a, false, false
@@ -233,7 +235,7 @@
 			if err != nil {
 				return a, true, false
 			}
-			last.Reset(time.Until(c.lastAfter(at)))
+			last.Reset(time.Until(c.responseDeadlineFrom(at)))
 			gone = c.OnBodyComplete()
 		}
 	}
@@ -242,7 +244,7 @@
 // InFlight lists the requests under way.
 func (s *Sidecar) InFlight() []string {
 	back := make(chan []string, 1)
-	s.box <- func(int64) {
+	s.mailbox <- func(int64) {
 		back <- slices.Collect(maps.Keys(s.calls))
 	}
 	return <-back
@@ -255,45 +257,45 @@
 	for _, id := range ids {
 		foreign[id] = true
 	}
-	s.box <- func(int64) { s.foreign = foreign }
+	s.mailbox <- func(int64) { s.peerInFlight = foreign }
 }
 
 // SetPeerProcessActive tells that another process of this sidecar serves too, or no longer: they share one budget of attempts.
 func (s *Sidecar) SetPeerProcessActive(other bool) {
-	s.box <- func(now int64) {
-		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.SetPeerProcessActive(now, other) }})
+	s.mailbox <- func(now int64) {
+		s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.SetPeerProcessActive(now, other) }})
 	}
 }
 
-func (s *Sidecar) take(now int64, c *Call) {
+func (s *Sidecar) onRequest(now int64, c *Call) {
 	if c.gate.Closed() { // it was answered while it waited here
 		return
 	}
-	if s.calls[c.Request.ID] != nil || s.foreign[c.Request.ID] { // Guards against two requests of one id, whose attempts could not be told apart
-		s.finish(c, Response{Status: DuplicateID})
+	if s.calls[c.Request.ID] != nil || s.peerInFlight[c.Request.ID] { // Guards against two requests of one id, whose attempts could not be told apart
+		s.respond(c, Response{Status: DuplicateID})
 		return
 	}
-	if !c.may() || !s.admitted(c) {
-		s.finish(c, Response{Status: Rejected}) // it has gone nowhere: a new try is harmless
+	if !c.leaseHeld() || !s.mapToCurrentSettings(c) {
+		s.respond(c, Response{Status: Rejected}) // it has gone nowhere: a new try is harmless
 		return
 	}
 	s.calls[c.Request.ID] = c
-	if kind := auditevent.Took; s.ledger != nil {
+	if kind := auditevent.Took; s.recorder != nil {
 		if c.Request.PriorAttemptAge > 0 {
 			kind = auditevent.TookOver
 		}
-		s.act(kind, c.Request.ID, c.class.Name)
+		s.record(kind, c.Request.ID, c.class.Name)
 	}
-	if c.Request.TimeLeft = c.wait().Microseconds(); !c.Request.BodyUnbuffered {
-		c.Request.TimeLeft = max(0, s.at(c.giveUp)-now)
+	if c.Request.TimeLeft = c.decisionTime().Microseconds(); !c.Request.BodyUnbuffered {
+		c.Request.TimeLeft = max(0, s.clockTime(c.decisionDeadline)-now)
 	}
 	request := c.Request
-	s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnRequest(now, request) }})
+	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnRequest(now, request) }})
 }
 
-// admitted finds the places of a call that was read just before the settings changed; false: its class means another
+// mapToCurrentSettings finds the places of a call that was read just before the settings changed; false: its class means another
 // thing now, or nothing.
-func (s *Sidecar) admitted(c *Call) bool {
+func (s *Sidecar) mapToCurrentSettings(c *Call) bool {
 	if c.settings == s.settings {
 		return true
 	}
@@ -315,53 +317,53 @@
 // returns once that is done.
 func (s *Sidecar) ApplyConfig(conf *config.Config, tell func(*decide.Settings)) {
 	done := make(chan struct{})
-	s.box <- func(now int64) {
+	s.mailbox <- func(now int64) {
 		defer close(done)
 		s.settings, s.transport = &conf.Settings, conf.Transport
-		s.number, s.digest = conf.SettingsVersion, conf.SettingsDigest
-		s.restamp()
-		s.shared.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
-		set := listed(conf.Settings)
+		s.settingsVersion, s.settingsDigest = conf.SettingsVersion, conf.SettingsDigest
+		s.updateConfigVersion()
+		s.peerShared.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
+		set := withPushedEndpoints(conf.Settings)
 		e := shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.UpdateSettings(now, set) }}
 		if conf.Shadow != nil {
-			second := listed(conf.Shadow.Settings)
+			second := withPushedEndpoints(conf.Shadow.Settings)
 			e.ApplyShadow = func(b *decide.Balancer) { b.UpdateSettings(now, second) }
 		}
-		s.tell(e)
+		s.dispatch(e)
 		tell(s.settings)
 	}
 	<-done
-	s.list.SetSource(source(&conf.Settings))
+	s.discovery.SetSource(sourceOf(&conf.Settings))
 }
 
-func (s *Sidecar) left(now int64, c *Call) {
+func (s *Sidecar) onClientDisconnected(now int64, c *Call) {
 	if c.answered || s.calls[c.Request.ID] != c {
-		c.dropAnswer()
+		c.discardResponse()
 		return
 	}
 	c.answered = true
 	id := c.Request.ID
-	s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnClientDisconnected(now, id) }, RequestEnded: id})
-	s.forget(c)
+	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnClientDisconnected(now, id) }, RequestEnded: id})
+	s.forgetIfDone(c)
 }
 
-// began makes what hands an answer that begins to its client.
-func (s *Sidecar) began(c *Call, n int) func(*upstream.Attempt, *upstream.Stream) {
+// streamHandler makes what hands an answer that begins to its client.
+func (s *Sidecar) streamHandler(c *Call, n int) func(*upstream.Attempt, *upstream.Stream) {
 	return func(_ *upstream.Attempt, st *upstream.Stream) {
-		s.box <- func(now int64) {
-			if !s.finish(c, Response{Status: Served, Stream: st, ContentType: st.ContentType}) {
+		s.mailbox <- func(now int64) {
+			if !s.respond(c, Response{Status: Served, Stream: st, ContentType: st.ContentType}) {
 				st.Close()
 				return
 			}
 			id := c.Request.ID
-			s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnStreamStarted(now, id, n) }})
+			s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnStreamStarted(now, id, n) }})
 		}
 	}
 }
 
-// forget drops a call that is answered and has nothing out.
-func (s *Sidecar) forget(c *Call) {
-	if c.answered && c.out == 0 && s.calls[c.Request.ID] == c {
+// forgetIfDone drops a call that is answered and has nothing out.
+func (s *Sidecar) forgetIfDone(c *Call) {
+	if c.answered && c.inFlight == 0 && s.calls[c.Request.ID] == c {
 		delete(s.calls, c.Request.ID)
 	}
 }
@@ -370,38 +372,38 @@
 
 // OnEndpoints takes the list from its actor.
 func (s *Sidecar) OnEndpoints(l *discovery.Update) {
-	s.tellKnown()
-	s.box <- func(now int64) {
-		s.seq = l.Seq
-		s.restamp()
-		list := s.servers(now, l)
-		s.tell(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, list, l.Full) }})
+	s.signalEndpointsKnown()
+	s.mailbox <- func(now int64) {
+		s.endpointsSeq = l.Seq
+		s.updateConfigVersion()
+		list := s.toEndpoints(now, l)
+		s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, list, l.Full) }})
 		for host := range s.peers {
-			s.retire(host)
+			s.retirePeer(host)
 		}
 	}
 }
 
 // SetDiscoveryAddress goes on with the list at another address.
-func (s *Sidecar) SetDiscoveryAddress(addr string) { s.list.SetAddress(addr) }
+func (s *Sidecar) SetDiscoveryAddress(addr string) { s.discovery.SetAddress(addr) }
 
-// source tells the list's actor how the list comes.
-func source(set *decide.Settings) discovery.Source {
+// sourceOf tells the list's actor how the list comes.
+func sourceOf(set *decide.Settings) discovery.Source {
 	return discovery.Source{Pushed: set.EndpointsPushed, BalancerCount: set.BalancerCount}
 }
 
-// listed are the settings for the module: the list comes by itself there, since the list's actor asks for it.
-func listed(set decide.Settings) decide.Settings {
+// withPushedEndpoints are the settings for the module: the list comes by itself there, since the list's actor asks for it.
+func withPushedEndpoints(set decide.Settings) decide.Settings {
 	set.EndpointsPushed = true
 	return set
 }
 
-// servers puts a list into the module's terms.
-func (s *Sidecar) servers(now int64, l *discovery.Update) []decide.Endpoint {
+// toEndpoints puts a list into the module's terms.
+func (s *Sidecar) toEndpoints(now int64, l *discovery.Update) []decide.Endpoint {
 	out := make([]decide.Endpoint, 0, len(l.Endpoints))
 	for i := range l.Endpoints {
 		e := &l.Endpoints[i]
-		server := decide.Endpoint{ID: e.Host, Capacity: e.Capacity, MachineKind: e.MachineKind, Zone: e.Zone, Cell: -1, StartedAt: s.births.since(e, now)}
+		server := decide.Endpoint{ID: e.Host, Capacity: e.Capacity, MachineKind: e.MachineKind, Zone: e.Zone, Cell: -1, StartedAt: s.startTimes.startTime(e, now)}
 		if e.Cell != nil {
 			server.Cell = *e.Cell
 		}
@@ -415,34 +417,34 @@
 		}
 		out = append(out, server)
 	}
-	s.births.keep(l)
+	s.startTimes.prune(l)
 	return out
 }
 
 // ---- Servers
 
-func (s *Sidecar) peer(host string) *peer {
+func (s *Sidecar) peerFor(host string) *peer {
 	p := s.peers[host]
 	if p == nil {
-		p = &peer{Peer: upstream.NewPeer(host, &s.shared)}
+		p = &peer{Peer: upstream.NewPeer(host, &s.peerShared)}
 		s.peers[host] = p
 	}
 	return p
 }
 
-// retire stops the actor of a host that is no longer listed, once nothing is out there.
-func (s *Sidecar) retire(host string) {
+// retirePeer stops the actor of a host that is no longer listed, once nothing is out there.
+func (s *Sidecar) retirePeer(host string) {
 	p := s.peers[host]
-	if _, listed := s.list.Endpoints.Lookup(host); p != nil && p.out == 0 && !listed {
+	if _, listed := s.discovery.Endpoints.Lookup(host); p != nil && p.inFlight == 0 && !listed {
 		p.Stop()
 		delete(s.peers, host)
 	}
 }
 
-// offer hands an attempt to its peer; where the mailbox is full it ends as unwritten.
-func (s *Sidecar) offer(a *upstream.Attempt) {
-	p := s.peer(a.Host)
-	p.out++
+// offerAttempt hands an attempt to its peer; where the mailbox is full it ends as unwritten.
+func (s *Sidecar) offerAttempt(a *upstream.Attempt) {
+	p := s.peerFor(a.Host)
+	p.inFlight++
 	if !p.Offer(a) {
 		log.Printf("event=mailbox_full peer=%s", a.Host)
 		go a.OnDone(a, upstream.AttemptResult{Reason: upstream.NotSent, ObservedAt: time.Now()}) // the actor must not wait for itself
@@ -451,47 +453,47 @@
 
 // CloseIdleConnections closes all idle connections to servers.
 func (s *Sidecar) CloseIdleConnections() {
-	s.box <- func(int64) {
+	s.mailbox <- func(int64) {
 		for _, p := range s.peers {
 			p.CloseIdleConnections()
 		}
 	}
 }
 
-// short asks every peer for its longest idle connection: an attempt waits for a socket.
-func (s *Sidecar) short() {
-	s.box <- func(int64) {
+// onSocketShortage asks every peer for its longest idle connection: an attempt waits for a socket.
+func (s *Sidecar) onSocketShortage() {
+	s.mailbox <- func(int64) {
 		for _, p := range s.peers {
 			p.CloseOldestIdle()
 		}
 	}
 }
 
-// settle takes an attempt's end. An answer of a server ends its call.
-func (s *Sidecar) settle(now int64, c *Call, n int, a *upstream.Attempt, r upstream.AttemptResult) {
+// onAttemptEnded takes an attempt's end. An answer of a server ends its call.
+func (s *Sidecar) onAttemptEnded(now int64, c *Call, n int, a *upstream.Attempt, r upstream.AttemptResult) {
 	if !c.answered && c.gate.Disconnected() { // Guards against further attempts until the client's own goroutine sees it
-		s.left(now, c)
-		close(c.gone)
+		s.onClientDisconnected(now, c)
+		close(c.disconnected)
 	}
 	p := s.peers[a.Host]
-	p.out--
-	c.out--
+	p.inFlight--
+	c.inFlight--
 	result := r.Reason.DecisionResult()
-	if !result.NeverRan() && c.effectAt.IsZero() {
-		c.effectAt = a.DecidedAt
+	if !result.NeverRan() && c.firstEffectAt.IsZero() {
+		c.firstEffectAt = a.DecidedAt
 	}
 	if result == decide.Succeeded {
-		s.finish(c, Response{Status: Served, Body: r.Body, ContentType: r.ContentType})
+		s.respond(c, Response{Status: Served, Body: r.Body, ContentType: r.ContentType})
 	}
-	if c.out == 0 && !c.may() { // Guards against tries that end unwritten one after the other, and a client that waits for nothing
+	if c.inFlight == 0 && !c.leaseHeld() { // Guards against tries that end unwritten one after the other, and a client that waits for nothing
 		verdict := Failed
-		if c.effectAt.IsZero() {
+		if c.firstEffectAt.IsZero() {
 			verdict = Rejected
 		}
-		s.finish(c, Response{Status: verdict})
+		s.respond(c, Response{Status: verdict})
 	}
 	if r.Reason == upstream.NotSent || r.Reason == upstream.ConnectFailed {
-		s.act(auditevent.Unsent, c.Request.ID, a.Host)
+		s.record(auditevent.Unsent, c.Request.ID, a.Host)
 	}
 	sent := a.DecidedAt
 	if !r.BodySentAt.IsZero() { // no server could begin before
@@ -505,7 +507,7 @@
 	if o.RequestAnswered {
 		e.RequestEnded = o.Request
 	}
-	s.tell(e)
-	s.forget(c)
-	s.retire(a.Host)
+	s.dispatch(e)
+	s.forgetIfDone(c)
+	s.retirePeer(a.Host)
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -56,7 +56,7 @@
 // ask runs f on the actor.
 func ask[T any](s *Sidecar, f func() T) T {
 	back := make(chan T)
-	s.box <- func(int64) { back <- f() }
+	s.mailbox <- func(int64) { back <- f() }
 	return <-back
 }
 
@@ -132,8 +132,8 @@
 // A full mailbox of the module holds nobody up past the request's time.
 func TestFullMailbox(t *testing.T) {
 	s := sidecar(t, "127.0.0.1:1")
-	for range mailbox {
-		s.box <- func(int64) {}
+	for range mailboxSize {
+		s.mailbox <- func(int64) {}
 	}
 	if a, _ := s.Do(call("a", 0, 50*time.Millisecond), nil); a.Status != DeadlineExceeded {
 		t.Fatalf("%+v", a)
@@ -152,8 +152,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, gone, done := sidecar(t, "127.0.0.1:1"), make(chan struct{}), make(chan bool)
-			for range mailbox {
-				s.box <- func(int64) {}
+			for range mailboxSize {
+				s.mailbox <- func(int64) {}
 			}
 			go func() {
 				a, left := s.Do(call("a", 0, time.Hour), gone)
@@ -182,7 +182,7 @@
 	run(t, s)
 	c := call("a", 0, time.Hour)
 	c.gate.Close()
-	if ask(s, func() bool { s.take(s.now(), c); return s.balancer.IsOpen("a") }) {
+	if ask(s, func() bool { s.onRequest(s.now(), c); return s.balancer.IsOpen("a") }) {
 		t.Fatal("taken")
 	}
 }
@@ -192,12 +192,12 @@
 	came := make(chan bool, 1)
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { came <- true }))
 	c := call("k", 1, time.Minute)
-	c.effectAt = time.Now().Add(-2 * time.Second)
+	c.firstEffectAt = time.Now().Add(-2 * time.Second)
 	s.calls["k"] = c
 	actions{s}.SendAttempt("k", "s1", 0)
-	(<-s.box)(s.now()) // the attempt's end
-	if c.out != 0 || len(came) != 0 {
-		t.Fatalf("%d out, %d written past the window", c.out, len(came))
+	(<-s.mailbox)(s.now()) // the attempt's end
+	if c.inFlight != 0 || len(came) != 0 {
+		t.Fatalf("%d out, %d written past the window", c.inFlight, len(came))
 	}
 }
 
@@ -209,8 +209,8 @@
 	if path := <-asked; path != "/health/live" {
 		t.Errorf("asked %s", path)
 	}
-	(<-s.box)(s.now())
-	if out := s.peers["s1"].out; out != 0 {
+	(<-s.mailbox)(s.now())
+	if out := s.peers["s1"].inFlight; out != 0 {
 		t.Errorf("%d out", out)
 	}
 }
@@ -230,7 +230,7 @@
 	}()
 	<-came
 	gone := &discovery.Update{Seq: 2, Full: true}
-	ask(s, func() bool { s.list.Endpoints.Replace(gone); return true })
+	ask(s, func() bool { s.discovery.Endpoints.Replace(gone); return true })
 	s.OnEndpoints(gone)
 	if n := ask(s, func() int { return len(s.peers) }); n != 1 {
 		t.Fatalf("%d peers while an attempt is out", n)
@@ -244,7 +244,7 @@
 
 func TestServersInTheModulesTerms(t *testing.T) {
 	cell := int64(3)
-	got := (&Sidecar{births: newBirths()}).servers(time.Now().UnixMicro(), &discovery.Update{Endpoints: []discovery.Endpoint{
+	got := (&Sidecar{startTimes: newServerStartTimes()}).toEndpoints(time.Now().UnixMicro(), &discovery.Update{Endpoints: []discovery.Endpoint{
 		{Host: "a", Zone: "z", Cell: &cell, Health: discovery.Ready, Capacity: 1.5, StartedAtMs: 7},
 		{Host: "b", Health: discovery.Terminating}, {Host: "c", Health: discovery.Removed}, {Host: "d", Health: "Dozing"},
 	}})
@@ -274,7 +274,7 @@
 func TestReadBeforeARetune(t *testing.T) {
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "yes") }))
 	run(t, s)
-	next := &config.Config{Settings: testSettings(), Transport: s.conf.Transport}
+	next := &config.Config{Settings: testSettings(), Transport: s.startConfig.Transport}
 	next.Settings.Classes = []decide.Class{
 		{Name: "make", PriorityWeight: 1, Semantics: decide.AtMostOnce}, {Name: "new", PriorityWeight: 1}, {Name: "look", PriorityWeight: 1},
 	}
@@ -301,7 +301,7 @@
 	}
 	before := runtime.NumGoroutine()
 	for i := range 50 {
-		next := &config.Config{Settings: testSettings(), Transport: s.conf.Transport}
+		next := &config.Config{Settings: testSettings(), Transport: s.startConfig.Transport}
 		next.Settings.Classes[1].Name = fmt.Sprint("make", i)
 		s.ApplyConfig(next, func(*decide.Settings) {})
 	}
@@ -429,7 +429,7 @@
 		done <- a
 	}()
 	told := <-actor
-	next := *s.conf
+	next := *s.startConfig
 	next.SettingsVersion = 3
 	s.ApplyConfig(&next, func(*decide.Settings) {})
 	if a := <-done; a.ConfigVersion != 301 {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -18,8 +18,8 @@
 	Remainder *BodyRemainder // of the body, which is not held; nil: Body is all of it
 }
 
-// chunks tells whether the body goes on in chunks.
-func (m *Message) chunks() bool { return m.Remainder != nil && m.Remainder.BodyLength < 0 }
+// isChunked tells whether the body goes on in chunks.
+func (m *Message) isChunked() bool { return m.Remainder != nil && m.Remainder.BodyLength < 0 }
 
 // DeadlineHeader tells a server how long the sidecar will wait.
 const DeadlineHeader = "Req-Deadline-Ms"
@@ -33,7 +33,7 @@
 		head = append(append(head, "\r\n"+auditevent.Header+": "...), actor...)
 	}
 	head = append(head, "\r\n\r\n"...)
-	if m.chunks() && len(m.Body) > 0 {
+	if m.isChunked() && len(m.Body) > 0 {
 		head = append(strconv.AppendInt(head, int64(len(m.Body)), 16), "\r\n"...)
 		return net.Buffers{head, m.Body, []byte("\r\n")}, int64(len(head) + len(m.Body) + 2)
 	}
@@ -46,9 +46,9 @@
 	LeaseValid     func() bool // asked before each write, where this process may lose its leave to send; nil: it may not
 	IsDisconnected func() bool // asked right before an attempt's first byte: the client has left. It must not block; nil: nobody asks
 
-	mu        sync.Mutex
-	closed    bool
-	abandoned bool // IsDisconnected has said so
+	mu           sync.Mutex
+	closed       bool
+	disconnected bool // IsDisconnected has said so
 }
 
 // MaySend tells whether this process has leave to send.
@@ -72,21 +72,21 @@
 func (g *Gate) Disconnected() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.abandoned
+	return g.disconnected
 }
 
-// abandon closes the gate where the client has left. Only a write that has passed may ask. Guards against an attempt that
+// closeIfDisconnected closes the gate where the client has left. Only a write that has passed may ask. Guards against an attempt that
 // begins although its client has gone, because the goroutine that watches it lags, or its leaving stands behind bytes that
 // nobody reads yet.
-func (g *Gate) abandon() bool {
+func (g *Gate) closeIfDisconnected() bool {
 	if g.IsDisconnected != nil && g.IsDisconnected() {
-		g.closed, g.abandoned = true, true
+		g.closed, g.disconnected = true, true
 	}
-	return g.abandoned
+	return g.disconnected
 }
 
-// pass runs write unless the gate is closed or the leave is over.
-func (g *Gate) pass(write func()) bool {
+// ifOpen runs write unless the gate is closed or the leave is over.
+func (g *Gate) ifOpen(write func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed || !g.MaySend() {
@@ -111,7 +111,7 @@
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	wait   *time.Timer
+	timer  *time.Timer
 }
 
 // AttemptResult is what came of an attempt.
@@ -129,34 +129,34 @@
 // Cancel calls an attempt back. It never blocks.
 func (a *Attempt) Cancel() { a.cancel(context.Canceled) }
 
-// arm starts the attempt's clock.
-func (a *Attempt) arm() {
+// startTimer starts the attempt's clock.
+func (a *Attempt) startTimer() {
 	a.ctx, a.cancel = context.WithCancelCause(context.Background())
 	if !a.Deadline.IsZero() {
-		a.expire(time.Until(a.Deadline))
+		a.expireIn(time.Until(a.Deadline))
 	}
 }
 
-// expire ends the wait after a time.
-func (a *Attempt) expire(in time.Duration) {
-	a.wait = time.AfterFunc(in, func() { a.cancel(context.DeadlineExceeded) })
+// expireIn ends the wait after a time.
+func (a *Attempt) expireIn(in time.Duration) {
+	a.timer = time.AfterFunc(in, func() { a.cancel(context.DeadlineExceeded) })
 }
 
-// disarm stops the attempt's clock; false: it has ended the wait.
-func (a *Attempt) disarm() bool { return a.wait == nil || a.wait.Stop() }
+// stopTimer stops the attempt's clock; false: it has ended the wait.
+func (a *Attempt) stopTimer() bool { return a.timer == nil || a.timer.Stop() }
 
-// over frees what the clock holds.
-func (a *Attempt) over() {
-	a.disarm()
+// release frees what the clock holds.
+func (a *Attempt) release() {
+	a.stopTimer()
 	a.cancel(context.Canceled)
 }
 
-// withdrawn tells that the attempt was called back.
-func (a *Attempt) withdrawn() bool { return context.Cause(a.ctx) == context.Canceled }
+// isCancelled tells that the attempt was called back.
+func (a *Attempt) isCancelled() bool { return context.Cause(a.ctx) == context.Canceled }
 
-// interrupted tells why the context cut a wait, after the last byte was written.
-func (a *Attempt) interrupted() EndReason {
-	if a.withdrawn() {
+// interruptReason tells why the context cut a wait, after the last byte was written.
+func (a *Attempt) interruptReason() EndReason {
+	if a.isCancelled() {
 		return Cancelled
 	}
 	return TimedOut
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -20,16 +20,16 @@
 	// MaxBodySize is the longest body or answer that is passed on.
 	MaxBodySize = 40 << 20
 
-	holdFor     = 300 * time.Millisecond // an answer of unknown length, before it begins at the client
-	stalled     = 5 * time.Second        // without a byte of a body or an answer under way
-	copyBuffer  = 16 << 10
-	maxTrailers = 64 // lines
+	bufferFor    = 300 * time.Millisecond // an answer of unknown length, before it begins at the client
+	stallTimeout = 5 * time.Second        // without a byte of a body or an answer under way
+	copyBuffer   = 16 << 10
+	maxTrailers  = 64 // lines
 )
 
 var (
-	errStopped = errors.New("the request is over")
-	errTooLong = errors.New("over the longest that is passed on")
-	errChunk   = errors.New("unreadable chunk")
+	errRequestOver = errors.New("the request is over")
+	errTooLong     = errors.New("over the longest that is passed on")
+	errChunk       = errors.New("unreadable chunk")
 )
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
@@ -39,18 +39,18 @@
 type BodyRemainder struct {
 	BodyLength int64 // of the whole body; negative: not known
 
-	mu     sync.Mutex
-	src    io.Reader
-	err    error // after which nothing more is read
-	taken  bool
-	endAt  time.Time
-	ended  chan struct{}
-	cutOff func()
+	mu        sync.Mutex
+	src       io.Reader
+	err       error // after which nothing more is read
+	started   bool
+	endedAt   time.Time
+	done      chan struct{}
+	interrupt func()
 }
 
-// NewBodyRemainder makes the rest of a body; cutOff makes a read of src under way end.
+// NewBodyRemainder makes the rest of a body; interrupt makes a read of src under way end.
 func NewBodyRemainder(src io.Reader, length int64, cutOff func()) *BodyRemainder {
-	return &BodyRemainder{BodyLength: length, src: src, cutOff: cutOff, ended: make(chan struct{})}
+	return &BodyRemainder{BodyLength: length, src: src, interrupt: cutOff, done: make(chan struct{})}
 }
 
 // Read reads on. Its error is io.EOF after the last byte alone.
@@ -60,10 +60,10 @@
 	if r.err != nil {
 		return 0, r.err
 	}
-	r.taken = true
+	r.started = true
 	n, err := r.src.Read(p)
 	if err != nil {
-		r.end(err)
+		r.finish(err)
 		if n > 0 {
 			err = nil
 		}
@@ -71,44 +71,44 @@
 	return n, err
 }
 
-func (r *BodyRemainder) end(err error) {
-	r.err, r.endAt = err, time.Now()
-	close(r.ended)
+func (r *BodyRemainder) finish(err error) {
+	r.err, r.endedAt = err, time.Now()
+	close(r.done)
 }
 
 // Close ends the reading, and waits for a read under way: the client's connection is the caller's again.
 func (r *BodyRemainder) Close() {
 	select {
-	case <-r.ended:
+	case <-r.done:
 		return
 	default:
-		r.cutOff()
+		r.interrupt()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.err == nil {
-		r.end(errStopped)
+		r.finish(errRequestOver)
 	}
 }
 
 // Done is closed once the last byte was read, or none will be.
-func (r *BodyRemainder) Done() <-chan struct{} { return r.ended }
+func (r *BodyRemainder) Done() <-chan struct{} { return r.done }
 
 // Complete tells, once it has ended, when its last byte came, or why it never did.
 func (r *BodyRemainder) Complete() (at time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.err == io.EOF {
-		return r.endAt, nil
+		return r.endedAt, nil
 	}
-	return r.endAt, r.err
+	return r.endedAt, r.err
 }
 
 // Started tells whether any of it has been read: it can't be sent again.
 func (r *BodyRemainder) Started() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.taken
+	return r.started
 }
 
 // Stream is an answer under way: its body is read from the server's connection as the client takes it. Its reader must
@@ -116,47 +116,47 @@
 type Stream struct {
 	ContentType []byte
 
-	a      *Attempt
-	c      *conn
-	detach atomic.Bool
-	head   []byte // read already
-	body   io.Reader
-	sum    int64
-	err    error
-	once   sync.Once
-	done   chan error // io.EOF: read to its end
+	attempt   *Attempt
+	conn      *conn
+	detached  atomic.Bool
+	buffered  []byte // read already
+	body      io.Reader
+	forwarded int64
+	err       error
+	once      sync.Once
+	done      chan error // io.EOF: read to its end
 }
 
 // Read reads on. Its error is io.EOF after the last byte of a whole answer alone.
 func (s *Stream) Read(p []byte) (n int, err error) {
-	if s.detach.Load() && s.err == nil {
+	if s.detached.Load() && s.err == nil {
 		return 0, ErrDetached
 	}
-	if len(s.head) > 0 {
-		n = copy(p, s.head)
-		s.head = s.head[n:]
+	if len(s.buffered) > 0 {
+		n = copy(p, s.buffered)
+		s.buffered = s.buffered[n:]
 		return n, nil
 	}
 	if s.err != nil {
 		return 0, s.err
 	}
-	s.c.SetReadDeadline(time.Now().Add(stalled))
-	if s.a.ctx.Err() != nil { // the cut may have come before that deadline
-		s.err = errStopped
+	s.conn.SetReadDeadline(time.Now().Add(stallTimeout))
+	if s.attempt.ctx.Err() != nil { // the cut may have come before that deadline
+		s.err = errRequestOver
 		return 0, s.err
 	}
-	if s.detach.Load() {
-		s.c.SetReadDeadline(past)
+	if s.detached.Load() {
+		s.conn.SetReadDeadline(deadlinePast)
 	}
 	n, err = s.body.Read(p)
-	if s.detach.Load() && timedOut(s.a.ctx, err) {
-		s.sum += int64(n)
+	if s.detached.Load() && timedOut(s.attempt.ctx, err) {
+		s.forwarded += int64(n)
 		if n > 0 {
 			return n, nil
 		}
 		return 0, ErrDetached
 	}
-	if s.sum += int64(n); s.sum > MaxBodySize {
+	if s.forwarded += int64(n); s.forwarded > MaxBodySize {
 		err = errTooLong
 	}
 	s.err = err
@@ -169,8 +169,8 @@
 // Close ends the answer. The attempt reports what it came to.
 func (s *Stream) Close() error {
 	s.once.Do(func() {
-		if len(s.head) > 0 || s.err == nil {
-			s.err = errStopped
+		if len(s.buffered) > 0 || s.err == nil {
+			s.err = errRequestOver
 		}
 		s.done <- s.err
 	})
@@ -183,19 +183,19 @@
 	case n > MaxBodySize:
 		return nil, 0, errTooLong
 	case n >= 0:
-		return &exactly{br, int64(n)}, int64(n), nil
+		return &lengthReader{br, int64(n)}, int64(n), nil
 	case n == -1:
-		return &chunked{br: br}, -1, nil
+		return &chunkedReader{br: br}, -1, nil
 	case toTheEnd:
 		return br, -1, nil
 	}
 	return nil, 0, errNoLength
 }
 
-// endsWithConnection tells of an answer whose head, which comes next, says itself that its connection's end is its own.
+// announcesClose tells of an answer whose head, which comes next, says itself that its connection's end is its own.
 // fasthttp says so of every answer without a length. Guards against noise that only looks like an answer: a short one of
 // those could not be told from a whole one.
-func endsWithConnection(br *bufio.Reader) bool {
+func announcesClose(br *bufio.Reader) bool {
 	head := peekHead(br)
 	if bytes.HasPrefix(head, []byte("HTTP/1.0 ")) {
 		return true
@@ -233,20 +233,20 @@
 	}
 }
 
-// exactly reads so many bytes: an earlier end is an error.
-type exactly struct {
-	r    io.Reader
-	left int64
+// lengthReader reads so many bytes: an earlier end is an error.
+type lengthReader struct {
+	r         io.Reader
+	remaining int64
 }
 
-func (e *exactly) Read(p []byte) (n int, err error) {
-	if e.left == 0 {
+func (e *lengthReader) Read(p []byte) (n int, err error) {
+	if e.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err = e.r.Read(p[:min(int64(len(p)), e.left)])
-	e.left -= int64(n)
+	n, err = e.r.Read(p[:min(int64(len(p)), e.remaining)])
+	e.remaining -= int64(n)
 	switch {
-	case e.left == 0:
+	case e.remaining == 0:
 		err = io.EOF
 	case err == io.EOF:
 		err = io.ErrUnexpectedEOF
@@ -254,29 +254,29 @@
 	return n, err
 }
 
-// chunked reads chunks with extensions and trailers, which it drops. A read that timed out can be repeated: nothing is
+// chunkedReader reads chunks with extensions and trailers, which it drops. A read that timed out can be repeated: nothing is
 // taken off before it is whole.
-type chunked struct {
-	br       *bufio.Reader
-	left     int64
-	after    bool // the line end of a chunk comes next
-	trailing bool
-	trailers int
-	over     bool
+type chunkedReader struct {
+	br           *bufio.Reader
+	remaining    int64
+	atChunkEnd   bool // the line end of a chunk comes next
+	inTrailers   bool
+	trailerLines int
+	complete     bool
 }
 
-func (c *chunked) Read(p []byte) (n int, err error) {
-	for c.left == 0 {
-		if c.over {
+func (c *chunkedReader) Read(p []byte) (n int, err error) {
+	for c.remaining == 0 {
+		if c.complete {
 			return 0, io.EOF
 		}
-		if err := c.next(); err != nil {
+		if err := c.nextLine(); err != nil {
 			return 0, err
 		}
 	}
-	n, err = c.br.Read(p[:min(int64(len(p)), c.left)])
-	if c.left -= int64(n); c.left == 0 && n > 0 {
-		c.after = true
+	n, err = c.br.Read(p[:min(int64(len(p)), c.remaining)])
+	if c.remaining -= int64(n); c.remaining == 0 && n > 0 {
+		c.atChunkEnd = true
 	}
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -284,21 +284,21 @@
 	return n, err
 }
 
-// next takes in the line before, between or after chunks.
-func (c *chunked) next() error {
+// nextLine takes in the line before, between or after chunks.
+func (c *chunkedReader) nextLine() error {
 	line, size, err := peekLine(c.br)
 	if err != nil {
 		return err
 	}
 	switch {
-	case c.after:
+	case c.atChunkEnd:
 		if len(line) > 0 {
 			return errChunk
 		}
-		c.after = false
-	case c.trailing:
-		c.over = len(line) == 0
-		if c.trailers++; c.trailers > maxTrailers {
+		c.atChunkEnd = false
+	case c.inTrailers:
+		c.complete = len(line) == 0
+		if c.trailerLines++; c.trailerLines > maxTrailers {
 			return errChunk
 		}
 	default:
@@ -307,7 +307,7 @@
 		if err != nil {
 			return errChunk
 		}
-		c.left, c.trailing = int64(left), left == 0
+		c.remaining, c.inTrailers = int64(left), left == 0
 	}
 	c.br.Discard(size)
 	return nil
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	readBuffer = 16 << 10 // holds the longest head of an answer
-	maxInterim = 8        // answers of the 100 kind before the real one
+	readBuffer       = 16 << 10 // holds the longest head of an answer
+	maxInformational = 8        // answers of the 100 kind before the real one
 )
 
 var (
-	errNoAnswer = errors.New("no answer of HTTP/1.1")
-	errNoLength = errors.New("answer of no stated length")
-	past        = time.Unix(1, 0)
-	crlf        = []byte("\r\n")
+	errNoAnswer  = errors.New("no answer of HTTP/1.1")
+	errNoLength  = errors.New("answer of no stated length")
+	deadlinePast = time.Unix(1, 0)
+	crlf         = []byte("\r\n")
 )
 
 // conn is a connection that one attempt, or its peer's idle list, owns.
@@ -31,19 +31,19 @@
 	br        *bufio.Reader
 	addr      string
 	idleSince time.Time
-	budget    *SocketBudget
+	sockets   *SocketBudget
 }
 
-// shut closes the connection and gives its socket back. Closing by a reset (no linger) was tried and
+// closeAndRelease closes the connection and gives its socket back. Closing by a reset (no linger) was tried and
 // gained nothing: see the results.
-func (c *conn) shut() {
+func (c *conn) closeAndRelease() {
 	c.Close()
-	c.budget.give()
+	c.sockets.release()
 }
 
-// quiet tells whether an idle connection is still open with nothing on it. Guards against a request written
+// isOpenAndEmpty tells whether an idle connection is still open with nothing on it. Guards against a request written
 // to a connection that the server has closed: it would end as a reset, which may have run.
-func (c *conn) quiet() bool {
+func (c *conn) isOpenAndEmpty() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -64,7 +64,7 @@
 
 // exchange writes the attempt and reads its answer. It returns whether the connection may serve again.
 func (c *conn) exchange(a *Attempt, mayWrite func() bool) (r AttemptResult, reuse bool) {
-	stop := context.AfterFunc(a.ctx, func() { c.SetDeadline(past) })
+	stop := context.AfterFunc(a.ctx, func() { c.SetDeadline(deadlinePast) })
 	defer func() {
 		if !stop() { // the deadline was, or is about to be, cut: what is read next would fail
 			reuse = false
@@ -74,7 +74,7 @@
 	}()
 	r.Reason = c.write(a, mayWrite)
 	if r.Reason == Answered && a.Message.Remainder != nil {
-		if r.Reason = c.writeRest(a); r.Reason == Answered {
+		if r.Reason = c.writeRemainder(a); r.Reason == Answered {
 			r.BodySentAt = time.Now()
 		}
 	}
@@ -88,7 +88,7 @@
 // write sends the attempt's bytes, of its body those that are held; Answered means that all of them are written.
 func (c *conn) write(a *Attempt, mayWrite func() bool) (end EndReason) {
 	end = NotSent
-	a.Gate.pass(func() {
+	a.Gate.ifOpen(func() {
 		now := time.Now()
 		if a.ctx.Err() != nil || !mayWrite() || !a.LatestStart.IsZero() && !now.Before(a.LatestStart) {
 			return
@@ -98,13 +98,13 @@
 			left = a.Deadline.Sub(now)
 		}
 		parts, size := a.Message.render(left, a.AuditRef)
-		if a.Gate.abandon() {
+		if a.Gate.closeIfDisconnected() {
 			return
 		}
 		switch n, err := parts.WriteTo(c.Conn); {
 		case n == size:
 			end = Answered
-		case err != nil && a.withdrawn():
+		case err != nil && a.isCancelled():
 			end = NotSent
 		default:
 			end = ConnectFailed // the last byte was not written: it never ran
@@ -113,9 +113,9 @@
 	return end
 }
 
-// writeRest sends the part of the body that is not held, as it comes, and starts the attempt's clock at its last byte.
+// writeRemainder sends the part of the body that is not held, as it comes, and starts the attempt's clock at its last byte.
 // The gate is passed anew for each piece: the client's last answer may come meanwhile, and waits for none of it.
-func (c *conn) writeRest(a *Attempt) (end EndReason) {
+func (c *conn) writeRemainder(a *Attempt) (end EndReason) {
 	buf := copyBuffers.Get().(*[copyBuffer]byte)
 	defer copyBuffers.Put(buf)
 	for {
@@ -125,7 +125,7 @@
 		}
 		last := err == io.EOF
 		end = NotSent
-		a.Gate.pass(func() {
+		a.Gate.ifOpen(func() {
 			end = c.writePiece(a, buf[:n], last)
 		})
 		if end != Answered {
@@ -133,7 +133,7 @@
 		}
 		if last {
 			c.SetWriteDeadline(time.Time{})
-			a.expire(a.TimeoutAfterBody)
+			a.expireIn(a.TimeoutAfterBody)
 			return Answered
 		}
 	}
@@ -155,13 +155,13 @@
 
 // writePiece sends one piece of a body.
 func (c *conn) writePiece(a *Attempt, piece []byte, last bool) EndReason {
-	c.SetWriteDeadline(time.Now().Add(stalled))
+	c.SetWriteDeadline(time.Now().Add(stallTimeout))
 	if a.ctx.Err() != nil { // the cut may have come before that deadline
 		return NotSent
 	}
-	parts := EncodeBodyPiece(piece, a.Message.chunks(), last)
+	parts := EncodeBodyPiece(piece, a.Message.isChunked(), last)
 	if _, err := parts.WriteTo(c.Conn); err != nil {
-		if a.withdrawn() {
+		if a.isCancelled() {
 			return NotSent
 		}
 		return ConnectFailed // the last byte was not written: it never ran
@@ -176,7 +176,7 @@
 	defer fasthttp.ReleaseResponse(resp)
 	toTheEnd, err := readHead(c.br, resp)
 	if err == nil {
-		r.Reason = end(resp)
+		r.Reason = classify(resp)
 		r.Load = parseLoad(resp.Header.Peek("Srv-Load"))
 		if r.Reason == Answered {
 			r.ContentType = append([]byte(nil), resp.Header.ContentType()...)
@@ -190,10 +190,10 @@
 		r.Body, r.Reason = nil, Malformed
 		switch {
 		case a.ctx.Err() != nil:
-			r.Reason = a.interrupted()
-		case err == errStopped: // the client's end
+			r.Reason = a.interruptReason()
+		case err == errRequestOver: // the client's end
 			r.Reason = Cancelled
-		case brokeOff(err):
+		case isConnectionError(err):
 			r.Reason = Reset
 		}
 		return false
@@ -215,9 +215,9 @@
 		if _, err := c.br.Peek(1); err != nil { // its first byte is timed
 			return err
 		}
-		return c.begin(a, r, nil, body)
+		return c.startStream(a, r, nil, body)
 	}
-	held, whole, err := c.hold(a, body, length, mayBegin)
+	held, whole, err := c.buffer(a, body, length, mayBegin)
 	if whole || err != nil {
 		r.Body = held
 		return err
@@ -225,11 +225,11 @@
 	if !mayBegin {
 		return errTooLong
 	}
-	return c.begin(a, r, held, body)
+	return c.startStream(a, r, held, body)
 }
 
-// hold reads a body as long as it is held: to its end, or, where its length is not known, for a while.
-func (c *conn) hold(a *Attempt, body io.Reader, length int64, mayBegin bool) (held []byte, whole bool, err error) {
+// buffer reads a body as long as it is held: to its end, or, where its length is not known, for a while.
+func (c *conn) buffer(a *Attempt, body io.Reader, length int64, mayBegin bool) (held []byte, whole bool, err error) {
 	held = make([]byte, 0, max(512, min(length, MaxBuffered)+1))
 	until := time.Time{}
 	for {
@@ -244,10 +244,10 @@
 		case err == io.EOF:
 			return held, true, nil
 		case until.IsZero() && length < 0 && mayBegin && err == nil:
-			until = time.Now().Add(holdFor)
+			until = time.Now().Add(bufferFor)
 			c.SetReadDeadline(until)
 			if a.ctx.Err() != nil { // the cut may have come before that deadline
-				return nil, false, errStopped
+				return nil, false, errRequestOver
 			}
 		case err != nil && !until.IsZero() && timedOut(a.ctx, err):
 			return held, false, nil
@@ -257,13 +257,13 @@
 	}
 }
 
-// begin hands an answer to the client as it comes, and waits for its end.
-func (c *conn) begin(a *Attempt, r *AttemptResult, held []byte, body io.Reader) error {
-	if !a.disarm() { // the time was up
-		return errStopped
+// startStream hands an answer to the client as it comes, and waits for its end.
+func (c *conn) startStream(a *Attempt, r *AttemptResult, held []byte, body io.Reader) error {
+	if !a.stopTimer() { // the time was up
+		return errRequestOver
 	}
 	r.ObservedAt = time.Now()
-	s := &Stream{ContentType: r.ContentType, a: a, c: c, head: held, body: body, sum: int64(len(held)), done: make(chan error, 1)}
+	s := &Stream{ContentType: r.ContentType, attempt: a, conn: c, buffered: held, body: body, forwarded: int64(len(held)), done: make(chan error, 1)}
 	a.OnStream(a, s)
 	if err := <-s.done; err != io.EOF {
 		return err
@@ -271,15 +271,15 @@
 	return nil
 }
 
-// brokeOff tells whether a read ended because the connection did.
-func brokeOff(err error) bool {
+// isConnectionError tells whether a read ended because the connection did.
+func isConnectionError(err error) bool {
 	var nothing fasthttp.ErrNothingRead
 	var op *net.OpError
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &nothing) || errors.As(err, &op)
 }
 
-// end tells what a whole answer means.
-func end(resp *fasthttp.Response) EndReason {
+// classify tells what a whole answer means.
+func classify(resp *fasthttp.Response) EndReason {
 	switch status := resp.StatusCode(); {
 	case status == fasthttp.StatusOK:
 		return Answered
@@ -298,13 +298,13 @@
 // connection.
 func readHead(br *bufio.Reader, resp *fasthttp.Response) (toTheEnd bool, err error) {
 	for n := 0; ; n++ {
-		toTheEnd = endsWithConnection(br)
+		toTheEnd = announcesClose(br)
 		if err := resp.Header.Read(br); err != nil {
 			return false, err
 		}
 		if s := resp.StatusCode(); s >= 200 {
 			return toTheEnd, nil
-		} else if s == fasthttp.StatusSwitchingProtocols || n == maxInterim {
+		} else if s == fasthttp.StatusSwitchingProtocols || n == maxInformational {
 			return false, errNoAnswer
 		}
 	}
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -47,21 +47,21 @@
 			t.Fatal(err)
 		}
 		ln.Close()
-		sh.Sockets.take()
-		looked := &conn{Conn: here, br: bufio.NewReader(here), addr: s.Addr().String(), budget: sh.Sockets, idleSince: time.Now()}
-		if !looked.quiet() {
+		sh.Sockets.tryAcquire()
+		looked := &conn{Conn: here, br: bufio.NewReader(here), addr: s.Addr().String(), sockets: sh.Sockets, idleSince: time.Now()}
+		if !looked.isOpenAndEmpty() {
 			t.Fatal("not quiet at the look")
 		}
 		io.WriteString(there, what)
 		there.Close()
-		for looked.quiet() {
+		for looked.isOpenAndEmpty() {
 			time.Sleep(time.Millisecond)
 		}
 		a, done := attempt(nil)
-		a.arm()
-		p.attempt(a, looked)
-		if r := <-done; r.Reason != Answered || string(r.Body) == "wrong" || sh.Sockets.used.Load() != 1 {
-			t.Fatalf("after %q: %v %q, %d sockets", what, r.Reason, r.Body, sh.Sockets.used.Load())
+		a.startTimer()
+		p.runAttempt(a, looked)
+		if r := <-done; r.Reason != Answered || string(r.Body) == "wrong" || sh.Sockets.inUse.Load() != 1 {
+			t.Fatalf("after %q: %v %q, %d sockets", what, r.Reason, r.Body, sh.Sockets.inUse.Load())
 		}
 	}
 }
@@ -117,8 +117,8 @@
 		}()
 	}
 	set(syscall.Rlimit{Cur: 0, Max: usual.Max})
-	if r := send(t, p, nil); r.Reason != Answered || asked != 1 || sh.Sockets.used.Load() != 1 {
-		t.Fatalf("%v, asked %d times, %d sockets", r.Reason, asked, sh.Sockets.used.Load())
+	if r := send(t, p, nil); r.Reason != Answered || asked != 1 || sh.Sockets.inUse.Load() != 1 {
+		t.Fatalf("%v, asked %d times, %d sockets", r.Reason, asked, sh.Sockets.inUse.Load())
 	}
 	for range 2 { // none comes free: it is the lack's fault, not the server's
 		sh.SetTimeouts(50*time.Millisecond, time.Hour) // long enough that the dial begins within it
@@ -127,8 +127,8 @@
 		set(syscall.Rlimit{Cur: 0, Max: usual.Max})
 		r := send(t, p, nil)
 		set(usual)
-		if r.Reason != NotSent || sh.Sockets.used.Load() != 0 {
-			t.Fatalf("with none: %v, %d sockets", r.Reason, sh.Sockets.used.Load())
+		if r.Reason != NotSent || sh.Sockets.inUse.Load() != 0 {
+			t.Fatalf("with none: %v, %d sockets", r.Reason, sh.Sockets.inUse.Load())
 		}
 	}
 }
--- a/internal/upstream/peer.go
+++ b/internal/upstream/peer.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	mailbox    = 256
-	sweepEvery = time.Second
-	redial     = 5 * time.Millisecond // after a dial that met a lack on this side
-	idlePart   = 0.6                  // of the servers' idle limit: a connection older than this is not written to
+	mailboxSize    = 256
+	sweepInterval  = time.Second
+	redialDelay    = 5 * time.Millisecond // after a dial that met a lack on this side
+	idleLimitShare = 0.6                  // of the servers' idle limit: a connection older than this is not written to
 )
 
 // SocketBudget counts the sockets that all peers may hold.
 type SocketBudget struct {
 	limit   atomic.Int64
-	used    atomic.Int64
+	inUse   atomic.Int64
 	waiting atomic.Int64 // attempts that have found none
 }
 
@@ -35,20 +35,20 @@
 // SetLimit keeps to so many sockets from now on; of those open none is closed for it.
 func (b *SocketBudget) SetLimit(limit int) { b.limit.Store(int64(limit)) }
 
-func (b *SocketBudget) take() bool {
-	if b.used.Add(1) > b.limit.Load() {
-		b.used.Add(-1)
+func (b *SocketBudget) tryAcquire() bool {
+	if b.inUse.Add(1) > b.limit.Load() {
+		b.inUse.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (b *SocketBudget) give() { b.used.Add(-1) }
+func (b *SocketBudget) release() { b.inUse.Add(-1) }
 
-// await takes a socket as soon as there is one, asking by short for idle ones to be closed; false: ctx ended
+// acquire takes a socket as soon as there is one, asking by short for idle ones to be closed; false: ctx ended
 // first. Guards against attempts that use up a request's tries within microseconds while none is free yet.
-func (b *SocketBudget) await(ctx context.Context, short func()) bool {
-	for n := 0; !b.take(); n++ {
+func (b *SocketBudget) acquire(ctx context.Context, short func()) bool {
+	for n := 0; !b.tryAcquire(); n++ {
 		if n == 0 {
 			b.waiting.Add(1)
 			defer b.waiting.Add(-1)
@@ -61,7 +61,7 @@
 		}
 	}
 	if ctx.Err() != nil {
-		b.give()
+		b.release()
 		return false
 	}
 	return true
@@ -92,36 +92,36 @@
 type Peer struct {
 	Host string
 
-	shared *PeerShared
-	box    chan any
-	idle   []*conn // the latest used last
+	shared  *PeerShared
+	mailbox chan any
+	idle    []*conn // the latest used last
 }
 
-type ended struct {
-	a *Attempt
-	c *conn // fit to serve again; nil: none
-	r AttemptResult
+type attemptEnded struct {
+	attempt *Attempt
+	conn    *conn // fit to serve again; nil: none
+	result  AttemptResult
 }
 
-type shed struct{}
+type closeOldestIdle struct{}
 
-type closeIdle struct{}
+type closeAllIdle struct{}
 
 // NewPeer starts a server's actor.
 func NewPeer(host string, shared *PeerShared) *Peer {
-	p := &Peer{Host: host, shared: shared, box: make(chan any, mailbox)}
+	p := &Peer{Host: host, shared: shared, mailbox: make(chan any, mailboxSize)}
 	go p.run()
 	return p
 }
 
 // Offer hands the peer an attempt; false: its mailbox is full and nothing was or will be sent.
 func (p *Peer) Offer(a *Attempt) bool {
-	a.arm()
+	a.startTimer()
 	select {
-	case p.box <- a:
+	case p.mailbox <- a:
 		return true
 	default:
-		a.over()
+		a.release()
 		return false
 	}
 }
@@ -129,7 +129,7 @@
 // CloseOldestIdle asks the peer to close the connection that has been idle longest. It never blocks.
 func (p *Peer) CloseOldestIdle() {
 	select {
-	case p.box <- shed{}:
+	case p.mailbox <- closeOldestIdle{}:
 	default:
 	}
 }
@@ -138,22 +138,22 @@
 // never blocks: a peer whose mailbox is full turns those attempts down.
 func (p *Peer) CloseIdleConnections() {
 	select {
-	case p.box <- closeIdle{}:
+	case p.mailbox <- closeAllIdle{}:
 	default:
 	}
 }
 
 // Stop ends the actor. No attempt may be out or be offered from then on.
-func (p *Peer) Stop() { close(p.box) }
+func (p *Peer) Stop() { close(p.mailbox) }
 
 func (p *Peer) run() {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case m, ok := <-p.box:
+		case m, ok := <-p.mailbox:
 			if !ok {
-				p.shed(len(p.idle))
+				p.closeOldest(len(p.idle))
 				return
 			}
 			p.serve(m)
@@ -166,22 +166,22 @@
 func (p *Peer) serve(m any) {
 	switch m := m.(type) {
 	case *Attempt:
-		go p.attempt(m, p.takeIdle())
-	case ended:
+		go p.runAttempt(m, p.takeIdle())
+	case attemptEnded:
 		switch {
-		case m.c == nil:
+		case m.conn == nil:
 		case p.shared.Sockets.waiting.Load() > 0: // Guards against one that falls idle after the ask for idle ones, and is kept
-			m.c.shut()
+			m.conn.closeAndRelease()
 		default:
-			m.c.idleSince = time.Now()
-			p.idle = append(p.idle, m.c)
+			m.conn.idleSince = time.Now()
+			p.idle = append(p.idle, m.conn)
 		}
-		m.a.over()
-		m.a.OnDone(m.a, m.r)
-	case shed:
-		p.shed(min(1, len(p.idle)))
-	case closeIdle:
-		p.shed(len(p.idle))
+		m.attempt.release()
+		m.attempt.OnDone(m.attempt, m.result)
+	case closeOldestIdle:
+		p.closeOldest(min(1, len(p.idle)))
+	case closeAllIdle:
+		p.closeOldest(len(p.idle))
 	}
 }
 
@@ -195,43 +195,43 @@
 			return nil
 		}
 		p.idle = slices.Delete(p.idle, 0, 1)
-		if c.addr == addr && p.young(c) && c.quiet() {
+		if c.addr == addr && p.isWithinIdleLimit(c) && c.isOpenAndEmpty() {
 			return c
 		}
-		c.shut()
+		c.closeAndRelease()
 	}
 	return nil
 }
 
-func (p *Peer) young(c *conn) bool {
-	return time.Since(c.idleSince) < time.Duration(idlePart*float64(p.shared.connIdle.Load()))
+func (p *Peer) isWithinIdleLimit(c *conn) bool {
+	return time.Since(c.idleSince) < time.Duration(idleLimitShare*float64(p.shared.connIdle.Load()))
 }
 
 // sweep closes idle connections that are old, closed by the server, or to one that wants nothing new.
 func (p *Peer) sweep() {
 	addr, ready := p.shared.Resolve(p.Host)
 	p.idle = slices.DeleteFunc(p.idle, func(c *conn) bool {
-		stale := !ready || c.addr != addr || !p.young(c) || !c.quiet()
+		stale := !ready || c.addr != addr || !p.isWithinIdleLimit(c) || !c.isOpenAndEmpty()
 		if stale {
-			c.shut()
+			c.closeAndRelease()
 		}
 		return stale
 	})
 }
 
-// shed closes the n connections that have been idle longest.
-func (p *Peer) shed(n int) {
+// closeOldest closes the n connections that have been idle longest.
+func (p *Peer) closeOldest(n int) {
 	for _, c := range p.idle[:n] {
-		c.shut()
+		c.closeAndRelease()
 	}
 	p.idle = slices.Delete(p.idle, 0, n)
 }
 
-// attempt runs one attempt to its end and reports it to the actor.
-func (p *Peer) attempt(a *Attempt, c *conn) {
+// runAttempt runs one attempt to its end and reports it to the actor.
+func (p *Peer) runAttempt(a *Attempt, c *conn) {
 	r := AttemptResult{}
-	if c != nil && !c.quiet() { // Guards against what came since the peer looked
-		c.shut()
+	if c != nil && !c.isOpenAndEmpty() { // Guards against what came since the peer looked
+		c.closeAndRelease()
 		c = nil
 	}
 	fresh := c == nil
@@ -245,7 +245,7 @@
 			return ready && addr == c.addr
 		})
 		if !reuse {
-			c.shut()
+			c.closeAndRelease()
 			c = nil
 		}
 	}
@@ -254,7 +254,7 @@
 	if r.ObservedAt.IsZero() {
 		r.ObservedAt = time.Now()
 	}
-	p.box <- ended{a: a, c: c, r: r}
+	p.mailbox <- attemptEnded{attempt: a, conn: c, result: r}
 }
 
 // IsSocketShortage tells of a lack on this side that passes. Guards against servers suspended for it.
@@ -263,8 +263,8 @@
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// mayPass tells of an error of socket or connect that may be over within a moment: a lack on this side, or no way to that server.
-func mayPass(err error) bool {
+// isTransient tells of an error of socket or connect that may be over within a moment: a lack on this side, or no way to that server.
+func isTransient(err error) bool {
 	return IsSocketShortage(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
 }
 
@@ -282,7 +282,7 @@
 	addr, ready := p.shared.Resolve(p.Host)
 	ctx, cancel := context.WithTimeout(a.ctx, time.Duration(p.shared.dialTimeout.Load()))
 	defer cancel()
-	if !ready || !p.shared.Sockets.await(ctx, p.shared.OnSocketShortage) {
+	if !ready || !p.shared.Sockets.acquire(ctx, p.shared.OnSocketShortage) {
 		return nil, NotSent
 	}
 	nc, err := p.shared.connect(ctx, addr)
@@ -290,19 +290,19 @@
 	if short {
 		p.shared.OnSocketShortage()
 	}
-	for mayPass(err) && ctx.Err() == nil { // Guards against tries that are used up within microseconds while it passes
+	for isTransient(err) && ctx.Err() == nil { // Guards against tries that are used up within microseconds while it passes
 		select {
 		case <-ctx.Done():
-		case <-time.After(redial):
+		case <-time.After(redialDelay):
 			nc, err = p.shared.connect(ctx, addr)
 		}
 	}
 	if err != nil {
-		p.shared.Sockets.give()
-		if a.withdrawn() || IsSocketShortage(err) || short && ctx.Err() != nil {
+		p.shared.Sockets.release()
+		if a.isCancelled() || IsSocketShortage(err) || short && ctx.Err() != nil {
 			return nil, NotSent
 		}
 		return nil, ConnectFailed
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr, budget: p.shared.Sockets}, Answered
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr, sockets: p.shared.Sockets}, Answered
 }
--- a/internal/upstream/resume.go
+++ b/internal/upstream/stream_state.go
@@ -27,9 +27,9 @@
 type Framing string
 
 const (
-	byLength Framing = "length"
-	byChunks Framing = "chunks"
-	byEnd    Framing = "end"
+	framedByLength Framing = "length"
+	framedByChunks Framing = "chunks"
+	framedByClose  Framing = "end"
 )
 
 // ErrDetached is what Read returns once Detach was called, between two pieces of the answer.
@@ -37,33 +37,33 @@
 
 // Detach makes Read return ErrDetached as soon as may be.
 func (s *Stream) Detach() {
-	s.detach.Store(true)
-	s.c.SetReadDeadline(past)
+	s.detached.Store(true)
+	s.conn.SetReadDeadline(deadlinePast)
 }
 
 // Attach takes a Detach back.
-func (s *Stream) Attach() { s.detach.Store(false) }
+func (s *Stream) Attach() { s.detached.Store(false) }
 
 // State tells, after ErrDetached, where the answer stands, and its server's connection.
 func (s *Stream) State() (StreamState, net.Conn) {
-	st := StreamState{Forwarded: s.sum, BufferedBody: len(s.head)}
+	st := StreamState{Forwarded: s.forwarded, BufferedBody: len(s.buffered)}
 	switch b := s.body.(type) {
-	case *exactly:
-		st.Framing, st.Remaining = byLength, b.left
-	case *chunked:
-		st.Framing, st.Remaining, st.AtChunkEnd, st.InTrailers, st.TrailerLines, st.Complete = byChunks, b.left, b.after, b.trailing, b.trailers, b.over
+	case *lengthReader:
+		st.Framing, st.Remaining = framedByLength, b.remaining
+	case *chunkedReader:
+		st.Framing, st.Remaining, st.AtChunkEnd, st.InTrailers, st.TrailerLines, st.Complete = framedByChunks, b.remaining, b.atChunkEnd, b.inTrailers, b.trailerLines, b.complete
 	default:
-		st.Framing = byEnd
+		st.Framing = framedByClose
 	}
-	ahead, _ := s.c.br.Peek(s.c.br.Buffered())
-	st.ReadAhead = append(append([]byte(nil), s.head...), ahead...)
-	return st, s.c.Conn
+	ahead, _ := s.conn.br.Peek(s.conn.br.Buffered())
+	st.ReadAhead = append(append([]byte(nil), s.buffered...), ahead...)
+	return st, s.conn.Conn
 }
 
-// check tells why a standing can't be one.
-func (st *StreamState) check() error {
+// validate tells why a standing can't be one.
+func (st *StreamState) validate() error {
 	switch {
-	case st.Framing != byLength && st.Framing != byChunks && st.Framing != byEnd:
+	case st.Framing != framedByLength && st.Framing != framedByChunks && st.Framing != framedByClose:
 		return fmt.Errorf("unknown framing %q", st.Framing)
 	case st.Remaining < 0 || st.Remaining > MaxBodySize || st.Forwarded < 0 || st.TrailerLines < 0:
 		return fmt.Errorf("figures out of bounds: %d left, %d passed on", st.Remaining, st.Forwarded)
@@ -75,37 +75,37 @@
 
 // Resume goes on with an answer that another process began. Its error is io.EOF after the last byte of a whole one alone.
 func Resume(server net.Conn, st StreamState) (io.Reader, error) {
-	if err := st.check(); err != nil {
+	if err := st.validate(); err != nil {
 		return nil, err
 	}
-	br := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(st.ReadAhead[st.BufferedBody:]), stalling{server}), readBuffer)
+	br := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(st.ReadAhead[st.BufferedBody:]), stallReader{server}), readBuffer)
 	var body io.Reader = br
 	switch st.Framing {
-	case byLength:
-		body = &exactly{br, st.Remaining}
-	case byChunks:
-		body = &chunked{br: br, left: st.Remaining, after: st.AtChunkEnd, trailing: st.InTrailers, trailers: st.TrailerLines, over: st.Complete}
+	case framedByLength:
+		body = &lengthReader{br, st.Remaining}
+	case framedByChunks:
+		body = &chunkedReader{br: br, remaining: st.Remaining, atChunkEnd: st.AtChunkEnd, inTrailers: st.InTrailers, trailerLines: st.TrailerLines, complete: st.Complete}
 	}
-	return &bounded{io.MultiReader(bytes.NewReader(st.ReadAhead[:st.BufferedBody]), body), MaxBodySize - st.Forwarded}, nil
+	return &boundedReader{io.MultiReader(bytes.NewReader(st.ReadAhead[:st.BufferedBody]), body), MaxBodySize - st.Forwarded}, nil
 }
 
-// stalling reads as long as something comes now and then.
-type stalling struct{ net.Conn }
+// stallReader reads as long as something comes now and then.
+type stallReader struct{ net.Conn }
 
-func (s stalling) Read(p []byte) (int, error) {
-	s.SetReadDeadline(time.Now().Add(stalled))
+func (s stallReader) Read(p []byte) (int, error) {
+	s.SetReadDeadline(time.Now().Add(stallTimeout))
 	return s.Conn.Read(p)
 }
 
-// bounded reads so many bytes at most: more is an error, not an end.
-type bounded struct {
-	r    io.Reader
-	left int64
+// boundedReader reads so many bytes at most: more is an error, not an end.
+type boundedReader struct {
+	r         io.Reader
+	remaining int64
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *boundedReader) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p)
-	if b.left -= int64(n); b.left < 0 {
+	if b.remaining -= int64(n); b.remaining < 0 {
 		return n, errTooLong
 	}
 	return n, err
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -201,7 +201,7 @@
 	if r := send(t, p, func(a *Attempt) { a.Deadline = a.DecidedAt.Add(500 * time.Millisecond) }); r.Reason != TimedOut {
 		t.Fatal(r.Reason)
 	}
-	if n := sh.Sockets.used.Load(); n != 0 { // given up by closing the connection
+	if n := sh.Sockets.inUse.Load(); n != 0 { // given up by closing the connection
 		t.Fatalf("%d sockets still held", n)
 	}
 }
@@ -346,8 +346,8 @@
 	if r := send(t, other, nil); r.Reason != Answered { // holds the only socket, idle, from now on
 		t.Fatal(r.Reason)
 	}
-	if r := send(t, p, nil); r.Reason != Answered || sh.Sockets.used.Load() != 1 {
-		t.Fatal(r.Reason, sh.Sockets.used.Load())
+	if r := send(t, p, nil); r.Reason != Answered || sh.Sockets.inUse.Load() != 1 {
+		t.Fatal(r.Reason, sh.Sockets.inUse.Load())
 	}
 }
 
@@ -384,7 +384,7 @@
 
 // A full mailbox turns an attempt down and never makes the module wait.
 func TestFullMailboxTurnsDown(t *testing.T) {
-	p := &Peer{box: make(chan any, 1)}
+	p := &Peer{mailbox: make(chan any, 1)}
 	a := func() *Attempt { return &Attempt{Deadline: time.Now().Add(time.Minute)} }
 	if !p.Offer(a()) || p.Offer(a()) {
 		t.Fatal("one of two fits")
@@ -466,7 +466,7 @@
 		if err != nil {
 			return
 		}
-		end(&resp)
+		classify(&resp)
 		parseLoad(resp.Header.Peek("Srv-Load"))
 		if body, length, err := answerBody(br, &resp, toTheEnd); err == nil {
 			n, err := io.Copy(io.Discard, body)
