--- /dev/null
+++ b/internal/fleet/wire_golden_test.go
@@ -0,0 +1,201 @@
+package fleet
+
+import (
+	"bufio"
+	"encoding/hex"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"damsonscale/internal/audit"
+	"damsonscale/internal/frame"
+	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
+)
+
+// wireGolden has one line for each sample: its name, and in hexadecimal what commit 2029d41 writes for it.
+const wireGolden = "testdata/wire-2029d41.hex"
+
+func sampleDigest(first byte) (d rollout.Digest) {
+	for i := range d {
+		d[i] = first + byte(i)
+	}
+	return d
+}
+
+func sampleRecord() takeover.Record {
+	return takeover.Record{
+		ID: "rec-1", Digest: 11, Class: "class-1", Effect: takeover.Unsafe, Owner: member("own", 12), Epoch: 13, Age: 14, Life: 15,
+		Sent: true, Request: []byte("request"), Seq: 16, Answer: sampleAnswer(),
+	}
+}
+
+func sampleAnswer() takeover.Answer {
+	return takeover.Answer{Verdict: takeover.TooLong, Body: []byte("body"), ContentType: []byte("type"), RetryAfter: 17, Why: "why"}
+}
+
+func sampleMessage() takeover.Message {
+	rec := sampleRecord()
+	return takeover.Message{
+		Kind: takeover.Promised, To: takeover.Ask, ID: "id-1", Ballot: takeover.Ballot{Round: 21, By: member("by", 22)}, Epoch: 23, Digest: 24,
+		Seq: 25, Promise: takeover.Ballot{Round: 26, By: member("pr", 27)}, Known: true, At: takeover.Ballot{Round: 28, By: member("at", 29)}, Record: &rec,
+	}
+}
+
+func sampleReport() rollout.Report {
+	return rollout.Report{
+		Acts: 31, Refused: 32, Why: "could not", Digest: 33, Build: "build", Now: rollout.Service{Ended: 34, Served: 35},
+		Before: rollout.Service{Ended: 36, Served: 37},
+	}
+}
+
+func sampleOrder() *rollout.Order {
+	return &rollout.Order{
+		Kind: rollout.BarName, ID: 41, Who: "who", Why: "order why", Text: []byte("text"), Number: 42, Name: "name", Share: 43, SettleMs: 44, GraceMs: 45,
+	}
+}
+
+func samplePlan() rollout.Plan {
+	return rollout.Plan{
+		Last: 51, Target: 52, Base: 53, Share: 54, First: []string{"f1", "f2"}, SettleMs: 55, GraceMs: 56, Fence: 57, Held: "held why",
+		Versions: []rollout.Version{{Number: 58, Digest: sampleDigest(1), Size: 59, Who: "vwho", Why: "vwhy", Back: 60}},
+		Barred:   []string{"barred"}, Done: []uint64{61, 62},
+	}
+}
+
+func sampleRoster() *roster {
+	return &roster{
+		Epoch: 71, Seats: []seat{{Member: member("m", 72), Joined: 73, First: true, Address: "x:1"}},
+		Gone: map[string][]uint64{"gone": {74, 75}}, Plan: samplePlan(),
+	}
+}
+
+func sampleStanding() *Standing {
+	return &Standing{
+		Name: "name", Me: member("me", 81), Leads: true, Leader: "leader", Epoch: 82, Plan: samplePlan(), Names: []string{"n1", "n2"},
+		Living: []takeover.Member{member("l", 83)}, Reports: map[string]Told{"rep": {Report: sampleReport(), AgeMs: 84}}, Waits: "waits",
+	}
+}
+
+// wireSamples are values of every type that members and operators send to each other or that the log stores. Each field is
+// set in one of them, and no two fields of a type have the same value in all of them.
+func wireSamples() map[string]any {
+	return map[string]any{
+		"hello":              hello{Fleet: 1, From: member("from", 2)},
+		"leave":              member("leaver", 3),
+		"askLease":           askLease{Member: member("asker", 4), Sent: 5, Address: "a:6", Report: sampleReport()},
+		"granted":            granted{Member: member("asker", 4), Sent: 5, Epoch: 6},
+		"granted-out":        granted{Member: member("asker", 4), Sent: 5, Epoch: 6, Out: true},
+		"granted-shut":       granted{Member: member("asker", 4), Sent: 5, Epoch: 6, Shut: true},
+		"entry-join":         entry{Member: member("joins", 7), Address: "b:8"},
+		"entry-out":          entry{Out: true, Member: member("out", 9)},
+		"entry-order":        entry{Order: sampleOrder()},
+		"roster":             sampleRoster(),
+		"kept":               kept{Roster: sampleRoster(), Texts: map[string][]byte{"digest": []byte("text")}},
+		"haveText":           haveText{Text: []byte("version text")},
+		"takenOf":            []takenOf{{Of: member("of", 10), Index: 11}},
+		"segments":           []audit.Sealed{{Text: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}},
+		"ask":                Ask{Fleet: 91, Do: AskOrder, Order: sampleOrder(), Member: "of member"},
+		"ask-status":         Ask{Fleet: 91, Do: AskStanding},
+		"ask-segments":       Ask{Fleet: 91, Do: AskSegments, Member: "m"},
+		"reply-not-leading":  Reply{Err: "no", NotLeading: true, Leader: "l"},
+		"reply-unknown":      Reply{Err: "no", Unknown: true},
+		"reply-standing":     Reply{Standing: sampleStanding()},
+		"reply-segments":     Reply{Segments: []audit.Sealed{{Text: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}}, More: true},
+		"messages":           []takeover.Message{sampleMessage()},
+		"message-write":      takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Effect: takeover.Keyed}},
+		"message-sent":       takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Sent: true}},
+		"message-known":      takeover.Message{Kind: takeover.Promised, Known: true},
+		"stored":             takeover.Stored{Head: []byte("head"), Body: []byte("body"), Tenant: "tenant", Key: "key"},
+		"record":             sampleRecord(),
+		"ballot":             takeover.Ballot{Round: 92, By: member("by", 93)},
+		"answer":             sampleAnswer(),
+		"seat":               seat{Member: member("s", 94), Joined: 95, First: true, Address: "c:96"},
+		"standing":           sampleStanding(),
+		"standing-no-leader": &Standing{Name: "name", Me: member("me", 81), Leader: "leader"},
+		"told":               Told{Report: sampleReport(), AgeMs: 97},
+	}
+}
+
+// Every type has the bytes on the wire and in the log that commit 2029d41 gave it, and those bytes are read as the same value.
+func TestWireBytesStayAsTheyWere(t *testing.T) {
+	c, err := newCoder()
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := os.Open(wireGolden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	golden := map[string]string{}
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		name, text, _ := strings.Cut(lines.Text(), " ")
+		golden[name] = text
+	}
+	samples := wireSamples()
+	if len(golden) != len(samples) {
+		t.Errorf("%d samples, and bytes of %d", len(samples), len(golden))
+	}
+	for name, sample := range samples {
+		text, err := c.out.Marshal(sample)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		if got := hex.EncodeToString(text); got != golden[name] {
+			t.Errorf("%s: writes\n%s, not\n%s", name, got, golden[name])
+		}
+		old, err := hex.DecodeString(golden[name])
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		read := reflect.New(reflect.TypeOf(sample))
+		if err := c.in.Unmarshal(old, read.Interface()); err != nil {
+			t.Errorf("%s: %v", name, err)
+		} else if !reflect.DeepEqual(read.Elem().Interface(), sample) {
+			t.Errorf("%s: reads\n%+v, not\n%+v", name, read.Elem().Interface(), sample)
+		}
+	}
+}
+
+// Numbers that go on the wire or into the log are those that members of other builds know.
+func TestWireNumbersStayAsTheyWere(t *testing.T) {
+	for name, c := range map[string]struct{ got, want []int }{
+		"frames": {
+			[]int{
+				int(kindHello), int(kindRaft), int(kindCustody), int(kindAsk), int(kindGrant), int(kindViewAsk), int(kindView), int(kindLeave),
+				int(kindDesk), int(kindWant), int(kindHave), int(kindSegments), int(kindTaken),
+			},
+			[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12},
+		},
+		"messages": {
+			[]int{
+				int(takeover.Write), int(takeover.Ask), int(takeover.Accepted), int(takeover.Promised), int(takeover.Lives), int(takeover.Outbid),
+				int(takeover.Out), int(takeover.Behind), int(takeover.Young), int(takeover.Full), int(takeover.Other), int(takeover.Expired),
+			},
+			[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11},
+		},
+		"effects": {[]int{int(takeover.Safe), int(takeover.Keyed), int(takeover.Unsafe)}, []int{0, 1, 2}},
+		"verdicts": {
+			[]int{int(takeover.None), int(takeover.Served), int(takeover.Refused), int(takeover.Failed), int(takeover.TooLong)}, []int{0, 1, 2, 3, 4},
+		},
+		"faults on purpose": {
+			[]int{
+				int(takeover.Sound), int(takeover.LeaseUnchecked), int(takeover.SendEarly), int(takeover.EpochWrong), int(takeover.AnswerForgot),
+			},
+			[]int{0, 1, 2, 3, 4},
+		},
+		"protocol": {[]int{protocol, frame.Version}, []int{2, 2}},
+	} {
+		if !reflect.DeepEqual(c.got, c.want) {
+			t.Errorf("%s: %v, not %v", name, c.got, c.want)
+		}
+	}
+	if AskStanding != "status" || AskOrder != "order" || AskSegments != "segments" {
+		t.Error("an operator's request has another word")
+	}
+	if got := fleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
+		t.Errorf("the fleet of a, b and c is %#x", got)
+	}
+}
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/hex"
 	"errors"
 	"io"
 	"testing"
@@ -63,3 +64,11 @@
 		}
 	})
 }
+
+// A frame has the bytes that commit 2029d41 gave it, so that builds of before and after understand each other.
+func TestFrameBytesStayAsTheyWere(t *testing.T) {
+	const golden = "444602070000000ac8af35fd1e22d44f736f6d6520776f726473"
+	if got := hex.EncodeToString(made(t, 7, "some words")); got != golden {
+		t.Errorf("%s, not %s", got, golden)
+	}
+}
