--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -86,6 +86,21 @@
 	expectStored(t, e, 7, storedSnapshot(), map[string][]byte{})
 }
 
+// So is one whose snapshot was written after a version was rolled out.
+func TestALogWithAVersionInItsSnapshotIsRead(t *testing.T) {
+	e, err := openStored(t, "fleet-2029d41-version.db")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer e.store.close()
+	snapshot := storedSnapshot()
+	snapshot.Epoch = 5
+	snapshot.Plan = rollout.Plan{
+		Last: 1, Target: 1, Share: 400, First: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, Versions: []rollout.Version{storedVersion}, Done: []uint64{7},
+	}
+	expectStored(t, e, 8, snapshot, storedTexts)
+}
+
 // sameJSON compares by exported fields: an empty list equals none.
 func sameJSON(t *testing.T, a, b any) bool {
 	t.Helper()
