--- a/cmd/damsonscale-lab/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -280,7 +280,7 @@
 		return true
 	}
 	for _, strict := range []bool{false, true} {
-		conf := modelcheck.Config{Effects: []takeover.Effect{takeover.Unsafe}, Strict: strict, Budget: modelcheck.Little}
+		conf := modelcheck.Config{Effects: []takeover.Idempotency{takeover.NotIdempotent}, Strict: strict, Budget: modelcheck.Little}
 		f, err := modelcheck.Exhaust(p.ctx, conf, c.Depth)
 		if err != nil {
 			return err
@@ -294,7 +294,7 @@
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
 		f := modelcheck.Walk(modelcheck.Config{
-			Effects: []takeover.Effect{takeover.Unsafe, takeover.Keyed}, Strict: seed%2 == 0, Budget: modelcheck.Much,
+			Effects: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}, Strict: seed%2 == 0, Budget: modelcheck.Much,
 		}, seed, c.Steps)
 		steps += f.States
 		if broken(f) {
--- a/internal/app/tuning.go
+++ b/internal/app/tuning.go
@@ -76,8 +76,8 @@
 	return retuned
 }
 
-// Adopt puts the settings of a fleet's version in force, or returns why that can't be; then nothing has changed.
-func (t *Tuning) Adopt(number uint64, text []byte) error {
+// Apply puts the settings of a fleet's version in force, or returns why that can't be; then nothing has changed.
+func (t *Tuning) Apply(number uint64, text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next, err := t.conf.Adopt(text, t.env)
@@ -91,16 +91,16 @@
 	return nil
 }
 
-// Check tells what Adopt would say.
-func (t *Tuning) Check(text []byte) error {
+// Validate tells what Adopt would say.
+func (t *Tuning) Validate(text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_, err := t.conf.Adopt(text, t.env)
 	return err
 }
 
-// Rest closes what is idle: this process may not act.
-func (t *Tuning) Rest() {
+// CloseIdle closes what is idle: this process may not act.
+func (t *Tuning) CloseIdle() {
 	t.front.Rest()
 	t.side.Rest()
 }
--- a/internal/cells/log.go
+++ b/internal/cells/log.go
@@ -225,7 +225,9 @@
 			out = append(out, m)
 		}
 	}
-	slices.SortFunc(out, func(a, b takeover.Member) int { return takeover.Ballot{By: a}.Compare(takeover.Ballot{By: b}) })
+	slices.SortFunc(out, func(a, b takeover.Member) int {
+		return takeover.Ballot{Proposer: a}.Compare(takeover.Ballot{Proposer: b})
+	})
 	return out
 }
 
--- a/internal/fleet/desk.go
+++ b/internal/fleet/desk.go
@@ -24,62 +24,62 @@
 
 // What an operator may ask for.
 const (
-	AskStanding = "status"
-	AskOrder    = "order"
-	AskSegments = "segments"
+	CommandStatus   = "status"
+	CommandOrder    = "order"
+	CommandSegments = "segments"
 )
 
-// Ask is one of an operator's. A connection carries one.
-type Ask struct {
-	_      struct{} `cbor:",toarray"`
-	Fleet  uint64
-	Do     string
-	Order  *rollout.Order
-	Member string // with AskSegments: of that name alone
+// AdminRequest is one of an operator's. A connection carries one.
+type AdminRequest struct {
+	_       struct{} `cbor:",toarray"`
+	FleetID uint64
+	Command string
+	Order   *rollout.Order
+	Member  string // with CommandSegments: of that name alone
 }
 
-// Reply answers it, with segments in several frames.
-type Reply struct {
-	_          struct{} `cbor:",toarray"`
-	Err        string
-	NotLeading bool // with an Err: Leader can do it, if it is known
-	Unknown    bool // with an Err: it may be agreed all the same
-	Leader     string
-	Standing   *Standing
-	Segments   []audit.Sealed
-	More       bool
+// AdminResponse answers it, with segments in several frames.
+type AdminResponse struct {
+	_              struct{} `cbor:",toarray"`
+	Err            string
+	NotLeader      bool // with an Err: Leader can do it, if it is known
+	OutcomeUnknown bool // with an Err: it may be agreed all the same
+	Leader         string
+	Status         *ClusterStatus
+	Segments       []audit.Sealed
+	More           bool
 }
 
-// Told is a member's last report, as the leader has it.
-type Told struct {
-	_      struct{} `cbor:",toarray"`
-	Report rollout.Report
-	AgeMs  int64
+// MemberStatus is a member's last report, as the leader has it.
+type MemberStatus struct {
+	_      struct{}       `cbor:",toarray"`
+	Report rollout.Report `json:"Report"`
+	AgeMs  int64          `json:"AgeMs"`
 }
 
-// Standing is what a member knows of the fleet.
-type Standing struct {
-	_       struct{} `cbor:",toarray"`
-	Name    string   // whose word it is
-	Me      takeover.Member
-	Leads   bool
-	Leader  string
-	Epoch   uint64
-	Plan    rollout.Plan
-	Names   []string
-	Living  []takeover.Member
-	Reports map[string]Told // of a leader alone
-	Waits   string
+// ClusterStatus is what a member knows of the fleet.
+type ClusterStatus struct {
+	_           struct{}                `cbor:",toarray"`
+	Name        string                  `json:"Name"` // whose word it is
+	Self        takeover.Member         `json:"Me"`
+	IsLeader    bool                    `json:"Leads"`
+	Leader      string                  `json:"Leader"`
+	Epoch       uint64                  `json:"Epoch"`
+	Plan        rollout.Plan            `json:"Plan"`
+	MemberNames []string                `json:"Names"`
+	Members     []takeover.Member       `json:"Living"`
+	Reports     map[string]MemberStatus `json:"Reports"` // of a leader alone
+	WaitingFor  string                  `json:"Waits"`
 }
 
 // desk answers one operator.
 func (f *Fleet) desk(conn net.Conn, payload []byte) {
-	var a Ask
-	reply := Reply{}
+	var a AdminRequest
+	reply := AdminResponse{}
 	switch err := f.coder.in.Unmarshal(payload, &a); {
 	case err != nil:
 		reply.Err = fmt.Sprintf("not readable: %v", err)
-	case a.Fleet != f.wire.id:
+	case a.FleetID != f.wire.id:
 		reply.Err = "this member is of another fleet: its members have other names"
 	case f.ledger == nil:
 		reply.Err = "this member keeps no account: audit.enabled is false in its options"
@@ -89,7 +89,7 @@
 	f.reply(conn, &reply)
 }
 
-func (f *Fleet) reply(conn net.Conn, r *Reply) error {
+func (f *Fleet) reply(conn net.Conn, r *AdminResponse) error {
 	text, err := f.coder.out.Marshal(r)
 	if err != nil {
 		return err
@@ -103,28 +103,28 @@
 	return err
 }
 
-func (f *Fleet) answer(conn net.Conn, a *Ask) Reply {
+func (f *Fleet) answer(conn net.Conn, a *AdminRequest) AdminResponse {
 	ctx, cancel := context.WithTimeout(f.ctx, deskWait)
 	defer cancel()
-	switch a.Do {
-	case AskStanding:
-		return Reply{Standing: f.standing(ctx)}
-	case AskSegments:
+	switch a.Command {
+	case CommandStatus:
+		return AdminResponse{Status: f.standing(ctx)}
+	case CommandSegments:
 		return f.segments(ctx, conn, a.Member)
-	case AskOrder:
+	case CommandOrder:
 		if a.Order == nil || a.Order.Kind > rollout.Readmit {
-			return Reply{Err: "no order of an operator's"}
+			return AdminResponse{Err: "no order of an operator's"}
 		}
 		if err := f.ordered(ctx, a.Order); errors.Is(err, errNoLead) {
-			return Reply{Err: err.Error(), NotLeading: true, Leader: f.leads()}
+			return AdminResponse{Err: err.Error(), NotLeader: true, Leader: f.leads()}
 		} else if errors.Is(err, errNoLeader) || errors.Is(err, errLate) {
-			return Reply{Err: err.Error(), Unknown: true}
+			return AdminResponse{Err: err.Error(), OutcomeUnknown: true}
 		} else if err != nil {
-			return Reply{Err: err.Error()}
+			return AdminResponse{Err: err.Error()}
 		}
-		return Reply{Standing: f.standing(ctx)}
+		return AdminResponse{Status: f.standing(ctx)}
 	}
-	return Reply{Err: fmt.Sprintf("%q is nothing that can be asked", a.Do)}
+	return AdminResponse{Err: fmt.Sprintf("%q is nothing that can be asked", a.Command)}
 }
 
 func (f *Fleet) leads() string {
@@ -144,7 +144,7 @@
 		return errNoLead
 	}
 	if o.Kind == rollout.RollOut {
-		if err := f.tuner.Check(o.Text); err != nil {
+		if err := f.tuner.Validate(o.Text); err != nil {
 			return err
 		}
 	}
@@ -166,11 +166,11 @@
 }
 
 // standing tells what this member knows, and what all reported if it leads.
-func (f *Fleet) standing(ctx context.Context) *Standing {
+func (f *Fleet) standing(ctx context.Context) *ClusterStatus {
 	r := f.roster.Load()
-	s := &Standing{Name: f.name, Me: *f.me.Load(), Leader: f.leads(), Epoch: r.Epoch, Plan: r.Plan, Names: f.names}
+	s := &ClusterStatus{Name: f.name, Self: *f.me.Load(), Leader: f.leads(), Epoch: r.Epoch, Plan: r.Plan, MemberNames: f.names}
 	for _, one := range r.Seats {
-		s.Living = append(s.Living, one.Member)
+		s.Members = append(s.Members, one.Member)
 	}
 	e := f.epochs.Load()
 	if e == nil {
@@ -192,11 +192,11 @@
 	}
 	select {
 	case t := <-back:
-		s.Leads, s.Waits = t.leads, t.waits
+		s.IsLeader, s.WaitingFor = t.leads, t.waits
 		if t.leads {
-			s.Leader, s.Reports = f.name, map[string]Told{}
+			s.Leader, s.Reports = f.name, map[string]MemberStatus{}
 			for name, h := range t.heard {
-				s.Reports[name] = Told{Report: h.Report, AgeMs: time.Since(h.At).Milliseconds()}
+				s.Reports[name] = MemberStatus{Report: h.Report, AgeMs: time.Since(h.At).Milliseconds()}
 			}
 		}
 	case <-ctx.Done():
@@ -205,7 +205,7 @@
 }
 
 // segments sends what this member holds, its own up to now first.
-func (f *Fleet) segments(ctx context.Context, conn net.Conn, name string) Reply {
+func (f *Fleet) segments(ctx context.Context, conn net.Conn, name string) AdminResponse {
 	back := make(chan []audit.Sealed, 1)
 	select {
 	case f.ledger.box <- func() {
@@ -213,34 +213,34 @@
 		back <- f.ledger.shelf.Held(name)
 	}:
 	case <-ctx.Done():
-		return Reply{Err: errBusy.Error()}
+		return AdminResponse{Err: errBusy.Error()}
 	}
 	var all []audit.Sealed
 	select {
 	case all = <-back:
 	case <-ctx.Done():
-		return Reply{Err: errBusy.Error()}
+		return AdminResponse{Err: errBusy.Error()}
 	}
 	part, bytes := []audit.Sealed(nil), 0
 	for _, z := range all {
 		if bytes += len(z.Text); bytes > deskPart && len(part) > 0 {
-			if err := f.reply(conn, &Reply{Segments: part, More: true}); err != nil {
-				return Reply{Err: err.Error()}
+			if err := f.reply(conn, &AdminResponse{Segments: part, More: true}); err != nil {
+				return AdminResponse{Err: err.Error()}
 			}
 			part, bytes = nil, len(z.Text)
 		}
 		part = append(part, z)
 	}
-	return Reply{Segments: part}
+	return AdminResponse{Segments: part}
 }
 
 // Call asks a member as an operator does.
-func Call(ctx context.Context, addr string, names []string, a Ask) (*Reply, error) {
+func Call(ctx context.Context, addr string, names []string, a AdminRequest) (*AdminResponse, error) {
 	coder, err := newCoder()
 	if err != nil {
 		return nil, err
 	}
-	a.Fleet = fleetID(names)
+	a.FleetID = fleetID(names)
 	text, err := coder.out.Marshal(a)
 	if err != nil {
 		return nil, err
@@ -260,13 +260,13 @@
 	if _, err := conn.Write(out); err != nil {
 		return nil, err
 	}
-	var whole Reply
+	var whole AdminResponse
 	for {
 		kind, payload, err := frame.Read(conn)
 		if err != nil {
 			return nil, err
 		}
-		var r Reply
+		var r AdminResponse
 		if kind != kindDesk {
 			return nil, errKind
 		}
--- a/internal/fleet/disk.go
+++ b/internal/fleet/disk.go
@@ -110,7 +110,7 @@
 		if err != nil {
 			return out, good, err
 		}
-		out, good = append(out, z), good+int64(frame.Head+len(payload))
+		out, good = append(out, z), good+int64(frame.HeaderSize+len(payload))
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,16 +33,16 @@
 // Hooks are what a fleet needs of the program.
 type Hooks interface {
 	// Unasked makes what runs a recorded request that nobody has asked for again.
-	Unasked(rec *takeover.Record, stored *takeover.Stored) (func(takeover.Leave) takeover.Result, error)
+	ResumeOrphan(rec *takeover.Record, stored *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error)
 	// Unheard ends a live answer that nobody is left to take.
-	Unheard(live any)
+	DiscardResponse(live any)
 }
 
-// Tuner puts versions of the settings in force.
-type Tuner interface {
-	Adopt(number uint64, text []byte) error // whole, or not at all
-	Check(text []byte) error                // tells what Adopt would say
-	Rest()                                  // closes what is idle
+// SettingsApplier puts versions of the settings in force.
+type SettingsApplier interface {
+	Apply(number uint64, text []byte) error // whole, or not at all
+	Validate(text []byte) error             // tells what Adopt would say
+	CloseIdle()                             // closes what is idle
 }
 
 // protocol is the version of what members tell each other.
@@ -50,7 +50,7 @@
 
 // plants are faults on purpose.
 type plants struct {
-	custody    takeover.Plant
+	custody    takeover.InjectedFault
 	audit      audit.Plant
 	noFence    bool // leases are given below the fence
 	looseGuard bool // the guard lets one more be without a lease
@@ -72,7 +72,7 @@
 	start   time.Time
 	plant   plants
 	build   string
-	tuner   Tuner
+	tuner   SettingsApplier
 	book    *audit.Book // nil, with ledger: no account is kept
 	ledger  *ledger
 	tuned   tuned       // of the member's own actor
@@ -93,7 +93,7 @@
 
 // New makes a member. longest is the longest deadline of a class, which counts unless the options say another. Nothing is
 // listened to or sent before Run.
-func New(o *options.Options, name string, longest time.Duration, hooks Hooks, tuner Tuner) (*Fleet, error) {
+func New(o *options.Options, name string, longest time.Duration, hooks Hooks, tuner SettingsApplier) (*Fleet, error) {
 	c, err := newCoder()
 	if err != nil {
 		return nil, err
@@ -128,9 +128,9 @@
 	f.wire.where = func(name string) string { return f.roster.Load().addressOf(name, f.listed[name]) }
 	f.keeper = &keeper{f: f, box: make(chan func(int64), keeperBox), flights: map[string]*flight{}}
 	f.keeper.node = takeover.New(takeover.Config{
-		Me: *f.me.Load(), Names: f.names, Holders: o.Takeover.Holders, Records: o.Takeover.Records, Bytes: o.Takeover.Bytes,
-		Keep: o.Takeover.KeepAnswers.Microseconds(), Longest: longest.Microseconds(), Wait: f.wait, Again: f.again, Slack: o.Fleet.Lease.Microseconds(),
-		Stagger: o.Fleet.Lease.Microseconds() / 2, Plant: f.plant.custody,
+		Self: *f.me.Load(), MemberNames: f.names, ReplicationFactor: o.Takeover.Holders, MaxRecords: o.Takeover.Records, MaxBytes: o.Takeover.Bytes,
+		Retention: o.Takeover.KeepAnswers.Microseconds(), MaxRequestAge: longest.Microseconds(), QuorumTimeout: f.wait, ResendInterval: f.again, LateRequestSlack: o.Fleet.Lease.Microseconds(),
+		TakeoverStagger: o.Fleet.Lease.Microseconds() / 2, Fault: f.plant.custody,
 	})
 	return f, nil
 }
@@ -335,7 +335,7 @@
 		f.ledger.post(func() { f.ledger.see(r) })
 	}
 	v := r.view()
-	f.keeper.box <- func(now int64) { f.keeper.node.See(now, v) }
+	f.keeper.box <- func(now int64) { f.keeper.node.ApplyView(now, v) }
 	if me := *f.me.Load(); r.gone(me) && !f.ended.Load() {
 		f.putOut()
 	}
@@ -477,14 +477,14 @@
 
 // Do brings a request under custody, has it run if that is this member's to do, and tells its outcome. gone is closed
 // when its client leaves.
-func (f *Fleet) Do(w takeover.Work, gone <-chan struct{}, run func(takeover.Leave) takeover.Result) takeover.Outcome {
+func (f *Fleet) Do(w takeover.Request, gone <-chan struct{}, run func(takeover.SendPermit) takeover.Result) takeover.Outcome {
 	wait := make(chan takeover.Outcome, 1)
-	end := time.NewTimer(w.Left)
+	end := time.NewTimer(w.Timeout)
 	defer end.Stop()
 	select {
 	case f.keeper.box <- func(now int64) { f.keeper.open(now, w, wait, run) }:
 	case <-end.C:
-		return takeover.Outcome{Word: takeover.Gone}
+		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
 	}
 	for more := true; more; {
 		select {
@@ -493,9 +493,9 @@
 		case <-gone:
 			more = false
 		case <-end.C: // one that runs has until its body has come and its time after that is up
-			if more = w.Longest > w.Left && f.keeper.runs(w.ID, wait); more {
-				end.Reset(w.Longest - w.Left)
-				w.Longest = 0
+			if more = w.MaxDuration > w.Timeout && f.keeper.runs(w.ID, wait); more {
+				end.Reset(w.MaxDuration - w.Timeout)
+				w.MaxDuration = 0
 			}
 		case <-f.ctx.Done():
 			more = false
@@ -506,19 +506,19 @@
 	case o := <-wait:
 		return o
 	default:
-		return takeover.Outcome{Word: takeover.Gone}
+		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
 	}
 }
 
 // Custody tells what becomes of a class's work.
-func (f *Fleet) Custody(class string, e takeover.Effect) options.Custody {
+func (f *Fleet) Custody(class string, e takeover.Idempotency) options.Custody {
 	if c, ok := f.opts.Takeover.Classes[class]; ok {
 		return c
 	}
 	switch e {
-	case takeover.Unsafe:
+	case takeover.NotIdempotent:
 		return options.Strict
-	case takeover.Keyed:
+	case takeover.IdempotentByKey:
 		return options.BestEffort
 	}
 	return options.None
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -51,7 +51,7 @@
 		r = next
 	}
 	v := r.view()
-	if s := v.Live[a2]; len(v.Live) != 1 || s.Joined != 2 || s.First || r.addressOf("a", "listed") != "x:1" || r.addressOf("b", "listed") != "listed" {
+	if s := v.Members[a2]; len(v.Members) != 1 || s.JoinedEpoch != 2 || s.FirstIncarnation || r.addressOf("a", "listed") != "x:1" || r.addressOf("b", "listed") != "listed" {
 		t.Fatalf("%+v", v)
 	}
 	for _, bad := range []*roster{
@@ -122,7 +122,7 @@
 	l.end()
 	l.extend(now, 2*time.Hour)
 	select {
-	case <-l.Over():
+	case <-l.Done():
 	default:
 		t.Error("not over")
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := openStore(dir, nil); !errors.Is(err, ErrHeld) {
+	if _, err := openStore(dir, nil); !errors.Is(err, ErrLogLocked) {
 		t.Fatalf("opened twice: %v", err)
 	}
 	one := func(index, term uint64, data string) *raftpb.Entry {
--- a/internal/fleet/grants.go
+++ b/internal/fleet/grants.go
@@ -19,21 +19,21 @@
 	ended atomic.Bool
 	over  chan struct{} // closed once the incarnation is out
 	shut  *atomic.Bool  // while this process may not act by what it knows of the fleet's plan
-	plant takeover.Plant
+	plant takeover.InjectedFault
 }
 
-// Over is closed once the incarnation is out for good.
-func (l *Lease) Over() <-chan struct{} { return l.over }
+// Done is closed once the incarnation is out for good.
+func (l *Lease) Done() <-chan struct{} { return l.over }
 
 func (l *Lease) end() {
-	if l.ended.CompareAndSwap(false, true) && l.plant != takeover.LeaseUnchecked {
+	if l.ended.CompareAndSwap(false, true) && l.plant != takeover.IgnoreLease {
 		close(l.over)
 	}
 }
 
 // Valid tells whether this process may act now. Asked as late as can be before a byte goes out.
 func (l *Lease) Valid() bool {
-	if l.plant == takeover.LeaseUnchecked {
+	if l.plant == takeover.IgnoreLease {
 		return true
 	}
 	return !l.ended.Load() && !l.shut.Load() && int64(time.Since(l.start)) < l.until.Load()
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -19,8 +19,8 @@
 
 // flight is a request under custody here.
 type flight struct {
-	work    takeover.Work
-	run     func(takeover.Leave) takeover.Result
+	work    takeover.Request
+	run     func(takeover.SendPermit) takeover.Result
 	waits   []chan takeover.Outcome
 	running bool
 	lease   takeover.Lease // that it runs under
@@ -78,7 +78,7 @@
 		case <-report.C:
 			if k.counts != last {
 				last = k.counts
-				records, bytes := k.node.Held()
+				records, bytes := k.node.Usage()
 				log.Printf("event=custody taken=%d resumed=%d given=%d missing=%d lost=%d unasked=%d doubled=%d records=%d bytes=%d open=%d",
 					last.taken, last.resumed, last.given, last.missing, last.lost, last.unasked, last.doubled, records, bytes, len(k.flights))
 			}
@@ -101,18 +101,18 @@
 
 // settle carries out what the node says and sends what it wants sent.
 func (k *keeper) settle() {
-	for events := k.node.Events(); len(events) > 0; events = k.node.Events() {
+	for events := k.node.TakeEvents(); len(events) > 0; events = k.node.TakeEvents() {
 		for i := range events {
 			k.does(&events[i])
 		}
 	}
-	out := k.node.Sent()
+	out := k.node.TakeMessages()
 	if len(out) == 0 {
 		return
 	}
 	batches := map[string][]takeover.Message{}
 	for i := range out {
-		batches[out[i].Name] = append(batches[out[i].Name], out[i].Message)
+		batches[out[i].To] = append(batches[out[i].To], out[i].Message)
 	}
 	for name, all := range batches {
 		k.batch(name, all)
@@ -125,7 +125,7 @@
 		n, bytes := 0, 0
 		for n < len(all) && n < batchMost && bytes < batchBytes {
 			if r := all[n].Record; r != nil {
-				bytes += len(r.Request) + len(r.Answer.Body)
+				bytes += len(r.Request) + len(r.Response.Body)
 			}
 			n++
 		}
@@ -140,13 +140,13 @@
 }
 
 // open takes a request.
-func (k *keeper) open(now int64, w takeover.Work, wait chan takeover.Outcome, run func(takeover.Leave) takeover.Result) {
+func (k *keeper) open(now int64, w takeover.Request, wait chan takeover.Outcome, run func(takeover.SendPermit) takeover.Result) {
 	if fl := k.flights[w.ID]; fl != nil {
 		switch {
 		case fl.work.Digest != w.Digest:
-			wait <- takeover.Outcome{Word: takeover.Foreign}
+			wait <- takeover.Outcome{Kind: takeover.OutcomeIDConflict}
 		case !w.Resume:
-			wait <- takeover.Outcome{Word: takeover.Taken}
+			wait <- takeover.Outcome{Kind: takeover.OutcomeInFlight}
 		default:
 			fl.waits = append(fl.waits, wait)
 		}
@@ -155,7 +155,7 @@
 	fl := &flight{work: w, run: run, waits: []chan takeover.Outcome{wait}, lease: k.f.lease.Load()}
 	k.flights[w.ID] = fl
 	rec := takeover.Record{
-		ID: w.ID, Class: w.Class, Effect: w.Effect, Digest: w.Digest, Life: w.Left.Microseconds(),
+		ID: w.ID, Class: w.Class, Idempotency: w.Idempotency, Digest: w.Digest, DeadlineAge: w.Timeout.Microseconds(),
 	}
 	if len(w.Stored.Head) > 0 {
 		text, err := k.f.coder.out.Marshal(w.Stored)
@@ -169,10 +169,10 @@
 		k.counts.resumed++
 		k.node.Resume(now, rec)
 	case w.Strict && now < k.blind && k.fresh(now):
-		k.does(&takeover.Event{Does: takeover.Missing, ID: w.ID, Record: rec, Fresh: true, AtOnce: true})
+		k.does(&takeover.Event{Decision: takeover.QuorumUnavailable, ID: w.ID, Record: rec, NeverSent: true, Immediate: true})
 	default:
 		k.counts.taken++
-		k.node.Take(now, rec)
+		k.node.Begin(now, rec)
 	}
 }
 
@@ -188,7 +188,7 @@
 			break
 		}
 	}
-	if len(fl.waits) == 0 && !fl.running && k.node.Asks(id) {
+	if len(fl.waits) == 0 && !fl.running && k.node.IsPreparing(id) {
 		k.node.Drop(id)
 		delete(k.flights, id)
 	}
@@ -207,30 +207,30 @@
 // does carries out one word of the node.
 func (k *keeper) does(e *takeover.Event) {
 	fl := k.flights[e.ID]
-	if fl == nil && e.Does != takeover.Orphan {
+	if fl == nil && e.Decision != takeover.OwnerEvicted {
 		return
 	}
-	switch e.Does {
-	case takeover.Run:
+	switch e.Decision {
+	case takeover.Execute:
 		k.blind = 0
 		var former time.Duration
-		if e.Taken {
+		if e.TakenOver {
 			former = since(e)
-			log.Printf("event=taken_over id=%s class=%s effect=%d age_us=%d asked=%t", e.ID, e.Record.Class, e.Record.Effect, e.Record.Age, len(fl.waits) > 0)
+			log.Printf("event=taken_over id=%s class=%s effect=%d age_us=%d asked=%t", e.ID, e.Record.Class, e.Record.Idempotency, e.Record.Age, len(fl.waits) > 0)
 		}
-		k.start(fl, takeover.Leave{Lease: fl.lease, Former: former})
-	case takeover.Give:
+		k.start(fl, takeover.SendPermit{Lease: fl.lease, PriorSendAge: former})
+	case takeover.ReturnStored:
 		k.counts.given++
-		k.tell(fl, takeover.Outcome{Answer: e.Record.Answer, Lease: k.f.lease.Load()})
-	case takeover.Missing:
+		k.tell(fl, takeover.Outcome{Response: e.Record.Response, Lease: k.f.lease.Load()})
+	case takeover.QuorumUnavailable:
 		k.missing(fl, e)
-	case takeover.Doubled:
+	case takeover.DuplicateID:
 		k.counts.doubled++
-		k.tell(fl, takeover.Outcome{Word: takeover.Foreign})
-	case takeover.Lost:
+		k.tell(fl, takeover.Outcome{Kind: takeover.OutcomeIDConflict})
+	case takeover.OwnershipLost:
 		k.counts.lost++
-		k.tell(fl, takeover.Outcome{Word: takeover.Nothing}) // one that runs is called back by the end of its lease
-	case takeover.Orphan:
+		k.tell(fl, takeover.Outcome{Kind: takeover.OutcomeCloseConnection}) // one that runs is called back by the end of its lease
+	case takeover.OwnerEvicted:
 		k.orphan(e)
 	}
 }
@@ -239,37 +239,37 @@
 func (k *keeper) missing(fl *flight, e *takeover.Event) {
 	k.counts.missing++
 	now := k.f.micros()
-	if !e.AtOnce && k.fresh(now) {
+	if !e.Immediate && k.fresh(now) {
 		k.blind = now + k.f.wait
 	}
-	next := e.Next(fl.work.Strict)
-	if w := &fl.work; next == takeover.GoOn && w.Effect == takeover.Keyed && w.Window < w.Left {
-		next = e.Next(true) // Guards against two members that send the same key, none knowing of the other, past its window
-		if next == takeover.GoOn {
-			next = takeover.Fail
+	next := e.Fallback(fl.work.Strict)
+	if w := &fl.work; next == takeover.SendWithoutRecord && w.Idempotency == takeover.IdempotentByKey && w.DedupWindow < w.Timeout {
+		next = e.Fallback(true) // Guards against two members that send the same key, none knowing of the other, past its window
+		if next == takeover.SendWithoutRecord {
+			next = takeover.FailRequest
 		}
 	}
 	switch next {
-	case takeover.Refuse:
+	case takeover.RejectRequest:
 		if !k.fresh(now) {
-			k.tell(fl, takeover.Outcome{Word: takeover.Nothing})
+			k.tell(fl, takeover.Outcome{Kind: takeover.OutcomeCloseConnection})
 			return
 		}
-		k.tell(fl, takeover.Outcome{Answer: takeover.Answer{Verdict: takeover.Refused, RetryAfter: k.f.wait, Why: "no custody"}})
-	case takeover.Fail:
+		k.tell(fl, takeover.Outcome{Response: takeover.Response{Status: takeover.Rejected, RetryAfter: k.f.wait, Reason: "no custody"}})
+	case takeover.FailRequest:
 		why := "may have run: nobody can say"
-		if e.Fresh {
+		if e.NeverSent {
 			why = "no custody"
 		}
 		k.node.Drop(e.ID)
-		k.tell(fl, takeover.Outcome{Answer: takeover.Answer{Verdict: takeover.Failed, Why: why}, Lease: k.f.lease.Load()})
+		k.tell(fl, takeover.Outcome{Response: takeover.Response{Status: takeover.Failed, Reason: why}, Lease: k.f.lease.Load()})
 	default:
 		k.node.Drop(e.ID)
 		var former time.Duration
-		if !e.Fresh {
+		if !e.NeverSent {
 			former = since(e)
 		}
-		k.start(fl, takeover.Leave{Former: former})
+		k.start(fl, takeover.SendPermit{PriorSendAge: former})
 	}
 }
 
@@ -279,7 +279,7 @@
 }
 
 // start runs a request that may be sent.
-func (k *keeper) start(fl *flight, l takeover.Leave) {
+func (k *keeper) start(fl *flight, l takeover.SendPermit) {
 	if fl.running {
 		return
 	}
@@ -292,13 +292,13 @@
 		}
 		k.box <- func(now int64) {
 			if k.flights[id] != fl {
-				k.unheard(r.Live)
+				k.unheard(r.LiveResponse)
 				return
 			}
 			if l.Lease == nil || l.Lease.Valid() {
-				k.node.Answered(now, id, r.Answer)
+				k.node.Complete(now, id, r.Response)
 			}
-			k.tell(fl, takeover.Outcome{Answer: r.Answer, Live: r.Live, Lease: l.Lease})
+			k.tell(fl, takeover.Outcome{Response: r.Response, LiveResponse: r.LiveResponse, Lease: l.Lease})
 		}
 	}()
 }
@@ -309,7 +309,7 @@
 	const step = 2 * time.Millisecond
 	for end := time.Now().Add(2 * k.f.opts.Fleet.Lease); !l.Valid() && time.Now().Before(end); {
 		select {
-		case <-l.Over():
+		case <-l.Done():
 			return
 		case <-time.After(step):
 		}
@@ -321,14 +321,14 @@
 	delete(k.flights, fl.work.ID)
 	for _, w := range fl.waits {
 		w <- o
-		o.Live = nil
+		o.LiveResponse = nil
 	}
-	k.unheard(o.Live)
+	k.unheard(o.LiveResponse)
 }
 
 func (k *keeper) unheard(live any) {
 	if live != nil {
-		k.f.hooks.Unheard(live)
+		k.f.hooks.DiscardResponse(live)
 	}
 }
 
@@ -338,11 +338,11 @@
 	if k.flights[e.ID] != nil {
 		return
 	}
-	var stored takeover.Stored
+	var stored takeover.StoredRequest
 	err := k.f.coder.in.Unmarshal(rec.Request, &stored)
-	var run func(takeover.Leave) takeover.Result
+	var run func(takeover.SendPermit) takeover.Result
 	if err == nil {
-		run, err = k.f.hooks.Unasked(&rec, &stored)
+		run, err = k.f.hooks.ResumeOrphan(&rec, &stored)
 	}
 	if err != nil {
 		log.Printf("event=not_taken_over id=%s err=%q", rec.ID, err)
@@ -350,7 +350,7 @@
 	}
 	k.counts.unasked++
 	k.flights[e.ID] = &flight{
-		work: takeover.Work{ID: rec.ID, Class: rec.Class, Effect: rec.Effect, Digest: rec.Digest, Resume: true}, run: run, lease: k.f.lease.Load(),
+		work: takeover.Request{ID: rec.ID, Class: rec.Class, Idempotency: rec.Idempotency, Digest: rec.Digest, Resume: true}, run: run, lease: k.f.lease.Load(),
 	}
 	k.node.Resume(k.f.micros(), rec)
 }
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -59,7 +59,7 @@
 // choose finds who holds the segments of an incarnation: the first names by rendezvous.
 func (l *ledger) choose(me takeover.Member) {
 	others := slices.DeleteFunc(slices.Clone(l.f.names), func(n string) bool { return n == me.Name })
-	l.holders, l.met = takeover.Holders(others, fmt.Sprintf("%s/%x", me.Name, me.Incarnation), l.f.opts.Audit.Holders), map[string]uint64{}
+	l.holders, l.met = takeover.Replicas(others, fmt.Sprintf("%s/%x", me.Name, me.Incarnation), l.f.opts.Audit.Holders), map[string]uint64{}
 }
 
 // see sends all there is of this incarnation to a holder that has started anew: it has forgotten. Guards against an account that
--- a/internal/fleet/plant_on.go
+++ b/internal/fleet/plant_on.go
@@ -14,7 +14,7 @@
 func planted() (p plants) {
 	switch n, _ := strconv.Atoi(os.Getenv("DAMSONSCALE_PLANT")); {
 	case n < 10:
-		p.custody = takeover.Plant(n)
+		p.custody = takeover.InjectedFault(n)
 	case n < 20:
 		p.audit = audit.Plant(n - 10)
 	case n == 20:
--- a/internal/fleet/roster.go
+++ b/internal/fleet/roster.go
@@ -94,9 +94,9 @@
 
 // view is the roster in custody's terms.
 func (r *roster) view() *takeover.View {
-	v := &takeover.View{Epoch: r.Epoch, Live: make(map[takeover.Member]takeover.Standing, len(r.Seats))}
+	v := &takeover.View{Epoch: r.Epoch, Members: make(map[takeover.Member]takeover.MemberInfo, len(r.Seats))}
 	for _, s := range r.Seats {
-		v.Live[s.Member] = takeover.Standing{Joined: s.Joined, First: s.First}
+		v.Members[s.Member] = takeover.MemberInfo{JoinedEpoch: s.Joined, FirstIncarnation: s.First}
 	}
 	return v
 }
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -24,8 +24,8 @@
 	persistAgain = 50 * time.Millisecond // after a write that the system refused
 )
 
-// ErrHeld tells that another process of this sidecar keeps the log.
-var ErrHeld = errors.New("another process of this sidecar keeps the fleet's log")
+// ErrLogLocked tells that another process of this sidecar keeps the log.
+var ErrLogLocked = errors.New("another process of this sidecar keeps the fleet's log")
 
 var (
 	entriesBucket = []byte("entries") // by index, big endian
@@ -50,7 +50,7 @@
 	}
 	db, err := bbolt.Open(filepath.Join(dir, storeFile), 0o600, &bbolt.Options{Timeout: storeLock})
 	if errors.Is(err, berrors.ErrTimeout) {
-		return nil, ErrHeld
+		return nil, ErrLogLocked
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", storeFile, err)
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -26,20 +26,20 @@
 
 func sampleRecord() takeover.Record {
 	return takeover.Record{
-		ID: "rec-1", Digest: 11, Class: "class-1", Effect: takeover.Unsafe, Owner: member("own", 12), Epoch: 13, Age: 14, Life: 15,
-		Sent: true, Request: []byte("request"), Seq: 16, Answer: sampleAnswer(),
+		ID: "rec-1", Digest: 11, Class: "class-1", Idempotency: takeover.NotIdempotent, Owner: member("own", 12), Epoch: 13, Age: 14, DeadlineAge: 15,
+		Sent: true, Request: []byte("request"), Seq: 16, Response: sampleAnswer(),
 	}
 }
 
-func sampleAnswer() takeover.Answer {
-	return takeover.Answer{Verdict: takeover.TooLong, Body: []byte("body"), ContentType: []byte("type"), RetryAfter: 17, Why: "why"}
+func sampleAnswer() takeover.Response {
+	return takeover.Response{Status: takeover.ResponseTooLarge, Body: []byte("body"), ContentType: []byte("type"), RetryAfter: 17, Reason: "why"}
 }
 
 func sampleMessage() takeover.Message {
 	rec := sampleRecord()
 	return takeover.Message{
-		Kind: takeover.Promised, To: takeover.Ask, ID: "id-1", Ballot: takeover.Ballot{Round: 21, By: member("by", 22)}, Epoch: 23, Digest: 24,
-		Seq: 25, Promise: takeover.Ballot{Round: 26, By: member("pr", 27)}, Known: true, At: takeover.Ballot{Round: 28, By: member("at", 29)}, Record: &rec,
+		Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "id-1", Ballot: takeover.Ballot{Round: 21, Proposer: member("by", 22)}, Epoch: 23, Digest: 24,
+		Seq: 25, PromisedBallot: takeover.Ballot{Round: 26, Proposer: member("pr", 27)}, HasRecord: true, RecordBallot: takeover.Ballot{Round: 28, Proposer: member("at", 29)}, Record: &rec,
 	}
 }
 
@@ -71,10 +71,10 @@
 	}
 }
 
-func sampleStanding() *Standing {
-	return &Standing{
-		Name: "name", Me: member("me", 81), Leads: true, Leader: "leader", Epoch: 82, Plan: samplePlan(), Names: []string{"n1", "n2"},
-		Living: []takeover.Member{member("l", 83)}, Reports: map[string]Told{"rep": {Report: sampleReport(), AgeMs: 84}}, Waits: "waits",
+func sampleStanding() *ClusterStatus {
+	return &ClusterStatus{
+		Name: "name", Self: member("me", 81), IsLeader: true, Leader: "leader", Epoch: 82, Plan: samplePlan(), MemberNames: []string{"n1", "n2"},
+		Members: []takeover.Member{member("l", 83)}, Reports: map[string]MemberStatus{"rep": {Report: sampleReport(), AgeMs: 84}}, WaitingFor: "waits",
 	}
 }
 
@@ -96,25 +96,25 @@
 		"haveText":           haveText{Text: []byte("version text")},
 		"takenOf":            []takenOf{{Of: member("of", 10), Index: 11}},
 		"segments":           []audit.Sealed{{Text: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}},
-		"ask":                Ask{Fleet: 91, Do: AskOrder, Order: sampleOrder(), Member: "of member"},
-		"ask-status":         Ask{Fleet: 91, Do: AskStanding},
-		"ask-segments":       Ask{Fleet: 91, Do: AskSegments, Member: "m"},
-		"reply-not-leading":  Reply{Err: "no", NotLeading: true, Leader: "l"},
-		"reply-unknown":      Reply{Err: "no", Unknown: true},
-		"reply-standing":     Reply{Standing: sampleStanding()},
-		"reply-segments":     Reply{Segments: []audit.Sealed{{Text: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}}, More: true},
+		"ask":                AdminRequest{FleetID: 91, Command: CommandOrder, Order: sampleOrder(), Member: "of member"},
+		"ask-status":         AdminRequest{FleetID: 91, Command: CommandStatus},
+		"ask-segments":       AdminRequest{FleetID: 91, Command: CommandSegments, Member: "m"},
+		"reply-not-leading":  AdminResponse{Err: "no", NotLeader: true, Leader: "l"},
+		"reply-unknown":      AdminResponse{Err: "no", OutcomeUnknown: true},
+		"reply-standing":     AdminResponse{Status: sampleStanding()},
+		"reply-segments":     AdminResponse{Segments: []audit.Sealed{{Text: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}}, More: true},
 		"messages":           []takeover.Message{sampleMessage()},
-		"message-write":      takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Effect: takeover.Keyed}},
+		"message-write":      takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Idempotency: takeover.IdempotentByKey}},
 		"message-sent":       takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Sent: true}},
-		"message-known":      takeover.Message{Kind: takeover.Promised, Known: true},
-		"stored":             takeover.Stored{Head: []byte("head"), Body: []byte("body"), Tenant: "tenant", Key: "key"},
+		"message-known":      takeover.Message{Kind: takeover.Promised, HasRecord: true},
+		"stored":             takeover.StoredRequest{Head: []byte("head"), Body: []byte("body"), Tenant: "tenant", Key: "key"},
 		"record":             sampleRecord(),
-		"ballot":             takeover.Ballot{Round: 92, By: member("by", 93)},
+		"ballot":             takeover.Ballot{Round: 92, Proposer: member("by", 93)},
 		"answer":             sampleAnswer(),
 		"seat":               seat{Member: member("s", 94), Joined: 95, First: true, Address: "c:96"},
 		"standing":           sampleStanding(),
-		"standing-no-leader": &Standing{Name: "name", Me: member("me", 81), Leader: "leader"},
-		"told":               Told{Report: sampleReport(), AgeMs: 97},
+		"standing-no-leader": &ClusterStatus{Name: "name", Self: member("me", 81), Leader: "leader"},
+		"told":               MemberStatus{Report: sampleReport(), AgeMs: 97},
 	}
 }
 
@@ -171,18 +171,18 @@
 		},
 		"messages": {
 			[]int{
-				int(takeover.Write), int(takeover.Ask), int(takeover.Accepted), int(takeover.Promised), int(takeover.Lives), int(takeover.Outbid),
-				int(takeover.Out), int(takeover.Behind), int(takeover.Young), int(takeover.Full), int(takeover.Other), int(takeover.Expired),
+				int(takeover.Write), int(takeover.Prepare), int(takeover.Accepted), int(takeover.Promised), int(takeover.OwnerAlive), int(takeover.HigherBallot),
+				int(takeover.Evicted), int(takeover.StaleEpoch), int(takeover.NotYetMember), int(takeover.OutOfCapacity), int(takeover.IDInUse), int(takeover.RecordExpired),
 			},
 			[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11},
 		},
-		"effects": {[]int{int(takeover.Safe), int(takeover.Keyed), int(takeover.Unsafe)}, []int{0, 1, 2}},
+		"effects": {[]int{int(takeover.Idempotent), int(takeover.IdempotentByKey), int(takeover.NotIdempotent)}, []int{0, 1, 2}},
 		"verdicts": {
-			[]int{int(takeover.None), int(takeover.Served), int(takeover.Refused), int(takeover.Failed), int(takeover.TooLong)}, []int{0, 1, 2, 3, 4},
+			[]int{int(takeover.NoResponse), int(takeover.Served), int(takeover.Rejected), int(takeover.Failed), int(takeover.ResponseTooLarge)}, []int{0, 1, 2, 3, 4},
 		},
 		"faults on purpose": {
 			[]int{
-				int(takeover.Sound), int(takeover.LeaseUnchecked), int(takeover.SendEarly), int(takeover.EpochWrong), int(takeover.AnswerForgot),
+				int(takeover.NoFault), int(takeover.IgnoreLease), int(takeover.SendBeforeQuorum), int(takeover.InvertMembership), int(takeover.ForgetResponse),
 			},
 			[]int{0, 1, 2, 3, 4},
 		},
@@ -192,7 +192,7 @@
 			t.Errorf("%s: %v, not %v", name, c.got, c.want)
 		}
 	}
-	if AskStanding != "status" || AskOrder != "order" || AskSegments != "segments" {
+	if CommandStatus != "status" || CommandOrder != "order" || CommandSegments != "segments" {
 		t.Error("an operator's request has another word")
 	}
 	if got := fleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	Version = 2
-	Head    = 16      // bytes
-	Most    = 4 << 20 // bytes of a payload
+	Version    = 2
+	HeaderSize = 16      // bytes
+	MaxPayload = 4 << 20 // bytes of a payload
 )
 
 // Errors of a stream that can't be read on.
 var (
-	ErrForeign  = errors.New("no frame of a fleet")
-	ErrTooLong  = fmt.Errorf("payload over %d bytes", Most)
+	ErrNotFrame = errors.New("no frame of a fleet")
+	ErrTooLong  = fmt.Errorf("payload over %d bytes", MaxPayload)
 	ErrChecksum = errors.New("checksum does not fit")
 )
 
 // VersionError is a frame of another version of the protocol.
-type VersionError struct{ Theirs byte }
+type VersionError struct{ Version byte }
 
 func (e VersionError) Error() string {
-	return fmt.Sprintf("frame of version %d, this build speaks %d", e.Theirs, Version)
+	return fmt.Sprintf("frame of version %d, this build speaks %d", e.Version, Version)
 }
 
-// Size tells the payload's bytes from a head.
-func Size(head []byte) (int, error) {
-	if len(head) < Head || head[0] != 'D' || head[1] != 'F' {
-		return 0, ErrForeign
+// PayloadSize tells the payload's bytes from a head.
+func PayloadSize(head []byte) (int, error) {
+	if len(head) < HeaderSize || head[0] != 'D' || head[1] != 'F' {
+		return 0, ErrNotFrame
 	}
 	if head[2] != Version {
 		return 0, VersionError{head[2]}
 	}
 	n := binary.BigEndian.Uint32(head[4:])
-	if n > Most {
+	if n > MaxPayload {
 		return 0, ErrTooLong
 	}
 	return int(n), nil
@@ -50,7 +50,7 @@
 
 // Append adds a frame to b. A payload over Most is the caller's mistake and returns ErrTooLong.
 func Append(b []byte, kind byte, payload []byte) ([]byte, error) {
-	if len(payload) > Most {
+	if len(payload) > MaxPayload {
 		return b, ErrTooLong
 	}
 	at := len(b)
@@ -71,11 +71,11 @@
 // Read reads one frame. Its memory grows with what has come, not with what the head promises. An end before the first
 // byte is io.EOF, a later one io.ErrUnexpectedEOF.
 func Read(in io.Reader) (kind byte, payload []byte, err error) {
-	var head [Head]byte
+	var head [HeaderSize]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
 		return 0, nil, err
 	}
-	n, err := Size(head[:])
+	n, err := PayloadSize(head[:])
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -30,14 +30,14 @@
 		"good":             {good, nil},
 		"nothing":          {nil, io.EOF},
 		"cut head":         {good[:9], io.ErrUnexpectedEOF},
-		"cut payload":      {good[:Head+3], io.ErrUnexpectedEOF},
-		"no payload":       {good[:Head], io.ErrUnexpectedEOF},
-		"foreign":          {change(0, 'G'), ErrForeign},
+		"cut payload":      {good[:HeaderSize+3], io.ErrUnexpectedEOF},
+		"no payload":       {good[:HeaderSize], io.ErrUnexpectedEOF},
+		"foreign":          {change(0, 'G'), ErrNotFrame},
 		"version":          {change(2, 9), VersionError{9}},
 		"kind":             {change(3, 8), ErrChecksum},
 		"length too small": {change(7, 3), ErrChecksum},
 		"length too large": {change(4, 0xff), ErrTooLong},
-		"payload":          {change(Head+2, 'x'), ErrChecksum},
+		"payload":          {change(HeaderSize+2, 'x'), ErrChecksum},
 		"checksum":         {change(9, good[9]+1), ErrChecksum},
 	} {
 		kind, payload, err := Read(bytes.NewReader(c.in))
@@ -45,7 +45,7 @@
 			t.Errorf("%s: %d %q %v, want %v", name, kind, payload, err, c.want)
 		}
 	}
-	if _, err := Append(nil, 1, make([]byte, Most+1)); !errors.Is(err, ErrTooLong) {
+	if _, err := Append(nil, 1, make([]byte, MaxPayload+1)); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a payload too long: %v", err)
 	}
 }
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -487,7 +487,7 @@
 // Work that is taken over unasked is not run where its class has another effect by now, or is none.
 func TestUnaskedAcrossAReload(t *testing.T) {
 	f, _ := serving(t, nil)
-	rec := &takeover.Record{Class: "make", Effect: takeover.Keyed, Life: 1_000_000}
+	rec := &takeover.Record{Class: "make", Idempotency: takeover.IdempotentByKey, DeadlineAge: 1_000_000}
 	for _, c := range []struct {
 		classes []decide.Class
 		runs    bool
@@ -498,7 +498,7 @@
 		{[]decide.Class{{Name: "made", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, false},
 	} {
 		f.Retune(&decide.Settings{Classes: c.classes})
-		if _, err := f.Unasked(rec, &takeover.Stored{}); (err == nil) != c.runs {
+		if _, err := f.ResumeOrphan(rec, &takeover.StoredRequest{}); (err == nil) != c.runs {
 			t.Errorf("%+v: %v", c.classes, err)
 		}
 	}
--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -23,8 +23,8 @@
 type Keeper interface {
 	// Do brings a request under custody, has run send it if that is this member's to do, and tells its outcome. gone is
 	// closed when its client leaves.
-	Do(w takeover.Work, gone <-chan struct{}, run func(takeover.Leave) takeover.Result) takeover.Outcome
-	Custody(class string, e takeover.Effect) options.Custody
+	Do(w takeover.Request, gone <-chan struct{}, run func(takeover.SendPermit) takeover.Result) takeover.Outcome
+	Custody(class string, e takeover.Idempotency) options.Custody
 	Longest() time.Duration // that a request may be in custody
 	Needed() takeover.Lease // without which nothing at all is taken or sent; nil: none is
 	MayRefuse() bool        // a request that was read just now had not waited, so that its client may have gone elsewhere
@@ -48,16 +48,16 @@
 	}
 	call := p.call(h, b, c.readAt)
 	call.Whole = c.watch
-	w := takeover.Work{
-		ID: p.request.ID, Class: class.Name, Effect: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.Strict,
-		Left: min(call.Left(time.Now()), p.left), Longest: call.Left(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
+	w := takeover.Request{
+		ID: p.request.ID, Class: class.Name, Idempotency: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.Strict,
+		Timeout: min(call.Left(time.Now()), p.left), MaxDuration: call.Left(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
 	}
 	var gone <-chan struct{}
 	switch {
 	case b.rest != nil: // it can't be sent again: once begun, it is treated as work that must not be
-		w.Effect = takeover.Unsafe
-	case effect == takeover.Keyed && class.DedupScope == decide.ScopeAll:
-		w.Window, w.Stored = time.Duration(class.DedupWindow)*time.Microsecond, p.store(call, b)
+		w.Idempotency = takeover.NotIdempotent
+	case effect == takeover.IdempotentByKey && class.DedupScope == decide.ScopeAll:
+		w.DedupWindow, w.Stored = time.Duration(class.DedupWindow)*time.Microsecond, p.store(call, b)
 	}
 	if b.rest == nil {
 		gone = c.watch()
@@ -67,27 +67,27 @@
 	broken := b.close()
 	c.unwatch()
 	switch {
-	case broken != nil && o.Word != takeover.Answered:
+	case broken != nil && o.Kind != takeover.OutcomeResponse:
 		bad := b.fault(broken)
 		ctx.Error(bad.text, bad.status)
 		f.account(ctx, w.ID, f.side.Under())
 	default:
 		f.tell(ctx, c, call, &o, min(call.Left(time.Now()), p.left-time.Since(began))) // a body that is not held counts from its end
 	}
-	if broken != nil || o.Word == takeover.Gone {
+	if broken != nil || o.Kind == takeover.OutcomeCallerGone {
 		ctx.SetConnectionClose()
 	}
 	return true
 }
 
-func effectOf(s decide.Semantics) takeover.Effect {
+func effectOf(s decide.Semantics) takeover.Idempotency {
 	switch s {
 	case decide.Idempotent:
-		return takeover.Safe
+		return takeover.Idempotent
 	case decide.IdempotencyKeyed:
-		return takeover.Keyed
+		return takeover.IdempotentByKey
 	}
-	return takeover.Unsafe
+	return takeover.NotIdempotent
 }
 
 // digest tells requests of one id apart.
@@ -102,8 +102,8 @@
 }
 
 // store makes what holders keep of a request.
-func (p *parsed) store(call *sidecar.Call, b *body) takeover.Stored {
-	s := takeover.Stored{Head: call.Message.Head, Body: b.held, Key: p.request.Key}
+func (p *parsed) store(call *sidecar.Call, b *body) takeover.StoredRequest {
+	s := takeover.StoredRequest{Head: call.Message.Head, Body: b.held, Key: p.request.Key}
 	if t := p.request.Tenant; t >= 0 {
 		s.Tenant = p.now.settings.Tenants[t].Name
 	}
@@ -111,53 +111,53 @@
 }
 
 // run makes what sends a call, under a leave that it may lose.
-func (f *Frontend) run(call *sidecar.Call) func(takeover.Leave) takeover.Result {
-	return func(l takeover.Leave) takeover.Result {
+func (f *Frontend) run(call *sidecar.Call) func(takeover.SendPermit) takeover.Result {
+	return func(l takeover.SendPermit) takeover.Result {
 		var over <-chan struct{}
 		var leave func() bool
 		if l.Lease != nil {
-			over, leave = l.Lease.Over(), l.Lease.Valid
+			over, leave = l.Lease.Done(), l.Lease.Valid
 		}
-		call.Under(leave, l.Former)
+		call.Under(leave, l.PriorSendAge)
 		a, left := f.side.Do(call, over)
-		r := takeover.Result{Live: a}
+		r := takeover.Result{LiveResponse: a}
 		switch {
 		case left:
-			r.Answer = takeover.Answer{Verdict: takeover.Failed, Why: "its member is out"}
+			r.Response = takeover.Response{Status: takeover.Failed, Reason: "its member is out"}
 		case a.Verdict == sidecar.Served && a.Stream != nil:
-			r.Answer.Verdict = takeover.TooLong
+			r.Response.Status = takeover.ResponseTooLarge
 		case a.Verdict == sidecar.Served:
-			r.Answer = takeover.Answer{Verdict: takeover.Served, Body: a.Body, ContentType: a.ContentType}
+			r.Response = takeover.Response{Status: takeover.Served, Body: a.Body, ContentType: a.ContentType}
 		case a.Verdict == sidecar.Refused:
-			r.Answer = takeover.Answer{Verdict: takeover.Refused, RetryAfter: a.RetryAfter.Microseconds()}
+			r.Response = takeover.Response{Status: takeover.Rejected, RetryAfter: a.RetryAfter.Microseconds()}
 		default:
-			r.Answer = takeover.Answer{Verdict: takeover.Failed, Why: "no server answered"}
+			r.Response = takeover.Response{Status: takeover.Failed, Reason: "no server answered"}
 		}
 		return r
 	}
 }
 
-// Unasked makes what runs a recorded request that nobody has asked for again.
-func (f *Frontend) Unasked(rec *takeover.Record, s *takeover.Stored) (func(takeover.Leave) takeover.Result, error) {
+// ResumeOrphan makes what runs a recorded request that nobody has asked for again.
+func (f *Frontend) ResumeOrphan(rec *takeover.Record, s *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error) {
 	now := f.now.Load()
 	class, ok := now.classes[rec.Class]
 	if !ok {
 		return nil, fmt.Errorf("class %q is unknown here", rec.Class)
 	}
-	if e := effectOf(now.settings.Classes[class].Semantics); e != rec.Effect { // Guards against work taken over across a reload
+	if e := effectOf(now.settings.Classes[class].Semantics); e != rec.Idempotency { // Guards against work taken over across a reload
 		return nil, fmt.Errorf("class %q has another effect here", rec.Class)
 	}
 	r := decide.Request{ID: rec.ID, Class: class, Tenant: -1, Key: s.Key}
 	if t, ok := now.tenants[s.Tenant]; ok {
 		r.Tenant = t
 	}
-	left := time.Duration(rec.Life-rec.Age) * time.Microsecond
+	left := time.Duration(rec.DeadlineAge-rec.Age) * time.Microsecond
 	m := upstream.Message{Head: s.Head, Body: s.Body}
 	return f.run(sidecar.NewCall(now.settings, r, m, time.Now(), left)), nil
 }
 
-// Unheard ends a live answer that nobody is left to take.
-func (f *Frontend) Unheard(live any) {
+// DiscardResponse ends a live answer that nobody is left to take.
+func (f *Frontend) DiscardResponse(live any) {
 	if a, ok := live.(sidecar.Answer); ok && a.Stream != nil {
 		a.Stream.Close()
 	}
@@ -165,29 +165,29 @@
 
 // tell answers as custody has it, where so much of the request's time is left. A member that has lost its leave answers nothing: another one does.
 func (f *Frontend) tell(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, left time.Duration) {
-	if o.Word == takeover.Answered && o.Lease != nil && !o.Lease.Valid() {
-		f.Unheard(o.Live)
-		o.Word = takeover.Nothing
+	if o.Kind == takeover.OutcomeResponse && o.Lease != nil && !o.Lease.Valid() {
+		f.DiscardResponse(o.LiveResponse)
+		o.Kind = takeover.OutcomeCloseConnection
 	}
 	under := f.side.Under()
-	switch o.Word {
-	case takeover.Nothing:
+	switch o.Kind {
+	case takeover.OutcomeCloseConnection:
 		f.silent(ctx, c, call.Request.ID, left)
 		return
-	case takeover.Gone:
+	case takeover.OutcomeCallerGone:
 		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Late})
 		f.noted(ctx, auditevent.Left, call.Request.ID, under)
 		return
-	case takeover.Taken:
+	case takeover.OutcomeInFlight:
 		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Duplicate})
-	case takeover.Foreign:
+	case takeover.OutcomeIDConflict:
 		ctx.Error("the id is that of another request", fasthttp.StatusConflict)
 	default:
-		if a, ok := o.Live.(sidecar.Answer); ok {
+		if a, ok := o.LiveResponse.(sidecar.Answer); ok {
 			under = a.Under
 			f.answer(ctx, c, a)
 		} else {
-			f.recorded(ctx, c, &o.Answer)
+			f.recorded(ctx, c, &o.Response)
 		}
 	}
 	f.account(ctx, call.Request.ID, under)
@@ -207,15 +207,15 @@
 }
 
 // recorded gives an answer that was kept.
-func (f *Frontend) recorded(ctx *fasthttp.RequestCtx, c *clientConn, a *takeover.Answer) {
-	switch a.Verdict {
+func (f *Frontend) recorded(ctx *fasthttp.RequestCtx, c *clientConn, a *takeover.Response) {
+	switch a.Status {
 	case takeover.Served:
 		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Served, Body: a.Body, ContentType: a.ContentType})
-	case takeover.Refused:
+	case takeover.Rejected:
 		refuse(ctx, sidecar.Answer{RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
-	case takeover.TooLong:
+	case takeover.ResponseTooLarge:
 		ctx.Error("takeover: served, the answer was too long to keep", fasthttp.StatusBadGateway)
 	default:
-		ctx.Error("takeover: "+a.Why, fasthttp.StatusBadGateway)
+		ctx.Error("takeover: "+a.Reason, fasthttp.StatusBadGateway)
 	}
 }
--- a/internal/lab/faultinjection/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -49,15 +49,15 @@
 	asked := time.Now()
 	target := uint64(0)
 	for range 3 {
-		r, err := fleet.Call(ctx, p.members[via], p.names(), fleet.Ask{Do: fleet.AskOrder, Order: o})
+		r, err := fleet.Call(ctx, p.members[via], p.names(), fleet.AdminRequest{Command: fleet.CommandOrder, Order: o})
 		if err != nil {
 			said = err.Error()
 			break
 		}
-		if r.Standing != nil {
-			target = r.Standing.Plan.Target
+		if r.Status != nil {
+			target = r.Status.Plan.Target
 		}
-		if said = r.Err; !r.NotLeading || r.Leader == "" {
+		if said = r.Err; !r.NotLeader || r.Leader == "" {
 			break
 		}
 		fmt.Sscanf(r.Leader, "n%d", &via)
@@ -88,17 +88,17 @@
 			defer func() { done <- true }()
 			for n := 0; ctx.Err() == nil; sleep(ctx, watchStep) {
 				if n++; n%inquiry == 0 { // the account is asked for in the midst of it all
-					fleet.Call(ctx, addr, p.names(), fleet.Ask{Do: fleet.AskSegments})
+					fleet.Call(ctx, addr, p.names(), fleet.AdminRequest{Command: fleet.CommandSegments})
 				}
-				r, err := fleet.Call(ctx, addr, p.names(), fleet.Ask{Do: fleet.AskStanding})
-				if err != nil || r.Standing == nil {
+				r, err := fleet.Call(ctx, addr, p.names(), fleet.AdminRequest{Command: fleet.CommandStatus})
+				if err != nil || r.Status == nil {
 					continue
 				}
 				p.mu.Lock()
-				if f := r.Standing.Plan.Fence; f > 0 && p.fences[f].IsZero() {
+				if f := r.Status.Plan.Fence; f > 0 && p.fences[f].IsZero() {
 					p.fences[f] = time.Now()
 				}
-				p.over = max(p.over, overGuard(r.Standing))
+				p.over = max(p.over, overGuard(r.Status))
 				p.mu.Unlock()
 			}
 		}()
@@ -112,14 +112,14 @@
 const guard = 0.34
 
 // overGuard counts the members that the plan shuts out past the guard: barred ones, and those that refused what the fence asks.
-func overGuard(s *fleet.Standing) int {
+func overGuard(s *fleet.ClusterStatus) int {
 	out := len(s.Plan.Barred)
 	for name, t := range s.Reports {
 		if !slices.Contains(s.Plan.Barred, name) && t.Report.Refused >= s.Plan.Fence && t.Report.Acts < s.Plan.Fence {
 			out++
 		}
 	}
-	return max(0, out-int(guard*float64(len(s.Names))))
+	return max(0, out-int(guard*float64(len(s.MemberNames))))
 }
 
 // audit compares the fleet's account with the servers' and clients' own tallies, act by act.
@@ -134,18 +134,18 @@
 	living := map[takeover.Member]bool{}
 	heard := 0
 	for _, addr := range p.members {
-		s, err := fleet.Call(ctx, addr, p.names(), fleet.Ask{Do: fleet.AskSegments})
+		s, err := fleet.Call(ctx, addr, p.names(), fleet.AdminRequest{Command: fleet.CommandSegments})
 		if err != nil {
 			continue // it is down
 		}
 		heard++
 		all = append(all, s.Segments...)
-		if st, err := fleet.Call(ctx, addr, p.names(), fleet.Ask{Do: fleet.AskStanding}); err == nil && st.Standing != nil {
-			living[st.Standing.Me] = true
-			if st.Standing.Leads {
-				r.Waits, r.Held = st.Standing.Waits, st.Standing.Plan.Held
-				for _, n := range st.Standing.Names {
-					if st.Standing.Reports[n].Report.Acts < st.Standing.Plan.Target {
+		if st, err := fleet.Call(ctx, addr, p.names(), fleet.AdminRequest{Command: fleet.CommandStatus}); err == nil && st.Status != nil {
+			living[st.Status.Self] = true
+			if st.Status.IsLeader {
+				r.Waits, r.Held = st.Status.WaitingFor, st.Status.Plan.Held
+				for _, n := range st.Status.MemberNames {
+					if st.Status.Reports[n].Report.Acts < st.Status.Plan.Target {
 						r.Unagreed++
 					}
 				}
--- a/internal/lab/faultinjection/link.go
+++ b/internal/lab/faultinjection/link.go
@@ -201,21 +201,21 @@
 
 // nextFrame reads a frame as it is, without a look at its payload.
 func nextFrame(in io.Reader) ([]byte, error) {
-	head := make([]byte, frame.Head)
+	head := make([]byte, frame.HeaderSize)
 	if _, err := io.ReadFull(in, head); err != nil {
 		return nil, err
 	}
-	n, err := frame.Size(head)
+	n, err := frame.PayloadSize(head)
 	var other frame.VersionError
 	if errors.As(err, &other) { // of another build: the length stands at the same place
-		head[2], other.Theirs = frame.Version, head[2]
-		n, err = frame.Size(head)
-		head[2] = other.Theirs
+		head[2], other.Version = frame.Version, head[2]
+		n, err = frame.PayloadSize(head)
+		head[2] = other.Version
 	}
 	if err != nil {
 		return nil, err
 	}
 	one := append(head, make([]byte, n)...)
-	_, err = io.ReadFull(in, one[frame.Head:])
+	_, err = io.ReadFull(in, one[frame.HeaderSize:])
 	return one, err
 }
--- a/internal/lab/fleetscale/link.go
+++ b/internal/lab/fleetscale/link.go
@@ -145,7 +145,7 @@
 		}
 		kind := one[3]
 		if first && kind == hello {
-			if from, err = dialler(one[frame.Head:]); err != nil {
+			if from, err = dialler(one[frame.HeaderSize:]); err != nil {
 				return
 			}
 		}
@@ -164,16 +164,16 @@
 
 // nextFrame appends a frame as it is.
 func nextFrame(in io.Reader, to []byte) ([]byte, error) {
-	to = slices.Grow(to, frame.Head)[:frame.Head]
+	to = slices.Grow(to, frame.HeaderSize)[:frame.HeaderSize]
 	if _, err := io.ReadFull(in, to); err != nil {
 		return nil, err
 	}
-	n, err := frame.Size(to)
+	n, err := frame.PayloadSize(to)
 	if err != nil {
 		return nil, err
 	}
-	to = slices.Grow(to, n)[:frame.Head+n]
-	_, err = io.ReadFull(in, to[frame.Head:])
+	to = slices.Grow(to, n)[:frame.HeaderSize+n]
+	_, err = io.ReadFull(in, to[frame.HeaderSize:])
 	return to, err
 }
 
--- a/internal/lab/modelcheck/cells.go
+++ b/internal/lab/modelcheck/cells.go
@@ -20,7 +20,7 @@
 
 // CellsConfig is a world of two cells of one region, of two members each, which move, split and merge under requests.
 type CellsConfig struct {
-	Effects []takeover.Effect // of the requests
+	Effects []takeover.Idempotency // of the requests
 	Plant   cells.Plant
 	Budget  CellsBudget
 }
@@ -28,7 +28,7 @@
 // CellsOf is the world that a seed goes through: by turns one with much that goes wrong and one with many requests.
 func CellsOf(seed uint64) CellsConfig {
 	return CellsConfig{
-		Effects: []takeover.Effect{takeover.Unsafe, takeover.Keyed, takeover.Unsafe, takeover.Unsafe},
+		Effects: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey, takeover.NotIdempotent, takeover.NotIdempotent},
 		Budget:  []CellsBudget{CellsMuch, CellsBusy}[seed%2],
 	}
 }
@@ -111,7 +111,7 @@
 func (c *oneCell) now() *cells.Log { return c.log[len(c.log)-1] }
 
 type cellRequest struct {
-	effect takeover.Effect
+	effect takeover.Idempotency
 	former string // whom its client asked first
 	asked  int64  // when; -1: not yet
 	asks   int
@@ -615,7 +615,7 @@
 		if !w.apart() && !w.homeless(q) {
 			w.breaks("nobody can say what became of r%d, though all can be reached", i.request)
 		}
-		if q.effect == takeover.Keyed { // within its key's window it goes again, without custody
+		if q.effect == takeover.IdempotentByKey { // within its key's window it goes again, without custody
 			p.work = append(p.work, &cellWork{request: i.request, as: p.node.Me})
 			return
 		}
@@ -688,7 +688,7 @@
 		i.hops--
 		return
 	}
-	if (c.records[i.request] != nil || i.with != nil) && w.requests[i.request].effect == takeover.Unsafe {
+	if (c.records[i.request] != nil || i.with != nil) && w.requests[i.request].effect == takeover.NotIdempotent {
 		c.records[i.request] = &cellRecord{failed: true}
 		w.say("%s judges that r%d may have run", t.name, i.request)
 		return
@@ -748,12 +748,12 @@
 		o.checked = true
 	case !o.sent:
 		o.sent = true
-		if q.effect != takeover.Keyed || q.runs == 0 {
+		if q.effect != takeover.IdempotentByKey || q.runs == 0 {
 			q.runs++
 		}
 		o.run = q.runs
 		w.say("%s sends r%d", p.name, o.request)
-		if q.effect == takeover.Unsafe && q.runs > 1 {
+		if q.effect == takeover.NotIdempotent && q.runs > 1 {
 			w.breaks("r%d runs twice", o.request)
 		}
 	default:
--- a/internal/lab/modelcheck/explore.go
+++ b/internal/lab/modelcheck/explore.go
@@ -28,9 +28,9 @@
 
 // Config is what is explored.
 type Config struct {
-	Effects []takeover.Effect // of the requests
-	Strict  bool              // keyed work too goes out under custody alone
-	Plant   takeover.Plant
+	Effects []takeover.Idempotency // of the requests
+	Strict  bool                   // keyed work too goes out under custody alone
+	Plant   takeover.InjectedFault
 	Budget  Budget
 }
 
@@ -79,7 +79,7 @@
 
 // request is what the world knows of one.
 type request struct {
-	effect takeover.Effect
+	effect takeover.Idempotency
 	asks   int
 	runs   int  // with an effect
 	owned  int  // runs under custody: no refusal goes with one. A key's other runs are dropped by servers, so that it may
@@ -132,22 +132,22 @@
 	return &proc{
 		up: true, me: me, lease: true, work: map[int]*work{}, waits: map[int]bool{}, asked: map[int]int{},
 		node: takeover.New(takeover.Config{
-			Me: me, Names: names, Holders: 3, Records: 100, Bytes: 1 << 20, Keep: longest, Longest: longest, Wait: wait, Again: again,
-			Stagger: again, Plant: w.conf.Plant,
+			Self: me, MemberNames: names, ReplicationFactor: 3, MaxRecords: 100, MaxBytes: 1 << 20, Retention: longest, MaxRequestAge: longest, QuorumTimeout: wait, ResendInterval: again,
+			TakeoverStagger: again, Fault: w.conf.Plant,
 		}),
 	}
 }
 
 // view is the log's meaning up to an epoch.
 func (w *world) view(epoch int) *takeover.View {
-	v := &takeover.View{Epoch: uint64(epoch), Live: map[takeover.Member]takeover.Standing{}}
+	v := &takeover.View{Epoch: uint64(epoch), Members: map[takeover.Member]takeover.MemberInfo{}}
 	met := map[string]bool{}
 	for i, e := range w.log[:epoch] {
 		if e.out {
-			delete(v.Live, e.m)
+			delete(v.Members, e.m)
 			continue
 		}
-		v.Live[e.m] = takeover.Standing{Joined: uint64(i + 1), First: !met[e.m.Name]}
+		v.Members[e.m] = takeover.MemberInfo{JoinedEpoch: uint64(i + 1), FirstIncarnation: !met[e.m.Name]}
 		met[e.m.Name] = true
 	}
 	return v
@@ -155,7 +155,7 @@
 
 func (w *world) learn(p *proc) {
 	p.epoch = len(w.log)
-	p.node.See(p.now, w.view(p.epoch))
+	p.node.ApplyView(p.now, w.view(p.epoch))
 	w.settle(p)
 }
 
@@ -164,8 +164,8 @@
 func index(id string) (i int) { fmt.Sscanf(id, "r%d", &i); return i }
 
 func (w *world) record(i int) takeover.Record {
-	r := takeover.Record{ID: id(i), Digest: 1, Effect: w.requests[i].effect, Life: longest}
-	if r.Effect == takeover.Keyed {
+	r := takeover.Record{ID: id(i), Digest: 1, Idempotency: w.requests[i].effect, DeadlineAge: longest}
+	if r.Idempotency == takeover.IdempotentByKey {
 		r.Request = []byte("x")
 	}
 	return r
@@ -174,10 +174,10 @@
 // settle carries out what a node has said.
 func (w *world) settle(p *proc) {
 	for {
-		for _, t := range p.node.Sent() {
-			w.net = append(w.net, message{p.me, t.Name, t.Message})
+		for _, t := range p.node.TakeMessages() {
+			w.net = append(w.net, message{p.me, t.To, t.Message})
 		}
-		events := p.node.Events()
+		events := p.node.TakeEvents()
 		if len(events) == 0 {
 			return
 		}
@@ -190,67 +190,67 @@
 // does is what the program does on a node's word.
 func (w *world) does(p *proc, e takeover.Event) {
 	i := index(e.ID)
-	if e.Taken && (e.Does == takeover.Run || e.Does == takeover.Give && e.Judged) &&
-		e.From != p.me && w.view(len(w.log)).Lives(e.From) {
-		w.breaks("%s takes %s from %s, which lives", p.me.Name, e.ID, e.From.Name)
+	if e.TakenOver && (e.Decision == takeover.Execute || e.Decision == takeover.ReturnStored && e.ConcludedHere) &&
+		e.PreviousOwner != p.me && w.view(len(w.log)).Contains(e.PreviousOwner) {
+		w.breaks("%s takes %s from %s, which lives", p.me.Name, e.ID, e.PreviousOwner.Name)
 	}
-	switch e.Does {
-	case takeover.Run:
+	switch e.Decision {
+	case takeover.Execute:
 		p.work[i] = &work{owned: true}
-	case takeover.Give:
-		w.tell(p, i, e.Record.Answer)
-	case takeover.Missing:
-		switch e.Next(w.conf.Strict || w.requests[i].effect == takeover.Unsafe) { // without records unsafe work may run twice
-		case takeover.Refuse:
-			w.tell(p, i, takeover.Answer{Verdict: takeover.Refused})
-		case takeover.Fail:
+	case takeover.ReturnStored:
+		w.tell(p, i, e.Record.Response)
+	case takeover.QuorumUnavailable:
+		switch e.Fallback(w.conf.Strict || w.requests[i].effect == takeover.NotIdempotent) { // without records unsafe work may run twice
+		case takeover.RejectRequest:
+			w.tell(p, i, takeover.Response{Status: takeover.Rejected})
+		case takeover.FailRequest:
 			p.node.Drop(e.ID)
-			w.tell(p, i, takeover.Answer{Verdict: takeover.Failed, Why: unknown})
+			w.tell(p, i, takeover.Response{Status: takeover.Failed, Reason: unknown})
 		default:
 			p.node.Drop(e.ID)
 			p.work[i] = &work{}
 		}
-	case takeover.Doubled, takeover.Lost:
+	case takeover.DuplicateID, takeover.OwnershipLost:
 		delete(p.waits, i)
 		delete(p.work, i)
-	case takeover.Orphan:
+	case takeover.OwnerEvicted:
 		if p.work[i] == nil {
 			p.node.Resume(p.now, e.Record)
 		}
-	case takeover.Kept:
+	case takeover.Replicated:
 		w.requests[i].kept = w.requests[i].kept || w.requests[i].served != 0
 	}
 }
 
 // tell gives a client that waits here its answer, and looks whether it agrees with what was told before.
-func (w *world) tell(p *proc, i int, a takeover.Answer) {
+func (w *world) tell(p *proc, i int, a takeover.Response) {
 	if !p.waits[i] {
 		return
 	}
 	delete(p.waits, i)
 	r := w.requests[i]
 	w.history = append(w.history, Heard{
-		i, p.asked[i], w.step, fmt.Sprint(a.Verdict, a.Body), a.Verdict == takeover.Refused || a.Why == unknown || r.effect == takeover.Safe,
+		i, p.asked[i], w.step, fmt.Sprint(a.Status, a.Body), a.Status == takeover.Rejected || a.Reason == unknown || r.effect == takeover.Idempotent,
 	})
-	r.told = append(r.told, fmt.Sprint(a.Verdict, string(a.Body)))
-	switch a.Verdict {
+	r.told = append(r.told, fmt.Sprint(a.Status, string(a.Body)))
+	switch a.Status {
 	case takeover.Served:
 		run := int(a.Body[0])
-		if r.effect != takeover.Safe && r.served != 0 && r.served != run {
+		if r.effect != takeover.Idempotent && r.served != 0 && r.served != run {
 			w.breaks("two answers to %s", id(i))
 		}
 		r.served = run
-	case takeover.Refused:
+	case takeover.Rejected:
 		if r.owned > 0 {
 			w.breaks("%s is refused though it ran", id(i))
 		}
 		for _, o := range w.procs { // a client that takes a refusal ends its other asks
-			if delete(o.waits, i); o.up && o.node.Asks(id(i)) {
+			if delete(o.waits, i); o.up && o.node.IsPreparing(id(i)) {
 				o.node.Drop(id(i))
 			}
 		}
 	case takeover.Failed:
-		if r.kept && a.Why != unknown {
+		if r.kept && a.Reason != unknown {
 			w.breaks("%s fails though a quorum had its answer", id(i))
 		}
 	}
@@ -308,7 +308,7 @@
 		}
 		if p.lease {
 			can(w.left.Fences, "lease of "+name+" ends", func(w *world) { w.left.Fences--; w.procs[n].lease = false })
-		} else if w.view(len(w.log)).Lives(p.me) {
+		} else if w.view(len(w.log)).Contains(p.me) {
 			can(1, "out with "+name, func(w *world) { w.log = append(w.log, entry{w.procs[n].me, true}) })
 		}
 	}
@@ -328,7 +328,7 @@
 	case !k.checked:
 		*out = append(*out, move{"check " + name, func(w *world) {
 			p := w.procs[n]
-			if k := p.work[i]; !k.owned || p.lease || w.conf.Plant == takeover.LeaseUnchecked {
+			if k := p.work[i]; !k.owned || p.lease || w.conf.Plant == takeover.IgnoreLease {
 				k.checked = true
 				if k.owned && !p.lease {
 					w.breaks("%s sends %s after its lease", p.me.Name, id(i))
@@ -342,17 +342,17 @@
 		*out = append(*out, move{"write " + name, func(w *world) {
 			k, r := w.procs[n].work[i], w.requests[i]
 			k.sent = true
-			if r.effect != takeover.Keyed || r.runs == 0 { // a key that is known has no second effect
+			if r.effect != takeover.IdempotentByKey || r.runs == 0 { // a key that is known has no second effect
 				r.runs++
 			}
 			k.answer = r.runs
 			if k.owned {
 				r.owned++
 			}
-			if r.effect == takeover.Unsafe && r.runs > 1 {
+			if r.effect == takeover.NotIdempotent && r.runs > 1 {
 				w.breaks("%s runs twice", id(i))
 			}
-			if k.owned && slices.ContainsFunc(r.told, func(t string) bool { return strings.HasPrefix(t, fmt.Sprint(takeover.Refused)) }) {
+			if k.owned && slices.ContainsFunc(r.told, func(t string) bool { return strings.HasPrefix(t, fmt.Sprint(takeover.Rejected)) }) {
 				w.breaks("%s runs though it was refused", id(i))
 			}
 		}})
@@ -365,9 +365,9 @@
 				delete(p.waits, i)
 				return
 			}
-			a := takeover.Answer{Verdict: takeover.Served, Body: []byte{byte(k.answer)}}
+			a := takeover.Response{Status: takeover.Served, Body: []byte{byte(k.answer)}}
 			if k.owned {
-				p.node.Answered(p.now, id(i), a)
+				p.node.Complete(p.now, id(i), a)
 			}
 			w.tell(p, i, a)
 			w.settle(p)
@@ -386,7 +386,7 @@
 	if resume {
 		p.node.Resume(p.now, w.record(i))
 	} else {
-		p.node.Take(p.now, w.record(i))
+		p.node.Begin(p.now, w.record(i))
 	}
 	w.settle(p)
 }
@@ -401,7 +401,7 @@
 // restart starts a process of a name again: the log lists it once the one before is out.
 func (w *world) restart(n int) {
 	old := w.procs[n]
-	if old.lease || w.view(len(w.log)).Lives(old.me) {
+	if old.lease || w.view(len(w.log)).Contains(old.me) {
 		return
 	}
 	w.incs[old.me.Name]++
@@ -475,7 +475,7 @@
 			}
 		}
 		if p.node != nil {
-			p.node.Print(h)
+			p.node.WriteState(h)
 		}
 	}
 	var net []string
--- a/internal/lab/modelcheck/explore_test.go
+++ b/internal/lab/modelcheck/explore_test.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	one  = []takeover.Effect{takeover.Unsafe}
-	both = []takeover.Effect{takeover.Unsafe, takeover.Keyed}
+	one  = []takeover.Idempotency{takeover.NotIdempotent}
+	both = []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}
 )
 
 // No order of events breaks a promise: all short ones, and many long ones.
@@ -71,14 +71,14 @@
 // Each planted fault is found. Guards against an explorer that can find nothing.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
-		plant takeover.Plant
+		plant takeover.InjectedFault
 		name  string
 		with  Budget
 	}{
-		{takeover.LeaseUnchecked, "lease not checked", Much},
-		{takeover.SendEarly, "sent before the holders have it", Budget{Asks: 2, Losses: 4}},
-		{takeover.EpochWrong, "epoch compared the wrong way", Much},
-		{takeover.AnswerForgot, "answer forgotten", Budget{Asks: 2, Crashes: 1, Fences: 1, Ticks: 2}},
+		{takeover.IgnoreLease, "lease not checked", Much},
+		{takeover.SendBeforeQuorum, "sent before the holders have it", Budget{Asks: 2, Losses: 4}},
+		{takeover.InvertMembership, "epoch compared the wrong way", Much},
+		{takeover.ForgetResponse, "answer forgotten", Budget{Asks: 2, Crashes: 1, Fences: 1, Ticks: 2}},
 	} {
 		found, seed := "", uint64(0)
 		for ; seed < 5_000 && found == ""; seed++ {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -123,7 +123,7 @@
 
 // leader asks one member after the other, who leads as soon as that is told, until one that leads has answered. An order
 // that was passed on bears its id, so that it is carried out once whoever is asked.
-func (s *session) leader(a fleet.Ask) (*fleet.Reply, error) {
+func (s *session) leader(a fleet.AdminRequest) (*fleet.AdminResponse, error) {
 	if err := s.load(); err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 	for _, m := range s.opts.Fleet.Members {
 		addrs[m.Name] = m.Address
 	}
-	var last *fleet.Reply
+	var last *fleet.AdminResponse
 	var why error
 	for todo := s.names(); len(todo) > 0 && s.ctx.Err() == nil; {
 		name := todo[0]
@@ -143,13 +143,13 @@
 		switch {
 		case err != nil:
 			why = errors.Join(why, fmt.Errorf("%s: %w", name, err))
-		case r.Err == "" && (a.Order != nil || r.Standing.Leads):
+		case r.Err == "" && (a.Order != nil || r.Status.IsLeader):
 			return r, nil
 		case r.Err == "":
-			last, todo = r, append([]string{r.Standing.Leader}, todo...)
-		case r.NotLeading:
+			last, todo = r, append([]string{r.Status.Leader}, todo...)
+		case r.NotLeader:
 			why, todo = errors.Join(why, fmt.Errorf("%s: %s", name, r.Err)), append([]string{r.Leader}, todo...)
-		case r.Unknown:
+		case r.OutcomeUnknown:
 			return nil, fault{Unheard, fmt.Errorf("%s: %s", name, r.Err)}
 		default:
 			return nil, fault{Refused, fmt.Errorf("%s: %s", name, r.Err)}
@@ -174,11 +174,11 @@
 	if err := o.Check(); err != nil {
 		return fault{Misused, err}
 	}
-	r, err := s.leader(fleet.Ask{Do: fleet.AskOrder, Order: &o})
+	r, err := s.leader(fleet.AdminRequest{Command: fleet.CommandOrder, Order: &o})
 	if err != nil {
 		return err
 	}
-	return s.tell(r.Standing)
+	return s.tell(r.Status)
 }
 
 // asJSON writes a value.
@@ -191,11 +191,11 @@
 type statusCmd struct{}
 
 func (statusCmd) Run(s *session) error {
-	r, err := s.leader(fleet.Ask{Do: fleet.AskStanding})
+	r, err := s.leader(fleet.AdminRequest{Command: fleet.CommandStatus})
 	if err != nil {
 		return err
 	}
-	return s.tell(r.Standing)
+	return s.tell(r.Status)
 }
 
 type rolloutCmd struct {
--- a/internal/operator/tell.go
+++ b/internal/operator/tell.go
@@ -24,18 +24,18 @@
 }
 
 // tell tells how the fleet stands.
-func (s *session) tell(st *fleet.Standing) error {
+func (s *session) tell(st *fleet.ClusterStatus) error {
 	if s.line.JSON {
 		return s.asJSON(st)
 	}
 	p := &st.Plan
-	fmt.Fprintf(s.out, "as of %s (leads: %t), epoch %d, leader %s\n", st.Name, st.Leads, st.Epoch, st.Leader)
+	fmt.Fprintf(s.out, "as of %s (leads: %t), epoch %d, leader %s\n", st.Name, st.IsLeader, st.Epoch, st.Leader)
 	fmt.Fprintf(s.out, "target %d for %.1f%% of the members, others on %d; fence %d; barred %v\n", p.Target, float64(p.Share)/10, p.Base, p.Fence, p.Barred)
 	if p.Held != "" {
 		fmt.Fprintf(s.out, "held: %s\n", p.Held)
 	}
-	if st.Waits != "" {
-		fmt.Fprintf(s.out, "waits: %s\n", st.Waits)
+	if st.WaitingFor != "" {
+		fmt.Fprintf(s.out, "waits: %s\n", st.WaitingFor)
 	}
 	versions := s.table("number", "digest", "bytes", "back to", "who", "why")
 	for _, v := range p.Versions {
@@ -45,9 +45,9 @@
 		versions.Render()
 	}
 	members := s.table("member", "processes", "acts on", "wants", "behind", "refused", "why", "build", "answers", "served", "heard")
-	for _, name := range st.Names {
+	for _, name := range st.MemberNames {
 		living := 0
-		for _, m := range st.Living {
+		for _, m := range st.Members {
 			if m.Name == name {
 				living++
 			}
@@ -112,7 +112,7 @@
 	var work sync.WaitGroup
 	for _, m := range s.opts.Fleet.Members {
 		work.Go(func() {
-			r, err := fleet.Call(s.ctx, m.Address, s.names(), fleet.Ask{Do: fleet.AskSegments, Member: name})
+			r, err := fleet.Call(s.ctx, m.Address, s.names(), fleet.AdminRequest{Command: fleet.CommandSegments, Member: name})
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
--- a/internal/takeover/clone.go
+++ b/internal/takeover/clone.go
@@ -27,9 +27,9 @@
 	return &c
 }
 
-// Print writes all that later behaviour depends on: equal nodes print alike.
-func (n *Node) Print(w io.Writer) {
-	fmt.Fprint(w, n.conf.Me, n.view.Epoch, n.joined, n.seat, n.sure, n.round)
+// WriteState writes all that later behaviour depends on: equal nodes print alike.
+func (n *Node) WriteState(w io.Writer) {
+	fmt.Fprint(w, n.conf.Self, n.view.Epoch, n.joined, n.seat, n.sure, n.round)
 	for _, id := range slices.Sorted(maps.Keys(n.slots)) {
 		fmt.Fprint(w, id, *n.slots[id])
 	}
--- a/internal/takeover/custody_test.go
+++ b/internal/takeover/custody_test.go
@@ -21,17 +21,17 @@
 }
 
 func newFleet(n, holders int) *fleet {
-	f := &fleet{nodes: map[string]*Node{}, view: &View{Live: map[Member]Standing{}}, dead: map[string]bool{}, said: map[string][]Event{}}
+	f := &fleet{nodes: map[string]*Node{}, view: &View{Members: map[Member]MemberInfo{}}, dead: map[string]bool{}, said: map[string][]Event{}}
 	for i := range n {
 		name := fmt.Sprintf("m%03d", i)
 		f.names = append(f.names, name)
 		f.view.Epoch++
-		f.view.Live[f.member(name)] = Standing{Joined: f.view.Epoch, First: true}
+		f.view.Members[f.member(name)] = MemberInfo{JoinedEpoch: f.view.Epoch, FirstIncarnation: true}
 	}
 	for _, name := range f.names {
 		f.nodes[name] = New(Config{
-			Me: f.member(name), Names: f.names, Holders: holders, Records: 100, Bytes: 100_000, Keep: testKeep, Longest: testLongest, Wait: testWait, Again: testAgain,
-			Stagger: 300,
+			Self: f.member(name), MemberNames: f.names, ReplicationFactor: holders, MaxRecords: 100, MaxBytes: 100_000, Retention: testKeep, MaxRequestAge: testLongest, QuorumTimeout: testWait, ResendInterval: testAgain,
+			TakeoverStagger: 300,
 		})
 	}
 	f.see()
@@ -43,7 +43,7 @@
 func (f *fleet) see() {
 	for _, name := range f.names {
 		if !f.dead[name] {
-			f.nodes[name].See(f.now, f.view)
+			f.nodes[name].ApplyView(f.now, f.view)
 		}
 	}
 	f.settle()
@@ -57,12 +57,12 @@
 			if f.dead[name] {
 				continue
 			}
-			f.said[name] = append(f.said[name], f.nodes[name].Events()...)
-			for _, t := range f.nodes[name].Sent() {
+			f.said[name] = append(f.said[name], f.nodes[name].TakeEvents()...)
+			for _, t := range f.nodes[name].TakeMessages() {
 				f.sent++
 				busy = true
-				if !f.dead[t.Name] {
-					f.nodes[t.Name].Handle(f.now, f.member(name), &t.Message)
+				if !f.dead[t.To] {
+					f.nodes[t.To].Handle(f.now, f.member(name), &t.Message)
 				}
 			}
 		}
@@ -83,13 +83,13 @@
 
 // out puts members out, dead or not.
 func (f *fleet) out(names ...string) {
-	v := &View{Epoch: f.view.Epoch, Live: map[Member]Standing{}}
-	for m, s := range f.view.Live {
-		v.Live[m] = s
+	v := &View{Epoch: f.view.Epoch, Members: map[Member]MemberInfo{}}
+	for m, s := range f.view.Members {
+		v.Members[m] = s
 	}
 	for _, name := range names {
 		v.Epoch++
-		delete(v.Live, f.member(name))
+		delete(v.Members, f.member(name))
 	}
 	f.view = v
 	f.see()
@@ -104,14 +104,14 @@
 func (f *fleet) last(name string) Event {
 	all := f.heard(name)
 	if len(all) == 0 {
-		return Event{Does: 99}
+		return Event{Decision: 99}
 	}
 	return all[len(all)-1]
 }
 
-func record(id string, e Effect) Record {
-	r := Record{ID: id, Digest: 7, Effect: e, Life: testLongest, Class: "c"}
-	if e == Keyed {
+func record(id string, e Idempotency) Record {
+	r := Record{ID: id, Digest: 7, Idempotency: e, DeadlineAge: testLongest, Class: "c"}
+	if e == IdempotentByKey {
 		r.Request = []byte("what goes on")
 	}
 	return r
@@ -119,31 +119,31 @@
 
 // What becomes of a request whose first taker is lost, by how far it had come, by effect and by who else is lost.
 func TestWhatATakerDoes(t *testing.T) {
-	served := Answer{Verdict: Served, Body: []byte("yes")}
+	served := Response{Status: Served, Body: []byte("yes")}
 	type test struct {
 		name   string
-		effect Effect
+		effect Idempotency
 		do     func(f *fleet) // the first taker's part, before it dies
 		lost   []string       // besides it
-		want   Does
-		answer Verdict
+		want   Decision
+		answer ResponseStatus
 	}
-	take := func(e Effect) func(*fleet) {
-		return func(f *fleet) { f.nodes["m000"].Take(f.now, record("x", e)); f.settle() }
+	take := func(e Idempotency) func(*fleet) {
+		return func(f *fleet) { f.nodes["m000"].Begin(f.now, record("x", e)); f.settle() }
 	}
-	answered := func(e Effect) func(*fleet) {
-		return func(f *fleet) { take(e)(f); f.nodes["m000"].Answered(f.now, "x", served); f.settle() }
+	answered := func(e Idempotency) func(*fleet) {
+		return func(f *fleet) { take(e)(f); f.nodes["m000"].Complete(f.now, "x", served); f.settle() }
 	}
 	for _, c := range []test{
-		{"never begun", Unsafe, func(*fleet) {}, nil, Run, None},
-		{"begun, unsafe", Unsafe, take(Unsafe), nil, Give, Failed},
-		{"begun, keyed", Keyed, take(Keyed), nil, Run, None},
-		{"begun, safe", Safe, take(Safe), nil, Run, None},
-		{"answered, unsafe", Unsafe, answered(Unsafe), nil, Give, Served},
-		{"answered, keyed", Keyed, answered(Keyed), nil, Give, Served},
-		{"answered, all holders but one lost", Unsafe, answered(Unsafe), []string{"m001"}, Give, Served},
-		{"begun, all holders but one lost, unsafe", Unsafe, take(Unsafe), []string{"m001"}, Missing, None},
-		{"never begun, no quorum can say so", Unsafe, func(*fleet) {}, []string{"m001"}, Missing, None},
+		{"never begun", NotIdempotent, func(*fleet) {}, nil, Execute, NoResponse},
+		{"begun, unsafe", NotIdempotent, take(NotIdempotent), nil, ReturnStored, Failed},
+		{"begun, keyed", IdempotentByKey, take(IdempotentByKey), nil, Execute, NoResponse},
+		{"begun, safe", Idempotent, take(Idempotent), nil, Execute, NoResponse},
+		{"answered, unsafe", NotIdempotent, answered(NotIdempotent), nil, ReturnStored, Served},
+		{"answered, keyed", IdempotentByKey, answered(IdempotentByKey), nil, ReturnStored, Served},
+		{"answered, all holders but one lost", NotIdempotent, answered(NotIdempotent), []string{"m001"}, ReturnStored, Served},
+		{"begun, all holders but one lost, unsafe", NotIdempotent, take(NotIdempotent), []string{"m001"}, QuorumUnavailable, NoResponse},
+		{"never begun, no quorum can say so", NotIdempotent, func(*fleet) {}, []string{"m001"}, QuorumUnavailable, NoResponse},
 	} {
 		f := newFleet(3, 3)
 		c.do(f)
@@ -156,8 +156,8 @@
 		f.settle()
 		f.pass(2 * testWait)
 		e := f.last("m002")
-		if e.Does != c.want || e.Record.Answer.Verdict != c.answer || c.want == Missing && c.effect == Unsafe && e.Next(true) != Fail {
-			t.Errorf("%s: %v %+v", c.name, e.Does, e)
+		if e.Decision != c.want || e.Record.Response.Status != c.answer || c.want == QuorumUnavailable && c.effect == NotIdempotent && e.Fallback(true) != FailRequest {
+			t.Errorf("%s: %v %+v", c.name, e.Decision, e)
 		}
 	}
 }
@@ -165,19 +165,19 @@
 // A living owner keeps its request: who asks for it waits for the owner's answer, and gets the same.
 func TestALivingOwnerIsWaitedFor(t *testing.T) {
 	f := newFleet(5, 3)
-	f.nodes["m000"].Take(f.now, record("x", Unsafe))
+	f.nodes["m000"].Begin(f.now, record("x", NotIdempotent))
 	f.settle()
 	for _, name := range []string{"m003", "m004"} {
-		f.nodes[name].Resume(f.now, record("x", Unsafe))
+		f.nodes[name].Resume(f.now, record("x", NotIdempotent))
 	}
 	f.pass(5 * testWait)
 	if a, b := f.heard("m003"), f.heard("m004"); len(a)+len(b) > 0 {
 		t.Fatalf("did not wait: %v %v", a, b)
 	}
-	f.nodes["m000"].Answered(f.now, "x", Answer{Verdict: Served, Body: []byte("yes")})
+	f.nodes["m000"].Complete(f.now, "x", Response{Status: Served, Body: []byte("yes")})
 	f.pass(2 * testAgain)
 	for _, name := range []string{"m003", "m004"} {
-		if e := f.last(name); e.Does != Give || string(e.Record.Answer.Body) != "yes" {
+		if e := f.last(name); e.Decision != ReturnStored || string(e.Record.Response.Body) != "yes" {
 			t.Errorf("%s: %+v", name, e)
 		}
 	}
@@ -187,16 +187,16 @@
 func TestTwoAskAtOnce(t *testing.T) {
 	f := newFleet(3, 3)
 	for _, name := range f.names[1:] {
-		f.nodes[name].Resume(f.now, record("x", Unsafe))
+		f.nodes[name].Resume(f.now, record("x", NotIdempotent))
 	}
 	f.pass(10 * testAgain)
 	runs, other := "", ""
 	for _, name := range f.names[1:] {
 		for _, e := range f.heard(name) {
-			if e.Does == Run && runs == "" {
+			if e.Decision == Execute && runs == "" {
 				runs = name
 			} else {
-				t.Errorf("%s: %v", name, e.Does)
+				t.Errorf("%s: %v", name, e.Decision)
 			}
 		}
 	}
@@ -208,9 +208,9 @@
 	if runs == "" {
 		t.Fatal("nobody runs it")
 	}
-	f.nodes[runs].Answered(f.now, "x", Answer{Verdict: Served, Body: []byte("one")})
+	f.nodes[runs].Complete(f.now, "x", Response{Status: Served, Body: []byte("one")})
 	f.pass(4 * testAgain)
-	if e := f.last(other); e.Does != Give || string(e.Record.Answer.Body) != "one" {
+	if e := f.last(other); e.Decision != ReturnStored || string(e.Record.Response.Body) != "one" {
 		t.Errorf("%+v", e)
 	}
 }
@@ -219,7 +219,7 @@
 func TestTakenOverUnasked(t *testing.T) {
 	for _, marked := range []bool{false, true} {
 		f := newFleet(4, 3)
-		f.nodes["m000"].Take(f.now, record("x", Keyed))
+		f.nodes["m000"].Begin(f.now, record("x", IdempotentByKey))
 		f.settle()
 		if marked {
 			f.pass(2 * testAgain)
@@ -230,7 +230,7 @@
 		orphans := 0
 		for _, name := range f.names[1:] {
 			for _, e := range f.heard(name) {
-				if e.Does == Orphan {
+				if e.Decision == OwnerEvicted {
 					orphans++
 				}
 			}
@@ -244,32 +244,32 @@
 // A holder that has forgotten says so: it neither testifies nor takes what was begun before it came.
 func TestAHolderThatRestarted(t *testing.T) {
 	f := newFleet(3, 3)
-	f.nodes["m000"].Take(f.now, record("x", Unsafe))
+	f.nodes["m000"].Begin(f.now, record("x", NotIdempotent))
 	f.settle()
 	f.heard("m000")
 	conf := f.nodes["m001"].conf
-	conf.Me.Incarnation = 2
+	conf.Self.Incarnation = 2
 	n := New(conf)
-	v := &View{Epoch: f.view.Epoch + 2, Live: map[Member]Standing{
-		f.member("m000"): {Joined: 1, First: true}, f.member("m002"): {Joined: 3, First: true}, conf.Me: {Joined: f.view.Epoch + 2},
+	v := &View{Epoch: f.view.Epoch + 2, Members: map[Member]MemberInfo{
+		f.member("m000"): {JoinedEpoch: 1, FirstIncarnation: true}, f.member("m002"): {JoinedEpoch: 3, FirstIncarnation: true}, conf.Self: {JoinedEpoch: f.view.Epoch + 2},
 	}}
-	n.See(f.now, v)
-	ask := func(now int64, k Kind, id string, epoch uint64) Kind {
-		rec := record(id, Unsafe)
+	n.ApplyView(f.now, v)
+	ask := func(now int64, k MessageKind, id string, epoch uint64) MessageKind {
+		rec := record(id, NotIdempotent)
 		rec.Owner, rec.Epoch = f.member("m000"), epoch
-		m := &Message{Kind: k, ID: id, Ballot: Ballot{Round: 3, By: rec.Owner}, Epoch: v.Epoch, Digest: 7, Record: &rec}
+		m := &Message{Kind: k, ID: id, Ballot: Ballot{Round: 3, Proposer: rec.Owner}, Epoch: v.Epoch, Digest: 7, Record: &rec}
 		n.Handle(now, rec.Owner, m)
-		return n.Sent()[0].Kind
+		return n.TakeMessages()[0].Kind
 	}
 	for _, c := range []struct {
 		now   int64
-		kind  Kind
+		kind  MessageKind
 		id    string
 		epoch uint64
-		want  Kind
+		want  MessageKind
 	}{
-		{f.now, Ask, "y", 0, Young}, {f.now, Write, "y", v.Epoch - 1, Young}, {f.now, Write, "z", v.Epoch, Accepted}, {f.now, Ask, "z", 0, Outbid},
-		{f.now + testLongest, Ask, "y", 0, Promised},
+		{f.now, Prepare, "y", 0, NotYetMember}, {f.now, Write, "y", v.Epoch - 1, NotYetMember}, {f.now, Write, "z", v.Epoch, Accepted}, {f.now, Prepare, "z", 0, HigherBallot},
+		{f.now + testLongest, Prepare, "y", 0, Promised},
 	} {
 		if got := ask(c.now, c.kind, c.id, c.epoch); got != c.want {
 			t.Errorf("%+v: %d", c, got)
@@ -280,23 +280,23 @@
 // Memory is bounded, what is forgotten is known to be forgotten, and another request under an id is told apart.
 func TestHoldersAreBounded(t *testing.T) {
 	f := newFleet(3, 3)
-	first := record("first", Unsafe)
-	f.nodes["m000"].Take(f.now, first)
+	first := record("first", NotIdempotent)
+	f.nodes["m000"].Begin(f.now, first)
 	f.settle()
-	f.nodes["m000"].Answered(f.now, "first", Answer{Verdict: Served})
+	f.nodes["m000"].Complete(f.now, "first", Response{Status: Served})
 	f.settle()
 	for i := range 200 {
-		f.nodes["m000"].Take(f.now, record(fmt.Sprint(i), Unsafe))
+		f.nodes["m000"].Begin(f.now, record(fmt.Sprint(i), NotIdempotent))
 		f.settle()
 	}
 	for _, name := range f.names {
-		if n, b := f.nodes[name].Held(); n > 100 || b > 100_000 {
+		if n, b := f.nodes[name].Usage(); n > 100 || b > 100_000 {
 			t.Errorf("%s holds %d records of %d bytes", name, n, b)
 		}
 	}
 	missing := 0
 	for _, e := range f.heard("m000") {
-		if e.Does == Missing && e.Fresh && e.Next(true) == Fail && e.Next(false) == GoOn {
+		if e.Decision == QuorumUnavailable && e.NeverSent && e.Fallback(true) == FailRequest && e.Fallback(false) == SendWithoutRecord {
 			missing++
 			f.nodes["m000"].Drop(e.ID)
 		}
@@ -308,16 +308,16 @@
 	other.Digest++
 	f.nodes["m002"].Resume(f.now, other)
 	f.settle()
-	if e := f.last("m002"); e.Does != Doubled {
+	if e := f.last("m002"); e.Decision != DuplicateID {
 		t.Errorf("another request under an id: %+v", e)
 	}
 	f.pass(2*testKeep + testLongest)
-	if n, b := f.nodes["m001"].Held(); n != 0 || b != 0 {
+	if n, b := f.nodes["m001"].Usage(); n != 0 || b != 0 {
 		t.Errorf("%d records of %d bytes are left", n, b)
 	}
 	f.nodes["m002"].Resume(f.now, first)
 	f.settle()
-	if e := f.last("m002"); e.Does != Give || e.Record.Answer.Verdict != Failed {
+	if e := f.last("m002"); e.Decision != ReturnStored || e.Record.Response.Status != Failed {
 		t.Errorf("after it expired: %+v", e)
 	}
 }
@@ -330,9 +330,9 @@
 		for i := range requests {
 			id := fmt.Sprint("r", i)
 			owner := f.nodes[f.names[i%n]]
-			owner.Take(f.now, record(id, Unsafe))
+			owner.Begin(f.now, record(id, NotIdempotent))
 			f.settle()
-			owner.Answered(f.now, id, Answer{Verdict: Served})
+			owner.Complete(f.now, id, Response{Status: Served})
 			f.settle()
 		}
 		return float64(f.sent) / requests
@@ -350,14 +350,14 @@
 func BenchmarkRequest(b *testing.B) {
 	f := newFleet(3, 3)
 	for _, n := range f.nodes {
-		n.conf.Records, n.conf.Bytes = 1<<20, 1<<30
+		n.conf.MaxRecords, n.conf.MaxBytes = 1<<20, 1<<30
 	}
 	b.ReportAllocs()
 	for i := range b.N {
 		id := fmt.Sprint(i)
-		f.nodes["m000"].Take(f.now, record(id, Keyed))
+		f.nodes["m000"].Begin(f.now, record(id, IdempotentByKey))
 		f.settle()
-		f.nodes["m000"].Answered(f.now, id, Answer{Verdict: Served, Body: []byte("yes")})
+		f.nodes["m000"].Complete(f.now, id, Response{Status: Served, Body: []byte("yes")})
 		f.settle()
 		if f.heard("m000"); i%10_000 == 9_999 {
 			f.pass(2*testKeep + testLongest)
--- a/internal/takeover/holder.go
+++ b/internal/takeover/holder.go
@@ -37,20 +37,20 @@
 
 // hold answers a Write or an Ask.
 func (n *Node) hold(now int64, from Member, m *Message) Message {
-	r := Message{To: m.Kind, ID: m.ID, Ballot: m.Ballot, Epoch: n.view.Epoch, Seq: m.Seq}
+	r := Message{ReplyTo: m.Kind, ID: m.ID, Ballot: m.Ballot, Epoch: n.view.Epoch, Seq: m.Seq}
 	switch {
 	case n.view.Epoch < m.Epoch:
-		r.Kind = Behind // Guards against a judgement by an old list of who is out
-	case !n.view.Lives(from) || m.Ballot.By != from:
-		r.Kind = Out
+		r.Kind = StaleEpoch // Guards against a judgement by an old list of who is out
+	case !n.view.Contains(from) || m.Ballot.Proposer != from:
+		r.Kind = Evicted
 	case n.seat == 0:
-		r.Kind = Young
+		r.Kind = NotYetMember
 	case m.Kind == Write && m.Record != nil:
 		n.write(now, m, &r)
-	case m.Kind == Ask:
+	case m.Kind == Prepare:
 		n.promise(now, m, &r)
 	default:
-		r.Kind = Out
+		r.Kind = Evicted
 	}
 	return r
 }
@@ -60,23 +60,23 @@
 	s := n.slots[m.ID]
 	first := s == nil
 	switch {
-	case m.Record.Owner != m.Ballot.By || m.Record.ID != m.ID:
-		r.Kind = Out
+	case m.Record.Owner != m.Ballot.Proposer || m.Record.ID != m.ID:
+		r.Kind = Evicted
 		return
 	case first && m.Record.Epoch < n.seat:
-		r.Kind = Young // Guards against a late first write that meets a holder which has forgotten who began the request
+		r.Kind = NotYetMember // Guards against a late first write that meets a holder which has forgotten who began the request
 		return
 	case first && n.forgot(m.ID):
-		r.Kind = Expired
+		r.Kind = RecordExpired
 		return
 	case !first && s.known && s.rec.Digest != m.Record.Digest:
-		r.Kind = Other
+		r.Kind = IDInUse
 		return
 	case !first && m.Ballot.Round == 0 && s.known && s.at != m.Ballot:
-		r.Kind = Other // Guards against two first takers of one id
+		r.Kind = IDInUse // Guards against two first takers of one id
 		return
 	case !first && m.Ballot.Compare(s.promised) < 0:
-		r.Kind, r.Promise = Outbid, s.promised
+		r.Kind, r.PromisedBallot = HigherBallot, s.promised
 		return
 	}
 	if !first && s.known && m.Ballot == s.at && m.Seq <= s.rec.Seq {
@@ -87,8 +87,8 @@
 	if !first && s.known {
 		had = s.rec.size()
 	}
-	if more := m.Record.size() - had; n.bytes+more > n.conf.Bytes || first && len(n.slots) >= n.conf.Records {
-		r.Kind = Full
+	if more := m.Record.size() - had; n.bytes+more > n.conf.MaxBytes || first && len(n.slots) >= n.conf.MaxRecords {
+		r.Kind = OutOfCapacity
 		return
 	} else {
 		n.bytes += more
@@ -99,10 +99,10 @@
 	}
 	s.promised, s.known, s.at, s.rec, s.came, s.orphan = m.Ballot, true, m.Ballot, *m.Record, now, 0
 	s.rec.Age = max(0, s.rec.Age)
-	s.rec.Life = min(s.rec.Life, s.rec.Age+n.conf.Longest) // whatever its owner says: nothing is held for good
-	s.expires = now + n.conf.Keep
-	if s.rec.Answer.Verdict == None {
-		s.expires += max(0, s.rec.Life-s.rec.Age) + n.conf.Keep
+	s.rec.DeadlineAge = min(s.rec.DeadlineAge, s.rec.Age+n.conf.MaxRequestAge) // whatever its owner says: nothing is held for good
+	s.expires = now + n.conf.Retention
+	if s.rec.Response.Status == NoResponse {
+		s.expires += max(0, s.rec.DeadlineAge-s.rec.Age) + n.conf.Retention
 	}
 	r.Kind = Accepted
 }
@@ -112,26 +112,26 @@
 	s := n.slots[m.ID]
 	switch {
 	case s == nil && n.forgot(m.ID):
-		r.Kind = Expired
+		r.Kind = RecordExpired
 		return
 	case s == nil && now < n.sure:
-		r.Kind = Young
+		r.Kind = NotYetMember
 		return
-	case s == nil && len(n.slots) >= n.conf.Records:
-		r.Kind = Full
+	case s == nil && len(n.slots) >= n.conf.MaxRecords:
+		r.Kind = OutOfCapacity
 		return
 	case s != nil && s.known && s.rec.Digest != m.Digest:
-		r.Kind = Other
+		r.Kind = IDInUse
 		return
-	case s != nil && s.known && s.rec.Answer.Verdict == None && s.rec.Owner != m.Ballot.By && n.lives(s.rec.Owner):
-		r.Kind = Lives
+	case s != nil && s.known && s.rec.Response.Status == NoResponse && s.rec.Owner != m.Ballot.Proposer && n.lives(s.rec.Owner):
+		r.Kind = OwnerAlive
 		return
 	case s != nil && (m.Ballot.Compare(s.promised) < 0 || s.known && m.Ballot.Compare(s.at) <= 0):
-		r.Kind, r.Promise = Outbid, s.promised
+		r.Kind, r.PromisedBallot = HigherBallot, s.promised
 		return
 	}
 	if s == nil {
-		s = &slot{expires: now + n.conf.Longest + n.conf.Keep}
+		s = &slot{expires: now + n.conf.MaxRequestAge + n.conf.Retention}
 		n.slots[m.ID] = s
 	}
 	s.promised = m.Ballot
@@ -139,24 +139,24 @@
 	if s.known {
 		rec := s.rec
 		rec.Age += now - s.came
-		r.Known, r.At, r.Record = true, s.at, &rec
+		r.HasRecord, r.RecordBallot, r.Record = true, s.at, &rec
 	}
 }
 
 func (n *Node) lives(m Member) bool {
-	if n.conf.Plant == EpochWrong {
-		return !n.view.Lives(m)
+	if n.conf.Fault == InvertMembership {
+		return !n.view.Contains(m)
 	}
-	return n.view.Lives(m)
+	return n.view.Contains(m)
 }
 
 // expire forgets what is too old, and remembers that it did.
 func (n *Node) expire(now int64) {
-	if now-n.swept < n.conf.Keep/20 {
+	if now-n.swept < n.conf.Retention/20 {
 		return
 	}
 	n.swept = now
-	if now-n.turn >= n.conf.Longest+n.conf.Keep || len(n.gone) >= forgetMost {
+	if now-n.turn >= n.conf.MaxRequestAge+n.conf.Retention || len(n.gone) >= forgetMost {
 		n.goneBefore, n.gone, n.turn = n.gone, map[uint64]bool{}, now
 	}
 	for id, s := range n.slots {
@@ -176,24 +176,24 @@
 // that may have been refused for want of a quorum: guards against a run of what its client was told is harmless to repeat.
 func (n *Node) orphans(now int64) {
 	living := map[string]bool{}
-	for m := range n.view.Live {
+	for m := range n.view.Members {
 		living[m.Name] = true
 	}
 	for id, s := range n.slots {
-		if !s.known || s.rec.Answer.Verdict != None || s.orphan != 0 || n.view.Lives(s.rec.Owner) ||
-			s.rec.Effect != Keyed || len(s.rec.Request) == 0 || !s.rec.Sent {
+		if !s.known || s.rec.Response.Status != NoResponse || s.orphan != 0 || n.view.Contains(s.rec.Owner) ||
+			s.rec.Idempotency != IdempotentByKey || len(s.rec.Request) == 0 || !s.rec.Sent {
 			continue
 		}
 		place := int64(0)
-		for _, name := range Holders(n.conf.Names, id, n.conf.Holders) {
-			if name == n.conf.Me.Name {
+		for _, name := range Replicas(n.conf.MemberNames, id, n.conf.ReplicationFactor) {
+			if name == n.conf.Self.Name {
 				break
 			}
 			if living[name] {
 				place++
 			}
 		}
-		s.orphan = now + place*n.conf.Stagger
+		s.orphan = now + place*n.conf.TakeoverStagger
 		n.left[id] = true
 	}
 }
--- a/internal/takeover/node.go
+++ b/internal/takeover/node.go
@@ -6,93 +6,93 @@
 	"slices"
 )
 
-// Plant is a fault put in on purpose, to show that explorer and rig find it.
-type Plant uint8
+// InjectedFault is a fault put in on purpose, to show that explorer and rig find it.
+type InjectedFault uint8
 
 const (
-	Sound          Plant = iota
-	LeaseUnchecked       // what the caller does with its lease; nothing here
-	SendEarly            // work goes out before a quorum has its record
-	EpochWrong           // the living count as out, and those out as living
-	AnswerForgot         // a taker takes an answer for none
+	NoFault          InjectedFault = iota
+	IgnoreLease                    // what the caller does with its lease; nothing here
+	SendBeforeQuorum               // work goes out before a quorum has its record
+	InvertMembership               // the living count as out, and those out as living
+	ForgetResponse                 // a taker takes an answer for none
 )
 
 // Config is what a Node is made with.
 type Config struct {
-	Me      Member
-	Names   []string // of all members
-	Holders int      // of each record
-	Records int      // held at most
-	Bytes   int      // of them at most
-	Keep    int64    // µs for which an answer is kept
-	Longest int64    // µs: no request is asked for after so long
-	Slack   int64    // µs by which an ask may be late for all that
-	Wait    int64    // µs for which a quorum is waited for
-	Again   int64    // µs after which what has no reply is sent again
-	Stagger int64    // µs between holders that take over unasked
-	Plant   Plant
+	Self              Member
+	MemberNames       []string // of all members
+	ReplicationFactor int      // of each record
+	MaxRecords        int      // held at most
+	MaxBytes          int      // of them at most
+	Retention         int64    // µs for which an answer is kept
+	MaxRequestAge     int64    // µs: no request is asked for after so long
+	LateRequestSlack  int64    // µs by which an ask may be late for all that
+	QuorumTimeout     int64    // µs for which a quorum is waited for
+	ResendInterval    int64    // µs after which what has no reply is sent again
+	TakeoverStagger   int64    // µs between holders that take over unasked
+	Fault             InjectedFault
 }
 
 // Quorum is how many holders have to agree.
-func (c *Config) Quorum() int { return c.Holders/2 + 1 }
+func (c *Config) Quorum() int { return c.ReplicationFactor/2 + 1 }
 
-// Does is what a Node tells its caller to do with a request.
-type Does uint8
+// Decision is what a Node tells its caller to do with a request.
+type Decision uint8
 
 const (
-	Run     Does = iota // it may be sent from now on; Record tells what is known
-	Give                // Record.Answer is the final answer
-	Missing             // too few holders have said anything in time; nothing is promised
-	Doubled             // the id is that of another request, or of one under way
-	Lost                // another owner has it, or this process is out: send nothing, answer nothing
-	Orphan              // its owner is out: take it over with Resume
-	Kept                // a quorum has the answer
+	Execute           Decision = iota // it may be sent from now on; Record tells what is known
+	ReturnStored                      // Record.Answer is the final answer
+	QuorumUnavailable                 // too few holders have said anything in time; nothing is promised
+	DuplicateID                       // the id is that of another request, or of one under way
+	OwnershipLost                     // another owner has it, or this process is out: send nothing, answer nothing
+	OwnerEvicted                      // its owner is out: take it over with Resume
+	Replicated                        // a quorum has the answer
 )
 
 // String names it as log lines do.
-func (d Does) String() string {
+func (d Decision) String() string {
 	return [...]string{"run", "give", "missing", "doubled", "lost", "orphan", "kept"}[d]
 }
 
 // Event is one such word.
 type Event struct {
-	Does   Does
-	ID     string
-	Record Record
-	Taken  bool   // from another owner, with Run or Missing: it may have run there
-	From   Member // with Taken: its owner before
-	Judged bool   // with Give: this process has found that it may have run, nobody had answered it
-	Fresh  bool   // with Missing: this process was the first to be asked, or a quorum said that it was never sent
-	AtOnce bool   // with Missing: nobody was asked, and its client can't have gone elsewhere meanwhile
+	Decision      Decision
+	ID            string
+	Record        Record
+	TakenOver     bool   // from another owner, with Run or Missing: it may have run there
+	PreviousOwner Member // with Taken: its owner before
+	ConcludedHere bool   // with Give: this process has found that it may have run, nobody had answered it
+	NeverSent     bool   // with Missing: this process was the first to be asked, or a quorum said that it was never sent
+	Immediate     bool   // with Missing: nobody was asked, and its client can't have gone elsewhere meanwhile
 }
 
-// Next is what to do where no quorum of holders can be had.
-type Next uint8
+// Fallback is what to do where no quorum of holders can be had.
+type Fallback uint8
 
 const (
-	GoOn   Next = iota // send it, without custody
-	Refuse             // nothing was sent: trying again is harmless
-	Fail               // it may have run
+	SendWithoutRecord Fallback = iota // send it, without custody
+	RejectRequest                     // nothing was sent: trying again is harmless
+	FailRequest                       // it may have run
 )
 
-// Next tells it, with Missing. Strict: the class's work goes out under custody alone.
-func (e *Event) Next(strict bool) Next {
+// Fallback tells it, with Missing. Strict: the class's work goes out under custody alone.
+func (e *Event) Fallback(strict bool) Fallback {
 	switch {
-	case e.Fresh && strict && e.AtOnce:
-		return Refuse
-	case e.Fresh && strict: // Guards against a refusal of what another member runs, asked while this one waited
-		return Fail
-	case e.Fresh:
-		return GoOn
-	case e.Record.Effect == Unsafe: // somebody may have sent it
-		return Fail
-	}
-	return GoOn
+	case e.NeverSent && strict && e.Immediate:
+		return RejectRequest
+	case e.NeverSent && strict: // Guards against a refusal of what another member runs, asked while this one waited
+		return FailRequest
+	case e.NeverSent:
+		return SendWithoutRecord
+	case e.Record.Idempotency == NotIdempotent: // somebody may have sent it
+		return FailRequest
+	}
+	return SendWithoutRecord
 }
 
-// To is a message for the process of that name.
-type To struct {
-	Name string
+// Envelope is a message for the process of that name.
+type Envelope struct {
+	To string
 	Message
 }
 
@@ -138,32 +138,32 @@
 	round  uint32 // of the latest ballot: none is used for two claims
 	holder
 	claims map[string]*claim
-	out    []To
+	out    []Envelope
 	events []Event
 }
 
 // New makes a node.
 func New(conf Config) *Node {
-	conf.Names = slices.Sorted(slices.Values(conf.Names))
+	conf.MemberNames = slices.Sorted(slices.Values(conf.MemberNames))
 	return &Node{conf: conf, view: &View{}, holder: newHolder(), claims: map[string]*claim{}}
 }
 
-// Sent returns what is to be sent since the last call, and Events what is to be done.
-func (n *Node) Sent() []To                 { out := n.out; n.out = nil; return out }
-func (n *Node) Events() []Event            { e := n.events; n.events = nil; return e }
-func (n *Node) tell(e Event)               { n.events = append(n.events, e) }
-func (n *Node) Held() (records, bytes int) { return len(n.slots), n.bytes }
+// TakeMessages returns what is to be sent since the last call, and Events what is to be done.
+func (n *Node) TakeMessages() []Envelope    { out := n.out; n.out = nil; return out }
+func (n *Node) TakeEvents() []Event         { e := n.events; n.events = nil; return e }
+func (n *Node) tell(e Event)                { n.events = append(n.events, e) }
+func (n *Node) Usage() (records, bytes int) { return len(n.slots), n.bytes }
 
-// See takes a newer view.
-func (n *Node) See(now int64, v *View) {
+// ApplyView takes a newer view.
+func (n *Node) ApplyView(now int64, v *View) {
 	if v.Epoch <= n.view.Epoch {
 		return
 	}
 	n.view = v
-	if n.joined && !v.Lives(n.conf.Me) {
+	if n.joined && !v.Contains(n.conf.Self) {
 		n.drop()
 	}
-	n.joined = v.Lives(n.conf.Me)
+	n.joined = v.Contains(n.conf.Self)
 	n.sit(now)
 	n.orphans(now)
 	for _, id := range slices.Sorted(maps.Keys(n.claims)) {
@@ -177,20 +177,20 @@
 // that name held it has never known, so that it can't speak of requests begun before.
 func (n *Node) sit(now int64) {
 	var oldest Member
-	var at Standing
-	for m, s := range n.view.Live {
-		if m.Name == n.conf.Me.Name && (oldest.Name == "" || s.Joined < at.Joined) {
+	var at MemberInfo
+	for m, s := range n.view.Members {
+		if m.Name == n.conf.Self.Name && (oldest.Name == "" || s.JoinedEpoch < at.JoinedEpoch) {
 			oldest, at = m, s
 		}
 	}
 	switch {
 	case oldest.Name == "": // none: it keeps what it has
-	case oldest != n.conf.Me:
+	case oldest != n.conf.Self:
 		n.seat = 0
 	case n.seat == 0:
 		n.seat, n.sure = n.view.Epoch, now
-		if !at.First {
-			n.sure += n.conf.Longest + n.conf.Slack
+		if !at.FirstIncarnation {
+			n.sure += n.conf.MaxRequestAge + n.conf.LateRequestSlack
 		}
 	}
 }
@@ -198,30 +198,30 @@
 // Rejoin makes another member of this process: the one it was is out. What it holds for others it has not forgotten.
 func (n *Node) Rejoin(me Member) {
 	n.drop()
-	n.conf.Me, n.joined = me, false
+	n.conf.Self, n.joined = me, false
 }
 
 // drop ends all that this process owns: it is out.
 func (n *Node) drop() {
 	for _, id := range slices.Sorted(maps.Keys(n.claims)) {
-		n.tell(Event{Does: Lost, ID: id})
+		n.tell(Event{Decision: OwnershipLost, ID: id})
 	}
 	n.claims = map[string]*claim{}
 }
 
-// In tells whether this process is a member now.
-func (n *Node) In() bool { return n.joined }
+// IsMember tells whether this process is a member now.
+func (n *Node) IsMember() bool { return n.joined }
 
-// Take begins the request as its first taker. Run follows once a quorum has the record.
-func (n *Node) Take(now int64, rec Record) {
+// Begin begins the request as its first taker. Run follows once a quorum has the record.
+func (n *Node) Begin(now int64, rec Record) {
 	c := n.claim(now, rec, writing)
 	if c == nil {
 		return
 	}
-	c.ballot = Ballot{By: n.conf.Me}
-	if n.conf.Plant == SendEarly {
+	c.ballot = Ballot{Proposer: n.conf.Self}
+	if n.conf.Fault == SendBeforeQuorum {
 		c.phase = running
-		n.tell(Event{Does: Run, ID: c.id, Record: c.rec})
+		n.tell(Event{Decision: Execute, ID: c.id, Record: c.rec})
 	}
 	n.send(now, c)
 }
@@ -233,34 +233,34 @@
 		return
 	}
 	n.round++
-	c.ballot = Ballot{Round: n.round, By: n.conf.Me}
+	c.ballot = Ballot{Round: n.round, Proposer: n.conf.Self}
 	n.ask(now, c)
 }
 
 // claim opens one, unless the id has one or this process is no member.
 func (n *Node) claim(now int64, rec Record, p phase) *claim {
-	if !n.In() {
-		n.tell(Event{Does: Missing, ID: rec.ID, Record: rec, Fresh: p == writing, AtOnce: p == writing})
+	if !n.IsMember() {
+		n.tell(Event{Decision: QuorumUnavailable, ID: rec.ID, Record: rec, NeverSent: p == writing, Immediate: p == writing})
 		return nil
 	}
 	if n.claims[rec.ID] != nil {
-		n.tell(Event{Does: Doubled, ID: rec.ID})
+		n.tell(Event{Decision: DuplicateID, ID: rec.ID})
 		return nil
 	}
-	rec.Owner, rec.Epoch, rec.Seq, rec.Answer = n.conf.Me, n.view.Epoch, 0, Answer{}
+	rec.Owner, rec.Epoch, rec.Seq, rec.Response = n.conf.Self, n.view.Epoch, 0, Response{}
 	c := &claim{
-		id: rec.ID, phase: p, mine: rec, rec: rec, came: now, began: now, holders: Holders(n.conf.Names, rec.ID, n.conf.Holders),
-		expires: now + max(0, rec.Life-rec.Age) + 2*n.conf.Keep,
+		id: rec.ID, phase: p, mine: rec, rec: rec, came: now, began: now, holders: Replicas(n.conf.MemberNames, rec.ID, n.conf.ReplicationFactor),
+		expires: now + max(0, rec.DeadlineAge-rec.Age) + 2*n.conf.Retention,
 	}
 	n.claims[c.id] = c
 	return c
 }
 
-// Answered gives a request that runs here its final answer, for those who ask again.
-func (n *Node) Answered(now int64, id string, a Answer) {
+// Complete gives a request that runs here its final answer, for those who ask again.
+func (n *Node) Complete(now int64, id string, a Response) {
 	if c := n.claims[id]; c != nil && (c.phase == running || c.phase == writing) {
-		c.phase, c.rec.Answer, c.rec.Request = closing, a, nil
-		c.expires = now + n.conf.Keep
+		c.phase, c.rec.Response, c.rec.Request = closing, a, nil
+		c.expires = now + n.conf.Retention
 		n.send(now, c)
 	}
 }
@@ -268,8 +268,8 @@
 // Drop forgets a claim: the request goes on without custody, or not at all.
 func (n *Node) Drop(id string) { delete(n.claims, id) }
 
-// Asks tells whether a request is still asked for: nothing was begun here.
-func (n *Node) Asks(id string) bool { c := n.claims[id]; return c != nil && c.phase == asking }
+// IsPreparing tells whether a request is still asked for: nothing was begun here.
+func (n *Node) IsPreparing(id string) bool { c := n.claims[id]; return c != nil && c.phase == asking }
 
 // send writes the record to all holders.
 func (n *Node) send(now int64, c *claim) {
@@ -289,8 +289,8 @@
 
 // resend sends what has no reply that counts.
 func (n *Node) resend(now int64, c *claim) {
-	c.again, c.sent = now+n.conf.Again, now
-	m := Message{Kind: Ask, ID: c.id, Ballot: c.ballot, Epoch: n.view.Epoch, Digest: c.rec.Digest}
+	c.again, c.sent = now+n.conf.ResendInterval, now
+	m := Message{Kind: Prepare, ID: c.id, Ballot: c.ballot, Epoch: n.view.Epoch, Digest: c.rec.Digest}
 	if c.phase != asking {
 		rec := c.rec
 		rec.Age += now - c.came
@@ -300,9 +300,9 @@
 		if r := c.replies[h]; r != nil && (r.Kind == Accepted || r.Kind == Promised) {
 			continue
 		}
-		if h != n.conf.Me.Name {
-			n.out = append(n.out, To{h, m})
-		} else if own := n.hold(now, n.conf.Me, &m); n.claims[c.id] == c {
+		if h != n.conf.Self.Name {
+			n.out = append(n.out, Envelope{h, m})
+		} else if own := n.hold(now, n.conf.Self, &m); n.claims[c.id] == c {
 			n.reply(now, h, &own)
 		}
 	}
@@ -310,8 +310,8 @@
 
 // Handle takes a message of another member.
 func (n *Node) Handle(now int64, from Member, m *Message) {
-	if m.Kind == Write || m.Kind == Ask {
-		n.out = append(n.out, To{from.Name, n.hold(now, from, m)})
+	if m.Kind == Write || m.Kind == Prepare {
+		n.out = append(n.out, Envelope{from.Name, n.hold(now, from, m)})
 		return
 	}
 	n.reply(now, from.Name, m)
@@ -320,39 +320,39 @@
 // reply takes a holder's word.
 func (n *Node) reply(now int64, from string, m *Message) {
 	c := n.claims[m.ID]
-	if c == nil || m.Ballot != c.ballot || c.phase == running || (m.To == Ask) != (c.phase == asking) || !slices.Contains(c.holders, from) {
+	if c == nil || m.Ballot != c.ballot || c.phase == running || (m.ReplyTo == Prepare) != (c.phase == asking) || !slices.Contains(c.holders, from) {
 		return
 	}
 	if m.Kind == Accepted && m.Seq != c.rec.Seq {
 		if m.Seq > c.rec.Seq { // an earlier claim of this process ended it
-			n.end(c, Event{Does: Doubled})
+			n.end(c, Event{Decision: DuplicateID})
 		}
 		return
 	}
 	c.replies[from] = m
 	switch m.Kind {
-	case Lives:
+	case OwnerAlive:
 		c.lived = now
-	case Out:
-		n.end(c, Event{Does: Lost})
+	case Evicted:
+		n.end(c, Event{Decision: OwnershipLost})
 		return
-	case Other:
-		n.end(c, Event{Does: Doubled})
+	case IDInUse:
+		n.end(c, Event{Decision: DuplicateID})
 		return
-	case Expired:
+	case RecordExpired:
 		if c.phase == asking {
-			n.end(c, Event{Does: Give, Record: Record{Answer: Answer{Verdict: Failed, Why: "record expired"}}})
+			n.end(c, Event{Decision: ReturnStored, Record: Record{Response: Response{Status: Failed, Reason: "record expired"}}})
 		} else {
-			n.end(c, Event{Does: Doubled})
+			n.end(c, Event{Decision: DuplicateID})
 		}
 		return
-	case Outbid:
+	case HigherBallot:
 		if c.phase == closing && !c.give || c.late {
-			n.end(c, Event{Does: Lost})
+			n.end(c, Event{Decision: OwnershipLost})
 			return
 		}
 		// Another wants it: what it makes of it is asked for. The next turn does that; two that ask take their time.
-		n.round = max(n.round, m.Promise.Round) + 1
+		n.round = max(n.round, m.PromisedBallot.Round) + 1
 		c.ballot.Round, c.phase, c.rec, c.taken, c.judged, c.give = n.round, asking, c.mine, false, false, false
 		c.replies = map[string]*Message{}
 		return
@@ -368,11 +368,11 @@
 
 // hopeless tells that all holders that live have spoken, and that no quorum comes of it.
 func (n *Node) hopeless(c *claim) bool {
-	for m := range n.view.Live {
+	for m := range n.view.Members {
 		if !slices.Contains(c.holders, m.Name) {
 			continue
 		}
-		if r := c.replies[m.Name]; r == nil || r.Kind == Behind || r.Kind == Lives {
+		if r := c.replies[m.Name]; r == nil || r.Kind == StaleEpoch || r.Kind == OwnerAlive {
 			return false
 		}
 	}
@@ -384,11 +384,11 @@
 	if c.late {
 		return
 	}
-	e := Event{Does: Missing, Taken: c.taken, Fresh: c.phase == writing && !c.taken}
+	e := Event{Decision: QuorumUnavailable, TakenOver: c.taken, NeverSent: c.phase == writing && !c.taken}
 	if m := c.latest(); m != nil && c.phase == asking {
-		e.Taken = true
-		if m.Record.Answer.Verdict != None {
-			n.end(c, Event{Does: Give, Record: *m.Record, Taken: true})
+		e.TakenOver = true
+		if m.Record.Response.Status != NoResponse {
+			n.end(c, Event{Decision: ReturnStored, Record: *m.Record, TakenOver: true})
 			return
 		}
 	}
@@ -401,7 +401,7 @@
 	n.tell(e)
 }
 
-func (c *claim) count(k Kind) (n int) {
+func (c *claim) count(k MessageKind) (n int) {
 	for _, r := range c.replies {
 		if r.Kind == k {
 			n++
@@ -414,7 +414,7 @@
 func (n *Node) end(c *claim, e Event) {
 	delete(n.claims, c.id)
 	e.ID = c.id
-	if e.Does == Missing {
+	if e.Decision == QuorumUnavailable {
 		e.Record = c.rec
 	}
 	n.tell(e)
@@ -425,10 +425,10 @@
 	var best *Message
 	for _, h := range slices.Sorted(maps.Keys(c.replies)) {
 		r := c.replies[h]
-		if r.Kind != Promised || !r.Known || r.Record == nil {
+		if r.Kind != Promised || !r.HasRecord || r.Record == nil {
 			continue
 		}
-		if best == nil || cmp.Or(r.At.Compare(best.At), cmp.Compare(r.Record.Seq, best.Record.Seq)) > 0 {
+		if best == nil || cmp.Or(r.RecordBallot.Compare(best.RecordBallot), cmp.Compare(r.Record.Seq, best.Record.Seq)) > 0 {
 			best = r
 		}
 	}
@@ -442,26 +442,26 @@
 	if m := c.latest(); m != nil {
 		age := c.rec.Age
 		c.rec, c.taken, c.from = *m.Record, true, m.Record.Owner
-		c.rec.Owner, c.rec.Epoch, c.rec.Seq = n.conf.Me, c.mine.Epoch, 0
+		c.rec.Owner, c.rec.Epoch, c.rec.Seq = n.conf.Self, c.mine.Epoch, 0
 		c.rec.Age = max(c.rec.Age+now-c.sent, age) // all of the way there and back counts
-		if len(c.rec.Request) == 0 && c.rec.Answer.Verdict == None {
+		if len(c.rec.Request) == 0 && c.rec.Response.Status == NoResponse {
 			c.rec.Request = c.mine.Request
 		}
-		if n.conf.Plant == AnswerForgot {
-			c.rec.Answer = Answer{}
+		if n.conf.Fault == ForgetResponse {
+			c.rec.Response = Response{}
 		}
 	}
 	switch {
-	case c.rec.Answer.Verdict != None:
+	case c.rec.Response.Status != NoResponse:
 		c.phase = closing
-	case c.taken && c.rec.Effect == Unsafe:
-		c.phase, c.judged, c.rec.Answer, c.rec.Request = closing, true, Answer{Verdict: Failed, Why: "may have run"}, nil
+	case c.taken && c.rec.Idempotency == NotIdempotent:
+		c.phase, c.judged, c.rec.Response, c.rec.Request = closing, true, Response{Status: Failed, Reason: "may have run"}, nil
 	default:
 		c.phase = writing
 	}
 	c.replies = map[string]*Message{}
 	if c.phase == closing {
-		c.expires, c.give = now+n.conf.Keep, true
+		c.expires, c.give = now+n.conf.Retention, true
 	}
 	n.resend(now, c)
 }
@@ -472,18 +472,18 @@
 	case c.phase == closing:
 		n.closed(c)
 	case !c.late:
-		c.phase, c.again = running, now+n.conf.Again
-		n.tell(Event{Does: Run, ID: c.id, Record: c.rec, Taken: c.taken, From: c.from})
+		c.phase, c.again = running, now+n.conf.ResendInterval
+		n.tell(Event{Decision: Execute, ID: c.id, Record: c.rec, TakenOver: c.taken, PreviousOwner: c.from})
 	}
 }
 
 // closed ends a claim whose answer is written.
 func (n *Node) closed(c *claim) {
 	if c.give {
-		n.end(c, Event{Does: Give, Record: c.rec, Taken: c.taken, From: c.from, Judged: c.judged})
+		n.end(c, Event{Decision: ReturnStored, Record: c.rec, TakenOver: c.taken, PreviousOwner: c.from, ConcludedHere: c.judged})
 		return
 	}
-	n.end(c, Event{Does: Kept})
+	n.end(c, Event{Decision: Replicated})
 }
 
 // Tick moves on what waits for time.
@@ -495,11 +495,11 @@
 			delete(n.left, id)
 			continue
 		}
-		if s.orphan <= now && n.claims[id] == nil && n.In() {
-			s.orphan = now + int64(len(n.conf.Names)+1)*n.conf.Stagger // once more, should this come to nothing
+		if s.orphan <= now && n.claims[id] == nil && n.IsMember() {
+			s.orphan = now + int64(len(n.conf.MemberNames)+1)*n.conf.TakeoverStagger // once more, should this come to nothing
 			rec := s.rec
-			if rec.Age += now - s.came; rec.Age < rec.Life && rec.Answer.Verdict == None {
-				n.tell(Event{Does: Orphan, ID: id, Record: rec})
+			if rec.Age += now - s.came; rec.Age < rec.DeadlineAge && rec.Response.Status == NoResponse {
+				n.tell(Event{Decision: OwnerEvicted, ID: id, Record: rec})
 			}
 		}
 	}
@@ -507,14 +507,14 @@
 		c := n.claims[id]
 		switch {
 		case c.expires <= now:
-			n.end(c, Event{Does: Missing})
+			n.end(c, Event{Decision: QuorumUnavailable})
 		case c.phase == running && (c.marked || c.again > now || len(c.rec.Request) == 0):
 		case c.phase == running: // told once, to those that hear it: what takes no longer than this is answered by then
 			c.marked, c.rec.Sent = true, true
 			n.send(now, c)
-		case c.phase == closing && c.give && now-max(c.began, c.lived) >= n.conf.Wait:
+		case c.phase == closing && c.give && now-max(c.began, c.lived) >= n.conf.QuorumTimeout:
 			n.closed(c)
-		case c.phase != closing && now-max(c.began, c.lived) >= n.conf.Wait:
+		case c.phase != closing && now-max(c.began, c.lived) >= n.conf.QuorumTimeout:
 			n.missing(c)
 			if n.claims[id] == c && c.again <= now {
 				n.resend(now, c)
