--- /dev/null
+++ b/internal/audit/golden_test.go
@@ -0,0 +1,140 @@
+package audit
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"damsonscale/internal/auditevent"
+	"damsonscale/internal/frame"
+	"damsonscale/internal/takeover"
+)
+
+var (
+	goldenVersion = auditevent.Version{Settings: 3, Digest: 0x0102030405060708, List: 41, Build: "build-7", Protocol: 2}
+	goldenCount   = Count{Version: goldenVersion, Of: [auditevent.Kinds]uint64{11, 12, 13, 14, 15, 16, 17, 18, 19, 20}, Merged: true}
+)
+
+// Messages have the bytes that commit 2029d41 gave them.
+func TestStoredBytes(t *testing.T) {
+	number := uint64(5)
+	stored(t, "testdata/messages.json", map[string]any{
+		"count":   goldenCount,
+		"stamped": stamped{Stamp: 9, Version: goldenVersion},
+		"segment": Segment{
+			Format: 1, Fleet: 77, Member: takeover.Member{Name: "a", Incarnation: 31}, Index: 4, First: 100, Last: 109, At: 123456, Wall: 1764756000000,
+			End: true, Before: Hash{1, 2, 3}, Counts: []Count{goldenCount}, Versions: []stamped{{Stamp: 9, Version: goldenVersion}}, Body: []byte{7, 8, 9},
+		},
+		"sealed":       Sealed{Text: []byte("text"), Hash: Hash{4, 5, 6}},
+		"sealed list":  []Sealed{{Text: []byte("text"), Hash: Hash{4, 5, 6}}},
+		"query":        Query{ID: "id", Member: "a", Version: &number, Since: 1764756000000},
+		"query of all": Query{},
+	})
+}
+
+// A directory that commit 2029d41 wrote is read act by act, with the gap of a segment that was lost.
+func TestStoredDirectory(t *testing.T) {
+	var all []Sealed
+	for _, path := range []string{"a-1.segments", "a-2.segments", "b-1.segments"} {
+		all = append(all, storedSegments(t, filepath.Join("testdata/directory", path))...)
+	}
+	text, err := os.ReadFile("testdata/accounts.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	type accountText struct {
+		Member string
+		Last   uint64
+		Ended  bool
+		Gaps   string
+		Faults []string
+		Counts []string
+		Acts   []string
+	}
+	var want, got []accountText
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	c := codec(t)
+	for _, a := range c.Assemble(fleetOfDirectory, all, &Query{}) {
+		one := accountText{Member: fmt.Sprintf("%s/%x", a.Member.Name, a.Member.Incarnation), Last: a.Last, Ended: a.Ended, Gaps: fmt.Sprint(a.Gaps()), Faults: a.Faults}
+		for _, n := range a.Counts {
+			one.Counts = append(one.Counts, fmt.Sprint(n.Version, n.Of, n.Merged))
+		}
+		for _, act := range a.Acts {
+			one.Acts = append(one.Acts, fmt.Sprint(act.N, act.Kind, act.Version, act.At, act.ID, act.Note))
+		}
+		got = append(got, one)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+}
+
+// fleetOfDirectory is the number of the fleet of a, b and c.
+const fleetOfDirectory = 12677899732819060529
+
+// storedSegments reads the frames of a file of segments.
+func storedSegments(t *testing.T, path string) (out []Sealed) {
+	t.Helper()
+	in, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer in.Close()
+	for {
+		_, payload, err := frame.Read(in)
+		if err == io.EOF {
+			return out
+		}
+		var segment Sealed
+		if err == nil {
+			err = cbor.Unmarshal(payload, &segment)
+		}
+		if err != nil {
+			t.Fatalf("%s: %v", path, err)
+		}
+		out = append(out, segment)
+	}
+}
+
+// stored compares the messages of a test with those that commit 2029d41 wrote to a file, and reads them back.
+func stored(t *testing.T, path string, messages map[string]any) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]string{}
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	if len(want) != len(messages) {
+		t.Errorf("%d messages in the file, %d in the test", len(want), len(messages))
+	}
+	encoder, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, message := range messages {
+		got, err := encoder.Marshal(message)
+		if err != nil || hex.EncodeToString(got) != want[name] {
+			t.Errorf("%s: encoded as %x, %v, want %s", name, got, err, want[name])
+		}
+		raw, err := hex.DecodeString(want[name])
+		if err != nil {
+			t.Fatal(err)
+		}
+		back := reflect.New(reflect.TypeOf(message))
+		if err := cbor.Unmarshal(raw, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), message) {
+			t.Errorf("%s: decoded as %+v, %v, want %+v", name, back.Elem(), err, message)
+		}
+	}
+}
--- /dev/null
+++ b/internal/auditevent/golden_test.go
@@ -0,0 +1,77 @@
+package auditevent
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"damsonscale/internal/takeover"
+)
+
+var goldenVersion = Version{Settings: 3, Digest: 0x0102030405060708, List: -1, Build: "build-7", Protocol: 2}
+
+// Versions and kinds have the bytes and numbers that commit 2029d41 gave them.
+func TestStoredBytes(t *testing.T) {
+	messages := map[string]any{"version": goldenVersion, "version zero": Version{}}
+	for name, kind := range map[string]Kind{
+		"took": Took, "took_over": TookOver, "sent": Sent, "unsent": Unsent, "served": Served, "refused": Refused, "failed": Failed,
+		"turned_away": Turned, "doubled": Doubled, "left": Left, "kinds": Kinds,
+	} {
+		messages["kind "+name] = kind
+		if name != "kinds" && kind.String() != name {
+			t.Errorf("%d is named %s, want %s", kind, kind, name)
+		}
+	}
+	stored(t, "testdata/messages.json", messages)
+}
+
+// The header has the form that commit 2029d41 gave it.
+func TestHeaderForm(t *testing.T) {
+	const want = "a/b/1f/77/3/102030405060708/-1"
+	ref := Ref{Member: takeover.Member{Name: "a/b", Incarnation: 0x1f}, N: 77, Version: goldenVersion}
+	if got := string(ref.Append(nil)); got != want {
+		t.Errorf("wrote %s, want %s", got, want)
+	}
+	ref.Version.Build, ref.Version.Protocol = "", 0 // not part of the header
+	if got, err := ParseRef(want); err != nil || got != ref {
+		t.Errorf("read %+v, %v, want %+v", got, err, ref)
+	}
+}
+
+// stored compares the messages of a test with those that commit 2029d41 wrote to a file, and reads them back.
+func stored(t *testing.T, path string, messages map[string]any) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]string{}
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	if len(want) != len(messages) {
+		t.Errorf("%d messages in the file, %d in the test", len(want), len(messages))
+	}
+	encoder, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, message := range messages {
+		got, err := encoder.Marshal(message)
+		if err != nil || hex.EncodeToString(got) != want[name] {
+			t.Errorf("%s: encoded as %x, %v, want %s", name, got, err, want[name])
+		}
+		raw, err := hex.DecodeString(want[name])
+		if err != nil {
+			t.Fatal(err)
+		}
+		back := reflect.New(reflect.TypeOf(message))
+		if err := cbor.Unmarshal(raw, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), message) {
+			t.Errorf("%s: decoded as %+v, %v, want %+v", name, back.Elem(), err, message)
+		}
+	}
+}
--- /dev/null
+++ b/internal/cells/golden_test.go
@@ -0,0 +1,88 @@
+package cells
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"damsonscale/internal/takeover"
+)
+
+// Messages have the bytes, and kinds the numbers, that commit 2029d41 gave them.
+func TestStoredBytes(t *testing.T) {
+	member := takeover.Member{Name: "a", Incarnation: 31}
+	version := Version{Term: 2, Index: 3}
+	global := Global{Settings: 5, Fence: 4, Changed: version}
+	seat := Seat{Name: "a", Address: "a:1", Zone: "z", Move: 6, From: 7, To: 8, ToMove: 9, Was: []ID{10, 11}, Gone: true}
+	contact := Contact{Cell: 12, Addresses: []string{"b:1", "c:1"}}
+	part := Part{
+		ID: 13, Region: "r", Changed: version, Pending: []ID{14}, Into: []ID{15, 16}, Sealed: true, Epoch: 17, Seats: []Seat{seat}, Contacts: []Contact{contact},
+	}
+	told := Told{Version: version, Global: global, Part: &part, Sum: 18}
+	departure := Departure{Cell: 19, Epoch: 20, Member: member, To: 21, Move: 22}
+	certificate := Certificate{Departure: departure, Before: []Departure{departure}, Global: global}
+	messages := map[string]any{
+		"version": version, "global": global, "seat": seat, "contact": contact, "part": part, "told": told, "told without a part": Told{Sum: 18},
+		"departure": departure, "certificate": certificate, "nowhere": Nowhere,
+		"command": Command{
+			Kind: Move, ID: 23, Region: "r", Cell: 24, Cells: []ID{25, 26}, Seats: []Seat{seat}, Names: []string{"a", "b"}, At: version, Epoch: 27, Number: 28,
+		},
+		"delta": Delta{
+			Region: "r", Since: version, To: Version{Term: 4, Index: 5}, Whole: true, More: true, Global: global, Parts: []*Part{&part}, Drops: []ID{29}, Digest: 30,
+		},
+		"entry": Entry{Kind: Join, Told: &told, Member: member, Came: &certificate, Move: 31},
+		"ask":   Ask{Cell: 32, Member: member, Sent: 33, Acts: 34, Epoch: 35},
+		"grant": Grant{Cell: 32, Member: member, Sent: 33, Epoch: 35},
+		"pull":  Pull{Region: "r", Since: version, From: Version{Term: 4, Index: 5}, Whole: true},
+	}
+	for name, kind := range map[string]Kind{
+		"open": Open, "assign": Assign, "remove": Remove, "gone": Gone, "move": Move, "split": Split, "merge": Merge, "ready": Ready, "arrived": Arrived,
+		"sealed": Sealed, "target": Target, "fence": Fence, "forget": Forget,
+	} {
+		messages["command kind "+name] = kind
+	}
+	for name, kind := range map[string]EntryKind{
+		"hear": Hear, "join": Join, "out": Out, "leave": Leave, "seal": Seal, "expect": Expect, "drop": Drop,
+	} {
+		messages["entry kind "+name] = kind
+	}
+	stored(t, "testdata/messages.json", messages)
+}
+
+// stored compares the messages of a test with those that commit 2029d41 wrote to a file, and reads them back.
+func stored(t *testing.T, path string, messages map[string]any) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]string{}
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	if len(want) != len(messages) {
+		t.Errorf("%d messages in the file, %d in the test", len(want), len(messages))
+	}
+	encoder, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, message := range messages {
+		got, err := encoder.Marshal(message)
+		if err != nil || hex.EncodeToString(got) != want[name] {
+			t.Errorf("%s: encoded as %x, %v, want %s", name, got, err, want[name])
+		}
+		raw, err := hex.DecodeString(want[name])
+		if err != nil {
+			t.Fatal(err)
+		}
+		back := reflect.New(reflect.TypeOf(message))
+		if err := cbor.Unmarshal(raw, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), message) {
+			t.Errorf("%s: decoded as %+v, %v, want %+v", name, back.Elem(), err, message)
+		}
+	}
+}
--- /dev/null
+++ b/internal/operator/operator_test.go
@@ -0,0 +1,182 @@
+package operator
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"damsonscale/internal/frame"
+)
+
+// fakeFleet answers operators with frames that commit 2029d41 recorded. Its members are a, b and c.
+type fakeFleet struct {
+	options string
+	orders  chan []any // orders that came, as arrays
+}
+
+// newFakeFleet starts members that answer with a file of testdata each.
+func newFakeFleet(t *testing.T, replies map[string]string) *fakeFleet {
+	t.Helper()
+	f := &fakeFleet{options: filepath.Join(t.TempDir(), "options.toml"), orders: make(chan []any, 16)}
+	members := ""
+	for _, name := range []string{"a", "b", "c"} {
+		reply, err := os.ReadFile(filepath.Join("testdata", "reply_"+replies[name]+".frame"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { listener.Close() })
+		go f.serve(listener, reply)
+		members += fmt.Sprintf("{name = %q, address = %q},\n", name, listener.Addr())
+	}
+	text := "[fleet]\naddress = \"127.0.0.1:7101\"\nstate_dir = \"/tmp\"\nmembers = [\n" + members + "]\n"
+	if err := os.WriteFile(f.options, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return f
+}
+
+// serve answers each connection with one reply.
+func (f *fakeFleet) serve(listener net.Listener, reply []byte) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		var request []any
+		if _, payload, err := frame.Read(conn); err == nil && cbor.Unmarshal(payload, &request) == nil && len(request) == 4 {
+			if order, ok := request[2].([]any); ok {
+				f.orders <- order
+			}
+			conn.Write(reply)
+		}
+		conn.Close()
+	}
+}
+
+// run runs a command against the fake fleet, and returns its exit code and what it wrote.
+func (f *fakeFleet) run(args ...string) (code int, out, errs string) {
+	var stdout, stderr bytes.Buffer
+	code = Main(append([]string{"--options", f.options, "--who", "me"}, args...), &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
+}
+
+// golden compares an output with a file of testdata.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: wrote %s\nwant %s", name, got, want)
+	}
+}
+
+// The keys and the form of --json are those that commit 2029d41 printed.
+func TestJSONForm(t *testing.T) {
+	status := newFakeFleet(t, map[string]string{"a": "status", "b": "status", "c": "status"})
+	segments := newFakeFleet(t, map[string]string{"a": "segments", "b": "busy", "c": "segments"})
+	directory, err := filepath.Abs("../audit/testdata/directory")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		golden string
+		fleet  *fakeFleet
+		code   int
+		args   []string
+	}{
+		{"status.json", status, 0, []string{"--json", "status"}},
+		{"hold.json", status, 0, []string{"--json", "hold"}},
+		{"audit.json", segments, 0, []string{"--json", "audit"}},
+		{"audit_id.json", segments, 0, []string{"--json", "audit", "--id", "id-1"}},
+		{"audit_member.json", segments, 0, []string{"--json", "audit", "--member", "b"}},
+		{"audit_version.json", segments, 0, []string{"--json", "audit", "--version", "1"}},
+		{"verify.json", segments, 4, []string{"--json", "verify", directory}},
+	} {
+		code, out, errs := c.fleet.run(c.args...)
+		if code != c.code {
+			t.Errorf("%v: exit code %d, want %d; %s", c.args, code, c.code, errs)
+		}
+		golden(t, c.golden, strings.ReplaceAll(out, directory, "/audit"))
+	}
+}
+
+// Commands become the orders that they were at commit 2029d41.
+func TestOrders(t *testing.T) {
+	f := newFakeFleet(t, map[string]string{"a": "status", "b": "status", "c": "status"})
+	settings := filepath.Join(t.TempDir(), "settings.json")
+	if err := os.WriteFile(settings, []byte("{}"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	none := []byte(nil)
+	for _, c := range []struct {
+		args []string
+		want []any // kind, id, who, why, text, number, name, share, settle, grace
+	}{
+		{[]string{"rollout", settings, "--share", "0.25", "--settle", "3s", "--grace", "4s", "--why", "w"},
+			[]any{uint64(1), nil, "me", "w", []byte("{}"), uint64(0), "", uint64(250), uint64(3000), uint64(4000)}},
+		{[]string{"rollout", settings}, []any{uint64(1), nil, "me", "", []byte("{}"), uint64(0), "", uint64(100), uint64(30000), uint64(30000)}},
+		{[]string{"hold", "--why", "w"}, []any{uint64(2), nil, "me", "w", none, uint64(0), "", uint64(0), uint64(0), uint64(0)}},
+		{[]string{"back", "4", "--grace", "5s"}, []any{uint64(3), nil, "me", "", none, uint64(4), "", uint64(0), uint64(0), uint64(5000)}},
+		{[]string{"out", "b", "--why", "w"}, []any{uint64(4), nil, "me", "w", none, uint64(0), "b", uint64(0), uint64(0), uint64(0)}},
+		{[]string{"readmit", "b"}, []any{uint64(5), nil, "me", "", none, uint64(0), "b", uint64(0), uint64(0), uint64(0)}},
+	} {
+		if code, _, errs := f.run(c.args...); code != 0 {
+			t.Fatalf("%v: exit code %d, %s", c.args, code, errs)
+		}
+		got := <-f.orders
+		if id, ok := got[1].(uint64); !ok || id&1 == 0 || id>>63 != 0 {
+			t.Errorf("%v: id %v", c.args, got[1])
+		}
+		if got[1] = nil; got[4] == nil {
+			got[4] = none
+		}
+		if !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%v: order %#v, want %#v", c.args, got, c.want)
+		}
+	}
+}
+
+// Exit codes tell a refusal, a wrong use and a silent fleet apart, and a member that does not lead is not the last one asked.
+func TestExitCodes(t *testing.T) {
+	all := func(reply string) *fakeFleet {
+		return newFakeFleet(t, map[string]string{"a": reply, "b": reply, "c": reply})
+	}
+	redirected := newFakeFleet(t, map[string]string{"a": "status", "b": "not_leading", "c": "not_leading"})
+	for name, c := range map[string]struct {
+		fleet *fakeFleet
+		args  []string
+		code  int
+	}{
+		"done":                 {all("status"), []string{"hold"}, 0},
+		"status":               {redirected, []string{"status"}, 0},
+		"the leader is named":  {redirected, []string{"hold"}, 0},
+		"refused":              {all("refused"), []string{"back", "400"}, 1},
+		"not known":            {all("unknown"), []string{"hold"}, 3},
+		"nobody leads":         {all("not_leading"), []string{"hold"}, 3},
+		"no account is told":   {all("busy"), []string{"audit"}, 3},
+		"no such command":      {all("status"), []string{"halt"}, 2},
+		"no such file":         {all("status"), []string{"rollout", "/nonexistent"}, 2},
+		"no share":             {all("status"), []string{"rollout", "operator_test.go", "--share", "0"}, 2},
+		"no such member":       {all("segments"), []string{"audit", "--member", "x"}, 2},
+		"no segments":          {all("status"), []string{"verify", t.TempDir()}, 2},
+		"faults in an account": {all("status"), []string{"verify", "../audit/testdata/directory"}, 4},
+		"help":                 {all("status"), []string{"--help"}, 0},
+	} {
+		if code, out, errs := c.fleet.run(c.args...); code != c.code {
+			t.Errorf("%s: exit code %d, want %d: %s%s", name, code, c.code, out, errs)
+		}
+	}
+}
--- /dev/null
+++ b/internal/rollout/golden_test.go
@@ -0,0 +1,74 @@
+package rollout
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Messages have the bytes, and kinds the numbers and names, that commit 2029d41 gave them.
+func TestStoredBytes(t *testing.T) {
+	version := Version{Number: 4, Digest: Digest{1, 2, 3}, Size: 99, Who: "who", Why: "why", Back: 2}
+	messages := map[string]any{
+		"version": version,
+		"order": Order{
+			Kind: RollOut, ID: 5, Who: "who", Why: "why", Text: []byte("text"), Number: 6, Name: "n7", Share: 340, SettleMs: 1500, GraceMs: 2500,
+		},
+		"plan": Plan{
+			Last: 4, Target: 3, Fence: 2, Base: 1, Share: 340, First: []string{"n1", "n2"}, SettleMs: 1500, GraceMs: 2500, Held: "held",
+			Versions: []Version{version}, Barred: []string{"n3"}, Done: []uint64{8, 9},
+		},
+		"plan zero": Plan{},
+		"report": Report{
+			Acts: 3, Refused: 4, Why: "why", Digest: 5, Build: "build-7", Now: Service{Ended: 10, Served: 9}, Before: Service{Ended: 20, Served: 18},
+		},
+		"service": Service{Ended: 10, Served: 9},
+	}
+	for name, kind := range map[string]Kind{
+		"rollout": RollOut, "hold": Hold, "back": Back, "out": BarName, "readmit": Readmit, "widen": Widen, "fence": Fence, "choose": Choose,
+	} {
+		messages["kind "+name] = kind
+		if kind.String() != name {
+			t.Errorf("%d is named %s, want %s", kind, kind, name)
+		}
+	}
+	stored(t, "testdata/messages.json", messages)
+}
+
+// stored compares the messages of a test with those that commit 2029d41 wrote to a file, and reads them back.
+func stored(t *testing.T, path string, messages map[string]any) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]string{}
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	if len(want) != len(messages) {
+		t.Errorf("%d messages in the file, %d in the test", len(want), len(messages))
+	}
+	encoder, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, message := range messages {
+		got, err := encoder.Marshal(message)
+		if err != nil || hex.EncodeToString(got) != want[name] {
+			t.Errorf("%s: encoded as %x, %v, want %s", name, got, err, want[name])
+		}
+		raw, err := hex.DecodeString(want[name])
+		if err != nil {
+			t.Fatal(err)
+		}
+		back := reflect.New(reflect.TypeOf(message))
+		if err := cbor.Unmarshal(raw, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), message) {
+			t.Errorf("%s: decoded as %+v, %v, want %+v", name, back.Elem(), err, message)
+		}
+	}
+}
