--- a/internal/audit/account.go
+++ b/internal/audit/account.go
@@ -11,18 +11,21 @@
 )
 
 // Span is acts by number, both included.
-type Span struct{ First, Last uint64 }
+type Span struct {
+	First uint64 `json:"First"`
+	Last  uint64 `json:"Last"`
+}
 
 // Account is what is known of one incarnation.
 type Account struct {
-	Member takeover.Member
-	Known  []Span // acts that can be told, in order
-	Last   uint64 // the last act known of, told or counted
-	Ended  bool   // in good order: there are no acts after Last
-	Counts []Count
-	Faults []string         // segments that are spoilt, that don't fit each other
-	Acts   []auditevent.Act // of those told, the ones asked for
-	Wall   int64            // Unix ms by its own clock, of its last segment; 0: not told
+	Member takeover.Member  `json:"Member"`
+	Known  []Span           `json:"Known"` // acts that can be told, in order
+	Last   uint64           `json:"Last"`  // the last act known of, told or counted
+	Ended  bool             `json:"Ended"` // in good order: there are no acts after Last
+	Counts []Count          `json:"Counts"`
+	Faults []string         `json:"Faults"` // segments that are spoilt, that don't fit each other
+	Acts   []auditevent.Act `json:"Acts"`   // of those told, the ones asked for
+	Wall   int64            `json:"Wall"`   // Unix ms by its own clock, of its last segment; 0: not told
 }
 
 // Gaps lists the acts that are known to have been and can't be told. Those before the first told one are out of the window, or lost.
--- a/internal/audit/book.go
+++ b/internal/audit/book.go
@@ -23,10 +23,10 @@
 type Plant uint8
 
 const (
-	Sound       Plant = iota
-	StampLate         // the version in force at the answer, not at the decision
-	ActDropped        // each hundredth act is counted and not written down
-	ChainBroken       // segments don't name the one before
+	Sound       Plant = 0
+	StampLate   Plant = 1 // the version in force at the answer, not at the decision
+	ActDropped  Plant = 2 // each hundredth act is counted and not written down
+	ChainBroken Plant = 3 // segments don't name the one before
 )
 
 // Book is the account that one process keeps of itself. All its methods may be called by any
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -21,10 +21,10 @@
 
 // Count is how often each kind of act was done under a version.
 type Count struct {
-	_       struct{} `cbor:",toarray"`
-	Version auditevent.Version
-	Of      [auditevent.Kinds]uint64 // by kind less 1
-	Merged  bool                     // several lists' and builds', under one version of the settings
+	_       struct{}                 `cbor:",toarray"`
+	Version auditevent.Version       `json:"Version"`
+	Of      [auditevent.Kinds]uint64 `json:"Of"`     // by kind less 1
+	Merged  bool                     `json:"Merged"` // several lists' and builds', under one version of the settings
 }
 
 // stamped is a version with its place.
--- a/internal/auditevent/acts.go
+++ b/internal/auditevent/acts.go
@@ -13,28 +13,28 @@
 // Version is what a decision was made by.
 type Version struct {
 	_        struct{} `cbor:",toarray"`
-	Settings uint64   // number given by the fleet; 0: the sidecar's own file
-	Digest   uint64   // of their bytes, the first 8 of SHA-256
-	List     int64    // seq of discovery's list; -1: none yet
-	Build    string   // of the program
-	Protocol uint16   // of the fleet
+	Settings uint64   `json:"Settings"` // number given by the fleet; 0: the sidecar's own file
+	Digest   uint64   `json:"Digest"`   // of their bytes, the first 8 of SHA-256
+	List     int64    `json:"List"`     // seq of discovery's list; -1: none yet
+	Build    string   `json:"Build"`    // of the program
+	Protocol uint16   `json:"Protocol"` // of the fleet
 }
 
 // Kind is what was done.
 type Kind uint8
 
 const (
-	Took     Kind = iota + 1 // a request of a client; Note: its class
-	TookOver                 // one that another member may have sent
-	Sent                     // decided to be sent; Note: the server
-	Unsent                   // what was decided to be sent was not written
-	Served                   // answered with a server's answer
-	Refused                  // answered: a new try is harmless
-	Failed                   // answered otherwise
-	Turned                   // answered as Refused, since this member had no leave to act
-	Doubled                  // answered that its id is under way, was answered, or is that of another request
-	Left                     // its client left before the answer, or had no time left: nobody was answered
-	Kinds    = iota
+	Took     Kind = 1  // a request of a client; Note: its class
+	TookOver Kind = 2  // one that another member may have sent
+	Sent     Kind = 3  // decided to be sent; Note: the server
+	Unsent   Kind = 4  // what was decided to be sent was not written
+	Served   Kind = 5  // answered with a server's answer
+	Refused  Kind = 6  // answered: a new try is harmless
+	Failed   Kind = 7  // answered otherwise
+	Turned   Kind = 8  // answered as Refused, since this member had no leave to act
+	Doubled  Kind = 9  // answered that its id is under way, was answered, or is that of another request
+	Left     Kind = 10 // its client left before the answer, or had no time left: nobody was answered
+	Kinds         = 10 // how many there are
 )
 
 var kindNames = [Kinds + 1]string{"", "took", "took_over", "sent", "unsent", "served", "refused", "failed", "turned_away", "doubled", "left"}
@@ -49,12 +49,12 @@
 
 // Act is one of them, as it is told.
 type Act struct {
-	N       uint64
-	Kind    Kind
-	Version Version
-	At      int64 // µs since the process's start
-	ID      string
-	Note    string
+	N       uint64  `json:"N"`
+	Kind    Kind    `json:"Kind"`
+	Version Version `json:"Version"`
+	At      int64   `json:"At"` // µs since the process's start
+	ID      string  `json:"ID"`
+	Note    string  `json:"Note"`
 }
 
 // Stamp is the place of a version in the book of one process.
--- a/internal/cells/directory.go
+++ b/internal/cells/directory.go
@@ -12,19 +12,19 @@
 type Kind uint8
 
 const (
-	Open    Kind = iota + 1 // a cell for names that are in none
-	Assign                  // a new name to a cell
-	Remove                  // a name for good: its cell is to let it go
-	Gone                    // it has
-	Move                    // a name to another cell
-	Split                   // a cell into two: Names go to the first
-	Merge                   // cells into one
-	Ready                   // a cell's log has what the directory said up to At
-	Arrived                 // a name has joined its new cell
-	Sealed                  // a cell's log has ended with Epoch
-	Target                  // the version of the settings to act on
-	Fence                   // below it no lease
-	Forget                  // a name's former cells, a name that is gone, or a sealed cell: the longest deadline has passed
+	Open    Kind = 1  // a cell for names that are in none
+	Assign  Kind = 2  // a new name to a cell
+	Remove  Kind = 3  // a name for good: its cell is to let it go
+	Gone    Kind = 4  // it has
+	Move    Kind = 5  // a name to another cell
+	Split   Kind = 6  // a cell into two: Names go to the first
+	Merge   Kind = 7  // cells into one
+	Ready   Kind = 8  // a cell's log has what the directory said up to At
+	Arrived Kind = 9  // a name has joined its new cell
+	Sealed  Kind = 10 // a cell's log has ended with Epoch
+	Target  Kind = 11 // the version of the settings to act on
+	Fence   Kind = 12 // below it no lease
+	Forget  Kind = 13 // a name's former cells, a name that is gone, or a sealed cell: the longest deadline has passed
 )
 
 // Command is an entry of the directory's log.
--- a/internal/cells/log.go
+++ b/internal/cells/log.go
@@ -11,13 +11,13 @@
 type EntryKind uint8
 
 const (
-	Hear   EntryKind = iota + 1 // the directory's word
-	Join                        // a member
-	Out                         // a member: its lease is over
-	Leave                       // a name, for another cell: its leases are over
-	Seal                        // the last: no lease is valid any more
-	Expect                      // a name has arrived, by its certificate, without a process: it may be down for good
-	Drop                        // a name's former cells, or that it left: the longest deadline has passed
+	Hear   EntryKind = 1 // the directory's word
+	Join   EntryKind = 2 // a member
+	Out    EntryKind = 3 // a member: its lease is over
+	Leave  EntryKind = 4 // a name, for another cell: its leases are over
+	Seal   EntryKind = 5 // the last: no lease is valid any more
+	Expect EntryKind = 6 // a name has arrived, by its certificate, without a process: it may be down for good
+	Drop   EntryKind = 7 // a name's former cells, or that it left: the longest deadline has passed
 )
 
 // Entry is one of a cell's log.
--- a/internal/operator/tell.go
+++ b/internal/operator/tell.go
@@ -76,9 +76,9 @@
 
 // found is what an inquiry tells.
 type found struct {
-	Accounts []audit.Account
-	Gaps     map[string][]audit.Span // by member and incarnation
-	Unheard  map[string]string       // members that could not be asked, and why
+	Accounts []audit.Account         `json:"Accounts"`
+	Gaps     map[string][]audit.Span `json:"Gaps"`    // by member and incarnation
+	Unheard  map[string]string       `json:"Unheard"` // members that could not be asked, and why
 }
 
 func (c *auditCmd) Run(s *session) error {
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -18,19 +18,20 @@
 // Report is what a member says of itself with each ask for a lease.
 type Report struct {
 	_       struct{} `cbor:",toarray"`
-	Acts    uint64   // number of the settings that it acts on
-	Refused uint64   // number that it could not adopt; 0: none
-	Why     string   // it could not
-	Digest  uint64   // of the settings it acts on
-	Build   string
-	Now     Service // since it adopted what it acts on
-	Before  Service // under what it acted on before
+	Acts    uint64   `json:"Acts"`    // number of the settings that it acts on
+	Refused uint64   `json:"Refused"` // number that it could not adopt; 0: none
+	Why     string   `json:"Why"`     // it could not
+	Digest  uint64   `json:"Digest"`  // of the settings it acts on
+	Build   string   `json:"Build"`
+	Now     Service  `json:"Now"`    // since it adopted what it acts on
+	Before  Service  `json:"Before"` // under what it acted on before
 }
 
 // Service counts requests.
 type Service struct {
-	_             struct{} `cbor:",toarray"`
-	Ended, Served uint64
+	_      struct{} `cbor:",toarray"`
+	Ended  uint64   `json:"Ended"`
+	Served uint64   `json:"Served"`
 }
 
 func (s *Service) add(o Service) { s.Ended, s.Served = s.Ended+o.Ended, s.Served+o.Served }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -30,26 +30,26 @@
 // Version is one that was given a number.
 type Version struct {
 	_      struct{} `cbor:",toarray"`
-	Number uint64   // from 1, each once
-	Digest Digest
-	Size   int
-	Who    string
-	Why    string
-	Back   uint64 // whose bytes it has; 0: its own
+	Number uint64   `json:"Number"` // from 1, each once
+	Digest Digest   `json:"Digest"`
+	Size   int      `json:"Size"`
+	Who    string   `json:"Who"`
+	Why    string   `json:"Why"`
+	Back   uint64   `json:"Back"` // whose bytes it has; 0: its own
 }
 
 // Kind is what an order wants.
 type Kind uint8
 
 const (
-	RollOut Kind = iota + 1 // Text becomes the target, for a share of the members first
-	Hold                    // the target goes no further
-	Back                    // the bytes of an earlier version become the target, for all
-	BarName                 // a name gets no lease
-	Readmit                 // it may again
-	Widen                   // a leader's: the target is for all
-	Fence                   // a leader's: no lease below the target
-	Choose                  // a leader's: others adopt it first, since none of the first ones lives
+	RollOut Kind = 1 // Text becomes the target, for a share of the members first
+	Hold    Kind = 2 // the target goes no further
+	Back    Kind = 3 // the bytes of an earlier version become the target, for all
+	BarName Kind = 4 // a name gets no lease
+	Readmit Kind = 5 // it may again
+	Widen   Kind = 6 // a leader's: the target is for all
+	Fence   Kind = 7 // a leader's: no lease below the target
+	Choose  Kind = 8 // a leader's: others adopt it first, since none of the first ones lives
 )
 
 var kindNames = map[Kind]string{
@@ -75,19 +75,19 @@
 
 // Plan is what the orders so far come to. One that was handed on is never changed.
 type Plan struct {
-	_        struct{} `cbor:",toarray"`
-	Last     uint64   // highest number given
-	Target   uint64   // 0: members go by their own files
-	Base     uint64   // what those outside the share go by
-	Share    int      // thousandths
-	First    []string // the names that adopt it first, while Share is not Whole
-	SettleMs int64
-	GraceMs  int64
-	Fence    uint64 // below it no lease is given
-	Held     string // why the target goes no further; empty: it goes on
-	Versions []Version
-	Barred   []string
-	Done     []uint64
+	_        struct{}  `cbor:",toarray"`
+	Last     uint64    `json:"Last"`   // highest number given
+	Target   uint64    `json:"Target"` // 0: members go by their own files
+	Base     uint64    `json:"Base"`   // what those outside the share go by
+	Share    int       `json:"Share"`  // thousandths
+	First    []string  `json:"First"`  // the names that adopt it first, while Share is not Whole
+	SettleMs int64     `json:"SettleMs"`
+	GraceMs  int64     `json:"GraceMs"`
+	Fence    uint64    `json:"Fence"` // below it no lease is given
+	Held     string    `json:"Held"`  // why the target goes no further; empty: it goes on
+	Versions []Version `json:"Versions"`
+	Barred   []string  `json:"Barred"`
+	Done     []uint64  `json:"Done"`
 }
 
 // Errors of an order.
