--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -43,7 +43,7 @@
 // Membership is a sidecar's part in a fleet.
 type Membership interface {
 	frontend.Keeper
-	Ledger() auditevent.Ledger     // the account to keep; nil: none
+	Ledger() auditevent.Recorder   // the account to keep; nil: none
 	Digest(text []byte) uint64     // of settings, for the account
 	Run(ctx context.Context) error // returns once it listens
 	Leave()                        // ends the membership, once the work is done
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -19,13 +19,13 @@
 type writer struct {
 	t    testing.TB
 	now  int64
-	book *Book
-	all  []Sealed
+	book *SegmentWriter
+	all  []SealedSegment
 }
 
-func newWriter(t testing.TB, plant Plant) *writer {
+func newWriter(t testing.TB, plant InjectedFault) *writer {
 	w := &writer{t: t}
-	book, err := NewBook(fleet, takeover.Member{Name: "a", Incarnation: 1}, "build", 1, func() int64 { return w.now }, plant)
+	book, err := NewSegmentWriter(fleet, takeover.Member{Name: "a", Incarnation: 1}, "build", 1, func() int64 { return w.now }, plant)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,15 +34,15 @@
 }
 
 // does notes n acts under a stamp and cuts after them.
-func (w *writer) does(n int, under auditevent.Stamp) {
+func (w *writer) does(n int, under auditevent.ConfigVersionID) {
 	for i := range n {
 		w.now += 10
-		w.book.Add(auditevent.Kind(1+i%int(auditevent.Kinds)), under, fmt.Sprintf("id-%d", i), "s-1")
+		w.book.Record(auditevent.Kind(1+i%int(auditevent.KindCount)), under, fmt.Sprintf("id-%d", i), "s-1")
 	}
 	w.cut(w.book.Cut(w.now))
 }
 
-func (w *writer) cut(all []Sealed, err error) {
+func (w *writer) cut(all []SealedSegment, err error) {
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -59,42 +59,42 @@
 
 // Every act is told under the version that it was decided by, also when another has come in force since.
 func TestActsBearTheirVersion(t *testing.T) {
-	w := newWriter(t, Sound)
-	one := w.book.Under(1, 11, 5)
-	two := w.book.Under(2, 22, 5)
-	again := w.book.Under(2, 22, 5)
+	w := newWriter(t, NoFault)
+	one := w.book.SetVersion(1, 11, 5)
+	two := w.book.SetVersion(2, 22, 5)
+	again := w.book.SetVersion(2, 22, 5)
 	if two == one || again != two {
 		t.Fatal(one, two, again)
 	}
 	w.does(10, two)
 	w.does(10, one)
 	w.does(0, one)
-	w.cut(w.book.End(w.now, takeover.Member{Name: "a", Incarnation: 2}))
-	a := codec(t).Assemble(fleet, w.all, &Query{})
-	if len(a) != 1 || len(a[0].Faults) > 0 || !a[0].Ended || a[0].Last != 20 || len(a[0].Gaps()) > 0 || len(a[0].Acts) != 20 {
+	w.cut(w.book.EndIncarnation(w.now, takeover.Member{Name: "a", Incarnation: 2}))
+	a := codec(t).AssembleTrails(fleet, w.all, &Query{})
+	if len(a) != 1 || len(a[0].Faults) > 0 || !a[0].Ended || a[0].Last != 20 || len(a[0].Gaps()) > 0 || len(a[0].Events) != 20 {
 		t.Fatalf("%+v", a)
 	}
-	for i, act := range a[0].Acts {
+	for i, act := range a[0].Events {
 		want := uint64(2)
 		if i >= 10 {
 			want = 1
 		}
-		if act.N != uint64(i+1) || act.Version.Settings != want || act.Version.Build != "build" || act.At != int64(10*(i+1)) || act.ID != fmt.Sprintf("id-%d", i%10) || act.Note != "s-1" {
+		if act.Number != uint64(i+1) || act.Version.Settings != want || act.Version.Build != "build" || act.AtMicros != int64(10*(i+1)) || act.ID != fmt.Sprintf("id-%d", i%10) || act.Note != "s-1" {
 			t.Fatalf("%+v", act)
 		}
 	}
 	number := uint64(1)
-	if a := codec(t).Assemble(fleet, w.all, &Query{ID: "id-3", Version: &number}); len(a[0].Acts) != 1 || a[0].Acts[0].N != 14 {
+	if a := codec(t).AssembleTrails(fleet, w.all, &Query{ID: "id-3", Version: &number}); len(a[0].Events) != 1 || a[0].Events[0].Number != 14 {
 		t.Fatalf("%+v", a)
 	}
-	if ended, served := w.book.Service(1); ended != 0 || served != 0 {
+	if ended, served := w.book.AnswerCounts(1); ended != 0 || served != 0 {
 		t.Error("counts of another incarnation", ended, served)
 	}
-	if ref := w.book.Add(auditevent.Took, two, "x", ""); ref.N != 1 || ref.Member.Incarnation != 2 {
+	if ref := w.book.Record(auditevent.Accepted, two, "x", ""); ref.Number != 1 || ref.Member.Incarnation != 2 {
 		t.Errorf("%+v", ref)
 	}
-	if back, err := auditevent.ParseRef(string((&auditevent.Ref{Member: takeover.Member{Name: "a/b", Incarnation: 9}, N: 7, Version: auditevent.Version{List: -1, Digest: 3}}).Append(nil))); err != nil ||
-		back.Member.Name != "a/b" || back.N != 7 || back.Version.List != -1 || back.Version.Digest != 3 {
+	if back, err := auditevent.ParseRef(string((&auditevent.Ref{Member: takeover.Member{Name: "a/b", Incarnation: 9}, Number: 7, Version: auditevent.ConfigVersion{ListSeq: -1, Digest: 3}}).Append(nil))); err != nil ||
+		back.Member.Name != "a/b" || back.Number != 7 || back.Version.ListSeq != -1 || back.Version.Digest != 3 {
 		t.Error(back, err)
 	}
 }
@@ -103,17 +103,17 @@
 func TestAccountStatesItsGaps(t *testing.T) {
 	c := codec(t)
 	rapid.Check(t, func(r *rapid.T) {
-		w := newWriter(t, Sound)
-		stamp := w.book.Under(3, 33, 1)
+		w := newWriter(t, NoFault)
+		stamp := w.book.SetVersion(3, 33, 1)
 		n := rapid.IntRange(2, 8).Draw(r, "segments")
 		for range n {
 			w.does(rapid.IntRange(1, 9).Draw(r, "acts"), stamp)
 		}
 		ended := rapid.Bool().Draw(r, "ended")
 		if ended {
-			w.cut(w.book.End(w.now, takeover.Member{Name: "a", Incarnation: 2}))
+			w.cut(w.book.EndIncarnation(w.now, takeover.Member{Name: "a", Incarnation: 2}))
 		}
-		var have []Sealed
+		var have []SealedSegment
 		known, last, end, spoilt := map[uint64]bool{}, uint64(0), false, false
 		for _, z := range w.all {
 			seg, err := c.Open(fleet, &z)
@@ -125,8 +125,8 @@
 				continue
 			case 1: // one byte is edited
 				bad := z
-				bad.Text = slices.Clone(z.Text)
-				bad.Text[rapid.IntRange(0, len(bad.Text)-1).Draw(r, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(r, "bit")
+				bad.Encoded = slices.Clone(z.Encoded)
+				bad.Encoded[rapid.IntRange(0, len(bad.Encoded)-1).Draw(r, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(r, "bit")
 				have, spoilt = append(have, bad), true
 				continue
 			case 2: // doubled
@@ -136,22 +136,22 @@
 			for k := seg.First; k <= seg.Last; k++ {
 				known[k] = true
 			}
-			last, end = seg.Last, seg.End
+			last, end = seg.Last, seg.Final
 		}
 		have = rapid.Permutation(have).Draw(r, "order")
-		for _, a := range c.Assemble(fleet, have, &Query{}) {
+		for _, a := range c.AssembleTrails(fleet, have, &Query{}) {
 			if a.Member.Name == "" {
 				if !spoilt {
 					t.Fatalf("%v", a.Faults)
 				}
 				continue
 			}
-			if a.Last != last || a.Ended != end || len(a.Faults) > 0 || len(a.Acts) != len(known) {
+			if a.Last != last || a.Ended != end || len(a.Faults) > 0 || len(a.Events) != len(known) {
 				t.Fatalf("%+v, last %d, ended %t, %d known", a, last, end, len(known))
 			}
-			for _, act := range a.Acts {
-				if !known[act.N] {
-					t.Fatalf("act %d can't be known", act.N)
+			for _, act := range a.Events {
+				if !known[act.Number] {
+					t.Fatalf("act %d can't be known", act.Number)
 				}
 			}
 			missing := uint64(0)
@@ -172,11 +172,11 @@
 // What does not belong together is named: another fleet's, a newer build's, a second chain under one number, a broken chain.
 func TestWhatDoesNotFitIsNamed(t *testing.T) {
 	c := codec(t)
-	w := newWriter(t, Sound)
+	w := newWriter(t, NoFault)
 	for range 3 {
 		w.does(5, 0)
 	}
-	other := newWriter(t, Sound)
+	other := newWriter(t, NoFault)
 	other.now = 1000
 	for range 3 {
 		other.does(5, 0)
@@ -189,25 +189,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	broken, dropped := newWriter(t, ChainBroken), newWriter(t, ActDropped)
+	broken, dropped := newWriter(t, ChainBroken), newWriter(t, EventDropped)
 	broken.does(5, 0)
 	broken.does(5, 0)
 	dropped.does(250, 0)
 	for name, k := range map[string]struct {
-		all  []Sealed
+		all  []SealedSegment
 		of   uint64
 		want string
 	}{
 		"another fleet":    {w.all[:1], fleet + 1, "of another fleet"},
-		"newer":            {[]Sealed{newer}, fleet, "newer build"},
-		"newer and longer": {[]Sealed{{Text: wider, Hash: hashOf(wider)}}, fleet, "newer build"},
+		"newer":            {[]SealedSegment{newer}, fleet, "newer build"},
+		"newer and longer": {[]SealedSegment{{Encoded: wider, Hash: hashOf(wider)}}, fleet, "newer build"},
 		"two chains":       {append(slices.Clone(w.all), other.all[1]), fleet, "two segments 2"},
-		"spliced":          {[]Sealed{w.all[0], other.all[1], w.all[2]}, fleet, "names"},
+		"spliced":          {[]SealedSegment{w.all[0], other.all[1], w.all[2]}, fleet, "names"},
 		"chain broken":     {broken.all, fleet, "names"},
 		"act dropped":      {dropped.all, fleet, "250 acts counted, 248 numbered"},
 	} {
 		faults := ""
-		for _, a := range c.Assemble(k.of, k.all, &Query{}) {
+		for _, a := range c.AssembleTrails(k.of, k.all, &Query{}) {
 			faults += strings.Join(a.Faults, "\n")
 		}
 		if !strings.Contains(faults, k.want) {
@@ -221,33 +221,33 @@
 // Counts stay exact over more versions than are counted apart, and the shelf keeps the latest segment of each incarnation.
 func TestBounds(t *testing.T) {
 	c := codec(t)
-	w := newWriter(t, Sound)
+	w := newWriter(t, NoFault)
 	for list := range int64(1000) {
-		w.does(3, w.book.Under(1+uint64(list)/500, 0, list))
+		w.does(3, w.book.SetVersion(1+uint64(list)/500, 0, list))
 	}
-	shelf := NewShelf(c, fleet, 40_000)
+	shelf := NewSegmentStore(c, fleet, 40_000)
 	for _, z := range w.all {
 		if _, err := shelf.Put(z); err != nil {
 			t.Fatal(err)
 		}
 	}
-	a := c.Assemble(fleet, shelf.Held("a"), &Query{})
+	a := c.AssembleTrails(fleet, shelf.Segments("a"), &Query{})
 	if shelf.Bytes() > 40_000 || len(a) != 1 || a[0].Last != 3000 || len(a[0].Faults) > 0 || len(a[0].Counts) > mostCounts+1 {
 		t.Fatalf("%d bytes, %d accounts, %+v", shelf.Bytes(), len(a), a[0].Faults)
 	}
 	of := map[uint64]uint64{}
 	for _, k := range a[0].Counts {
-		for _, n := range k.Of {
+		for _, n := range k.ByKind {
 			of[k.Version.Settings] += n
 		}
 	}
 	if of[1] != 1500 || of[2] != 1500 {
 		t.Errorf("%v", of)
 	}
-	if _, err := shelf.Put(Sealed{Text: []byte("x")}); err == nil {
+	if _, err := shelf.Put(SealedSegment{Encoded: []byte("x")}); err == nil {
 		t.Error("nonsense is taken")
 	}
-	p, now := NewPushing(1<<20), int64(0)
+	p, now := NewReplication(1<<20), int64(0)
 	for _, z := range w.all[:5] {
 		seg, err := c.Open(fleet, &z)
 		if err != nil {
@@ -259,7 +259,7 @@
 		t.Error("sent again too soon, or not at all")
 	}
 	for i := range uint64(4) {
-		p.Taken("b", takeover.Member{Name: "a", Incarnation: 1}, i+1)
+		p.Acknowledge("b", takeover.Member{Name: "a", Incarnation: 1}, i+1)
 	}
 	if due := p.Due(now+200, "b", 100, 1<<20); len(due) != 1 || due[0].Hash != w.all[4].Hash || len(p.Due(0, "c", 100, 1)) != 1 {
 		t.Errorf("%d are due", len(due))
@@ -267,10 +267,10 @@
 }
 
 func BenchmarkAdd(b *testing.B) {
-	w := newWriter(b, Sound)
+	w := newWriter(b, NoFault)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		w.book.Add(auditevent.Sent, 0, "0000232b0000014d", "s-17")
+		w.book.Record(auditevent.Sent, 0, "0000232b0000014d", "s-17")
 		if i%1000 == 0 {
 			w.book.Cut(0)
 		}
@@ -279,25 +279,25 @@
 
 // Whatever bytes come as a segment, reading them ends in an error or in the acts that it states.
 func FuzzSegment(f *testing.F) {
-	w := newWriter(f, Sound)
+	w := newWriter(f, NoFault)
 	w.does(5, 0)
-	f.Add(w.all[0].Text)
+	f.Add(w.all[0].Encoded)
 	c := codec(f)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		seg, err := c.Open(fleet, &Sealed{Text: text, Hash: hashOf(text)})
+		seg, err := c.Open(fleet, &SealedSegment{Encoded: text, Hash: hashOf(text)})
 		if err != nil {
 			return
 		}
-		if all, err := seg.Acts(); err == nil && uint64(len(all)) != seg.Last+1-seg.First {
+		if all, err := seg.Events(); err == nil && uint64(len(all)) != seg.Last+1-seg.First {
 			t.Fatalf("%d acts of %d to %d", len(all), seg.First, seg.Last)
 		}
-		c.Assemble(fleet, []Sealed{{Text: text, Hash: hashOf(text)}}, &Query{})
+		c.AssembleTrails(fleet, []SealedSegment{{Encoded: text, Hash: hashOf(text)}}, &Query{})
 	})
 }
 
 // BenchmarkHour keeps the account of many requests (taken, sent, answered) and asks for one of them.
 func BenchmarkHour(b *testing.B) {
-	w := newWriter(b, Sound)
+	w := newWriter(b, NoFault)
 	const requests = 360_000                                                            // a tenth of an hour at 1,000 a second
 	idOf := func(i uint64) string { return fmt.Sprintf("%016x", i*0x9e3779b97f4a7c15) } // as good as random
 	for b.Loop() {
@@ -305,9 +305,9 @@
 		for i := range requests {
 			id := idOf(uint64(i))
 			w.now += 1000
-			w.book.Add(auditevent.Took, 0, id, "look")
-			w.book.Add(auditevent.Sent, 0, id, "s-1")
-			w.book.Add(auditevent.Served, 0, id, "200")
+			w.book.Record(auditevent.Accepted, 0, id, "look")
+			w.book.Record(auditevent.Sent, 0, id, "s-1")
+			w.book.Record(auditevent.Served, 0, id, "200")
 			if i%100 == 0 {
 				w.cut(w.book.Cut(w.now))
 			}
@@ -315,14 +315,14 @@
 	}
 	bytes := 0
 	for i := range w.all {
-		bytes += len(w.all[i].Text)
+		bytes += len(w.all[i].Encoded)
 	}
 	b.ReportMetric(float64(bytes)/requests, "bytes/request")
 	c := codec(b)
 	at := time.Now()
-	a := c.Assemble(fleet, w.all, &Query{ID: idOf(requests / 2)})
+	a := c.AssembleTrails(fleet, w.all, &Query{ID: idOf(requests / 2)})
 	b.ReportMetric(float64(time.Since(at).Milliseconds()), "ms/inquiry")
-	if len(a) == 0 || len(a[0].Acts) != 3 {
+	if len(a) == 0 || len(a[0].Events) != 3 {
 		b.Fatal("not found")
 	}
 }
--- a/internal/audit/book.go
+++ b/internal/audit/book.go
@@ -19,28 +19,28 @@
 	mostWaiting = 1024     // cut segments that nobody has fetched
 )
 
-// Plant is a fault on purpose, to show that the auditor finds it.
-type Plant uint8
+// InjectedFault is a fault on purpose, to show that the auditor finds it.
+type InjectedFault uint8
 
 const (
-	Sound       Plant = 0
-	StampLate   Plant = 1 // the version in force at the answer, not at the decision
-	ActDropped  Plant = 2 // each hundredth act is counted and not written down
-	ChainBroken Plant = 3 // segments don't name the one before
+	NoFault         InjectedFault = 0
+	VersionReadLate InjectedFault = 1 // the version in force at the answer, not at the decision
+	EventDropped    InjectedFault = 2 // each hundredth act is counted and not written down
+	ChainBroken     InjectedFault = 3 // segments don't name the one before
 )
 
-// Book is the account that one process keeps of itself. All its methods may be called by any
+// SegmentWriter is the account that one process keeps of itself. All its methods may be called by any
 // goroutine.
-type Book struct {
+type SegmentWriter struct {
 	codec *Codec
 	fleet uint64
-	fixed auditevent.Version // what doesn't change while the process runs
+	fixed auditevent.ConfigVersion // what doesn't change while the process runs
 	now   func() int64
-	plant Plant
+	plant InjectedFault
 
 	mu       sync.Mutex
 	me       takeover.Member
-	versions []auditevent.Version // by stamp
+	versions []auditevent.ConfigVersion // by stamp
 	counts   []Count
 	countOf  []int // in counts, by stamp; -1: none yet
 	n        uint64
@@ -49,25 +49,25 @@
 	first    uint64
 	at, last int64 // µs: of the open segment's start, of its last act
 	open     []byte
-	used     []auditevent.Stamp
+	used     []auditevent.ConfigVersionID
 	before   Hash
-	cut      []Sealed
+	cut      []SealedSegment
 	faulty   error
 }
 
-// NewBook makes the book of a member. now is µs of the process's own clock.
-func NewBook(fleet uint64, me takeover.Member, build string, protocol uint16, now func() int64, plant Plant) (*Book, error) {
+// NewSegmentWriter makes the book of a member. now is µs of the process's own clock.
+func NewSegmentWriter(fleet uint64, me takeover.Member, build string, protocol uint16, now func() int64, plant InjectedFault) (*SegmentWriter, error) {
 	codec, err := NewCodec()
 	if err != nil {
 		return nil, err
 	}
-	b := &Book{codec: codec, fleet: fleet, fixed: auditevent.Version{Build: build, Protocol: protocol}, now: now, plant: plant, me: me}
+	b := &SegmentWriter{codec: codec, fleet: fleet, fixed: auditevent.ConfigVersion{Build: build, Protocol: protocol}, now: now, plant: plant, me: me}
 	b.begin()
-	b.Under(0, 0, -1)
+	b.SetVersion(0, 0, -1)
 	return b, nil
 }
 
-func (b *Book) begin() {
+func (b *SegmentWriter) begin() {
 	b.n, b.index, b.first, b.before = 0, 0, 1, Hash{}
 	b.counts = nil
 	for i := range b.countOf {
@@ -77,33 +77,33 @@
 	b.last = b.at
 }
 
-// Under tells the version in force from now on, and returns its stamp.
-func (b *Book) Under(settings, digest uint64, list int64) auditevent.Stamp {
+// SetVersion tells the version in force from now on, and returns its stamp.
+func (b *SegmentWriter) SetVersion(settings, digest uint64, list int64) auditevent.ConfigVersionID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	v := b.fixed
-	v.Settings, v.Digest, v.List = settings, digest, list
+	v.Settings, v.Digest, v.ListSeq = settings, digest, list
 	if n := len(b.versions); n > 0 && b.versions[n-1] == v {
-		return auditevent.Stamp(n - 1)
+		return auditevent.ConfigVersionID(n - 1)
 	}
 	b.versions, b.countOf = append(b.versions, v), append(b.countOf, -1)
-	return auditevent.Stamp(len(b.versions) - 1)
+	return auditevent.ConfigVersionID(len(b.versions) - 1)
 }
 
-// Add notes an act under a version, and names it.
-func (b *Book) Add(k auditevent.Kind, under auditevent.Stamp, id, note string) auditevent.Ref {
+// Record notes an act under a version, and names it.
+func (b *SegmentWriter) Record(k auditevent.Kind, under auditevent.ConfigVersionID, id, note string) auditevent.Ref {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.plant == StampLate {
-		under = auditevent.Stamp(len(b.versions) - 1)
+	if b.plant == VersionReadLate {
+		under = auditevent.ConfigVersionID(len(b.versions) - 1)
 	}
-	if int(under) >= len(b.versions) || k == 0 || k > auditevent.Kinds {
+	if int(under) >= len(b.versions) || k == 0 || k > auditevent.KindCount {
 		return auditevent.Ref{}
 	}
 	b.n++
 	b.count(k, under)
-	ref := auditevent.Ref{Member: b.me, N: b.n, Version: b.versions[under]}
-	if b.plant == ActDropped && (b.n+b.dropped)%100 == 0 {
+	ref := auditevent.Ref{Member: b.me, Number: b.n, Version: b.versions[under]}
+	if b.plant == EventDropped && (b.n+b.dropped)%100 == 0 {
 		b.dropped++
 		b.n-- // and the next one has its number
 		return ref
@@ -136,7 +136,7 @@
 }
 
 // count counts an act. Past a number of versions the oldest go into one count for their settings.
-func (b *Book) count(k auditevent.Kind, under auditevent.Stamp) {
+func (b *SegmentWriter) count(k auditevent.Kind, under auditevent.ConfigVersionID) {
 	at := b.countOf[under]
 	if at < 0 {
 		v := b.versions[under]
@@ -154,16 +154,16 @@
 		}
 		b.countOf[under] = at
 	}
-	b.counts[at].Of[k-1]++
+	b.counts[at].ByKind[k-1]++
 }
 
 // merge counts the first half together, by settings.
-func (b *Book) merge() {
+func (b *SegmentWriter) merge() {
 	var kept []Count
 	for i, c := range b.counts {
 		at := -1
 		if i < mostCounts/2 {
-			c.Merged, c.Version = true, auditevent.Version{Settings: c.Version.Settings, Digest: c.Version.Digest, List: -1}
+			c.Merged, c.Version = true, auditevent.ConfigVersion{Settings: c.Version.Settings, Digest: c.Version.Digest, ListSeq: -1}
 		}
 		for j := range kept {
 			if c.Merged && kept[j].Merged && kept[j].Version == c.Version {
@@ -174,8 +174,8 @@
 			kept = append(kept, c)
 			continue
 		}
-		for k := range c.Of {
-			kept[at].Of[k] += c.Of[k]
+		for k := range c.ByKind {
+			kept[at].ByKind[k] += c.ByKind[k]
 		}
 	}
 	if len(kept) >= mostCounts { // all of other settings: the first is given up, and no longer exact
@@ -188,9 +188,9 @@
 }
 
 // seal cuts the open segment. The caller holds mu.
-func (b *Book) seal(wall int64, end bool) {
+func (b *SegmentWriter) seal(wall int64, end bool) {
 	s := &Segment{
-		Format: format, Fleet: b.fleet, Member: b.me, Index: b.index + 1, First: b.first, Last: b.n, At: b.at, Wall: wall, End: end, Before: b.before,
+		Format: format, Fleet: b.fleet, Member: b.me, Index: b.index + 1, First: b.first, Last: b.n, StartMicros: b.at, CutUnixMillis: wall, Final: end, PreviousHash: b.before,
 		Counts: b.counts, Body: s2.Encode(nil, b.open),
 	}
 	for _, u := range b.used {
@@ -213,7 +213,7 @@
 }
 
 // Cut closes the open segment if it has any act, and returns those cut since the last call. wall is Unix ms.
-func (b *Book) Cut(wall int64) ([]Sealed, error) {
+func (b *SegmentWriter) Cut(wall int64) ([]SealedSegment, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.n >= b.first {
@@ -222,14 +222,14 @@
 	return b.taken()
 }
 
-func (b *Book) taken() (out []Sealed, err error) {
+func (b *SegmentWriter) taken() (out []SealedSegment, err error) {
 	out, err = b.cut, b.faulty
 	b.cut, b.faulty = nil, nil
 	return out, err
 }
 
-// End closes the account in good order, and returns what was cut. Acts noted later begin that of another incarnation.
-func (b *Book) End(wall int64, next takeover.Member) ([]Sealed, error) {
+// EndIncarnation closes the account in good order, and returns what was cut. Acts noted later begin that of another incarnation.
+func (b *SegmentWriter) EndIncarnation(wall int64, next takeover.Member) ([]SealedSegment, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seal(wall, true)
@@ -239,14 +239,14 @@
 	return out, err
 }
 
-// Service counts the answers under a number of the settings, and those of them that a server gave.
-func (b *Book) Service(settings uint64) (ended, served uint64) {
+// AnswerCounts counts the answers under a number of the settings, and those of them that a server gave.
+func (b *SegmentWriter) AnswerCounts(settings uint64) (ended, served uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range b.counts {
 		if c := &b.counts[i]; c.Version.Settings == settings {
-			served += c.Of[auditevent.Served-1]
-			ended += c.Of[auditevent.Served-1] + c.Of[auditevent.Refused-1] + c.Of[auditevent.Failed-1]
+			served += c.ByKind[auditevent.Served-1]
+			ended += c.ByKind[auditevent.Served-1] + c.ByKind[auditevent.Rejected-1] + c.ByKind[auditevent.Failed-1]
 		}
 	}
 	return ended, served
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -18,8 +18,8 @@
 )
 
 var (
-	goldenVersion = auditevent.Version{Settings: 3, Digest: 0x0102030405060708, List: 41, Build: "build-7", Protocol: 2}
-	goldenCount   = Count{Version: goldenVersion, Of: [auditevent.Kinds]uint64{11, 12, 13, 14, 15, 16, 17, 18, 19, 20}, Merged: true}
+	goldenVersion = auditevent.ConfigVersion{Settings: 3, Digest: 0x0102030405060708, ListSeq: 41, Build: "build-7", Protocol: 2}
+	goldenCount   = Count{Version: goldenVersion, ByKind: [auditevent.KindCount]uint64{11, 12, 13, 14, 15, 16, 17, 18, 19, 20}, Merged: true}
 )
 
 // Messages have the bytes that commit 2029d41 gave them.
@@ -29,19 +29,19 @@
 		"count":   goldenCount,
 		"stamped": stamped{Stamp: 9, Version: goldenVersion},
 		"segment": Segment{
-			Format: 1, Fleet: 77, Member: takeover.Member{Name: "a", Incarnation: 31}, Index: 4, First: 100, Last: 109, At: 123456, Wall: 1764756000000,
-			End: true, Before: Hash{1, 2, 3}, Counts: []Count{goldenCount}, Versions: []stamped{{Stamp: 9, Version: goldenVersion}}, Body: []byte{7, 8, 9},
+			Format: 1, Fleet: 77, Member: takeover.Member{Name: "a", Incarnation: 31}, Index: 4, First: 100, Last: 109, StartMicros: 123456, CutUnixMillis: 1764756000000,
+			Final: true, PreviousHash: Hash{1, 2, 3}, Counts: []Count{goldenCount}, Versions: []stamped{{Stamp: 9, Version: goldenVersion}}, Body: []byte{7, 8, 9},
 		},
-		"sealed":       Sealed{Text: []byte("text"), Hash: Hash{4, 5, 6}},
-		"sealed list":  []Sealed{{Text: []byte("text"), Hash: Hash{4, 5, 6}}},
-		"query":        Query{ID: "id", Member: "a", Version: &number, Since: 1764756000000},
+		"sealed":       SealedSegment{Encoded: []byte("text"), Hash: Hash{4, 5, 6}},
+		"sealed list":  []SealedSegment{{Encoded: []byte("text"), Hash: Hash{4, 5, 6}}},
+		"query":        Query{ID: "id", Member: "a", Version: &number, SinceUnixMillis: 1764756000000},
 		"query of all": Query{},
 	})
 }
 
 // A directory that commit 2029d41 wrote is read act by act, with the gap of a segment that was lost.
 func TestStoredDirectory(t *testing.T) {
-	var all []Sealed
+	var all []SealedSegment
 	for _, path := range []string{"a-1.segments", "a-2.segments", "b-1.segments"} {
 		all = append(all, storedSegments(t, filepath.Join("testdata/directory", path))...)
 	}
@@ -63,13 +63,13 @@
 		t.Fatal(err)
 	}
 	c := codec(t)
-	for _, a := range c.Assemble(fleetOfDirectory, all, &Query{}) {
+	for _, a := range c.AssembleTrails(fleetOfDirectory, all, &Query{}) {
 		one := accountText{Member: fmt.Sprintf("%s/%x", a.Member.Name, a.Member.Incarnation), Last: a.Last, Ended: a.Ended, Gaps: fmt.Sprint(a.Gaps()), Faults: a.Faults}
 		for _, n := range a.Counts {
-			one.Counts = append(one.Counts, fmt.Sprint(n.Version, n.Of, n.Merged))
+			one.Counts = append(one.Counts, fmt.Sprint(n.Version, n.ByKind, n.Merged))
 		}
-		for _, act := range a.Acts {
-			one.Acts = append(one.Acts, fmt.Sprint(act.N, act.Kind, act.Version, act.At, act.ID, act.Note))
+		for _, act := range a.Events {
+			one.Acts = append(one.Acts, fmt.Sprint(act.Number, act.Kind, act.Version, act.AtMicros, act.ID, act.Note))
 		}
 		got = append(got, one)
 	}
@@ -82,7 +82,7 @@
 const fleetOfDirectory = 12677899732819060529
 
 // storedSegments reads the frames of a file of segments.
-func storedSegments(t *testing.T, path string) (out []Sealed) {
+func storedSegments(t *testing.T, path string) (out []SealedSegment) {
 	t.Helper()
 	in, err := os.Open(path)
 	if err != nil {
@@ -94,7 +94,7 @@
 		if err == io.EOF {
 			return out
 		}
-		var segment Sealed
+		var segment SealedSegment
 		if err == nil {
 			err = cbor.Unmarshal(payload, &segment)
 		}
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -21,42 +21,42 @@
 
 // Count is how often each kind of act was done under a version.
 type Count struct {
-	_       struct{}                 `cbor:",toarray"`
-	Version auditevent.Version       `json:"Version"`
-	Of      [auditevent.Kinds]uint64 `json:"Of"`     // by kind less 1
-	Merged  bool                     `json:"Merged"` // several lists' and builds', under one version of the settings
+	_       struct{}                     `cbor:",toarray"`
+	Version auditevent.ConfigVersion     `json:"Version"`
+	ByKind  [auditevent.KindCount]uint64 `json:"Of"`     // by kind less 1
+	Merged  bool                         `json:"Merged"` // several lists' and builds', under one version of the settings
 }
 
 // stamped is a version with its place.
 type stamped struct {
 	_       struct{} `cbor:",toarray"`
-	Stamp   auditevent.Stamp
-	Version auditevent.Version
+	Stamp   auditevent.ConfigVersionID
+	Version auditevent.ConfigVersion
 }
 
 // Segment is a part of the account of one incarnation.
 type Segment struct {
-	_        struct{} `cbor:",toarray"`
-	Format   uint8
-	Fleet    uint64
-	Member   takeover.Member
-	Index    uint64 // from 1
-	First    uint64 // number of its first act
-	Last     uint64 // of its last; First-1: it has none
-	At       int64  // µs since the process's start, from which its acts count
-	Wall     int64  // Unix ms by the member's own clock at the cut: it informs, nothing goes by it
-	End      bool   // the incarnation ended in good order: no act comes after
-	Before   Hash   // of the segment before
-	Counts   []Count
-	Versions []stamped
-	Body     []byte // acts, packed
+	_             struct{} `cbor:",toarray"`
+	Format        uint8
+	Fleet         uint64
+	Member        takeover.Member
+	Index         uint64 // from 1
+	First         uint64 // number of its first act
+	Last          uint64 // of its last; First-1: it has none
+	StartMicros   int64  // µs since the process's start, from which its acts count
+	CutUnixMillis int64  // Unix ms by the member's own clock at the cut: it informs, nothing goes by it
+	Final         bool   // the incarnation ended in good order: no act comes after
+	PreviousHash  Hash   // of the segment before
+	Counts        []Count
+	Versions      []stamped
+	Body          []byte // acts, packed
 }
 
-// Sealed is a segment as it is held and sent.
-type Sealed struct {
-	_    struct{} `cbor:",toarray"`
-	Text []byte
-	Hash Hash
+// SealedSegment is a segment as it is held and sent.
+type SealedSegment struct {
+	_       struct{} `cbor:",toarray"`
+	Encoded []byte
+	Hash    Hash
 }
 
 // Codec reads and writes segments.
@@ -77,9 +77,9 @@
 	return &Codec{in, out}, err
 }
 
-func (c *Codec) seal(s *Segment) (Sealed, error) {
+func (c *Codec) seal(s *Segment) (SealedSegment, error) {
 	text, err := c.out.Marshal(s)
-	return Sealed{Text: text, Hash: sha256.Sum256(text)}, err
+	return SealedSegment{Encoded: text, Hash: sha256.Sum256(text)}, err
 }
 
 var (
@@ -89,17 +89,17 @@
 )
 
 // Open checks a segment and reads it.
-func (c *Codec) Open(fleet uint64, z *Sealed) (*Segment, error) {
-	if len(z.Text) > mostSegment {
-		return nil, fmt.Errorf("%d bytes, at most %d", len(z.Text), mostSegment)
+func (c *Codec) Open(fleet uint64, z *SealedSegment) (*Segment, error) {
+	if len(z.Encoded) > mostSegment {
+		return nil, fmt.Errorf("%d bytes, at most %d", len(z.Encoded), mostSegment)
 	}
-	if sha256.Sum256(z.Text) != z.Hash {
+	if sha256.Sum256(z.Encoded) != z.Hash {
 		return nil, errSpoilt
 	}
 	s := new(Segment)
-	if err := c.in.Unmarshal(z.Text, s); err != nil {
+	if err := c.in.Unmarshal(z.Encoded, s); err != nil {
 		var head []cbor.RawMessage // a newer form may have more parts
-		if c.in.Unmarshal(z.Text, &head) == nil && len(head) > 0 {
+		if c.in.Unmarshal(z.Encoded, &head) == nil && len(head) > 0 {
 			var f uint8
 			if c.in.Unmarshal(head[0], &f) == nil && f > format {
 				return nil, errNewer
@@ -131,8 +131,8 @@
 	return b, nil
 }
 
-// Acts reads the acts of a segment.
-func (s *Segment) Acts() ([]auditevent.Act, error) {
+// Events reads the acts of a segment.
+func (s *Segment) Events() ([]auditevent.Event, error) {
 	b, err := s.unpack()
 	if err != nil {
 		return nil, err
@@ -140,19 +140,19 @@
 	return s.read(b)
 }
 
-func (s *Segment) read(b []byte) ([]auditevent.Act, error) {
-	versions := map[auditevent.Stamp]auditevent.Version{}
+func (s *Segment) read(b []byte) ([]auditevent.Event, error) {
+	versions := map[auditevent.ConfigVersionID]auditevent.ConfigVersion{}
 	for _, v := range s.Versions {
 		versions[v.Stamp] = v.Version
 	}
 	r := &reader{b: b}
-	var out []auditevent.Act
-	at := s.At
+	var out []auditevent.Event
+	at := s.StartMicros
 	for n := s.First; len(r.b) > 0; n++ {
 		kind := auditevent.Kind(r.byte())
-		stamp := auditevent.Stamp(r.number())
+		stamp := auditevent.ConfigVersionID(r.number())
 		at += int64(r.number())
-		a := auditevent.Act{N: n, Kind: kind, Version: versions[stamp], At: at, ID: r.text(), Note: r.text()}
+		a := auditevent.Event{Number: n, Kind: kind, Version: versions[stamp], AtMicros: at, ID: r.text(), Note: r.text()}
 		if r.bad || n > s.Last {
 			break
 		}
--- a/internal/audit/shelf.go
+++ b/internal/audit/shelf.go
@@ -6,13 +6,13 @@
 	"damsonscale/internal/takeover"
 )
 
-// Shelf holds segments, of others and of this member itself, up to a number of bytes. It is not safe for several goroutines.
-type Shelf struct {
+// SegmentStore holds segments, of others and of this member itself, up to a number of bytes. It is not safe for several goroutines.
+type SegmentStore struct {
 	codec  *Codec
 	fleet  uint64
 	most   int
 	bytes  int
-	chains map[takeover.Member]map[uint64]*Sealed
+	chains map[takeover.Member]map[uint64]*SealedSegment
 	latest map[takeover.Member]uint64
 	order  []place // as they came
 }
@@ -22,16 +22,16 @@
 	index uint64
 }
 
-// ErrHeld tells that another segment of the same number is held.
-var ErrHeld = errors.New("another segment of this number is held")
+// ErrConflict tells that another segment of the same number is held.
+var ErrConflict = errors.New("another segment of this number is held")
 
-// NewShelf makes one that holds at most so many bytes.
-func NewShelf(codec *Codec, fleet uint64, most int) *Shelf {
-	return &Shelf{codec: codec, fleet: fleet, most: most, chains: map[takeover.Member]map[uint64]*Sealed{}, latest: map[takeover.Member]uint64{}}
+// NewSegmentStore makes one that holds at most so many bytes.
+func NewSegmentStore(codec *Codec, fleet uint64, most int) *SegmentStore {
+	return &SegmentStore{codec: codec, fleet: fleet, most: most, chains: map[takeover.Member]map[uint64]*SealedSegment{}, latest: map[takeover.Member]uint64{}}
 }
 
 // Put holds a segment. One that is held already changes nothing.
-func (s *Shelf) Put(z Sealed) (*Segment, error) {
+func (s *SegmentStore) Put(z SealedSegment) (*Segment, error) {
 	seg, err := s.codec.Open(s.fleet, &z)
 	if err != nil {
 		return nil, err
@@ -39,24 +39,24 @@
 	chain := s.chains[seg.Member]
 	if old := chain[seg.Index]; old != nil {
 		if old.Hash != z.Hash {
-			return nil, ErrHeld
+			return nil, ErrConflict
 		}
 		return seg, nil
 	}
 	if chain == nil {
-		chain = map[uint64]*Sealed{}
+		chain = map[uint64]*SealedSegment{}
 		s.chains[seg.Member] = chain
 	}
 	chain[seg.Index] = &z
 	s.latest[seg.Member] = max(s.latest[seg.Member], seg.Index)
-	s.bytes += len(z.Text)
+	s.bytes += len(z.Encoded)
 	s.order = append(s.order, place{seg.Member, seg.Index})
 	s.shed()
 	return seg, nil
 }
 
 // shed gives up the longest held while there is too much. The latest of each incarnation, which has its counts, goes last.
-func (s *Shelf) shed() {
+func (s *SegmentStore) shed() {
 	for last := false; s.bytes > s.most && len(s.order) > 1; {
 		gone := -1
 		for i, p := range s.order[:len(s.order)-1] {
@@ -74,7 +74,7 @@
 		}
 		p := s.order[gone]
 		s.order = append(s.order[:gone], s.order[gone+1:]...)
-		s.bytes -= len(s.chains[p.of][p.index].Text)
+		s.bytes -= len(s.chains[p.of][p.index].Encoded)
 		if delete(s.chains[p.of], p.index); len(s.chains[p.of]) == 0 {
 			delete(s.chains, p.of)
 			delete(s.latest, p.of)
@@ -82,8 +82,8 @@
 	}
 }
 
-// Held lists all that is held, of one name or, where that is empty, of all.
-func (s *Shelf) Held(name string) (out []Sealed) {
+// Segments lists all that is held, of one name or, where that is empty, of all.
+func (s *SegmentStore) Segments(name string) (out []SealedSegment) {
 	for _, p := range s.order {
 		if name == "" || p.of.Name == name {
 			out = append(out, *s.chains[p.of][p.index])
@@ -93,28 +93,28 @@
 }
 
 // Bytes is how many are held.
-func (s *Shelf) Bytes() int { return s.bytes }
+func (s *SegmentStore) Bytes() int { return s.bytes }
 
-// Pushing is what an owner still has to send to those who hold its segments. It is not safe for several goroutines.
-type Pushing struct {
+// Replication is what an owner still has to send to those who hold its segments. It is not safe for several goroutines.
+type Replication struct {
 	most    int
 	waiting []pushed
 	bytes   int
-	Lost    int // segments that nobody had taken when there was no more room
+	Dropped int // segments that nobody had taken when there was no more room
 }
 
 type pushed struct {
-	z     Sealed
+	z     SealedSegment
 	index uint64
 	of    takeover.Member
 	to    map[string]int64 // those who have not said yes, and when it was last sent, µs
 }
 
-// NewPushing makes one that keeps at most so many bytes.
-func NewPushing(most int) *Pushing { return &Pushing{most: most} }
+// NewReplication makes one that keeps at most so many bytes.
+func NewReplication(most int) *Replication { return &Replication{most: most} }
 
 // Add has a segment sent to some names.
-func (p *Pushing) Add(z Sealed, seg *Segment, to []string) {
+func (p *Replication) Add(z SealedSegment, seg *Segment, to []string) {
 	if len(to) == 0 {
 		return
 	}
@@ -123,21 +123,21 @@
 		one.to[name] = -1
 	}
 	p.waiting = append(p.waiting, one)
-	for p.bytes += len(z.Text); p.bytes > p.most && len(p.waiting) > 1; p.Lost++ {
-		p.bytes -= len(p.waiting[0].z.Text)
+	for p.bytes += len(z.Encoded); p.bytes > p.most && len(p.waiting) > 1; p.Dropped++ {
+		p.bytes -= len(p.waiting[0].z.Encoded)
 		p.waiting = p.waiting[1:]
 	}
 }
 
 // Due lists what is to be sent to a name now: what was never sent, and what was so long ago; at most so many bytes.
-func (p *Pushing) Due(now int64, name string, again int64, most int) (out []Sealed) {
+func (p *Replication) Due(now int64, name string, again int64, most int) (out []SealedSegment) {
 	for i := range p.waiting {
 		w := &p.waiting[i]
 		sent, open := w.to[name]
 		if !open || sent >= 0 && now-sent < again {
 			continue
 		}
-		if most -= len(w.z.Text); most < 0 && len(out) > 0 {
+		if most -= len(w.z.Encoded); most < 0 && len(out) > 0 {
 			break
 		}
 		w.to[name] = now
@@ -146,15 +146,15 @@
 	return out
 }
 
-// Taken notes that a name holds a segment.
-func (p *Pushing) Taken(name string, of takeover.Member, index uint64) {
+// Acknowledge notes that a name holds a segment.
+func (p *Replication) Acknowledge(name string, of takeover.Member, index uint64) {
 	for i := range p.waiting {
 		w := &p.waiting[i]
 		if w.of != of || w.index != index {
 			continue
 		}
 		if delete(w.to, name); len(w.to) == 0 {
-			p.bytes -= len(w.z.Text)
+			p.bytes -= len(w.z.Encoded)
 			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
 		}
 		return
--- a/internal/auditevent/golden_test.go
+++ b/internal/auditevent/golden_test.go
@@ -12,14 +12,14 @@
 	"damsonscale/internal/takeover"
 )
 
-var goldenVersion = Version{Settings: 3, Digest: 0x0102030405060708, List: -1, Build: "build-7", Protocol: 2}
+var goldenVersion = ConfigVersion{Settings: 3, Digest: 0x0102030405060708, ListSeq: -1, Build: "build-7", Protocol: 2}
 
 // Versions and kinds have the bytes and numbers that commit 2029d41 gave them.
 func TestStoredBytes(t *testing.T) {
-	messages := map[string]any{"version": goldenVersion, "version zero": Version{}}
+	messages := map[string]any{"version": goldenVersion, "version zero": ConfigVersion{}}
 	for name, kind := range map[string]Kind{
-		"took": Took, "took_over": TookOver, "sent": Sent, "unsent": Unsent, "served": Served, "refused": Refused, "failed": Failed,
-		"turned_away": Turned, "doubled": Doubled, "left": Left, "kinds": Kinds,
+		"took": Accepted, "took_over": TakenOver, "sent": Sent, "unsent": NotSent, "served": Served, "refused": Rejected, "failed": Failed,
+		"turned_away": RejectedNoLease, "doubled": DuplicateID, "left": ClientLeft, "kinds": KindCount,
 	} {
 		messages["kind "+name] = kind
 		if name != "kinds" && kind.String() != name {
@@ -32,7 +32,7 @@
 // The header has the form that commit 2029d41 gave it.
 func TestHeaderForm(t *testing.T) {
 	const want = "a/b/1f/77/3/102030405060708/-1"
-	ref := Ref{Member: takeover.Member{Name: "a/b", Incarnation: 0x1f}, N: 77, Version: goldenVersion}
+	ref := Ref{Member: takeover.Member{Name: "a/b", Incarnation: 0x1f}, Number: 77, Version: goldenVersion}
 	if got := string(ref.Append(nil)); got != want {
 		t.Errorf("wrote %s, want %s", got, want)
 	}
--- a/internal/cells/cells.go
+++ b/internal/cells/cells.go
@@ -16,26 +16,26 @@
 	"damsonscale/internal/takeover"
 )
 
-// Plant is a fault put in on purpose, to show that the explorer finds it.
-type Plant uint8
+// InjectedFault is a fault put in on purpose, to show that the explorer finds it.
+type InjectedFault uint8
 
 const (
-	Sound          Plant = iota
-	EarlyLeave           // a member is certified as departed while its lease may run
-	SealGrants           // a cell that is to be sealed goes on granting leases
-	ForwardDropped       // a join forgets from which cells the member came
-	FirstUnasked         // a first ask just after a move does not look at the cell before
-	OlderTaken           // a cell takes an older word of the directory
-	DigestUnread         // a relay does not compare digests
-	TermUnread           // a directory that leads no more still has its commands applied
-	CertUnread           // a cell takes a member that comes from another one without its certificate
+	NoFault               InjectedFault = iota
+	EarlyDeparture                      // a member is certified as departed while its lease may run
+	LeaseWhileSealing                   // a cell that is to be sealed goes on granting leases
+	FormerCellsDropped                  // a join forgets from which cells the member came
+	FirstAttemptUnchecked               // a first ask just after a move does not look at the cell before
+	StaleUpdateAccepted                 // a cell takes an older word of the directory
+	DigestIgnored                       // a relay does not compare digests
+	TermIgnored                         // a directory that leads no more still has its commands applied
+	CertificateIgnored                  // a cell takes a member that comes from another one without its certificate
 )
 
 // ID is a cell's number. Each is given once.
 type ID uint32
 
-// Nowhere is where a name goes that is removed for good.
-const Nowhere = ^ID(0)
+// RemovedID is where a name goes that is removed for good.
+const RemovedID = ^ID(0)
 
 // Version orders what the directory said: by the term and index of its log.
 type Version struct {
@@ -51,26 +51,26 @@
 // Newer tells whether v comes after o.
 func (v Version) Newer(o Version) bool { return v.Compare(o) > 0 }
 
-// Global is what all cells are told.
-type Global struct {
-	_        struct{} `cbor:",toarray"`
-	Settings uint64   // number of the version that members are to act on
-	Fence    uint64   // below it no lease is given
-	Changed  Version
+// GlobalState is what all cells are told.
+type GlobalState struct {
+	_         struct{} `cbor:",toarray"`
+	Settings  uint64   // number of the version that members are to act on
+	Fence     uint64   // below it no lease is given
+	ChangedAt Version
 }
 
-// Seat is a name's place in a cell.
-type Seat struct {
-	_       struct{} `cbor:",toarray"`
-	Name    string
-	Address string
-	Zone    string
-	Move    uint64 // index of the command that gave it this place
-	From    ID     // the cell that it comes from, until it has arrived; 0: none
-	To      ID     // the cell that it goes to, once that one expects it; 0: none; or Nowhere
-	ToMove  uint64 // with To: Move of its seat there
-	Was     []ID   // cells that may hold records of its requests
-	Gone    bool   // it has left for Nowhere; the seat stays until none of its requests can be asked for
+// MemberSlot is a name's place in a cell.
+type MemberSlot struct {
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Address     string
+	Zone        string
+	MoveIndex   uint64 // index of the command that gave it this place
+	From        ID     // the cell that it comes from, until it has arrived; 0: none
+	To          ID     // the cell that it goes to, once that one expects it; 0: none; or Nowhere
+	ToMoveIndex uint64 // with To: Move of its seat there
+	FormerCells []ID   // cells that may hold records of its requests
+	Removed     bool   // it has left for Nowhere; the seat stays until none of its requests can be asked for
 }
 
 // Contact is where a cell is asked.
@@ -80,56 +80,56 @@
 	Addresses []string
 }
 
-// Part is what the directory says of one cell. One that was handed on is never changed.
-type Part struct {
-	_        struct{} `cbor:",toarray"`
-	ID       ID
-	Region   string
-	Changed  Version
-	Pending  []ID // cells that it is to become, not all of which expect its members yet
-	Into     []ID // cells that it is to become: it is to be sealed
-	Sealed   bool
-	Epoch    uint64    // with Sealed: its last
-	Seats    []Seat    // by name
-	Contacts []Contact // of the cells that members go to or came from
+// CellRecord is what the directory says of one cell. One that was handed on is never changed.
+type CellRecord struct {
+	_                 struct{} `cbor:",toarray"`
+	ID                ID
+	Region            string
+	ChangedAt         Version
+	PendingSuccessors []ID // cells that it is to become, not all of which expect its members yet
+	Successors        []ID // cells that it is to become: it is to be sealed
+	Sealed            bool
+	FinalEpoch        uint64       // with Sealed: its last
+	Slots             []MemberSlot // by name
+	Contacts          []Contact    // of the cells that members go to or came from
 }
 
-// Seat finds a name's; nil: it has none.
-func (p *Part) Seat(name string) *Seat {
-	if i, ok := slices.BinarySearchFunc(p.Seats, name, func(s Seat, n string) int { return cmp.Compare(s.Name, n) }); ok {
-		return &p.Seats[i]
+// Slot finds a name's; nil: it has none.
+func (p *CellRecord) Slot(name string) *MemberSlot {
+	if i, ok := slices.BinarySearchFunc(p.Slots, name, func(s MemberSlot, n string) int { return cmp.Compare(s.Name, n) }); ok {
+		return &p.Slots[i]
 	}
 	return nil
 }
 
 // leaving tells whether a seat's name is to go: a cell that is to become others goes on until all of these expect its members.
-func (p *Part) leaving(s *Seat) bool { return s.To != 0 && len(p.Pending) == 0 }
-
-// Told is the directory's word to one cell.
-type Told struct {
-	_       struct{} `cbor:",toarray"`
-	Version Version
-	Global  Global
-	Part    *Part  // nil: as the cell has it
-	Sum     uint64 // of the part
+func (p *CellRecord) leaving(s *MemberSlot) bool { return s.To != 0 && len(p.PendingSuccessors) == 0 }
+
+// DirectoryUpdate is the directory's word to one cell.
+type DirectoryUpdate struct {
+	_         struct{} `cbor:",toarray"`
+	Version   Version
+	Global    GlobalState
+	Record    *CellRecord // nil: as the cell has it
+	RecordSum uint64      // of the part
 }
 
 // Departure says that a name has left a cell: no lease that this cell gave it is valid any more.
 type Departure struct {
-	_      struct{} `cbor:",toarray"`
-	Cell   ID
-	Epoch  uint64          // of that cell's log
-	Member takeover.Member // its last incarnation there; no incarnation: it had none when it left
-	To     ID
-	Move   uint64
+	_         struct{} `cbor:",toarray"`
+	Cell      ID
+	Epoch     uint64          // of that cell's log
+	Member    takeover.Member // its last incarnation there; no incarnation: it had none when it left
+	To        ID
+	MoveIndex uint64
 }
 
 // Certificate is a Departure and those before it that still count, oldest first, with what its cell had heard.
 type Certificate struct {
 	_ struct{} `cbor:",toarray"`
 	Departure
-	Before []Departure
-	Global Global
+	Earlier []Departure
+	Global  GlobalState
 }
 
 // Bounds.
@@ -143,16 +143,16 @@
 
 // Errors of commands.
 var (
-	ErrOld     = errors.New("an older term or index")
-	ErrDone    = errors.New("this command was applied before")
-	ErrNothing = errors.New("nothing to do")
-	ErrNoCell  = errors.New("no such cell is open")
-	ErrNoSeat  = errors.New("no such name")
-	ErrSeated  = errors.New("this name has a place")
-	ErrMoving  = errors.New("the name or cell is being moved, split or merged")
-	ErrRecent  = errors.New("the name was in this cell, or in too many, within the longest deadline")
-	ErrLast    = errors.New("the last of its cell: merge that instead")
-	ErrNames   = errors.New("names that make no sense")
+	ErrStale            = errors.New("an older term or index")
+	ErrAlreadyApplied   = errors.New("this command was applied before")
+	ErrNoChange         = errors.New("nothing to do")
+	ErrCellNotFound     = errors.New("no such cell is open")
+	ErrMemberNotFound   = errors.New("no such name")
+	ErrAlreadyAssigned  = errors.New("this name has a place")
+	ErrChangeInProgress = errors.New("the name or cell is being moved, split or merged")
+	ErrRecentMember     = errors.New("the name was in this cell, or in too many, within the longest deadline")
+	ErrLastMember       = errors.New("the last of its cell: merge that instead")
+	ErrInvalidNames     = errors.New("names that make no sense")
 )
 
 var encoder = func() cbor.EncMode {
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -13,10 +13,10 @@
 
 const lease = 600_000 // µs
 
-func seatsOf(region string, from, n, zones int) (out []Seat) {
+func seatsOf(region string, from, n, zones int) (out []MemberSlot) {
 	for i := from; i < from+n; i++ {
 		name := fmt.Sprintf("%s-n%05d", region, i)
-		out = append(out, Seat{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:7101", i>>16, i>>8&255, i&255), Zone: fmt.Sprintf("%s-z%d", region, i%zones)})
+		out = append(out, MemberSlot{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:7101", i>>16, i>>8&255, i&255), Zone: fmt.Sprintf("%s-z%d", region, i%zones)})
 	}
 	return out
 }
@@ -29,7 +29,7 @@
 	index uint64
 }
 
-func newJournal(t testing.TB) *journal { return &journal{t: t, d: NewDirectory(Sound), term: 1} }
+func newJournal(t testing.TB) *journal { return &journal{t: t, d: NewDirectory(NoFault), term: 1} }
 
 func (j *journal) try(c Command) error {
 	j.index++
@@ -43,7 +43,7 @@
 	}
 }
 
-func names(seats []Seat) (out []string) {
+func names(seats []MemberSlot) (out []string) {
 	for _, s := range seats {
 		out = append(out, s.Name)
 	}
@@ -52,7 +52,7 @@
 
 // told is the directory's word to a cell, unless nothing is new to it.
 func (j *journal) told(l *Log) *Entry {
-	return &Entry{Kind: Hear, Told: &Told{Version: j.d.Version(), Global: j.d.Global(), Part: j.d.Part(l.ID)}}
+	return &Entry{Kind: UpdateDirectory, Update: &DirectoryUpdate{Version: j.d.Version(), Global: j.d.Global(), Record: j.d.Record(l.ID)}}
 }
 
 func member(name string, inc uint64) takeover.Member {
@@ -72,50 +72,50 @@
 // with the old one's certificate, once.
 func TestMove(t *testing.T) {
 	j := newJournal(t)
-	j.do(Command{Kind: Open, Region: "r", Seats: seatsOf("r", 0, 3, 3)})
-	j.do(Command{Kind: Open, Region: "r", Seats: seatsOf("r", 3, 3, 3)})
-	a, b := NewLog(1, Sound), NewLog(2, Sound)
+	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 3, 3)})
+	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 3, 3, 3)})
+	a, b := NewLog(1, NoFault), NewLog(2, NoFault)
 	one, two := member("r-n00000", 1), member("r-n00000", 2)
 	apply(t, a, j.told(a), &Entry{Kind: Join, Member: one})
 	apply(t, b, j.told(b))
-	g := NewGrants(lease, Sound)
+	g := NewLeaseTable(lease, NoFault)
 	if !g.Grant(0, a, one, 0) || b.Apply(&Entry{Kind: Join, Member: two}) {
 		t.Fatal("no lease, or a name that joins a cell which is not its own")
 	}
 
-	for _, c := range []Command{{Kind: Ready, Cell: 2, At: b.Heard.Version}, {Kind: Ready, Cell: 9}} {
+	for _, c := range []Command{{Kind: Ready, Cell: 2, At: b.LastUpdate.Version}, {Kind: Ready, Cell: 9}} {
 		if j.try(c) == nil {
 			t.Errorf("%+v is taken", c)
 		}
 	}
 	j.do(Command{Kind: Move, Names: []string{one.Name}, Cell: 2})
-	if err := j.try(Command{Kind: Ready, Cell: 2, At: b.Heard.Version}); !errors.Is(err, ErrNothing) {
+	if err := j.try(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version}); !errors.Is(err, ErrNoChange) {
 		t.Errorf("ready by a word from before the move: %v", err)
 	}
-	if s := j.d.Part(1).Seat(one.Name); s.To != 0 {
+	if s := j.d.Record(1).Slot(one.Name); s.To != 0 {
 		t.Fatal("it is to leave before the new cell expects it")
 	}
 	apply(t, b, j.told(b))
-	j.do(Command{Kind: Ready, Cell: 2, At: b.Heard.Version})
+	j.do(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
 	apply(t, a, j.told(a))
-	if g.Grant(1, a, one, 0) || len(g.Due(lease, a)) > 0 {
+	if g.Grant(1, a, one, 0) || len(g.DueEntries(lease, a)) > 0 {
 		t.Error("a lease to one that is to leave, or it leaves while its lease may run")
 	}
-	if at, ok := b.Start(one.Name); !ok || at != 1 {
+	if at, ok := b.LookupStart(one.Name); !ok || at != 1 {
 		t.Errorf("before it has arrived its requests are asked for at %d", at)
 	}
-	due := g.Due(skewed(lease), a)
-	if len(due) != 1 || due[0].Kind != Leave {
+	due := g.DueEntries(skewed(lease), a)
+	if len(due) != 1 || due[0].Kind != Depart {
 		t.Fatalf("%+v", due)
 	}
-	if a.Apply(&Entry{Kind: Leave, Member: one, Move: due[0].Move - 1}) {
+	if a.Apply(&Entry{Kind: Depart, Member: one, MoveIndex: due[0].MoveIndex - 1}) {
 		t.Error("it leaves by another move")
 	}
 	apply(t, a, &due[0])
 	if a.Apply(&due[0]) {
 		t.Error("it leaves twice")
 	}
-	if a.Apply(&Entry{Kind: Drop, Member: one}) {
+	if a.Apply(&Entry{Kind: ForgetDeparture, Member: one}) {
 		t.Error("its certificate is forgotten before it has arrived")
 	}
 	cert := a.Certificate(one.Name)
@@ -124,56 +124,56 @@
 	}
 	forged := []*Certificate{nil}
 	for _, change := range []func(c *Certificate){
-		func(c *Certificate) { c.Move-- }, func(c *Certificate) { c.Cell = 3 }, func(c *Certificate) { c.To = 3 },
-		func(c *Certificate) { c.Member.Name = "r-n00001" }, func(c *Certificate) { c.Before = []Departure{{Cell: 2}} },
+		func(c *Certificate) { c.MoveIndex-- }, func(c *Certificate) { c.Cell = 3 }, func(c *Certificate) { c.To = 3 },
+		func(c *Certificate) { c.Member.Name = "r-n00001" }, func(c *Certificate) { c.Earlier = []Departure{{Cell: 2}} },
 	} {
 		c := *cert
 		change(&c)
 		forged = append(forged, &c)
 	}
 	for _, c := range forged {
-		if b.Apply(&Entry{Kind: Join, Member: two, Came: c}) {
+		if b.Apply(&Entry{Kind: Join, Member: two, Certificate: c}) {
 			t.Errorf("joined with %+v", c)
 		}
 	}
-	if b.Apply(&Entry{Kind: Join, Member: one, Came: cert}) {
+	if b.Apply(&Entry{Kind: Join, Member: one, Certificate: cert}) {
 		t.Error("one incarnation is of two cells")
 	}
-	apply(t, b, &Entry{Kind: Join, Member: two, Came: cert})
-	if b.Apply(&Entry{Kind: Join, Member: two, Came: cert}) {
+	apply(t, b, &Entry{Kind: Join, Member: two, Certificate: cert})
+	if b.Apply(&Entry{Kind: Join, Member: two, Certificate: cert}) {
 		t.Error("it joined twice")
 	}
 	for _, l := range []*Log{a, b} {
-		if at, ok := l.Start(one.Name); !ok || at != 1 {
+		if at, ok := l.LookupStart(one.Name); !ok || at != 1 {
 			t.Errorf("an inquiry at %d begins at %d", l.ID, at)
 		}
-		q := NewInquiry(one.Name, l.ID)
-		for n := 0; q.Seek(l) == Onward && n < 3; n++ {
+		q := NewLookup(one.Name, l.ID)
+		for n := 0; q.Next(l) == Forward && n < 3; n++ {
 			l = a
 		}
-		if s, give := q.Nothing(a); s != Onward || !give || q.At != 2 {
+		if s, give := q.NotFound(a); s != Forward || !give || q.At != 2 {
 			t.Errorf("what the first cell does not know is not given to the second: %v %v %+v", s, give, q)
 		}
-		if s, _ := q.Nothing(b); q.Seek(b) != Look || s != Look {
+		if s, _ := q.NotFound(b); q.Next(b) != SearchHere || s != SearchHere {
 			t.Error("nor begun there")
 		}
 	}
-	if s := NewInquiry("r-n00099", 2).Seek(b); s != Unknown {
+	if s := NewLookup("r-n00099", 2).Next(b); s != Unknown {
 		t.Errorf("of an unknown member: %v", s)
 	}
-	j.do(Command{Kind: Arrived, Cell: 2, Names: []string{one.Name}, Number: cert.Move})
-	if err := j.try(Command{Kind: Move, Names: []string{one.Name}, Cell: 1}); !errors.Is(err, ErrRecent) {
+	j.do(Command{Kind: Arrived, Cell: 2, Names: []string{one.Name}, Number: cert.MoveIndex})
+	if err := j.try(Command{Kind: Move, Names: []string{one.Name}, Cell: 1}); !errors.Is(err, ErrRecentMember) {
 		t.Errorf("back at once: %v", err)
 	}
-	apply(t, a, j.told(a), &Entry{Kind: Drop, Member: one})
-	apply(t, b, j.told(b), &Entry{Kind: Drop, Member: one}, &Entry{Kind: Out, Member: two}, &Entry{Kind: Join, Member: member(one.Name, 3)})
+	apply(t, a, j.told(a), &Entry{Kind: ForgetDeparture, Member: one})
+	apply(t, b, j.told(b), &Entry{Kind: ForgetDeparture, Member: one}, &Entry{Kind: Evict, Member: two}, &Entry{Kind: Join, Member: member(one.Name, 3)})
 	j.do(Command{Kind: Forget, Names: []string{one.Name}})
-	if _, ok := a.Start(one.Name); ok || len(a.Left)+len(b.Came) > 0 {
+	if _, ok := a.LookupStart(one.Name); ok || len(a.Departures)+len(b.FormerCells) > 0 {
 		t.Error("what is over is not forgotten")
 	}
 	j.do(Command{Kind: Move, Names: []string{one.Name}, Cell: 1})
 	apply(t, a, j.told(a))
-	if a.Apply(&Entry{Kind: Join, Member: member(one.Name, 4), Came: cert}) {
+	if a.Apply(&Entry{Kind: Join, Member: member(one.Name, 4), Certificate: cert}) {
 		t.Error("the certificate of the first move does for the second")
 	}
 }
@@ -182,51 +182,51 @@
 func TestSplitAndMerge(t *testing.T) {
 	j := newJournal(t)
 	all := seatsOf("r", 0, 6, 3)
-	j.do(Command{Kind: Open, Region: "r", Seats: all})
-	a := NewLog(1, Sound)
+	j.do(Command{Kind: Open, Region: "r", Slots: all})
+	a := NewLog(1, NoFault)
 	apply(t, a, j.told(a))
-	g := NewGrants(lease, Sound)
+	g := NewLeaseTable(lease, NoFault)
 	for _, s := range all[:5] {
 		apply(t, a, &Entry{Kind: Join, Member: member(s.Name, 1)})
 		g.Grant(10, a, member(s.Name, 1), 0)
 	}
 	split := Command{Kind: Split, ID: 7, Cell: 1, Names: names(all[:3])}
 	j.do(split)
-	if err := j.try(split); !errors.Is(err, ErrDone) {
+	if err := j.try(split); !errors.Is(err, ErrAlreadyApplied) {
 		t.Errorf("twice: %v", err)
 	}
-	if err := j.try(Command{Kind: Merge, Cells: []ID{1, 2}}); !errors.Is(err, ErrMoving) {
+	if err := j.try(Command{Kind: Merge, Cells: []ID{1, 2}}); !errors.Is(err, ErrChangeInProgress) {
 		t.Errorf("merge of what is split: %v", err)
 	}
-	b, c := NewLog(2, Sound), NewLog(3, Sound)
+	b, c := NewLog(2, NoFault), NewLog(3, NoFault)
 	apply(t, b, j.told(b))
 	apply(t, c, j.told(c))
-	j.do(Command{Kind: Ready, Cell: 2, At: b.Heard.Version})
-	if len(j.d.Part(1).Into) > 0 {
+	j.do(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
+	if len(j.d.Record(1).Successors) > 0 {
 		t.Fatal("to be sealed before both successors expect its members")
 	}
 	apply(t, a, j.told(a))
 	if !g.Grant(10, a, member(all[0].Name, 1), 0) {
 		t.Error("no lease, while one of the successors does not expect its members")
 	}
-	if due := g.Due(10+2*lease, a); len(due) != 5 || slices.ContainsFunc(due, func(e Entry) bool { return e.Kind != Out }) {
+	if due := g.DueEntries(10+2*lease, a); len(due) != 5 || slices.ContainsFunc(due, func(e Entry) bool { return e.Kind != Evict }) {
 		t.Fatalf("all silent: out as ever, and none leaves one by one: %+v", due)
 	}
-	g = NewGrants(lease, Sound)
+	g = NewLeaseTable(lease, NoFault)
 	for _, m := range a.living("") {
 		g.last[m] = 10
 	}
-	j.do(Command{Kind: Ready, Cell: 3, At: c.Heard.Version})
+	j.do(Command{Kind: Ready, Cell: 3, At: c.LastUpdate.Version})
 	apply(t, a, j.told(a))
-	if len(j.d.Part(1).Into) != 2 || g.Grant(11, a, member(all[0].Name, 1), 0) || len(g.Due(10+lease, a)) > 0 {
+	if len(j.d.Record(1).Successors) != 2 || g.Grant(11, a, member(all[0].Name, 1), 0) || len(g.DueEntries(10+lease, a)) > 0 {
 		t.Fatal("not to be sealed, or leases go on, or sealed while one may run")
 	}
-	due := g.Due(10+skewed(lease), a)
+	due := g.DueEntries(10+skewed(lease), a)
 	if len(due) != 1 || due[0].Kind != Seal {
 		t.Fatalf("%+v", due)
 	}
 	apply(t, a, &due[0])
-	if a.Apply(j.told(a)) || a.Apply(&due[0]) || len(a.Living) > 0 || g.Grant(2*lease, a, member(all[0].Name, 1), 0) {
+	if a.Apply(j.told(a)) || a.Apply(&due[0]) || len(a.Members) > 0 || g.Grant(2*lease, a, member(all[0].Name, 1), 0) {
 		t.Error("a sealed log goes on")
 	}
 	for i, s := range all { // the last one was never a member: it comes as any other
@@ -234,10 +234,10 @@
 		if i >= 3 {
 			l = c
 		}
-		apply(t, l, &Entry{Kind: Join, Member: member(s.Name, 2), Came: a.Certificate(s.Name)})
-		j.do(Command{Kind: Arrived, Cell: l.ID, Names: []string{s.Name}, Number: l.Arrived[s.Name]})
+		apply(t, l, &Entry{Kind: Join, Member: member(s.Name, 2), Certificate: a.Certificate(s.Name)})
+		j.do(Command{Kind: Arrived, Cell: l.ID, Names: []string{s.Name}, Number: l.ArrivedMoves[s.Name]})
 	}
-	if err := j.try(Command{Kind: Forget, Cell: 1}); !errors.Is(err, ErrNothing) {
+	if err := j.try(Command{Kind: Forget, Cell: 1}); !errors.Is(err, ErrNoChange) {
 		t.Errorf("forgotten before it is told that it is sealed: %v", err)
 	}
 	j.do(Command{Kind: Sealed, Cell: 1, Epoch: a.Epoch})
@@ -246,9 +246,9 @@
 	apply(t, c, j.told(c))
 
 	j.do(Command{Kind: Merge, Cells: []ID{2, 3}})
-	m := NewLog(4, Sound)
+	m := NewLog(4, NoFault)
 	apply(t, m, j.told(m))
-	j.do(Command{Kind: Ready, Cell: 4, At: m.Heard.Version})
+	j.do(Command{Kind: Ready, Cell: 4, At: m.LastUpdate.Version})
 	for _, l := range []*Log{b, c} {
 		apply(t, l, j.told(l), &Entry{Kind: Seal})
 	}
@@ -258,8 +258,8 @@
 			l = c
 		}
 		cert := l.Certificate(s.Name)
-		apply(t, m, &Entry{Kind: Join, Member: member(s.Name, 3), Came: cert})
-		if at, _ := m.Start(s.Name); len(cert.Before) != 1 || at != 1 {
+		apply(t, m, &Entry{Kind: Join, Member: member(s.Name, 3), Certificate: cert})
+		if at, _ := m.LookupStart(s.Name); len(cert.Earlier) != 1 || at != 1 {
 			t.Errorf("%s: an inquiry begins at %d, %+v", s.Name, at, cert)
 		}
 	}
@@ -269,56 +269,56 @@
 func TestRemove(t *testing.T) {
 	j := newJournal(t)
 	all := seatsOf("r", 0, 4, 3)
-	j.do(Command{Kind: Open, Region: "r", Seats: all})
+	j.do(Command{Kind: Open, Region: "r", Slots: all})
 	j.do(Command{Kind: Remove, Names: []string{all[0].Name}})
-	if err := j.try(Command{Kind: Open, Region: "r", Seats: all[:1]}); !errors.Is(err, ErrSeated) {
+	if err := j.try(Command{Kind: Open, Region: "r", Slots: all[:1]}); !errors.Is(err, ErrAlreadyAssigned) {
 		t.Errorf("a second place: %v", err)
 	}
-	a, m := NewLog(1, Sound), member(all[0].Name, 1)
+	a, m := NewLog(1, NoFault), member(all[0].Name, 1)
 	apply(t, a, j.told(a))
 	apply(t, a, &Entry{Kind: Join, Member: m})
-	g := NewGrants(lease, Sound)
+	g := NewLeaseTable(lease, NoFault)
 	if g.Grant(0, a, m, 0) {
 		t.Error("a lease to one that is to go")
 	}
-	g.Yield(m)
-	due := g.Due(1, a)
-	if len(due) != 1 || due[0].Kind != Leave {
+	g.Relinquished(m)
+	due := g.DueEntries(1, a)
+	if len(due) != 1 || due[0].Kind != Depart {
 		t.Fatalf("%+v", due)
 	}
 	apply(t, a, &due[0])
-	if err := j.try(Command{Kind: Gone, Names: []string{m.Name}, Number: a.Left[m.Name].Move - 1}); !errors.Is(err, ErrNothing) {
+	if err := j.try(Command{Kind: Removed, Names: []string{m.Name}, Number: a.Departures[m.Name].MoveIndex - 1}); !errors.Is(err, ErrNoChange) {
 		t.Errorf("gone by an earlier word: %v", err)
 	}
-	j.do(Command{Kind: Gone, Names: []string{m.Name}, Number: a.Left[m.Name].Move})
-	for _, c := range []Command{{Kind: Open, Region: "r", Seats: all[:1]}, {Kind: Assign, Cell: 1, Seats: all[:1]}} {
-		if err := j.try(c); !errors.Is(err, ErrSeated) {
+	j.do(Command{Kind: Removed, Names: []string{m.Name}, Number: a.Departures[m.Name].MoveIndex})
+	for _, c := range []Command{{Kind: Open, Region: "r", Slots: all[:1]}, {Kind: Assign, Cell: 1, Slots: all[:1]}} {
+		if err := j.try(c); !errors.Is(err, ErrAlreadyAssigned) {
 			t.Errorf("a place while its requests may be asked for: %v", err)
 		}
 	}
 	apply(t, a, j.told(a))
-	if q := NewInquiry(m.Name, 1); q.Seek(a) != Look {
+	if q := NewLookup(m.Name, 1); q.Next(a) != SearchHere {
 		t.Error("its requests can't be asked for")
-	} else if s, _ := q.Nothing(a); s != Look {
+	} else if s, _ := q.NotFound(a); s != SearchHere {
 		t.Errorf("%v: what it never began is begun by nobody", s)
 	}
 	j.do(Command{Kind: Forget, Names: []string{m.Name}})
-	j.do(Command{Kind: Open, Region: "r", Seats: all[:1]})
+	j.do(Command{Kind: Open, Region: "r", Slots: all[:1]})
 }
 
 // Fence and target only grow, and a cell hears nothing older than what it has heard: the newer side of a cut wins.
 func TestNewerVersionWins(t *testing.T) {
 	j := newJournal(t)
-	j.do(Command{Kind: Open, Region: "r", Seats: seatsOf("r", 0, 3, 3)})
-	j.do(Command{Kind: Target, Number: 3})
-	a, m := NewLog(1, Sound), member("r-n00000", 1)
+	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 3, 3)})
+	j.do(Command{Kind: SetTarget, Number: 3})
+	a, m := NewLog(1, NoFault), member("r-n00000", 1)
 	before := j.told(a)
-	j.do(Command{Kind: Fence, Number: 3})
-	if err := j.try(Command{Kind: Open, Region: "r", Seats: append(seatsOf("r", 5, 1, 3), seatsOf("r", 5, 1, 3)...)}); !errors.Is(err, ErrSeated) {
+	j.do(Command{Kind: SetFence, Number: 3})
+	if err := j.try(Command{Kind: Open, Region: "r", Slots: append(seatsOf("r", 5, 1, 3), seatsOf("r", 5, 1, 3)...)}); !errors.Is(err, ErrAlreadyAssigned) {
 		t.Errorf("a name twice in one cell: %v", err)
 	}
-	for _, c := range []Command{{Kind: Target, Number: 2}, {Kind: Fence, Number: 2}, {Kind: Fence, Number: 4}, {Kind: Fence, Number: 3}} {
-		if err := j.try(c); !errors.Is(err, ErrNothing) {
+	for _, c := range []Command{{Kind: SetTarget, Number: 2}, {Kind: SetFence, Number: 2}, {Kind: SetFence, Number: 4}, {Kind: SetFence, Number: 3}} {
+		if err := j.try(c); !errors.Is(err, ErrNoChange) {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
@@ -326,24 +326,24 @@
 	if a.Apply(before) {
 		t.Error("the older word is taken")
 	}
-	g := NewGrants(lease, Sound)
+	g := NewLeaseTable(lease, NoFault)
 	if g.Grant(0, a, m, 2) || !g.Grant(0, a, m, 3) {
 		t.Error("a lease below the fence, or none at it")
 	}
 	old := j.d.Clone()
-	if err := j.d.Apply(Version{Term: 2, Index: j.index + 1}, &Command{Kind: Target, Number: 9}); err != nil {
+	if err := j.d.Apply(Version{Term: 2, Index: j.index + 1}, &Command{Kind: SetTarget, Number: 9}); err != nil {
 		t.Fatal(err)
 	}
-	if err := j.d.Apply(Version{Term: 1, Index: j.index + 2}, &Command{Kind: Target, Number: 10}); !errors.Is(err, ErrOld) || j.d.Global().Settings != 9 {
+	if err := j.d.Apply(Version{Term: 1, Index: j.index + 2}, &Command{Kind: SetTarget, Number: 10}); !errors.Is(err, ErrStale) || j.d.Global().Settings != 9 {
 		t.Errorf("a command of an earlier term: %v", err)
 	}
 	// A relay that heard the newer directory hears nothing of one that is behind.
-	r := NewRelay("r", Sound)
-	r.Take(j.d.Delta("r", Version{}, Version{}, true, 1<<20))
-	if d := old.Delta("r", r.Pull().Since, Version{}, false, 1<<20); len(d.Parts) > 0 || r.Take(d) {
-		t.Errorf("one that is behind answers with %d parts, or is asked again at once", len(d.Parts))
+	r := NewRelay("r", NoFault)
+	r.ApplyDelta(j.d.Delta("r", Version{}, Version{}, true, 1<<20))
+	if d := old.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20); len(d.Records) > 0 || r.ApplyDelta(d) {
+		t.Errorf("one that is behind answers with %d parts, or is asked again at once", len(d.Records))
 	}
-	r.Take(old.Delta("r", Version{}, Version{}, true, 1<<20))
+	r.ApplyDelta(old.Delta("r", Version{}, Version{}, true, 1<<20))
 	if r.version != j.d.Version() || r.global.Settings != 9 {
 		t.Errorf("%+v %+v", r.version, r.global)
 	}
@@ -353,10 +353,10 @@
 func TestLastStays(t *testing.T) {
 	j := newJournal(t)
 	all := seatsOf("r", 0, 4, 3)
-	j.do(Command{Kind: Open, Region: "r", Seats: all[:2]})
-	j.do(Command{Kind: Open, Region: "r", Seats: all[2:]})
+	j.do(Command{Kind: Open, Region: "r", Slots: all[:2]})
+	j.do(Command{Kind: Open, Region: "r", Slots: all[2:]})
 	j.do(Command{Kind: Move, Names: []string{all[0].Name}, Cell: 2})
-	if err := j.try(Command{Kind: Move, Names: []string{all[1].Name}, Cell: 2}); !errors.Is(err, ErrLast) {
+	if err := j.try(Command{Kind: Move, Names: []string{all[1].Name}, Cell: 2}); !errors.Is(err, ErrLastMember) {
 		t.Errorf("both leave: %v", err)
 	}
 }
@@ -364,13 +364,13 @@
 // One that has said that it acts no more gets no lease, and need not be waited for.
 func TestYield(t *testing.T) {
 	j := newJournal(t)
-	j.do(Command{Kind: Open, Region: "r", Seats: seatsOf("r", 0, 3, 3)})
-	a, m := NewLog(1, Sound), member("r-n00000", 1)
+	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 3, 3)})
+	a, m := NewLog(1, NoFault), member("r-n00000", 1)
 	apply(t, a, j.told(a), &Entry{Kind: Join, Member: m})
-	g := NewGrants(lease, Sound)
+	g := NewLeaseTable(lease, NoFault)
 	g.Grant(5, a, m, 0)
-	g.Yield(m)
-	if due := g.Due(6, a); g.Grant(6, a, m, 0) || len(due) != 1 || due[0].Kind != Out {
+	g.Relinquished(m)
+	if due := g.DueEntries(6, a); g.Grant(6, a, m, 0) || len(due) != 1 || due[0].Kind != Evict {
 		t.Errorf("a lease after its yield, or %+v", due)
 	}
 }
@@ -379,24 +379,24 @@
 func TestInquiryPassesWhatIsForgotten(t *testing.T) {
 	j := newJournal(t)
 	all := seatsOf("r", 0, 5, 3)
-	j.do(Command{Kind: Open, Region: "r", Seats: all[:3]})
-	j.do(Command{Kind: Open, Region: "r", Seats: all[3:]})
-	a, b, name := NewLog(1, Sound), NewLog(2, Sound), all[0].Name
+	j.do(Command{Kind: Open, Region: "r", Slots: all[:3]})
+	j.do(Command{Kind: Open, Region: "r", Slots: all[3:]})
+	a, b, name := NewLog(1, NoFault), NewLog(2, NoFault), all[0].Name
 	j.do(Command{Kind: Move, Names: []string{name}, Cell: 2})
 	apply(t, b, j.told(b))
-	j.do(Command{Kind: Ready, Cell: 2, At: b.Heard.Version})
-	apply(t, a, j.told(a), &Entry{Kind: Leave, Member: member(name, 0), Move: j.d.Part(1).Seat(name).ToMove})
-	apply(t, b, &Entry{Kind: Join, Member: member(name, 1), Came: a.Certificate(name)})
-	j.do(Command{Kind: Arrived, Cell: 2, Names: []string{name}, Number: b.Arrived[name]})
-	apply(t, a, j.told(a), &Entry{Kind: Drop, Member: member(name, 0)})
-	q := NewInquiry(name, 2)
-	if s := q.Seek(b); s != Onward || q.At != 1 || q.Seek(a) != Look {
+	j.do(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
+	apply(t, a, j.told(a), &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.d.Record(1).Slot(name).ToMoveIndex})
+	apply(t, b, &Entry{Kind: Join, Member: member(name, 1), Certificate: a.Certificate(name)})
+	j.do(Command{Kind: Arrived, Cell: 2, Names: []string{name}, Number: b.ArrivedMoves[name]})
+	apply(t, a, j.told(a), &Entry{Kind: ForgetDeparture, Member: member(name, 0)})
+	q := NewLookup(name, 2)
+	if s := q.Next(b); s != Forward || q.At != 1 || q.Next(a) != SearchHere {
 		t.Fatalf("it does not look at the first cell: %v %+v", s, q)
 	}
-	if p := *q; p.Forgotten() != Onward || p.At != 2 || p.Forgotten() != Unknown {
+	if p := *q; p.CellForgotten() != Forward || p.At != 2 || p.CellForgotten() != Unknown {
 		t.Errorf("a forgotten cell is not passed: %+v", p)
 	}
-	if s, give := q.Nothing(a); s != Onward || give || q.At != 2 || q.Seek(b) != Look {
+	if s, give := q.NotFound(a); s != Forward || give || q.At != 2 || q.Next(b) != SearchHere {
 		t.Errorf("%v %v %+v", s, give, q)
 	}
 }
@@ -406,38 +406,38 @@
 func TestArrivesWithoutAProcess(t *testing.T) {
 	j := newJournal(t)
 	all := seatsOf("r", 0, 5, 3)
-	j.do(Command{Kind: Open, Region: "r", Seats: all[:3]})
-	j.do(Command{Kind: Open, Region: "r", Seats: all[3:]})
-	a, b, name := NewLog(1, Sound), NewLog(2, Sound), all[0].Name
+	j.do(Command{Kind: Open, Region: "r", Slots: all[:3]})
+	j.do(Command{Kind: Open, Region: "r", Slots: all[3:]})
+	a, b, name := NewLog(1, NoFault), NewLog(2, NoFault), all[0].Name
 	j.do(Command{Kind: Move, Names: []string{name}, Cell: 2})
 	apply(t, b, j.told(b))
-	j.do(Command{Kind: Ready, Cell: 2, At: b.Heard.Version})
+	j.do(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
 	late := j.told(b)
-	j.do(Command{Kind: Target, Number: 4})
-	j.do(Command{Kind: Fence, Number: 4})
-	apply(t, a, j.told(a), &Entry{Kind: Join, Member: member(name, 1)}, &Entry{Kind: Leave, Member: member(name, 0), Move: j.d.Part(1).Seat(name).ToMove})
-	if b.Apply(&Entry{Kind: Expect, Member: member(name, 0)}) || b.Apply(&Entry{Kind: Expect, Member: member(all[1].Name, 0), Came: a.Certificate(name)}) {
+	j.do(Command{Kind: SetTarget, Number: 4})
+	j.do(Command{Kind: SetFence, Number: 4})
+	apply(t, a, j.told(a), &Entry{Kind: Join, Member: member(name, 1)}, &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.d.Record(1).Slot(name).ToMoveIndex})
+	if b.Apply(&Entry{Kind: ExpectMember, Member: member(name, 0)}) || b.Apply(&Entry{Kind: ExpectMember, Member: member(all[1].Name, 0), Certificate: a.Certificate(name)}) {
 		t.Error("a place without its certificate")
 	}
-	expect := &Entry{Kind: Expect, Member: member(name, 0), Came: a.Certificate(name)}
+	expect := &Entry{Kind: ExpectMember, Member: member(name, 0), Certificate: a.Certificate(name)}
 	apply(t, b, expect)
-	if b.Apply(expect) || len(b.Living) > 0 {
+	if b.Apply(expect) || len(b.Members) > 0 {
 		t.Error("twice, or with a process")
 	}
 	apply(t, b, late)
-	if b.Heard.Global.Fence != 4 {
-		t.Errorf("%+v: the fence of the cell that it has left is lost", b.Heard.Global)
+	if b.LastUpdate.Global.Fence != 4 {
+		t.Errorf("%+v: the fence of the cell that it has left is lost", b.LastUpdate.Global)
 	}
-	if at, ok := b.Start(name); !ok || at != 1 {
+	if at, ok := b.LookupStart(name); !ok || at != 1 {
 		t.Errorf("an inquiry begins at %d", at)
 	}
-	if b.May(member(name, 1), nil) || !b.May(member(name, 2), nil) {
+	if b.MayJoin(member(name, 1), nil) || !b.MayJoin(member(name, 2), nil) {
 		t.Error("the old incarnation may join, or a new one may not")
 	}
-	if err := j.try(Command{Kind: Remove, Names: []string{name}}); !errors.Is(err, ErrMoving) {
+	if err := j.try(Command{Kind: Remove, Names: []string{name}}); !errors.Is(err, ErrChangeInProgress) {
 		t.Errorf("removed while it moves: %v", err)
 	}
-	j.do(Command{Kind: Arrived, Cell: 2, Names: []string{name}, Number: b.Arrived[name]})
+	j.do(Command{Kind: Arrived, Cell: 2, Names: []string{name}, Number: b.ArrivedMoves[name]})
 	j.do(Command{Kind: Remove, Names: []string{name}})
 }
 
@@ -446,25 +446,25 @@
 func TestGivenAndEmpty(t *testing.T) {
 	j := newJournal(t)
 	all := seatsOf("r", 0, 3, 3)
-	j.do(Command{Kind: Open, Region: "r", Seats: all[:1]})
-	a := NewLog(1, Sound)
+	j.do(Command{Kind: Open, Region: "r", Slots: all[:1]})
+	a := NewLog(1, NoFault)
 	apply(t, a, j.told(a))
-	if s, _ := Here("elsewhere", 1).Nothing(a); s != Look {
+	if s, _ := NewLocalLookup("elsewhere", 1).NotFound(a); s != SearchHere {
 		t.Errorf("of what was given to this cell: %v", s)
 	}
-	if q := NewInquiry("elsewhere", 1); q.Seek(a) != Unknown {
+	if q := NewLookup("elsewhere", 1); q.Next(a) != Unknown {
 		t.Error("it takes itself for the home of an unknown member's requests")
 	}
 	j.do(Command{Kind: Remove, Names: names(all[:1])})
-	j.do(Command{Kind: Gone, Names: names(all[:1]), Number: j.d.Part(1).Seats[0].ToMove})
+	j.do(Command{Kind: Removed, Names: names(all[:1]), Number: j.d.Record(1).Slots[0].ToMoveIndex})
 	j.do(Command{Kind: Forget, Names: names(all[:1])})
-	j.do(Command{Kind: Open, Region: "r", Seats: all[1:]})
+	j.do(Command{Kind: Open, Region: "r", Slots: all[1:]})
 	j.do(Command{Kind: Merge, Cells: []ID{1, 2}})
-	if p := j.d.Part(1); len(p.Into) != 1 || len(p.Pending) > 0 {
+	if p := j.d.Record(1); len(p.Successors) != 1 || len(p.PendingSuccessors) > 0 {
 		t.Errorf("an empty cell waits: %+v", p)
 	}
 	apply(t, a, j.told(a))
-	if due := NewGrants(lease, Sound).Due(0, a); len(due) != 1 || due[0].Kind != Seal {
+	if due := NewLeaseTable(lease, NoFault).DueEntries(0, a); len(due) != 1 || due[0].Kind != Seal {
 		t.Errorf("%+v", due)
 	}
 }
@@ -473,48 +473,48 @@
 func TestForgottenCellsGoWithADelta(t *testing.T) {
 	j := newJournal(t)
 	all := seatsOf("r", 0, 4, 3)
-	j.do(Command{Kind: Open, Region: "r", Seats: all})
+	j.do(Command{Kind: Open, Region: "r", Slots: all})
 	j.do(Command{Kind: Split, Cell: 1, Names: names(all[:2])})
-	r := NewRelay("r", Sound)
-	r.Take(j.d.Delta("r", Version{}, Version{}, true, 1<<20))
+	r := NewRelay("r", NoFault)
+	r.ApplyDelta(j.d.Delta("r", Version{}, Version{}, true, 1<<20))
 	for _, id := range []ID{2, 3} {
 		j.do(Command{Kind: Ready, Cell: id, At: j.d.Version()})
 	}
 	j.do(Command{Kind: Sealed, Cell: 1, Epoch: 9})
-	for _, s := range j.d.Part(1).Seats {
-		j.do(Command{Kind: Arrived, Cell: s.To, Names: []string{s.Name}, Number: s.ToMove})
+	for _, s := range j.d.Record(1).Slots {
+		j.do(Command{Kind: Arrived, Cell: s.To, Names: []string{s.Name}, Number: s.ToMoveIndex})
 	}
 	j.do(Command{Kind: Forget, Cell: 1})
-	d := j.d.Delta("r", r.Pull().Since, Version{}, false, 1<<20)
-	if again := r.Take(d); d.Whole || again || len(r.parts) != 2 || r.Version() != j.d.Version() {
-		t.Errorf("whole %t, again %t, %d parts", d.Whole, again, len(r.parts))
+	d := j.d.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20)
+	if again := r.ApplyDelta(d); d.Complete || again || len(r.parts) != 2 || r.Version() != j.d.Version() {
+		t.Errorf("whole %t, again %t, %d parts", d.Complete, again, len(r.parts))
 	}
 }
 
 // Nobody but a member's own cell and own incarnation gives it leave to act, and that ends before it goes.
 func TestMemberActsForOneCell(t *testing.T) {
 	n := NewNode(member("x", 1), 1)
-	ask := n.Ask(100, 0)
-	n.Granted(Grant{Cell: 2, Member: ask.Member, Sent: ask.Sent}, lease)
-	n.Granted(Grant{Cell: 1, Member: member("x", 2), Sent: ask.Sent}, lease)
-	if n.Valid(101) {
+	ask := n.LeaseRequest(100, 0)
+	n.HandleGrant(LeaseGrant{Cell: 2, Member: ask.Member, RequestSentMicros: ask.SentMicros}, lease)
+	n.HandleGrant(LeaseGrant{Cell: 1, Member: member("x", 2), RequestSentMicros: ask.SentMicros}, lease)
+	if n.LeaseValid(101) {
 		t.Fatal("a lease of another cell or incarnation")
 	}
-	n.Granted(Grant{Cell: 1, Member: ask.Member, Sent: ask.Sent}, lease)
-	if !n.Valid(100+lease-1) || n.Valid(100+lease) {
+	n.HandleGrant(LeaseGrant{Cell: 1, Member: ask.Member, RequestSentMicros: ask.SentMicros}, lease)
+	if !n.LeaseValid(100+lease-1) || n.LeaseValid(100+lease) {
 		t.Fatal("a lease counts from when it was asked for")
 	}
-	cert := &Certificate{Departure: Departure{Cell: 1, To: 2, Member: n.Me, Move: 5}}
+	cert := &Certificate{Departure: Departure{Cell: 1, To: 2, Member: n.Me, MoveIndex: 5}}
 	if n.Depart(cert, 1) || n.Depart(&Certificate{Departure: Departure{Cell: 3, To: 2, Member: n.Me}}, 2) || !n.Depart(cert, 2) {
 		t.Fatal("it goes as the same incarnation, or by the word of another cell")
 	}
-	n.Granted(Grant{Cell: 1, Member: member("x", 1), Sent: 200}, lease)
-	if n.Valid(201) || n.Cell != 2 {
+	n.HandleGrant(LeaseGrant{Cell: 1, Member: member("x", 1), RequestSentMicros: 200}, lease)
+	if n.LeaseValid(201) || n.Cell != 2 {
 		t.Error("a late grant of the cell that it left")
 	}
-	n.Yield()
-	n.Granted(Grant{Cell: 2, Member: n.Me, Sent: 300}, lease)
-	if n.Valid(301) {
+	n.Relinquish()
+	n.HandleGrant(LeaseGrant{Cell: 2, Member: n.Me, RequestSentMicros: 300}, lease)
+	if n.LeaseValid(301) {
 		t.Error("it acts after it has said that it does not")
 	}
 }
@@ -522,35 +522,35 @@
 // A word without its part is taken where what the cell has is what the directory has; else the part is asked for.
 func TestWordWithoutItsPart(t *testing.T) {
 	j := newJournal(t)
-	j.do(Command{Kind: Open, Region: "r", Seats: seatsOf("r", 0, 3, 3)})
-	r := NewRelay("r", Sound)
-	pull := func() { r.Take(j.d.Delta("r", r.Pull().Since, Version{}, false, 1<<20)) }
-	a := NewLog(1, Sound)
+	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 3, 3)})
+	r := NewRelay("r", NoFault)
+	pull := func() { r.ApplyDelta(j.d.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20)) }
+	a := NewLog(1, NoFault)
 	pull()
-	first := r.Tell(1, a.Heard.Version, false)
-	apply(t, a, &Entry{Kind: Hear, Told: first})
-	if r.Tell(1, a.Heard.Version, false) != nil {
+	first := r.UpdateFor(1, a.LastUpdate.Version, false)
+	apply(t, a, &Entry{Kind: UpdateDirectory, Update: first})
+	if r.UpdateFor(1, a.LastUpdate.Version, false) != nil {
 		t.Error("told what it has")
 	}
-	j.do(Command{Kind: Open, Region: "r", Seats: seatsOf("r", 3, 3, 3)})
-	if pull(); r.Tell(1, a.Heard.Version, false) != nil {
+	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 3, 3, 3)})
+	if pull(); r.UpdateFor(1, a.LastUpdate.Version, false) != nil {
 		t.Error("told of another cell")
 	}
-	j.do(Command{Kind: Target, Number: 1})
+	j.do(Command{Kind: SetTarget, Number: 1})
 	pull()
-	second := r.Tell(1, a.Heard.Version, false)
-	if second.Part != nil || len(Encode(second)) > 60 {
+	second := r.UpdateFor(1, a.LastUpdate.Version, false)
+	if second.Record != nil || len(Encode(second)) > 60 {
 		t.Errorf("the part goes with a change of the settings: %d bytes", len(Encode(second)))
 	}
-	if NewLog(1, Sound).Apply(&Entry{Kind: Hear, Told: second}) {
+	if NewLog(1, NoFault).Apply(&Entry{Kind: UpdateDirectory, Update: second}) {
 		t.Error("taken by one that has another part")
 	}
-	apply(t, a, &Entry{Kind: Hear, Told: second})
-	if a.Heard.Part != first.Part || a.Heard.Global.Settings != 1 {
-		t.Errorf("%+v", a.Heard)
+	apply(t, a, &Entry{Kind: UpdateDirectory, Update: second})
+	if a.LastUpdate.Record != first.Record || a.LastUpdate.Global.Settings != 1 {
+		t.Errorf("%+v", a.LastUpdate)
 	}
-	b := NewLog(1, Sound)
-	apply(t, b, &Entry{Kind: Hear, Told: r.Tell(1, Version{}, true)})
+	b := NewLog(1, NoFault)
+	apply(t, b, &Entry{Kind: UpdateDirectory, Update: r.UpdateFor(1, Version{}, true)})
 }
 
 // Relays end with the directory's parts, whatever is lost, spoilt or doubled, and a digest that does not fit costs one whole transfer
@@ -559,47 +559,47 @@
 	rapid.Check(t, func(r *rapid.T) {
 		j := newJournal(t)
 		for i := range 8 {
-			j.do(Command{Kind: Open, Region: []string{"r", "q"}[i%2], Seats: seatsOf([]string{"r", "q"}[i%2], 6*i, 6, 3)})
+			j.do(Command{Kind: Open, Region: []string{"r", "q"}[i%2], Slots: seatsOf([]string{"r", "q"}[i%2], 6*i, 6, 3)})
 		}
-		relay, next := NewRelay("r", Sound), 100
+		relay, next := NewRelay("r", NoFault), 100
 		pull := func(spoil int) bool {
-			p := relay.Pull()
-			d := j.d.Delta(p.Region, p.Since, p.From, p.Whole, 700)
+			p := relay.NextRequest()
+			d := j.d.Delta(p.Region, p.Since, p.From, p.Complete, 700)
 			if size := len(Encode(d)); size > 2500 {
 				r.Fatalf("a page of %d bytes", size)
 			}
-			if spoil == 1 && len(d.Parts) > 0 {
-				d.Parts = d.Parts[1:]
+			if spoil == 1 && len(d.Records) > 0 {
+				d.Records = d.Records[1:]
 			}
 			if spoil == 2 {
-				d.Drops = nil
+				d.Tombstones = nil
 			}
 			if spoil == 3 {
-				relay.Take(d)
+				relay.ApplyDelta(d)
 			}
-			return relay.Take(d)
+			return relay.ApplyDelta(d)
 		}
 		for range rapid.IntRange(1, 40).Draw(r, "steps") {
 			switch rapid.IntRange(0, 5).Draw(r, "what") {
 			case 0:
-				j.try(Command{Kind: Assign, Cell: ID(rapid.IntRange(1, 9).Draw(r, "cell")), Seats: seatsOf("x", next, 1, 3)})
+				j.try(Command{Kind: Assign, Cell: ID(rapid.IntRange(1, 9).Draw(r, "cell")), Slots: seatsOf("x", next, 1, 3)})
 				next++
 			case 1:
-				j.try(Command{Kind: Target, Number: uint64(next)})
+				j.try(Command{Kind: SetTarget, Number: uint64(next)})
 				next++
 			case 2:
-				if p := j.d.Part(ID(rapid.IntRange(1, 8).Draw(r, "cell"))); p != nil && len(p.Seats) > 1 {
-					j.try(Command{Kind: Split, Cell: p.ID, Names: names(p.Seats[:len(p.Seats)/2])})
+				if p := j.d.Record(ID(rapid.IntRange(1, 8).Draw(r, "cell"))); p != nil && len(p.Slots) > 1 {
+					j.try(Command{Kind: Split, Cell: p.ID, Names: names(p.Slots[:len(p.Slots)/2])})
 				}
 			case 3: // a split goes through: the old cell is forgotten
-				for _, id := range j.d.Cells() {
+				for _, id := range j.d.CellIDs() {
 					j.try(Command{Kind: Ready, Cell: id, At: j.d.Version()})
 				}
-				for _, id := range j.d.Cells() {
-					if p := j.d.Part(id); len(p.Into) > 0 {
+				for _, id := range j.d.CellIDs() {
+					if p := j.d.Record(id); len(p.Successors) > 0 {
 						j.do(Command{Kind: Sealed, Cell: id, Epoch: 1})
-						for _, s := range p.Seats {
-							j.do(Command{Kind: Arrived, Cell: s.To, Names: []string{s.Name}, Number: s.ToMove})
+						for _, s := range p.Slots {
+							j.do(Command{Kind: Arrived, Cell: s.To, Names: []string{s.Name}, Number: s.ToMoveIndex})
 						}
 						j.do(Command{Kind: Forget, Cell: id})
 					}
@@ -608,7 +608,7 @@
 				pull(rapid.IntRange(0, 3).Draw(r, "spoil"))
 			}
 		}
-		j.do(Command{Kind: Target, Number: uint64(next)})
+		j.do(Command{Kind: SetTarget, Number: uint64(next)})
 		calls := 0
 		for ; calls < 100 && (relay.Version() != j.d.Version() || pull(0)); calls++ {
 			pull(0)
@@ -616,13 +616,13 @@
 		if relay.Version() != j.d.Version() || relay.global != j.d.Global() || calls > 40 {
 			r.Fatalf("%v after %d calls, the directory is at %v", relay.Version(), calls, j.d.Version())
 		}
-		for _, id := range j.d.Cells() {
-			if p := j.d.Part(id); p.Region == "r" && relay.parts[id].Part != p {
+		for _, id := range j.d.CellIDs() {
+			if p := j.d.Record(id); p.Region == "r" && relay.parts[id].CellRecord != p {
 				r.Fatalf("cell %d differs", id)
 			}
 		}
 		for id := range relay.parts {
-			if j.d.Part(id) == nil {
+			if j.d.Record(id) == nil {
 				r.Fatalf("cell %d is no more", id)
 			}
 		}
@@ -632,27 +632,27 @@
 // Drawn commands never give a name two places, but an old and a new one of a single move, and the same ones give the same state.
 func TestDirectoryOrders(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		j, twin := newJournal(t), NewDirectory(Sound)
-		j.do(Command{Kind: Open, Region: "r", Seats: seatsOf("r", 0, 4, 3)})
-		j.do(Command{Kind: Open, Region: "r", Seats: seatsOf("r", 4, 4, 3)})
-		twin.Apply(Version{Term: 1, Index: 1}, &Command{Kind: Open, Region: "r", Seats: seatsOf("r", 0, 4, 3)})
-		twin.Apply(Version{Term: 1, Index: 2}, &Command{Kind: Open, Region: "r", Seats: seatsOf("r", 4, 4, 3)})
+		j, twin := newJournal(t), NewDirectory(NoFault)
+		j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 4, 3)})
+		j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 4, 4, 3)})
+		twin.Apply(Version{Term: 1, Index: 1}, &Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 4, 3)})
+		twin.Apply(Version{Term: 1, Index: 2}, &Command{Kind: Open, Region: "r", Slots: seatsOf("r", 4, 4, 3)})
 		for range rapid.IntRange(1, 60).Draw(r, "n") {
 			name := names(seatsOf("r", rapid.IntRange(0, 8).Draw(r, "name"), 1, 3))
 			cell := ID(rapid.IntRange(0, int(j.d.last)+1).Draw(r, "cell"))
-			c := Command{Kind: Kind(rapid.IntRange(int(Open), int(Forget)).Draw(r, "kind")), Region: "r", Cell: cell, Names: name, At: j.d.Version()}
+			c := Command{Kind: CommandKind(rapid.IntRange(int(Open), int(Forget)).Draw(r, "kind")), Region: "r", Cell: cell, Names: name, At: j.d.Version()}
 			switch c.Kind {
 			case Open, Assign:
-				c.Seats = seatsOf("r", rapid.IntRange(0, 8).Draw(r, "name"), 1, 3)
+				c.Slots = seatsOf("r", rapid.IntRange(0, 8).Draw(r, "name"), 1, 3)
 			case Merge:
 				c.Cells = []ID{cell, ID(rapid.IntRange(0, int(j.d.last)+1).Draw(r, "other"))}
 			case Arrived:
-				if p := j.d.Part(cell); p != nil && p.Seat(name[0]) != nil {
-					c.Number = p.Seat(name[0]).Move
+				if p := j.d.Record(cell); p != nil && p.Slot(name[0]) != nil {
+					c.Number = p.Slot(name[0]).MoveIndex
 				}
-			case Gone:
-				if p := j.d.Part(j.d.Where(name[0])); p != nil {
-					c.Number = p.Seat(name[0]).ToMove
+			case Removed:
+				if p := j.d.Record(j.d.CellOf(name[0])); p != nil {
+					c.Number = p.Slot(name[0]).ToMoveIndex
 				}
 			case Forget:
 				if rapid.Bool().Draw(r, "cell") {
@@ -670,17 +670,17 @@
 			if twice := twin.Apply(j.d.Version(), &c); (err == nil) != (twice == nil) || string(Encode(twin.parts)) != string(Encode(j.d.parts)) {
 				r.Fatalf("%+v gives two states: %v, %v", c, err, twice)
 			}
-			met := map[string][]Seat{}
-			for _, id := range j.d.Cells() {
-				for _, s := range j.d.Part(id).Seats {
+			met := map[string][]MemberSlot{}
+			for _, id := range j.d.CellIDs() {
+				for _, s := range j.d.Record(id).Slots {
 					met[s.Name] = append(met[s.Name], s)
-					if j.d.Part(j.d.Where(s.Name)).Seat(s.Name) == nil {
+					if j.d.Record(j.d.CellOf(s.Name)).Slot(s.Name) == nil {
 						r.Fatalf("%s is not where it is said to be", s.Name)
 					}
 				}
 			}
 			for n, all := range met {
-				slices.SortFunc(all, func(a, b Seat) int { return int(a.Move) - int(b.Move) })
+				slices.SortFunc(all, func(a, b MemberSlot) int { return int(a.MoveIndex) - int(b.MoveIndex) })
 				if len(all) > 2 || len(all) == 2 && (all[1].From == 0 || all[0].From != 0) {
 					r.Fatalf("%s has %d places: %+v after %+v", n, len(all), all, c)
 				}
--- a/internal/cells/directory.go
+++ b/internal/cells/directory.go
@@ -8,34 +8,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is what a command does.
-type Kind uint8
+// CommandKind is what a command does.
+type CommandKind uint8
 
 const (
-	Open    Kind = 1  // a cell for names that are in none
-	Assign  Kind = 2  // a new name to a cell
-	Remove  Kind = 3  // a name for good: its cell is to let it go
-	Gone    Kind = 4  // it has
-	Move    Kind = 5  // a name to another cell
-	Split   Kind = 6  // a cell into two: Names go to the first
-	Merge   Kind = 7  // cells into one
-	Ready   Kind = 8  // a cell's log has what the directory said up to At
-	Arrived Kind = 9  // a name has joined its new cell
-	Sealed  Kind = 10 // a cell's log has ended with Epoch
-	Target  Kind = 11 // the version of the settings to act on
-	Fence   Kind = 12 // below it no lease
-	Forget  Kind = 13 // a name's former cells, a name that is gone, or a sealed cell: the longest deadline has passed
+	Open      CommandKind = 1  // a cell for names that are in none
+	Assign    CommandKind = 2  // a new name to a cell
+	Remove    CommandKind = 3  // a name for good: its cell is to let it go
+	Removed   CommandKind = 4  // it has
+	Move      CommandKind = 5  // a name to another cell
+	Split     CommandKind = 6  // a cell into two: Names go to the first
+	Merge     CommandKind = 7  // cells into one
+	Ready     CommandKind = 8  // a cell's log has what the directory said up to At
+	Arrived   CommandKind = 9  // a name has joined its new cell
+	Sealed    CommandKind = 10 // a cell's log has ended with Epoch
+	SetTarget CommandKind = 11 // the version of the settings to act on
+	SetFence  CommandKind = 12 // below it no lease
+	Forget    CommandKind = 13 // a name's former cells, a name that is gone, or a sealed cell: the longest deadline has passed
 )
 
 // Command is an entry of the directory's log.
 type Command struct {
 	_      struct{} `cbor:",toarray"`
-	Kind   Kind
+	Kind   CommandKind
 	ID     uint64 // drawn by who asks; one that was applied is not again
 	Region string
 	Cell   ID
 	Cells  []ID
-	Seats  []Seat // with Open and Assign: name, address and zone
+	Slots  []MemberSlot // with Open and Assign: name, address and zone
 	Names  []string
 	At     Version
 	Epoch  uint64
@@ -53,20 +53,20 @@
 // Directory is the state of the directory after some entries of its log.
 type Directory struct {
 	version Version
-	global  Global
+	global  GlobalState
 	last    ID
-	parts   map[ID]*Part
+	parts   map[ID]*CellRecord
 	sums    map[ID]uint64
 	where   map[string]ID // the cell that a name is in or goes to
 	drops   []dropped
 	lost    Version // deltas since before it are not known any more
 	done    []uint64
-	plant   Plant
+	plant   InjectedFault
 }
 
 // NewDirectory makes an empty one.
-func NewDirectory(p Plant) *Directory {
-	return &Directory{parts: map[ID]*Part{}, sums: map[ID]uint64{}, where: map[string]ID{}, plant: p}
+func NewDirectory(p InjectedFault) *Directory {
+	return &Directory{parts: map[ID]*CellRecord{}, sums: map[ID]uint64{}, where: map[string]ID{}, plant: p}
 }
 
 // Clone copies it; parts are shared, since they are never changed.
@@ -78,21 +78,21 @@
 }
 
 // Version, Global and Part tell what it says; Where finds a name's cell, the new one while it moves.
-func (d *Directory) Version() Version     { return d.version }
-func (d *Directory) Global() Global       { return d.global }
-func (d *Directory) Part(id ID) *Part     { return d.parts[id] }
-func (d *Directory) Where(name string) ID { return d.where[name] }
-func (d *Directory) Cells() []ID          { return slices.Sorted(maps.Keys(d.parts)) }
+func (d *Directory) Version() Version         { return d.version }
+func (d *Directory) Global() GlobalState      { return d.global }
+func (d *Directory) Record(id ID) *CellRecord { return d.parts[id] }
+func (d *Directory) CellOf(name string) ID    { return d.where[name] }
+func (d *Directory) CellIDs() []ID            { return slices.Sorted(maps.Keys(d.parts)) }
 
 // Apply takes the entry of the log at a version. With an error nothing has changed but the version.
 func (d *Directory) Apply(at Version, c *Command) error {
 	if at.Index <= d.version.Index || at.Term < d.version.Term {
-		if d.plant != TermUnread {
-			return ErrOld // Guards against two directories that both assign
+		if d.plant != TermIgnored {
+			return ErrStale // Guards against two directories that both assign
 		}
 	}
 	if slices.Contains(d.done, c.ID) && c.ID != 0 {
-		return ErrDone
+		return ErrAlreadyApplied
 	}
 	last := d.last
 	d.version = at
@@ -117,7 +117,7 @@
 		return d.assign(c)
 	case Remove:
 		return d.remove(c)
-	case Gone:
+	case Removed:
 		return d.gone(c)
 	case Move:
 		return d.move(c)
@@ -133,42 +133,42 @@
 		return d.sealed(c)
 	case Forget:
 		return d.forget(c)
-	case Target, Fence:
+	case SetTarget, SetFence:
 		next := d.global
-		if c.Kind == Target {
+		if c.Kind == SetTarget {
 			next.Settings = c.Number
 		} else {
 			next.Fence = c.Number
 		}
 		if next.Settings < d.global.Settings || next.Fence < d.global.Fence || next.Fence > next.Settings || next == d.global {
-			return ErrNothing
+			return ErrNoChange
 		}
-		next.Changed = d.version
+		next.ChangedAt = d.version
 		d.global = next
 		return nil
 	}
-	return ErrNothing
+	return ErrNoChange
 }
 
 // edit hands out a copy of a part that may be changed until put.
-func (d *Directory) edit(id ID) *Part {
+func (d *Directory) edit(id ID) *CellRecord {
 	p := *d.parts[id]
-	p.Seats, p.Contacts = slices.Clone(p.Seats), slices.Clone(p.Contacts)
+	p.Slots, p.Contacts = slices.Clone(p.Slots), slices.Clone(p.Contacts)
 	return &p
 }
 
-func (d *Directory) put(p *Part) {
-	slices.SortFunc(p.Seats, func(a, b Seat) int { return cmp.Compare(a.Name, b.Name) })
+func (d *Directory) put(p *CellRecord) {
+	slices.SortFunc(p.Slots, func(a, b MemberSlot) int { return cmp.Compare(a.Name, b.Name) })
 	p.Contacts = d.contacts(p)
-	p.Changed = d.version
+	p.ChangedAt = d.version
 	d.parts[p.ID], d.sums[p.ID] = p, sum(p)
 }
 
 // contacts lists where the cells are asked that a part's members come from or go to.
-func (d *Directory) contacts(p *Part) (out []Contact) {
+func (d *Directory) contacts(p *CellRecord) (out []Contact) {
 	var ids []ID
-	for _, s := range p.Seats {
-		ids = append(append(ids, s.From, s.To), s.Was...)
+	for _, s := range p.Slots {
+		ids = append(append(ids, s.From, s.To), s.FormerCells...)
 	}
 	slices.Sort(ids)
 	for _, id := range slices.Compact(ids) {
@@ -177,7 +177,7 @@
 			continue
 		}
 		c := Contact{Cell: id}
-		for _, s := range o.Seats[:min(contacts, len(o.Seats))] {
+		for _, s := range o.Slots[:min(contacts, len(o.Slots))] {
 			c.Addresses = append(c.Addresses, s.Address)
 		}
 		out = append(out, c)
@@ -185,58 +185,58 @@
 	return out
 }
 
-func sum(p *Part) uint64 { return xxhash.Sum64(Encode(p)) }
+func sum(p *CellRecord) uint64 { return xxhash.Sum64(Encode(p)) }
 
 // still finds a cell that is open and not about to become another one.
-func (d *Directory) still(id ID) (*Part, error) {
+func (d *Directory) still(id ID) (*CellRecord, error) {
 	p := d.parts[id]
 	switch {
 	case p == nil || p.Sealed:
-		return nil, ErrNoCell
-	case len(p.Pending) > 0 || len(p.Into) > 0 || slices.ContainsFunc(p.Seats, func(s Seat) bool { return s.From != 0 || s.To != 0 || d.where[s.Name] != id }):
-		return nil, ErrMoving
+		return nil, ErrCellNotFound
+	case len(p.PendingSuccessors) > 0 || len(p.Successors) > 0 || slices.ContainsFunc(p.Slots, func(s MemberSlot) bool { return s.From != 0 || s.To != 0 || d.where[s.Name] != id }):
+		return nil, ErrChangeInProgress
 	}
 	return p, nil
 }
 
-func (d *Directory) next(region string) *Part {
+func (d *Directory) next(region string) *CellRecord {
 	d.last++
-	return &Part{ID: d.last, Region: region}
+	return &CellRecord{ID: d.last, Region: region}
 }
 
 func (d *Directory) open(c *Command) error {
-	if len(c.Seats) == 0 || c.Region == "" {
-		return ErrNames
+	if len(c.Slots) == 0 || c.Region == "" {
+		return ErrInvalidNames
 	}
 	met := map[string]bool{}
-	for _, s := range c.Seats {
+	for _, s := range c.Slots {
 		if d.where[s.Name] != 0 || s.Name == "" || met[s.Name] {
-			return ErrSeated
+			return ErrAlreadyAssigned
 		}
 		met[s.Name] = true
 	}
 	p := d.next(c.Region)
-	for _, s := range c.Seats {
+	for _, s := range c.Slots {
 		d.where[s.Name] = p.ID
-		p.Seats = append(p.Seats, Seat{Name: s.Name, Address: s.Address, Zone: s.Zone, Move: d.version.Index})
+		p.Slots = append(p.Slots, MemberSlot{Name: s.Name, Address: s.Address, Zone: s.Zone, MoveIndex: d.version.Index})
 	}
 	d.put(p)
 	return nil
 }
 
 func (d *Directory) assign(c *Command) error {
-	if len(c.Seats) != 1 || c.Seats[0].Name == "" {
-		return ErrNames
+	if len(c.Slots) != 1 || c.Slots[0].Name == "" {
+		return ErrInvalidNames
 	}
-	s := c.Seats[0]
+	s := c.Slots[0]
 	if d.where[s.Name] != 0 {
-		return ErrSeated
+		return ErrAlreadyAssigned
 	}
-	if p := d.parts[c.Cell]; p == nil || p.Sealed || len(p.Pending) > 0 || len(p.Into) > 0 {
-		return ErrNoCell
+	if p := d.parts[c.Cell]; p == nil || p.Sealed || len(p.PendingSuccessors) > 0 || len(p.Successors) > 0 {
+		return ErrCellNotFound
 	}
 	p := d.edit(c.Cell)
-	p.Seats = append(p.Seats, Seat{Name: s.Name, Address: s.Address, Zone: s.Zone, Move: d.version.Index})
+	p.Slots = append(p.Slots, MemberSlot{Name: s.Name, Address: s.Address, Zone: s.Zone, MoveIndex: d.version.Index})
 	d.where[s.Name] = p.ID
 	d.put(p)
 	return nil
@@ -244,21 +244,21 @@
 
 func (d *Directory) remove(c *Command) error {
 	if len(c.Names) != 1 || d.where[c.Names[0]] == 0 {
-		return ErrNoSeat
+		return ErrMemberNotFound
 	}
 	name := c.Names[0]
 	p := d.edit(d.where[name])
-	s := p.Seat(name)
-	if s.From != 0 || s.To != 0 || len(p.Pending) > 0 || len(p.Into) > 0 {
-		return ErrMoving
+	s := p.Slot(name)
+	if s.From != 0 || s.To != 0 || len(p.PendingSuccessors) > 0 || len(p.Successors) > 0 {
+		return ErrChangeInProgress
 	}
-	if d.alone(p, name) && slices.ContainsFunc(d.Cells(), func(id ID) bool {
+	if d.alone(p, name) && slices.ContainsFunc(d.CellIDs(), func(id ID) bool {
 		o := d.parts[id]
 		return o != d.parts[p.ID] && o.Region == p.Region && !o.Sealed
 	}) {
-		return ErrLast
+		return ErrLastMember
 	}
-	s.To, s.ToMove = Nowhere, d.version.Index
+	s.To, s.ToMoveIndex = RemovedID, d.version.Index
 	d.put(p)
 	return nil
 }
@@ -267,60 +267,60 @@
 // cut off from the directory, still gives it leases.
 func (d *Directory) gone(c *Command) error {
 	if len(c.Names) != 1 || d.where[c.Names[0]] == 0 {
-		return ErrNoSeat
+		return ErrMemberNotFound
 	}
 	p := d.edit(d.where[c.Names[0]])
-	s := p.Seat(c.Names[0])
-	if s.To != Nowhere || s.ToMove != c.Number || s.Gone {
-		return ErrNothing
+	s := p.Slot(c.Names[0])
+	if s.To != RemovedID || s.ToMoveIndex != c.Number || s.Removed {
+		return ErrNoChange
 	}
-	s.Gone = true // Guards against a place elsewhere, where its cell would take itself for the home of requests begun here
+	s.Removed = true // Guards against a place elsewhere, where its cell would take itself for the home of requests begun here
 	d.put(p)
 	return nil
 }
 
 func (d *Directory) move(c *Command) error {
 	if len(c.Names) != 1 || d.where[c.Names[0]] == 0 {
-		return ErrNoSeat
+		return ErrMemberNotFound
 	}
 	from, to := d.parts[d.where[c.Names[0]]], d.parts[c.Cell]
 	if to == nil || to.Sealed || to.Region != from.Region {
-		return ErrNoCell
+		return ErrCellNotFound
 	}
-	s := from.Seat(c.Names[0])
+	s := from.Slot(c.Names[0])
 	switch {
 	case to == from:
-		return ErrNothing
-	case s.From != 0 || s.To != 0 || len(from.Pending)+len(from.Into)+len(to.Pending)+len(to.Into) > 0:
-		return ErrMoving
+		return ErrNoChange
+	case s.From != 0 || s.To != 0 || len(from.PendingSuccessors)+len(from.Successors)+len(to.PendingSuccessors)+len(to.Successors) > 0:
+		return ErrChangeInProgress
 	case d.alone(from, s.Name):
-		return ErrLast // Guards against obligations that nobody is left to take over
-	case slices.Contains(s.Was, to.ID) || len(s.Was) >= mostWas:
-		return ErrRecent // Guards against a way round in which a request's cell can't be told
+		return ErrLastMember // Guards against obligations that nobody is left to take over
+	case slices.Contains(s.FormerCells, to.ID) || len(s.FormerCells) >= mostWas:
+		return ErrRecentMember // Guards against a way round in which a request's cell can't be told
 	}
 	p := d.edit(to.ID)
-	p.Seats = append(p.Seats, d.coming(s, from.ID))
+	p.Slots = append(p.Slots, d.coming(s, from.ID))
 	d.where[s.Name] = p.ID
 	d.put(p)
 	return nil
 }
 
 // alone tells whether nobody else stays in a cell.
-func (d *Directory) alone(p *Part, name string) bool {
-	return !slices.ContainsFunc(p.Seats, func(o Seat) bool { return o.Name != name && o.From == 0 && o.To == 0 && d.where[o.Name] == p.ID })
+func (d *Directory) alone(p *CellRecord, name string) bool {
+	return !slices.ContainsFunc(p.Slots, func(o MemberSlot) bool { return o.Name != name && o.From == 0 && o.To == 0 && d.where[o.Name] == p.ID })
 }
 
 // coming is the seat of a name that comes from a cell.
-func (d *Directory) coming(s *Seat, from ID) Seat {
-	return Seat{Name: s.Name, Address: s.Address, Zone: s.Zone, Move: d.version.Index, From: from, Was: append(slices.Clone(s.Was), from)}
+func (d *Directory) coming(s *MemberSlot, from ID) MemberSlot {
+	return MemberSlot{Name: s.Name, Address: s.Address, Zone: s.Zone, MoveIndex: d.version.Index, From: from, FormerCells: append(slices.Clone(s.FormerCells), from)}
 }
 
 // become makes cells of others.
-func (d *Directory) become(old []*Part, into map[string]*Part, all []*Part) error {
+func (d *Directory) become(old []*CellRecord, into map[string]*CellRecord, all []*CellRecord) error {
 	for _, o := range old {
-		for i := range o.Seats {
-			if len(o.Seats[i].Was) >= mostWas {
-				return ErrRecent
+		for i := range o.Slots {
+			if len(o.Slots[i].FormerCells) >= mostWas {
+				return ErrRecentMember
 			}
 		}
 	}
@@ -329,15 +329,15 @@
 		ids = append(ids, p.ID)
 	}
 	for _, o := range old {
-		for i := range o.Seats {
-			s := &o.Seats[i]
+		for i := range o.Slots {
+			s := &o.Slots[i]
 			p := into[s.Name]
-			p.Seats = append(p.Seats, d.coming(s, o.ID))
+			p.Slots = append(p.Slots, d.coming(s, o.ID))
 			d.where[s.Name] = p.ID
 		}
 		next := d.edit(o.ID)
-		if next.Pending = ids; len(o.Seats) == 0 { // nobody to wait for
-			next.Into, next.Pending = ids, nil
+		if next.PendingSuccessors = ids; len(o.Slots) == 0 { // nobody to wait for
+			next.Successors, next.PendingSuccessors = ids, nil
 		}
 		d.put(next)
 	}
@@ -353,24 +353,24 @@
 		return err
 	}
 	one, two := d.next(p.Region), d.next(p.Region)
-	into, n := map[string]*Part{}, 0
-	for _, s := range p.Seats {
+	into, n := map[string]*CellRecord{}, 0
+	for _, s := range p.Slots {
 		if into[s.Name] = two; slices.Contains(c.Names, s.Name) {
 			into[s.Name] = one
 			n++
 		}
 	}
-	if n == 0 || n == len(p.Seats) || n != len(c.Names) {
-		return ErrNames
+	if n == 0 || n == len(p.Slots) || n != len(c.Names) {
+		return ErrInvalidNames
 	}
-	return d.become([]*Part{p}, into, []*Part{one, two})
+	return d.become([]*CellRecord{p}, into, []*CellRecord{one, two})
 }
 
 func (d *Directory) merge(c *Command) error {
 	if len(c.Cells) != 2 || c.Cells[0] == c.Cells[1] {
-		return ErrNoCell
+		return ErrCellNotFound
 	}
-	var old []*Part
+	var old []*CellRecord
 	for _, id := range c.Cells {
 		p, err := d.still(id)
 		if err != nil {
@@ -379,15 +379,15 @@
 		old = append(old, p)
 	}
 	if old[0].Region != old[1].Region {
-		return ErrNoCell
+		return ErrCellNotFound
 	}
-	one, into := d.next(old[0].Region), map[string]*Part{}
+	one, into := d.next(old[0].Region), map[string]*CellRecord{}
 	for _, o := range old {
-		for _, s := range o.Seats {
+		for _, s := range o.Slots {
 			into[s.Name] = one
 		}
 	}
-	return d.become(old, into, []*Part{one})
+	return d.become(old, into, []*CellRecord{one})
 }
 
 // ready has members leave for a cell that expects them. Guards against a member that has left, and is taken nowhere while the
@@ -395,12 +395,12 @@
 func (d *Directory) ready(c *Command) error {
 	p := d.parts[c.Cell]
 	if p == nil || p.Sealed {
-		return ErrNoCell
+		return ErrCellNotFound
 	}
-	olds := map[ID]*Part{}
-	for i := range p.Seats {
-		s := &p.Seats[i]
-		if s.From == 0 || s.Move > c.At.Index {
+	olds := map[ID]*CellRecord{}
+	for i := range p.Slots {
+		s := &p.Slots[i]
+		if s.From == 0 || s.MoveIndex > c.At.Index {
 			continue
 		}
 		o := olds[s.From]
@@ -410,18 +410,18 @@
 			}
 			o = d.edit(s.From)
 		}
-		if was := o.Seat(s.Name); was != nil && was.To == 0 {
-			was.To, was.ToMove = p.ID, s.Move
+		if was := o.Slot(s.Name); was != nil && was.To == 0 {
+			was.To, was.ToMoveIndex = p.ID, s.MoveIndex
 			olds[s.From] = o
 		}
 	}
 	if len(olds) == 0 {
-		return ErrNothing
+		return ErrNoChange
 	}
 	for _, id := range slices.Sorted(maps.Keys(olds)) {
 		o := olds[id]
-		if len(o.Pending) > 0 && !slices.ContainsFunc(o.Seats, func(s Seat) bool { return s.To == 0 }) {
-			o.Into, o.Pending = o.Pending, nil
+		if len(o.PendingSuccessors) > 0 && !slices.ContainsFunc(o.Slots, func(s MemberSlot) bool { return s.To == 0 }) {
+			o.Successors, o.PendingSuccessors = o.PendingSuccessors, nil
 		}
 		d.put(o)
 	}
@@ -430,16 +430,16 @@
 
 func (d *Directory) arrived(c *Command) error {
 	if len(c.Names) != 1 || d.parts[c.Cell] == nil {
-		return ErrNoSeat
+		return ErrMemberNotFound
 	}
 	p := d.edit(c.Cell)
-	s := p.Seat(c.Names[0])
-	if s == nil || s.From == 0 || s.Move != c.Number {
-		return ErrNothing
+	s := p.Slot(c.Names[0])
+	if s == nil || s.From == 0 || s.MoveIndex != c.Number {
+		return ErrNoChange
 	}
 	if o := d.parts[s.From]; o != nil {
 		o = d.edit(s.From)
-		o.Seats = slices.DeleteFunc(o.Seats, func(x Seat) bool { return x.Name == s.Name })
+		o.Slots = slices.DeleteFunc(o.Slots, func(x MemberSlot) bool { return x.Name == s.Name })
 		d.put(o)
 	}
 	s.From = 0
@@ -448,11 +448,11 @@
 }
 
 func (d *Directory) sealed(c *Command) error {
-	if p := d.parts[c.Cell]; p == nil || p.Sealed || len(p.Into) == 0 {
-		return ErrNothing
+	if p := d.parts[c.Cell]; p == nil || p.Sealed || len(p.Successors) == 0 {
+		return ErrNoChange
 	}
 	p := d.edit(c.Cell)
-	p.Sealed, p.Epoch = true, c.Epoch
+	p.Sealed, p.FinalEpoch = true, c.Epoch
 	d.put(p)
 	return nil
 }
@@ -460,26 +460,26 @@
 func (d *Directory) forget(c *Command) error {
 	if len(c.Names) == 1 {
 		if d.where[c.Names[0]] == 0 {
-			return ErrNoSeat
+			return ErrMemberNotFound
 		}
 		p := d.edit(d.where[c.Names[0]])
-		s := p.Seat(c.Names[0])
-		if s.Gone {
-			p.Seats = slices.DeleteFunc(p.Seats, func(o Seat) bool { return o.Name == c.Names[0] })
+		s := p.Slot(c.Names[0])
+		if s.Removed {
+			p.Slots = slices.DeleteFunc(p.Slots, func(o MemberSlot) bool { return o.Name == c.Names[0] })
 			delete(d.where, c.Names[0])
 			d.put(p)
 			return nil
 		}
-		if s.From != 0 || s.To != 0 || len(s.Was) == 0 {
-			return ErrNothing
+		if s.From != 0 || s.To != 0 || len(s.FormerCells) == 0 {
+			return ErrNoChange
 		}
-		s.Was = nil
+		s.FormerCells = nil
 		d.put(p)
 		return nil
 	}
 	p := d.parts[c.Cell]
-	if p == nil || !p.Sealed || len(p.Seats) > 0 {
-		return ErrNothing
+	if p == nil || !p.Sealed || len(p.Slots) > 0 {
+		return ErrNoChange
 	}
 	delete(d.parts, p.ID)
 	delete(d.sums, p.ID)
@@ -492,60 +492,60 @@
 
 // Delta is what changed in a region since a version, or a whole region, in pages.
 type Delta struct {
-	_      struct{} `cbor:",toarray"`
-	Region string
-	Since  Version
-	To     Version
-	Whole  bool // all there is: what is not in it is no more
-	More   bool // further pages follow; Global, Drops and Digest are with the last
-	Global Global
-	Parts  []*Part
-	Drops  []ID
-	Digest uint64 // of all parts of the region, as of To
+	_          struct{} `cbor:",toarray"`
+	Region     string
+	Since      Version
+	To         Version
+	Complete   bool // all there is: what is not in it is no more
+	More       bool // further pages follow; Global, Drops and Digest are with the last
+	Global     GlobalState
+	Records    []*CellRecord
+	Tombstones []ID
+	Digest     uint64 // of all parts of the region, as of To
 }
 
 // Delta makes one of some bytes at most, more where one command changed more. Of a directory that is behind the asker there is nothing
 // in it: guards against whole transfers to all relays, which these refuse, after each change of the leader. It says all there is where what changed since
 // is not known any more. from is, in a whole one, the version up to which pages were had.
 func (d *Directory) Delta(region string, since, from Version, whole bool, most int) Delta {
-	out := Delta{Region: region, Since: since, To: d.version, Whole: whole || d.lost.Newer(since)}
-	if !out.Whole {
+	out := Delta{Region: region, Since: since, To: d.version, Complete: whole || d.lost.Newer(since)}
+	if !out.Complete {
 		from = since
 	}
-	var all []*Part
+	var all []*CellRecord
 	for id, p := range d.parts {
 		if p.Region != region {
 			continue
 		}
-		if out.Digest ^= d.sums[id]; p.Changed.Newer(from) {
+		if out.Digest ^= d.sums[id]; p.ChangedAt.Newer(from) {
 			all = append(all, p)
 		}
 	}
-	slices.SortFunc(all, func(a, b *Part) int { return cmp.Or(a.Changed.Compare(b.Changed), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(all, func(a, b *CellRecord) int { return cmp.Or(a.ChangedAt.Compare(b.ChangedAt), cmp.Compare(a.ID, b.ID)) })
 	size := 0
 	for i, p := range all {
 		size += len(Encode(p))
-		if i > 0 && size > most && p.Changed != all[i-1].Changed {
-			out.To, out.More, out.Digest = all[i-1].Changed, true, 0
+		if i > 0 && size > most && p.ChangedAt != all[i-1].ChangedAt {
+			out.To, out.More, out.Digest = all[i-1].ChangedAt, true, 0
 			return out
 		}
-		out.Parts = append(out.Parts, p)
+		out.Records = append(out.Records, p)
 	}
 	out.Global = d.global
 	for _, x := range d.drops {
 		if x.region == region && x.at.Newer(since) {
-			out.Drops = append(out.Drops, x.id)
+			out.Tombstones = append(out.Tombstones, x.id)
 		}
 	}
 	return out
 }
 
-// Bytes is the length of all that a control machine holds of the directory, encoded.
-func (d *Directory) Bytes() int {
+// EncodedBytes is the length of all that a control machine holds of the directory, encoded.
+func (d *Directory) EncodedBytes() int {
 	n := len(Encode(d.version)) + len(Encode(d.global)) + 8*len(d.done) + 16*len(d.drops)
 	for _, p := range d.parts {
 		n += len(Encode(p)) + 8
-		for _, s := range p.Seats {
+		for _, s := range p.Slots {
 			n += len(s.Name) + 4 // where
 		}
 	}
--- a/internal/cells/golden_test.go
+++ b/internal/cells/golden_test.go
@@ -16,37 +16,37 @@
 func TestStoredBytes(t *testing.T) {
 	member := takeover.Member{Name: "a", Incarnation: 31}
 	version := Version{Term: 2, Index: 3}
-	global := Global{Settings: 5, Fence: 4, Changed: version}
-	seat := Seat{Name: "a", Address: "a:1", Zone: "z", Move: 6, From: 7, To: 8, ToMove: 9, Was: []ID{10, 11}, Gone: true}
+	global := GlobalState{Settings: 5, Fence: 4, ChangedAt: version}
+	seat := MemberSlot{Name: "a", Address: "a:1", Zone: "z", MoveIndex: 6, From: 7, To: 8, ToMoveIndex: 9, FormerCells: []ID{10, 11}, Removed: true}
 	contact := Contact{Cell: 12, Addresses: []string{"b:1", "c:1"}}
-	part := Part{
-		ID: 13, Region: "r", Changed: version, Pending: []ID{14}, Into: []ID{15, 16}, Sealed: true, Epoch: 17, Seats: []Seat{seat}, Contacts: []Contact{contact},
+	part := CellRecord{
+		ID: 13, Region: "r", ChangedAt: version, PendingSuccessors: []ID{14}, Successors: []ID{15, 16}, Sealed: true, FinalEpoch: 17, Slots: []MemberSlot{seat}, Contacts: []Contact{contact},
 	}
-	told := Told{Version: version, Global: global, Part: &part, Sum: 18}
-	departure := Departure{Cell: 19, Epoch: 20, Member: member, To: 21, Move: 22}
-	certificate := Certificate{Departure: departure, Before: []Departure{departure}, Global: global}
+	told := DirectoryUpdate{Version: version, Global: global, Record: &part, RecordSum: 18}
+	departure := Departure{Cell: 19, Epoch: 20, Member: member, To: 21, MoveIndex: 22}
+	certificate := Certificate{Departure: departure, Earlier: []Departure{departure}, Global: global}
 	messages := map[string]any{
-		"version": version, "global": global, "seat": seat, "contact": contact, "part": part, "told": told, "told without a part": Told{Sum: 18},
-		"departure": departure, "certificate": certificate, "nowhere": Nowhere,
+		"version": version, "global": global, "seat": seat, "contact": contact, "part": part, "told": told, "told without a part": DirectoryUpdate{RecordSum: 18},
+		"departure": departure, "certificate": certificate, "nowhere": RemovedID,
 		"command": Command{
-			Kind: Move, ID: 23, Region: "r", Cell: 24, Cells: []ID{25, 26}, Seats: []Seat{seat}, Names: []string{"a", "b"}, At: version, Epoch: 27, Number: 28,
+			Kind: Move, ID: 23, Region: "r", Cell: 24, Cells: []ID{25, 26}, Slots: []MemberSlot{seat}, Names: []string{"a", "b"}, At: version, Epoch: 27, Number: 28,
 		},
 		"delta": Delta{
-			Region: "r", Since: version, To: Version{Term: 4, Index: 5}, Whole: true, More: true, Global: global, Parts: []*Part{&part}, Drops: []ID{29}, Digest: 30,
+			Region: "r", Since: version, To: Version{Term: 4, Index: 5}, Complete: true, More: true, Global: global, Records: []*CellRecord{&part}, Tombstones: []ID{29}, Digest: 30,
 		},
-		"entry": Entry{Kind: Join, Told: &told, Member: member, Came: &certificate, Move: 31},
-		"ask":   Ask{Cell: 32, Member: member, Sent: 33, Acts: 34, Epoch: 35},
-		"grant": Grant{Cell: 32, Member: member, Sent: 33, Epoch: 35},
-		"pull":  Pull{Region: "r", Since: version, From: Version{Term: 4, Index: 5}, Whole: true},
+		"entry": Entry{Kind: Join, Update: &told, Member: member, Certificate: &certificate, MoveIndex: 31},
+		"ask":   LeaseRequest{Cell: 32, Member: member, SentMicros: 33, ActiveSettings: 34, Epoch: 35},
+		"grant": LeaseGrant{Cell: 32, Member: member, RequestSentMicros: 33, Epoch: 35},
+		"pull":  DeltaRequest{Region: "r", Since: version, From: Version{Term: 4, Index: 5}, Complete: true},
 	}
-	for name, kind := range map[string]Kind{
-		"open": Open, "assign": Assign, "remove": Remove, "gone": Gone, "move": Move, "split": Split, "merge": Merge, "ready": Ready, "arrived": Arrived,
-		"sealed": Sealed, "target": Target, "fence": Fence, "forget": Forget,
+	for name, kind := range map[string]CommandKind{
+		"open": Open, "assign": Assign, "remove": Remove, "gone": Removed, "move": Move, "split": Split, "merge": Merge, "ready": Ready, "arrived": Arrived,
+		"sealed": Sealed, "target": SetTarget, "fence": SetFence, "forget": Forget,
 	} {
 		messages["command kind "+name] = kind
 	}
 	for name, kind := range map[string]EntryKind{
-		"hear": Hear, "join": Join, "out": Out, "leave": Leave, "seal": Seal, "expect": Expect, "drop": Drop,
+		"hear": UpdateDirectory, "join": Join, "out": Evict, "leave": Depart, "seal": Seal, "expect": ExpectMember, "drop": ForgetDeparture,
 	} {
 		messages["entry kind "+name] = kind
 	}
--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// Limits bound a cell's size.
-type Limits struct{ Min, Aim, Max int }
+// SizeLimits bound a cell's size.
+type SizeLimits struct{ Min, Target, Max int }
 
-// DefaultLimits keep a leader under 3.7% of a core: docs/cells.md.
-var DefaultLimits = Limits{Min: 10, Aim: 24, Max: 30}
+// DefaultSizeLimits keep a leader under 3.7% of a core: docs/cells.md.
+var DefaultSizeLimits = SizeLimits{Min: 10, Target: 24, Max: 30}
 
 // Group is a cell as a plan sees it: its names by zone.
 type Group struct {
 	ID    ID
-	Seats []Seat
+	Slots []MemberSlot
 }
 
 // Action is one step of a plan: a Move, a Split or a Merge, which become commands.
 type Action struct {
-	Kind  Kind
-	Name  string // with Move
-	Back  string // with Move: goes the other way, since the sizes allow no more; empty: none does
-	From  ID
-	To    ID       // with Move and Merge
-	Names []string // with Split: those of the first half
+	Kind     CommandKind
+	Name     string // with Move
+	SwapName string // with Move: goes the other way, since the sizes allow no more; empty: none does
+	From     ID
+	To       ID       // with Move and Merge
+	Names    []string // with Split: those of the first half
 }
 
 func (g *Group) in(zone string) (n int) {
-	for _, s := range g.Seats {
+	for _, s := range g.Slots {
 		if s.Zone == zone {
 			n++
 		}
@@ -39,7 +39,7 @@
 // zonesOf lists the zones of some groups.
 func zonesOf(all []Group) (out []string) {
 	for _, g := range all {
-		for _, s := range g.Seats {
+		for _, s := range g.Slots {
 			out = append(out, s.Zone)
 		}
 	}
@@ -47,14 +47,14 @@
 	return slices.Compact(out)
 }
 
-// Place finds the cell for a new name of a zone: the one with the fewest of that zone, of these the smallest. 0: none has room.
-func Place(all []Group, zone string, l Limits) ID {
+// PlaceMember finds the cell for a new name of a zone: the one with the fewest of that zone, of these the smallest. 0: none has room.
+func PlaceMember(all []Group, zone string, l SizeLimits) ID {
 	best := -1
 	for i := range all {
-		if len(all[i].Seats) >= l.Max {
+		if len(all[i].Slots) >= l.Max {
 			continue
 		}
-		if best < 0 || cmp.Or(cmp.Compare(all[i].in(zone), all[best].in(zone)), cmp.Compare(len(all[i].Seats), len(all[best].Seats)),
+		if best < 0 || cmp.Or(cmp.Compare(all[i].in(zone), all[best].in(zone)), cmp.Compare(len(all[i].Slots), len(all[best].Slots)),
 			cmp.Compare(all[i].ID, all[best].ID)) < 0 {
 			best = i
 		}
@@ -65,22 +65,22 @@
 	return all[best].ID
 }
 
-// Next is the first thing to do to bring a region's cells within the limits and over its zones; false: nothing is. It changes as
+// NextAction is the first thing to do to bring a region's cells within the limits and over its zones; false: nothing is. It changes as
 // few assignments as it can: what fits stays where it is.
-func Next(all []Group, l Limits) (Action, bool) {
+func NextAction(all []Group, l SizeLimits) (Action, bool) {
 	if len(all) == 0 {
 		return Action{}, false
 	}
 	sorted := slices.Clone(all)
-	slices.SortFunc(sorted, func(a, b Group) int { return cmp.Or(cmp.Compare(len(a.Seats), len(b.Seats)), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(sorted, func(a, b Group) int { return cmp.Or(cmp.Compare(len(a.Slots), len(b.Slots)), cmp.Compare(a.ID, b.ID)) })
 	small, large := &sorted[0], &sorted[len(sorted)-1]
 	switch {
-	case len(large.Seats) >= l.Max && len(large.Seats) >= 2*l.Min:
+	case len(large.Slots) >= l.Max && len(large.Slots) >= 2*l.Min:
 		return Action{Kind: Split, From: large.ID, Names: half(large)}, true
-	case len(small.Seats) == 0 || len(small.Seats) >= l.Min || len(sorted) < 2:
-	case len(small.Seats)+len(sorted[1].Seats) < l.Max:
+	case len(small.Slots) == 0 || len(small.Slots) >= l.Min || len(sorted) < 2:
+	case len(small.Slots)+len(sorted[1].Slots) < l.Max:
 		return Action{Kind: Merge, From: small.ID, To: sorted[1].ID}, true
-	case len(large.Seats) > l.Min:
+	case len(large.Slots) > l.Min:
 		return Action{Kind: Move, Name: spare(large, small), From: large.ID, To: small.ID}, true
 	}
 	return spread(sorted, l)
@@ -88,8 +88,8 @@
 
 // half are the names of one of two halves that have the same share of each zone.
 func half(g *Group) (out []string) {
-	seats := slices.Clone(g.Seats)
-	slices.SortFunc(seats, func(a, b Seat) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
+	seats := slices.Clone(g.Slots)
+	slices.SortFunc(seats, func(a, b MemberSlot) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
 	for i := 0; i < len(seats); i += 2 {
 		out = append(out, seats[i].Name)
 	}
@@ -109,7 +109,7 @@
 
 func first(g *Group, zone string) string {
 	name := ""
-	for _, s := range g.Seats {
+	for _, s := range g.Slots {
 		if s.Zone == zone && (name == "" || s.Name < name) {
 			name = s.Name
 		}
@@ -118,14 +118,14 @@
 }
 
 // spread gives a cell that lacks a zone one of it, from the cell that has most of them.
-func spread(all []Group, l Limits) (Action, bool) {
+func spread(all []Group, l SizeLimits) (Action, bool) {
 	zones := zonesOf(all)
 	if len(zones) < 3 {
 		return Action{}, false
 	}
 	for i := range all {
 		g := &all[i]
-		if len(g.Seats) == 0 {
+		if len(g.Slots) == 0 {
 			continue
 		}
 		for _, z := range zones {
@@ -142,15 +142,15 @@
 				continue
 			}
 			do := Action{Kind: Move, Name: first(rich, z), From: rich.ID, To: g.ID}
-			if len(rich.Seats) > l.Min && len(g.Seats)+1 < l.Max {
+			if len(rich.Slots) > l.Min && len(g.Slots)+1 < l.Max {
 				return do, true
 			}
 			for _, other := range zones {
-				if n := g.in(other); n > 1 && (do.Back == "" || n > g.in(zoneOf(g, do.Back))) {
-					do.Back = first(g, other)
+				if n := g.in(other); n > 1 && (do.SwapName == "" || n > g.in(zoneOf(g, do.SwapName))) {
+					do.SwapName = first(g, other)
 				}
 			}
-			if do.Back != "" {
+			if do.SwapName != "" {
 				return do, true
 			}
 		}
@@ -159,7 +159,7 @@
 }
 
 func zoneOf(g *Group, name string) string {
-	for _, s := range g.Seats {
+	for _, s := range g.Slots {
 		if s.Name == name {
 			return s.Zone
 		}
@@ -169,10 +169,10 @@
 
 // Voters are the names that carry a cell's log: an odd number, five at most. Where the cell has three zones or more no zone has
 // a quorum of them, so that the loss of one leaves a quorum.
-func Voters(seats []Seat) (out []string) {
+func Voters(seats []MemberSlot) (out []string) {
 	sorted := slices.Clone(seats)
-	slices.SortFunc(sorted, func(a, b Seat) int { return cmp.Compare(a.Name, b.Name) })
-	zones := zonesOf([]Group{{Seats: sorted}})
+	slices.SortFunc(sorted, func(a, b MemberSlot) int { return cmp.Compare(a.Name, b.Name) })
+	zones := zonesOf([]Group{{Slots: sorted}})
 	for n := min(voters, len(seats)-(len(seats)+1)%2); n > 0; n -= 2 {
 		each := n
 		if len(zones) >= 3 {
--- a/internal/cells/plan_test.go
+++ b/internal/cells/plan_test.go
@@ -12,7 +12,7 @@
 type region struct {
 	groups []Group
 	last   ID
-	limits Limits
+	limits SizeLimits
 	moves  int
 	splits int
 	merges int
@@ -23,28 +23,28 @@
 	return &g.groups[i]
 }
 
-func (g *region) join(s Seat) {
-	id := Place(g.groups, s.Zone, g.limits)
+func (g *region) join(s MemberSlot) {
+	id := PlaceMember(g.groups, s.Zone, g.limits)
 	if id == 0 {
 		g.last++
 		id = g.last
 		g.groups = append(g.groups, Group{ID: id})
 	}
-	g.at(id).Seats = append(g.at(id).Seats, s)
+	g.at(id).Slots = append(g.at(id).Slots, s)
 }
 
 func (g *region) move(name string, from, to *Group) {
-	i := slices.IndexFunc(from.Seats, func(s Seat) bool { return s.Name == name })
-	s := from.Seats[i]
-	from.Seats = slices.Delete(slices.Clone(from.Seats), i, i+1)
-	to.Seats = append(slices.Clone(to.Seats), s)
+	i := slices.IndexFunc(from.Slots, func(s MemberSlot) bool { return s.Name == name })
+	s := from.Slots[i]
+	from.Slots = slices.Delete(slices.Clone(from.Slots), i, i+1)
+	to.Slots = append(slices.Clone(to.Slots), s)
 	g.moves++
 }
 
 // settle does what the plan says until nothing is left.
 func (g *region) settle() error {
 	for range 200 {
-		a, ok := Next(g.groups, g.limits)
+		a, ok := NextAction(g.groups, g.limits)
 		if !ok {
 			return nil
 		}
@@ -52,24 +52,24 @@
 		switch a.Kind {
 		case Move:
 			g.move(a.Name, from, g.at(a.To))
-			if a.Back != "" {
-				g.move(a.Back, g.at(a.To), from)
+			if a.SwapName != "" {
+				g.move(a.SwapName, g.at(a.To), from)
 			}
 		case Split:
 			one, two := Group{ID: g.last + 1}, Group{ID: g.last + 2}
 			g.last += 2
-			for _, s := range from.Seats {
+			for _, s := range from.Slots {
 				if slices.Contains(a.Names, s.Name) {
-					one.Seats = append(one.Seats, s)
+					one.Slots = append(one.Slots, s)
 				} else {
-					two.Seats = append(two.Seats, s)
+					two.Slots = append(two.Slots, s)
 				}
 			}
 			g.groups = append(slices.DeleteFunc(g.groups, func(x Group) bool { return x.ID == a.From }), one, two)
 			g.splits++
 		case Merge:
 			g.last++
-			one := Group{ID: g.last, Seats: append(slices.Clone(from.Seats), g.at(a.To).Seats...)}
+			one := Group{ID: g.last, Slots: append(slices.Clone(from.Slots), g.at(a.To).Slots...)}
 			g.groups = append(slices.DeleteFunc(g.groups, func(x Group) bool { return x.ID == a.From || x.ID == a.To }), one)
 			g.merges++
 		}
@@ -82,11 +82,11 @@
 func TestPlanKeepsSizesAndZones(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(r, "zones")
-		g := &region{limits: Limits{Min: 5, Aim: 9, Max: 14}}
+		g := &region{limits: SizeLimits{Min: 5, Target: 9, Max: 14}}
 		next := 0
 		join := func() {
 			z := rapid.IntRange(0, 2*zones-1).Draw(r, "zone") % zones
-			g.join(Seat{Name: fmt.Sprintf("n%05d", next), Zone: fmt.Sprint("z", z)})
+			g.join(MemberSlot{Name: fmt.Sprintf("n%05d", next), Zone: fmt.Sprint("z", z)})
 			next++
 		}
 		for range rapid.IntRange(1, 150).Draw(r, "changes") {
@@ -95,9 +95,9 @@
 				join()
 			} else {
 				c := &g.groups[rapid.IntRange(0, len(g.groups)-1).Draw(r, "cell")]
-				if len(c.Seats) > 0 {
-					i := rapid.IntRange(0, len(c.Seats)-1).Draw(r, "who")
-					c.Seats = slices.Delete(slices.Clone(c.Seats), i, i+1)
+				if len(c.Slots) > 0 {
+					i := rapid.IntRange(0, len(c.Slots)-1).Draw(r, "who")
+					c.Slots = slices.Delete(slices.Clone(c.Slots), i, i+1)
 				}
 			}
 			if err := g.settle(); err != nil {
@@ -108,28 +108,28 @@
 			}
 			total, by := 0, map[string]int{}
 			for _, c := range g.groups {
-				total += len(c.Seats)
-				for _, s := range c.Seats {
+				total += len(c.Slots)
+				for _, s := range c.Slots {
 					by[s.Zone]++
 				}
 			}
 			for _, c := range g.groups {
-				if n := len(c.Seats); n >= g.limits.Max || n < g.limits.Min && total > g.limits.Min && n != total {
+				if n := len(c.Slots); n >= g.limits.Max || n < g.limits.Min && total > g.limits.Min && n != total {
 					r.Fatalf("a cell of %d, of %d in all: %+v", n, total, g.groups)
 				}
 				for z, n := range by {
-					if len(by) >= 3 && n >= len(g.groups) && c.in(z) == 0 && len(c.Seats) > 0 {
+					if len(by) >= 3 && n >= len(g.groups) && c.in(z) == 0 && len(c.Slots) > 0 {
 						r.Fatalf("cell %d has nobody of %s, of which there are %d in %d cells", c.ID, z, n, len(g.groups))
 					}
 				}
-				v := Voters(c.Seats)
+				v := Voters(c.Slots)
 				count := map[string]int{}
-				for _, s := range c.Seats {
+				for _, s := range c.Slots {
 					if slices.Contains(v, s.Name) {
 						count[s.Zone]++
 					}
 				}
-				if len(c.Seats) > 0 && len(v)%2 != 1 {
+				if len(c.Slots) > 0 && len(v)%2 != 1 {
 					r.Fatalf("%d voters", len(v))
 				}
 				for z, n := range count {
@@ -144,7 +144,7 @@
 
 // A region of even zones, as large as the largest of eleven: every cell has three zones and five voters, and survives the loss of any.
 func TestPlanOfARegion(t *testing.T) {
-	g := &region{limits: DefaultLimits}
+	g := &region{limits: DefaultSizeLimits}
 	for _, s := range seatsOf("r", 0, 1800, 3) {
 		g.join(s)
 		if err := g.settle(); err != nil {
@@ -153,8 +153,8 @@
 	}
 	least, most := 1800, 0
 	for _, c := range g.groups {
-		least, most = min(least, len(c.Seats)), max(most, len(c.Seats))
-		if v := Voters(c.Seats); len(v) != voters || len(zonesOf([]Group{c})) != 3 {
+		least, most = min(least, len(c.Slots)), max(most, len(c.Slots))
+		if v := Voters(c.Slots); len(v) != voters || len(zonesOf([]Group{c})) != 3 {
 			t.Errorf("cell %d: voters %v", c.ID, v)
 		}
 	}
--- a/internal/cells/relay.go
+++ b/internal/cells/relay.go
@@ -11,23 +11,23 @@
 type Relay struct {
 	region  string
 	version Version
-	global  Global
+	global  GlobalState
 	parts   map[ID]held
 	staged  map[ID]held // while pages come
 	until   Version     // of the pages that have come
 	filling bool        // all there is, in pages
 	whole   bool        // the digest did not fit: all there is, please
-	plant   Plant
+	plant   InjectedFault
 }
 
 // held is a part with its sum.
 type held struct {
-	*Part
+	*CellRecord
 	sum uint64
 }
 
 // NewRelay makes one that knows nothing.
-func NewRelay(region string, p Plant) *Relay {
+func NewRelay(region string, p InjectedFault) *Relay {
 	return &Relay{region: region, parts: map[ID]held{}, plant: p}
 }
 
@@ -38,20 +38,20 @@
 	return &c
 }
 
-// Pull is a relay's ask.
-type Pull struct {
+// DeltaRequest is a relay's ask.
+type DeltaRequest struct {
 	_           struct{} `cbor:",toarray"`
 	Region      string
 	Since, From Version
-	Whole       bool
+	Complete    bool
 }
 
 // Version is what its cells are told.
 func (r *Relay) Version() Version { return r.version }
 
-// Pull is what to ask the directory for next.
-func (r *Relay) Pull() Pull {
-	p := Pull{Region: r.region, Since: r.version, Whole: r.whole || r.filling}
+// NextRequest is what to ask the directory for next.
+func (r *Relay) NextRequest() DeltaRequest {
+	p := DeltaRequest{Region: r.region, Since: r.version, Complete: r.whole || r.filling}
 	switch {
 	case r.staged != nil && r.filling:
 		p.From = r.until
@@ -61,34 +61,34 @@
 	return p
 }
 
-// Take takes an answer to the last Pull, and tells whether more is wanted at once.
-func (r *Relay) Take(d Delta) bool {
+// ApplyDelta takes an answer to the last Pull, and tells whether more is wanted at once.
+func (r *Relay) ApplyDelta(d Delta) bool {
 	expected := r.version
 	if r.staged != nil && !r.filling {
 		expected = r.until
 	}
-	if d.Region != r.region || !d.Whole && d.Since != expected || r.version.Newer(d.To) && !d.More && r.plant != OlderTaken {
+	if d.Region != r.region || !d.Complete && d.Since != expected || r.version.Newer(d.To) && !d.More && r.plant != StaleUpdateAccepted {
 		return false // of another pull, or of a directory that is behind
 	}
-	if r.staged == nil || d.Whole != r.filling {
-		r.staged, r.filling = maps.Clone(r.parts), d.Whole
-		if d.Whole {
+	if r.staged == nil || d.Complete != r.filling {
+		r.staged, r.filling = maps.Clone(r.parts), d.Complete
+		if d.Complete {
 			r.staged = map[ID]held{}
 		}
 	}
-	for _, p := range d.Parts {
+	for _, p := range d.Records {
 		r.staged[p.ID] = held{p, sum(p)}
 	}
 	if d.More {
 		r.until = d.To
 		return true
 	}
-	for _, id := range d.Drops {
+	for _, id := range d.Tombstones {
 		delete(r.staged, id)
 	}
 	parts := r.staged
 	r.staged, r.filling, r.until = nil, false, Version{}
-	if digest(parts) != d.Digest && r.plant != DigestUnread {
+	if digest(parts) != d.Digest && r.plant != DigestIgnored {
 		r.whole = true // anti-entropy. Guards against a part that was missed, and would be for good
 		return true
 	}
@@ -103,60 +103,60 @@
 	return out
 }
 
-// Tell is the directory's word to a cell that has heard it up to a version; nil: nothing new. whole: with its part in any case,
+// UpdateFor is the directory's word to a cell that has heard it up to a version; nil: nothing new. whole: with its part in any case,
 // since what it has does not fit the sum it was told.
-func (r *Relay) Tell(id ID, has Version, whole bool) *Told {
+func (r *Relay) UpdateFor(id ID, has Version, whole bool) *DirectoryUpdate {
 	p, ok := r.parts[id]
-	if !ok || !whole && !p.Changed.Newer(has) && !r.global.Changed.Newer(has) {
+	if !ok || !whole && !p.ChangedAt.Newer(has) && !r.global.ChangedAt.Newer(has) {
 		return nil // most commands change other cells
 	}
-	t := &Told{Version: r.version, Global: r.global, Sum: p.sum}
-	if whole || p.Changed.Newer(has) {
-		t.Part = p.Part
+	t := &DirectoryUpdate{Version: r.version, Global: r.global, RecordSum: p.sum}
+	if whole || p.ChangedAt.Newer(has) {
+		t.Record = p.CellRecord
 	}
 	return t
 }
 
-// Find finds the cell of a name in this region, the old one while it moves: that one knows whether it has left.
-func (r *Relay) Find(name string) ID {
+// CurrentCell finds the cell of a name in this region, the old one while it moves: that one knows whether it has left.
+func (r *Relay) CurrentCell(name string) ID {
 	found, least := ID(0), uint64(0)
 	for _, id := range slices.Sorted(maps.Keys(r.parts)) {
-		if s := r.parts[id].Seat(name); s != nil && (found == 0 || s.Move < least) {
-			found, least = id, s.Move
+		if s := r.parts[id].Slot(name); s != nil && (found == 0 || s.MoveIndex < least) {
+			found, least = id, s.MoveIndex
 		}
 	}
 	return found
 }
 
-// Assigned finds the cell of a name in this region, the new one while it moves: where a process that starts asks.
-func (r *Relay) Assigned(name string) ID {
+// AssignedCell finds the cell of a name in this region, the new one while it moves: where a process that starts asks.
+func (r *Relay) AssignedCell(name string) ID {
 	found, most := ID(0), uint64(0)
 	for _, id := range slices.Sorted(maps.Keys(r.parts)) {
-		if s := r.parts[id].Seat(name); s != nil && s.Move > most {
-			found, most = id, s.Move
+		if s := r.parts[id].Slot(name); s != nil && s.MoveIndex > most {
+			found, most = id, s.MoveIndex
 		}
 	}
 	return found
 }
 
-// Bytes is the length of all that it holds, encoded.
-func (r *Relay) Bytes() (n int) {
+// EncodedBytes is the length of all that it holds, encoded.
+func (r *Relay) EncodedBytes() (n int) {
 	for _, p := range r.parts {
-		n += len(Encode(p.Part)) + 8
+		n += len(Encode(p.CellRecord)) + 8
 	}
 	return n
 }
 
-// Admission bounds the calls that are served in a second: the rest is told to come again.
-type Admission struct {
-	Rate  int64 // calls a second
-	Burst int64
-	at    int64 // µs, until which calls are spoken for
+// RateLimiter bounds the calls that are served in a second: the rest is told to come again.
+type RateLimiter struct {
+	PerSecond int64 // calls a second
+	Burst     int64
+	at        int64 // µs, until which calls are spoken for
 }
 
-// Admit tells whether a call is served now.
-func (a *Admission) Admit(now int64) bool {
-	each := 1_000_000 / a.Rate
+// Allow tells whether a call is served now.
+func (a *RateLimiter) Allow(now int64) bool {
+	each := 1_000_000 / a.PerSecond
 	a.at = max(a.at, now-a.Burst*each)
 	if a.at+each > now+each {
 		return false
@@ -165,9 +165,9 @@
 	return true
 }
 
-// Pace is how long a caller waits before its next attempt, from 1: twice as long each time, up to most, and of that a part
+// Backoff is how long a caller waits before its next attempt, from 1: twice as long each time, up to most, and of that a part
 // by its name, so that those that lost the same peer in the same moment do not return in the same one.
-func Pace(name string, attempt int, first, most int64) int64 {
+func Backoff(name string, attempt int, first, most int64) int64 {
 	span := most
 	if attempt < 32 && first<<(attempt-1) < most {
 		span = first << (attempt - 1)
--- a/internal/cells/scale_test.go
+++ b/internal/cells/scale_test.go
@@ -38,29 +38,29 @@
 			n++
 		}
 		all := seatsOf(region, 0, n, zones)
-		count := (n + DefaultLimits.Aim - 1) / DefaultLimits.Aim
+		count := (n + DefaultSizeLimits.Target - 1) / DefaultSizeLimits.Target
 		for c := range count {
-			var mine []Seat
+			var mine []MemberSlot
 			for i := c * n / count; i < (c+1)*n/count; i++ {
 				mine = append(mine, all[i])
 			}
-			f.j.do(Command{Kind: Open, Region: region, Seats: mine})
+			f.j.do(Command{Kind: Open, Region: region, Slots: mine})
 			f.sizes = append(f.sizes, len(mine))
 		}
 		for range relaysOf {
-			f.relays = append(f.relays, NewRelay(region, Sound))
+			f.relays = append(f.relays, NewRelay(region, NoFault))
 		}
 	}
-	for _, id := range f.j.d.Cells() {
-		l := NewLog(id, Sound)
+	for _, id := range f.j.d.CellIDs() {
+		l := NewLog(id, NoFault)
 		apply(t, l, f.j.told(l))
-		for _, s := range f.j.d.Part(id).Seats {
+		for _, s := range f.j.d.Record(id).Slots {
 			apply(t, l, &Entry{Kind: Join, Member: member(s.Name, 1)})
 		}
 		f.logs = append(f.logs, l)
 	}
 	sorted := slices.SortedFunc(slices.Values(f.logs), func(a, b *Log) int {
-		return cmp.Or(cmp.Compare(len(a.Living), len(b.Living)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(len(a.Members), len(b.Members)), cmp.Compare(a.ID, b.ID))
 	})
 	f.member = sorted[len(sorted)-1]
 	return f
@@ -76,13 +76,13 @@
 // pull has a relay ask until it has all there is, and counts what it asked for.
 func (f *fleet) pull(r *Relay, t *traffic) {
 	for range 1000 {
-		p := r.Pull()
-		if p.Since == f.j.d.Version() && !p.Whole {
+		p := r.NextRequest()
+		if p.Since == f.j.d.Version() && !p.Complete {
 			return
 		}
-		d := f.j.d.Delta(p.Region, p.Since, p.From, p.Whole, relayPage)
+		d := f.j.d.Delta(p.Region, p.Since, p.From, p.Complete, relayPage)
 		t.add(len(Encode(p)) + len(Encode(d)))
-		r.Take(d)
+		r.ApplyDelta(d)
 	}
 }
 
@@ -95,25 +95,25 @@
 		for _, r := range f.relays {
 			f.pull(r, &traffic{})
 		}
-		g := NewGrants(lease, Sound)
+		g := NewLeaseTable(lease, NoFault)
 		for _, m := range f.member.living("") {
 			g.Grant(1, f.member, m, 0)
 		}
-		own, lead, size := f.member.Bytes(), f.member.Bytes()+g.Bytes(), len(f.member.Living)
+		own, lead, size := f.member.EncodedBytes(), f.member.EncodedBytes()+g.EncodedBytes(), len(f.member.Members)
 		relay := 0
 		for _, r := range f.relays {
-			relay = max(relay, r.Bytes())
+			relay = max(relay, r.EncodedBytes())
 		}
 		t.Logf("%d members: %d cells of %d to %d; bytes: member %d, leader %d, relay %d, directory %d", n, len(f.logs), slices.Min(f.sizes),
-			slices.Max(f.sizes), own, lead, relay, f.j.d.Bytes())
+			slices.Max(f.sizes), own, lead, relay, f.j.d.EncodedBytes())
 		if first[0] == 0 {
 			first = [2]int{own / size, lead / size}
 		}
-		if own/size > first[0]*11/10 || lead/size > first[1]*11/10 || own/size > 120 || lead/size > 160 || size > DefaultLimits.Max {
+		if own/size > first[0]*11/10 || lead/size > first[1]*11/10 || own/size > 120 || lead/size > 160 || size > DefaultSizeLimits.Max {
 			t.Errorf("%d members, a cell of %d: a member holds %d bytes, a leader %d; of 300, for each of the cell: %v", n, size, own, lead, first)
 		}
-		if f.j.d.Bytes() > 200*n || relay > f.j.d.Bytes() {
-			t.Errorf("%d members: the directory holds %d bytes, a relay %d", n, f.j.d.Bytes(), relay)
+		if f.j.d.EncodedBytes() > 200*n || relay > f.j.d.EncodedBytes() {
+			t.Errorf("%d members: the directory holds %d bytes, a relay %d", n, f.j.d.EncodedBytes(), relay)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 		for now := int64(0); now < 70*second; now += second / 10 {
 			for changes < 100 && int64(changes)*60*second/100 <= now {
 				changes++
-				f.j.do(Command{Kind: Target, Number: uint64(changes)})
+				f.j.do(Command{Kind: SetTarget, Number: uint64(changes)})
 				given[f.j.d.Version()] = now
 			}
 			for i, r := range f.relays { // each at its own tenth of a second
@@ -145,9 +145,9 @@
 					continue
 				}
 				for _, r := range f.relays { // one of its region
-					if told := r.Tell(l.ID, l.Heard.Version, false); told != nil {
-						before := l.Heard.Version
-						apply(t, l, &Entry{Kind: Hear, Told: told})
+					if told := r.UpdateFor(l.ID, l.LastUpdate.Version, false); told != nil {
+						before := l.LastUpdate.Version
+						apply(t, l, &Entry{Kind: UpdateDirectory, Update: told})
 						down.add(len(Encode(told)))
 						for v, at := range given {
 							if v.Newer(before) && !v.Newer(told.Version) {
@@ -160,8 +160,8 @@
 			}
 		}
 		for _, l := range f.logs {
-			if l.Heard.Global != f.j.d.Global() {
-				t.Fatalf("cell %d is at %v", l.ID, l.Heard.Global)
+			if l.LastUpdate.Global != f.j.d.Global() {
+				t.Fatalf("cell %d is at %v", l.ID, l.LastUpdate.Global)
 			}
 		}
 		perCell, perRelay := float64(down.calls)/float64(len(f.logs)), float64(up.calls)/float64(len(f.relays))
@@ -178,20 +178,20 @@
 func TestReturnIsPaced(t *testing.T) {
 	for _, n := range []int{3_000, 18_000} {
 		f := newFleet(t, n)
-		f.j.do(Command{Kind: Target, Number: 1})
+		f.j.do(Command{Kind: SetTarget, Number: 1})
 		type caller struct {
 			attempt int
 			due     int64
 		}
-		directory := &Admission{Rate: 20, Burst: 5}
-		doors := make([]Admission, len(f.relays))
+		directory := &RateLimiter{PerSecond: 20, Burst: 5}
+		doors := make([]RateLimiter, len(f.relays))
 		relays, leaders := make([]caller, len(f.relays)), make([]caller, len(f.logs))
 		for i := range doors {
-			doors[i] = Admission{Rate: 100, Burst: 10}
-			relays[i].due = Pace(fmt.Sprint("relay", i), 1, second, second)
+			doors[i] = RateLimiter{PerSecond: 100, Burst: 10}
+			relays[i].due = Backoff(fmt.Sprint("relay", i), 1, second, second)
 		}
 		for i := range leaders {
-			leaders[i].due = Pace(fmt.Sprint("cell", i), 1, second, second)
+			leaders[i].due = Backoff(fmt.Sprint("cell", i), 1, second, second)
 		}
 		var up traffic
 		worst, served, refused, last := 0, map[string]int{}, 0, int64(0)
@@ -205,38 +205,38 @@
 			for i, r := range f.relays {
 				if c := &relays[i]; c.due <= now && r.Version() != f.j.d.Version() {
 					c.attempt++
-					if !directory.Admit(now) {
+					if !directory.Allow(now) {
 						refused++
-						c.due = now + Pace(fmt.Sprint("relay", i), c.attempt, second/4, 2*second)
+						c.due = now + Backoff(fmt.Sprint("relay", i), c.attempt, second/4, 2*second)
 						continue
 					}
 					serve("directory")
-					p := r.Pull()
-					d := f.j.d.Delta(p.Region, p.Since, p.From, p.Whole, relayPage)
+					p := r.NextRequest()
+					d := f.j.d.Delta(p.Region, p.Since, p.From, p.Complete, relayPage)
 					up.add(len(Encode(p)) + len(Encode(d)))
-					if c.due = now + second; r.Take(d) {
+					if c.due = now + second; r.ApplyDelta(d) {
 						c.due = now + second/10
 					}
 				}
 			}
 			for i, l := range f.logs {
 				c := &leaders[i]
-				if c.due > now || l.Heard.Global == f.j.d.Global() {
+				if c.due > now || l.LastUpdate.Global == f.j.d.Global() {
 					continue
 				}
 				c.attempt++
-				region := f.j.d.Part(l.ID).Region
+				region := f.j.d.Record(l.ID).Region
 				for k, r := range f.relays {
 					if r.region != region || k%relaysOf != (i+c.attempt)%relaysOf {
 						continue
 					}
-					if c.due = now + Pace(fmt.Sprint("cell", i), c.attempt, second/4, 2*second); !doors[k].Admit(now) {
+					if c.due = now + Backoff(fmt.Sprint("cell", i), c.attempt, second/4, 2*second); !doors[k].Allow(now) {
 						refused++
 						break
 					}
 					serve(fmt.Sprint("relay", k))
-					if told := r.Tell(l.ID, l.Heard.Version, false); told != nil {
-						apply(t, l, &Entry{Kind: Hear, Told: told})
+					if told := r.UpdateFor(l.ID, l.LastUpdate.Version, false); told != nil {
+						apply(t, l, &Entry{Kind: UpdateDirectory, Update: told})
 						done, last = done+1, now
 					}
 				}
@@ -252,10 +252,10 @@
 
 // What is asked too often in one moment is told to come again, and callers that begin together do not come back together.
 func TestAdmissionAndPace(t *testing.T) {
-	a := Admission{Rate: 10, Burst: 3}
+	a := RateLimiter{PerSecond: 10, Burst: 3}
 	served := 0
 	for now := int64(0); now < 2*second; now += 1000 {
-		if a.Admit(now) {
+		if a.Allow(now) {
 			served++
 		}
 	}
@@ -264,7 +264,7 @@
 	}
 	tenths := map[int64]int{}
 	for i := range 1000 {
-		p := Pace(fmt.Sprint("n", i), 3, second/4, 2*second)
+		p := Backoff(fmt.Sprint("n", i), 3, second/4, 2*second)
 		if p < second/2 || p > second {
 			t.Fatalf("third wait: %d µs", p)
 		}
@@ -275,7 +275,7 @@
 			t.Errorf("%d of 1000 come back in tenth %d", n, k)
 		}
 	}
-	if p := Pace("n", 60, second/4, 2*second); p < second || p > 2*second {
+	if p := Backoff("n", 60, second/4, 2*second); p < second || p > 2*second {
 		t.Errorf("a late wait: %d µs", p)
 	}
 }
@@ -289,11 +289,11 @@
 	}
 	b.Run("command", func(b *testing.B) {
 		for i := range b.N {
-			f.j.do(Command{Kind: Target, Number: uint64(i) + f.j.d.Global().Settings + 1})
+			f.j.do(Command{Kind: SetTarget, Number: uint64(i) + f.j.d.Global().Settings + 1})
 		}
 	})
 	since := f.j.d.Version()
-	f.j.do(Command{Kind: Target, Number: f.j.d.Global().Settings + 1})
+	f.j.do(Command{Kind: SetTarget, Number: f.j.d.Global().Settings + 1})
 	b.Run("delta", func(b *testing.B) {
 		for range b.N {
 			f.j.d.Delta("region00", since, Version{}, false, relayPage)
@@ -306,16 +306,16 @@
 	})
 	b.Run("word", func(b *testing.B) {
 		for range b.N {
-			f.relays[0].Tell(1, Version{}, false)
+			f.relays[0].UpdateFor(1, Version{}, false)
 		}
 	})
-	g := NewGrants(lease, Sound)
+	g := NewLeaseTable(lease, NoFault)
 	b.Run("turn", func(b *testing.B) {
 		for i := range b.N {
-			for m := range f.member.Living {
+			for m := range f.member.Members {
 				g.Grant(int64(i), f.member, m, 1)
 			}
-			g.Due(int64(i), f.member)
+			g.DueEntries(int64(i), f.member)
 		}
 	})
 }
--- a/internal/fleet/desk.go
+++ b/internal/fleet/desk.go
@@ -34,7 +34,7 @@
 	_      struct{} `cbor:",toarray"`
 	Fleet  uint64
 	Do     string
-	Order  *rollout.Order
+	Order  *rollout.Command
 	Member string // with AskSegments: of that name alone
 }
 
@@ -46,7 +46,7 @@
 	Unknown    bool // with an Err: it may be agreed all the same
 	Leader     string
 	Standing   *Standing
-	Segments   []audit.Sealed
+	Segments   []audit.SealedSegment
 	More       bool
 }
 
@@ -135,7 +135,7 @@
 }
 
 // ordered has an order agreed. The member that it enters by checks a version before anybody else sees it.
-func (f *Fleet) ordered(ctx context.Context, o *rollout.Order) error {
+func (f *Fleet) ordered(ctx context.Context, o *rollout.Command) error {
 	if err := o.Check(); err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 		return errNoLead
 	}
 	if o.Kind == rollout.RollOut {
-		if err := f.tuner.Check(o.Text); err != nil {
+		if err := f.tuner.Check(o.Settings); err != nil {
 			return err
 		}
 	}
@@ -177,7 +177,7 @@
 		return s
 	}
 	type told struct {
-		heard map[string]rollout.Heard
+		heard map[string]rollout.ReceivedReport
 		waits string
 		leads bool
 	}
@@ -196,7 +196,7 @@
 		if t.leads {
 			s.Leader, s.Reports = f.name, map[string]Told{}
 			for name, h := range t.heard {
-				s.Reports[name] = Told{Report: h.Report, AgeMs: time.Since(h.At).Milliseconds()}
+				s.Reports[name] = Told{Report: h.Report, AgeMs: time.Since(h.ReceivedAt).Milliseconds()}
 			}
 		}
 	case <-ctx.Done():
@@ -206,28 +206,28 @@
 
 // segments sends what this member holds, its own up to now first.
 func (f *Fleet) segments(ctx context.Context, conn net.Conn, name string) Reply {
-	back := make(chan []audit.Sealed, 1)
+	back := make(chan []audit.SealedSegment, 1)
 	select {
 	case f.ledger.box <- func() {
 		f.ledger.add(f.book.Cut(time.Now().UnixMilli()))
-		back <- f.ledger.shelf.Held(name)
+		back <- f.ledger.shelf.Segments(name)
 	}:
 	case <-ctx.Done():
 		return Reply{Err: errBusy.Error()}
 	}
-	var all []audit.Sealed
+	var all []audit.SealedSegment
 	select {
 	case all = <-back:
 	case <-ctx.Done():
 		return Reply{Err: errBusy.Error()}
 	}
-	part, bytes := []audit.Sealed(nil), 0
+	part, bytes := []audit.SealedSegment(nil), 0
 	for _, z := range all {
-		if bytes += len(z.Text); bytes > deskPart && len(part) > 0 {
+		if bytes += len(z.Encoded); bytes > deskPart && len(part) > 0 {
 			if err := f.reply(conn, &Reply{Segments: part, More: true}); err != nil {
 				return Reply{Err: err.Error()}
 			}
-			part, bytes = nil, len(z.Text)
+			part, bytes = nil, len(z.Encoded)
 		}
 		part = append(part, z)
 	}
--- a/internal/fleet/disk.go
+++ b/internal/fleet/disk.go
@@ -41,7 +41,7 @@
 }
 
 // open reads what is there, mends the ends of files that were cut off, and begins a file.
-func (d *disk) open(me takeover.Member) (out []audit.Sealed) {
+func (d *disk) open(me takeover.Member) (out []audit.SealedSegment) {
 	files, err := segmentFiles(d.dir)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		d.wrong(err)
@@ -85,7 +85,7 @@
 }
 
 // ReadSegments reads a file of segments up to its end or its first fault, and tells how many bytes are good.
-func ReadSegments(path string) (out []audit.Sealed, good int64, err error) {
+func ReadSegments(path string) (out []audit.SealedSegment, good int64, err error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, 0, err
@@ -100,7 +100,7 @@
 		if err == io.EOF {
 			return out, good, nil
 		}
-		var z audit.Sealed
+		var z audit.SealedSegment
 		if err == nil && kind != kindSegments {
 			err = errKind
 		}
@@ -209,7 +209,7 @@
 }
 
 // append takes a segment, and writes all that waits.
-func (d *disk) append(z *audit.Sealed) {
+func (d *disk) append(z *audit.SealedSegment) {
 	if d.full {
 		return
 	}
--- a/internal/fleet/disk_test.go
+++ b/internal/fleet/disk_test.go
@@ -56,7 +56,7 @@
 			return tornFile{file, random, &faults}, err
 		}
 		d.open(member("a", 1))
-		book, err := audit.NewBook(7, member("a", 1), "build", protocol, func() int64 { return 0 }, audit.Sound)
+		book, err := audit.NewSegmentWriter(7, member("a", 1), "build", protocol, func() int64 { return 0 }, audit.NoFault)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 			if n < segments-2 && random.IntN(3) == 0 {
 				faults += random.IntN(6)
 			}
-			book.Add(auditevent.Took, 0, "id", "look")
+			book.Record(auditevent.Accepted, 0, "id", "look")
 			all, err := book.Cut(0)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/fleet/epochs.go
+++ b/internal/fleet/epochs.go
@@ -65,10 +65,10 @@
 	coder   *coder
 	names   []string
 	texts   map[string][]byte // of the plan's versions, by digest; one that was handed on is never changed
-	driver  rollout.Driver
-	heard   map[string]rollout.Heard // in this term
-	orders  map[uint64]func(error)   // that wait for their entry, by id
-	noFence bool                     // a fault on purpose
+	driver  rollout.Controller
+	heard   map[string]rollout.ReceivedReport // in this term
+	orders  map[uint64]func(error)            // that wait for their entry, by id
+	noFence bool                              // a fault on purpose
 
 	roster  *roster
 	applied uint64
@@ -118,7 +118,7 @@
 	e := &epochs{
 		lease: lease, every: max(lease/20, 5*time.Millisecond), voters: voters, store: s, box: make(chan func(), epochsBox),
 		roster: &roster{}, joining: map[takeover.Member]time.Time{}, grants: grants{lease: lease}, texts: map[string][]byte{},
-		driver: rollout.Driver{Name: name}, heard: map[string]rollout.Heard{}, orders: map[uint64]func(error){},
+		driver: rollout.Controller{Leader: name}, heard: map[string]rollout.ReceivedReport{}, orders: map[uint64]func(error){},
 	}
 	e.grants.reset(time.Now())
 	if e.coder, err = newCoder(); err != nil {
@@ -204,7 +204,7 @@
 		e.propose(&entry{Out: true, Member: m})
 	}
 	if o := e.driver.Step(now, &e.roster.Plan, e.names, e.roster.living(), e.heard); o != nil {
-		log.Printf("event=fleet_orders order=%v number=%d why=%q", o.Kind, o.Number, o.Why)
+		log.Printf("event=fleet_orders order=%v number=%d why=%q", o.Kind, o.Number, o.Reason)
 		e.propose(&entry{Order: o})
 	}
 	e.confirm()
@@ -233,7 +233,7 @@
 			if leads := rd.SoftState.RaftState == raft.StateLeader; leads != e.leads {
 				e.leads, e.waiting, e.asked = leads, nil, nil
 				e.joining = map[takeover.Member]time.Time{}
-				e.heard = map[string]rollout.Heard{}
+				e.heard = map[string]rollout.ReceivedReport{}
 				e.driver.Reset()
 				for id, reply := range e.orders {
 					delete(e.orders, id)
@@ -329,7 +329,7 @@
 	if !e.leads {
 		return
 	}
-	e.heard[a.Member.Name] = rollout.Heard{Report: a.Report, At: time.Now()}
+	e.heard[a.Member.Name] = rollout.ReceivedReport{Report: a.Report, ReceivedAt: time.Now()}
 	switch {
 	case e.roster.gone(a.Member):
 		e.give(a, granted{Out: true})
@@ -379,7 +379,7 @@
 
 // may tells whether the plan lets a member act.
 func (e *epochs) may(a *askLease) bool {
-	return e.noFence || e.roster.Plan.May(a.Member.Name, a.Report.Acts)
+	return e.noFence || e.roster.Plan.MayLease(a.Member.Name, a.Report.Active)
 }
 
 func (e *epochs) give(a askLease, g granted) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -51,7 +51,7 @@
 // plants are faults on purpose.
 type plants struct {
 	custody    takeover.Plant
-	audit      audit.Plant
+	audit      audit.InjectedFault
 	noFence    bool // leases are given below the fence
 	looseGuard bool // the guard lets one more be without a lease
 }
@@ -73,7 +73,7 @@
 	plant   plants
 	build   string
 	tuner   Tuner
-	book    *audit.Book // nil, with ledger: no account is kept
+	book    *audit.SegmentWriter // nil, with ledger: no account is kept
 	ledger  *ledger
 	tuned   tuned       // of the member's own actor
 	shut    atomic.Bool // this member may not act by what it knows of the plan
@@ -118,7 +118,7 @@
 	f.wire = newWire(c, f.names)
 	f.wire.me, f.wire.take, f.wire.desk = func() takeover.Member { return *f.me.Load() }, f.take, f.desk
 	if o.Audit.Enabled {
-		if f.book, err = audit.NewBook(f.wire.id, *f.me.Load(), f.build, protocol, f.micros, f.plant.audit); err != nil {
+		if f.book, err = audit.NewSegmentWriter(f.wire.id, *f.me.Load(), f.build, protocol, f.micros, f.plant.audit); err != nil {
 			return nil, err
 		}
 		if f.ledger, err = newLedger(f); err != nil {
@@ -206,7 +206,7 @@
 		e, err := newEpochs(f.opts.Fleet.StateDir, f.name, f.voters, f.opts.Fleet.Lease)
 		if err == nil {
 			e.send, e.names, e.noFence = f.send, f.names, f.plant.noFence
-			e.driver.Guard = rollout.Guard{MostOut: f.opts.Audit.MostOut, Loose: f.plant.looseGuard}
+			e.driver.Guard = rollout.Guard{MaxUnleasedPermille: f.opts.Audit.MostOut, OffByOne: f.plant.looseGuard}
 			e.told = func(r *roster, texts map[string][]byte) { f.learn(r, texts) }
 			f.epochs.Store(e)
 			err = e.run(ctx)
@@ -415,7 +415,7 @@
 			f.post(func() { f.have(h.Text) })
 		}
 	case kindSegments:
-		var all []audit.Sealed
+		var all []audit.SealedSegment
 		if err = f.coder.in.Unmarshal(payload, &all); err == nil && f.ledger != nil {
 			f.ledger.post(func() { f.ledger.hold(from, all) })
 		}
@@ -424,7 +424,7 @@
 		if err = f.coder.in.Unmarshal(payload, &all); err == nil && f.ledger != nil {
 			f.ledger.post(func() {
 				for _, one := range all {
-					f.ledger.pushing.Taken(from.Name, one.Of, one.Index)
+					f.ledger.pushing.Acknowledge(from.Name, one.Of, one.Index)
 				}
 			})
 		}
@@ -544,7 +544,7 @@
 }
 
 // Ledger is the account that this member keeps of itself; nil: none.
-func (f *Fleet) Ledger() auditevent.Ledger {
+func (f *Fleet) Ledger() auditevent.Recorder {
 	if f.book == nil {
 		return nil
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -325,12 +325,12 @@
 	if old := d.open(member("a", 1)); len(old) != 0 {
 		t.Fatal(old)
 	}
-	book, err := audit.NewBook(7, member("a", 1), "build", protocol, func() int64 { return 0 }, audit.Sound)
+	book, err := audit.NewSegmentWriter(7, member("a", 1), "build", protocol, func() int64 { return 0 }, audit.NoFault)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 5 {
-		book.Add(auditevent.Took, 0, "id", "look")
+		book.Record(auditevent.Accepted, 0, "id", "look")
 		all, err := book.Cut(0)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -29,8 +29,8 @@
 type ledger struct {
 	f       *Fleet
 	codec   *audit.Codec
-	shelf   *audit.Shelf
-	pushing *audit.Pushing
+	shelf   *audit.SegmentStore
+	pushing *audit.Replication
 	holders []string
 	met     map[string]uint64 // the holders' processes that were sent what there was
 	box     chan func()
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	l := &ledger{
-		f: f, codec: codec, shelf: audit.NewShelf(codec, f.wire.id, f.opts.Audit.Bytes), pushing: audit.NewPushing(pushWaiting), box: make(chan func(), 1024),
+		f: f, codec: codec, shelf: audit.NewSegmentStore(codec, f.wire.id, f.opts.Audit.Bytes), pushing: audit.NewReplication(pushWaiting), box: make(chan func(), 1024),
 	}
 	l.choose(*f.me.Load())
 	if dir := f.opts.Audit.Dir; dir != "" {
@@ -79,7 +79,7 @@
 		if l.met[name] = now; !before {
 			continue
 		}
-		for _, z := range l.shelf.Held(me.Name) {
+		for _, z := range l.shelf.Segments(me.Name) {
 			if seg, err := l.codec.Open(l.f.wire.id, &z); err == nil && seg.Member == me {
 				l.pushing.Add(z, seg, []string{name})
 			}
@@ -113,7 +113,7 @@
 }
 
 // add takes segments that were cut.
-func (l *ledger) add(all []audit.Sealed, err error) {
+func (l *ledger) add(all []audit.SealedSegment, err error) {
 	if err != nil {
 		log.Printf("event=audit_gap err=%q", err)
 	}
@@ -131,9 +131,9 @@
 	if l.disk != nil {
 		l.disk.flush()
 	}
-	if l.pushing.Lost > l.lost {
-		log.Printf("event=audit_unheld segments=%d", l.pushing.Lost-l.lost)
-		l.lost = l.pushing.Lost
+	if l.pushing.Dropped > l.lost {
+		log.Printf("event=audit_unheld segments=%d", l.pushing.Dropped-l.lost)
+		l.lost = l.pushing.Dropped
 	}
 }
 
@@ -150,7 +150,7 @@
 }
 
 // hold takes segments of another member, and says so.
-func (l *ledger) hold(from takeover.Member, all []audit.Sealed) {
+func (l *ledger) hold(from takeover.Member, all []audit.SealedSegment) {
 	var taken []takenOf
 	for _, z := range all {
 		seg, err := l.shelf.Put(z)
@@ -171,7 +171,7 @@
 
 // next closes the account of an incarnation that is out, in good order, and begins that of the next.
 func (l *ledger) next(me takeover.Member) {
-	l.add(l.f.book.End(time.Now().UnixMilli(), me))
+	l.add(l.f.book.EndIncarnation(time.Now().UnixMilli(), me))
 	l.push()
 	l.choose(me)
 	if l.disk != nil {
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -18,17 +18,17 @@
 )
 
 // order puts an order into the log; reply is told what came of it, once, and may not wait.
-func (e *epochs) order(o *rollout.Order, reply func(error)) {
+func (e *epochs) order(o *rollout.Command, reply func(error)) {
 	if !e.leads {
 		reply(errNoLead)
 		return
 	}
 	_, err := e.roster.Plan.Apply(o, e.names, e.roster.living()) // it is told at once what is wrong with it
-	if err == nil && o.Kind == rollout.BarName {
-		err = e.driver.MayBar(o.Name, &e.roster.Plan, e.names, e.heard, time.Now())
+	if err == nil && o.Kind == rollout.Exclude {
+		err = e.driver.CheckExclude(o.Name, &e.roster.Plan, e.names, e.heard, time.Now())
 	}
 	if err == nil && e.orders[o.ID] != nil {
-		err = rollout.ErrDone
+		err = rollout.ErrAlreadyApplied
 	}
 	if err == nil {
 		e.orders[o.ID] = reply
@@ -42,7 +42,7 @@
 }
 
 // ordered applies an order that was agreed.
-func (e *epochs) ordered(o *rollout.Order, old bool) {
+func (e *epochs) ordered(o *rollout.Command, old bool) {
 	next, err := e.roster.Plan.Apply(o, e.names, e.roster.living())
 	if reply := e.orders[o.ID]; reply != nil {
 		delete(e.orders, o.ID)
@@ -59,26 +59,26 @@
 		}
 	}
 	if o.Kind == rollout.RollOut {
-		d := rollout.DigestOf(o.Text)
-		texts[string(d[:])] = o.Text
+		d := rollout.DigestOf(o.Settings)
+		texts[string(d[:])] = o.Settings
 	}
 	e.texts = texts
 	if !old {
 		log.Printf("event=fleet_order epoch=%d order=%v target=%d fence=%d share=%d held=%q name=%q who=%q why=%q", e.roster.Epoch, o.Kind,
-			next.Target, next.Fence, next.Share, next.Held, o.Name, o.Who, o.Why)
+			next.Target, next.Fence, next.Share, next.PauseReason, o.Name, o.Author, o.Reason)
 	}
 }
 
 // standing is what a member tells of the fleet, as the log's leader if it leads.
-func (e *epochs) standing() (heard map[string]rollout.Heard, waits string, leads bool) {
+func (e *epochs) standing() (heard map[string]rollout.ReceivedReport, waits string, leads bool) {
 	if !e.leads {
 		return nil, "", false
 	}
-	heard = make(map[string]rollout.Heard, len(e.heard))
+	heard = make(map[string]rollout.ReceivedReport, len(e.heard))
 	for name, h := range e.heard {
 		heard[name] = h
 	}
-	return heard, e.driver.Waits, true
+	return heard, e.driver.WaitReason, true
 }
 
 // tuned is the state of what this member acts on. The member's own actor has it.
@@ -88,13 +88,13 @@
 	before  uint64 // number that it acted on before
 	refused uint64 // that it could not adopt
 	why     string
-	since   time.Time         // when it began to act on it
-	base    *rollout.Service  // answers under it that do not count
-	texts   map[string][]byte // of versions, by digest, as far as they are known here
-	under   bool              // a version is being adopted
-	asked   time.Time         // when a version's bytes were last asked for
-	wanted  uint64            // version that they are asked for
-	asks    int               // for them
+	since   time.Time              // when it began to act on it
+	base    *rollout.ServiceCounts // answers under it that do not count
+	texts   map[string][]byte      // of versions, by digest, as far as they are known here
+	under   bool                   // a version is being adopted
+	asked   time.Time              // when a version's bytes were last asked for
+	wanted  uint64                 // version that they are asked for
+	asks    int                    // for them
 }
 
 // haveText answers who asks for a version's bytes.
@@ -109,8 +109,8 @@
 		return
 	}
 	plan := &f.roster.Load().Plan
-	f.shutOut(!plan.May(f.name, f.tuned.acts) && !f.plant.noFence)
-	want := plan.Wanted(f.name)
+	f.shutOut(!plan.MayLease(f.name, f.tuned.acts) && !f.plant.noFence)
+	want := plan.TargetFor(f.name)
 	if want <= f.tuned.acts || want == f.tuned.refused || f.tuned.under {
 		return // a number only grows: the lease was asked for under it
 	}
@@ -234,26 +234,26 @@
 	if f.ledger == nil {
 		return r
 	}
-	r = rollout.Report{Acts: t.acts, Refused: t.refused, Why: t.why, Digest: t.digest, Build: f.build}
-	if len(r.Why) > mostWhy {
-		r.Why = r.Why[:mostWhy]
+	r = rollout.Report{Active: t.acts, Rejected: t.refused, RejectReason: t.why, Digest: t.digest, Build: f.build}
+	if len(r.RejectReason) > mostWhy {
+		r.RejectReason = r.RejectReason[:mostWhy]
 	}
-	r.Now.Ended, r.Now.Served = f.book.Service(t.acts)
-	if t.base != nil && r.Now.Served < t.base.Served || t.base != nil && r.Now.Ended < t.base.Ended {
+	r.Current.Answered, r.Current.Served = f.book.AnswerCounts(t.acts)
+	if t.base != nil && r.Current.Served < t.base.Served || t.base != nil && r.Current.Answered < t.base.Answered {
 		t.base = nil // the account of another incarnation
 	}
 	if t.base == nil && (t.acts == 0 || time.Since(t.since) >= afterAdopting) {
-		now := r.Now
+		now := r.Current
 		t.base = &now
 	}
 	if t.base == nil {
-		r.Now = rollout.Service{}
+		r.Current = rollout.ServiceCounts{}
 	} else if t.acts > 0 {
-		r.Now = rollout.Service{Ended: r.Now.Ended - t.base.Ended, Served: r.Now.Served - t.base.Served}
+		r.Current = rollout.ServiceCounts{Answered: r.Current.Answered - t.base.Answered, Served: r.Current.Served - t.base.Served}
 	}
-	r.Before.Ended, r.Before.Served = f.book.Service(t.before)
+	r.Previous.Answered, r.Previous.Served = f.book.AnswerCounts(t.before)
 	if t.before == t.acts {
-		r.Before = rollout.Service{}
+		r.Previous = rollout.ServiceCounts{}
 	}
 	return r
 }
--- a/internal/fleet/plant_on.go
+++ b/internal/fleet/plant_on.go
@@ -16,7 +16,7 @@
 	case n < 10:
 		p.custody = takeover.Plant(n)
 	case n < 20:
-		p.audit = audit.Plant(n - 10)
+		p.audit = audit.InjectedFault(n - 10)
 	case n == 20:
 		p.noFence = true
 	case n == 21:
--- a/internal/fleet/roster.go
+++ b/internal/fleet/roster.go
@@ -19,8 +19,8 @@
 	_       struct{} `cbor:",toarray"`
 	Out     bool
 	Member  takeover.Member
-	Address string         // where it listens, if not where the options say
-	Order   *rollout.Order // instead of all that
+	Address string           // where it listens, if not where the options say
+	Order   *rollout.Command // instead of all that
 }
 
 // seat is a living member's.
@@ -125,7 +125,7 @@
 		}
 		met[s.Member] = true
 	}
-	if err := r.Plan.Valid(); err != nil {
+	if err := r.Plan.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", errRoster, err)
 	}
 	return nil
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -62,9 +62,9 @@
 	server  *fasthttp.Server
 	sockets atomic.Int64 // connections past which a new one takes an idle one's place
 	life    *lifecycle.Owner
-	keeper  Keeper            // nil: none
-	ledger  auditevent.Ledger // nil: no account is kept
-	room    chan struct{}     // a token for each connection that may still be accepted
+	keeper  Keeper              // nil: none
+	ledger  auditevent.Recorder // nil: no account is kept
+	room    chan struct{}       // a token for each connection that may still be accepted
 
 	deaf atomic.Bool // the listener has taken its last connection, and that is among conns
 
@@ -460,7 +460,7 @@
 		f.answer(ctx, c, a)
 	}
 	if left && broken == nil {
-		f.noted(ctx, auditevent.Left, parsed.request.ID, a.Under)
+		f.noted(ctx, auditevent.ClientLeft, parsed.request.ID, a.Under)
 	} else {
 		f.account(ctx, parsed.request.ID, a.Under)
 	}
@@ -478,7 +478,7 @@
 		return
 	}
 	refuse(ctx, sidecar.Answer{RetryAfter: shutRetry})
-	f.noted(ctx, auditevent.Turned, p.request.ID, f.side.Under())
+	f.noted(ctx, auditevent.RejectedNoLease, p.request.ID, f.side.Under())
 	ctx.SetConnectionClose() // clients have others to go to
 }
 
@@ -491,28 +491,28 @@
 }
 
 // Audit has an account kept of the answers.
-func (f *Frontend) Audit(l auditevent.Ledger) { f.ledger = l }
+func (f *Frontend) Audit(l auditevent.Recorder) { f.ledger = l }
 
 // account notes the answer to a request, and names it to the client. under is the version that it was decided by.
-func (f *Frontend) account(ctx *fasthttp.RequestCtx, id string, under auditevent.Stamp) {
+func (f *Frontend) account(ctx *fasthttp.RequestCtx, id string, under auditevent.ConfigVersionID) {
 	switch ctx.Response.StatusCode() {
 	case fasthttp.StatusOK:
 		f.noted(ctx, auditevent.Served, id, under)
 	case fasthttp.StatusServiceUnavailable:
-		f.noted(ctx, auditevent.Refused, id, under)
+		f.noted(ctx, auditevent.Rejected, id, under)
 	case fasthttp.StatusConflict:
-		f.noted(ctx, auditevent.Doubled, id, under)
+		f.noted(ctx, auditevent.DuplicateID, id, under)
 	default:
 		f.noted(ctx, auditevent.Failed, id, under)
 	}
 }
 
-func (f *Frontend) noted(ctx *fasthttp.RequestCtx, kind auditevent.Kind, id string, under auditevent.Stamp) {
+func (f *Frontend) noted(ctx *fasthttp.RequestCtx, kind auditevent.Kind, id string, under auditevent.ConfigVersionID) {
 	if f.ledger == nil {
 		return
 	}
-	ref := f.ledger.Add(kind, under, id, strconv.Itoa(ctx.Response.StatusCode()))
-	ctx.Response.Header.SetBytesV(auditevent.Header, ref.Append(nil))
+	ref := f.ledger.Record(kind, under, id, strconv.Itoa(ctx.Response.StatusCode()))
+	ctx.Response.Header.SetBytesV(auditevent.RefHeader, ref.Append(nil))
 }
 
 // Rest closes connections of clients that are idle.
--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -176,7 +176,7 @@
 		return
 	case takeover.Gone:
 		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Late})
-		f.noted(ctx, auditevent.Left, call.Request.ID, under)
+		f.noted(ctx, auditevent.ClientLeft, call.Request.ID, under)
 		return
 	case takeover.Taken:
 		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Duplicate})
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -161,7 +161,7 @@
 	case "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "expect":
 		return true
 	}
-	return header == "content-length" || strings.EqualFold(header, upstream.DeadlineHeader) || strings.EqualFold(header, auditevent.Header)
+	return header == "content-length" || strings.EqualFold(header, upstream.DeadlineHeader) || strings.EqualFold(header, auditevent.RefHeader)
 }
 
 // head makes the bytes that go on: request line and headers as they came, but for those that end here. The target goes on
--- a/internal/lab/faultinjection/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -34,15 +34,15 @@
 // step gives an operator's order, to who leads if it is told of one.
 func (p *play) step(ctx context.Context, start time.Time, n int, s *Step) {
 	sleep(ctx, time.Until(start.Add(ms(s.AtMs))))
-	o := &rollout.Order{
-		Kind: orders[s.Do], ID: uint64(n + 1), Who: "rig", Why: fmt.Sprintf("step %d", n), Number: s.Number, Share: s.Share, SettleMs: s.SettleMs, GraceMs: s.GraceMs,
+	o := &rollout.Command{
+		Kind: orders[s.Do], ID: uint64(n + 1), Author: "rig", Reason: fmt.Sprintf("step %d", n), Number: s.Number, Share: s.Share, SettleMs: s.SettleMs, GraceMs: s.GraceMs,
 	}
 	switch o.Kind {
 	case rollout.RollOut:
 		set := p.settings(0, s.File)
 		set["TickUs"] = 5001 + n // no two versions have the same bytes
-		o.Text, _ = json.Marshal(map[string]any{"settings": set})
-	case rollout.BarName, rollout.Readmit:
+		o.Settings, _ = json.Marshal(map[string]any{"settings": set})
+	case rollout.Exclude, rollout.Readmit:
 		o.Name = name(s.Who)
 	}
 	via, said := s.Via, ""
@@ -64,7 +64,7 @@
 		via--
 	}
 	p.mu.Lock()
-	if said == "" && (o.Kind == rollout.RollOut || o.Kind == rollout.Back) {
+	if said == "" && (o.Kind == rollout.RollOut || o.Kind == rollout.Rollback) {
 		if p.ordered == nil {
 			p.ordered = map[uint64]time.Time{}
 		}
@@ -113,9 +113,9 @@
 
 // overGuard counts the members that the plan shuts out past the guard: barred ones, and those that refused what the fence asks.
 func overGuard(s *fleet.Standing) int {
-	out := len(s.Plan.Barred)
+	out := len(s.Plan.Excluded)
 	for name, t := range s.Reports {
-		if !slices.Contains(s.Plan.Barred, name) && t.Report.Refused >= s.Plan.Fence && t.Report.Acts < s.Plan.Fence {
+		if !slices.Contains(s.Plan.Excluded, name) && t.Report.Rejected >= s.Plan.Fence && t.Report.Active < s.Plan.Fence {
 			out++
 		}
 	}
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	var all []audit.Sealed
+	var all []audit.SealedSegment
 	living := map[takeover.Member]bool{}
 	heard := 0
 	for _, addr := range p.members {
@@ -143,9 +143,9 @@
 		if st, err := fleet.Call(ctx, addr, p.names(), fleet.Ask{Do: fleet.AskStanding}); err == nil && st.Standing != nil {
 			living[st.Standing.Me] = true
 			if st.Standing.Leads {
-				r.Waits, r.Held = st.Standing.Waits, st.Standing.Plan.Held
+				r.Waits, r.Held = st.Standing.Waits, st.Standing.Plan.PauseReason
 				for _, n := range st.Standing.Names {
-					if st.Standing.Reports[n].Report.Acts < st.Standing.Plan.Target {
+					if st.Standing.Reports[n].Report.Active < st.Standing.Plan.Target {
 						r.Unagreed++
 					}
 				}
@@ -162,7 +162,7 @@
 	if a.lease == 0 {
 		a.lease = 600 * time.Millisecond // the program's own
 	}
-	for _, one := range codec.Assemble(fleet.ID(p.names()), all, &audit.Query{}) {
+	for _, one := range codec.AssembleTrails(fleet.ID(p.names()), all, &audit.Query{}) {
 		for _, f := range one.Faults {
 			a.broke(&r.Misstated, "account", fmt.Sprintf("%s/%x: %s", one.Member.Name, one.Member.Incarnation, f))
 		}
@@ -184,23 +184,23 @@
 
 // told is an account with its acts by number.
 type told struct {
-	*audit.Account
-	by   map[uint64]auditevent.Act
+	*audit.Trail
+	by   map[uint64]auditevent.Event
 	sent map[string]int // by request and server: sent, less unsent
 }
 
-func (a *auditor) add(one *audit.Account) {
-	t := &told{Account: one, by: map[uint64]auditevent.Act{}, sent: map[string]int{}}
-	for _, act := range one.Acts {
-		t.by[act.N] = act
+func (a *auditor) add(one *audit.Trail) {
+	t := &told{Trail: one, by: map[uint64]auditevent.Event{}, sent: map[string]int{}}
+	for _, act := range one.Events {
+		t.by[act.Number] = act
 		switch act.Kind {
 		case auditevent.Sent:
 			t.sent[act.ID+" "+act.Note]++
-		case auditevent.Unsent:
+		case auditevent.NotSent:
 			t.sent[act.ID+" "+act.Note]--
 		}
 	}
-	a.r.Acts += len(one.Acts)
+	a.r.Acts += len(one.Events)
 	a.accounts[one.Member] = t
 }
 
@@ -229,19 +229,19 @@
 		a.r.InGaps++ // nobody knows of that incarnation: it tells so
 		return ref, true
 	}
-	act, ok := t.by[ref.N]
+	act, ok := t.by[ref.Number]
 	switch {
-	case !ok && ref.N > t.Last && (t.Ended || a.living[ref.Member]):
+	case !ok && ref.Number > t.Last && (t.Ended || a.living[ref.Member]):
 		wrong("the account ends with act %d", t.Last)
 	case !ok:
 		for _, k := range t.Known {
-			if ref.N >= k.First && ref.N <= k.Last {
+			if ref.Number >= k.First && ref.Number <= k.Last {
 				wrong("no such act, and no gap")
 			}
 		}
 		a.r.InGaps++
 	case act.ID != id || act.Note != note || !slices.Contains(kinds, act.Kind) || act.Version.Settings != ref.Version.Settings ||
-		act.Version.Digest != ref.Version.Digest || act.Version.List != ref.Version.List:
+		act.Version.Digest != ref.Version.Digest || act.Version.ListSeq != ref.Version.ListSeq:
 		wrong("the account has %+v", act)
 	default:
 		a.r.Matched++
@@ -292,14 +292,14 @@
 			if ask.Status == 0 || ask.Actor == "" && strings.HasPrefix(ask.Err, "EOF") {
 				continue
 			}
-			kinds := []auditevent.Kind{auditevent.Failed, auditevent.Left}
+			kinds := []auditevent.Kind{auditevent.Failed, auditevent.ClientLeft}
 			switch ask.Status {
 			case http.StatusOK:
 				kinds = []auditevent.Kind{auditevent.Served}
 			case http.StatusServiceUnavailable:
-				kinds = []auditevent.Kind{auditevent.Refused, auditevent.Turned}
+				kinds = []auditevent.Kind{auditevent.Rejected, auditevent.RejectedNoLease}
 			case http.StatusConflict:
-				kinds = []auditevent.Kind{auditevent.Doubled}
+				kinds = []auditevent.Kind{auditevent.DuplicateID}
 			}
 			a.see("an answer", ask.Actor, q.ID, fmt.Sprint(ask.Status), kinds...)
 		}
--- a/internal/lab/faultinjection/client.go
+++ b/internal/lab/faultinjection/client.go
@@ -224,7 +224,7 @@
 		a.Err = err.Error()
 		return a
 	}
-	a.Status, a.Body, a.Actor = resp.StatusCode, string(text), resp.Header.Get(auditevent.Header)
+	a.Status, a.Body, a.Actor = resp.StatusCode, string(text), resp.Header.Get(auditevent.RefHeader)
 	return a
 }
 
--- a/internal/lab/faultinjection/servers.go
+++ b/internal/lab/faultinjection/servers.go
@@ -98,7 +98,7 @@
 	c := strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	run := Execution{Server: name, At: time.Now(), Actor: r.Header.Get(auditevent.Header)}
+	run := Execution{Server: name, At: time.Now(), Actor: r.Header.Get(auditevent.RefHeader)}
 	switch answer, known := s.keys[key]; {
 	case r.Method == http.MethodGet:
 		run.Answer = fmt.Sprintf("%s %s", c, id)
--- a/internal/lab/faultinjection/timeline.go
+++ b/internal/lab/faultinjection/timeline.go
@@ -124,7 +124,7 @@
 )
 
 var orders = map[string]rollout.Kind{
-	"rollout": rollout.RollOut, "hold": rollout.Hold, "back": rollout.Back, "out": rollout.BarName, "readmit": rollout.Readmit,
+	"rollout": rollout.RollOut, "hold": rollout.Pause, "back": rollout.Rollback, "out": rollout.Exclude, "readmit": rollout.Readmit,
 }
 
 // Bounds of a timeline.
@@ -172,7 +172,7 @@
 	for i, s := range t.Steps {
 		check(orders[s.Do] != 0, "steps[%d].do: %q is none of rollout, hold, back, out, readmit", i, s.Do)
 		check(s.AtMs >= 0 && s.Via >= 0 && s.Via < t.Processes && s.Who >= 0 && s.Who < t.Processes, "steps[%d]: no such time or member", i)
-		check(s.Do != "rollout" || s.Share >= 1 && s.Share <= rollout.Whole, "steps[%d].share: %d is not within 1 to %d", i, s.Share, rollout.Whole)
+		check(s.Do != "rollout" || s.Share >= 1 && s.Share <= rollout.FullShare, "steps[%d].share: %d is not within 1 to %d", i, s.Share, rollout.FullShare)
 		check(s.File == Good || s.File == Falls || s.File == Unknown, "steps[%d].file: %q is none of falls, unknown", i, s.File)
 		for _, who := range s.Refusers {
 			check(who >= 0 && who < t.Processes, "steps[%d].refusers: %d is no member", i, who)
--- a/internal/lab/fleetscale/run.go
+++ b/internal/lab/fleetscale/run.go
@@ -482,9 +482,9 @@
 	}
 	turn := 0
 	every(ctx, r.conf.Changes, func(k int) {
-		o := &rollout.Order{
-			Kind: rollout.RollOut, ID: uint64(at)<<32 | uint64(k+1), Who: "scale", Why: "a change", Share: rollout.Whole, GraceMs: 60_000,
-			Text: []byte(fmt.Sprintf(`{"settings": %s}`, settings(len(r.lay.members), k+1))),
+		o := &rollout.Command{
+			Kind: rollout.RollOut, ID: uint64(at)<<32 | uint64(k+1), Author: "scale", Reason: "a change", Share: rollout.FullShare, GraceMs: 60_000,
+			Settings: []byte(fmt.Sprintf(`{"settings": %s}`, settings(len(r.lay.members), k+1))),
 		}
 		from := time.Now()
 		for end := from; ctx.Err() == nil || time.Since(end) < orderWithin; { // guards against numbers that are off by one which was agreed unheard
@@ -495,7 +495,7 @@
 			call, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 			reply, err := fleet.Call(call, addr, names, fleet.Ask{Do: fleet.AskOrder, Order: o})
 			cancel()
-			if err == nil && (reply.Err == "" || reply.Err == rollout.ErrDone.Error()) {
+			if err == nil && (reply.Err == "" || reply.Err == rollout.ErrAlreadyApplied.Error()) {
 				r.mu.Lock()
 				r.made[at] = append(r.made[at], mark{int64(len(r.made[at]) + 1), from})
 				r.mu.Unlock()
