--- a/internal/lab/modelcheck/cells.go
+++ b/internal/lab/modelcheck/cells.go
@@ -21,7 +21,7 @@
 // CellsConfig is a world of two cells of one region, of two members each, which move, split and merge under requests.
 type CellsConfig struct {
 	Effects []takeover.Effect // of the requests
-	Plant   cells.Plant
+	Plant   cells.InjectedFault
 	Budget  CellsBudget
 }
 
@@ -65,7 +65,7 @@
 // inquiry is an ask on its way.
 type inquiry struct {
 	request int
-	way     *cells.Inquiry // nil: it has not set out
+	way     *cells.Lookup // nil: it has not set out
 	with    *cellRecord
 	hops    int
 }
@@ -83,7 +83,7 @@
 
 type cellAsk struct {
 	proc    int
-	ask     cells.Ask
+	ask     cells.LeaseRequest
 	leader  int
 	index   int // of the log at the confirmation; -1: none
 	granted bool
@@ -101,7 +101,7 @@
 	log     []*cells.Log // after each entry
 	lead    int
 	applied [2]int
-	books   [2]*cells.Grants
+	books   [2]*cells.LeaseTable
 	records map[int]*cellRecord
 	fences  []fenceAt
 	came    map[string]int64 // when a name came or left
@@ -164,7 +164,7 @@
 	for _, two := range [][]string{{"a", "b"}, {"c", "d"}} {
 		open := cells.Command{Kind: cells.Open, Region: cellRegion}
 		for _, name := range two {
-			open.Seats = append(open.Seats, cells.Seat{Name: name, Zone: name})
+			open.Slots = append(open.Slots, cells.MemberSlot{Name: name, Zone: name})
 		}
 		w.propose(open)
 	}
@@ -213,7 +213,7 @@
 
 // propose has the directory agree on a command.
 func (w *cellsWorld) propose(c cells.Command) {
-	if w.conf.Plant == cells.TermUnread && !w.settling && w.turned && w.random.IntN(2) == 0 { // it enters by the one that leads no more
+	if w.conf.Plant == cells.TermIgnored && !w.settling && w.turned && w.random.IntN(2) == 0 { // it enters by the one that leads no more
 		old := w.dirs[1-w.lead]
 		w.say("the deposed directory takes command %d by itself: %v", c.Kind, old.Apply(cells.Version{Term: old.Version().Term, Index: old.Version().Index + 1}, &c))
 		return
@@ -228,12 +228,12 @@
 	for ; w.have[i] < len(w.commands); w.have[i]++ {
 		c := w.commands[w.have[i]]
 		w.dirs[i].Apply(c.at, &c.do)
-		for _, id := range w.dirs[i].Cells() {
+		for _, id := range w.dirs[i].CellIDs() {
 			if id > w.opened { // cells are numbered in the order of their opening
 				w.opened = id
 				w.cells = append(w.cells, &oneCell{
 					id: id, log: []*cells.Log{cells.NewLog(id, w.conf.Plant)}, records: map[int]*cellRecord{}, came: map[string]int64{},
-					books: [2]*cells.Grants{cells.NewGrants(cellLease, w.conf.Plant), cells.NewGrants(cellLease, w.conf.Plant)},
+					books: [2]*cells.LeaseTable{cells.NewLeaseTable(cellLease, w.conf.Plant), cells.NewLeaseTable(cellLease, w.conf.Plant)},
 				})
 			}
 		}
@@ -243,16 +243,16 @@
 // pull brings a relay what a node of the directory has. What is spoilt lacks a part.
 func (w *cellsWorld) pull(relay, dir int, spoil bool) bool {
 	r := w.relays[relay]
-	p := r.Pull()
-	d := w.dirs[dir].Delta(p.Region, p.Since, p.From, p.Whole, cellPage)
-	if spoil && len(d.Parts) > 0 {
-		i := w.random.IntN(len(d.Parts))
-		d.Parts = slices.Delete(slices.Clone(d.Parts), i, i+1)
+	p := r.NextRequest()
+	d := w.dirs[dir].Delta(p.Region, p.Since, p.From, p.Complete, cellPage)
+	if spoil && len(d.Records) > 0 {
+		i := w.random.IntN(len(d.Records))
+		d.Records = slices.Delete(slices.Clone(d.Records), i, i+1)
 	}
-	if d.Whole && r.Version() != (cells.Version{}) {
+	if d.Complete && r.Version() != (cells.Version{}) {
 		w.met.Wholes++
 	}
-	return r.Take(d)
+	return r.ApplyDelta(d)
 }
 
 // agree appends an entry to a cell's log.
@@ -264,29 +264,29 @@
 	before := c.now()
 	c.log = append(c.log, next)
 	c.applied[c.lead] = len(c.log) - 1
-	if e.Kind == cells.Leave || e.Kind == cells.Seal { // what counted for whom it lets go counts on
-		for name, d := range next.Left {
-			if f := len(c.fences); f > 0 && d != before.Left[name] && c.fences[f-1].number >= w.brought[name].number {
+	if e.Kind == cells.Depart || e.Kind == cells.Seal { // what counted for whom it lets go counts on
+		for name, d := range next.Departures {
+			if f := len(c.fences); f > 0 && d != before.Departures[name] && c.fences[f-1].number >= w.brought[name].number {
 				w.brought[name] = c.fences[f-1]
 			}
 		}
 	}
-	if f := next.Heard.Global.Fence; f > before.Heard.Global.Fence {
+	if f := next.LastUpdate.Global.Fence; f > before.LastUpdate.Global.Fence {
 		c.fences = append(c.fences, fenceAt{f, w.now})
 		w.met.Fences++
 	}
-	for name := range next.Left {
-		if next.Left[name] != before.Left[name] {
+	for name := range next.Departures {
+		if next.Departures[name] != before.Departures[name] {
 			c.came[name] = w.now
 		}
 	}
 	switch e.Kind {
 	case cells.Seal:
 		w.met.Seals++
-	case cells.Drop:
+	case cells.ForgetDeparture:
 		w.met.Drops++
 	}
-	if (e.Kind == cells.Join || e.Kind == cells.Expect) && e.Came != nil {
+	if (e.Kind == cells.Join || e.Kind == cells.ExpectMember) && e.Certificate != nil {
 		w.met.Moves++
 		c.came[e.Member.Name] = w.now
 	}
@@ -296,17 +296,17 @@
 
 func entryText(e *cells.Entry) string {
 	switch e.Kind {
-	case cells.Hear:
-		return fmt.Sprintf("word %v of the directory", e.Told.Version)
+	case cells.UpdateDirectory:
+		return fmt.Sprintf("word %v of the directory", e.Update.Version)
 	case cells.Join:
 		return fmt.Sprintf("join %s#%d", e.Member.Name, e.Member.Incarnation)
-	case cells.Out:
+	case cells.Evict:
 		return fmt.Sprintf("out %s#%d", e.Member.Name, e.Member.Incarnation)
-	case cells.Leave:
+	case cells.Depart:
 		return "leave " + e.Member.Name
 	case cells.Seal:
 		return "seal"
-	case cells.Expect:
+	case cells.ExpectMember:
 		return "a place for " + e.Member.Name
 	}
 	return "drop " + e.Member.Name
@@ -317,11 +317,11 @@
 		return false
 	}
 	r := w.relays[relay]
-	t := r.Tell(c.id, c.now().Heard.Version, false)
-	if t == nil && w.conf.Plant == cells.OlderTaken || t != nil && !c.now().Fits(t) {
-		t = r.Tell(c.id, c.now().Heard.Version, true)
+	t := r.UpdateFor(c.id, c.now().LastUpdate.Version, false)
+	if t == nil && w.conf.Plant == cells.StaleUpdateAccepted || t != nil && !c.now().Matches(t) {
+		t = r.UpdateFor(c.id, c.now().LastUpdate.Version, true)
 	}
-	return t != nil && w.agree(c, cells.Entry{Kind: cells.Hear, Told: t})
+	return t != nil && w.agree(c, cells.Entry{Kind: cells.UpdateDirectory, Update: t})
 }
 
 // report has a cell tell the directory how far it is.
@@ -330,17 +330,17 @@
 		return
 	}
 	l, d := c.now(), w.dirs[w.lead]
-	p := d.Part(c.id)
+	p := d.Record(c.id)
 	if p == nil {
 		return
 	}
-	if l.Sealed && !p.Sealed && len(p.Into) > 0 {
+	if l.Sealed && !p.Sealed && len(p.Successors) > 0 {
 		w.propose(cells.Command{Kind: cells.Sealed, Cell: c.id, Epoch: l.Epoch})
 		w.say("cell %d reports its seal", c.id)
 	}
-	for _, s := range p.Seats {
-		if s.To == cells.Nowhere && !s.Gone && l.Left[s.Name].Move == s.ToMove {
-			w.propose(cells.Command{Kind: cells.Gone, Names: []string{s.Name}, Number: s.ToMove})
+	for _, s := range p.Slots {
+		if s.To == cells.RemovedID && !s.Removed && l.Departures[s.Name].MoveIndex == s.ToMoveIndex {
+			w.propose(cells.Command{Kind: cells.Removed, Names: []string{s.Name}, Number: s.ToMoveIndex})
 			w.gone[s.Name] = w.now
 			w.say("cell %d reports that %s is gone", c.id, s.Name)
 			continue
@@ -348,16 +348,16 @@
 		if s.From == 0 {
 			continue
 		}
-		if l.Arrived[s.Name] == s.Move {
-			w.propose(cells.Command{Kind: cells.Arrived, Cell: c.id, Names: []string{s.Name}, Number: s.Move})
+		if l.ArrivedMoves[s.Name] == s.MoveIndex {
+			w.propose(cells.Command{Kind: cells.Arrived, Cell: c.id, Names: []string{s.Name}, Number: s.MoveIndex})
 			w.say("cell %d reports that %s has arrived", c.id, s.Name)
 			continue
 		}
-		o := d.Part(s.From)
-		if o == nil || o.Seat(s.Name) == nil || o.Seat(s.Name).To != 0 || l.Heard.Version.Index < s.Move {
+		o := d.Record(s.From)
+		if o == nil || o.Slot(s.Name) == nil || o.Slot(s.Name).To != 0 || l.LastUpdate.Version.Index < s.MoveIndex {
 			continue
 		}
-		w.propose(cells.Command{Kind: cells.Ready, Cell: c.id, At: l.Heard.Version})
+		w.propose(cells.Command{Kind: cells.Ready, Cell: c.id, At: l.LastUpdate.Version})
 		w.say("cell %d is ready for %s", c.id, s.Name)
 	}
 }
@@ -371,11 +371,11 @@
 		return
 	}
 	l := c.now()
-	if l.Lives(p.node.Me) {
+	if l.IsMember(p.node.Me) {
 		p.view = len(c.log) - 1
 		return
 	}
-	if slices.Contains(l.Gone[p.name], p.node.Me.Incarnation) {
+	if slices.Contains(l.Evicted[p.name], p.node.Me.Incarnation) {
 		w.ids++
 		if cert := l.Certificate(p.name); cert != nil && p.node.Depart(cert, w.ids) {
 			p.view = 0
@@ -384,9 +384,9 @@
 		}
 		p.node.Rejoin(w.ids)
 	}
-	if l.May(p.node.Me, p.node.Came) {
-		if w.agree(c, cells.Entry{Kind: cells.Join, Member: p.node.Me, Came: p.node.Came}) {
-			p.view, p.node.Came = len(c.log)-1, nil
+	if l.MayJoin(p.node.Me, p.node.Certificate) {
+		if w.agree(c, cells.Entry{Kind: cells.Join, Member: p.node.Me, Certificate: p.node.Certificate}) {
+			p.view, p.node.Certificate = len(c.log)-1, nil
 		}
 		return
 	}
@@ -398,22 +398,22 @@
 		}
 		return
 	}
-	if s := l.Heard.Part.Seat(p.name); s != nil && s.From != 0 && p.node.Came == nil { // it asks there for its certificate
+	if s := l.LastUpdate.Record.Slot(p.name); s != nil && s.From != 0 && p.node.Certificate == nil { // it asks there for its certificate
 		if o := w.cell(s.From); o != nil && !o.cut && !c.cut {
-			if cert := o.now().Certificate(p.name); cert != nil && cert.Move == s.Move {
-				p.node.Came = cert
+			if cert := o.now().Certificate(p.name); cert != nil && cert.MoveIndex == s.MoveIndex {
+				p.node.Certificate = cert
 			}
 		}
 		return
 	}
-	if s := l.Heard.Part.Seat(p.name); s == nil && !c.cut {
+	if s := l.LastUpdate.Record.Slot(p.name); s == nil && !c.cut {
 		w.reassign(p, c.id)
 	}
 }
 
 // reassign has a process ask a relay for its cell.
 func (w *cellsWorld) reassign(p *cellProc, but cells.ID) {
-	if id := w.relays[w.random.IntN(2)].Assigned(p.name); id != 0 && id != but && w.cell(id) != nil {
+	if id := w.relays[w.random.IntN(2)].AssignedCell(p.name); id != 0 && id != but && w.cell(id) != nil {
 		w.ids++
 		p.node.Reassign(id, w.ids)
 		p.view = 0
@@ -440,7 +440,7 @@
 	if leader < 0 {
 		leader = c.lead
 	}
-	w.asks = append(w.asks, cellAsk{proc: n, ask: p.node.Ask(w.now, uint64(p.view)), leader: leader, index: -1})
+	w.asks = append(w.asks, cellAsk{proc: n, ask: p.node.LeaseRequest(w.now, uint64(p.view)), leader: leader, index: -1})
 	return true
 }
 
@@ -460,7 +460,7 @@
 	if c.applied[a.leader] < a.index {
 		c.applied[a.leader] = a.index
 	}
-	a.granted = c.books[a.leader].Grant(w.now, c.log[c.applied[a.leader]], a.ask.Member, a.ask.Acts)
+	a.granted = c.books[a.leader].Grant(w.now, c.log[c.applied[a.leader]], a.ask.Member, a.ask.ActiveSettings)
 }
 
 // come brings an ask's answer, if there is one: the ask is over.
@@ -469,13 +469,13 @@
 	w.asks = slices.Delete(w.asks, i, i+1)
 	p := w.procs[a.proc]
 	if a.granted && p.up {
-		p.node.Granted(cells.Grant{Cell: a.ask.Cell, Member: a.ask.Member, Sent: a.ask.Sent}, cellLease)
+		p.node.HandleGrant(cells.LeaseGrant{Cell: a.ask.Cell, Member: a.ask.Member, RequestSentMicros: a.ask.SentMicros}, cellLease)
 	}
 }
 
 // due has a leader agree on what is due by its book.
 func (w *cellsWorld) due(c *oneCell) (did bool) {
-	for _, e := range c.books[c.lead].Due(w.now, c.log[c.applied[c.lead]]) {
+	for _, e := range c.books[c.lead].DueEntries(w.now, c.log[c.applied[c.lead]]) {
 		did = w.agree(c, e) || did
 	}
 	return did
@@ -483,9 +483,9 @@
 
 // place has a cell give a place to a name whose process does not come, by the certificate of the cell before.
 func (w *cellsWorld) place(c *oneCell) {
-	for _, s := range c.now().Heard.Part.Seats {
+	for _, s := range c.now().LastUpdate.Record.Slots {
 		if o := w.cell(s.From); s.From != 0 && o != nil && !o.cut && !c.cut {
-			w.agree(c, cells.Entry{Kind: cells.Expect, Member: takeover.Member{Name: s.Name}, Came: o.now().Certificate(s.Name)})
+			w.agree(c, cells.Entry{Kind: cells.ExpectMember, Member: takeover.Member{Name: s.Name}, Certificate: o.now().Certificate(s.Name)})
 		}
 	}
 }
@@ -494,7 +494,7 @@
 func (w *cellsWorld) drop(c *oneCell) {
 	for _, name := range []string{"a", "b", "c", "d"} {
 		if at, ok := c.came[name]; ok && w.now-at >= cellKeep {
-			if w.agree(c, cells.Entry{Kind: cells.Drop, Member: takeover.Member{Name: name}}) && c.now().Left[name].Move == 0 {
+			if w.agree(c, cells.Entry{Kind: cells.ForgetDeparture, Member: takeover.Member{Name: name}}) && c.now().Departures[name].MoveIndex == 0 {
 				delete(c.came, name)
 			}
 		}
@@ -510,20 +510,20 @@
 			delete(w.gone, name)
 		}
 	}
-	for _, id := range d.Cells() {
-		p, c := d.Part(id), w.cell(id)
+	for _, id := range d.CellIDs() {
+		p, c := d.Record(id), w.cell(id)
 		if c == nil {
 			continue
 		}
-		if p.Sealed && len(p.Seats) == 0 && w.now-c.lastCame() >= cellKeep {
+		if p.Sealed && len(p.Slots) == 0 && w.now-c.lastCame() >= cellKeep {
 			w.met.Forgotten++
 			w.propose(cells.Command{Kind: cells.Forget, Cell: id})
 			w.cells = slices.DeleteFunc(w.cells, func(o *oneCell) bool { return o.id == id })
 			w.say("cell %d is forgotten", id)
 			continue
 		}
-		for _, s := range p.Seats {
-			if at := c.came[s.Name]; len(s.Was) > 0 && s.From == 0 && s.To == 0 && w.now-at >= cellKeep && len(c.now().Came[s.Name]) == 0 {
+		for _, s := range p.Slots {
+			if at := c.came[s.Name]; len(s.FormerCells) > 0 && s.From == 0 && s.To == 0 && w.now-at >= cellKeep && len(c.now().FormerCells[s.Name]) == 0 {
 				w.propose(cells.Command{Kind: cells.Forget, Names: []string{s.Name}})
 			}
 		}
@@ -540,9 +540,9 @@
 // learn has a process hear its cell's log, and act on the settings that it names.
 func (w *cellsWorld) learn(n int) {
 	p := w.procs[n]
-	if c := w.cell(p.node.Cell); c != nil && c.now().Lives(p.node.Me) {
+	if c := w.cell(p.node.Cell); c != nil && c.now().IsMember(p.node.Me) {
 		p.view = len(c.log) - 1
-		p.node.Adopt(c.now().Heard.Global.Settings)
+		p.node.Adopt(c.now().LastUpdate.Global.Settings)
 	}
 }
 
@@ -553,17 +553,17 @@
 	p.inbox = p.inbox[1:]
 	c := w.cell(p.node.Cell)
 	q := w.requests[r]
-	if c == nil || !p.node.Valid(w.now) || !c.now().Lives(p.node.Me) || q.over || w.late(q) {
+	if c == nil || !p.node.LeaseValid(w.now) || !c.now().IsMember(p.node.Me) || q.over || w.late(q) {
 		return // no leave, no word: its client asks another
 	}
 	w.say("%s reads r%d", p.name, r)
-	if len(c.now().Came[p.name]) > 0 && w.conf.Plant != cells.FirstUnasked {
+	if len(c.now().FormerCells[p.name]) > 0 && w.conf.Plant != cells.FirstAttemptUnchecked {
 		// Its client may have asked the cell before: guards against a run here of what was begun there.
 		p.asked = append(p.asked, &inquiry{request: r})
 		return
 	}
 	if c.records[r] != nil { // the first write meets a record: it asks, as any other
-		p.asked = append(p.asked, &inquiry{request: r, way: cells.Here(p.name, c.id)})
+		p.asked = append(p.asked, &inquiry{request: r, way: cells.NewLocalLookup(p.name, c.id)})
 		return
 	}
 	w.begin(c, p, r)
@@ -582,7 +582,7 @@
 // taker is a member of a cell that may act: the one that asks, if it is one.
 func (w *cellsWorld) taker(c *oneCell, asks *cellProc) *cellProc {
 	fit := func(p *cellProc) bool {
-		return p.up && p.node.Cell == c.id && c.now().Lives(p.node.Me) && p.node.Valid(w.now)
+		return p.up && p.node.Cell == c.id && c.now().IsMember(p.node.Me) && p.node.LeaseValid(w.now)
 	}
 	if fit(asks) {
 		return asks
@@ -605,7 +605,7 @@
 	q := w.requests[i.request]
 	end := func() { p.asked = slices.DeleteFunc(p.asked, func(o *inquiry) bool { return o == i }) }
 	home := w.cell(p.node.Cell)
-	if q.over || w.late(q) || home == nil || !home.now().Lives(p.node.Me) {
+	if q.over || w.late(q) || home == nil || !home.now().IsMember(p.node.Me) {
 		end()
 		return
 	}
@@ -622,16 +622,16 @@
 		w.tell(i.request, 0)
 	}
 	if i.way == nil {
-		i.way = cells.NewInquiry(q.former, home.id)
-		if _, ok := home.log[p.view].Start(q.former); !ok {
+		i.way = cells.NewLookup(q.former, home.id)
+		if _, ok := home.log[p.view].LookupStart(q.former); !ok {
 			p.view = len(home.log) - 1
-			if _, ok := home.now().Start(q.former); !ok && !home.cut {
-				i.way.At = w.relays[w.random.IntN(2)].Find(q.former)
+			if _, ok := home.now().LookupStart(q.former); !ok && !home.cut {
+				i.way.At = w.relays[w.random.IntN(2)].CurrentCell(q.former)
 			}
 		}
 	}
 	c := w.cell(i.way.At)
-	if c == nil && i.way.Forgotten() == cells.Onward {
+	if c == nil && i.way.CellForgotten() == cells.Forward {
 		return
 	}
 	if i.hops++; c == nil || i.hops > 40 || c != home && (c.cut || home.cut) {
@@ -639,8 +639,8 @@
 		return
 	}
 	l := c.now()
-	switch i.way.Seek(l) {
-	case cells.Onward:
+	switch i.way.Next(l) {
+	case cells.Forward:
 		return
 	case cells.Unknown:
 		unknown()
@@ -649,7 +649,7 @@
 	rec := c.records[i.request]
 	switch {
 	case rec != nil && rec.to != 0:
-		i.way, i.with = cells.Here(q.former, rec.to), rec.with
+		i.way, i.with = cells.NewLocalLookup(q.former, rec.to), rec.with
 	case rec != nil && rec.answer != 0:
 		end()
 		w.tell(i.request, rec.answer)
@@ -659,21 +659,21 @@
 	case rec != nil && l.Sealed:
 		w.met.HandedOn++
 		rec.with = &cellRecord{owner: rec.owner}
-		rec.to = l.Heir(rec.owner.Name)
+		rec.to = l.Successor(rec.owner.Name)
 		w.say("r%d of %s goes from %d to %d", i.request, rec.owner.Name, c.id, rec.to)
-	case rec != nil && l.Lives(rec.owner):
+	case rec != nil && l.IsMember(rec.owner):
 		i.hops-- // it waits for the living owner
 	case rec == nil && l.Sealed && i.with != nil:
-		c.records[i.request] = &cellRecord{to: l.Heir(i.with.owner.Name), with: i.with}
+		c.records[i.request] = &cellRecord{to: l.Successor(i.with.owner.Name), with: i.with}
 	case rec == nil && i.with == nil:
-		switch to, give := i.way.Nothing(l); {
+		switch to, give := i.way.NotFound(l); {
 		case to == cells.Unknown:
 			unknown()
-		case to == cells.Onward && give:
+		case to == cells.Forward && give:
 			w.met.Given++
 			c.records[i.request] = &cellRecord{to: i.way.At}
 			w.say("r%d was never begun in %d: it is %d's", i.request, c.id, i.way.At)
-		case to == cells.Look:
+		case to == cells.SearchHere:
 			w.takes(c, p, i)
 		}
 	default:
@@ -707,8 +707,8 @@
 	if at, ok := w.placed[q.former]; ok && at >= q.asked {
 		return true
 	}
-	p := d.Part(d.Where(q.former))
-	return p == nil || p.Seat(q.former).Gone
+	p := d.Record(d.CellOf(q.former))
+	return p == nil || p.Slot(q.former).Removed
 }
 
 // tell gives a client its answer: that of a run, or 0: it may have run.
@@ -742,7 +742,7 @@
 			drop()
 			return
 		}
-		if o.cell != 0 && !p.node.Valid(w.now) {
+		if o.cell != 0 && !p.node.LeaseValid(w.now) {
 			return // its lease may come again
 		}
 		o.checked = true
@@ -758,7 +758,7 @@
 		}
 	default:
 		c := w.cell(o.cell)
-		if o.cell != 0 && o.as == p.node.Me && c != nil && !p.node.Valid(w.now) {
+		if o.cell != 0 && o.as == p.node.Me && c != nil && !p.node.LeaseValid(w.now) {
 			return
 		}
 		drop()
@@ -767,7 +767,7 @@
 		}
 		if c != nil {
 			rec := c.records[o.request]
-			if rec == nil || rec.owner != o.as || rec.to != 0 || rec.failed || !c.now().Lives(o.as) {
+			if rec == nil || rec.owner != o.as || rec.to != 0 || rec.failed || !c.now().IsMember(o.as) {
 				return
 			}
 			rec.answer = o.run
@@ -778,13 +778,13 @@
 
 // acts looks whether a member that may act does so below its cell's fence, later than a lease after that was agreed.
 func (w *cellsWorld) acts(p *cellProc) {
-	if f := w.brought[p.name]; f.number > p.node.Acts && w.now >= f.at+cellLease {
-		w.breaks("%s may act on %d at %d, a cell that it has left agreed on fence %d at %d", p.name, p.node.Acts, w.now, f.number, f.at)
+	if f := w.brought[p.name]; f.number > p.node.ActiveSettings && w.now >= f.at+cellLease {
+		w.breaks("%s may act on %d at %d, a cell that it has left agreed on fence %d at %d", p.name, p.node.ActiveSettings, w.now, f.number, f.at)
 	}
 	for _, c := range w.cells {
 		for _, f := range c.fences {
-			if c.id == p.node.Cell && f.number > p.node.Acts && w.now >= f.at+cellLease {
-				w.breaks("%s may act on %d at %d, its cell agreed on fence %d at %d", p.name, p.node.Acts, w.now, f.number, f.at)
+			if c.id == p.node.Cell && f.number > p.node.ActiveSettings && w.now >= f.at+cellLease {
+				w.breaks("%s may act on %d at %d, its cell agreed on fence %d at %d", p.name, p.node.ActiveSettings, w.now, f.number, f.at)
 			}
 		}
 	}
@@ -793,15 +793,15 @@
 // owners looks whether anybody may act that its cell has put out, or a name in two cells.
 func (w *cellsWorld) owners() {
 	for i, p := range w.procs {
-		if !p.up || !p.node.Valid(w.now) {
+		if !p.up || !p.node.LeaseValid(w.now) {
 			continue
 		}
 		w.acts(p)
-		if c := w.cell(p.node.Cell); c == nil || !c.now().Lives(p.node.Me) {
+		if c := w.cell(p.node.Cell); c == nil || !c.now().IsMember(p.node.Me) {
 			w.breaks("%s#%d may act, and its cell %d says that it is out", p.name, p.node.Me.Incarnation, p.node.Cell)
 		}
 		for _, o := range w.procs[:i] {
-			if o.up && o.name == p.name && o.node.Cell != p.node.Cell && o.node.Valid(w.now) {
+			if o.up && o.name == p.name && o.node.Cell != p.node.Cell && o.node.LeaseValid(w.now) {
 				w.breaks("%s may act in cells %d and %d", p.name, o.node.Cell, p.node.Cell)
 			}
 		}
@@ -926,7 +926,7 @@
 func (w *cellsWorld) again(n, r int) {
 	p, q := w.procs[n], w.requests[r]
 	c := w.cell(p.node.Cell)
-	if c == nil || !c.now().Lives(p.node.Me) || slices.ContainsFunc(p.asked, func(i *inquiry) bool { return i.request == r }) {
+	if c == nil || !c.now().IsMember(p.node.Me) || slices.ContainsFunc(p.asked, func(i *inquiry) bool { return i.request == r }) {
 		return
 	}
 	q.asks++
@@ -1001,7 +1001,7 @@
 
 func (w *cellsWorld) turn(c *oneCell) {
 	c.lead = 1 - c.lead
-	c.books[c.lead] = cells.NewGrants(cellLease, w.conf.Plant)
+	c.books[c.lead] = cells.NewLeaseTable(cellLease, w.conf.Plant)
 }
 
 func (w *cellsWorld) kill(n int) {
@@ -1015,7 +1015,7 @@
 // started is another process of a name: it knows what a relay tells.
 func (w *cellsWorld) started(p *cellProc) *cellProc {
 	next := w.process(p.name, p.node.Cell)
-	if id := w.relays[w.random.IntN(2)].Assigned(p.name); id != 0 && w.cell(id) != nil {
+	if id := w.relays[w.random.IntN(2)].AssignedCell(p.name); id != 0 && w.cell(id) != nil {
 		next.node.Cell = id
 	}
 	return next
@@ -1025,8 +1025,8 @@
 func (w *cellsWorld) command() {
 	d := w.dirs[w.lead]
 	var open []cells.ID
-	for _, id := range d.Cells() {
-		if p := d.Part(id); !p.Sealed && len(p.Pending)+len(p.Into) == 0 {
+	for _, id := range d.CellIDs() {
+		if p := d.Record(id); !p.Sealed && len(p.PendingSuccessors)+len(p.Successors) == 0 {
 			open = append(open, id)
 		}
 	}
@@ -1034,7 +1034,7 @@
 		return
 	}
 	one := open[w.random.IntN(len(open))]
-	seats := d.Part(one).Seats
+	seats := d.Record(one).Slots
 	c := cells.Command{}
 	switch w.random.IntN(10) {
 	case 8:
@@ -1058,9 +1058,9 @@
 	case 5:
 		c = cells.Command{Kind: cells.Merge, Cells: []cells.ID{one, open[w.random.IntN(len(open))]}}
 	case 6:
-		c = cells.Command{Kind: cells.Target, Number: d.Global().Settings + 1}
+		c = cells.Command{Kind: cells.SetTarget, Number: d.Global().Settings + 1}
 	default:
-		c = cells.Command{Kind: cells.Fence, Number: d.Global().Settings}
+		c = cells.Command{Kind: cells.SetFence, Number: d.Global().Settings}
 	}
 	w.say("command %d: cell %d %v %v to %d", c.Kind, c.Cell, c.Cells, c.Names, c.Number)
 	w.propose(c)
@@ -1069,10 +1069,10 @@
 // assign gives a name that has no place one in a cell.
 func (w *cellsWorld) assign(id cells.ID) {
 	for _, name := range []string{"a", "b", "c", "d"} {
-		if w.dirs[w.lead].Where(name) == 0 {
+		if w.dirs[w.lead].CellOf(name) == 0 {
 			w.say("%s is assigned to cell %d", name, id)
 			w.placed[name] = w.now
-			w.propose(cells.Command{Kind: cells.Assign, Cell: id, Seats: []cells.Seat{{Name: name, Zone: name}}})
+			w.propose(cells.Command{Kind: cells.Assign, Cell: id, Slots: []cells.MemberSlot{{Name: name, Zone: name}}})
 			return
 		}
 	}
@@ -1115,8 +1115,8 @@
 		w.round()
 		w.forget()
 		if d := w.dirs[w.lead]; len(w.gone) == 0 { // what was removed comes back
-			for _, id := range d.Cells() {
-				if p := d.Part(id); !p.Sealed && len(p.Pending)+len(p.Into) == 0 {
+			for _, id := range d.CellIDs() {
+				if p := d.Record(id); !p.Sealed && len(p.PendingSuccessors)+len(p.Successors) == 0 {
 					w.assign(id)
 				}
 			}
@@ -1173,22 +1173,22 @@
 	d := w.dirs[w.lead]
 	for _, p := range w.procs {
 		switch {
-		case !p.up || p.node.Cell != d.Where(p.name):
-			return fmt.Sprintf("%s is in cell %d, the directory has it in %d", p.name, p.node.Cell, d.Where(p.name))
-		case !p.node.Valid(w.now):
+		case !p.up || p.node.Cell != d.CellOf(p.name):
+			return fmt.Sprintf("%s is in cell %d, the directory has it in %d", p.name, p.node.Cell, d.CellOf(p.name))
+		case !p.node.LeaseValid(w.now):
 			return fmt.Sprintf("%s has no lease in cell %d", p.name, p.node.Cell)
-		case p.node.Acts != d.Global().Settings:
-			return fmt.Sprintf("%s acts on %d, the newest is %d", p.name, p.node.Acts, d.Global().Settings)
+		case p.node.ActiveSettings != d.Global().Settings:
+			return fmt.Sprintf("%s acts on %d, the newest is %d", p.name, p.node.ActiveSettings, d.Global().Settings)
 		}
 	}
-	for _, id := range d.Cells() {
-		p, c := d.Part(id), w.cell(id)
+	for _, id := range d.CellIDs() {
+		p, c := d.Record(id), w.cell(id)
 		switch {
 		case p.Sealed || c == nil:
-		case len(p.Pending)+len(p.Into) > 0:
+		case len(p.PendingSuccessors)+len(p.Successors) > 0:
 			return fmt.Sprintf("cell %d is not sealed", id)
-		case c.now().Heard.Part.Changed != p.Changed || c.now().Heard.Global != d.Global():
-			return fmt.Sprintf("cell %d has heard %v, its part was changed at %v", id, c.now().Heard.Version, p.Changed)
+		case c.now().LastUpdate.Record.ChangedAt != p.ChangedAt || c.now().LastUpdate.Global != d.Global():
+			return fmt.Sprintf("cell %d has heard %v, its part was changed at %v", id, c.now().LastUpdate.Version, p.ChangedAt)
 		}
 	}
 	return ""
--- a/internal/lab/modelcheck/cells_test.go
+++ b/internal/lab/modelcheck/cells_test.go
@@ -28,17 +28,17 @@
 // Each planted fault is found, by the promise that it breaks. Guards against an explorer that can find nothing.
 func TestPlantedFaultsOfCellsAreFound(t *testing.T) {
 	for _, c := range []struct {
-		plant      cells.Plant
+		plant      cells.InjectedFault
 		name, want string
 	}{
-		{cells.EarlyLeave, "certified as departed while its lease may run", "says that it is out"},
-		{cells.SealGrants, "a cell that is sealed grants on", "says that it is out"},
-		{cells.ForwardDropped, "former cells forgotten", "runs twice"},
-		{cells.FirstUnasked, "a first ask after a move does not look back", "runs twice"},
-		{cells.OlderTaken, "the older word is taken", "agreed on fence"},
-		{cells.DigestUnread, "digests not compared", "after all was mended"},
-		{cells.TermUnread, "two directories assign", "after all was mended"},
-		{cells.CertUnread, "joined without a certificate", "may act in cells"},
+		{cells.EarlyDeparture, "certified as departed while its lease may run", "says that it is out"},
+		{cells.LeaseWhileSealing, "a cell that is sealed grants on", "says that it is out"},
+		{cells.FormerCellsDropped, "former cells forgotten", "runs twice"},
+		{cells.FirstAttemptUnchecked, "a first ask after a move does not look back", "runs twice"},
+		{cells.StaleUpdateAccepted, "the older word is taken", "agreed on fence"},
+		{cells.DigestIgnored, "digests not compared", "after all was mended"},
+		{cells.TermIgnored, "two directories assign", "after all was mended"},
+		{cells.CertificateIgnored, "joined without a certificate", "may act in cells"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/modelcheck/fence.go
+++ b/internal/lab/modelcheck/fence.go
@@ -114,9 +114,9 @@
 	if n := len(w.log); n < len(w.conf.Orders) {
 		add("agree", func(w *fenceWorld) {
 			p := w.plan(n)
-			o := &rollout.Order{Kind: w.conf.Orders[n], ID: uint64(n + 1), Who: "x", Number: p.Target}
+			o := &rollout.Command{Kind: w.conf.Orders[n], ID: uint64(n + 1), Author: "x", Number: p.Target}
 			if o.Kind == rollout.RollOut {
-				o.Text, o.Share = []byte{byte(n)}, rollout.Whole
+				o.Settings, o.Share = []byte{byte(n)}, rollout.FullShare
 			}
 			next, err := p.Apply(o, names, names)
 			if err != nil {
@@ -162,7 +162,7 @@
 	if m.seen < len(w.log) {
 		add("learns", func(w *fenceWorld) { w.members[i].seen++ })
 	}
-	if want := w.plan(m.seen).Wanted(fmt.Sprint("m", i)); want > m.acts {
+	if want := w.plan(m.seen).TargetFor(fmt.Sprint("m", i)); want > m.acts {
 		add("adopts", func(w *fenceWorld) { w.members[i].acts = want })
 	}
 	if w.starts < w.conf.Starts {
@@ -198,7 +198,7 @@
 	}
 	if a.index >= 0 && !a.granted && w.applied[a.leader] >= a.index || w.conf.Slip == StaleLog && !a.granted {
 		out = append(out, fenceStep{fmt.Sprintf("ask %d is answered", i), func(w *fenceWorld) {
-			if w.conf.Slip == FenceIgnored || w.plan(w.applied[a.leader]).May(fmt.Sprint("m", a.member), a.acts) {
+			if w.conf.Slip == FenceIgnored || w.plan(w.applied[a.leader]).MayLease(fmt.Sprint("m", a.member), a.acts) {
 				w.asks[i].granted = true
 				return
 			}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -162,14 +162,14 @@
 }
 
 // orders gives an order.
-func (s *session) orders(o rollout.Order) error {
+func (s *session) orders(o rollout.Command) error {
 	var id [8]byte
 	if _, err := rand.Read(id[:]); err != nil {
 		return err
 	}
-	o.ID, o.Who = binary.BigEndian.Uint64(id[:])>>1|1, s.line.Who
-	if u, err := user.Current(); o.Who == "" && err == nil {
-		o.Who = u.Username
+	o.ID, o.Author = binary.BigEndian.Uint64(id[:])>>1|1, s.line.Who
+	if u, err := user.Current(); o.Author == "" && err == nil {
+		o.Author = u.Username
 	}
 	if err := o.Check(); err != nil {
 		return fault{Misused, err}
@@ -214,8 +214,8 @@
 	if !(c.Share > 0 && c.Share <= 1) {
 		return misused("--share: %v is not within 0 to 1", c.Share)
 	}
-	return s.orders(rollout.Order{
-		Kind: rollout.RollOut, Text: text, Share: max(1, int(c.Share*rollout.Whole)), SettleMs: c.Settle.Milliseconds(), GraceMs: c.Grace.Milliseconds(), Why: c.Why,
+	return s.orders(rollout.Command{
+		Kind: rollout.RollOut, Settings: text, Share: max(1, int(c.Share*rollout.FullShare)), SettleMs: c.Settle.Milliseconds(), GraceMs: c.Grace.Milliseconds(), Reason: c.Why,
 	})
 }
 
@@ -224,7 +224,7 @@
 }
 
 func (c *holdCmd) Run(s *session) error {
-	return s.orders(rollout.Order{Kind: rollout.Hold, Why: c.Why})
+	return s.orders(rollout.Command{Kind: rollout.Pause, Reason: c.Why})
 }
 
 type backCmd struct {
@@ -234,7 +234,7 @@
 }
 
 func (c *backCmd) Run(s *session) error {
-	return s.orders(rollout.Order{Kind: rollout.Back, Number: c.Number, GraceMs: c.Grace.Milliseconds(), Why: c.Why})
+	return s.orders(rollout.Command{Kind: rollout.Rollback, Number: c.Number, GraceMs: c.Grace.Milliseconds(), Reason: c.Why})
 }
 
 type outCmd struct {
@@ -243,7 +243,7 @@
 }
 
 func (c *outCmd) Run(s *session) error {
-	return s.orders(rollout.Order{Kind: rollout.BarName, Name: c.Name, Why: c.Why})
+	return s.orders(rollout.Command{Kind: rollout.Exclude, Name: c.Name, Reason: c.Why})
 }
 
 type readmitCmd struct {
@@ -252,5 +252,5 @@
 }
 
 func (c *readmitCmd) Run(s *session) error {
-	return s.orders(rollout.Order{Kind: rollout.Readmit, Name: c.Name, Why: c.Why})
+	return s.orders(rollout.Command{Kind: rollout.Readmit, Name: c.Name, Reason: c.Why})
 }
--- a/internal/operator/tell.go
+++ b/internal/operator/tell.go
@@ -30,16 +30,16 @@
 	}
 	p := &st.Plan
 	fmt.Fprintf(s.out, "as of %s (leads: %t), epoch %d, leader %s\n", st.Name, st.Leads, st.Epoch, st.Leader)
-	fmt.Fprintf(s.out, "target %d for %.1f%% of the members, others on %d; fence %d; barred %v\n", p.Target, float64(p.Share)/10, p.Base, p.Fence, p.Barred)
-	if p.Held != "" {
-		fmt.Fprintf(s.out, "held: %s\n", p.Held)
+	fmt.Fprintf(s.out, "target %d for %.1f%% of the members, others on %d; fence %d; barred %v\n", p.Target, float64(p.Share)/10, p.Base, p.Fence, p.Excluded)
+	if p.PauseReason != "" {
+		fmt.Fprintf(s.out, "held: %s\n", p.PauseReason)
 	}
 	if st.Waits != "" {
 		fmt.Fprintf(s.out, "waits: %s\n", st.Waits)
 	}
 	versions := s.table("number", "digest", "bytes", "back to", "who", "why")
 	for _, v := range p.Versions {
-		versions.AppendRow(table.Row{v.Number, fmt.Sprintf("%x", v.Digest[:8]), v.Size, v.Back, v.Who, v.Why})
+		versions.AppendRow(table.Row{v.Number, fmt.Sprintf("%x", v.Digest[:8]), v.SizeBytes, v.RollbackOf, v.Author, v.Reason})
 	}
 	if len(p.Versions) > 0 {
 		versions.Render()
@@ -52,7 +52,7 @@
 				living++
 			}
 		}
-		want := p.Wanted(name)
+		want := p.TargetFor(name)
 		t, ok := st.Reports[name]
 		if !ok {
 			members.AppendRow(table.Row{name, living, "?", want, "?", "", "", "", "", "", "never"})
@@ -60,7 +60,7 @@
 		}
 		r := &t.Report
 		members.AppendRow(table.Row{
-			name, living, r.Acts, want, r.Acts < want, r.Refused, r.Why, r.Build, r.Now.Ended, r.Now.Served, (time.Duration(t.AgeMs) * time.Millisecond).String() + " ago",
+			name, living, r.Active, want, r.Active < want, r.Rejected, r.RejectReason, r.Build, r.Current.Answered, r.Current.Served, (time.Duration(t.AgeMs) * time.Millisecond).String() + " ago",
 		})
 	}
 	members.Render()
@@ -76,9 +76,9 @@
 
 // found is what an inquiry tells.
 type found struct {
-	Accounts []audit.Account         `json:"Accounts"`
-	Gaps     map[string][]audit.Span `json:"Gaps"`    // by member and incarnation
-	Unheard  map[string]string       `json:"Unheard"` // members that could not be asked, and why
+	Accounts []audit.Trail                 `json:"Accounts"`
+	Gaps     map[string][]audit.EventRange `json:"Gaps"`    // by member and incarnation
+	Unheard  map[string]string             `json:"Unheard"` // members that could not be asked, and why
 }
 
 func (c *auditCmd) Run(s *session) error {
@@ -100,13 +100,13 @@
 	}
 	q := audit.Query{ID: c.ID, Member: c.Member, Version: c.Version}
 	if c.Since > 0 {
-		q.Since = time.Now().Add(-c.Since).UnixMilli()
+		q.SinceUnixMillis = time.Now().Add(-c.Since).UnixMilli()
 	}
-	return s.told(codec.Assemble(fleet.ID(s.names()), all, &q), unheard, c.ID != "" || c.Version != nil)
+	return s.told(codec.AssembleTrails(fleet.ID(s.names()), all, &q), unheard, c.ID != "" || c.Version != nil)
 }
 
 // segments asks all members for what they hold, at the same time.
-func (s *session) segments(name string) (all []audit.Sealed, unheard map[string]string) {
+func (s *session) segments(name string) (all []audit.SealedSegment, unheard map[string]string) {
 	unheard = map[string]string{}
 	var mu sync.Mutex
 	var work sync.WaitGroup
@@ -130,12 +130,12 @@
 }
 
 // told tells accounts. chosen: of each only those that have acts that were asked for.
-func (s *session) told(accounts []audit.Account, unheard map[string]string, chosen bool) error {
-	f := found{Gaps: map[string][]audit.Span{}, Unheard: unheard}
+func (s *session) told(accounts []audit.Trail, unheard map[string]string, chosen bool) error {
+	f := found{Gaps: map[string][]audit.EventRange{}, Unheard: unheard}
 	faults := 0
 	for _, a := range accounts {
 		faults += len(a.Faults)
-		if chosen && len(a.Acts) == 0 && len(a.Faults) == 0 {
+		if chosen && len(a.Events) == 0 && len(a.Faults) == 0 {
 			continue
 		}
 		f.Accounts = append(f.Accounts, a)
@@ -170,19 +170,19 @@
 		fmt.Fprintf(s.out, "%s/%x: acts 1 to %d, %s; gaps %v\n", a.Member.Name, a.Member.Incarnation, a.Last, end, a.Gaps())
 		counts := s.table("settings", "digest", "list", "build", "took", "took over", "sent", "unsent", "served", "refused", "failed", "turned away", "doubled", "left")
 		for _, c := range a.Counts {
-			row := table.Row{c.Version.Settings, fmt.Sprintf("%016x", c.Version.Digest), c.Version.List, c.Version.Build}
-			for _, n := range c.Of {
+			row := table.Row{c.Version.Settings, fmt.Sprintf("%016x", c.Version.Digest), c.Version.ListSeq, c.Version.Build}
+			for _, n := range c.ByKind {
 				row = append(row, n)
 			}
 			counts.AppendRow(row)
 		}
 		counts.Render()
-		if len(a.Acts) == 0 {
+		if len(a.Events) == 0 {
 			continue
 		}
 		acts := s.table("act", "at", "what", "request", "", "settings", "list")
-		for _, act := range a.Acts {
-			acts.AppendRow(table.Row{act.N, time.Duration(act.At) * time.Microsecond, act.Kind, act.ID, act.Note, act.Version.Settings, act.Version.List})
+		for _, act := range a.Events {
+			acts.AppendRow(table.Row{act.Number, time.Duration(act.AtMicros) * time.Microsecond, act.Kind, act.ID, act.Note, act.Version.Settings, act.Version.ListSeq})
 		}
 		acts.Render()
 	}
@@ -213,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	var all []audit.Sealed
+	var all []audit.SealedSegment
 	cutOff := 0
 	for _, path := range files {
 		part, good, err := fleet.ReadSegments(path)
@@ -227,7 +227,7 @@
 		}
 		all = append(all, part...)
 	}
-	accounts := codec.Assemble(fleet.ID(s.names()), all, &audit.Query{ID: noID}) // whether all fits is what is asked
+	accounts := codec.AssembleTrails(fleet.ID(s.names()), all, &audit.Query{ID: noID}) // whether all fits is what is asked
 	if err := s.told(accounts, nil, false); err != nil {
 		return err
 	}
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -12,24 +12,24 @@
 
 // Messages have the bytes, and kinds the numbers and names, that commit 2029d41 gave them.
 func TestStoredBytes(t *testing.T) {
-	version := Version{Number: 4, Digest: Digest{1, 2, 3}, Size: 99, Who: "who", Why: "why", Back: 2}
+	version := Version{Number: 4, Digest: Digest{1, 2, 3}, SizeBytes: 99, Author: "who", Reason: "why", RollbackOf: 2}
 	messages := map[string]any{
 		"version": version,
-		"order": Order{
-			Kind: RollOut, ID: 5, Who: "who", Why: "why", Text: []byte("text"), Number: 6, Name: "n7", Share: 340, SettleMs: 1500, GraceMs: 2500,
+		"order": Command{
+			Kind: RollOut, ID: 5, Author: "who", Reason: "why", Settings: []byte("text"), Number: 6, Name: "n7", Share: 340, SettleMs: 1500, GraceMs: 2500,
 		},
 		"plan": Plan{
-			Last: 4, Target: 3, Fence: 2, Base: 1, Share: 340, First: []string{"n1", "n2"}, SettleMs: 1500, GraceMs: 2500, Held: "held",
-			Versions: []Version{version}, Barred: []string{"n3"}, Done: []uint64{8, 9},
+			LastNumber: 4, Target: 3, Fence: 2, Base: 1, Share: 340, Canaries: []string{"n1", "n2"}, SettleMs: 1500, GraceMs: 2500, PauseReason: "held",
+			Versions: []Version{version}, Excluded: []string{"n3"}, AppliedIDs: []uint64{8, 9},
 		},
 		"plan zero": Plan{},
 		"report": Report{
-			Acts: 3, Refused: 4, Why: "why", Digest: 5, Build: "build-7", Now: Service{Ended: 10, Served: 9}, Before: Service{Ended: 20, Served: 18},
+			Active: 3, Rejected: 4, RejectReason: "why", Digest: 5, Build: "build-7", Current: ServiceCounts{Answered: 10, Served: 9}, Previous: ServiceCounts{Answered: 20, Served: 18},
 		},
-		"service": Service{Ended: 10, Served: 9},
+		"service": ServiceCounts{Answered: 10, Served: 9},
 	}
 	for name, kind := range map[string]Kind{
-		"rollout": RollOut, "hold": Hold, "back": Back, "out": BarName, "readmit": Readmit, "widen": Widen, "fence": Fence, "choose": Choose,
+		"rollout": RollOut, "hold": Pause, "back": Rollback, "out": Exclude, "readmit": Readmit, "widen": Promote, "fence": Fence, "choose": ReselectCanaries,
 	} {
 		messages["kind "+name] = kind
 		if kind.String() != name {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -12,13 +12,13 @@
 
 var id uint64
 
-func order(k Kind, o Order) *Order {
+func order(k Kind, o Command) *Command {
 	id++
-	o.Kind, o.ID, o.Who = k, id, "me"
+	o.Kind, o.ID, o.Author = k, id, "me"
 	return &o
 }
 
-func applied(t *testing.T, p *Plan, all ...*Order) *Plan {
+func applied(t *testing.T, p *Plan, all ...*Command) *Plan {
 	t.Helper()
 	for _, o := range all {
 		next, err := p.Apply(o, names(10), names(10))
@@ -30,8 +30,8 @@
 	return p
 }
 
-func text(s string, share int) Order {
-	return Order{Text: []byte(s), Share: share, GraceMs: 1000, SettleMs: 500}
+func text(s string, share int) Command {
+	return Command{Settings: []byte(s), Share: share, GraceMs: 1000, SettleMs: 500}
 }
 
 func names(n int) (out []string) {
@@ -44,68 +44,68 @@
 // Orders give numbers once; who is outside the share stays; going back is a new number with old bytes.
 func TestOrders(t *testing.T) {
 	all := names(10)
-	first := order(RollOut, text("one", Whole))
+	first := order(RollOut, text("one", FullShare))
 	p := applied(t, &Plan{}, first, order(RollOut, text("two", 200)))
-	if n := p.First; len(n) != 2 || p.Wanted(n[0]) != 2 || p.Base != 1 {
+	if n := p.Canaries; len(n) != 2 || p.TargetFor(n[0]) != 2 || p.Base != 1 {
 		t.Fatalf("%v %+v", n, p)
 	}
-	if one, err := p.Apply(order(RollOut, text("three", 900)), all, all[:1]); err != nil || len(one.First) != 1 || one.First[0] != all[0] || one.Base != 1 {
+	if one, err := p.Apply(order(RollOut, text("three", 900)), all, all[:1]); err != nil || len(one.Canaries) != 1 || one.Canaries[0] != all[0] || one.Base != 1 {
 		t.Errorf("%+v %v", one, err)
 	}
 	adopt := 0
 	for _, n := range all {
-		if p.Wanted(n) == 2 {
+		if p.TargetFor(n) == 2 {
 			adopt++
 		}
 	}
 	if adopt != 2 {
 		t.Error(adopt)
 	}
-	if _, err := p.Apply(first, all, all); !errors.Is(err, ErrDone) {
+	if _, err := p.Apply(first, all, all); !errors.Is(err, ErrAlreadyApplied) {
 		t.Error(err)
 	}
-	held := applied(t, p, order(Hold, Order{Why: "wait"}))
-	for name, o := range map[string]*Order{
-		"widened while held": order(Widen, Order{Number: 2}), "fenced while held": order(Fence, Order{Number: 2}), "held twice": order(Hold, Order{}),
-		"of another target": order(Hold, Order{Number: 1}), "back to nothing": order(Back, Order{Number: 7}), "readmitted": order(Readmit, Order{Name: "x"}),
-		"nobody": {Kind: Hold, ID: 1e6}, "no id": {Kind: Hold, Who: "me"}, "unknown": order(99, Order{}), "no text": order(RollOut, Order{Share: 1}),
-		"no share": order(RollOut, text("x", 0)), "fenced before it is whole": order(Fence, Order{Number: 2}),
+	held := applied(t, p, order(Pause, Command{Reason: "wait"}))
+	for name, o := range map[string]*Command{
+		"widened while held": order(Promote, Command{Number: 2}), "fenced while held": order(Fence, Command{Number: 2}), "held twice": order(Pause, Command{}),
+		"of another target": order(Pause, Command{Number: 1}), "back to nothing": order(Rollback, Command{Number: 7}), "readmitted": order(Readmit, Command{Name: "x"}),
+		"nobody": {Kind: Pause, ID: 1e6}, "no id": {Kind: Pause, Author: "me"}, "unknown": order(99, Command{}), "no text": order(RollOut, Command{Share: 1}),
+		"no share": order(RollOut, text("x", 0)), "fenced before it is whole": order(Fence, Command{Number: 2}),
 	} {
 		if next, err := held.Apply(o, all, all); err == nil || next != held {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	back := applied(t, held, order(Back, Order{Number: 1}))
+	back := applied(t, held, order(Rollback, Command{Number: 1}))
 	v, _ := back.Find(3)
-	if back.Target != 3 || v.Back != 1 || v.Digest != DigestOf([]byte("one")) || back.Share != Whole || back.Held != "" {
+	if back.Target != 3 || v.RollbackOf != 1 || v.Digest != DigestOf([]byte("one")) || back.Share != FullShare || back.PauseReason != "" {
 		t.Errorf("%+v", back)
 	}
-	fenced := applied(t, back, order(Fence, Order{Number: 3}), order(BarName, Order{Name: "n4"}))
-	if fenced.May("n1", 2) || !fenced.May("n1", 3) || fenced.May("n4", 3) {
+	fenced := applied(t, back, order(Fence, Command{Number: 3}), order(Exclude, Command{Name: "n4"}))
+	if fenced.MayLease("n1", 2) || !fenced.MayLease("n1", 3) || fenced.MayLease("n4", 3) {
 		t.Errorf("%+v", fenced)
 	}
-	if open := applied(t, fenced, order(Readmit, Order{Name: "n4"})); !open.May("n4", 3) || open.Valid() != nil {
+	if open := applied(t, fenced, order(Readmit, Command{Name: "n4"})); !open.MayLease("n4", 3) || open.Validate() != nil {
 		t.Errorf("%+v", open)
 	}
 	for i := range 30 {
 		fenced = applied(t, fenced, order(RollOut, text(fmt.Sprint(i), 100)))
 	}
-	if len(fenced.Versions) != keptVersions || fenced.Wanted("nobody") != 3 || fenced.Valid() != nil {
+	if len(fenced.Versions) != keptVersions || fenced.TargetFor("nobody") != 3 || fenced.Validate() != nil {
 		t.Errorf("%+v", fenced)
 	}
-	if (&Plan{Last: 1, Target: 2}).Valid() == nil || (&Plan{Target: 1, Last: 1}).Valid() == nil {
+	if (&Plan{LastNumber: 1, Target: 2}).Validate() == nil || (&Plan{Target: 1, LastNumber: 1}).Validate() == nil {
 		t.Error("taken")
 	}
 }
 
 // heard has all names act on a version, with some exceptions.
-func heard(now time.Time, all []string, acts uint64, but map[string]Report) map[string]Heard {
-	out := map[string]Heard{}
+func heard(now time.Time, all []string, acts uint64, but map[string]Report) map[string]ReceivedReport {
+	out := map[string]ReceivedReport{}
 	for _, n := range all {
-		out[n] = Heard{Report{Acts: acts}, now}
+		out[n] = ReceivedReport{Report{Active: acts}, now}
 	}
 	for n, r := range but {
-		out[n] = Heard{r, now}
+		out[n] = ReceivedReport{r, now}
 	}
 	return out
 }
@@ -114,61 +114,61 @@
 func TestDriver(t *testing.T) {
 	all := names(9)
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
-	base := applied(t, &Plan{}, order(RollOut, text("one", Whole)))
+	base := applied(t, &Plan{}, order(RollOut, text("one", FullShare)))
 	canary := applied(t, base, order(RollOut, text("two", 300)))
-	cohort := canary.First
+	cohort := canary.Canaries
 	onTwo := map[string]Report{}
 	for _, n := range cohort {
-		onTwo[n] = Report{Acts: 2}
+		onTwo[n] = Report{Active: 2}
 	}
-	whole := applied(t, canary, order(Widen, Order{Number: 2}))
+	whole := applied(t, canary, order(Promote, Command{Number: 2}))
 	refuse := func(n int) map[string]Report {
 		out := map[string]Report{}
 		for _, name := range all[:n] {
-			out[name] = Report{Acts: 1, Refused: 2, Why: "Limits: odd"}
+			out[name] = Report{Active: 1, Rejected: 2, RejectReason: "Limits: odd"}
 		}
 		return out
 	}
 	falls := func(now uint64) map[string]Report {
-		return map[string]Report{all[0]: {Acts: 2, Now: Service{Ended: 100, Served: now}, Before: Service{Ended: 100, Served: 95}}}
+		return map[string]Report{all[0]: {Active: 2, Current: ServiceCounts{Answered: 100, Served: now}, Previous: ServiceCounts{Answered: 100, Served: 95}}}
 	}
-	guard := Guard{MostOut: 340} // 3 of 9
+	guard := Guard{MaxUnleasedPermille: 340} // 3 of 9
 	for name, c := range map[string]struct {
 		plan  *Plan
-		heard func(ms int) map[string]Heard
+		heard func(ms int) map[string]ReceivedReport
 		want  Kind // 0: none within 5 s
 		ms    int  // no sooner
 	}{
-		"not adopted yet":         {canary, func(ms int) map[string]Heard { return heard(at(ms), all, 1, nil) }, 0, 0},
-		"none of the first lives": {canary, func(ms int) map[string]Heard { return heard(at(ms), all, 1, nil) }, Choose, 0},
-		"settled":                 {canary, func(ms int) map[string]Heard { return heard(at(ms), all, 1, onTwo) }, Widen, 500},
-		"all act on it":           {whole, func(ms int) map[string]Heard { return heard(at(ms), all, 2, nil) }, Fence, 0},
-		"three behind": {whole, func(ms int) map[string]Heard {
-			return heard(at(ms), all, 2, map[string]Report{"n1": {Acts: 1}, "n2": {Acts: 1}, "n3": {Acts: 1}})
+		"not adopted yet":         {canary, func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 1, nil) }, 0, 0},
+		"none of the first lives": {canary, func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 1, nil) }, ReselectCanaries, 0},
+		"settled":                 {canary, func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 1, onTwo) }, Promote, 500},
+		"all act on it":           {whole, func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 2, nil) }, Fence, 0},
+		"three behind": {whole, func(ms int) map[string]ReceivedReport {
+			return heard(at(ms), all, 2, map[string]Report{"n1": {Active: 1}, "n2": {Active: 1}, "n3": {Active: 1}})
 		}, Fence, 1000},
-		"four behind": {whole, func(ms int) map[string]Heard {
-			return heard(at(ms), all, 2, map[string]Report{"n1": {Acts: 1}, "n2": {Acts: 1}, "n3": {Acts: 1}, "n4": {Acts: 1}})
+		"four behind": {whole, func(ms int) map[string]ReceivedReport {
+			return heard(at(ms), all, 2, map[string]Report{"n1": {Active: 1}, "n2": {Active: 1}, "n3": {Active: 1}, "n4": {Active: 1}})
 		}, 0, 0},
-		"all behind":      {whole, func(ms int) map[string]Heard { return heard(at(ms), all, 1, nil) }, 0, 0},
-		"nobody is heard": {whole, func(int) map[string]Heard { return nil }, 0, 0},
+		"all behind":      {whole, func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 1, nil) }, 0, 0},
+		"nobody is heard": {whole, func(int) map[string]ReceivedReport { return nil }, 0, 0},
 		"four barred": {func() *Plan {
 			p := *whole
-			p.Barred = all[:4]
+			p.Excluded = all[:4]
 			return &p
-		}(), func(ms int) map[string]Heard { return heard(at(ms), all, 2, nil) }, 0, 0},
-		"three refuse":         {whole, func(ms int) map[string]Heard { return heard(at(ms), all, 2, refuse(3)) }, Fence, 1000},
-		"four refuse":          {whole, func(ms int) map[string]Heard { return heard(at(ms), all, 2, refuse(4)) }, Hold, 0},
-		"the whole share does": {applied(t, base, order(RollOut, text("three", 1))), func(ms int) map[string]Heard { return heard(at(ms), all, 1, refuse(9)) }, Hold, 0},
-		"service falls":        {canary, func(ms int) map[string]Heard { return heard(at(ms), all, 1, falls(80)) }, Hold, 0},
-		"it hardly falls":      {whole, func(ms int) map[string]Heard { return heard(at(ms), all, 2, falls(90)) }, Fence, 0},
-		"held":                 {applied(t, whole, order(Hold, Order{})), func(ms int) map[string]Heard { return heard(at(ms), all, 2, nil) }, 0, 0},
+		}(), func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 2, nil) }, 0, 0},
+		"three refuse":         {whole, func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 2, refuse(3)) }, Fence, 1000},
+		"four refuse":          {whole, func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 2, refuse(4)) }, Pause, 0},
+		"the whole share does": {applied(t, base, order(RollOut, text("three", 1))), func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 1, refuse(9)) }, Pause, 0},
+		"service falls":        {canary, func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 1, falls(80)) }, Pause, 0},
+		"it hardly falls":      {whole, func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 2, falls(90)) }, Fence, 0},
+		"held":                 {applied(t, whole, order(Pause, Command{})), func(ms int) map[string]ReceivedReport { return heard(at(ms), all, 2, nil) }, 0, 0},
 	} {
 		living := all
-		if c.want == Choose {
-			living = slices.DeleteFunc(slices.Clone(all), func(n string) bool { return slices.Contains(c.plan.First, n) })
+		if c.want == ReselectCanaries {
+			living = slices.DeleteFunc(slices.Clone(all), func(n string) bool { return slices.Contains(c.plan.Canaries, n) })
 		}
-		d := &Driver{Guard: guard, Name: "n1"}
-		var o *Order
+		d := &Controller{Guard: guard, Leader: "n1"}
+		var o *Command
 		ms := 0
 		for ; ms <= 5000 && o == nil; ms += 10 {
 			o = d.Step(at(ms), c.plan, all, living, c.heard(ms))
@@ -185,14 +185,14 @@
 			}
 		}
 	}
-	d := &Driver{Guard: guard}
-	if err := d.MayBar("n1", whole, all, heard(at(0), all, 2, nil), at(0)); err != nil {
+	d := &Controller{Guard: guard}
+	if err := d.CheckExclude("n1", whole, all, heard(at(0), all, 2, nil), at(0)); err != nil {
 		t.Error(err)
 	}
-	if err := d.MayBar("n1", whole, all, heard(at(0), all[3:], 2, nil), at(0)); err != nil {
+	if err := d.CheckExclude("n1", whole, all, heard(at(0), all[3:], 2, nil), at(0)); err != nil {
 		t.Error(err) // n1 is one of the three that nobody can tell about
 	}
-	if err := d.MayBar("n9", whole, all, heard(at(0), all[3:], 2, nil), at(0)); err == nil {
+	if err := d.CheckExclude("n9", whole, all, heard(at(0), all[3:], 2, nil), at(0)); err == nil {
 		t.Error("a fourth may be shut out")
 	}
 }
@@ -203,26 +203,26 @@
 	rapid.Check(t, func(r *rapid.T) {
 		p := &Plan{}
 		for range rapid.IntRange(1, 40).Draw(r, "orders") {
-			o := order(rapid.SampledFrom([]Kind{RollOut, Hold, Back, BarName, Readmit, Widen, Fence, Choose}).Draw(r, "kind"), Order{
+			o := order(rapid.SampledFrom([]Kind{RollOut, Pause, Rollback, Exclude, Readmit, Promote, Fence, ReselectCanaries}).Draw(r, "kind"), Command{
 				Number: rapid.Uint64Range(0, 12).Draw(r, "number"), Name: rapid.SampledFrom(all).Draw(r, "name"),
 			})
 			if o.Kind == RollOut {
-				o.Text, o.Share = []byte{byte(o.ID)}, rapid.IntRange(1, Whole).Draw(r, "share")
+				o.Settings, o.Share = []byte{byte(o.ID)}, rapid.IntRange(1, FullShare).Draw(r, "share")
 			}
 			next, err := p.Apply(o, all, all)
 			if err != nil && next != p {
 				t.Fatal("an order with an error changed the plan")
 			}
-			if next.Valid() != nil || next.Fence < p.Fence || next.Last < p.Last || next.Target < p.Target || len(next.Done) > keptOrders {
+			if next.Validate() != nil || next.Fence < p.Fence || next.LastNumber < p.LastNumber || next.Target < p.Target || len(next.AppliedIDs) > keptOrders {
 				t.Fatalf("%+v after %+v by %+v", next, p, o)
 			}
 			for _, n := range all {
-				w := next.Wanted(n)
+				w := next.TargetFor(n)
 				if _, kept := next.Find(w); w > 0 && !kept || w < next.Fence {
 					t.Fatalf("%s wants %d of %+v", n, w, next)
 				}
 			}
-			if slices.Contains(next.Barred, "") {
+			if slices.Contains(next.Excluded, "") {
 				t.Fatal("a barred nobody")
 			}
 			p = next
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -25,8 +25,8 @@
 	Body        []byte
 	Stream      *upstream.Stream // with Served, where the body is not held; it must be closed
 	ContentType []byte
-	RetryAfter  time.Duration    // with Refused; 0: no advice
-	Under       auditevent.Stamp // the version that it was decided by, where an account is kept
+	RetryAfter  time.Duration              // with Refused; 0: no advice
+	Under       auditevent.ConfigVersionID // the version that it was decided by, where an account is kept
 }
 
 // Call is one request of the client, taken and owed one final answer.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -42,11 +42,11 @@
 	calls     map[string]*Call
 	foreign   map[string]bool // ids that another process of this sidecar has under way
 	peers     map[string]*peer
-	known     chan struct{}     // closed once any server is known
-	first     sync.Once         // closes it
-	ledger    auditevent.Ledger // nil: no account is kept
-	seq       int64             // of the list; -1: none yet
-	number    uint64            // of the settings in force, and their digest, where a fleet gives them
+	known     chan struct{}       // closed once any server is known
+	first     sync.Once           // closes it
+	ledger    auditevent.Recorder // nil: no account is kept
+	seq       int64               // of the list; -1: none yet
+	number    uint64              // of the settings in force, and their digest, where a fleet gives them
 	digest    uint64
 	stamp     atomic.Uint32 // of the version in force
 	ending    chan struct{} // closed by End
@@ -84,7 +84,7 @@
 }
 
 // Audit has an account kept of what this sidecar does. It must be called before Run.
-func (s *Sidecar) Audit(l auditevent.Ledger) {
+func (s *Sidecar) Audit(l auditevent.Recorder) {
 	if s.ledger, s.seq = l, -1; s.conf.Known != nil {
 		s.seq = s.conf.Known.Seq
 	}
@@ -95,17 +95,19 @@
 // restamp takes the version in force, on the actor.
 func (s *Sidecar) restamp() {
 	if s.ledger != nil {
-		s.stamp.Store(uint32(s.ledger.Under(s.number, s.digest, s.seq)))
+		s.stamp.Store(uint32(s.ledger.SetVersion(s.number, s.digest, s.seq)))
 	}
 }
 
 // Under is the version in force.
-func (s *Sidecar) Under() auditevent.Stamp { return auditevent.Stamp(s.stamp.Load()) }
+func (s *Sidecar) Under() auditevent.ConfigVersionID {
+	return auditevent.ConfigVersionID(s.stamp.Load())
+}
 
 // act notes what this sidecar does, when it decides it.
 func (s *Sidecar) act(k auditevent.Kind, id, note string) (r auditevent.Ref) {
 	if s.ledger != nil {
-		r = s.ledger.Add(k, s.Under(), id, note)
+		r = s.ledger.Record(k, s.Under(), id, note)
 	}
 	return r
 }
@@ -278,9 +280,9 @@
 		return
 	}
 	s.calls[c.Request.ID] = c
-	if kind := auditevent.Took; s.ledger != nil {
+	if kind := auditevent.Accepted; s.ledger != nil {
 		if c.Request.PriorAttemptAge > 0 {
-			kind = auditevent.TookOver
+			kind = auditevent.TakenOver
 		}
 		s.act(kind, c.Request.ID, c.class.Name)
 	}
@@ -491,7 +493,7 @@
 		s.finish(c, Answer{Verdict: verdict})
 	}
 	if r.End == upstream.Unwritten || r.End == upstream.Unreachable {
-		s.act(auditevent.Unsent, c.Request.ID, a.Host)
+		s.act(auditevent.NotSent, c.Request.ID, a.Host)
 	}
 	sent := a.Sent
 	if !r.SentAt.IsZero() { // no server could begin before
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -384,13 +384,13 @@
 
 type notes struct{ all []string }
 
-func (n *notes) Under(settings, _ uint64, list int64) auditevent.Stamp {
-	return auditevent.Stamp(settings*100 + uint64(list))
+func (n *notes) SetVersion(settings, _ uint64, list int64) auditevent.ConfigVersionID {
+	return auditevent.ConfigVersionID(settings*100 + uint64(list))
 }
 
-func (n *notes) Add(k auditevent.Kind, under auditevent.Stamp, id, note string) auditevent.Ref {
+func (n *notes) Record(k auditevent.Kind, under auditevent.ConfigVersionID, id, note string) auditevent.Ref {
 	n.all = append(n.all, fmt.Sprint(k, " ", under, " ", id, " ", note))
-	return auditevent.Ref{Member: takeover.Member{Name: "n"}, N: uint64(len(n.all))}
+	return auditevent.Ref{Member: takeover.Member{Name: "n"}, Number: uint64(len(n.all))}
 }
 
 // A call whose attempt finds that the client has left ends as that of a client that left, with nobody else to say so: the
@@ -417,7 +417,7 @@
 func TestActsAreNoted(t *testing.T) {
 	actor := make(chan string, 4)
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) {
-		actor <- r.Header.Get(auditevent.Header)
+		actor <- r.Header.Get(auditevent.RefHeader)
 		time.Sleep(50 * time.Millisecond)
 	}))
 	var n notes
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -30,7 +30,7 @@
 	head = append(append(head, m.Head...), DeadlineHeader+": "...)
 	head = strconv.AppendInt(head, max(1, left.Milliseconds()), 10)
 	if len(actor) > 0 {
-		head = append(append(head, "\r\n"+auditevent.Header+": "...), actor...)
+		head = append(append(head, "\r\n"+auditevent.RefHeader+": "...), actor...)
 	}
 	head = append(head, "\r\n\r\n"...)
 	if m.chunks() && len(m.Body) > 0 {
