--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -176,7 +176,7 @@
 		return
 	case takeover.OutcomeCallerGone:
 		f.answer(ctx, c, sidecar.Response{Status: sidecar.DeadlineExceeded})
-		f.noted(ctx, auditevent.Left, call.Request.ID, under)
+		f.noted(ctx, auditevent.ClientLeft, call.Request.ID, under)
 		return
 	case takeover.OutcomeInFlight:
 		f.answer(ctx, c, sidecar.Response{Status: sidecar.DuplicateID})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -42,11 +42,11 @@
 	calls              map[string]*Call
 	peerInFlight       map[string]bool // ids that another process of this sidecar has under way
 	peers              map[string]*peer
-	endpointsKnown     chan struct{}     // closed once any server is known
-	endpointsKnownOnce sync.Once         // closes it
-	recorder           auditevent.Ledger // nil: no account is kept
-	endpointsSeq       int64             // of the list; -1: none yet
-	settingsVersion    uint64            // of the settings in force, and their digest, where a fleet gives them
+	endpointsKnown     chan struct{}       // closed once any server is known
+	endpointsKnownOnce sync.Once           // closes it
+	recorder           auditevent.Recorder // nil: no account is kept
+	endpointsSeq       int64               // of the list; -1: none yet
+	settingsVersion    uint64              // of the settings in force, and their digest, where a fleet gives them
 	settingsDigest     uint64
 	configVersion      atomic.Uint32 // of the version in force
 	aborted            chan struct{} // closed by End
@@ -84,7 +84,7 @@
 }
 
 // SetRecorder has an account kept of what this sidecar does. It must be called before Run.
-func (s *Sidecar) SetRecorder(l auditevent.Ledger) {
+func (s *Sidecar) SetRecorder(l auditevent.Recorder) {
 	if s.recorder, s.endpointsSeq = l, -1; s.startConfig.LastEndpoints != nil {
 		s.endpointsSeq = s.startConfig.LastEndpoints.Seq
 	}
@@ -95,17 +95,19 @@
 // updateConfigVersion takes the version in force, on the actor.
 func (s *Sidecar) updateConfigVersion() {
 	if s.recorder != nil {
-		s.configVersion.Store(uint32(s.recorder.Under(s.settingsVersion, s.settingsDigest, s.endpointsSeq)))
+		s.configVersion.Store(uint32(s.recorder.SetVersion(s.settingsVersion, s.settingsDigest, s.endpointsSeq)))
 	}
 }
 
 // ConfigVersion is the version in force.
-func (s *Sidecar) ConfigVersion() auditevent.Stamp { return auditevent.Stamp(s.configVersion.Load()) }
+func (s *Sidecar) ConfigVersion() auditevent.ConfigVersionID {
+	return auditevent.ConfigVersionID(s.configVersion.Load())
+}
 
 // record notes what this sidecar does, when it decides it.
 func (s *Sidecar) record(k auditevent.Kind, id, note string) (r auditevent.Ref) {
 	if s.recorder != nil {
-		r = s.recorder.Add(k, s.ConfigVersion(), id, note)
+		r = s.recorder.Record(k, s.ConfigVersion(), id, note)
 	}
 	return r
 }
@@ -280,9 +282,9 @@
 		return
 	}
 	s.calls[c.Request.ID] = c
-	if kind := auditevent.Took; s.recorder != nil {
+	if kind := auditevent.Accepted; s.recorder != nil {
 		if c.Request.PriorAttemptAge > 0 {
-			kind = auditevent.TookOver
+			kind = auditevent.TakenOver
 		}
 		s.record(kind, c.Request.ID, c.class.Name)
 	}
@@ -493,7 +495,7 @@
 		s.respond(c, Response{Status: verdict})
 	}
 	if r.Reason == upstream.NotSent || r.Reason == upstream.ConnectFailed {
-		s.record(auditevent.Unsent, c.Request.ID, a.Host)
+		s.record(auditevent.NotSent, c.Request.ID, a.Host)
 	}
 	sent := a.DecidedAt
 	if !r.BodySentAt.IsZero() { // no server could begin before
