--- /dev/null
+++ b/internal/frontend/recorded_test.go
@@ -0,0 +1,36 @@
+package frontend
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"damsonscale/internal/upstream"
+)
+
+// A stream that the build of commit 2029d41 hands over is read as it was meant, and written byte for byte alike.
+func TestRecordedStreams(t *testing.T) {
+	for name, want := range map[string]handed{
+		"stream.json": {
+			Answer: upstream.Standing{
+				Kind: "chunks", Left: 1536, After: true, Trailing: true, Trailers: 2, Over: true, Sum: 70_000, Ahead: []byte("ab\r\n"), Held: 2,
+			},
+			Chunks: true,
+		},
+		"stream_of_known_length.json": {Answer: upstream.Standing{Kind: "length", Left: 5, Sum: 65_536}},
+	} {
+		text, err := os.ReadFile("../handover/testdata/2029d41/" + name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var got handed
+		if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: read %+v, expected %+v: %v", name, got, want, err)
+		}
+		if wrote, err := json.Marshal(want); err != nil || !bytes.Equal(wrote, bytes.TrimSpace(text)) {
+			t.Errorf("%s: wrote %s, the build of 2029d41 wrote %s: %v", name, wrote, text, err)
+		}
+	}
+}
