--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// Conns is how many callers are held at once; each holds a descriptor.
-	Conns = 8
+	// MaxConnections is how many callers are held at once; each holds a descriptor.
+	MaxConnections = 8
 
 	callTimeout  = 4 * time.Second // for a whole call, from its connection's start
 	writeTimeout = time.Second
@@ -25,9 +25,9 @@
 	maxBody      = 4 << 10
 )
 
-// Door answers operators. It keeps no state of its own but its connections.
-type Door struct {
-	life   *lifecycle.Owner
+// Server answers operators. It keeps no state of its own but its connections.
+type Server struct {
+	life   *lifecycle.Tracker
 	server *fasthttp.Server
 
 	mu    sync.Mutex
@@ -35,8 +35,8 @@
 }
 
 // New makes a door to the lifecycle.
-func New(life *lifecycle.Owner) *Door {
-	d := &Door{life: life}
+func New(life *lifecycle.Tracker) *Server {
+	d := &Server{life: life}
 	d.server = &fasthttp.Server{
 		Handler: d.handle, ErrorHandler: unreadable, Logger: quiet{},
 		ReadBufferSize: maxHead, MaxRequestBodySize: maxBody,
@@ -48,7 +48,9 @@
 }
 
 // Serve serves ln until it is closed.
-func (d *Door) Serve(ln net.Listener) error { return d.server.Serve(&listener{Listener: ln, door: d}) }
+func (d *Server) Serve(ln net.Listener) error {
+	return d.server.Serve(&listener{Listener: ln, door: d})
+}
 
 type quiet struct{}
 
@@ -71,7 +73,7 @@
 }
 
 // handle answers one call. Each post may be repeated; the answer tells what is so.
-func (d *Door) handle(ctx *fasthttp.RequestCtx) {
+func (d *Server) handle(ctx *fasthttp.RequestCtx) {
 	ctx.SetConnectionClose()
 	switch path := string(ctx.Path()); path {
 	case "/healthcheck":
@@ -84,19 +86,19 @@
 		ctx.SetBodyString(d.life.Stage().String() + "\n")
 	case "/healthcheck/fail":
 		if only(ctx, fasthttp.MethodPost) {
-			d.tell(ctx, "fail", d.life.Drain(), true)
+			d.tell(ctx, "fail", d.life.StartDraining(), true)
 		}
 	case "/healthcheck/ok":
 		if only(ctx, fasthttp.MethodPost) {
-			stage := d.life.Undrain()
-			d.tell(ctx, "ok", stage, stage != lifecycle.Ending)
+			stage := d.life.StopDraining()
+			d.tell(ctx, "ok", stage, stage != lifecycle.Terminating)
 		}
 	default:
 		ctx.Error("unknown call", fasthttp.StatusNotFound)
 	}
 }
 
-func (d *Door) tell(ctx *fasthttp.RequestCtx, word string, stage lifecycle.Stage, done bool) {
+func (d *Server) tell(ctx *fasthttp.RequestCtx, word string, stage lifecycle.Stage, done bool) {
 	log.Printf("event=operator call=%s stage=%s done=%t", word, stage, done)
 	if !done {
 		ctx.SetStatusCode(fasthttp.StatusConflict)
@@ -118,13 +120,13 @@
 // moments. Guards against callers who connect and say nothing while a true one waits.
 type listener struct {
 	net.Listener
-	door *Door
+	door *Server
 }
 
 // conn is a caller's connection.
 type conn struct {
 	net.Conn
-	door *Door
+	door *Server
 }
 
 // Accept takes the next connection. It fails only once the listener is closed.
@@ -137,7 +139,7 @@
 	l.door.mu.Lock()
 	l.door.conns = append(l.door.conns, c)
 	var oldest *conn
-	if len(l.door.conns) > Conns {
+	if len(l.door.conns) > MaxConnections {
 		oldest = l.door.conns[0]
 	}
 	l.door.mu.Unlock()
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,9 +13,9 @@
 	"damsonscale/internal/lifecycle"
 )
 
-func open(t *testing.T) (*lifecycle.Owner, string) {
+func open(t *testing.T) (*lifecycle.Tracker, string) {
 	t.Helper()
-	life := &lifecycle.Owner{}
+	life := &lifecycle.Tracker{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -73,13 +73,13 @@
 		body   string
 	}{
 		{nil, get, 503, "starting\n"},
-		{func() { life.Serve() }, get, 200, "serving\n"},
+		{func() { life.MarkReady() }, get, 200, "serving\n"},
 		{nil, fail, 200, "drained\n"},
 		{nil, fail, 200, "drained\n"},
 		{nil, get, 200, "drained\n"},
 		{nil, ok, 200, "serving\n"},
 		{nil, ok, 200, "serving\n"},
-		{func() { life.End() }, fail, 200, "ending\n"},
+		{func() { life.Terminate() }, fail, 200, "ending\n"},
 		{nil, ok, 409, "ending\n"},
 		{nil, get, 503, "ending\n"},
 	} {
@@ -95,7 +95,7 @@
 // What is no call gets a no and a close.
 func TestBadCalls(t *testing.T) {
 	life, addr := open(t)
-	life.Serve()
+	life.MarkReady()
 	for _, c := range []struct {
 		raw    string
 		status int
@@ -121,9 +121,9 @@
 // Callers who connect and say nothing, or half a call, give way to a true one. Guards against a door that they hold.
 func TestSilentCallersGiveWay(t *testing.T) {
 	life, addr := open(t)
-	life.Serve()
+	life.MarkReady()
 	var silent []net.Conn
-	for i := range 4 * Conns {
+	for i := range 4 * MaxConnections {
 		c := dial(t, addr)
 		if i%2 == 0 {
 			io.WriteString(c, "POST /healthch")
@@ -141,7 +141,7 @@
 // A call whose bytes come one by one is one all the same.
 func TestCallInPieces(t *testing.T) {
 	life, addr := open(t)
-	life.Serve()
+	life.MarkReady()
 	c := dial(t, addr)
 	for _, b := range []byte(fail) {
 		if _, err := c.Write([]byte{b}); err != nil {
@@ -149,7 +149,7 @@
 		}
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil || resp.StatusCode != 200 || life.Stage() != lifecycle.Drained {
+	if err != nil || resp.StatusCode != 200 || life.Stage() != lifecycle.Draining {
 		t.Fatal(resp, err, life.Stage())
 	}
 }
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -40,22 +40,22 @@
 // the program and the memory mapped by each sidecar; without a fleet nobody pays for them.
 const fleetProgram = "damsonscale-fleet"
 
-// Membership is a sidecar's part in a fleet.
-type Membership interface {
-	frontend.Keeper
+// FleetMember is a sidecar's part in a fleet.
+type FleetMember interface {
+	frontend.RequestReplicator
 	Ledger() auditevent.Ledger     // the account to keep; nil: none
 	Digest(text []byte) uint64     // of settings, for the account
 	Run(ctx context.Context) error // returns once it listens
 	Leave()                        // ends the membership, once the work is done
 }
 
-// Join makes a membership. longest is the longest deadline of a class.
-type Join func(o *options.Options, name string, longest time.Duration, front *frontend.Frontend, tuning *Tuning) (Membership, error)
+// JoinFleet makes a membership. longest is the longest deadline of a class.
+type JoinFleet func(o *options.Options, name string, longest time.Duration, front *frontend.Frontend, tuning *SettingsManager) (FleetMember, error)
 
 // Main runs the program until SIGTERM. Where join is nil and the options want a fleet, fleetProgram takes this process over.
-func Main(join Join) {
+func Main(join JoinFleet) {
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
-	if join == nil && len(os.Args) > 1 && os.Args[1] == Fleet {
+	if join == nil && len(os.Args) > 1 && os.Args[1] == FleetCommand {
 		log.Fatal(become(fleetProgram))
 	}
 	if err := run(join); err != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-func run(join Join) error {
+func run(join JoinFleet) error {
 	hup := make(chan os.Signal, 1) // one that comes while the file is read makes it be read again
 	signal.Notify(hup, syscall.SIGHUP)
 	conf, err := config.Load(os.Getenv)
@@ -82,12 +82,12 @@
 	runtime.GOMAXPROCS(max(1, min(runtime.NumCPU(), int(limits.Cores+0.5))))
 	own := ownSockets
 	if conf.Admin != "" {
-		own += 1 + admin.Conns
+		own += 1 + admin.MaxConnections
 	}
 	clients, servers := divide(descriptors(limits.Sockets), own)
 	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	life, failed := &lifecycle.Owner{}, make(chan error, 2)
+	life, failed := &lifecycle.Tracker{}, make(chan error, 2)
 	if conf.Admin != "" { // first: operators see it start
 		door, err := net.Listen("tcp", conf.Admin)
 		if err != nil {
@@ -108,7 +108,7 @@
 	var most atomic.Int64 // the longest deadline of any settings so far
 	most.Store(longest(conf.Settings.Classes))
 	tuning := newTuning(conf, side, front, &most)
-	var members Membership
+	var members FleetMember
 	if together {
 		if members, err = join(opts, conf.Name, time.Duration(most.Load())*time.Microsecond, front, tuning); err != nil {
 			return err
@@ -117,18 +117,18 @@
 			tuning.sum = members.Digest
 			conf.Digest = tuning.digest(conf)
 			side.Audit(ledger)
-			front.Audit(ledger)
+			front.SetRecorder(ledger)
 		}
 		if err := members.Run(context.Background()); err != nil {
 			return err
 		}
-		front.Join(members)
+		front.SetReplicator(members)
 	}
 	go side.Run(context.Background())
 	if err := up.begin(term); err != nil {
 		return err
 	}
-	go front.Tend(term)
+	go front.RunOperatorDrain(term)
 	go func() { // also while draining
 		for range hup {
 			tuning.reload()
@@ -140,7 +140,7 @@
 		return err
 	case <-term.Done():
 	}
-	life.End()
+	life.Terminate()
 	log.Printf("event=term name=%s", conf.Name)
 	ctx, cancel := context.WithTimeout(context.Background(), drainFor(most.Load()))
 	defer cancel()
@@ -168,8 +168,8 @@
 	return clients, max(1, all-own-clients)
 }
 
-// Fleet is the argument by which the program speaks with a fleet instead of serving.
-const Fleet = "fleet"
+// FleetCommand is the argument by which the program speaks with a fleet instead of serving.
+const FleetCommand = "fleet"
 
 // become has a program that stands beside this one take this process over, with its environment and number.
 func become(name string) error {
--- a/internal/app/tuning.go
+++ b/internal/app/tuning.go
@@ -13,8 +13,8 @@
 	"damsonscale/internal/sidecar"
 )
 
-// Tuning owns the configuration in force: its file's, or with the settings of a fleet's version.
-type Tuning struct {
+// SettingsManager owns the configuration in force: its file's, or with the settings of a fleet's version.
+type SettingsManager struct {
 	side  *sidecar.Sidecar
 	front *frontend.Frontend
 	most  *atomic.Int64            // the longest deadline of any settings so far
@@ -30,7 +30,7 @@
 
 // reload reads the file again. A faulty file changes nothing. Once a fleet's settings are in force those of the file are checked
 // and not taken.
-func (t *Tuning) reload() {
+func (t *SettingsManager) reload() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next, restart, err := t.conf.Reload(t.env)
@@ -55,7 +55,7 @@
 }
 
 // digest is that of the bytes that settings come from.
-func (t *Tuning) digest(c *config.Config) uint64 {
+func (t *SettingsManager) digest(c *config.Config) uint64 {
 	switch {
 	case t.sum == nil:
 		return 0
@@ -66,18 +66,18 @@
 }
 
 // take puts a configuration in force, in one step. The caller holds mu.
-func (t *Tuning) take(next *config.Config, number, digest uint64) (retuned bool) {
+func (t *SettingsManager) take(next *config.Config, number, digest uint64) (retuned bool) {
 	next.Number, next.Digest = number, digest
 	retuned = next.Retuned(t.conf)
 	if retuned || next.Number != t.conf.Number || next.Digest != t.conf.Digest {
 		t.most.Store(max(t.most.Load(), longest(next.Settings.Classes)))
-		t.side.Retune(next, t.front.Retune)
+		t.side.Retune(next, t.front.ApplySettings)
 	}
 	return retuned
 }
 
-// Adopt puts the settings of a fleet's version in force, or returns why that can't be; then nothing has changed.
-func (t *Tuning) Adopt(number uint64, text []byte) error {
+// ApplySettings puts the settings of a fleet's version in force, or returns why that can't be; then nothing has changed.
+func (t *SettingsManager) ApplySettings(number uint64, text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next, err := t.conf.Adopt(text, t.env)
@@ -91,20 +91,20 @@
 	return nil
 }
 
-// Check tells what Adopt would say.
-func (t *Tuning) Check(text []byte) error {
+// ValidateSettings tells what Adopt would say.
+func (t *SettingsManager) ValidateSettings(text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_, err := t.conf.Adopt(text, t.env)
 	return err
 }
 
-// Rest closes what is idle: this process may not act.
-func (t *Tuning) Rest() {
-	t.front.Rest()
+// CloseIdleConnections closes what is idle: this process may not act.
+func (t *SettingsManager) CloseIdleConnections() {
+	t.front.CloseIdleConnections()
 	t.side.Rest()
 }
 
-func newTuning(conf *config.Config, side *sidecar.Sidecar, front *frontend.Frontend, most *atomic.Int64) *Tuning {
-	return &Tuning{side: side, front: front, most: most, env: os.Getenv, conf: conf, version: 1}
+func newTuning(conf *config.Config, side *sidecar.Sidecar, front *frontend.Frontend, most *atomic.Int64) *SettingsManager {
+	return &SettingsManager{side: side, front: front, most: most, env: os.Getenv, conf: conf, version: 1}
 }
--- a/internal/app/upgrade.go
+++ b/internal/app/upgrade.go
@@ -21,18 +21,18 @@
 type upgrade struct {
 	id     handover.ID
 	path   string
-	before *handover.Before // nil: nobody hands anything over
-	held   bool             // somebody has the address all the same
+	before *handover.Predecessor // nil: nobody hands anything over
+	held   bool                  // somebody has the address all the same
 	side   *sidecar.Sidecar
 	front  *frontend.Frontend
-	life   *lifecycle.Owner
+	life   *lifecycle.Tracker
 	share  *share
 	failed chan<- error
-	works  chan handover.Work // that the process before hands over
+	works  chan handover.Transfer // that the process before hands over
 
 	mu    sync.Mutex
 	ln    net.Listener // nil: it does not accept yet
-	offer *handover.Offer
+	offer *handover.Server
 }
 
 // told is what a process tells the one after it.
@@ -47,16 +47,16 @@
 
 // takeOver asks the process that is there for its socket.
 func takeOver(ctx context.Context, conf *config.Config) *upgrade {
-	u := &upgrade{id: handover.ID{Name: conf.Name, Listen: conf.Listen}, works: make(chan handover.Work, 16)}
-	u.path = u.id.Path(os.TempDir())
+	u := &upgrade{id: handover.ID{Name: conf.Name, Listen: conf.Listen}, works: make(chan handover.Transfer, 16)}
+	u.path = u.id.SocketPath(os.TempDir())
 	var err error
-	if u.before, err = handover.Take(ctx, u.path, u.id, func(w handover.Work) { u.works <- w }); err == nil {
+	if u.before, err = handover.Acquire(ctx, u.path, u.id, func(w handover.Transfer) { u.works <- w }); err == nil {
 		return u
 	}
-	if !errors.Is(err, handover.ErrNone) {
+	if !errors.Is(err, handover.ErrNoPredecessor) {
 		log.Printf("event=handover_failed err=%q", err)
 	}
-	u.held = handover.Held(u.id.Listen)
+	u.held = handover.AddressInUse(u.id.Listen)
 	return u
 }
 
@@ -67,7 +67,7 @@
 		if err := json.Unmarshal(u.before.State, &t); err != nil {
 			log.Printf("event=handover_unreadable err=%q", err)
 		} else if t.Drained {
-			u.life.Drain()
+			u.life.StartDraining()
 		}
 		u.share.other(true)
 		u.side.Beside(true)
@@ -77,7 +77,7 @@
 			}
 		}()
 		go func() {
-			<-u.before.Gone()
+			<-u.before.Done()
 			u.side.Foreign(nil)
 			u.side.Beside(false)
 			u.share.other(false)
@@ -96,19 +96,19 @@
 }
 
 // goOn takes what the process before hands over or tells.
-func (u *upgrade) goOn(w handover.Work) {
+func (u *upgrade) goOn(w handover.Transfer) {
 	if w.Client != nil {
-		u.front.GoOn(w.About, w.Client, w.Server)
+		u.front.ResumeStream(w.Payload, w.Client, w.Server)
 		return
 	}
 	var e ends
-	if err := json.Unmarshal(w.About, &e); err != nil {
+	if err := json.Unmarshal(w.Payload, &e); err != nil {
 		log.Printf("event=handover_unreadable err=%q", err)
 		return
 	}
 	u.side.Foreign(e.Open)
 	select {
-	case <-u.before.Gone(): // perhaps before they were named: what it had under way has ended
+	case <-u.before.Done(): // perhaps before they were named: what it had under way has ended
 		u.side.Foreign(nil)
 	default:
 	}
@@ -119,7 +119,7 @@
 	if u.before != nil {
 		select {
 		case <-u.side.Known():
-		case <-u.before.Gone():
+		case <-u.before.Done():
 		}
 		u.serve(u.before.Listener)
 	}
@@ -133,8 +133,8 @@
 			return err
 		}
 	}
-	u.before.Serving()
-	log.Printf("event=ready stage=%s handed_over=%t beside=%t", u.life.Serve(), u.before != nil, u.held)
+	u.before.NotifyServing()
+	log.Printf("event=ready stage=%s handed_over=%t beside=%t", u.life.MarkReady(), u.before != nil, u.held)
 	return nil
 }
 
@@ -157,8 +157,8 @@
 		return
 	}
 	var err error
-	u.offer, err = handover.NewOffer(u.path, u.id, socket, func() any {
-		return told{Drained: u.life.Stage() == lifecycle.Drained}
+	u.offer, err = handover.NewServer(u.path, u.id, socket, func() any {
+		return told{Drained: u.life.Stage() == lifecycle.Draining}
 	}, u.share.heir)
 	if err != nil { // an upgrade then shares the address
 		log.Printf("event=handover_not_offered err=%q", err)
@@ -171,15 +171,15 @@
 	u.mu.Lock()
 	ln, offer := u.ln, u.offer
 	u.mu.Unlock()
-	var pass frontend.Pass
-	if offer.Heir() == handover.Serves {
-		pass = offer.Pass
-		if err := offer.Tell(ends{Open: u.side.Open()}); err != nil {
+	var pass frontend.StreamHandover
+	if offer.Successor() == handover.SuccessorServing {
+		pass = offer.TransferStream
+		if err := offer.Notify(ends{Open: u.side.Open()}); err != nil {
 			log.Printf("event=handover_not_told err=%q", err)
 		}
 	}
 	offer.Close()
-	u.front.Drain(ctx, ln, pass)
+	u.front.Shutdown(ctx, ln, pass)
 }
 
 // share divides what the machine grants between this process and others of the same sidecar.
@@ -207,10 +207,10 @@
 }
 
 // heir tells how far the process after this one has come.
-func (s *share) heir(h handover.Heir) {
+func (s *share) heir(h handover.SuccessorState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.after = h != handover.NoHeir
+	s.after = h != handover.NoSuccessor
 	s.set()
 }
 
@@ -219,7 +219,7 @@
 	if s.after {
 		parts++
 	}
-	s.front.Hold(max(1, s.clients/parts))
+	s.front.SetConnectionLimit(max(1, s.clients/parts))
 	s.side.Hold(max(1, s.servers/parts))
 	debug.SetMemoryLimit(int64(s.memory / float64(parts)))
 }
--- a/internal/fleet/desk.go
+++ b/internal/fleet/desk.go
@@ -144,7 +144,7 @@
 		return errNoLead
 	}
 	if o.Kind == rollout.RollOut {
-		if err := f.tuner.Check(o.Text); err != nil {
+		if err := f.tuner.ValidateSettings(o.Text); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,16 +33,16 @@
 // Hooks are what a fleet needs of the program.
 type Hooks interface {
 	// Unasked makes what runs a recorded request that nobody has asked for again.
-	Unasked(rec *takeover.Record, stored *takeover.Stored) (func(takeover.Leave) takeover.Result, error)
+	ResumeOrphan(rec *takeover.Record, stored *takeover.Stored) (func(takeover.Leave) takeover.Result, error)
 	// Unheard ends a live answer that nobody is left to take.
-	Unheard(live any)
+	DiscardAnswer(live any)
 }
 
 // Tuner puts versions of the settings in force.
 type Tuner interface {
-	Adopt(number uint64, text []byte) error // whole, or not at all
-	Check(text []byte) error                // tells what Adopt would say
-	Rest()                                  // closes what is idle
+	ApplySettings(number uint64, text []byte) error // whole, or not at all
+	ValidateSettings(text []byte) error             // tells what Adopt would say
+	CloseIdleConnections()                          // closes what is idle
 }
 
 // protocol is the version of what members tell each other.
@@ -98,14 +98,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.Takeover.Longest > 0 {
-		longest = o.Takeover.Longest
+	if o.Takeover.MaxRequestDuration > 0 {
+		longest = o.Takeover.MaxRequestDuration
 	}
 	f := &Fleet{
 		longest: longest, name: name, opts: o, listed: map[string]string{}, hooks: hooks, tuner: tuner, coder: c, build: build(), start: time.Now(), box: make(chan func(), 1024),
-		again: max(o.Fleet.Lease.Microseconds()/20, 5000), plant: planted(),
+		again: max(o.Fleet.LeaseDuration.Microseconds()/20, 5000), plant: planted(),
 	}
-	f.wait = o.Fleet.Lease.Microseconds() / 2
+	f.wait = o.Fleet.LeaseDuration.Microseconds() / 2
 	for _, m := range o.Fleet.Members {
 		f.names = append(f.names, m.Name)
 		f.listed[m.Name] = m.Address
@@ -128,9 +128,9 @@
 	f.wire.where = func(name string) string { return f.roster.Load().addressOf(name, f.listed[name]) }
 	f.keeper = &keeper{f: f, box: make(chan func(int64), keeperBox), flights: map[string]*flight{}}
 	f.keeper.node = takeover.New(takeover.Config{
-		Me: *f.me.Load(), Names: f.names, Holders: o.Takeover.Holders, Records: o.Takeover.Records, Bytes: o.Takeover.Bytes,
-		Keep: o.Takeover.KeepAnswers.Microseconds(), Longest: longest.Microseconds(), Wait: f.wait, Again: f.again, Slack: o.Fleet.Lease.Microseconds(),
-		Stagger: o.Fleet.Lease.Microseconds() / 2, Plant: f.plant.custody,
+		Me: *f.me.Load(), Names: f.names, Holders: o.Takeover.Replicas, Records: o.Takeover.MaxRecords, Bytes: o.Takeover.MaxBytes,
+		Keep: o.Takeover.AnswerRetention.Microseconds(), Longest: longest.Microseconds(), Wait: f.wait, Again: f.again, Slack: o.Fleet.LeaseDuration.Microseconds(),
+		Stagger: o.Fleet.LeaseDuration.Microseconds() / 2, Plant: f.plant.custody,
 	})
 	return f, nil
 }
@@ -178,7 +178,7 @@
 		go f.vote(ctx)
 	}
 	log.Printf("event=fleet_start name=%s incarnation=%x address=%s members=%d voters=%d lease=%s", f.name, f.me.Load().Incarnation, ln.Addr(),
-		len(f.names), len(f.voters), f.opts.Fleet.Lease)
+		len(f.names), len(f.voters), f.opts.Fleet.LeaseDuration)
 	return nil
 }
 
@@ -203,10 +203,10 @@
 func (f *Fleet) vote(ctx context.Context) {
 	said := ""
 	for ctx.Err() == nil {
-		e, err := newEpochs(f.opts.Fleet.StateDir, f.name, f.voters, f.opts.Fleet.Lease)
+		e, err := newEpochs(f.opts.Fleet.StateDir, f.name, f.voters, f.opts.Fleet.LeaseDuration)
 		if err == nil {
 			e.send, e.names, e.noFence = f.send, f.names, f.plant.noFence
-			e.driver.Guard = rollout.Guard{MostOut: f.opts.Audit.MostOut, Loose: f.plant.looseGuard}
+			e.driver.Guard = rollout.Guard{MostOut: f.opts.Audit.MaxUnleasedPermille, Loose: f.plant.looseGuard}
 			e.told = func(r *roster, texts map[string][]byte) { f.learn(r, texts) }
 			f.epochs.Store(e)
 			err = e.run(ctx)
@@ -237,7 +237,7 @@
 
 // tend is the actor of leases: it asks for them, and takes grants and rosters in.
 func (f *Fleet) tend(ctx context.Context) {
-	every := f.opts.Fleet.Lease / asksALease
+	every := f.opts.Fleet.LeaseDuration / asksALease
 	next := time.NewTimer(0)
 	defer next.Stop()
 	for {
@@ -269,7 +269,7 @@
 		return
 	}
 	leader := f.leader.Load()
-	if leader != nil && f.lease.Load().until.Load()-int64(sent) > int64(f.opts.Fleet.Lease)/2 {
+	if leader != nil && f.lease.Load().until.Load()-int64(sent) > int64(f.opts.Fleet.LeaseDuration)/2 {
 		f.send(*leader, kindAsk, text)
 		return
 	}
@@ -297,7 +297,7 @@
 	}
 	lease := f.lease.Load()
 	was := lease.until.Load() > 0
-	lease.extend(g.Sent, f.opts.Fleet.Lease)
+	lease.extend(g.Sent, f.opts.Fleet.LeaseDuration)
 	if !was {
 		log.Printf("event=fleet_lease name=%s incarnation=%x leader=%s epoch=%d", me.Name, me.Incarnation, from, g.Epoch)
 	}
@@ -475,9 +475,9 @@
 	}
 }
 
-// Do brings a request under custody, has it run if that is this member's to do, and tells its outcome. gone is closed
+// Execute brings a request under custody, has it run if that is this member's to do, and tells its outcome. gone is closed
 // when its client leaves.
-func (f *Fleet) Do(w takeover.Work, gone <-chan struct{}, run func(takeover.Leave) takeover.Result) takeover.Outcome {
+func (f *Fleet) Execute(w takeover.Work, gone <-chan struct{}, run func(takeover.Leave) takeover.Result) takeover.Outcome {
 	wait := make(chan takeover.Outcome, 1)
 	end := time.NewTimer(w.Left)
 	defer end.Stop()
@@ -510,30 +510,30 @@
 	}
 }
 
-// Custody tells what becomes of a class's work.
-func (f *Fleet) Custody(class string, e takeover.Effect) options.Custody {
-	if c, ok := f.opts.Takeover.Classes[class]; ok {
+// ReplicationPolicy tells what becomes of a class's work.
+func (f *Fleet) ReplicationPolicy(class string, e takeover.Effect) options.ReplicationPolicy {
+	if c, ok := f.opts.Takeover.PolicyByClass[class]; ok {
 		return c
 	}
 	switch e {
 	case takeover.Unsafe:
-		return options.Strict
+		return options.StrictReplication
 	case takeover.Keyed:
-		return options.BestEffort
+		return options.BestEffortReplication
 	}
-	return options.None
+	return options.NoReplication
 }
 
-// Needed is the lease without which nothing at all is taken or sent; nil: none is.
-func (f *Fleet) Needed() takeover.Lease {
+// RequiredLease is the lease without which nothing at all is taken or sent; nil: none is.
+func (f *Fleet) RequiredLease() takeover.Lease {
 	if f.ledger == nil {
 		return nil
 	}
 	return f.lease.Load()
 }
 
-// MayRefuse tells whether a request that was read just now had not waited.
-func (f *Fleet) MayRefuse() bool {
+// MayReject tells whether a request that was read just now had not waited.
+func (f *Fleet) MayReject() bool {
 	back := make(chan bool, 1)
 	select {
 	case f.keeper.box <- func(now int64) { back <- f.keeper.fresh(now) }:
@@ -570,8 +570,8 @@
 	return cmp.Or(info.Main.Version, "unknown")
 }
 
-// Longest is how long a request may be in custody.
-func (f *Fleet) Longest() time.Duration { return f.longest }
+// MaxDuration is how long a request may be in custody.
+func (f *Fleet) MaxDuration() time.Duration { return f.longest }
 
 // Leave ends the membership of a process that has ended its work: others take over what is left at once.
 func (f *Fleet) Leave() {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -391,7 +391,7 @@
 // What came of a request waits while its owner's lease is just not valid, and no longer than that may last. Guards against an answer
 // that is dropped by an owner which goes on living.
 func TestAnAnswerWaitsForTheLease(t *testing.T) {
-	k := &keeper{f: &Fleet{opts: &options.Options{Fleet: options.Fleet{Lease: time.Hour}}}}
+	k := &keeper{f: &Fleet{opts: &options.Options{Fleet: options.Fleet{LeaseDuration: time.Hour}}}}
 	late := &Lease{shut: new(atomic.Bool), start: time.Now(), over: make(chan struct{})}
 	time.AfterFunc(20*time.Millisecond, func() { late.extend(0, time.Hour) })
 	if k.await(late); !late.Valid() {
@@ -400,7 +400,7 @@
 	over := &Lease{shut: new(atomic.Bool), start: time.Now(), over: make(chan struct{})}
 	time.AfterFunc(20*time.Millisecond, over.end)
 	k.await(over)
-	k.f.opts.Fleet.Lease = time.Millisecond
+	k.f.opts.Fleet.LeaseDuration = time.Millisecond
 	k.await(&Lease{shut: new(atomic.Bool), start: time.Now(), over: make(chan struct{})})
 }
 
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -307,7 +307,7 @@
 // goes on living: nobody else may take its work over, so nobody would answer.
 func (k *keeper) await(l takeover.Lease) {
 	const step = 2 * time.Millisecond
-	for end := time.Now().Add(2 * k.f.opts.Fleet.Lease); !l.Valid() && time.Now().Before(end); {
+	for end := time.Now().Add(2 * k.f.opts.Fleet.LeaseDuration); !l.Valid() && time.Now().Before(end); {
 		select {
 		case <-l.Over():
 			return
@@ -328,7 +328,7 @@
 
 func (k *keeper) unheard(live any) {
 	if live != nil {
-		k.f.hooks.Unheard(live)
+		k.f.hooks.DiscardAnswer(live)
 	}
 }
 
@@ -342,7 +342,7 @@
 	err := k.f.coder.in.Unmarshal(rec.Request, &stored)
 	var run func(takeover.Leave) takeover.Result
 	if err == nil {
-		run, err = k.f.hooks.Unasked(&rec, &stored)
+		run, err = k.f.hooks.ResumeOrphan(&rec, &stored)
 	}
 	if err != nil {
 		log.Printf("event=not_taken_over id=%s err=%q", rec.ID, err)
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -44,11 +44,11 @@
 		return nil, err
 	}
 	l := &ledger{
-		f: f, codec: codec, shelf: audit.NewShelf(codec, f.wire.id, f.opts.Audit.Bytes), pushing: audit.NewPushing(pushWaiting), box: make(chan func(), 1024),
+		f: f, codec: codec, shelf: audit.NewShelf(codec, f.wire.id, f.opts.Audit.MaxMemoryBytes), pushing: audit.NewPushing(pushWaiting), box: make(chan func(), 1024),
 	}
 	l.choose(*f.me.Load())
-	if dir := f.opts.Audit.Dir; dir != "" {
-		l.disk = &disk{dir: dir, most: f.opts.Audit.DiskBytes, coder: f.coder}
+	if dir := f.opts.Audit.SegmentDir; dir != "" {
+		l.disk = &disk{dir: dir, most: f.opts.Audit.MaxDiskBytes, coder: f.coder}
 		for _, z := range l.disk.open(*f.me.Load()) {
 			l.shelf.Put(z) // another fleet's stays where it is, and is not told
 		}
@@ -59,7 +59,7 @@
 // choose finds who holds the segments of an incarnation: the first names by rendezvous.
 func (l *ledger) choose(me takeover.Member) {
 	others := slices.DeleteFunc(slices.Clone(l.f.names), func(n string) bool { return n == me.Name })
-	l.holders, l.met = takeover.Holders(others, fmt.Sprintf("%s/%x", me.Name, me.Incarnation), l.f.opts.Audit.Holders), map[string]uint64{}
+	l.holders, l.met = takeover.Holders(others, fmt.Sprintf("%s/%x", me.Name, me.Incarnation), l.f.opts.Audit.SegmentReplicas), map[string]uint64{}
 }
 
 // see sends all there is of this incarnation to a holder that has started anew: it has forgotten. Guards against an account that
@@ -89,7 +89,7 @@
 
 // run is the actor.
 func (l *ledger) run(ctx context.Context) {
-	tick := time.NewTicker(l.f.opts.Fleet.Lease / cutsALease)
+	tick := time.NewTicker(l.f.opts.Fleet.LeaseDuration / cutsALease)
 	defer tick.Stop()
 	for {
 		select {
@@ -141,7 +141,7 @@
 func (l *ledger) push() {
 	now := l.f.micros()
 	for _, name := range l.f.names {
-		if due := l.pushing.Due(now, name, l.f.opts.Fleet.Lease.Microseconds(), pushMost); len(due) > 0 {
+		if due := l.pushing.Due(now, name, l.f.opts.Fleet.LeaseDuration.Microseconds(), pushMost); len(due) > 0 {
 			if text, err := l.f.coder.out.Marshal(due); err == nil {
 				l.f.send(name, kindSegments, text)
 			}
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -125,7 +125,7 @@
 	}
 	f.tuned.under = true
 	go func() {
-		err := f.tuner.Adopt(v.Number, text)
+		err := f.tuner.ApplySettings(v.Number, text)
 		f.post(func() { f.adopted(v, err) })
 	}()
 }
@@ -149,7 +149,7 @@
 	if t.wanted != v.Number {
 		t.wanted, t.asks = v.Number, 0
 	}
-	if t.asks > 0 && time.Since(t.asked) < f.opts.Fleet.Lease/asksALease/2 {
+	if t.asks > 0 && time.Since(t.asked) < f.opts.Fleet.LeaseDuration/asksALease/2 {
 		return
 	}
 	name, ok := whoHas(f.voters, f.names, f.name, t.asks, rand.IntN)
@@ -224,7 +224,7 @@
 	plan := &f.roster.Load().Plan
 	log.Printf("event=fleet_shut name=%s shut=%t acts=%d fence=%d refused=%d why=%q", f.name, shut, f.tuned.acts, plan.Fence, f.tuned.refused, f.tuned.why)
 	if shut {
-		f.tuner.Rest()
+		f.tuner.CloseIdleConnections()
 	}
 }
 
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -54,7 +54,7 @@
 	side := sidecar.New(conf, servers)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	f := New(side, &lifecycle.Owner{}, &conf.Settings, 64, 1<<20)
+	f := New(side, &lifecycle.Tracker{}, &conf.Settings, 64, 1<<20)
 	if change != nil {
 		change(conf, f)
 	}
@@ -402,7 +402,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	go func() {
-		f.Drain(ctx, ln, nil)
+		f.Shutdown(ctx, ln, nil)
 		close(drained)
 	}()
 	<-ln.closed
@@ -444,7 +444,7 @@
 			}
 		}()
 		ctx, cancel := context.WithTimeout(context.Background(), total)
-		f.Drain(ctx, ln, nil)
+		f.Shutdown(ctx, ln, nil)
 		cancel()
 		close(stop)
 		select {
@@ -497,8 +497,8 @@
 		{[]decide.Class{{Name: "make", PriorityWeight: 1, Semantics: decide.AtMostOnce}}, false},
 		{[]decide.Class{{Name: "made", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, false},
 	} {
-		f.Retune(&decide.Settings{Classes: c.classes})
-		if _, err := f.Unasked(rec, &takeover.Stored{}); (err == nil) != c.runs {
+		f.ApplySettings(&decide.Settings{Classes: c.classes})
+		if _, err := f.ResumeOrphan(rec, &takeover.Stored{}); (err == nil) != c.runs {
 			t.Errorf("%+v: %v", c.classes, err)
 		}
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -56,13 +56,13 @@
 type Frontend struct {
 	side    *sidecar.Sidecar
 	now     atomic.Pointer[snapshot]
-	held    budget               // of bodies under way
-	pass    atomic.Pointer[Pass] // to the process that follows, while this one ends
-	resumed atomic.Int64         // answers that the process before began
+	held    budget                         // of bodies under way
+	pass    atomic.Pointer[StreamHandover] // to the process that follows, while this one ends
+	resumed atomic.Int64                   // answers that the process before began
 	server  *fasthttp.Server
 	sockets atomic.Int64 // connections past which a new one takes an idle one's place
-	life    *lifecycle.Owner
-	keeper  Keeper            // nil: none
+	life    *lifecycle.Tracker
+	keeper  RequestReplicator // nil: none
 	ledger  auditevent.Ledger // nil: no account is kept
 	room    chan struct{}     // a token for each connection that may still be accepted
 
@@ -83,8 +83,8 @@
 	tenants  map[string]int
 }
 
-// Retune takes settings in force for requests that are read from now on. They must not be changed any more.
-func (f *Frontend) Retune(settings *decide.Settings) {
+// ApplySettings takes settings in force for requests that are read from now on. They must not be changed any more.
+func (f *Frontend) ApplySettings(settings *decide.Settings) {
 	s := &snapshot{settings: settings, classes: map[string]int{}, tenants: map[string]int{}}
 	for i, c := range settings.Classes {
 		s.classes[c.Name] = i
@@ -96,12 +96,12 @@
 }
 
 // New makes a frontend that holds at most so many client connections, and so many bytes of bodies that are coming.
-func New(side *sidecar.Sidecar, life *lifecycle.Owner, settings *decide.Settings, sockets int, held int64) *Frontend {
+func New(side *sidecar.Sidecar, life *lifecycle.Tracker, settings *decide.Settings, sockets int, held int64) *Frontend {
 	f := &Frontend{
 		side: side, life: life, conns: map[*clientConn]bool{}, room: make(chan struct{}, sockets),
 	}
-	f.Hold(sockets)
-	f.Retune(settings)
+	f.SetConnectionLimit(sockets)
+	f.ApplySettings(settings)
 	f.held.give(held)
 	f.server = &fasthttp.Server{
 		Handler:            f.handle,
@@ -123,9 +123,9 @@
 	return f
 }
 
-// Hold keeps to so many connections from now on, at most as many as New was told. Of those open, as many as can be
+// SetConnectionLimit keeps to so many connections from now on, at most as many as New was told. Of those open, as many as can be
 // spared close when new ones come.
-func (f *Frontend) Hold(sockets int) {
+func (f *Frontend) SetConnectionLimit(sockets int) {
 	f.sockets.Store(int64(softPart * float64(sockets)))
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -284,12 +284,12 @@
 	return len(f.conns), time.Since(f.lastAccept)
 }
 
-// Tend empties connections while the operators want the sidecar drained, until ctx ends. New connections are taken
+// RunOperatorDrain empties connections while the operators want the sidecar drained, until ctx ends. New connections are taken
 // all the while: it takes the clients' front a moment to see the no.
-func (f *Frontend) Tend(ctx context.Context) {
+func (f *Frontend) RunOperatorDrain(ctx context.Context) {
 	for {
 		stage, changed := f.life.Watch()
-		if stage == lifecycle.Drained {
+		if stage == lifecycle.Draining {
 			f.empty(ctx, changed)
 		}
 		select {
@@ -331,10 +331,10 @@
 	return graceIdle, unusedAfter
 }
 
-// Drain answers all that is taken and returns when nothing is left or ctx ends. It takes what still comes for a while,
+// Shutdown answers all that is taken and returns when nothing is left or ctx ends. It takes what still comes for a while,
 // unless it is followed by another process that does: then pass is not nil. ln is nil where it has not served yet.
 // fasthttp's Shutdown would close the listener at once, while clients still come.
-func (f *Frontend) Drain(ctx context.Context, ln net.Listener, pass Pass) {
+func (f *Frontend) Shutdown(ctx context.Context, ln net.Listener, pass StreamHandover) {
 	began, listening, followed := time.Now(), ln != nil, pass != nil
 	if followed {
 		f.pass.Store(&pass)
@@ -473,7 +473,7 @@
 // not answered: its client asks on. Guards against a refusal of what ran.
 func (f *Frontend) shut(ctx *fasthttp.RequestCtx, c *clientConn, p *parsed) {
 	resumed := string(ctx.Request.Header.Peek(resumeHead)) == "1"
-	if p.now.settings.Classes[p.request.Class].Semantics != decide.Idempotent && (resumed || !f.keeper.MayRefuse()) {
+	if p.now.settings.Classes[p.request.Class].Semantics != decide.Idempotent && (resumed || !f.keeper.MayReject()) {
 		f.silent(ctx, c, p.request.ID, p.left-time.Since(c.readAt))
 		return
 	}
@@ -487,11 +487,11 @@
 	if f.keeper == nil {
 		return nil
 	}
-	return f.keeper.Needed()
+	return f.keeper.RequiredLease()
 }
 
-// Audit has an account kept of the answers.
-func (f *Frontend) Audit(l auditevent.Ledger) { f.ledger = l }
+// SetRecorder has an account kept of the answers.
+func (f *Frontend) SetRecorder(l auditevent.Ledger) { f.ledger = l }
 
 // account notes the answer to a request, and names it to the client. under is the version that it was decided by.
 func (f *Frontend) account(ctx *fasthttp.RequestCtx, id string, under auditevent.Stamp) {
@@ -515,13 +515,13 @@
 	ctx.Response.Header.SetBytesV(auditevent.Header, ref.Append(nil))
 }
 
-// Rest closes connections of clients that are idle.
-func (f *Frontend) Rest() { f.closeIdle(graceIdle, true) }
+// CloseIdleConnections closes connections of clients that are idle.
+func (f *Frontend) CloseIdleConnections() { f.closeIdle(graceIdle, true) }
 
 // emptying tells whether each connection is to carry no further request.
 func (f *Frontend) emptying() bool {
 	stage := f.life.Stage()
-	return stage == lifecycle.Drained || stage == lifecycle.Ending
+	return stage == lifecycle.Draining || stage == lifecycle.Terminating
 }
 
 func (f *Frontend) ready(ctx *fasthttp.RequestCtx) {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -25,7 +25,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go side.Run(ctx)
-	f := New(side, &lifecycle.Owner{}, &conf.Settings, 8, 1<<20)
+	f := New(side, &lifecycle.Tracker{}, &conf.Settings, 8, 1<<20)
 	if change != nil {
 		change(f)
 	}
@@ -253,7 +253,7 @@
 	eventually(t, "a connection", func() bool { n, _ := f.open(); return n == 1 })
 	ctx, cancel := context.WithTimeout(context.Background(), 2*lastAnswers)
 	defer cancel()
-	go f.Drain(ctx, ln, nil)
+	go f.Shutdown(ctx, ln, nil)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusRequestTimeout {
 		t.Fatal(resp, err)
--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -19,37 +19,37 @@
 // resumeHead marks a request that its client has asked of another member before.
 const resumeHead = "Req-Resume"
 
-// Keeper keeps work with an effect, so that it survives the loss of its sidecar.
-type Keeper interface {
+// RequestReplicator keeps work with an effect, so that it survives the loss of its sidecar.
+type RequestReplicator interface {
 	// Do brings a request under custody, has run send it if that is this member's to do, and tells its outcome. gone is
 	// closed when its client leaves.
-	Do(w takeover.Work, gone <-chan struct{}, run func(takeover.Leave) takeover.Result) takeover.Outcome
-	Custody(class string, e takeover.Effect) options.Custody
-	Longest() time.Duration // that a request may be in custody
-	Needed() takeover.Lease // without which nothing at all is taken or sent; nil: none is
-	MayRefuse() bool        // a request that was read just now had not waited, so that its client may have gone elsewhere
+	Execute(w takeover.Work, gone <-chan struct{}, run func(takeover.Leave) takeover.Result) takeover.Outcome
+	ReplicationPolicy(class string, e takeover.Effect) options.ReplicationPolicy
+	MaxDuration() time.Duration    // that a request may be in custody
+	RequiredLease() takeover.Lease // without which nothing at all is taken or sent; nil: none is
+	MayReject() bool               // a request that was read just now had not waited, so that its client may have gone elsewhere
 }
 
-// Join has the work with an effect kept from the next request on.
-func (f *Frontend) Join(k Keeper) { f.keeper = k }
+// SetReplicator has the work with an effect kept from the next request on.
+func (f *Frontend) SetReplicator(k RequestReplicator) { f.keeper = k }
 
 // keep serves a request under the fleet's custody; false: its class has none.
 func (f *Frontend) keep(ctx *fasthttp.RequestCtx, c *clientConn, p *parsed, b *body) bool {
 	h := &ctx.Request.Header
 	class := &p.now.settings.Classes[p.request.Class]
 	effect := effectOf(class.Semantics)
-	policy := f.keeper.Custody(class.Name, effect)
-	if policy == options.None {
+	policy := f.keeper.ReplicationPolicy(class.Name, effect)
+	if policy == options.NoReplication {
 		return false
 	}
-	p.left = min(p.left, f.keeper.Longest())
+	p.left = min(p.left, f.keeper.MaxDuration())
 	if b.src == nil {
 		b.held = slices.Clone(b.held) // it outlasts its client, and is the server's memory; what came as a stream is our own
 	}
 	call := p.call(h, b, c.readAt)
 	call.Whole = c.watch
 	w := takeover.Work{
-		ID: p.request.ID, Class: class.Name, Effect: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.Strict,
+		ID: p.request.ID, Class: class.Name, Effect: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.StrictReplication,
 		Left: min(call.Left(time.Now()), p.left), Longest: call.Left(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
 	}
 	var gone <-chan struct{}
@@ -63,7 +63,7 @@
 		gone = c.watch()
 	}
 	began := time.Now()
-	o := f.keeper.Do(w, gone, f.run(call))
+	o := f.keeper.Execute(w, gone, f.run(call))
 	broken := b.close()
 	c.unwatch()
 	switch {
@@ -137,8 +137,8 @@
 	}
 }
 
-// Unasked makes what runs a recorded request that nobody has asked for again.
-func (f *Frontend) Unasked(rec *takeover.Record, s *takeover.Stored) (func(takeover.Leave) takeover.Result, error) {
+// ResumeOrphan makes what runs a recorded request that nobody has asked for again.
+func (f *Frontend) ResumeOrphan(rec *takeover.Record, s *takeover.Stored) (func(takeover.Leave) takeover.Result, error) {
 	now := f.now.Load()
 	class, ok := now.classes[rec.Class]
 	if !ok {
@@ -156,8 +156,8 @@
 	return f.run(sidecar.NewCall(now.settings, r, m, time.Now(), left)), nil
 }
 
-// Unheard ends a live answer that nobody is left to take.
-func (f *Frontend) Unheard(live any) {
+// DiscardAnswer ends a live answer that nobody is left to take.
+func (f *Frontend) DiscardAnswer(live any) {
 	if a, ok := live.(sidecar.Answer); ok && a.Stream != nil {
 		a.Stream.Close()
 	}
@@ -166,7 +166,7 @@
 // tell answers as custody has it, where so much of the request's time is left. A member that has lost its leave answers nothing: another one does.
 func (f *Frontend) tell(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, left time.Duration) {
 	if o.Word == takeover.Answered && o.Lease != nil && !o.Lease.Valid() {
-		f.Unheard(o.Live)
+		f.DiscardAnswer(o.Live)
 		o.Word = takeover.Nothing
 	}
 	under := f.side.Under()
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -15,8 +15,8 @@
 	"damsonscale/internal/upstream"
 )
 
-// Pass hands work with its two connections to the process that follows.
-type Pass func(about any, client, server syscall.Conn) error
+// StreamHandover hands work with its two connections to the process that follows.
+type StreamHandover func(about any, client, server syscall.Conn) error
 
 // handed is an answer that goes on in another process, between two pieces.
 type handed struct {
@@ -97,8 +97,8 @@
 	return (*pass)(handed{standing, p.chunks}, from, to)
 }
 
-// GoOn goes on with an answer that the process before began.
-func (f *Frontend) GoOn(about []byte, client, server net.Conn) {
+// ResumeStream goes on with an answer that the process before began.
+func (f *Frontend) ResumeStream(about []byte, client, server net.Conn) {
 	f.resumed.Add(1)
 	go func() {
 		defer f.resumed.Add(-1)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -41,8 +41,8 @@
 	Listen string `json:"listen"`
 }
 
-// Path is where the processes of a sidecar meet, in a directory they share.
-func (id ID) Path(dir string) string {
+// SocketPath is where the processes of a sidecar meet, in a directory they share.
+func (id ID) SocketPath(dir string) string {
 	sum := sha256.Sum256([]byte(id.Name + "\n" + id.Listen))
 	return filepath.Join(dir, fmt.Sprintf("damsonscale-%x.sock", sum[:8]))
 }
@@ -72,8 +72,8 @@
 
 // ---- The new process
 
-// Before is the process that was there when this one started.
-type Before struct {
+// Predecessor is the process that was there when this one started.
+type Predecessor struct {
 	Listener net.Listener
 	State    json.RawMessage
 
@@ -81,9 +81,9 @@
 	gone chan struct{}
 }
 
-// Work is a piece of work that another process goes on with: what it is, and its two connections; or news, which have none.
-type Work struct {
-	About          json.RawMessage
+// Transfer is a piece of work that another process goes on with: what it is, and its two connections; or news, which have none.
+type Transfer struct {
+	Payload        json.RawMessage
 	Client, Server net.Conn
 }
 
@@ -102,17 +102,17 @@
 	return 0
 }
 
-// ErrNone tells that no other process is there.
-var ErrNone = errors.New("no process is there")
+// ErrNoPredecessor tells that no other process is there.
+var ErrNoPredecessor = errors.New("no process is there")
 
-var errBusy = errors.New("another is starting")
+var errHandoverInProgress = errors.New("another is starting")
 
-// Take asks the process that is there for the listening socket. ErrNone: there is none. Pieces of work that it hands over
+// Acquire asks the process that is there for the listening socket. ErrNoPredecessor: there is none. Pieces of work that it hands over
 // later are given to goOn, one call after another; nil: none are taken.
-func Take(ctx context.Context, path string, id ID, goOn func(Work)) (*Before, error) {
+func Acquire(ctx context.Context, path string, id ID, goOn func(Transfer)) (*Predecessor, error) {
 	for end := time.Now().Add(heirWait); ; {
 		b, err := take(path, id, goOn)
-		if !errors.Is(err, errBusy) || time.Now().After(end) {
+		if !errors.Is(err, errHandoverInProgress) || time.Now().After(end) {
 			return b, err
 		}
 		select {
@@ -123,11 +123,11 @@
 	}
 }
 
-func take(path string, id ID, goOn func(Work)) (*Before, error) {
+func take(path string, id ID, goOn func(Transfer)) (*Predecessor, error) {
 	nc, err := net.DialTimeout("unix", path, helloTimeout)
 	if err != nil {
 		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-			return nil, ErrNone
+			return nil, ErrNoPredecessor
 		}
 		return nil, fmt.Errorf("hand-over: %w", err)
 	}
@@ -149,7 +149,7 @@
 	return b, nil
 }
 
-func ask(conn *net.UnixConn, id ID, takes bool) (*Before, error) {
+func ask(conn *net.UnixConn, id ID, takes bool) (*Predecessor, error) {
 	conn.SetDeadline(time.Now().Add(helloTimeout))
 	if err := sameUser(conn); err != nil {
 		return nil, err
@@ -173,13 +173,13 @@
 	}
 	if h.Busy {
 		closeAll(files)
-		return nil, errBusy
+		return nil, errHandoverInProgress
 	}
 	ln, err := listenerOf(files, id.Listen)
 	if err != nil {
 		return nil, err
 	}
-	return &Before{Listener: ln, State: h.State, conn: conn, gone: make(chan struct{})}, nil
+	return &Predecessor{Listener: ln, State: h.State, conn: conn, gone: make(chan struct{})}, nil
 }
 
 // receiver reads lines and the descriptors that come with them. They come in order, those of a line with its first bytes;
@@ -224,7 +224,7 @@
 }
 
 // receiveWork hands on what the process before hands over, until that ends.
-func receiveWork(conn *net.UnixConn, goOn func(Work)) error {
+func receiveWork(conn *net.UnixConn, goOn func(Transfer)) error {
 	if goOn == nil {
 		return nil
 	}
@@ -245,10 +245,10 @@
 			return fmt.Errorf("unreadable, with %d connections: %v", len(fds), err)
 		}
 		if m.Work == nil {
-			goOn(Work{About: m.News})
+			goOn(Transfer{Payload: m.News})
 			continue
 		}
-		w := Work{About: m.Work}
+		w := Transfer{Payload: m.Work}
 		if w.Client, err = connOf(fds[0]); err == nil {
 			w.Server, err = connOf(fds[1])
 		} else {
@@ -317,16 +317,16 @@
 	return ln, nil
 }
 
-// Serving tells the process before that this one serves. A nil Before takes no word.
-func (b *Before) Serving() {
+// NotifyServing tells the process before that this one serves. A nil Before takes no word.
+func (b *Predecessor) NotifyServing() {
 	if b != nil {
 		b.conn.SetWriteDeadline(time.Now().Add(helloTimeout))
 		io.WriteString(b.conn, serving)
 	}
 }
 
-// Gone is closed once the process before has ended; of a nil Before it is closed already.
-func (b *Before) Gone() <-chan struct{} {
+// Done is closed once the process before has ended; of a nil Before it is closed already.
+func (b *Predecessor) Done() <-chan struct{} {
 	if b == nil {
 		c := make(chan struct{})
 		close(c)
@@ -337,35 +337,35 @@
 
 // ---- The process that is there
 
-// Offer hands a listening socket to whoever starts beside this process.
-type Offer struct {
+// Server hands a listening socket to whoever starts beside this process.
+type Server struct {
 	id     ID
 	path   string
 	door   *net.UnixListener
 	socket *net.TCPListener
 	state  func() any
-	heard  func(Heir)
+	heard  func(SuccessorState)
 
 	mu    sync.Mutex
-	heir  Heir
+	heir  SuccessorState
 	conn  *net.UnixConn // to the heir
 	takes bool          // it goes on with pieces of work
 
 	passing sync.Mutex // one piece of work is written at a time
 }
 
-// Heir is how far a process beside this one has come.
-type Heir uint8
+// SuccessorState is how far a process beside this one has come.
+type SuccessorState uint8
 
 const (
-	NoHeir Heir = iota
-	Starts      // it has the socket
-	Serves      // it accepts from it
+	NoSuccessor       SuccessorState = iota
+	SuccessorStarting                // it has the socket
+	SuccessorServing                 // it accepts from it
 )
 
-// NewOffer offers a socket at path from now on, in place of whoever did before. state gives what a new process is told;
+// NewServer offers a socket at path from now on, in place of whoever did before. state gives what a new process is told;
 // heard is called at each change of the heir, one call at a time.
-func NewOffer(path string, id ID, socket *net.TCPListener, state func() any, heard func(Heir)) (*Offer, error) {
+func NewServer(path string, id ID, socket *net.TCPListener, state func() any, heard func(SuccessorState)) (*Server, error) {
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(fresh)
 	door, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
@@ -379,29 +379,29 @@
 		os.Remove(fresh)
 		return nil, fmt.Errorf("hand-over: %w", err)
 	}
-	o := &Offer{id: id, path: path, door: door, socket: socket, state: state, heard: heard}
+	o := &Server{id: id, path: path, door: door, socket: socket, state: state, heard: heard}
 	go o.serve()
 	return o, nil
 }
 
 // Close offers no more. The file stays: a process that finds nobody there takes it for none.
-func (o *Offer) Close() {
+func (o *Server) Close() {
 	if o != nil {
 		o.door.Close()
 	}
 }
 
-// Heir tells how far a process beside this one has come; of a nil Offer there is none.
-func (o *Offer) Heir() Heir {
+// Successor tells how far a process beside this one has come; of a nil Offer there is none.
+func (o *Server) Successor() SuccessorState {
 	if o == nil {
-		return NoHeir
+		return NoSuccessor
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.heir
 }
 
-func (o *Offer) serve() {
+func (o *Server) serve() {
 	for {
 		conn, err := o.door.AcceptUnix()
 		switch {
@@ -416,31 +416,31 @@
 }
 
 // meet serves one process to its end.
-func (o *Offer) meet(conn *net.UnixConn) {
+func (o *Server) meet(conn *net.UnixConn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(helloTimeout))
 	br := bufio.NewReader(io.LimitReader(conn, maxHello))
 	if err := o.greet(conn, br); err != nil {
-		if !errors.Is(err, errBusy) {
+		if !errors.Is(err, errHandoverInProgress) {
 			log.Printf("event=handover_refused err=%q", err)
 		}
 		return
 	}
-	defer o.set(NoHeir)
+	defer o.set(NoSuccessor)
 	log.Print("event=handover stage=starts")
 	conn.SetDeadline(time.Time{})
 	if line, err := br.ReadString('\n'); err != nil || line != serving {
 		log.Print("event=handover stage=gone") // it died before it served
 		return
 	}
-	o.set(Serves)
+	o.set(SuccessorServing)
 	log.Print("event=handover stage=serves")
 	io.Copy(io.Discard, conn)
 	log.Print("event=handover stage=gone")
 }
 
 // greet hands over what a process asks for, if it is of this sidecar and no other is starting.
-func (o *Offer) greet(conn *net.UnixConn, br *bufio.Reader) error {
+func (o *Server) greet(conn *net.UnixConn, br *bufio.Reader) error {
 	if err := sameUser(conn); err != nil {
 		return err
 	}
@@ -459,44 +459,44 @@
 	if !o.claim(conn, h.Takes) {
 		answer.Busy = true
 		say(conn, answer)
-		return errBusy
+		return errHandoverInProgress
 	}
 	if answer.State, err = json.Marshal(o.state()); err == nil {
 		err = say(conn, answer, o.socket)
 	}
 	if err != nil {
-		o.set(NoHeir)
+		o.set(NoSuccessor)
 	}
 	return err
 }
 
 // claim makes a process the heir unless there is one.
-func (o *Offer) claim(conn *net.UnixConn, takes bool) bool {
+func (o *Server) claim(conn *net.UnixConn, takes bool) bool {
 	o.mu.Lock()
-	free := o.heir == NoHeir
+	free := o.heir == NoSuccessor
 	if free {
-		o.heir, o.conn, o.takes = Starts, conn, takes
+		o.heir, o.conn, o.takes = SuccessorStarting, conn, takes
 	}
 	o.mu.Unlock()
 	if free {
-		o.heard(Starts)
+		o.heard(SuccessorStarting)
 	}
 	return free
 }
 
-func (o *Offer) set(h Heir) {
+func (o *Server) set(h SuccessorState) {
 	o.mu.Lock()
 	o.heir = h
 	o.mu.Unlock()
 	o.heard(h)
 }
 
-// ErrNoHeir tells that no other process takes work.
-var ErrNoHeir = errors.New("no process takes work")
+// ErrNoSuccessor tells that no other process takes work.
+var ErrNoSuccessor = errors.New("no process takes work")
 
-// Pass hands a piece of work with its two connections to the process that follows. Once it has returned nil this process
+// TransferStream hands a piece of work with its two connections to the process that follows. Once it has returned nil this process
 // must close both without a word.
-func (o *Offer) Pass(about any, client, server syscall.Conn) error {
+func (o *Server) TransferStream(about any, client, server syscall.Conn) error {
 	body, err := json.Marshal(about)
 	if err != nil {
 		return err
@@ -504,8 +504,8 @@
 	return o.write(message{Work: body}, client, server)
 }
 
-// Tell tells the process that follows.
-func (o *Offer) Tell(news any) error {
+// Notify tells the process that follows.
+func (o *Server) Notify(news any) error {
 	body, err := json.Marshal(news)
 	if err != nil {
 		return err
@@ -513,15 +513,15 @@
 	return o.write(message{News: body})
 }
 
-func (o *Offer) write(m message, sockets ...syscall.Conn) error {
+func (o *Server) write(m message, sockets ...syscall.Conn) error {
 	if o == nil {
-		return ErrNoHeir
+		return ErrNoSuccessor
 	}
 	o.mu.Lock()
-	conn, ready := o.conn, o.heir == Serves && o.takes
+	conn, ready := o.conn, o.heir == SuccessorServing && o.takes
 	o.mu.Unlock()
 	if !ready {
-		return ErrNoHeir
+		return ErrNoSuccessor
 	}
 	line, err := json.Marshal(m)
 	if err != nil {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -24,12 +24,12 @@
 	return ln
 }
 
-func offered(t *testing.T) (id ID, path string, ln *net.TCPListener, o *Offer, heirs chan Heir) {
+func offered(t *testing.T) (id ID, path string, ln *net.TCPListener, o *Server, heirs chan SuccessorState) {
 	t.Helper()
 	ln = socket(t)
 	id = ID{Name: "n1", Listen: ln.Addr().String()}
-	path, heirs = id.Path(t.TempDir()), make(chan Heir, 16)
-	o, err := NewOffer(path, id, ln, func() any { return map[string]int{"x": 7} }, func(h Heir) { heirs <- h })
+	path, heirs = id.SocketPath(t.TempDir()), make(chan SuccessorState, 16)
+	o, err := NewServer(path, id, ln, func() any { return map[string]int{"x": 7} }, func(h SuccessorState) { heirs <- h })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,14 +41,14 @@
 // connections that die with a queue.
 func TestNothingInTheQueueIsLost(t *testing.T) {
 	id, path, ln, o, heirs := offered(t)
-	b, err := Take(context.Background(), path, id, nil)
+	b, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(b.State) != `{"x":7}` {
 		t.Fatalf("%s", b.State)
 	}
-	if h := <-heirs; h != Starts {
+	if h := <-heirs; h != SuccessorStarting {
 		t.Fatal(h)
 	}
 	c, err := net.Dial("tcp", id.Listen) // waits in the queue
@@ -57,8 +57,8 @@
 	}
 	defer c.Close()
 	c.Write([]byte("hello"))
-	b.Serving()
-	if h := <-heirs; h != Serves || o.Heir() != Serves {
+	b.NotifyServing()
+	if h := <-heirs; h != SuccessorServing || o.Successor() != SuccessorServing {
 		t.Fatal(h)
 	}
 	ln.Close()
@@ -72,7 +72,7 @@
 		t.Fatalf("%q %v", text, err)
 	}
 	b.conn.Close() // it dies
-	if h := <-heirs; h != NoHeir {
+	if h := <-heirs; h != NoSuccessor {
 		t.Fatal(h)
 	}
 }
@@ -80,7 +80,7 @@
 // A handed socket does not make the accepting one block a thread: it stays non-blocking, and closing it ends Accept.
 func TestOldSocketStaysUsable(t *testing.T) {
 	id, path, ln, _, _ := offered(t)
-	b, err := Take(context.Background(), path, id, nil)
+	b, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,15 +103,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := take(path, id, nil); !errors.Is(err, errBusy) {
+	if _, err := take(path, id, nil); !errors.Is(err, errHandoverInProgress) {
 		t.Fatal(err)
 	}
 	<-heirs
 	first.conn.Close()
-	if h := <-heirs; h != NoHeir {
+	if h := <-heirs; h != NoSuccessor {
 		t.Fatal(h)
 	}
-	second, err := Take(context.Background(), path, id, nil)
+	second, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,24 +121,24 @@
 // The new process sees the old one's end, and offers at the same path meanwhile.
 func TestEndOfTheOldOne(t *testing.T) {
 	id, path, _, o, _ := offered(t)
-	b, err := Take(context.Background(), path, id, nil)
+	b, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := NewOffer(path, id, b.Listener.(*net.TCPListener), func() any { return nil }, func(Heir) {})
+	next, err := NewServer(path, id, b.Listener.(*net.TCPListener), func() any { return nil }, func(SuccessorState) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.Close()
 	select {
-	case <-b.Gone():
+	case <-b.Done():
 		t.Fatal("gone while it is there")
 	default:
 	}
 	o.Close()
 	b.conn.CloseRead() // as its end does
-	<-b.Gone()
-	if after, err := Take(context.Background(), path, id, nil); err != nil {
+	<-b.Done()
+	if after, err := Acquire(context.Background(), path, id, nil); err != nil {
 		t.Fatal(err)
 	} else {
 		after.conn.Close()
@@ -148,8 +148,8 @@
 // No file, and a file that a dead process left, both mean that nobody is there.
 func TestNobodyThere(t *testing.T) {
 	id := ID{Name: "n1", Listen: "127.0.0.1:1"}
-	path := id.Path(t.TempDir())
-	if _, err := Take(context.Background(), path, id, nil); err != ErrNone {
+	path := id.SocketPath(t.TempDir())
+	if _, err := Acquire(context.Background(), path, id, nil); err != ErrNoPredecessor {
 		t.Fatal(err)
 	}
 	left, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -158,15 +158,15 @@
 	}
 	left.SetUnlinkOnClose(false)
 	left.Close()
-	if _, err := Take(context.Background(), path, id, nil); err != ErrNone {
+	if _, err := Acquire(context.Background(), path, id, nil); err != ErrNoPredecessor {
 		t.Fatal(err)
 	}
-	(*Before)(nil).Serving()
-	<-(*Before)(nil).Gone()
-	if h := (*Offer)(nil).Heir(); h != NoHeir {
+	(*Predecessor)(nil).NotifyServing()
+	<-(*Predecessor)(nil).Done()
+	if h := (*Server)(nil).Successor(); h != NoSuccessor {
 		t.Fatal(h)
 	}
-	if _, err := NewOffer(strings.Repeat("/x", 100), id, socket(t), nil, nil); err == nil {
+	if _, err := NewServer(strings.Repeat("/x", 100), id, socket(t), nil, nil); err == nil {
 		t.Fatal("a path that can't be had is taken")
 	}
 }
@@ -202,7 +202,7 @@
 		"no listener":    {line, []int{int(plain.Fd())}},
 		"without an end": {strings.Repeat("x", maxState+64<<10), []int{fd(ln)}},
 	} {
-		path := id.Path(t.TempDir())
+		path := id.SocketPath(t.TempDir())
 		door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 		if err != nil {
 			t.Fatal(err)
@@ -221,7 +221,7 @@
 			n, _, _ := conn.WriteMsgUnix([]byte(c.text), oob, nil)
 			conn.Write([]byte(c.text)[n:])
 		}()
-		if b, err := take(path, id, nil); err == nil || errors.Is(err, ErrNone) {
+		if b, err := take(path, id, nil); err == nil || errors.Is(err, ErrNoPredecessor) {
 			t.Errorf("%s: taken: %v %v", name, b, err)
 		}
 		door.Close()
@@ -255,10 +255,10 @@
 		}
 		c.Close()
 	}
-	if o.Heir() != NoHeir {
-		t.Fatal(o.Heir())
+	if o.Successor() != NoSuccessor {
+		t.Fatal(o.Successor())
 	}
-	b, err := Take(context.Background(), path, id, nil)
+	b, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,7 +269,7 @@
 func TestSharedAddress(t *testing.T) {
 	ln := socket(t)
 	addr := ln.Addr().String()
-	if !Held(addr) {
+	if !AddressInUse(addr) {
 		t.Fatal("free while it is held")
 	}
 	second, err := Listen(context.Background(), addr)
@@ -278,7 +278,7 @@
 	}
 	second.Close()
 	ln.Close()
-	if Held(addr) {
+	if AddressInUse(addr) {
 		t.Fatal("held while it is free")
 	}
 }
@@ -315,8 +315,8 @@
 // its own. What is no work ends the taking, and leaves no descriptor.
 func TestWorkGoesOn(t *testing.T) {
 	id, path, ln, o, heirs := offered(t)
-	works := make(chan Work, 16)
-	b, err := Take(context.Background(), path, id, func(w Work) { works <- w })
+	works := make(chan Transfer, 16)
+	b, err := Acquire(context.Background(), path, id, func(w Transfer) { works <- w })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -334,33 +334,33 @@
 	}
 	client, atClient := pair()
 	server, atServer := pair()
-	if err := o.Pass("early", client.(*net.TCPConn), server.(*net.TCPConn)); err != ErrNoHeir {
+	if err := o.TransferStream("early", client.(*net.TCPConn), server.(*net.TCPConn)); err != ErrNoSuccessor {
 		t.Fatalf("handed to one that does not serve: %v", err)
 	}
-	b.Serving()
+	b.NotifyServing()
 	<-heirs
 	// Long ones, at once: the system puts the end of one and the beginning of the next together.
 	var passing sync.WaitGroup
 	for range cap(works) {
 		passing.Go(func() {
-			if err := o.Pass(strings.Repeat("x", 100_000), client.(*net.TCPConn), server.(*net.TCPConn)); err != nil {
+			if err := o.TransferStream(strings.Repeat("x", 100_000), client.(*net.TCPConn), server.(*net.TCPConn)); err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	var w, again Work
+	var w, again Transfer
 	for range cap(works) {
 		w, again = again, <-works
-		if len(again.About) != 100_002 {
-			t.Fatalf("%d bytes", len(again.About))
+		if len(again.Payload) != 100_002 {
+			t.Fatalf("%d bytes", len(again.Payload))
 		}
 	}
 	passing.Wait()
-	if err := o.Tell([]string{"news"}); err != nil {
+	if err := o.Notify([]string{"news"}); err != nil {
 		t.Fatal(err)
 	}
-	if n := <-works; string(n.About) != `["news"]` || n.Client != nil || n.Server != nil {
-		t.Fatalf("%s %v", n.About, n.Client)
+	if n := <-works; string(n.Payload) != `["news"]` || n.Client != nil || n.Server != nil {
+		t.Fatalf("%s %v", n.Payload, n.Client)
 	}
 	client.Close()
 	server.Close()
@@ -371,7 +371,7 @@
 			t.Fatalf("%q %v", text, err)
 		}
 	}
-	if err := (*Offer)(nil).Pass("x", nil, nil); err != ErrNoHeir {
+	if err := (*Server)(nil).TransferStream("x", nil, nil); err != ErrNoSuccessor {
 		t.Fatal(err)
 	}
 }
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -50,8 +50,8 @@
 	return false
 }
 
-// Held tells whether another process listens at an address.
-func Held(addr string) bool {
+// AddressInUse tells whether another process listens at an address.
+func AddressInUse(addr string) bool {
 	ln, err := net.Listen("tcp", addr)
 	if err == nil {
 		ln.Close()
--- a/internal/handover/recorded_test.go
+++ b/internal/handover/recorded_test.go
@@ -40,9 +40,9 @@
 // The old process of today writes byte for byte what the build of 2029d41 wrote.
 func TestOldProcessWritesRecordedMessages(t *testing.T) {
 	ln := socket(t)
-	path := recordedID.Path(t.TempDir())
-	heirs := make(chan Heir, 16)
-	o, err := NewOffer(path, recordedID, ln, func() any { return json.RawMessage(strings.TrimSpace(recorded(t, "state.json"))) }, func(h Heir) { heirs <- h })
+	path := recordedID.SocketPath(t.TempDir())
+	heirs := make(chan SuccessorState, 16)
+	o, err := NewServer(path, recordedID, ln, func() any { return json.RawMessage(strings.TrimSpace(recorded(t, "state.json"))) }, func(h SuccessorState) { heirs <- h })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	if _, err := c.Write([]byte(serving)); err != nil {
 		t.Fatal(err)
 	}
-	if h := <-heirs; h != Serves {
+	if h := <-heirs; h != SuccessorServing {
 		t.Fatal(h)
 	}
 	a, err := net.Dial("tcp", ln.Addr().String())
@@ -86,12 +86,12 @@
 	}
 	defer a.Close()
 	for _, name := range []string{"stream.json", "stream_of_known_length.json"} {
-		if err := o.Pass(json.RawMessage(strings.TrimSpace(recorded(t, name))), a.(*net.TCPConn), a.(*net.TCPConn)); err != nil {
+		if err := o.TransferStream(json.RawMessage(strings.TrimSpace(recorded(t, name))), a.(*net.TCPConn), a.(*net.TCPConn)); err != nil {
 			t.Fatal(err)
 		}
 		read(br)
 	}
-	if err := o.Tell(json.RawMessage(strings.TrimSpace(recorded(t, "open_requests.json")))); err != nil {
+	if err := o.Notify(json.RawMessage(strings.TrimSpace(recorded(t, "open_requests.json")))); err != nil {
 		t.Fatal(err)
 	}
 	read(br)
@@ -107,7 +107,7 @@
 	here := strings.NewReplacer(recordedID.Listen, id.Listen) // the descriptor's address is checked
 	back := strings.NewReplacer(id.Listen, recordedID.Listen)
 	lines := strings.SplitAfter(here.Replace(recorded(t, "old_process.txt")), "\n")
-	path := id.Path(t.TempDir())
+	path := id.SocketPath(t.TempDir())
 	door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -145,8 +145,8 @@
 		c.Write([]byte(lines[4]))
 		wrote <- hello + served
 	}()
-	works := make(chan Work, 16)
-	b, err := Take(context.Background(), path, id, func(w Work) { works <- w })
+	works := make(chan Transfer, 16)
+	b, err := Acquire(context.Background(), path, id, func(w Transfer) { works <- w })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 	if want := strings.TrimSpace(recorded(t, "state.json")); string(b.State) != want {
 		t.Errorf("state %s, expected %s", b.State, want)
 	}
-	b.Serving()
+	b.NotifyServing()
 	if got, want := back.Replace(<-wrote), recorded(t, "new_process.txt"); got != want {
 		t.Errorf("wrote\n%s\nthe build of 2029d41 wrote\n%s", got, want)
 	}
@@ -163,8 +163,8 @@
 		sockets bool
 	}{{"stream.json", true}, {"stream_of_known_length.json", true}, {"open_requests.json", false}} {
 		w := <-works
-		if want := strings.TrimSpace(recorded(t, c.name)); string(w.About) != want {
-			t.Errorf("%s: read %s, expected %s", c.name, w.About, want)
+		if want := strings.TrimSpace(recorded(t, c.name)); string(w.Payload) != want {
+			t.Errorf("%s: read %s, expected %s", c.name, w.Payload, want)
 		}
 		if (w.Client != nil) != c.sockets || (w.Server != nil) != c.sockets {
 			t.Errorf("%s: connections %v and %v", c.name, w.Client, w.Server)
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -26,16 +26,16 @@
 
 var errHollow = errors.New("a hollow member runs nothing")
 
-// Unasked refuses: nobody sends requests in such a run.
-func (h *hollow) Unasked(*takeover.Record, *takeover.Stored) (func(takeover.Leave) takeover.Result, error) {
+// ResumeOrphan refuses: nobody sends requests in such a run.
+func (h *hollow) ResumeOrphan(*takeover.Record, *takeover.Stored) (func(takeover.Leave) takeover.Result, error) {
 	return nil, errHollow
 }
 
-// Unheard is never called with anything.
-func (h *hollow) Unheard(any) {}
+// DiscardAnswer is never called with anything.
+func (h *hollow) DiscardAnswer(any) {}
 
-// Adopt puts a version in force, by the checks of the program.
-func (h *hollow) Adopt(number uint64, text []byte) error {
+// ApplySettings puts a version in force, by the checks of the program.
+func (h *hollow) ApplySettings(number uint64, text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next, err := h.conf.Adopt(text, os.Getenv)
@@ -47,16 +47,16 @@
 	return nil
 }
 
-// Check tells what Adopt would say.
-func (h *hollow) Check(text []byte) error {
+// ValidateSettings tells what Adopt would say.
+func (h *hollow) ValidateSettings(text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, err := h.conf.Adopt(text, os.Getenv)
 	return err
 }
 
-// Rest has nothing to close.
-func (h *hollow) Rest() {}
+// CloseIdleConnections has nothing to close.
+func (h *hollow) CloseIdleConnections() {}
 
 // Listed tells of a list in force.
 func (h *hollow) Listed(l *discovery.List) {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -9,8 +9,8 @@
 const (
 	Starting Stage = iota // it can't serve yet
 	Serving
-	Drained // serves what still comes, wants nothing new; can be undone
-	Ending  // the same, and ends; can't be undone
+	Draining    // serves what still comes, wants nothing new; can be undone
+	Terminating // the same, and ends; can't be undone
 )
 
 // String names the stage as log lines and answers do.
@@ -22,8 +22,8 @@
 	return "unknown"
 }
 
-// Owner holds the stage. The zero value is starting. Its methods never wait for anything but each other.
-type Owner struct {
+// Tracker holds the stage. The zero value is starting. Its methods never wait for anything but each other.
+type Tracker struct {
 	mu       sync.Mutex
 	canServe bool
 	drained  bool
@@ -33,14 +33,14 @@
 }
 
 // Stage is the present stage.
-func (o *Owner) Stage() Stage {
+func (o *Tracker) Stage() Stage {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.stage
 }
 
 // Watch returns the present stage and a channel that is closed once it is another.
-func (o *Owner) Watch() (Stage, <-chan struct{}) {
+func (o *Tracker) Watch() (Stage, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.changed == nil {
@@ -50,35 +50,35 @@
 }
 
 // CanServe tells whether the process has been able to serve since its start, drained or not, and is not ending.
-func (o *Owner) CanServe() bool {
+func (o *Tracker) CanServe() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.canServe && !o.ending
 }
 
-// Serve tells that the process can serve from now on. A drain begun before stays.
-func (o *Owner) Serve() Stage { return o.set(func() { o.canServe = true }) }
+// MarkReady tells that the process can serve from now on. A drain begun before stays.
+func (o *Tracker) MarkReady() Stage { return o.set(func() { o.canServe = true }) }
 
-// Drain empties the process until Undrain.
-func (o *Owner) Drain() Stage { return o.set(func() { o.drained = true }) }
+// StartDraining empties the process until Undrain.
+func (o *Tracker) StartDraining() Stage { return o.set(func() { o.drained = true }) }
 
-// Undrain ends the operators' drain. It does not undo End. Guards against an operator's word that brings back
+// StopDraining ends the operators' drain. It does not undo End. Guards against an operator's word that brings back
 // a process which SIGTERM is ending.
-func (o *Owner) Undrain() Stage { return o.set(func() { o.drained = false }) }
+func (o *Tracker) StopDraining() Stage { return o.set(func() { o.drained = false }) }
 
-// End ends the process once it is empty.
-func (o *Owner) End() Stage { return o.set(func() { o.ending = true }) }
+// Terminate ends the process once it is empty.
+func (o *Tracker) Terminate() Stage { return o.set(func() { o.ending = true }) }
 
-func (o *Owner) set(change func()) Stage {
+func (o *Tracker) set(change func()) Stage {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	change()
 	was := o.stage
 	switch {
 	case o.ending:
-		o.stage = Ending
+		o.stage = Terminating
 	case o.drained:
-		o.stage = Drained
+		o.stage = Draining
 	case o.canServe:
 		o.stage = Serving
 	default:
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -8,8 +8,8 @@
 // Each row is a history and the stage it leads to. Guards against a drain that survives its end, and against an end
 // that an operator's word undoes.
 func TestStages(t *testing.T) {
-	type step = func(*Owner) Stage
-	serve, drain, undrain, end := (*Owner).Serve, (*Owner).Drain, (*Owner).Undrain, (*Owner).End
+	type step = func(*Tracker) Stage
+	serve, drain, undrain, end := (*Tracker).MarkReady, (*Tracker).StartDraining, (*Tracker).StopDraining, (*Tracker).Terminate
 	for _, c := range []struct {
 		name  string
 		steps []step
@@ -18,16 +18,16 @@
 	}{
 		{"new", nil, Starting, false},
 		{"served", []step{serve}, Serving, true},
-		{"drained", []step{serve, drain, drain}, Drained, true},
-		{"drained before it serves", []step{drain, serve}, Drained, true},
+		{"drained", []step{serve, drain, drain}, Draining, true},
+		{"drained before it serves", []step{drain, serve}, Draining, true},
 		{"undrained before it serves", []step{drain, undrain}, Starting, false},
 		{"quick turns", []step{serve, drain, undrain, drain, undrain}, Serving, true},
 		{"ok without fail", []step{serve, undrain}, Serving, true},
-		{"ending", []step{serve, end}, Ending, false},
-		{"ok does not undo the end", []step{serve, drain, end, undrain}, Ending, false},
-		{"serve does not undo the end", []step{end, serve}, Ending, false},
+		{"ending", []step{serve, end}, Terminating, false},
+		{"ok does not undo the end", []step{serve, drain, end, undrain}, Terminating, false},
+		{"serve does not undo the end", []step{end, serve}, Terminating, false},
 	} {
-		o := &Owner{}
+		o := &Tracker{}
 		for _, s := range c.steps {
 			s(o)
 		}
@@ -39,38 +39,38 @@
 
 // A watcher hears of a change, and not of a word that changes nothing.
 func TestWatch(t *testing.T) {
-	o := &Owner{}
+	o := &Tracker{}
 	stage, changed := o.Watch()
 	if stage != Starting {
 		t.Fatal(stage)
 	}
-	o.Undrain()
+	o.StopDraining()
 	select {
 	case <-changed:
 		t.Fatal("told of no change")
 	default:
 	}
-	o.Serve()
+	o.MarkReady()
 	<-changed
 	stage, changed = o.Watch()
 	if stage != Serving {
 		t.Fatal(stage)
 	}
-	o.Drain()
+	o.StartDraining()
 	<-changed
 }
 
 // Callers at once end in a stage that one of their orders gives.
 func TestAtOnce(t *testing.T) {
-	o := &Owner{}
-	o.Serve()
+	o := &Tracker{}
+	o.MarkReady()
 	var wg sync.WaitGroup
 	for range 50 {
-		wg.Go(func() { o.Drain(); o.Watch() })
-		wg.Go(func() { o.Undrain(); o.Stage() })
+		wg.Go(func() { o.StartDraining(); o.Watch() })
+		wg.Go(func() { o.StopDraining(); o.Stage() })
 	}
 	wg.Wait()
-	if s := o.Stage(); s != Serving && s != Drained {
+	if s := o.Stage(); s != Serving && s != Draining {
 		t.Fatal(s)
 	}
 }
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -16,8 +16,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Variable names the file of options. Without it nothing here acts.
-const Variable = "DAMSONSCALE_OPTIONS"
+// EnvVar names the file of options. Without it nothing here acts.
+const EnvVar = "DAMSONSCALE_OPTIONS"
 
 const (
 	maxFile    = 1 << 20 // bytes
@@ -33,10 +33,10 @@
 
 // Fleet tells who belongs together.
 type Fleet struct {
-	Address  string        // where this member listens for others; empty: no fleet
-	Members  []Member      // all of them, this one too
-	StateDir string        // keeps the epoch log over a restart
-	Lease    time.Duration // for which a member may act once it has asked
+	Address       string        // where this member listens for others; empty: no fleet
+	Members       []Member      // all of them, this one too
+	StateDir      string        // keeps the epoch log over a restart
+	LeaseDuration time.Duration // for which a member may act once it has asked
 }
 
 // Member is one sidecar of the fleet.
@@ -45,34 +45,34 @@
 	Address string `toml:"address"`
 }
 
-// Custody is what happens to a class's work while its holders can't be reached.
-type Custody string
+// ReplicationPolicy is what happens to a class's work while its holders can't be reached.
+type ReplicationPolicy string
 
 const (
-	None       Custody = "none"        // no record is kept
-	BestEffort Custody = "best_effort" // the work goes on without one, counted
-	Strict     Custody = "strict"      // refused before anything was sent
+	NoReplication         ReplicationPolicy = "none"        // no record is kept
+	BestEffortReplication ReplicationPolicy = "best_effort" // the work goes on without one, counted
+	StrictReplication     ReplicationPolicy = "strict"      // refused before anything was sent
 )
 
 // Takeover bounds what a member keeps for others.
 type Takeover struct {
-	Enabled     bool
-	Holders     int                // of each record
-	KeepAnswers time.Duration      // after the answer
-	Longest     time.Duration      // that a request may be in custody; 0: as long as the longest deadline of a class
-	Records     int                // held for others at most
-	Bytes       int                // of requests and answers held for others
-	Classes     map[string]Custody // by the name of the class; others go by what a repeat does
+	Enabled            bool
+	Replicas           int                          // of each record
+	AnswerRetention    time.Duration                // after the answer
+	MaxRequestDuration time.Duration                // that a request may be in custody; 0: as long as the longest deadline of a class
+	MaxRecords         int                          // held for others at most
+	MaxBytes           int                          // of requests and answers held for others
+	PolicyByClass      map[string]ReplicationPolicy // by the name of the class; others go by what a repeat does
 }
 
 // Audit is what a member keeps account of, and by which version it may act.
 type Audit struct {
-	Enabled   bool
-	Holders   int    // of each segment of the account, beside the member itself
-	Bytes     int    // of segments held here, for this member and for others
-	Dir       string // where segments are kept too; empty: in memory alone
-	DiskBytes int    // of them there
-	MostOut   int    // thousandths of all members that may be without a lease for a fence or a name shut out
+	Enabled             bool
+	SegmentReplicas     int    // of each segment of the account, beside the member itself
+	MaxMemoryBytes      int    // of segments held here, for this member and for others
+	SegmentDir          string // where segments are kept too; empty: in memory alone
+	MaxDiskBytes        int    // of them there
+	MaxUnleasedPermille int    // thousandths of all members that may be without a lease for a fence or a name shut out
 }
 
 // file is the layout of the file.
@@ -84,13 +84,13 @@
 		LeaseMs  *int64   `toml:"lease_ms"`
 	} `toml:"fleet"`
 	Takeover struct {
-		Enabled       bool               `toml:"enabled"`
-		Holders       *int64             `toml:"holders"`
-		KeepAnswersMs *int64             `toml:"keep_answers_ms"`
-		LongestMs     *int64             `toml:"longest_ms"`
-		Records       *int64             `toml:"records"`
-		Bytes         *int64             `toml:"bytes"`
-		Custody       map[string]Custody `toml:"custody"`
+		Enabled       bool                         `toml:"enabled"`
+		Holders       *int64                       `toml:"holders"`
+		KeepAnswersMs *int64                       `toml:"keep_answers_ms"`
+		LongestMs     *int64                       `toml:"longest_ms"`
+		Records       *int64                       `toml:"records"`
+		Bytes         *int64                       `toml:"bytes"`
+		Custody       map[string]ReplicationPolicy `toml:"custody"`
 	} `toml:"takeover"`
 	Audit struct {
 		Enabled   bool     `toml:"enabled"`
@@ -104,24 +104,24 @@
 
 // Load reads the file that the environment names; nil where it names none.
 func Load(getenv func(string) string, name string) (*Options, error) {
-	path := getenv(Variable)
+	path := getenv(EnvVar)
 	if path == "" {
 		return nil, nil
 	}
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", Variable, err)
+		return nil, fmt.Errorf("%s: %w", EnvVar, err)
 	}
 	if info.Size() > maxFile {
-		return nil, fmt.Errorf("%s: %s: %d bytes, at most %d are read", Variable, path, info.Size(), maxFile)
+		return nil, fmt.Errorf("%s: %s: %d bytes, at most %d are read", EnvVar, path, info.Size(), maxFile)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", Variable, err)
+		return nil, fmt.Errorf("%s: %w", EnvVar, err)
 	}
 	o, err := Parse(text, name)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %s: %w", Variable, path, err)
+		return nil, fmt.Errorf("%s: %s: %w", EnvVar, path, err)
 	}
 	return o, nil
 }
@@ -138,24 +138,24 @@
 	o := &Options{
 		Fleet: Fleet{
 			Address: f.Fleet.Address, Members: f.Fleet.Members, StateDir: f.Fleet.StateDir,
-			Lease: r.ms("fleet.lease_ms", f.Fleet.LeaseMs, 600, 100, 10_000),
+			LeaseDuration: r.ms("fleet.lease_ms", f.Fleet.LeaseMs, 600, 100, 10_000),
 		},
 		Takeover: Takeover{
-			Enabled:     f.Takeover.Enabled,
-			Holders:     int(r.number("takeover.holders", f.Takeover.Holders, 3, 1, 7)),
-			KeepAnswers: r.ms("takeover.keep_answers_ms", f.Takeover.KeepAnswersMs, 10_000, 100, 600_000),
-			Longest:     r.ms("takeover.longest_ms", f.Takeover.LongestMs, 0, 100, 600_000),
-			Records:     int(r.number("takeover.records", f.Takeover.Records, 20_000, 1, 10_000_000)),
-			Bytes:       int(r.number("takeover.bytes", f.Takeover.Bytes, 32<<20, 1<<10, 1<<34)),
-			Classes:     f.Takeover.Custody,
+			Enabled:            f.Takeover.Enabled,
+			Replicas:           int(r.number("takeover.holders", f.Takeover.Holders, 3, 1, 7)),
+			AnswerRetention:    r.ms("takeover.keep_answers_ms", f.Takeover.KeepAnswersMs, 10_000, 100, 600_000),
+			MaxRequestDuration: r.ms("takeover.longest_ms", f.Takeover.LongestMs, 0, 100, 600_000),
+			MaxRecords:         int(r.number("takeover.records", f.Takeover.Records, 20_000, 1, 10_000_000)),
+			MaxBytes:           int(r.number("takeover.bytes", f.Takeover.Bytes, 32<<20, 1<<10, 1<<34)),
+			PolicyByClass:      f.Takeover.Custody,
 		},
 		Audit: Audit{
-			Enabled:   f.Audit.Enabled,
-			Holders:   int(r.number("audit.holders", f.Audit.Holders, 2, 0, 6)),
-			Bytes:     int(r.number("audit.bytes", f.Audit.Bytes, 16<<20, 64<<10, 1<<34)),
-			Dir:       f.Audit.Dir,
-			DiskBytes: int(r.number("audit.disk_bytes", f.Audit.DiskBytes, 256<<20, 1<<20, 1<<40)),
-			MostOut:   int(1000 * r.part("audit.most_out", f.Audit.MostOut, 0.34)),
+			Enabled:             f.Audit.Enabled,
+			SegmentReplicas:     int(r.number("audit.holders", f.Audit.Holders, 2, 0, 6)),
+			MaxMemoryBytes:      int(r.number("audit.bytes", f.Audit.Bytes, 16<<20, 64<<10, 1<<34)),
+			SegmentDir:          f.Audit.Dir,
+			MaxDiskBytes:        int(r.number("audit.disk_bytes", f.Audit.DiskBytes, 256<<20, 1<<20, 1<<40)),
+			MaxUnleasedPermille: int(1000 * r.part("audit.most_out", f.Audit.MostOut, 0.34)),
 		},
 	}
 	r.fleet(&o.Fleet, name)
@@ -267,14 +267,14 @@
 	if t.Enabled && o.Fleet.Address == "" {
 		r.wrong("takeover.enabled", "needs a fleet.address")
 	}
-	if t.Holders%2 == 0 {
-		r.wrong("takeover.holders", "%d is even: a quorum of it is no smaller than of one more", t.Holders)
+	if t.Replicas%2 == 0 {
+		r.wrong("takeover.holders", "%d is even: a quorum of it is no smaller than of one more", t.Replicas)
 	}
-	if n := len(o.Fleet.Members); t.Enabled && n > 0 && t.Holders > n {
-		r.wrong("takeover.holders", "%d holders of %d members", t.Holders, n)
+	if n := len(o.Fleet.Members); t.Enabled && n > 0 && t.Replicas > n {
+		r.wrong("takeover.holders", "%d holders of %d members", t.Replicas, n)
 	}
-	for _, c := range slices.Sorted(maps.Keys(t.Classes)) {
-		if v := t.Classes[c]; v != None && v != BestEffort && v != Strict {
+	for _, c := range slices.Sorted(maps.Keys(t.PolicyByClass)) {
+		if v := t.PolicyByClass[c]; v != NoReplication && v != BestEffortReplication && v != StrictReplication {
 			r.wrong("takeover.custody."+c, "%q is none of none, best_effort, strict", string(v))
 		}
 	}
--- a/internal/options/options_test.go
+++ b/internal/options/options_test.go
@@ -57,16 +57,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Takeover.Enabled || len(o.Fleet.Members) != 3 || o.Fleet.Lease != 600*time.Millisecond ||
-		o.Takeover.Holders != short.Takeover.Holders || o.Takeover.Records != short.Takeover.Records ||
-		o.Takeover.Bytes != short.Takeover.Bytes || o.Takeover.KeepAnswers != short.Takeover.KeepAnswers || o.Fleet.Lease != short.Fleet.Lease {
+	if o.Takeover.Enabled || len(o.Fleet.Members) != 3 || o.Fleet.LeaseDuration != 600*time.Millisecond ||
+		o.Takeover.Replicas != short.Takeover.Replicas || o.Takeover.MaxRecords != short.Takeover.MaxRecords ||
+		o.Takeover.MaxBytes != short.Takeover.MaxBytes || o.Takeover.AnswerRetention != short.Takeover.AnswerRetention || o.Fleet.LeaseDuration != short.Fleet.LeaseDuration {
 		t.Errorf("the example is not the defaults: %+v", o)
 	}
 	none := func(string) string { return "" }
 	if o, err := Load(none, "n1"); o != nil || err != nil {
 		t.Errorf("without the variable: %v, %v", o, err)
 	}
-	if _, err := Load(func(string) string { return "/nowhere/options" }, "n1"); err == nil || !strings.Contains(err.Error(), Variable) {
+	if _, err := Load(func(string) string { return "/nowhere/options" }, "n1"); err == nil || !strings.Contains(err.Error(), EnvVar) {
 		t.Errorf("a file that is not there: %v", err)
 	}
 }
