--- a/cmd/damsonscale/ops_test.go
+++ b/cmd/damsonscale/ops_test.go
@@ -236,7 +236,7 @@
 	p.conf["known"] = nil // the new one must ask before it can serve
 	for range 2 {
 		next := p.beside(t)
-		p.expect(t, "event=handover stage=starts")
+		p.expect(t, "event=handover_successor state=starting")
 		next.expect(t, "event=start")
 		next.cmd.Process.Kill()
 		<-next.done
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-func socket(t testing.TB) *net.TCPListener {
+func listen(t testing.TB) *net.TCPListener {
 	t.Helper()
 	ln, err := Listen(context.Background(), "127.0.0.1:0")
 	if err != nil {
@@ -24,12 +24,12 @@
 	return ln
 }
 
-func offered(t *testing.T) (id ID, path string, ln *net.TCPListener, o *Server, heirs chan SuccessorState) {
+func startServer(t *testing.T) (id ID, path string, ln *net.TCPListener, o *Server, states chan SuccessorState) {
 	t.Helper()
-	ln = socket(t)
+	ln = listen(t)
 	id = ID{Name: "n1", Listen: ln.Addr().String()}
-	path, heirs = id.SocketPath(t.TempDir()), make(chan SuccessorState, 16)
-	o, err := NewServer(path, id, ln, func() any { return map[string]int{"x": 7} }, func(h SuccessorState) { heirs <- h })
+	path, states = id.SocketPath(t.TempDir()), make(chan SuccessorState, 16)
+	o, err := NewServer(path, id, ln, func() any { return map[string]int{"x": 7} }, func(h SuccessorState) { states <- h })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,10 +37,9 @@
 	return
 }
 
-// The new process accepts what waits in the old one's queue, also after the old one has closed its socket. Guards against
-// connections that die with a queue.
-func TestNothingInTheQueueIsLost(t *testing.T) {
-	id, path, ln, o, heirs := offered(t)
+// The successor accepts connections that wait in the shared queue after the old process has closed its socket.
+func TestQueuedConnectionsSurviveTheOldProcess(t *testing.T) {
+	id, path, ln, o, states := startServer(t)
 	b, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +47,7 @@
 	if string(b.State) != `{"x":7}` {
 		t.Fatalf("%s", b.State)
 	}
-	if h := <-heirs; h != SuccessorStarting {
+	if h := <-states; h != SuccessorStarting {
 		t.Fatal(h)
 	}
 	c, err := net.Dial("tcp", id.Listen) // waits in the queue
@@ -58,7 +57,7 @@
 	defer c.Close()
 	c.Write([]byte("hello"))
 	b.NotifyServing()
-	if h := <-heirs; h != SuccessorServing || o.Successor() != SuccessorServing {
+	if h := <-states; h != SuccessorServing || o.Successor() != SuccessorServing {
 		t.Fatal(h)
 	}
 	ln.Close()
@@ -72,14 +71,14 @@
 		t.Fatalf("%q %v", text, err)
 	}
 	b.conn.Close() // it dies
-	if h := <-heirs; h != NoSuccessor {
+	if h := <-states; h != NoSuccessor {
 		t.Fatal(h)
 	}
 }
 
-// A handed socket does not make the accepting one block a thread: it stays non-blocking, and closing it ends Accept.
+// Handing the socket over leaves it non-blocking in the old process: closing it ends Accept.
 func TestOldSocketStaysUsable(t *testing.T) {
-	id, path, ln, _, _ := offered(t)
+	id, path, ln, _, _ := startServer(t)
 	b, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -96,19 +95,19 @@
 	}
 }
 
-// While one starts another must wait; once the first has died it is served.
-func TestOneHeirAtATime(t *testing.T) {
-	id, path, _, _, heirs := offered(t)
-	first, err := take(path, id, nil)
+// A second successor is told to wait; once the first has exited it is served.
+func TestOneSuccessorAtATime(t *testing.T) {
+	id, path, _, _, states := startServer(t)
+	first, err := acquireOnce(path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := take(path, id, nil); !errors.Is(err, errHandoverInProgress) {
+	if _, err := acquireOnce(path, id, nil); !errors.Is(err, errHandoverInProgress) {
 		t.Fatal(err)
 	}
-	<-heirs
+	<-states
 	first.conn.Close()
-	if h := <-heirs; h != NoSuccessor {
+	if h := <-states; h != NoSuccessor {
 		t.Fatal(h)
 	}
 	second, err := Acquire(context.Background(), path, id, nil)
@@ -118,9 +117,9 @@
 	second.conn.Close()
 }
 
-// The new process sees the old one's end, and offers at the same path meanwhile.
-func TestEndOfTheOldOne(t *testing.T) {
-	id, path, _, o, _ := offered(t)
+// The successor learns of its predecessor's exit, and serves the next successor at the same path meanwhile.
+func TestPredecessorExit(t *testing.T) {
+	id, path, _, o, _ := startServer(t)
 	b, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +131,7 @@
 	defer next.Close()
 	select {
 	case <-b.Done():
-		t.Fatal("gone while it is there")
+		t.Fatal("Done is closed while the predecessor runs")
 	default:
 	}
 	o.Close()
@@ -145,8 +144,8 @@
 	}
 }
 
-// No file, and a file that a dead process left, both mean that nobody is there.
-func TestNobodyThere(t *testing.T) {
+// No socket file, and one that a dead process left, both mean that there is no predecessor.
+func TestNoPredecessor(t *testing.T) {
 	id := ID{Name: "n1", Listen: "127.0.0.1:1"}
 	path := id.SocketPath(t.TempDir())
 	if _, err := Acquire(context.Background(), path, id, nil); err != ErrNoPredecessor {
@@ -166,16 +165,16 @@
 	if h := (*Server)(nil).Successor(); h != NoSuccessor {
 		t.Fatal(h)
 	}
-	if _, err := NewServer(strings.Repeat("/x", 100), id, socket(t), nil, nil); err == nil {
-		t.Fatal("a path that can't be had is taken")
+	if _, err := NewServer(strings.Repeat("/x", 100), id, listen(t), nil, nil); err == nil {
+		t.Fatal("a path that is too long is accepted")
 	}
 }
 
-// What a process that is there answers is checked: each of these is refused, and no descriptor stays.
-func TestBadAnswers(t *testing.T) {
-	ln, other := socket(t), socket(t)
+// An invalid answer of the predecessor is an error.
+func TestInvalidAnswersAreRejected(t *testing.T) {
+	ln, other := listen(t), listen(t)
 	id := ID{Name: "n1", Listen: ln.Addr().String()}
-	good, _ := json.Marshal(hello{Version: version, ID: id})
+	good, _ := json.Marshal(hello{Version: protocolVersion, ID: id})
 	line := string(good) + "\n"
 	fd := func(l *net.TCPListener) (fd int) {
 		raw, _ := l.SyscallConn()
@@ -200,20 +199,20 @@
 		"two sockets":    {line, []int{fd(ln), fd(ln)}},
 		"other address":  {line, []int{fd(other)}},
 		"no listener":    {line, []int{int(plain.Fd())}},
-		"without an end": {strings.Repeat("x", maxState+64<<10), []int{fd(ln)}},
+		"without an end": {strings.Repeat("x", maxMessageBytes+64<<10), []int{fd(ln)}},
 	} {
 		path := id.SocketPath(t.TempDir())
-		door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+		unixListener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		go func() {
-			conn, err := door.AcceptUnix()
+			conn, err := unixListener.AcceptUnix()
 			if err != nil {
 				return
 			}
 			defer conn.Close()
-			conn.Read(make([]byte, maxHello))
+			conn.Read(make([]byte, maxHelloBytes))
 			var oob []byte
 			if len(c.fds) > 0 {
 				oob = syscall.UnixRights(c.fds...)
@@ -221,26 +220,26 @@
 			n, _, _ := conn.WriteMsgUnix([]byte(c.text), oob, nil)
 			conn.Write([]byte(c.text)[n:])
 		}()
-		if b, err := take(path, id, nil); err == nil || errors.Is(err, ErrNoPredecessor) {
-			t.Errorf("%s: taken: %v %v", name, b, err)
+		if b, err := acquireOnce(path, id, nil); err == nil || errors.Is(err, ErrNoPredecessor) {
+			t.Errorf("%s: accepted: %v %v", name, b, err)
 		}
-		door.Close()
+		unixListener.Close()
 	}
 	if _, err := ln.SyscallConn(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// What a process that starts says is checked: it gets nothing, and the next is served.
-func TestBadHellos(t *testing.T) {
-	id, path, _, o, _ := offered(t)
+// A successor with an invalid hello gets no answer, and the next one is served.
+func TestInvalidHellosAreRejected(t *testing.T) {
+	id, path, _, o, _ := startServer(t)
 	hi := func(v int, id ID) string {
 		b, _ := json.Marshal(hello{Version: v, ID: id})
 		return string(b) + "\n"
 	}
 	for name, text := range map[string]string{
-		"newer": hi(version+1, id), "of another": hi(version, ID{"n2", id.Listen}), "noise": "\x00\xff\n",
-		"overlong": strings.Repeat("x", 2*maxHello), "empty": "\n",
+		"newer": hi(protocolVersion+1, id), "of another": hi(protocolVersion, ID{"n2", id.Listen}), "noise": "\x00\xff\n",
+		"overlong": strings.Repeat("x", 2*maxHelloBytes), "empty": "\n",
 	} {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -265,9 +264,9 @@
 	b.conn.Close()
 }
 
-// Two processes that know of each other's option share an address; one that does not is seen.
+// Two processes that use Listen share an address; AddressInUse sees both.
 func TestSharedAddress(t *testing.T) {
-	ln := socket(t)
+	ln := listen(t)
 	addr := ln.Addr().String()
 	if !AddressInUse(addr) {
 		t.Fatal("free while it is held")
@@ -283,7 +282,7 @@
 	}
 }
 
-// FuzzAnswer looks for bytes of a process that is there which break the reader.
+// FuzzAnswer looks for bytes of a predecessor that break the reader.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(`{"version":1,"name":"n1","listen":"127.0.0.1:1","state":{"drained":true}}` + "\n"))
 	f.Add([]byte("{}\n"))
@@ -305,22 +304,21 @@
 		}
 		ends[0].Write(text)
 		ends[0].CloseWrite()
-		if b, err := ask(ends[1], ID{Name: "n1", Listen: "127.0.0.1:1"}, true); err == nil {
-			t.Fatalf("taken without a socket: %v", b)
+		if b, err := exchangeHellos(ends[1], ID{Name: "n1", Listen: "127.0.0.1:1"}, true); err == nil {
+			t.Fatalf("accepted without a socket: %v", b)
 		}
 	})
 }
 
-// A piece of work goes on in the process that follows: both connections come, and stay open when the one before closes
-// its own. What is no work ends the taking, and leaves no descriptor.
-func TestWorkGoesOn(t *testing.T) {
-	id, path, ln, o, heirs := offered(t)
-	works := make(chan Transfer, 16)
-	b, err := Acquire(context.Background(), path, id, func(w Transfer) { works <- w })
+// A transferred stream's two connections arrive, and stay open when the old process closes its own. A notice has none.
+func TestStreamsAreTransferred(t *testing.T) {
+	id, path, ln, o, states := startServer(t)
+	transfers := make(chan Transfer, 16)
+	b, err := Acquire(context.Background(), path, id, func(w Transfer) { transfers <- w })
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-heirs
+	<-states
 	pair := func() (here, there net.Conn) {
 		there, err := net.Dial("tcp", id.Listen)
 		if err != nil {
@@ -335,31 +333,31 @@
 	client, atClient := pair()
 	server, atServer := pair()
 	if err := o.TransferStream("early", client.(*net.TCPConn), server.(*net.TCPConn)); err != ErrNoSuccessor {
-		t.Fatalf("handed to one that does not serve: %v", err)
+		t.Fatalf("transferred to a successor that does not serve: %v", err)
 	}
 	b.NotifyServing()
-	<-heirs
-	// Long ones, at once: the system puts the end of one and the beginning of the next together.
-	var passing sync.WaitGroup
-	for range cap(works) {
-		passing.Go(func() {
+	<-states
+	// Long messages in parallel: one read returns the end of one and the beginning of the next.
+	var senders sync.WaitGroup
+	for range cap(transfers) {
+		senders.Go(func() {
 			if err := o.TransferStream(strings.Repeat("x", 100_000), client.(*net.TCPConn), server.(*net.TCPConn)); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 	var w, again Transfer
-	for range cap(works) {
-		w, again = again, <-works
+	for range cap(transfers) {
+		w, again = again, <-transfers
 		if len(again.Payload) != 100_002 {
 			t.Fatalf("%d bytes", len(again.Payload))
 		}
 	}
-	passing.Wait()
+	senders.Wait()
 	if err := o.Notify([]string{"news"}); err != nil {
 		t.Fatal(err)
 	}
-	if n := <-works; string(n.Payload) != `["news"]` || n.Client != nil || n.Server != nil {
+	if n := <-transfers; string(n.Payload) != `["news"]` || n.Client != nil || n.Server != nil {
 		t.Fatalf("%s %v", n.Payload, n.Client)
 	}
 	client.Close()
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -11,14 +11,14 @@
 const (
 	soReusePort = 0xf // SO_REUSEPORT of Linux, which package syscall lacks
 
-	bindFor   = 10 * time.Second // a process that does not share the address may still hold it
-	bindEvery = 20 * time.Millisecond
+	bindTimeout  = 10 * time.Second // for a process that does not share the address to release it
+	bindInterval = 20 * time.Millisecond
 )
 
-// Listen binds an address that the process before may hold as well, or still holds: it tries for a while, also where the system
-// lacks something that comes back. Guards against a restart that ends in a crash because the one before it is still answering.
+// Listen binds addr, which another process may share by SO_REUSEPORT. It retries for 10 s, or until ctx ends, while the
+// address is in use or the system lacks resources: a restarted sidecar may find the one before it still answering.
 func Listen(ctx context.Context, addr string) (*net.TCPListener, error) {
-	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		if e := c.Control(func(fd uintptr) {
 			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
 		}); e != nil {
@@ -26,19 +26,19 @@
 		}
 		return err
 	}}
-	for end := time.Now().Add(bindFor); ; time.Sleep(bindEvery) {
-		ln, err := shared.Listen(context.Background(), "tcp", addr)
+	for end := time.Now().Add(bindTimeout); ; time.Sleep(bindInterval) {
+		ln, err := config.Listen(context.Background(), "tcp", addr)
 		if err == nil {
 			return ln.(*net.TCPListener), nil
 		}
-		if !passes(err) || time.Now().After(end) || ctx.Err() != nil {
+		if !isTransient(err) || time.Now().After(end) || ctx.Err() != nil {
 			return nil, err
 		}
 	}
 }
 
-// passes tells whether an error of socket, bind or listen may be over within moments.
-func passes(err error) bool {
+// isTransient returns whether a later socket, bind or listen may succeed.
+func isTransient(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
 		syscall.ENETDOWN, syscall.ENETUNREACH,
@@ -50,7 +50,7 @@
 	return false
 }
 
-// AddressInUse tells whether another process listens at an address.
+// AddressInUse returns whether another process listens at addr.
 func AddressInUse(addr string) bool {
 	ln, err := net.Listen("tcp", addr)
 	if err == nil {
--- a/internal/handover/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -16,12 +16,12 @@
 		syscall.ENOMEM: true, syscall.EINTR: true, syscall.ENETDOWN: true, syscall.ENETUNREACH: true,
 		syscall.EACCES: false, syscall.EINVAL: false, syscall.EAFNOSUPPORT: false,
 	} {
-		if got := passes(&net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}); got != want {
+		if got := isTransient(&net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}); got != want {
 			t.Errorf("%v passes: %v", errno, got)
 		}
 	}
 	began := time.Now()
-	if ln, err := Listen(context.Background(), "127.0.0.1:no-port"); err == nil || time.Since(began) > bindFor/2 {
+	if ln, err := Listen(context.Background(), "127.0.0.1:no-port"); err == nil || time.Since(began) > bindTimeout/2 {
 		t.Errorf("%v %v after %v", ln, err, time.Since(began))
 	}
 }
--- a/internal/handover/recorded_test.go
+++ b/internal/handover/recorded_test.go
@@ -39,10 +39,10 @@
 
 // The old process of today writes byte for byte what the build of 2029d41 wrote.
 func TestOldProcessWritesRecordedMessages(t *testing.T) {
-	ln := socket(t)
+	ln := listen(t)
 	path := recordedID.SocketPath(t.TempDir())
-	heirs := make(chan SuccessorState, 16)
-	o, err := NewServer(path, recordedID, ln, func() any { return json.RawMessage(strings.TrimSpace(recorded(t, "state.json"))) }, func(h SuccessorState) { heirs <- h })
+	states := make(chan SuccessorState, 16)
+	o, err := NewServer(path, recordedID, ln, func() any { return json.RawMessage(strings.TrimSpace(recorded(t, "state.json"))) }, func(h SuccessorState) { states <- h })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,11 +73,11 @@
 	read(br)
 	_, other := dial() // while the first starts
 	read(other)
-	<-heirs
-	if _, err := c.Write([]byte(serving)); err != nil {
+	<-states
+	if _, err := c.Write([]byte(servingLine)); err != nil {
 		t.Fatal(err)
 	}
-	if h := <-heirs; h != SuccessorServing {
+	if h := <-states; h != SuccessorServing {
 		t.Fatal(h)
 	}
 	a, err := net.Dial("tcp", ln.Addr().String())
@@ -102,17 +102,17 @@
 
 // The new process of today reads what the build of 2029d41 wrote, and writes byte for byte what that one wrote.
 func TestNewProcessReadsRecordedMessages(t *testing.T) {
-	ln := socket(t)
+	ln := listen(t)
 	id := ID{Name: recordedID.Name, Listen: ln.Addr().String()}
 	here := strings.NewReplacer(recordedID.Listen, id.Listen) // the descriptor's address is checked
 	back := strings.NewReplacer(id.Listen, recordedID.Listen)
 	lines := strings.SplitAfter(here.Replace(recorded(t, "old_process.txt")), "\n")
 	path := id.SocketPath(t.TempDir())
-	door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	unixListener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close()
+	defer unixListener.Close()
 	pair, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	defer pair.Close()
 	wrote := make(chan string, 1)
 	go func() { // the old process
-		busy, err := door.AcceptUnix()
+		busy, err := unixListener.AcceptUnix()
 		if err != nil {
 			wrote <- err.Error()
 			return
@@ -128,7 +128,7 @@
 		bufio.NewReader(busy).ReadString('\n')
 		busy.Write([]byte(lines[1]))
 		busy.Close()
-		c, err := door.AcceptUnix()
+		c, err := unixListener.AcceptUnix()
 		if err != nil {
 			wrote <- err.Error()
 			return
@@ -145,8 +145,8 @@
 		c.Write([]byte(lines[4]))
 		wrote <- hello + served
 	}()
-	works := make(chan Transfer, 16)
-	b, err := Acquire(context.Background(), path, id, func(w Transfer) { works <- w })
+	transfers := make(chan Transfer, 16)
+	b, err := Acquire(context.Background(), path, id, func(w Transfer) { transfers <- w })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 		name    string
 		sockets bool
 	}{{"stream.json", true}, {"stream_of_known_length.json", true}, {"open_requests.json", false}} {
-		w := <-works
+		w := <-transfers
 		if want := strings.TrimSpace(recorded(t, c.name)); string(w.Payload) != want {
 			t.Errorf("%s: read %s, expected %s", c.name, w.Payload, want)
 		}
