--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,63 +1,60 @@
-// Package admin is the operators' door: a listener of its own that answers from state which nothing else can hold up.
+// Package admin serves the operators' API on a listener of its own: the health of the process, and draining. It answers
+// from the lifecycle alone, so that no load on the clients' side delays it.
 package admin
 
 import (
 	"errors"
-	"log"
 	"net"
-	"slices"
-	"sync"
-	"time"
 
 	"github.com/valyala/fasthttp"
 
-	"damsonscale/internal/accept"
+	"damsonscale/internal/eventlog"
 	"damsonscale/internal/lifecycle"
 )
 
-const (
-	// MaxConnections is how many callers are held at once; each holds a descriptor.
-	MaxConnections = 8
+// eventCall is logged for each call that changes the lifecycle.
+const eventCall = "admin_call"
 
-	callTimeout  = 4 * time.Second // for a whole call, from its connection's start
-	writeTimeout = time.Second
-	maxHead      = 4 << 10
-	maxBody      = 4 << 10
+// Paths of the API.
+const (
+	pathHealth        = "/healthcheck"
+	pathStartDraining = "/healthcheck/fail"
+	pathStopDraining  = "/healthcheck/ok"
 )
 
-// Server answers operators. It keeps no state of its own but its connections.
+// Server answers operators. Its only state is its open connections.
 type Server struct {
-	life   *lifecycle.Tracker
-	server *fasthttp.Server
-
-	mu    sync.Mutex
-	conns []*conn // oldest first
+	lifecycle   *lifecycle.Tracker
+	http        *fasthttp.Server
+	connections connections
 }
 
-// New makes a door to the lifecycle.
+// New makes a server that reads and changes the lifecycle.
 func New(life *lifecycle.Tracker) *Server {
-	d := &Server{life: life}
-	d.server = &fasthttp.Server{
-		Handler: d.handle, ErrorHandler: unreadable, Logger: quiet{},
-		ReadBufferSize: maxHead, MaxRequestBodySize: maxBody,
+	s := &Server{lifecycle: life}
+	s.http = &fasthttp.Server{
+		Handler: s.handle, ErrorHandler: rejectMalformed, Logger: discardLogger{},
+		ReadBufferSize: maxHeadBytes, MaxRequestBodySize: maxBodyBytes,
 		ReadTimeout: callTimeout, WriteTimeout: writeTimeout,
 		DisableKeepalive: true, Concurrency: 1 << 20, // connections are bounded in the listener
 		NoDefaultServerHeader: true, NoDefaultDate: true, DisablePreParseMultipartForm: true,
 	}
-	return d
+	return s
 }
 
 // Serve serves ln until it is closed.
-func (d *Server) Serve(ln net.Listener) error {
-	return d.server.Serve(&listener{Listener: ln, door: d})
+func (s *Server) Serve(ln net.Listener) error {
+	return s.http.Serve(&listener{Listener: ln, connections: &s.connections})
 }
 
-type quiet struct{}
+// discardLogger drops the line that fasthttp would log for each malformed call.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+// Printf drops a line.
+func (discardLogger) Printf(string, ...any) {}
 
-// unreadable answers what is no call.
-func unreadable(ctx *fasthttp.RequestCtx, err error) {
+// rejectMalformed answers what is no call of HTTP.
+func rejectMalformed(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
 	switch {
@@ -72,42 +69,43 @@
 	}
 }
 
-// handle answers one call. Each post may be repeated; the answer tells what is so.
-func (d *Server) handle(ctx *fasthttp.RequestCtx) {
+// handle answers one call. Both posts are idempotent; each answer's body is the stage after the call.
+func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	ctx.SetConnectionClose()
-	switch path := string(ctx.Path()); path {
-	case "/healthcheck":
-		if !only(ctx, fasthttp.MethodGet) {
+	switch string(ctx.Path()) {
+	case pathHealth:
+		if !requireMethod(ctx, fasthttp.MethodGet) {
 			return
 		}
-		if !d.life.CanServe() {
+		if !s.lifecycle.CanServe() {
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		}
-		ctx.SetBodyString(d.life.Stage().String() + "\n")
-	case "/healthcheck/fail":
-		if only(ctx, fasthttp.MethodPost) {
-			d.tell(ctx, "fail", d.life.StartDraining(), true)
+		ctx.SetBodyString(s.lifecycle.Stage().String() + "\n")
+	case pathStartDraining:
+		if requireMethod(ctx, fasthttp.MethodPost) {
+			answer(ctx, "fail", s.lifecycle.StartDraining(), true)
 		}
-	case "/healthcheck/ok":
-		if only(ctx, fasthttp.MethodPost) {
-			stage := d.life.StopDraining()
-			d.tell(ctx, "ok", stage, stage != lifecycle.Terminating)
+	case pathStopDraining:
+		if requireMethod(ctx, fasthttp.MethodPost) {
+			stage := s.lifecycle.StopDraining()
+			answer(ctx, "ok", stage, stage != lifecycle.Terminating)
 		}
 	default:
 		ctx.Error("unknown call", fasthttp.StatusNotFound)
 	}
 }
 
-func (d *Server) tell(ctx *fasthttp.RequestCtx, word string, stage lifecycle.Stage, done bool) {
-	log.Printf("event=operator call=%s stage=%s done=%t", word, stage, done)
-	if !done {
+// answer reports the stage after a call; applied: the call did what it asks for.
+func answer(ctx *fasthttp.RequestCtx, call string, stage lifecycle.Stage, applied bool) {
+	eventlog.Info(eventCall, "call", call, "stage", stage.String(), "applied", applied)
+	if !applied {
 		ctx.SetStatusCode(fasthttp.StatusConflict)
 	}
 	ctx.SetBodyString(stage.String() + "\n")
 }
 
-// only answers 405 to another method.
-func only(ctx *fasthttp.RequestCtx, method string) bool {
+// requireMethod answers 405 to any other method.
+func requireMethod(ctx *fasthttp.RequestCtx, method string) bool {
 	if string(ctx.Method()) == method {
 		return true
 	}
@@ -115,44 +113,3 @@
 	ctx.Response.Header.Set(fasthttp.HeaderAllow, method)
 	return false
 }
-
-// listener bounds the connections: one more takes the place of the one held longest, since a true call is over within
-// moments. Guards against callers who connect and say nothing while a true one waits.
-type listener struct {
-	net.Listener
-	door *Server
-}
-
-// conn is a caller's connection.
-type conn struct {
-	net.Conn
-	door *Server
-}
-
-// Accept takes the next connection. It fails only once the listener is closed.
-func (l *listener) Accept() (net.Conn, error) {
-	nc, err := accept.Next(l.Listener, func(error) {}) // out of descriptors, or a caller who left: Serve would end on it
-	if err != nil {
-		return nil, err
-	}
-	c := &conn{Conn: nc, door: l.door}
-	l.door.mu.Lock()
-	l.door.conns = append(l.door.conns, c)
-	var oldest *conn
-	if len(l.door.conns) > MaxConnections {
-		oldest = l.door.conns[0]
-	}
-	l.door.mu.Unlock()
-	if oldest != nil {
-		oldest.Close()
-	}
-	return c, nil
-}
-
-// Close closes the connection and gives its place back.
-func (c *conn) Close() error {
-	c.door.mu.Lock()
-	c.door.conns = slices.DeleteFunc(c.door.conns, func(o *conn) bool { return o == c })
-	c.door.mu.Unlock()
-	return c.Conn.Close()
-}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	if n, _ := io.Copy(io.Discard, br); n > 0 {
-		t.Fatalf("%.40q: %d bytes behind the answer", raw, n)
+		t.Fatalf("%.40q: %d bytes after the answer", raw, n)
 	}
 	return resp.StatusCode, string(b), resp.Header.Get("Allow")
 }
@@ -63,7 +63,7 @@
 	ok   = "POST /healthcheck/ok HTTP/1.1\r\nHost: h\r\n\r\n"
 )
 
-// The calls in turn: each says what is so, repeated or not, and none undoes an end.
+// Each call answers the stage after it, repeated or not, and none undoes a termination.
 func TestCalls(t *testing.T) {
 	life, addr := open(t)
 	for _, s := range []struct {
@@ -92,8 +92,8 @@
 	}
 }
 
-// What is no call gets a no and a close.
-func TestBadCalls(t *testing.T) {
+// What is no call is rejected, and its connection closed.
+func TestMalformedCallsAreRejected(t *testing.T) {
 	life, addr := open(t)
 	life.MarkReady()
 	for _, c := range []struct {
@@ -106,7 +106,7 @@
 		{"GET /healthcheck/ok HTTP/1.1\r\nHost: h\r\n\r\n", 405, "POST"},
 		{"GET /stats HTTP/1.1\r\nHost: h\r\n\r\n", 404, ""},
 		{"noise\r\n\r\n", 400, ""},
-		{"GET /healthcheck HTTP/1.1\r\nX: " + strings.Repeat("x", maxHead) + "\r\n\r\n", 431, ""},
+		{"GET /healthcheck HTTP/1.1\r\nX: " + strings.Repeat("x", maxHeadBytes) + "\r\n\r\n", 431, ""},
 		{"POST /healthcheck/fail HTTP/1.1\r\nHost: h\r\nContent-Length: 99999\r\n\r\n", 413, ""},
 	} {
 		if status, _, allow := call(t, addr, c.raw); status != c.status || allow != c.allow {
@@ -118,8 +118,8 @@
 	}
 }
 
-// Callers who connect and say nothing, or half a call, give way to a true one. Guards against a door that they hold.
-func TestSilentCallersGiveWay(t *testing.T) {
+// Callers that send nothing, or half a call, give way to a complete one.
+func TestOldestConnectionGivesWay(t *testing.T) {
 	life, addr := open(t)
 	life.MarkReady()
 	var silent []net.Conn
@@ -134,11 +134,11 @@
 		t.Fatal(status)
 	}
 	if _, err := io.Copy(io.Discard, silent[0]); err != nil && !bytes.Contains([]byte(err.Error()), []byte("reset")) {
-		t.Fatalf("the one held longest is still open: %v", err)
+		t.Fatalf("the oldest connection is still open: %v", err)
 	}
 }
 
-// A call whose bytes come one by one is one all the same.
+// A call whose bytes come one by one is answered.
 func TestCallInPieces(t *testing.T) {
 	life, addr := open(t)
 	life.MarkReady()
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,4 +1,5 @@
-// Package lifecycle owns what stage a sidecar's process is at. Everybody else reads it.
+// Package lifecycle owns the stage of a sidecar's process. Operators and signals change it; the frontend and the admin
+// API read it.
 package lifecycle
 
 import "sync"
@@ -6,14 +7,15 @@
 // Stage is what a process does for clients.
 type Stage uint8
 
+// Stages of a process.
 const (
-	Starting Stage = iota // it can't serve yet
-	Serving
-	Draining    // serves what still comes, wants nothing new; can be undone
-	Terminating // the same, and ends; can't be undone
+	Starting    Stage = iota // it can't serve yet
+	Serving                  // it accepts requests and reports that it is ready
+	Draining                 // it serves what still comes and reports that it isn't ready; operators can undo it
+	Terminating              // the same, and the process exits once it is idle; nothing undoes it
 )
 
-// String names the stage as log lines and answers do.
+// String names the stage as log lines and the admin API's answers do.
 func (s Stage) String() string {
 	names := [...]string{"starting", "serving", "drained", "ending"}
 	if int(s) < len(names) {
@@ -22,71 +24,72 @@
 	return "unknown"
 }
 
-// Tracker holds the stage. The zero value is starting. Its methods never wait for anything but each other.
+// Tracker holds the stage of one process. Its zero value is starting. Its methods may be called from any goroutine and
+// don't block.
 type Tracker struct {
-	mu       sync.Mutex
-	canServe bool
-	drained  bool
-	ending   bool
-	stage    Stage
-	changed  chan struct{} // closed at the next change; nil: nobody has asked
+	mu          sync.Mutex
+	ready       bool
+	draining    bool
+	terminating bool
+	stage       Stage
+	changed     chan struct{} // closed at the next change; nil: nobody watches
 }
 
-// Stage is the present stage.
-func (o *Tracker) Stage() Stage {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.stage
+// Stage returns the present stage.
+func (t *Tracker) Stage() Stage {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.stage
 }
 
-// Watch returns the present stage and a channel that is closed once it is another.
-func (o *Tracker) Watch() (Stage, <-chan struct{}) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.changed == nil {
-		o.changed = make(chan struct{})
+// Watch returns the present stage, and a channel that is closed once it is another.
+func (t *Tracker) Watch() (Stage, <-chan struct{}) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.changed == nil {
+		t.changed = make(chan struct{})
 	}
-	return o.stage, o.changed
+	return t.stage, t.changed
 }
 
-// CanServe tells whether the process has been able to serve since its start, drained or not, and is not ending.
-func (o *Tracker) CanServe() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.canServe && !o.ending
+// CanServe returns whether the process has become ready and isn't terminating, draining or not.
+func (t *Tracker) CanServe() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.ready && !t.terminating
 }
 
-// MarkReady tells that the process can serve from now on. A drain begun before stays.
-func (o *Tracker) MarkReady() Stage { return o.set(func() { o.canServe = true }) }
+// MarkReady records that the process can serve from now on, and returns the stage. It doesn't end a drain.
+func (t *Tracker) MarkReady() Stage { return t.update(func() { t.ready = true }) }
 
-// StartDraining empties the process until Undrain.
-func (o *Tracker) StartDraining() Stage { return o.set(func() { o.drained = true }) }
+// StartDraining drains the process until StopDraining, and returns the stage.
+func (t *Tracker) StartDraining() Stage { return t.update(func() { t.draining = true }) }
 
-// StopDraining ends the operators' drain. It does not undo End. Guards against an operator's word that brings back
-// a process which SIGTERM is ending.
-func (o *Tracker) StopDraining() Stage { return o.set(func() { o.drained = false }) }
+// StopDraining undoes StartDraining, but not Terminate, and returns the stage.
+func (t *Tracker) StopDraining() Stage { return t.update(func() { t.draining = false }) }
 
-// Terminate ends the process once it is empty.
-func (o *Tracker) Terminate() Stage { return o.set(func() { o.ending = true }) }
+// Terminate drains the process for good, and returns the stage.
+func (t *Tracker) Terminate() Stage { return t.update(func() { t.terminating = true }) }
 
-func (o *Tracker) set(change func()) Stage {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// update applies a change and wakes watchers if the stage is another.
+func (t *Tracker) update(change func()) Stage {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	change()
-	was := o.stage
+	previous := t.stage
 	switch {
-	case o.ending:
-		o.stage = Terminating
-	case o.drained:
-		o.stage = Draining
-	case o.canServe:
-		o.stage = Serving
+	case t.terminating:
+		t.stage = Terminating
+	case t.draining:
+		t.stage = Draining
+	case t.ready:
+		t.stage = Serving
 	default:
-		o.stage = Starting
+		t.stage = Starting
 	}
-	if o.stage != was && o.changed != nil {
-		close(o.changed)
-		o.changed = nil
+	if t.stage != previous && t.changed != nil {
+		close(t.changed)
+		t.changed = nil
 	}
-	return o.stage
+	return t.stage
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// Each row is a history and the stage it leads to. Guards against a drain that survives its end, and against an end
-// that an operator's word undoes.
+// Each row is a sequence of calls and the stage that it leads to.
 func TestStages(t *testing.T) {
 	type step = func(*Tracker) Stage
 	serve, drain, undrain, end := (*Tracker).MarkReady, (*Tracker).StartDraining, (*Tracker).StopDraining, (*Tracker).Terminate
@@ -27,50 +26,50 @@
 		{"ok does not undo the end", []step{serve, drain, end, undrain}, Terminating, false},
 		{"serve does not undo the end", []step{end, serve}, Terminating, false},
 	} {
-		o := &Tracker{}
+		tracker := &Tracker{}
 		for _, s := range c.steps {
-			s(o)
+			s(tracker)
 		}
-		if got := o.Stage(); got != c.want || o.CanServe() != c.can {
-			t.Errorf("%s: %v, can serve %v", c.name, got, o.CanServe())
+		if got := tracker.Stage(); got != c.want || tracker.CanServe() != c.can {
+			t.Errorf("%s: %v, can serve %v", c.name, got, tracker.CanServe())
 		}
 	}
 }
 
-// A watcher hears of a change, and not of a word that changes nothing.
+// A watcher is woken by a change of the stage, and by nothing else.
 func TestWatch(t *testing.T) {
-	o := &Tracker{}
-	stage, changed := o.Watch()
+	tracker := &Tracker{}
+	stage, changed := tracker.Watch()
 	if stage != Starting {
 		t.Fatal(stage)
 	}
-	o.StopDraining()
+	tracker.StopDraining()
 	select {
 	case <-changed:
-		t.Fatal("told of no change")
+		t.Fatal("woken without a change")
 	default:
 	}
-	o.MarkReady()
+	tracker.MarkReady()
 	<-changed
-	stage, changed = o.Watch()
+	stage, changed = tracker.Watch()
 	if stage != Serving {
 		t.Fatal(stage)
 	}
-	o.StartDraining()
+	tracker.StartDraining()
 	<-changed
 }
 
-// Callers at once end in a stage that one of their orders gives.
-func TestAtOnce(t *testing.T) {
-	o := &Tracker{}
-	o.MarkReady()
+// Concurrent calls end in a stage that one of their orders gives.
+func TestConcurrentCalls(t *testing.T) {
+	tracker := &Tracker{}
+	tracker.MarkReady()
 	var wg sync.WaitGroup
 	for range 50 {
-		wg.Go(func() { o.StartDraining(); o.Watch() })
-		wg.Go(func() { o.StopDraining(); o.Stage() })
+		wg.Go(func() { tracker.StartDraining(); tracker.Watch() })
+		wg.Go(func() { tracker.StopDraining(); tracker.Stage() })
 	}
 	wg.Wait()
-	if s := o.Stage(); s != Serving && s != Draining {
+	if s := tracker.Stage(); s != Serving && s != Draining {
 		t.Fatal(s)
 	}
 }
--- a/internal/options/options_test.go
+++ b/internal/options/options_test.go
@@ -13,8 +13,8 @@
 members = [{name = "n1", address = "127.0.0.1:7101"}, {name = "n2", address = "127.0.0.1:7102"}, {name = "n3", address = "127.0.0.1:7103"}]
 `
 
-// Each fault is told with its line and key, so that an operator finds it without reading the program.
-func TestFaultsAreTold(t *testing.T) {
+// Each fault is reported with its line and key.
+func TestFaultsNameLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[fleet]\naddres = 'x'\n", "line 2: fleet.addres: unknown key"},
 		{"[fleet]\nlease_ms = 600\nlease_ms = 700\n", "line 3: "},
--- /dev/null
+++ b/internal/options/validate.go
@@ -0,0 +1,68 @@
+package options
+
+import (
+	"maps"
+	"net"
+	"slices"
+)
+
+// checkFleet checks the table [fleet] for the member of that name.
+func (r *reader) checkFleet(f *Fleet, name string) {
+	if f.Address == "" {
+		if len(f.Members) > 0 {
+			r.fail("fleet.members", "given without fleet.address")
+		}
+		return
+	}
+	names, addresses, here := map[string]bool{}, map[string]string{}, false
+	for _, m := range f.Members {
+		switch _, port, err := net.SplitHostPort(m.Address); {
+		case m.Name == "":
+			r.fail("fleet.members", "a member without a name")
+		case names[m.Name]:
+			r.fail("fleet.members", "%q is there twice", m.Name)
+		case err != nil || port == "" || port == "0":
+			r.fail("fleet.members", "%q: address %q is no address:port", m.Name, m.Address)
+		case addresses[m.Address] != "":
+			r.fail("fleet.members", "%q and %q have the same address", addresses[m.Address], m.Name)
+		}
+		names[m.Name], addresses[m.Address] = true, m.Name
+		here = here || m.Name == name
+	}
+	switch _, _, err := net.SplitHostPort(f.Address); {
+	case err != nil:
+		r.fail("fleet.address", "%q is no address:port", f.Address)
+	case len(f.Members) > maxMembers:
+		r.fail("fleet.members", "%d members, at most %d", len(f.Members), maxMembers)
+	case name != "" && !here: // operators have none
+		r.fail("fleet.members", "this sidecar's name, %q, is not among them", name)
+	case f.StateDir == "":
+		r.fail("fleet.state_dir", "needed for a fleet")
+	}
+}
+
+// checkTakeover checks the table [takeover] against the fleet.
+func (r *reader) checkTakeover(o *Options) {
+	t := &o.Takeover
+	if t.Enabled && o.Fleet.Address == "" {
+		r.fail("takeover.enabled", "needs a fleet.address")
+	}
+	if t.Replicas%2 == 0 {
+		r.fail("takeover.holders", "%d is even: a quorum of it is no smaller than of one more", t.Replicas)
+	}
+	if n := len(o.Fleet.Members); t.Enabled && n > 0 && t.Replicas > n {
+		r.fail("takeover.holders", "%d holders of %d members", t.Replicas, n)
+	}
+	for _, c := range slices.Sorted(maps.Keys(t.PolicyByClass)) {
+		if v := t.PolicyByClass[c]; v != NoReplication && v != BestEffortReplication && v != StrictReplication {
+			r.fail("takeover.custody."+c, "%q is none of none, best_effort, strict", string(v))
+		}
+	}
+}
+
+// checkAudit checks the table [audit] against the others.
+func (r *reader) checkAudit(o *Options) {
+	if o.Audit.Enabled && !o.Takeover.Enabled {
+		r.fail("audit.enabled", "needs takeover.enabled: what a member that is shut out had in hand is taken over")
+	}
+}
