--- a/internal/simwire/drill_test.go
+++ b/internal/simwire/adapter_test.go
@@ -151,17 +151,17 @@
 	}
 }
 
-type deaf struct{}
+type failingWriter struct{}
 
-func (deaf) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
+func (failingWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
 func TestAReaderThatLeft(t *testing.T) {
-	if err := Run(strings.NewReader(start), deaf{}); !errors.Is(err, io.ErrClosedPipe) {
+	if err := Run(strings.NewReader(start), failingWriter{}); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("got %v, want the write's error", err)
 	}
 }
 
-// A list of megabytes, given to many instances, is taken whole, and each of them serves from it.
+// An endpoint list of megabytes is read in full, and many instances serve from it.
 func TestAListOfMegabytes(t *testing.T) {
 	var in strings.Builder
 	in.WriteString("ROUND\t1000000\n")
@@ -183,8 +183,7 @@
 	}
 }
 
-// What the settings say of the tail, of live weights and of messages reaches the module, and its messages and closes
-// go out as the wire has them. Guards against an adapter that drops what it does not use yet.
+// Settings of the tail, of live weights and of gossip reach the balancer, and its gossip is written.
 func TestSettingsAndActionsOfTheNewShape(t *testing.T) {
 	set := strings.Replace(someSettings, "{", `{"ScoringMix":{"Tail":-0.3},`, 1)
 	if _, err := run(t, "ROUND\t1\nABOUT\t1\nCREATE\t1\t"+set+"\n"); err == nil || !strings.Contains(err.Error(), "ScoringMix.Tail") {
@@ -215,10 +214,10 @@
 
 func TestCloseIdleOnTheWire(t *testing.T) {
 	var out strings.Builder
-	w := writer{w: bufio.NewWriter(&out), on: -1}
-	voice{&w, 3}.CloseIdleConnections("10.0.0.1:7001")
-	voice{&w, 3}.SendGossip(7, []byte{1, 0xab})
-	w.done()
+	w := replyWriter{w: bufio.NewWriter(&out), instance: noInstance}
+	actions{&w, 3}.CloseIdleConnections("10.0.0.1:7001")
+	actions{&w, 3}.SendGossip(7, []byte{1, 0xab})
+	w.endReply()
 	if want := "ON_BEHALF\t3\nCLOSE_IDLE\t10.0.0.1:7001\nNOTIFY\t7\t01ab\nACK\n"; out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
--- /dev/null
+++ b/internal/simwire/fields.go
@@ -0,0 +1,106 @@
+package simwire
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math"
+	"strconv"
+
+	"damsonscale/decide"
+)
+
+const (
+	maxQuoted = 60 // bytes of a field in an error
+	maxDigits = 18 // of a whole number, which fits into 64 bits
+)
+
+// absent returns whether a field has no value.
+func absent(b []byte) bool { return len(b) == 1 && b[0] == wordAbsent }
+
+// clip shortens a field for an error.
+func clip(b []byte) []byte { return b[:min(len(b), maxQuoted)] }
+
+func appendInt(b []byte, n int64) []byte { return strconv.AppendInt(b, n, 10) }
+
+// parseInt reads a whole number.
+func parseInt(b []byte) (int64, error) {
+	n, i, neg := int64(0), 0, false
+	if len(b) > 0 && b[0] == '-' {
+		neg, i = true, 1
+	}
+	if i == len(b) || len(b)-i > maxDigits {
+		return 0, fmt.Errorf("expected a whole number, got %q", clip(b))
+	}
+	for ; i < len(b); i++ {
+		if b[i] < '0' || b[i] > '9' {
+			return 0, fmt.Errorf("expected a whole number, got %q", clip(b))
+		}
+		n = n*10 + int64(b[i]-'0')
+	}
+	if neg {
+		n = -n
+	}
+	return n, nil
+}
+
+// parseIntOr reads a whole number, or returns another where the field is absent.
+func parseIntOr(b []byte, ifAbsent int64) (int64, error) {
+	if absent(b) {
+		return ifAbsent, nil
+	}
+	return parseInt(b)
+}
+
+// parseIndex reads a number from 0 up, which what names in an error.
+func parseIndex(b []byte, what string) (int, error) {
+	n, err := parseInt(b)
+	if err != nil || n < 0 || n > math.MaxInt32 {
+		return 0, fmt.Errorf("expected %s, got %q", what, clip(b))
+	}
+	return int(n), nil
+}
+
+// parseResult reads an outcome letter.
+func parseResult(b []byte) (decide.Result, error) {
+	if len(b) == 0 {
+		return 0, errors.New("expected an outcome letter, got nothing")
+	}
+	if i := bytes.IndexByte([]byte(resultLetters), b[0]); len(b) == 1 && i >= 0 {
+		return decide.Result(i), nil
+	}
+	return 0, fmt.Errorf("expected an outcome letter, got %q", clip(b))
+}
+
+// parseLoadReport reads a load report, nil where there is none; fields that it doesn't know are skipped.
+func parseLoadReport(b []byte) (*decide.LoadReport, error) {
+	if absent(b) || len(b) == 0 {
+		return nil, nil
+	}
+	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, Latency: -1, Rate: -1, FailRate: -1}
+	for pair := range bytes.SplitSeq(b, []byte{','}) {
+		name, value, ok := bytes.Cut(pair, []byte{':'})
+		if !ok {
+			return nil, fmt.Errorf("load report: expected name:value, got %q", clip(pair))
+		}
+		v, err := strconv.ParseFloat(string(value), 64)
+		if err != nil {
+			return nil, fmt.Errorf("load report: expected a number for %s, got %q", clip(name), clip(value))
+		}
+		switch string(name) {
+		case loadInFlight:
+			l.InFlight = v
+		case loadQueue:
+			l.Queue = v
+		case loadBusy:
+			l.Busy = v
+		case loadLatency:
+			l.Latency = v
+		case loadRate:
+			l.Rate = v
+		case loadFailRate:
+			l.FailRate = v
+		}
+	}
+	return l, nil
+}
