--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,13 +33,13 @@
 // Hooks are what a fleet needs of the program.
 type Hooks interface {
 	// Unasked makes what runs a recorded request that nobody has asked for again.
-	ResumeOrphan(rec *takeover.Record, stored *takeover.Stored) (func(takeover.Leave) takeover.Result, error)
+	ResumeOrphan(rec *takeover.Record, stored *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error)
 	// Unheard ends a live answer that nobody is left to take.
 	DiscardAnswer(live any)
 }
 
-// Tuner puts versions of the settings in force.
-type Tuner interface {
+// SettingsApplier puts versions of the settings in force.
+type SettingsApplier interface {
 	ApplySettings(number uint64, text []byte) error // whole, or not at all
 	ValidateSettings(text []byte) error             // tells what Adopt would say
 	CloseIdleConnections()                          // closes what is idle
@@ -50,8 +50,8 @@
 
 // plants are faults on purpose.
 type plants struct {
-	custody    takeover.Plant
-	audit      audit.Plant
+	custody    takeover.InjectedFault
+	audit      audit.InjectedFault
 	noFence    bool // leases are given below the fence
 	looseGuard bool // the guard lets one more be without a lease
 }
@@ -72,8 +72,8 @@
 	start   time.Time
 	plant   plants
 	build   string
-	tuner   Tuner
-	book    *audit.Book // nil, with ledger: no account is kept
+	tuner   SettingsApplier
+	book    *audit.SegmentWriter // nil, with ledger: no account is kept
 	ledger  *ledger
 	tuned   tuned       // of the member's own actor
 	shut    atomic.Bool // this member may not act by what it knows of the plan
@@ -93,7 +93,7 @@
 
 // New makes a member. longest is the longest deadline of a class, which counts unless the options say another. Nothing is
 // listened to or sent before Run.
-func New(o *options.Options, name string, longest time.Duration, hooks Hooks, tuner Tuner) (*Fleet, error) {
+func New(o *options.Options, name string, longest time.Duration, hooks Hooks, tuner SettingsApplier) (*Fleet, error) {
 	c, err := newCoder()
 	if err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 	f.wire = newWire(c, f.names)
 	f.wire.me, f.wire.take, f.wire.desk = func() takeover.Member { return *f.me.Load() }, f.take, f.desk
 	if o.Audit.Enabled {
-		if f.book, err = audit.NewBook(f.wire.id, *f.me.Load(), f.build, protocol, f.micros, f.plant.audit); err != nil {
+		if f.book, err = audit.NewSegmentWriter(f.wire.id, *f.me.Load(), f.build, protocol, f.micros, f.plant.audit); err != nil {
 			return nil, err
 		}
 		if f.ledger, err = newLedger(f); err != nil {
@@ -128,9 +128,9 @@
 	f.wire.where = func(name string) string { return f.roster.Load().addressOf(name, f.listed[name]) }
 	f.keeper = &keeper{f: f, box: make(chan func(int64), keeperBox), flights: map[string]*flight{}}
 	f.keeper.node = takeover.New(takeover.Config{
-		Me: *f.me.Load(), Names: f.names, Holders: o.Takeover.Replicas, Records: o.Takeover.MaxRecords, Bytes: o.Takeover.MaxBytes,
-		Keep: o.Takeover.AnswerRetention.Microseconds(), Longest: longest.Microseconds(), Wait: f.wait, Again: f.again, Slack: o.Fleet.LeaseDuration.Microseconds(),
-		Stagger: o.Fleet.LeaseDuration.Microseconds() / 2, Plant: f.plant.custody,
+		Self: *f.me.Load(), MemberNames: f.names, ReplicationFactor: o.Takeover.Replicas, MaxRecords: o.Takeover.MaxRecords, MaxBytes: o.Takeover.MaxBytes,
+		Retention: o.Takeover.AnswerRetention.Microseconds(), MaxRequestAge: longest.Microseconds(), QuorumTimeout: f.wait, ResendInterval: f.again, LateRequestSlack: o.Fleet.LeaseDuration.Microseconds(),
+		TakeoverStagger: o.Fleet.LeaseDuration.Microseconds() / 2, Fault: f.plant.custody,
 	})
 	return f, nil
 }
@@ -206,7 +206,7 @@
 		e, err := newEpochs(f.opts.Fleet.StateDir, f.name, f.voters, f.opts.Fleet.LeaseDuration)
 		if err == nil {
 			e.send, e.names, e.noFence = f.send, f.names, f.plant.noFence
-			e.driver.Guard = rollout.Guard{MostOut: f.opts.Audit.MaxUnleasedPermille, Loose: f.plant.looseGuard}
+			e.driver.Guard = rollout.Guard{MaxUnleasedPermille: f.opts.Audit.MaxUnleasedPermille, OffByOne: f.plant.looseGuard}
 			e.told = func(r *roster, texts map[string][]byte) { f.learn(r, texts) }
 			f.epochs.Store(e)
 			err = e.run(ctx)
@@ -335,7 +335,7 @@
 		f.ledger.post(func() { f.ledger.see(r) })
 	}
 	v := r.view()
-	f.keeper.box <- func(now int64) { f.keeper.node.See(now, v) }
+	f.keeper.box <- func(now int64) { f.keeper.node.ApplyView(now, v) }
 	if me := *f.me.Load(); r.gone(me) && !f.ended.Load() {
 		f.putOut()
 	}
@@ -415,7 +415,7 @@
 			f.post(func() { f.have(h.Text) })
 		}
 	case kindSegments:
-		var all []audit.Sealed
+		var all []audit.SealedSegment
 		if err = f.coder.in.Unmarshal(payload, &all); err == nil && f.ledger != nil {
 			f.ledger.post(func() { f.ledger.hold(from, all) })
 		}
@@ -424,7 +424,7 @@
 		if err = f.coder.in.Unmarshal(payload, &all); err == nil && f.ledger != nil {
 			f.ledger.post(func() {
 				for _, one := range all {
-					f.ledger.pushing.Taken(from.Name, one.Of, one.Index)
+					f.ledger.pushing.Acknowledge(from.Name, one.Of, one.Index)
 				}
 			})
 		}
@@ -477,14 +477,14 @@
 
 // Execute brings a request under custody, has it run if that is this member's to do, and tells its outcome. gone is closed
 // when its client leaves.
-func (f *Fleet) Execute(w takeover.Work, gone <-chan struct{}, run func(takeover.Leave) takeover.Result) takeover.Outcome {
+func (f *Fleet) Execute(w takeover.Request, gone <-chan struct{}, run func(takeover.SendPermit) takeover.Result) takeover.Outcome {
 	wait := make(chan takeover.Outcome, 1)
-	end := time.NewTimer(w.Left)
+	end := time.NewTimer(w.Timeout)
 	defer end.Stop()
 	select {
 	case f.keeper.box <- func(now int64) { f.keeper.open(now, w, wait, run) }:
 	case <-end.C:
-		return takeover.Outcome{Word: takeover.Gone}
+		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
 	}
 	for more := true; more; {
 		select {
@@ -493,9 +493,9 @@
 		case <-gone:
 			more = false
 		case <-end.C: // one that runs has until its body has come and its time after that is up
-			if more = w.Longest > w.Left && f.keeper.runs(w.ID, wait); more {
-				end.Reset(w.Longest - w.Left)
-				w.Longest = 0
+			if more = w.MaxDuration > w.Timeout && f.keeper.runs(w.ID, wait); more {
+				end.Reset(w.MaxDuration - w.Timeout)
+				w.MaxDuration = 0
 			}
 		case <-f.ctx.Done():
 			more = false
@@ -506,19 +506,19 @@
 	case o := <-wait:
 		return o
 	default:
-		return takeover.Outcome{Word: takeover.Gone}
+		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
 	}
 }
 
 // ReplicationPolicy tells what becomes of a class's work.
-func (f *Fleet) ReplicationPolicy(class string, e takeover.Effect) options.ReplicationPolicy {
+func (f *Fleet) ReplicationPolicy(class string, e takeover.Idempotency) options.ReplicationPolicy {
 	if c, ok := f.opts.Takeover.PolicyByClass[class]; ok {
 		return c
 	}
 	switch e {
-	case takeover.Unsafe:
+	case takeover.NotIdempotent:
 		return options.StrictReplication
-	case takeover.Keyed:
+	case takeover.IdempotentByKey:
 		return options.BestEffortReplication
 	}
 	return options.NoReplication
@@ -544,7 +544,7 @@
 }
 
 // Ledger is the account that this member keeps of itself; nil: none.
-func (f *Fleet) Ledger() auditevent.Ledger {
+func (f *Fleet) Ledger() auditevent.Recorder {
 	if f.book == nil {
 		return nil
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -63,8 +63,8 @@
 	sockets atomic.Int64 // connections past which a new one takes an idle one's place
 	life    *lifecycle.Tracker
 	keeper  RequestReplicator // nil: none
-	ledger  auditevent.Ledger // nil: no account is kept
-	room    chan struct{}     // a token for each connection that may still be accepted
+	ledger  auditevent.Recorder // nil: no account is kept
+	room    chan struct{}       // a token for each connection that may still be accepted
 
 	deaf atomic.Bool // the listener has taken its last connection, and that is among conns
 
@@ -107,7 +107,7 @@
 		Handler:            f.handle,
 		ErrorHandler:       badInput,
 		StreamRequestBody:  true,
-		MaxRequestBodySize: upstream.HeldMost, // past it fasthttp reads nothing ahead
+		MaxRequestBodySize: upstream.MaxBuffered, // past it fasthttp reads nothing ahead
 		ReadBufferSize:     readBuffer,
 		ReadTimeout:        readTimeout,
 		IdleTimeout:        idleTimeout,
@@ -199,7 +199,7 @@
 
 // acceptFailed makes room where accept found no descriptor, and logs an error now and then.
 func (f *Frontend) acceptFailed(err error) {
-	if upstream.OutOfSockets(err) {
+	if upstream.IsSocketShortage(err) {
 		f.closeIdlest()
 	}
 	if now := time.Now(); now.Sub(f.acceptLogged) >= acceptLogEvery {
@@ -350,7 +350,7 @@
 	}
 	for ctx.Err() == nil {
 		if bounded && time.Until(end) < lastAnswers {
-			f.side.End()
+			f.side.AbortAll()
 			f.stopReading()
 		}
 		f.hurry(followed)
@@ -373,7 +373,7 @@
 		}
 		time.Sleep(drainStep)
 	}
-	f.side.End()
+	f.side.AbortAll()
 	f.stopReading()
 }
 
@@ -446,10 +446,10 @@
 	}
 	call := parsed.call(h, body, c.readAt)
 	if leave != nil {
-		call.Needs(leave.Valid)
+		call.RequireLease(leave.Valid)
 	}
-	call.Whole = c.watch
-	call.Abandon(c.hungUp)
+	call.OnBodyComplete = c.watch
+	call.SetDisconnectCheck(c.hungUp)
 	a, left := f.side.Do(call, c.watch()) // reading a body on ends that watch
 	broken := body.close()
 	c.unwatch()
@@ -460,9 +460,9 @@
 		f.answer(ctx, c, a)
 	}
 	if left && broken == nil {
-		f.noted(ctx, auditevent.Left, parsed.request.ID, a.Under)
+		f.noted(ctx, auditevent.ClientLeft, parsed.request.ID, a.ConfigVersion)
 	} else {
-		f.account(ctx, parsed.request.ID, a.Under)
+		f.account(ctx, parsed.request.ID, a.ConfigVersion)
 	}
 	if left || broken != nil {
 		ctx.SetConnectionClose()
@@ -477,8 +477,8 @@
 		f.silent(ctx, c, p.request.ID, p.left-time.Since(c.readAt))
 		return
 	}
-	refuse(ctx, sidecar.Answer{RetryAfter: shutRetry})
-	f.noted(ctx, auditevent.Turned, p.request.ID, f.side.Under())
+	refuse(ctx, sidecar.Response{RetryAfter: shutRetry})
+	f.noted(ctx, auditevent.RejectedNoLease, p.request.ID, f.side.ConfigVersion())
 	ctx.SetConnectionClose() // clients have others to go to
 }
 
@@ -491,28 +491,28 @@
 }
 
 // SetRecorder has an account kept of the answers.
-func (f *Frontend) SetRecorder(l auditevent.Ledger) { f.ledger = l }
+func (f *Frontend) SetRecorder(l auditevent.Recorder) { f.ledger = l }
 
 // account notes the answer to a request, and names it to the client. under is the version that it was decided by.
-func (f *Frontend) account(ctx *fasthttp.RequestCtx, id string, under auditevent.Stamp) {
+func (f *Frontend) account(ctx *fasthttp.RequestCtx, id string, under auditevent.ConfigVersionID) {
 	switch ctx.Response.StatusCode() {
 	case fasthttp.StatusOK:
 		f.noted(ctx, auditevent.Served, id, under)
 	case fasthttp.StatusServiceUnavailable:
-		f.noted(ctx, auditevent.Refused, id, under)
+		f.noted(ctx, auditevent.Rejected, id, under)
 	case fasthttp.StatusConflict:
-		f.noted(ctx, auditevent.Doubled, id, under)
+		f.noted(ctx, auditevent.DuplicateID, id, under)
 	default:
 		f.noted(ctx, auditevent.Failed, id, under)
 	}
 }
 
-func (f *Frontend) noted(ctx *fasthttp.RequestCtx, kind auditevent.Kind, id string, under auditevent.Stamp) {
+func (f *Frontend) noted(ctx *fasthttp.RequestCtx, kind auditevent.Kind, id string, under auditevent.ConfigVersionID) {
 	if f.ledger == nil {
 		return
 	}
-	ref := f.ledger.Add(kind, under, id, strconv.Itoa(ctx.Response.StatusCode()))
-	ctx.Response.Header.SetBytesV(auditevent.Header, ref.Append(nil))
+	ref := f.ledger.Record(kind, under, id, strconv.Itoa(ctx.Response.StatusCode()))
+	ctx.Response.Header.SetBytesV(auditevent.RefHeader, ref.Append(nil))
 }
 
 // CloseIdleConnections closes connections of clients that are idle.
@@ -533,8 +533,8 @@
 }
 
 // answer writes the final answer.
-func (f *Frontend) answer(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Answer) {
-	switch a.Verdict {
+func (f *Frontend) answer(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Response) {
+	switch a.Status {
 	case sidecar.Served:
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		if len(a.ContentType) > 0 {
@@ -545,18 +545,18 @@
 		} else {
 			ctx.Response.SetBodyRaw(a.Body)
 		}
-	case sidecar.Refused:
+	case sidecar.Rejected:
 		refuse(ctx, a)
-	case sidecar.Duplicate:
+	case sidecar.DuplicateID:
 		ctx.Error("a request of this id is under way", fasthttp.StatusConflict)
-	case sidecar.Late:
+	case sidecar.DeadlineExceeded:
 		ctx.Error("time is up", fasthttp.StatusGatewayTimeout)
 	default:
 		ctx.Error("no server answered", fasthttp.StatusBadGateway)
 	}
 }
 
-func refuse(ctx *fasthttp.RequestCtx, a sidecar.Answer) {
+func refuse(ctx *fasthttp.RequestCtx, a sidecar.Response) {
 	ctx.Error("refused, trying again is harmless", fasthttp.StatusServiceUnavailable)
 	if a.RetryAfter > 0 {
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -27,7 +27,7 @@
 var errHollow = errors.New("a hollow member runs nothing")
 
 // ResumeOrphan refuses: nobody sends requests in such a run.
-func (h *hollow) ResumeOrphan(*takeover.Record, *takeover.Stored) (func(takeover.Leave) takeover.Result, error) {
+func (h *hollow) ResumeOrphan(*takeover.Record, *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error) {
 	return nil, errHollow
 }
 
@@ -38,7 +38,7 @@
 func (h *hollow) ApplySettings(number uint64, text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	next, err := h.conf.Adopt(text, os.Getenv)
+	next, err := h.conf.WithFleetSettings(text, os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -51,15 +51,15 @@
 func (h *hollow) ValidateSettings(text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, err := h.conf.Adopt(text, os.Getenv)
+	_, err := h.conf.WithFleetSettings(text, os.Getenv)
 	return err
 }
 
 // CloseIdleConnections has nothing to close.
 func (h *hollow) CloseIdleConnections() {}
 
-// Listed tells of a list in force.
-func (h *hollow) Listed(l *discovery.List) {
+// OnEndpoints tells of a list in force.
+func (h *hollow) OnEndpoints(l *discovery.Update) {
 	h.tell(Event{Kind: Listed, Member: h.name, Number: l.Seq, At: time.Now()})
 }
 
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	client := discovery.New(list, nil, discovery.Source{Balancers: conf.Settings.BalancerCount}, h)
+	client := discovery.New(list, nil, discovery.Source{BalancerCount: conf.Settings.BalancerCount}, h)
 	go client.Run(ctx)
 	return nil
 }
