--- a/internal/frontend/recorded_test.go
+++ b/internal/frontend/recorded_test.go
@@ -14,12 +14,13 @@
 func TestRecordedStreams(t *testing.T) {
 	for name, want := range map[string]handed{
 		"stream.json": {
-			Answer: upstream.Standing{
-				Kind: "chunks", Left: 1536, After: true, Trailing: true, Trailers: 2, Over: true, Sum: 70_000, Ahead: []byte("ab\r\n"), Held: 2,
+			Answer: upstream.StreamState{
+				Framing: "chunks", Remaining: 1536, AtChunkEnd: true, InTrailers: true, TrailerLines: 2, Complete: true, Forwarded: 70_000,
+				ReadAhead: []byte("ab\r\n"), BufferedBody: 2,
 			},
 			Chunks: true,
 		},
-		"stream_of_known_length.json": {Answer: upstream.Standing{Kind: "length", Left: 5, Sum: 65_536}},
+		"stream_of_known_length.json": {Answer: upstream.StreamState{Framing: "length", Remaining: 5, Forwarded: 65_536}},
 	} {
 		text, err := os.ReadFile("../handover/testdata/2029d41/" + name)
 		if err != nil {
