--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,9 +13,9 @@
 	"damsonscale/internal/lifecycle"
 )
 
-func open(t *testing.T) (*lifecycle.Owner, string) {
+func open(t *testing.T) (*lifecycle.Tracker, string) {
 	t.Helper()
-	life := &lifecycle.Owner{}
+	life := &lifecycle.Tracker{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	if n, _ := io.Copy(io.Discard, br); n > 0 {
-		t.Fatalf("%.40q: %d bytes behind the answer", raw, n)
+		t.Fatalf("%.40q: %d bytes after the answer", raw, n)
 	}
 	return resp.StatusCode, string(b), resp.Header.Get("Allow")
 }
@@ -63,7 +63,7 @@
 	ok   = "POST /healthcheck/ok HTTP/1.1\r\nHost: h\r\n\r\n"
 )
 
-// The calls in turn: each says what is so, repeated or not, and none undoes an end.
+// Each call answers the stage after it, repeated or not, and none undoes a termination.
 func TestCalls(t *testing.T) {
 	life, addr := open(t)
 	for _, s := range []struct {
@@ -73,13 +73,13 @@
 		body   string
 	}{
 		{nil, get, 503, "starting\n"},
-		{func() { life.Serve() }, get, 200, "serving\n"},
+		{func() { life.MarkReady() }, get, 200, "serving\n"},
 		{nil, fail, 200, "drained\n"},
 		{nil, fail, 200, "drained\n"},
 		{nil, get, 200, "drained\n"},
 		{nil, ok, 200, "serving\n"},
 		{nil, ok, 200, "serving\n"},
-		{func() { life.End() }, fail, 200, "ending\n"},
+		{func() { life.Terminate() }, fail, 200, "ending\n"},
 		{nil, ok, 409, "ending\n"},
 		{nil, get, 503, "ending\n"},
 	} {
@@ -92,10 +92,10 @@
 	}
 }
 
-// What is no call gets a no and a close.
-func TestBadCalls(t *testing.T) {
+// What is no call is rejected, and its connection closed.
+func TestMalformedCallsAreRejected(t *testing.T) {
 	life, addr := open(t)
-	life.Serve()
+	life.MarkReady()
 	for _, c := range []struct {
 		raw    string
 		status int
@@ -106,7 +106,7 @@
 		{"GET /healthcheck/ok HTTP/1.1\r\nHost: h\r\n\r\n", 405, "POST"},
 		{"GET /stats HTTP/1.1\r\nHost: h\r\n\r\n", 404, ""},
 		{"noise\r\n\r\n", 400, ""},
-		{"GET /healthcheck HTTP/1.1\r\nX: " + strings.Repeat("x", maxHead) + "\r\n\r\n", 431, ""},
+		{"GET /healthcheck HTTP/1.1\r\nX: " + strings.Repeat("x", maxHeadBytes) + "\r\n\r\n", 431, ""},
 		{"POST /healthcheck/fail HTTP/1.1\r\nHost: h\r\nContent-Length: 99999\r\n\r\n", 413, ""},
 	} {
 		if status, _, allow := call(t, addr, c.raw); status != c.status || allow != c.allow {
@@ -118,12 +118,12 @@
 	}
 }
 
-// Callers who connect and say nothing, or half a call, give way to a true one. Guards against a door that they hold.
-func TestSilentCallersGiveWay(t *testing.T) {
+// Callers that send nothing, or half a call, give way to a complete one.
+func TestOldestConnectionGivesWay(t *testing.T) {
 	life, addr := open(t)
-	life.Serve()
+	life.MarkReady()
 	var silent []net.Conn
-	for i := range 4 * Conns {
+	for i := range 4 * MaxConnections {
 		c := dial(t, addr)
 		if i%2 == 0 {
 			io.WriteString(c, "POST /healthch")
@@ -134,14 +134,14 @@
 		t.Fatal(status)
 	}
 	if _, err := io.Copy(io.Discard, silent[0]); err != nil && !bytes.Contains([]byte(err.Error()), []byte("reset")) {
-		t.Fatalf("the one held longest is still open: %v", err)
+		t.Fatalf("the oldest connection is still open: %v", err)
 	}
 }
 
-// A call whose bytes come one by one is one all the same.
+// A call whose bytes come one by one is answered.
 func TestCallInPieces(t *testing.T) {
 	life, addr := open(t)
-	life.Serve()
+	life.MarkReady()
 	c := dial(t, addr)
 	for _, b := range []byte(fail) {
 		if _, err := c.Write([]byte{b}); err != nil {
@@ -149,7 +149,7 @@
 		}
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil || resp.StatusCode != 200 || life.Stage() != lifecycle.Drained {
+	if err != nil || resp.StatusCode != 200 || life.Stage() != lifecycle.Draining {
 		t.Fatal(resp, err, life.Stage())
 	}
 }
--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -19,37 +19,37 @@
 // resumeHead marks a request that its client has asked of another member before.
 const resumeHead = "Req-Resume"
 
-// Keeper keeps work with an effect, so that it survives the loss of its sidecar.
-type Keeper interface {
+// RequestReplicator keeps work with an effect, so that it survives the loss of its sidecar.
+type RequestReplicator interface {
 	// Do brings a request under custody, has run send it if that is this member's to do, and tells its outcome. gone is
 	// closed when its client leaves.
-	Do(w takeover.Request, gone <-chan struct{}, run func(takeover.SendPermit) takeover.Result) takeover.Outcome
-	Custody(class string, e takeover.Idempotency) options.Custody
-	Longest() time.Duration // that a request may be in custody
-	Needed() takeover.Lease // without which nothing at all is taken or sent; nil: none is
-	MayRefuse() bool        // a request that was read just now had not waited, so that its client may have gone elsewhere
+	Execute(w takeover.Request, gone <-chan struct{}, run func(takeover.SendPermit) takeover.Result) takeover.Outcome
+	ReplicationPolicy(class string, e takeover.Idempotency) options.ReplicationPolicy
+	MaxDuration() time.Duration    // that a request may be in custody
+	RequiredLease() takeover.Lease // without which nothing at all is taken or sent; nil: none is
+	MayReject() bool               // a request that was read just now had not waited, so that its client may have gone elsewhere
 }
 
-// Join has the work with an effect kept from the next request on.
-func (f *Frontend) Join(k Keeper) { f.keeper = k }
+// SetReplicator has the work with an effect kept from the next request on.
+func (f *Frontend) SetReplicator(k RequestReplicator) { f.keeper = k }
 
 // keep serves a request under the fleet's custody; false: its class has none.
 func (f *Frontend) keep(ctx *fasthttp.RequestCtx, c *clientConn, p *parsed, b *body) bool {
 	h := &ctx.Request.Header
 	class := &p.now.settings.Classes[p.request.Class]
 	effect := effectOf(class.Semantics)
-	policy := f.keeper.Custody(class.Name, effect)
-	if policy == options.None {
+	policy := f.keeper.ReplicationPolicy(class.Name, effect)
+	if policy == options.NoReplication {
 		return false
 	}
-	p.left = min(p.left, f.keeper.Longest())
+	p.left = min(p.left, f.keeper.MaxDuration())
 	if b.src == nil {
 		b.held = slices.Clone(b.held) // it outlasts its client, and is the server's memory; what came as a stream is our own
 	}
 	call := p.call(h, b, c.readAt)
 	call.OnBodyComplete = c.watch
 	w := takeover.Request{
-		ID: p.request.ID, Class: class.Name, Idempotency: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.Strict,
+		ID: p.request.ID, Class: class.Name, Idempotency: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.StrictReplication,
 		Timeout: min(call.TimeLeft(time.Now()), p.left), MaxDuration: call.TimeLeft(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
 	}
 	var gone <-chan struct{}
@@ -63,7 +63,7 @@
 		gone = c.watch()
 	}
 	began := time.Now()
-	o := f.keeper.Do(w, gone, f.run(call))
+	o := f.keeper.Execute(w, gone, f.run(call))
 	broken := b.close()
 	c.unwatch()
 	switch {
@@ -156,8 +156,8 @@
 	return f.run(sidecar.NewCall(now.settings, r, m, time.Now(), left)), nil
 }
 
-// DiscardResponse ends a live answer that nobody is left to take.
-func (f *Frontend) DiscardResponse(live any) {
+// DiscardAnswer ends a live answer that nobody is left to take.
+func (f *Frontend) DiscardAnswer(live any) {
 	if a, ok := live.(sidecar.Response); ok && a.Stream != nil {
 		a.Stream.Close()
 	}
@@ -166,7 +166,7 @@
 // tell answers as custody has it, where so much of the request's time is left. A member that has lost its leave answers nothing: another one does.
 func (f *Frontend) tell(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, left time.Duration) {
 	if o.Kind == takeover.OutcomeResponse && o.Lease != nil && !o.Lease.Valid() {
-		f.DiscardResponse(o.LiveResponse)
+		f.DiscardAnswer(o.LiveResponse)
 		o.Kind = takeover.OutcomeCloseConnection
 	}
 	under := f.side.ConfigVersion()
