--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func made(t testing.TB, kind byte, payload string) []byte {
+func newFrame(t testing.TB, kind byte, payload string) []byte {
 	b, err := Append(nil, kind, []byte(payload))
 	if err != nil {
 		t.Fatal(err)
@@ -16,8 +16,8 @@
 	return b
 }
 
-func TestFramesThatLie(t *testing.T) {
-	good := made(t, 7, "some words")
+func TestReadRejectsInvalidFrames(t *testing.T) {
+	good := newFrame(t, 7, "some words")
 	change := func(at int, to byte) []byte {
 		b := bytes.Clone(good)
 		b[at] = to
@@ -50,16 +50,16 @@
 	}
 }
 
-// Whatever comes is read or refused, and what is read is what would be written.
+// Any input is read or rejected, and what is read encodes to the same bytes.
 func FuzzRead(f *testing.F) {
-	f.Add(made(f, 1, "a"))
-	f.Add(made(f, 0, ""))
+	f.Add(newFrame(f, 1, "a"))
+	f.Add(newFrame(f, 0, ""))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		kind, payload, err := Read(bytes.NewReader(in))
 		if err != nil {
 			return
 		}
-		if again := made(t, kind, string(payload)); !bytes.HasPrefix(in, again) {
+		if again := newFrame(t, kind, string(payload)); !bytes.HasPrefix(in, again) {
 			t.Fatalf("read %d %q from %x", kind, payload, in)
 		}
 	})
@@ -68,7 +68,7 @@
 // A frame has the bytes that commit 2029d41 gave it, so that builds of before and after understand each other.
 func TestFrameBytesStayAsTheyWere(t *testing.T) {
 	const golden = "444602070000000ac8af35fd1e22d44f736f6d6520776f726473"
-	if got := hex.EncodeToString(made(t, 7, "some words")); got != golden {
+	if got := hex.EncodeToString(newFrame(t, 7, "some words")); got != golden {
 		t.Errorf("%s, not %s", got, golden)
 	}
 }
