--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -47,10 +47,10 @@
 		b.held = slices.Clone(b.held) // it outlasts its client, and is the server's memory; what came as a stream is our own
 	}
 	call := p.call(h, b, c.readAt)
-	call.Whole = c.watch
+	call.OnBodyComplete = c.watch
 	w := takeover.Request{
 		ID: p.request.ID, Class: class.Name, Idempotency: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.Strict,
-		Timeout: min(call.Left(time.Now()), p.left), MaxDuration: call.Left(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
+		Timeout: min(call.TimeLeft(time.Now()), p.left), MaxDuration: call.TimeLeft(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
 	}
 	var gone <-chan struct{}
 	switch {
@@ -70,9 +70,9 @@
 	case broken != nil && o.Kind != takeover.OutcomeResponse:
 		bad := b.fault(broken)
 		ctx.Error(bad.text, bad.status)
-		f.account(ctx, w.ID, f.side.Under())
+		f.account(ctx, w.ID, f.side.ConfigVersion())
 	default:
-		f.tell(ctx, c, call, &o, min(call.Left(time.Now()), p.left-time.Since(began))) // a body that is not held counts from its end
+		f.tell(ctx, c, call, &o, min(call.TimeLeft(time.Now()), p.left-time.Since(began))) // a body that is not held counts from its end
 	}
 	if broken != nil || o.Kind == takeover.OutcomeCallerGone {
 		ctx.SetConnectionClose()
@@ -118,17 +118,17 @@
 		if l.Lease != nil {
 			over, leave = l.Lease.Done(), l.Lease.Valid
 		}
-		call.Under(leave, l.PriorSendAge)
+		call.UseLease(leave, l.PriorSendAge)
 		a, left := f.side.Do(call, over)
 		r := takeover.Result{LiveResponse: a}
 		switch {
 		case left:
 			r.Response = takeover.Response{Status: takeover.Failed, Reason: "its member is out"}
-		case a.Verdict == sidecar.Served && a.Stream != nil:
+		case a.Status == sidecar.Served && a.Stream != nil:
 			r.Response.Status = takeover.ResponseTooLarge
-		case a.Verdict == sidecar.Served:
+		case a.Status == sidecar.Served:
 			r.Response = takeover.Response{Status: takeover.Served, Body: a.Body, ContentType: a.ContentType}
-		case a.Verdict == sidecar.Refused:
+		case a.Status == sidecar.Rejected:
 			r.Response = takeover.Response{Status: takeover.Rejected, RetryAfter: a.RetryAfter.Microseconds()}
 		default:
 			r.Response = takeover.Response{Status: takeover.Failed, Reason: "no server answered"}
@@ -158,7 +158,7 @@
 
 // DiscardResponse ends a live answer that nobody is left to take.
 func (f *Frontend) DiscardResponse(live any) {
-	if a, ok := live.(sidecar.Answer); ok && a.Stream != nil {
+	if a, ok := live.(sidecar.Response); ok && a.Stream != nil {
 		a.Stream.Close()
 	}
 }
@@ -169,22 +169,22 @@
 		f.DiscardResponse(o.LiveResponse)
 		o.Kind = takeover.OutcomeCloseConnection
 	}
-	under := f.side.Under()
+	under := f.side.ConfigVersion()
 	switch o.Kind {
 	case takeover.OutcomeCloseConnection:
 		f.silent(ctx, c, call.Request.ID, left)
 		return
 	case takeover.OutcomeCallerGone:
-		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Late})
-		f.noted(ctx, auditevent.Left, call.Request.ID, under)
+		f.answer(ctx, c, sidecar.Response{Status: sidecar.DeadlineExceeded})
+		f.noted(ctx, auditevent.ClientLeft, call.Request.ID, under)
 		return
 	case takeover.OutcomeInFlight:
-		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Duplicate})
+		f.answer(ctx, c, sidecar.Response{Status: sidecar.DuplicateID})
 	case takeover.OutcomeIDConflict:
 		ctx.Error("the id is that of another request", fasthttp.StatusConflict)
 	default:
-		if a, ok := o.LiveResponse.(sidecar.Answer); ok {
-			under = a.Under
+		if a, ok := o.LiveResponse.(sidecar.Response); ok {
+			under = a.ConfigVersion
 			f.answer(ctx, c, a)
 		} else {
 			f.recorded(ctx, c, &o.Response)
@@ -203,16 +203,16 @@
 	}
 	ctx.Error("takeover: this member may not say", fasthttp.StatusBadGateway)
 	ctx.SetConnectionClose()
-	f.account(ctx, id, f.side.Under())
+	f.account(ctx, id, f.side.ConfigVersion())
 }
 
 // recorded gives an answer that was kept.
 func (f *Frontend) recorded(ctx *fasthttp.RequestCtx, c *clientConn, a *takeover.Response) {
 	switch a.Status {
 	case takeover.Served:
-		f.answer(ctx, c, sidecar.Answer{Verdict: sidecar.Served, Body: a.Body, ContentType: a.ContentType})
+		f.answer(ctx, c, sidecar.Response{Status: sidecar.Served, Body: a.Body, ContentType: a.ContentType})
 	case takeover.Rejected:
-		refuse(ctx, sidecar.Answer{RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
+		refuse(ctx, sidecar.Response{RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
 	case takeover.ResponseTooLarge:
 		ctx.Error("takeover: served, the answer was too long to keep", fasthttp.StatusBadGateway)
 	default:
