--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -50,8 +50,8 @@
 		Seats: []seat{{Member: member("n00", 100), Joined: 1, First: true}, {Member: member("n01", 201), Joined: 6, Address: "127.0.0.1:7201"}},
 		Gone:  map[string][]uint64{"n01": {101}, "n02": {102}},
 		Plan: rollout.Plan{
-			Last: 1, Target: 1, Share: 400, First: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, Held: "seen enough",
-			Versions: []rollout.Version{storedVersion}, Barred: []string{"n02"}, Done: []uint64{7, 8, 9},
+			LastNumber: 1, Target: 1, Share: 400, Canaries: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, PauseReason: "seen enough",
+			Versions: []rollout.Version{storedVersion}, Excluded: []string{"n02"}, AppliedIDs: []uint64{7, 8, 9},
 		},
 	}
 	if e.applied != 11 || told == 0 || !sameJSON(t, e.roster, final) || !reflect.DeepEqual(e.texts, storedTexts) {
@@ -63,7 +63,7 @@
 var (
 	storedSettings = []byte(`{"settings": {}}`)
 	storedDigest   = rollout.DigestOf(storedSettings)
-	storedVersion  = rollout.Version{Number: 1, Digest: storedDigest, Size: len(storedSettings), Who: "operator", Why: "first version"}
+	storedVersion  = rollout.Version{Number: 1, Digest: storedDigest, SizeBytes: len(storedSettings), Author: "operator", Reason: "first version"}
 	storedTexts    = map[string][]byte{string(storedDigest[:]): storedSettings}
 )
 
@@ -96,7 +96,7 @@
 	snapshot := storedSnapshot()
 	snapshot.Epoch = 5
 	snapshot.Plan = rollout.Plan{
-		Last: 1, Target: 1, Share: 400, First: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, Versions: []rollout.Version{storedVersion}, Done: []uint64{7},
+		LastNumber: 1, Target: 1, Share: 400, Canaries: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, Versions: []rollout.Version{storedVersion}, AppliedIDs: []uint64{7},
 	}
 	expectStored(t, e, 8, snapshot, storedTexts)
 }
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -45,22 +45,22 @@
 
 func sampleReport() rollout.Report {
 	return rollout.Report{
-		Acts: 31, Refused: 32, Why: "could not", Digest: 33, Build: "build", Now: rollout.Service{Ended: 34, Served: 35},
-		Before: rollout.Service{Ended: 36, Served: 37},
+		Active: 31, Rejected: 32, RejectReason: "could not", Digest: 33, Build: "build", Current: rollout.ServiceCounts{Answered: 34, Served: 35},
+		Previous: rollout.ServiceCounts{Answered: 36, Served: 37},
 	}
 }
 
-func sampleOrder() *rollout.Order {
-	return &rollout.Order{
-		Kind: rollout.BarName, ID: 41, Who: "who", Why: "order why", Text: []byte("text"), Number: 42, Name: "name", Share: 43, SettleMs: 44, GraceMs: 45,
+func sampleOrder() *rollout.Command {
+	return &rollout.Command{
+		Kind: rollout.Exclude, ID: 41, Author: "who", Reason: "order why", Settings: []byte("text"), Number: 42, Name: "name", Share: 43, SettleMs: 44, GraceMs: 45,
 	}
 }
 
 func samplePlan() rollout.Plan {
 	return rollout.Plan{
-		Last: 51, Target: 52, Base: 53, Share: 54, First: []string{"f1", "f2"}, SettleMs: 55, GraceMs: 56, Fence: 57, Held: "held why",
-		Versions: []rollout.Version{{Number: 58, Digest: sampleDigest(1), Size: 59, Who: "vwho", Why: "vwhy", Back: 60}},
-		Barred:   []string{"barred"}, Done: []uint64{61, 62},
+		LastNumber: 51, Target: 52, Base: 53, Share: 54, Canaries: []string{"f1", "f2"}, SettleMs: 55, GraceMs: 56, Fence: 57, PauseReason: "held why",
+		Versions: []rollout.Version{{Number: 58, Digest: sampleDigest(1), SizeBytes: 59, Author: "vwho", Reason: "vwhy", RollbackOf: 60}},
+		Excluded: []string{"barred"}, AppliedIDs: []uint64{61, 62},
 	}
 }
 
@@ -95,14 +95,14 @@
 		"kept":               kept{Roster: sampleRoster(), Texts: map[string][]byte{"digest": []byte("text")}},
 		"haveText":           haveText{Text: []byte("version text")},
 		"takenOf":            []takenOf{{Of: member("of", 10), Index: 11}},
-		"segments":           []audit.Sealed{{Text: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}},
+		"segments":           []audit.SealedSegment{{Encoded: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}},
 		"ask":                AdminRequest{FleetID: 91, Command: CommandOrder, Order: sampleOrder(), Member: "of member"},
 		"ask-status":         AdminRequest{FleetID: 91, Command: CommandStatus},
 		"ask-segments":       AdminRequest{FleetID: 91, Command: CommandSegments, Member: "m"},
 		"reply-not-leading":  AdminResponse{Err: "no", NotLeader: true, Leader: "l"},
 		"reply-unknown":      AdminResponse{Err: "no", OutcomeUnknown: true},
 		"reply-standing":     AdminResponse{Status: sampleStanding()},
-		"reply-segments":     AdminResponse{Segments: []audit.Sealed{{Text: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}}, More: true},
+		"reply-segments":     AdminResponse{Segments: []audit.SealedSegment{{Encoded: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}}, More: true},
 		"messages":           []takeover.Message{sampleMessage()},
 		"message-write":      takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Idempotency: takeover.IdempotentByKey}},
 		"message-sent":       takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Sent: true}},
