--- a/internal/app/tuning.go
+++ b/internal/app/tuning.go
@@ -76,8 +76,8 @@
 	return retuned
 }
 
-// Apply puts the settings of a fleet's version in force, or returns why that can't be; then nothing has changed.
-func (t *Tuning) Apply(number uint64, text []byte) error {
+// ApplySettings puts the settings of a fleet's version in force, or returns why that can't be; then nothing has changed.
+func (t *Tuning) ApplySettings(number uint64, text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next, err := t.conf.WithFleetSettings(text, t.env)
@@ -91,16 +91,16 @@
 	return nil
 }
 
-// Validate tells what Adopt would say.
-func (t *Tuning) Validate(text []byte) error {
+// ValidateSettings tells what Adopt would say.
+func (t *Tuning) ValidateSettings(text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_, err := t.conf.WithFleetSettings(text, t.env)
 	return err
 }
 
-// CloseIdle closes what is idle: this process may not act.
-func (t *Tuning) CloseIdle() {
+// CloseIdleConnections closes what is idle: this process may not act.
+func (t *Tuning) CloseIdleConnections() {
 	t.front.Rest()
 	t.side.CloseIdleConnections()
 }
--- a/internal/fleet/desk.go
+++ b/internal/fleet/desk.go
@@ -144,7 +144,7 @@
 		return errNoLead
 	}
 	if o.Kind == rollout.RollOut {
-		if err := f.tuner.Validate(o.Settings); err != nil {
+		if err := f.tuner.ValidateSettings(o.Settings); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -35,14 +35,14 @@
 	// Unasked makes what runs a recorded request that nobody has asked for again.
 	ResumeOrphan(rec *takeover.Record, stored *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error)
 	// Unheard ends a live answer that nobody is left to take.
-	DiscardResponse(live any)
+	DiscardAnswer(live any)
 }
 
 // SettingsApplier puts versions of the settings in force.
 type SettingsApplier interface {
-	Apply(number uint64, text []byte) error // whole, or not at all
-	Validate(text []byte) error             // tells what Adopt would say
-	CloseIdle()                             // closes what is idle
+	ApplySettings(number uint64, text []byte) error // whole, or not at all
+	ValidateSettings(text []byte) error             // tells what Adopt would say
+	CloseIdleConnections()                             // closes what is idle
 }
 
 // protocol is the version of what members tell each other.
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -328,7 +328,7 @@
 
 func (k *keeper) unheard(live any) {
 	if live != nil {
-		k.f.hooks.DiscardResponse(live)
+		k.f.hooks.DiscardAnswer(live)
 	}
 }
 
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -125,7 +125,7 @@
 	}
 	f.tuned.under = true
 	go func() {
-		err := f.tuner.Apply(v.Number, text)
+		err := f.tuner.ApplySettings(v.Number, text)
 		f.post(func() { f.adopted(v, err) })
 	}()
 }
@@ -224,7 +224,7 @@
 	plan := &f.roster.Load().Plan
 	log.Printf("event=fleet_shut name=%s shut=%t acts=%d fence=%d refused=%d why=%q", f.name, shut, f.tuned.acts, plan.Fence, f.tuned.refused, f.tuned.why)
 	if shut {
-		f.tuner.CloseIdle()
+		f.tuner.CloseIdleConnections()
 	}
 }
 
--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -156,8 +156,8 @@
 	return f.run(sidecar.NewCall(now.settings, r, m, time.Now(), left)), nil
 }
 
-// DiscardResponse ends a live answer that nobody is left to take.
-func (f *Frontend) DiscardResponse(live any) {
+// DiscardAnswer ends a live answer that nobody is left to take.
+func (f *Frontend) DiscardAnswer(live any) {
 	if a, ok := live.(sidecar.Response); ok && a.Stream != nil {
 		a.Stream.Close()
 	}
@@ -166,7 +166,7 @@
 // tell answers as custody has it, where so much of the request's time is left. A member that has lost its leave answers nothing: another one does.
 func (f *Frontend) tell(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, left time.Duration) {
 	if o.Kind == takeover.OutcomeResponse && o.Lease != nil && !o.Lease.Valid() {
-		f.DiscardResponse(o.LiveResponse)
+		f.DiscardAnswer(o.LiveResponse)
 		o.Kind = takeover.OutcomeCloseConnection
 	}
 	under := f.side.ConfigVersion()
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -31,11 +31,11 @@
 	return nil, errHollow
 }
 
-// DiscardResponse is never called with anything.
-func (h *hollow) DiscardResponse(any) {}
+// DiscardAnswer is never called with anything.
+func (h *hollow) DiscardAnswer(any) {}
 
-// Apply puts a version in force, by the checks of the program.
-func (h *hollow) Apply(number uint64, text []byte) error {
+// ApplySettings puts a version in force, by the checks of the program.
+func (h *hollow) ApplySettings(number uint64, text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next, err := h.conf.WithFleetSettings(text, os.Getenv)
@@ -47,16 +47,16 @@
 	return nil
 }
 
-// Validate tells what Adopt would say.
-func (h *hollow) Validate(text []byte) error {
+// ValidateSettings tells what Adopt would say.
+func (h *hollow) ValidateSettings(text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, err := h.conf.WithFleetSettings(text, os.Getenv)
 	return err
 }
 
-// CloseIdle has nothing to close.
-func (h *hollow) CloseIdle() {}
+// CloseIdleConnections has nothing to close.
+func (h *hollow) CloseIdleConnections() {}
 
 // OnEndpoints tells of a list in force.
 func (h *hollow) OnEndpoints(l *discovery.Update) {
