--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -62,7 +62,7 @@
 	server  *fasthttp.Server
 	sockets atomic.Int64 // connections past which a new one takes an idle one's place
 	life    *lifecycle.Tracker
-	keeper  RequestReplicator // nil: none
+	keeper  RequestReplicator   // nil: none
 	ledger  auditevent.Recorder // nil: no account is kept
 	room    chan struct{}       // a token for each connection that may still be accepted
 
