--- a/internal/fleet/roster.go
+++ b/internal/fleet/roster.go
@@ -19,8 +19,8 @@
 	_       struct{} `cbor:",toarray"`
 	Out     bool
 	Member  takeover.Member
-	Address string         // where it listens, if not where the options say
-	Order   *rollout.Order // instead of all that
+	Address string           // where it listens, if not where the options say
+	Order   *rollout.Command // instead of all that
 }
 
 // seat is a living member's.
@@ -94,9 +94,9 @@
 
 // view is the roster in custody's terms.
 func (r *roster) view() *takeover.View {
-	v := &takeover.View{Epoch: r.Epoch, Live: make(map[takeover.Member]takeover.Standing, len(r.Seats))}
+	v := &takeover.View{Epoch: r.Epoch, Members: make(map[takeover.Member]takeover.MemberInfo, len(r.Seats))}
 	for _, s := range r.Seats {
-		v.Live[s.Member] = takeover.Standing{Joined: s.Joined, First: s.First}
+		v.Members[s.Member] = takeover.MemberInfo{JoinedEpoch: s.Joined, FirstIncarnation: s.First}
 	}
 	return v
 }
@@ -125,7 +125,7 @@
 		}
 		met[s.Member] = true
 	}
-	if err := r.Plan.Valid(); err != nil {
+	if err := r.Plan.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", errRoster, err)
 	}
 	return nil
--- /dev/null
+++ b/internal/fleet/wire_golden_test.go
@@ -0,0 +1,201 @@
+package fleet
+
+import (
+	"bufio"
+	"encoding/hex"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"damsonscale/internal/audit"
+	"damsonscale/internal/frame"
+	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
+)
+
+// wireGolden has one line for each sample: its name, and in hexadecimal what commit 2029d41 writes for it.
+const wireGolden = "testdata/wire-2029d41.hex"
+
+func sampleDigest(first byte) (d rollout.Digest) {
+	for i := range d {
+		d[i] = first + byte(i)
+	}
+	return d
+}
+
+func sampleRecord() takeover.Record {
+	return takeover.Record{
+		ID: "rec-1", Digest: 11, Class: "class-1", Idempotency: takeover.NotIdempotent, Owner: member("own", 12), Epoch: 13, Age: 14, DeadlineAge: 15,
+		Sent: true, Request: []byte("request"), Seq: 16, Response: sampleAnswer(),
+	}
+}
+
+func sampleAnswer() takeover.Response {
+	return takeover.Response{Status: takeover.ResponseTooLarge, Body: []byte("body"), ContentType: []byte("type"), RetryAfter: 17, Reason: "why"}
+}
+
+func sampleMessage() takeover.Message {
+	rec := sampleRecord()
+	return takeover.Message{
+		Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "id-1", Ballot: takeover.Ballot{Round: 21, Proposer: member("by", 22)}, Epoch: 23, Digest: 24,
+		Seq: 25, PromisedBallot: takeover.Ballot{Round: 26, Proposer: member("pr", 27)}, HasRecord: true, RecordBallot: takeover.Ballot{Round: 28, Proposer: member("at", 29)}, Record: &rec,
+	}
+}
+
+func sampleReport() rollout.Report {
+	return rollout.Report{
+		Active: 31, Rejected: 32, RejectReason: "could not", Digest: 33, Build: "build", Current: rollout.ServiceCounts{Answered: 34, Served: 35},
+		Previous: rollout.ServiceCounts{Answered: 36, Served: 37},
+	}
+}
+
+func sampleOrder() *rollout.Command {
+	return &rollout.Command{
+		Kind: rollout.Exclude, ID: 41, Author: "who", Reason: "order why", Settings: []byte("text"), Number: 42, Name: "name", Share: 43, SettleMs: 44, GraceMs: 45,
+	}
+}
+
+func samplePlan() rollout.Plan {
+	return rollout.Plan{
+		LastNumber: 51, Target: 52, Base: 53, Share: 54, Canaries: []string{"f1", "f2"}, SettleMs: 55, GraceMs: 56, Fence: 57, PauseReason: "held why",
+		Versions: []rollout.Version{{Number: 58, Digest: sampleDigest(1), SizeBytes: 59, Author: "vwho", Reason: "vwhy", RollbackOf: 60}},
+		Excluded: []string{"barred"}, AppliedIDs: []uint64{61, 62},
+	}
+}
+
+func sampleRoster() *roster {
+	return &roster{
+		Epoch: 71, Seats: []seat{{Member: member("m", 72), Joined: 73, First: true, Address: "x:1"}},
+		Gone: map[string][]uint64{"gone": {74, 75}}, Plan: samplePlan(),
+	}
+}
+
+func sampleStanding() *ClusterStatus {
+	return &ClusterStatus{
+		Name: "name", Self: member("me", 81), IsLeader: true, Leader: "leader", Epoch: 82, Plan: samplePlan(), MemberNames: []string{"n1", "n2"},
+		Members: []takeover.Member{member("l", 83)}, Reports: map[string]MemberStatus{"rep": {Report: sampleReport(), AgeMs: 84}}, WaitingFor: "waits",
+	}
+}
+
+// wireSamples are values of every type that members and operators send to each other or that the log stores. Each field is
+// set in one of them, and no two fields of a type have the same value in all of them.
+func wireSamples() map[string]any {
+	return map[string]any{
+		"hello":              hello{Fleet: 1, From: member("from", 2)},
+		"leave":              member("leaver", 3),
+		"askLease":           askLease{Member: member("asker", 4), Sent: 5, Address: "a:6", Report: sampleReport()},
+		"granted":            granted{Member: member("asker", 4), Sent: 5, Epoch: 6},
+		"granted-out":        granted{Member: member("asker", 4), Sent: 5, Epoch: 6, Out: true},
+		"granted-shut":       granted{Member: member("asker", 4), Sent: 5, Epoch: 6, Shut: true},
+		"entry-join":         entry{Member: member("joins", 7), Address: "b:8"},
+		"entry-out":          entry{Out: true, Member: member("out", 9)},
+		"entry-order":        entry{Order: sampleOrder()},
+		"roster":             sampleRoster(),
+		"kept":               kept{Roster: sampleRoster(), Texts: map[string][]byte{"digest": []byte("text")}},
+		"haveText":           haveText{Text: []byte("version text")},
+		"takenOf":            []takenOf{{Of: member("of", 10), Index: 11}},
+		"segments":           []audit.SealedSegment{{Encoded: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}},
+		"ask":                AdminRequest{FleetID: 91, Command: CommandOrder, Order: sampleOrder(), Member: "of member"},
+		"ask-status":         AdminRequest{FleetID: 91, Command: CommandStatus},
+		"ask-segments":       AdminRequest{FleetID: 91, Command: CommandSegments, Member: "m"},
+		"reply-not-leading":  AdminResponse{Err: "no", NotLeader: true, Leader: "l"},
+		"reply-unknown":      AdminResponse{Err: "no", OutcomeUnknown: true},
+		"reply-standing":     AdminResponse{Status: sampleStanding()},
+		"reply-segments":     AdminResponse{Segments: []audit.SealedSegment{{Encoded: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}}, More: true},
+		"messages":           []takeover.Message{sampleMessage()},
+		"message-write":      takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Idempotency: takeover.IdempotentByKey}},
+		"message-sent":       takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Sent: true}},
+		"message-known":      takeover.Message{Kind: takeover.Promised, HasRecord: true},
+		"stored":             takeover.StoredRequest{Head: []byte("head"), Body: []byte("body"), Tenant: "tenant", Key: "key"},
+		"record":             sampleRecord(),
+		"ballot":             takeover.Ballot{Round: 92, Proposer: member("by", 93)},
+		"answer":             sampleAnswer(),
+		"seat":               seat{Member: member("s", 94), Joined: 95, First: true, Address: "c:96"},
+		"standing":           sampleStanding(),
+		"standing-no-leader": &ClusterStatus{Name: "name", Self: member("me", 81), Leader: "leader"},
+		"told":               MemberStatus{Report: sampleReport(), AgeMs: 97},
+	}
+}
+
+// Every type has the bytes on the wire and in the log that commit 2029d41 gave it, and those bytes are read as the same value.
+func TestWireBytesStayAsTheyWere(t *testing.T) {
+	c, err := newCoder()
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := os.Open(wireGolden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	golden := map[string]string{}
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		name, text, _ := strings.Cut(lines.Text(), " ")
+		golden[name] = text
+	}
+	samples := wireSamples()
+	if len(golden) != len(samples) {
+		t.Errorf("%d samples, and bytes of %d", len(samples), len(golden))
+	}
+	for name, sample := range samples {
+		text, err := c.out.Marshal(sample)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		if got := hex.EncodeToString(text); got != golden[name] {
+			t.Errorf("%s: writes\n%s, not\n%s", name, got, golden[name])
+		}
+		old, err := hex.DecodeString(golden[name])
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		read := reflect.New(reflect.TypeOf(sample))
+		if err := c.in.Unmarshal(old, read.Interface()); err != nil {
+			t.Errorf("%s: %v", name, err)
+		} else if !reflect.DeepEqual(read.Elem().Interface(), sample) {
+			t.Errorf("%s: reads\n%+v, not\n%+v", name, read.Elem().Interface(), sample)
+		}
+	}
+}
+
+// Numbers that go on the wire or into the log are those that members of other builds know.
+func TestWireNumbersStayAsTheyWere(t *testing.T) {
+	for name, c := range map[string]struct{ got, want []int }{
+		"frames": {
+			[]int{
+				int(kindHello), int(kindRaft), int(kindCustody), int(kindAsk), int(kindGrant), int(kindViewAsk), int(kindView), int(kindLeave),
+				int(kindDesk), int(kindWant), int(kindHave), int(kindSegments), int(kindTaken),
+			},
+			[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12},
+		},
+		"messages": {
+			[]int{
+				int(takeover.Write), int(takeover.Prepare), int(takeover.Accepted), int(takeover.Promised), int(takeover.OwnerAlive), int(takeover.HigherBallot),
+				int(takeover.Evicted), int(takeover.StaleEpoch), int(takeover.NotYetMember), int(takeover.OutOfCapacity), int(takeover.IDInUse), int(takeover.RecordExpired),
+			},
+			[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11},
+		},
+		"effects": {[]int{int(takeover.Idempotent), int(takeover.IdempotentByKey), int(takeover.NotIdempotent)}, []int{0, 1, 2}},
+		"verdicts": {
+			[]int{int(takeover.NoResponse), int(takeover.Served), int(takeover.Rejected), int(takeover.Failed), int(takeover.ResponseTooLarge)}, []int{0, 1, 2, 3, 4},
+		},
+		"faults on purpose": {
+			[]int{
+				int(takeover.NoFault), int(takeover.IgnoreLease), int(takeover.SendBeforeQuorum), int(takeover.InvertMembership), int(takeover.ForgetResponse),
+			},
+			[]int{0, 1, 2, 3, 4},
+		},
+		"protocol": {[]int{protocol, frame.Version}, []int{2, 2}},
+	} {
+		if !reflect.DeepEqual(c.got, c.want) {
+			t.Errorf("%s: %v, not %v", name, c.got, c.want)
+		}
+	}
+	if CommandStatus != "status" || CommandOrder != "order" || CommandSegments != "segments" {
+		t.Error("an operator's request has another word")
+	}
+	if got := fleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
+		t.Errorf("the fleet of a, b and c is %#x", got)
+	}
+}
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"bytes"
+	"encoding/hex"
 	"errors"
 	"io"
 	"testing"
 )
 
-func made(t testing.TB, kind byte, payload string) []byte {
+func newFrame(t testing.TB, kind byte, payload string) []byte {
 	b, err := Append(nil, kind, []byte(payload))
 	if err != nil {
 		t.Fatal(err)
@@ -15,8 +16,8 @@
 	return b
 }
 
-func TestFramesThatLie(t *testing.T) {
-	good := made(t, 7, "some words")
+func TestReadRejectsInvalidFrames(t *testing.T) {
+	good := newFrame(t, 7, "some words")
 	change := func(at int, to byte) []byte {
 		b := bytes.Clone(good)
 		b[at] = to
@@ -29,14 +30,14 @@
 		"good":             {good, nil},
 		"nothing":          {nil, io.EOF},
 		"cut head":         {good[:9], io.ErrUnexpectedEOF},
-		"cut payload":      {good[:Head+3], io.ErrUnexpectedEOF},
-		"no payload":       {good[:Head], io.ErrUnexpectedEOF},
-		"foreign":          {change(0, 'G'), ErrForeign},
+		"cut payload":      {good[:HeaderSize+3], io.ErrUnexpectedEOF},
+		"no payload":       {good[:HeaderSize], io.ErrUnexpectedEOF},
+		"foreign":          {change(0, 'G'), ErrNotFrame},
 		"version":          {change(2, 9), VersionError{9}},
 		"kind":             {change(3, 8), ErrChecksum},
 		"length too small": {change(7, 3), ErrChecksum},
 		"length too large": {change(4, 0xff), ErrTooLong},
-		"payload":          {change(Head+2, 'x'), ErrChecksum},
+		"payload":          {change(HeaderSize+2, 'x'), ErrChecksum},
 		"checksum":         {change(9, good[9]+1), ErrChecksum},
 	} {
 		kind, payload, err := Read(bytes.NewReader(c.in))
@@ -44,22 +45,30 @@
 			t.Errorf("%s: %d %q %v, want %v", name, kind, payload, err, c.want)
 		}
 	}
-	if _, err := Append(nil, 1, make([]byte, Most+1)); !errors.Is(err, ErrTooLong) {
+	if _, err := Append(nil, 1, make([]byte, MaxPayload+1)); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a payload too long: %v", err)
 	}
 }
 
-// Whatever comes is read or refused, and what is read is what would be written.
+// Any input is read or rejected, and what is read encodes to the same bytes.
 func FuzzRead(f *testing.F) {
-	f.Add(made(f, 1, "a"))
-	f.Add(made(f, 0, ""))
+	f.Add(newFrame(f, 1, "a"))
+	f.Add(newFrame(f, 0, ""))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		kind, payload, err := Read(bytes.NewReader(in))
 		if err != nil {
 			return
 		}
-		if again := made(t, kind, string(payload)); !bytes.HasPrefix(in, again) {
+		if again := newFrame(t, kind, string(payload)); !bytes.HasPrefix(in, again) {
 			t.Fatalf("read %d %q from %x", kind, payload, in)
 		}
 	})
 }
+
+// A frame has the bytes that commit 2029d41 gave it, so that builds of before and after understand each other.
+func TestFrameBytesStayAsTheyWere(t *testing.T) {
+	const golden = "444602070000000ac8af35fd1e22d44f736f6d6520776f726473"
+	if got := hex.EncodeToString(newFrame(t, 7, "some words")); got != golden {
+		t.Errorf("%s, not %s", got, golden)
+	}
+}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -56,15 +56,15 @@
 type Frontend struct {
 	side    *sidecar.Sidecar
 	now     atomic.Pointer[snapshot]
-	held    budget               // of bodies under way
-	pass    atomic.Pointer[Pass] // to the process that follows, while this one ends
-	resumed atomic.Int64         // answers that the process before began
+	held    budget                         // of bodies under way
+	pass    atomic.Pointer[StreamHandover] // to the process that follows, while this one ends
+	resumed atomic.Int64                   // answers that the process before began
 	server  *fasthttp.Server
 	sockets atomic.Int64 // connections past which a new one takes an idle one's place
-	life    *lifecycle.Owner
-	keeper  Keeper            // nil: none
-	ledger  auditevent.Ledger // nil: no account is kept
-	room    chan struct{}     // a token for each connection that may still be accepted
+	life    *lifecycle.Tracker
+	keeper  RequestReplicator   // nil: none
+	ledger  auditevent.Recorder // nil: no account is kept
+	room    chan struct{}       // a token for each connection that may still be accepted
 
 	deaf atomic.Bool // the listener has taken its last connection, and that is among conns
 
@@ -83,8 +83,8 @@
 	tenants  map[string]int
 }
 
-// Retune takes settings in force for requests that are read from now on. They must not be changed any more.
-func (f *Frontend) Retune(settings *decide.Settings) {
+// ApplySettings takes settings in force for requests that are read from now on. They must not be changed any more.
+func (f *Frontend) ApplySettings(settings *decide.Settings) {
 	s := &snapshot{settings: settings, classes: map[string]int{}, tenants: map[string]int{}}
 	for i, c := range settings.Classes {
 		s.classes[c.Name] = i
@@ -96,18 +96,18 @@
 }
 
 // New makes a frontend that holds at most so many client connections, and so many bytes of bodies that are coming.
-func New(side *sidecar.Sidecar, life *lifecycle.Owner, settings *decide.Settings, sockets int, held int64) *Frontend {
+func New(side *sidecar.Sidecar, life *lifecycle.Tracker, settings *decide.Settings, sockets int, held int64) *Frontend {
 	f := &Frontend{
 		side: side, life: life, conns: map[*clientConn]bool{}, room: make(chan struct{}, sockets),
 	}
-	f.Hold(sockets)
-	f.Retune(settings)
+	f.SetConnectionLimit(sockets)
+	f.ApplySettings(settings)
 	f.held.give(held)
 	f.server = &fasthttp.Server{
 		Handler:            f.handle,
 		ErrorHandler:       badInput,
 		StreamRequestBody:  true,
-		MaxRequestBodySize: upstream.HeldMost, // past it fasthttp reads nothing ahead
+		MaxRequestBodySize: upstream.MaxBuffered, // past it fasthttp reads nothing ahead
 		ReadBufferSize:     readBuffer,
 		ReadTimeout:        readTimeout,
 		IdleTimeout:        idleTimeout,
@@ -123,9 +123,9 @@
 	return f
 }
 
-// Hold keeps to so many connections from now on, at most as many as New was told. Of those open, as many as can be
+// SetConnectionLimit keeps to so many connections from now on, at most as many as New was told. Of those open, as many as can be
 // spared close when new ones come.
-func (f *Frontend) Hold(sockets int) {
+func (f *Frontend) SetConnectionLimit(sockets int) {
 	f.sockets.Store(int64(softPart * float64(sockets)))
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -199,7 +199,7 @@
 
 // acceptFailed makes room where accept found no descriptor, and logs an error now and then.
 func (f *Frontend) acceptFailed(err error) {
-	if upstream.OutOfSockets(err) {
+	if upstream.IsSocketShortage(err) {
 		f.closeIdlest()
 	}
 	if now := time.Now(); now.Sub(f.acceptLogged) >= acceptLogEvery {
@@ -284,12 +284,12 @@
 	return len(f.conns), time.Since(f.lastAccept)
 }
 
-// Tend empties connections while the operators want the sidecar drained, until ctx ends. New connections are taken
+// RunOperatorDrain empties connections while the operators want the sidecar drained, until ctx ends. New connections are taken
 // all the while: it takes the clients' front a moment to see the no.
-func (f *Frontend) Tend(ctx context.Context) {
+func (f *Frontend) RunOperatorDrain(ctx context.Context) {
 	for {
 		stage, changed := f.life.Watch()
-		if stage == lifecycle.Drained {
+		if stage == lifecycle.Draining {
 			f.empty(ctx, changed)
 		}
 		select {
@@ -331,10 +331,10 @@
 	return graceIdle, unusedAfter
 }
 
-// Drain answers all that is taken and returns when nothing is left or ctx ends. It takes what still comes for a while,
+// Shutdown answers all that is taken and returns when nothing is left or ctx ends. It takes what still comes for a while,
 // unless it is followed by another process that does: then pass is not nil. ln is nil where it has not served yet.
 // fasthttp's Shutdown would close the listener at once, while clients still come.
-func (f *Frontend) Drain(ctx context.Context, ln net.Listener, pass Pass) {
+func (f *Frontend) Shutdown(ctx context.Context, ln net.Listener, pass StreamHandover) {
 	began, listening, followed := time.Now(), ln != nil, pass != nil
 	if followed {
 		f.pass.Store(&pass)
@@ -350,7 +350,7 @@
 	}
 	for ctx.Err() == nil {
 		if bounded && time.Until(end) < lastAnswers {
-			f.side.End()
+			f.side.AbortAll()
 			f.stopReading()
 		}
 		f.hurry(followed)
@@ -373,7 +373,7 @@
 		}
 		time.Sleep(drainStep)
 	}
-	f.side.End()
+	f.side.AbortAll()
 	f.stopReading()
 }
 
@@ -446,10 +446,10 @@
 	}
 	call := parsed.call(h, body, c.readAt)
 	if leave != nil {
-		call.Needs(leave.Valid)
+		call.RequireLease(leave.Valid)
 	}
-	call.Whole = c.watch
-	call.Abandon(c.hungUp)
+	call.OnBodyComplete = c.watch
+	call.SetDisconnectCheck(c.hungUp)
 	a, left := f.side.Do(call, c.watch()) // reading a body on ends that watch
 	broken := body.close()
 	c.unwatch()
@@ -460,9 +460,9 @@
 		f.answer(ctx, c, a)
 	}
 	if left && broken == nil {
-		f.noted(ctx, auditevent.Left, parsed.request.ID, a.Under)
+		f.noted(ctx, auditevent.ClientLeft, parsed.request.ID, a.ConfigVersion)
 	} else {
-		f.account(ctx, parsed.request.ID, a.Under)
+		f.account(ctx, parsed.request.ID, a.ConfigVersion)
 	}
 	if left || broken != nil {
 		ctx.SetConnectionClose()
@@ -473,12 +473,12 @@
 // not answered: its client asks on. Guards against a refusal of what ran.
 func (f *Frontend) shut(ctx *fasthttp.RequestCtx, c *clientConn, p *parsed) {
 	resumed := string(ctx.Request.Header.Peek(resumeHead)) == "1"
-	if p.now.settings.Classes[p.request.Class].Semantics != decide.Idempotent && (resumed || !f.keeper.MayRefuse()) {
+	if p.now.settings.Classes[p.request.Class].Semantics != decide.Idempotent && (resumed || !f.keeper.MayReject()) {
 		f.silent(ctx, c, p.request.ID, p.left-time.Since(c.readAt))
 		return
 	}
-	refuse(ctx, sidecar.Answer{RetryAfter: shutRetry})
-	f.noted(ctx, auditevent.Turned, p.request.ID, f.side.Under())
+	refuse(ctx, sidecar.Response{RetryAfter: shutRetry})
+	f.noted(ctx, auditevent.RejectedNoLease, p.request.ID, f.side.ConfigVersion())
 	ctx.SetConnectionClose() // clients have others to go to
 }
 
@@ -487,41 +487,41 @@
 	if f.keeper == nil {
 		return nil
 	}
-	return f.keeper.Needed()
+	return f.keeper.RequiredLease()
 }
 
-// Audit has an account kept of the answers.
-func (f *Frontend) Audit(l auditevent.Ledger) { f.ledger = l }
+// SetRecorder has an account kept of the answers.
+func (f *Frontend) SetRecorder(l auditevent.Recorder) { f.ledger = l }
 
 // account notes the answer to a request, and names it to the client. under is the version that it was decided by.
-func (f *Frontend) account(ctx *fasthttp.RequestCtx, id string, under auditevent.Stamp) {
+func (f *Frontend) account(ctx *fasthttp.RequestCtx, id string, under auditevent.ConfigVersionID) {
 	switch ctx.Response.StatusCode() {
 	case fasthttp.StatusOK:
 		f.noted(ctx, auditevent.Served, id, under)
 	case fasthttp.StatusServiceUnavailable:
-		f.noted(ctx, auditevent.Refused, id, under)
+		f.noted(ctx, auditevent.Rejected, id, under)
 	case fasthttp.StatusConflict:
-		f.noted(ctx, auditevent.Doubled, id, under)
+		f.noted(ctx, auditevent.DuplicateID, id, under)
 	default:
 		f.noted(ctx, auditevent.Failed, id, under)
 	}
 }
 
-func (f *Frontend) noted(ctx *fasthttp.RequestCtx, kind auditevent.Kind, id string, under auditevent.Stamp) {
+func (f *Frontend) noted(ctx *fasthttp.RequestCtx, kind auditevent.Kind, id string, under auditevent.ConfigVersionID) {
 	if f.ledger == nil {
 		return
 	}
-	ref := f.ledger.Add(kind, under, id, strconv.Itoa(ctx.Response.StatusCode()))
-	ctx.Response.Header.SetBytesV(auditevent.Header, ref.Append(nil))
+	ref := f.ledger.Record(kind, under, id, strconv.Itoa(ctx.Response.StatusCode()))
+	ctx.Response.Header.SetBytesV(auditevent.RefHeader, ref.Append(nil))
 }
 
-// Rest closes connections of clients that are idle.
-func (f *Frontend) Rest() { f.closeIdle(graceIdle, true) }
+// CloseIdleConnections closes connections of clients that are idle.
+func (f *Frontend) CloseIdleConnections() { f.closeIdle(graceIdle, true) }
 
 // emptying tells whether each connection is to carry no further request.
 func (f *Frontend) emptying() bool {
 	stage := f.life.Stage()
-	return stage == lifecycle.Drained || stage == lifecycle.Ending
+	return stage == lifecycle.Draining || stage == lifecycle.Terminating
 }
 
 func (f *Frontend) ready(ctx *fasthttp.RequestCtx) {
@@ -533,8 +533,8 @@
 }
 
 // answer writes the final answer.
-func (f *Frontend) answer(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Answer) {
-	switch a.Verdict {
+func (f *Frontend) answer(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Response) {
+	switch a.Status {
 	case sidecar.Served:
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		if len(a.ContentType) > 0 {
@@ -545,18 +545,18 @@
 		} else {
 			ctx.Response.SetBodyRaw(a.Body)
 		}
-	case sidecar.Refused:
+	case sidecar.Rejected:
 		refuse(ctx, a)
-	case sidecar.Duplicate:
+	case sidecar.DuplicateID:
 		ctx.Error("a request of this id is under way", fasthttp.StatusConflict)
-	case sidecar.Late:
+	case sidecar.DeadlineExceeded:
 		ctx.Error("time is up", fasthttp.StatusGatewayTimeout)
 	default:
 		ctx.Error("no server answered", fasthttp.StatusBadGateway)
 	}
 }
 
-func refuse(ctx *fasthttp.RequestCtx, a sidecar.Answer) {
+func refuse(ctx *fasthttp.RequestCtx, a sidecar.Response) {
 	ctx.Error("refused, trying again is harmless", fasthttp.StatusServiceUnavailable)
 	if a.RetryAfter > 0 {
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -72,7 +72,7 @@
 
 // call makes the call of a request whose body is held as far as it will be; at is when its last byte had come.
 func (p *parsed) call(h *fasthttp.RequestHeader, b *body, at time.Time) *sidecar.Call {
-	m := upstream.Message{Head: head(h, p.uri, b), Body: b.held, Rest: b.rest}
+	m := upstream.Message{Head: head(h, p.uri, b), Body: b.held, Remainder: b.rest}
 	return sidecar.NewCall(p.now.settings, p.request, m, at, p.left)
 }
 
@@ -161,7 +161,7 @@
 	case "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "expect":
 		return true
 	}
-	return header == "content-length" || strings.EqualFold(header, upstream.DeadlineHeader) || strings.EqualFold(header, auditevent.Header)
+	return header == "content-length" || strings.EqualFold(header, upstream.DeadlineHeader) || strings.EqualFold(header, auditevent.RefHeader)
 }
 
 // head makes the bytes that go on: request line and headers as they came, but for those that end here. The target goes on
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -123,7 +123,7 @@
 
 // leader asks one member after the other, who leads as soon as that is told, until one that leads has answered. An order
 // that was passed on bears its id, so that it is carried out once whoever is asked.
-func (s *session) leader(a fleet.Ask) (*fleet.Reply, error) {
+func (s *session) leader(a fleet.AdminRequest) (*fleet.AdminResponse, error) {
 	if err := s.load(); err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 	for _, m := range s.opts.Fleet.Members {
 		addrs[m.Name] = m.Address
 	}
-	var last *fleet.Reply
+	var last *fleet.AdminResponse
 	var why error
 	for todo := s.names(); len(todo) > 0 && s.ctx.Err() == nil; {
 		name := todo[0]
@@ -143,13 +143,13 @@
 		switch {
 		case err != nil:
 			why = errors.Join(why, fmt.Errorf("%s: %w", name, err))
-		case r.Err == "" && (a.Order != nil || r.Standing.Leads):
+		case r.Err == "" && (a.Order != nil || r.Status.IsLeader):
 			return r, nil
 		case r.Err == "":
-			last, todo = r, append([]string{r.Standing.Leader}, todo...)
-		case r.NotLeading:
+			last, todo = r, append([]string{r.Status.Leader}, todo...)
+		case r.NotLeader:
 			why, todo = errors.Join(why, fmt.Errorf("%s: %s", name, r.Err)), append([]string{r.Leader}, todo...)
-		case r.Unknown:
+		case r.OutcomeUnknown:
 			return nil, fault{Unheard, fmt.Errorf("%s: %s", name, r.Err)}
 		default:
 			return nil, fault{Refused, fmt.Errorf("%s: %s", name, r.Err)}
@@ -162,23 +162,23 @@
 }
 
 // orders gives an order.
-func (s *session) orders(o rollout.Order) error {
+func (s *session) orders(o rollout.Command) error {
 	var id [8]byte
 	if _, err := rand.Read(id[:]); err != nil {
 		return err
 	}
-	o.ID, o.Who = binary.BigEndian.Uint64(id[:])>>1|1, s.line.Who
-	if u, err := user.Current(); o.Who == "" && err == nil {
-		o.Who = u.Username
+	o.ID, o.Author = binary.BigEndian.Uint64(id[:])>>1|1, s.line.Who
+	if u, err := user.Current(); o.Author == "" && err == nil {
+		o.Author = u.Username
 	}
 	if err := o.Check(); err != nil {
 		return fault{Misused, err}
 	}
-	r, err := s.leader(fleet.Ask{Do: fleet.AskOrder, Order: &o})
+	r, err := s.leader(fleet.AdminRequest{Command: fleet.CommandOrder, Order: &o})
 	if err != nil {
 		return err
 	}
-	return s.tell(r.Standing)
+	return s.tell(r.Status)
 }
 
 // asJSON writes a value.
@@ -191,11 +191,11 @@
 type statusCmd struct{}
 
 func (statusCmd) Run(s *session) error {
-	r, err := s.leader(fleet.Ask{Do: fleet.AskStanding})
+	r, err := s.leader(fleet.AdminRequest{Command: fleet.CommandStatus})
 	if err != nil {
 		return err
 	}
-	return s.tell(r.Standing)
+	return s.tell(r.Status)
 }
 
 type rolloutCmd struct {
@@ -214,8 +214,8 @@
 	if !(c.Share > 0 && c.Share <= 1) {
 		return misused("--share: %v is not within 0 to 1", c.Share)
 	}
-	return s.orders(rollout.Order{
-		Kind: rollout.RollOut, Text: text, Share: max(1, int(c.Share*rollout.Whole)), SettleMs: c.Settle.Milliseconds(), GraceMs: c.Grace.Milliseconds(), Why: c.Why,
+	return s.orders(rollout.Command{
+		Kind: rollout.RollOut, Settings: text, Share: max(1, int(c.Share*rollout.FullShare)), SettleMs: c.Settle.Milliseconds(), GraceMs: c.Grace.Milliseconds(), Reason: c.Why,
 	})
 }
 
@@ -224,7 +224,7 @@
 }
 
 func (c *holdCmd) Run(s *session) error {
-	return s.orders(rollout.Order{Kind: rollout.Hold, Why: c.Why})
+	return s.orders(rollout.Command{Kind: rollout.Pause, Reason: c.Why})
 }
 
 type backCmd struct {
@@ -234,7 +234,7 @@
 }
 
 func (c *backCmd) Run(s *session) error {
-	return s.orders(rollout.Order{Kind: rollout.Back, Number: c.Number, GraceMs: c.Grace.Milliseconds(), Why: c.Why})
+	return s.orders(rollout.Command{Kind: rollout.Rollback, Number: c.Number, GraceMs: c.Grace.Milliseconds(), Reason: c.Why})
 }
 
 type outCmd struct {
@@ -243,7 +243,7 @@
 }
 
 func (c *outCmd) Run(s *session) error {
-	return s.orders(rollout.Order{Kind: rollout.BarName, Name: c.Name, Why: c.Why})
+	return s.orders(rollout.Command{Kind: rollout.Exclude, Name: c.Name, Reason: c.Why})
 }
 
 type readmitCmd struct {
@@ -252,5 +252,5 @@
 }
 
 func (c *readmitCmd) Run(s *session) error {
-	return s.orders(rollout.Order{Kind: rollout.Readmit, Name: c.Name, Why: c.Why})
+	return s.orders(rollout.Command{Kind: rollout.Readmit, Name: c.Name, Reason: c.Why})
 }
