--- a/cmd/damsonscale-lab/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -56,9 +56,9 @@
 }
 
 func (s *shape) draw(seed uint64) *faultinjection.Timeline {
-	t := faultinjection.Draw(seed, s.Processes, s.LengthMs, s.PerSecond, s.Fleet)
+	t := faultinjection.RandomTimeline(seed, s.Processes, s.LengthMs, s.PerSecond, s.Fleet)
 	if s.Audit {
-		t = faultinjection.Audited(t)
+		t = faultinjection.WithOperatorSteps(t)
 	}
 	return t
 }
@@ -68,7 +68,7 @@
 	Fleet bool   `help:"The processes take work over from each other." default:"true" negatable:""`
 }
 
-func (c *lostCmd) Run(p *player) error { return p.one(faultinjection.Lost(c.Seed, c.Fleet), p.dir) }
+func (c *lostCmd) Run(p *player) error { return p.one(faultinjection.KillsAndPause(c.Seed, c.Fleet), p.dir) }
 
 type rolloutsCmd struct {
 	Seed uint64 `help:"Of the requests and the servers' times." default:"1"`
@@ -132,15 +132,15 @@
 				switch {
 				case err != nil:
 					fault = errors.Join(fault, fmt.Errorf("seed %d: %w", seed, err))
-				case !r.Kept() && r.Void():
+				case !r.Passed() && r.Inconclusive():
 					void++
-					fmt.Printf("seed %d: void: the machine stood still for %d ms; %s\n", seed, r.StallMs, r.Why())
+					fmt.Printf("seed %d: void: the machine stood still for %d ms; %s\n", seed, r.StallMs, r.Summary())
 					r = nil
-				case !r.Kept():
+				case !r.Passed():
 					to := filepath.Join(c.Keep, fmt.Sprintf("%d-%d", c.Processes, seed))
 					kept = append(kept, to)
 					fault = errors.Join(fault, faultinjection.Save(to, t, r))
-					fmt.Printf("seed %d: %s\n", seed, r.Why())
+					fmt.Printf("seed %d: %s\n", seed, r.Summary())
 				default:
 					os.RemoveAll(dir)
 				}
@@ -181,7 +181,7 @@
 	small, err := faultinjection.Shrink(p.ctx, t, c.Tries, func(t *faultinjection.Timeline) (bool, error) {
 		n++
 		r, err := faultinjection.Run(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(n))), t)
-		return err == nil && !r.Kept(), err
+		return err == nil && !r.Passed(), err
 	}, func(step string) { fmt.Println(step) })
 	return errors.Join(err, small.Write(c.Out))
 }
@@ -202,7 +202,7 @@
 func (c *overheadCmd) Run(p *player) error {
 	var lines []byte
 	for i := range c.Times {
-		r, err := faultinjection.MeasureOverhead(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(i))), &faultinjection.Overhead{
+		r, err := faultinjection.MeasureOverhead(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(i))), &faultinjection.OverheadConfig{
 			PerSecond: c.PerSecond, For: c.For, Servers: c.Servers, Balancers: c.Balancers, Members: c.Members, Class: c.Class, ServerMs: c.ServerMs, Seed: c.Seed + uint64(i),
 		})
 		if err != nil {
@@ -330,23 +330,23 @@
 	if err != nil {
 		return err
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		fmt.Println(b)
 	}
 	for _, s := range r.Steps {
 		fmt.Println("step:", s)
 	}
-	for number, ms := range r.TurnMs {
+	for number, ms := range r.RolloutMs {
 		fmt.Printf("version %d: %d ms from its order to the last run under an older one\n", number, ms)
 	}
-	if r.Held != "" {
-		fmt.Println("held:", r.Held)
+	if r.PauseReason != "" {
+		fmt.Println("held:", r.PauseReason)
 	}
-	if r.Waits != "" {
-		fmt.Println("waits:", r.Waits)
+	if r.WaitingFor != "" {
+		fmt.Println("waits:", r.WaitingFor)
 	}
 	fmt.Println(r.Line())
-	if !r.Kept() {
+	if !r.Passed() {
 		return errBroken
 	}
 	return nil
--- a/internal/lab/faultinjection/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -18,100 +18,101 @@
 )
 
 const (
-	fenceSlack  = 300 * time.Millisecond // for a request on its way and a machine that is full
-	watchStep   = 20 * time.Millisecond
-	inquiry     = 50 // steps
-	auditWithin = 20 * time.Second
+	fenceSlack         = 300 * time.Millisecond // allows for requests in transit and a busy machine
+	statusInterval     = 20 * time.Millisecond
+	auditQueryInterval = 50 // status polls
+	auditTimeout       = 20 * time.Second
 )
 
-func (p *play) names() (out []string) {
-	for i := range p.members {
-		out = append(out, name(i))
+func (p *experiment) memberNames() (out []string) {
+	for i := range p.memberAddresses {
+		out = append(out, processName(i))
 	}
 	return out
 }
 
-// step gives an operator's order, to who leads if it is told of one.
-func (p *play) step(ctx context.Context, start time.Time, n int, s *Step) {
+// runStep sends an operator's command, and follows redirects to the leader.
+func (p *experiment) runStep(ctx context.Context, start time.Time, n int, s *Step) {
 	sleep(ctx, time.Until(start.Add(ms(s.AtMs))))
 	o := &rollout.Command{
-		Kind: orders[s.Do], ID: uint64(n + 1), Author: "rig", Reason: fmt.Sprintf("step %d", n), Number: s.Number, Share: s.Share, SettleMs: s.SettleMs, GraceMs: s.GraceMs,
+		Kind: commandKinds[s.Action], ID: uint64(n + 1), Author: "rig", Reason: fmt.Sprintf("step %d", n), Number: s.Number, Share: s.Share, SettleMs: s.SettleMs, GraceMs: s.GraceMs,
 	}
 	switch o.Kind {
 	case rollout.RollOut:
-		set := p.settings(0, s.File)
+		set := p.settings(0, s.Settings)
 		set["TickUs"] = 5001 + n // no two versions have the same bytes
 		o.Settings, _ = json.Marshal(map[string]any{"settings": set})
 	case rollout.Exclude, rollout.Readmit:
-		o.Name = name(s.Who)
+		o.Name = processName(s.Member)
 	}
-	via, said := s.Via, ""
+	via, replyError := s.Via, ""
 	asked := time.Now()
 	target := uint64(0)
 	for range 3 {
-		r, err := fleet.Call(ctx, p.members[via], p.names(), fleet.AdminRequest{Command: fleet.CommandOrder, Order: o})
+		r, err := fleet.Call(ctx, p.memberAddresses[via], p.memberNames(), fleet.AdminRequest{Command: fleet.CommandOrder, Order: o})
 		if err != nil {
-			said = err.Error()
+			replyError = err.Error()
 			break
 		}
 		if r.Status != nil {
 			target = r.Status.Plan.Target
 		}
-		if said = r.Err; !r.NotLeader || r.Leader == "" {
+		if replyError = r.Err; !r.NotLeader || r.Leader == "" {
 			break
 		}
 		fmt.Sscanf(r.Leader, "n%d", &via)
 		via--
 	}
 	p.mu.Lock()
-	if said == "" && (o.Kind == rollout.RollOut || o.Kind == rollout.Rollback) {
-		if p.ordered == nil {
-			p.ordered = map[uint64]time.Time{}
+	if replyError == "" && (o.Kind == rollout.RollOut || o.Kind == rollout.Rollback) {
+		if p.rolloutTimes == nil {
+			p.rolloutTimes = map[uint64]time.Time{}
 		}
-		p.ordered[target] = asked
+		p.rolloutTimes[target] = asked
 	}
-	p.steps = append(p.steps, fmt.Sprintf("%s via n%d after %d ms: %s", s.Do, s.Via+1, time.Since(start).Milliseconds(), said))
+	p.stepResults = append(p.stepResults, fmt.Sprintf("%s via n%d after %d ms: %s", s.Action, s.Via+1, time.Since(start).Milliseconds(), replyError))
 	p.mu.Unlock()
 }
 
-// watch notes when each fence is first seen by anybody.
-func (p *play) watch(ctx context.Context) {
-	if !p.line.Audit {
+// watchFences polls all members and records when each fence is first reported by one of them.
+func (p *experiment) watchFences(ctx context.Context) {
+	if !p.timeline.Audit {
 		return
 	}
 	p.mu.Lock()
-	p.fences = map[uint64]time.Time{}
+	p.fenceSeenAt = map[uint64]time.Time{}
 	p.mu.Unlock()
 	done := make(chan bool)
-	for _, addr := range p.members {
+	for _, addr := range p.memberAddresses {
 		go func() {
 			defer func() { done <- true }()
-			for n := 0; ctx.Err() == nil; sleep(ctx, watchStep) {
-				if n++; n%inquiry == 0 { // the account is asked for in the midst of it all
-					fleet.Call(ctx, addr, p.names(), fleet.AdminRequest{Command: fleet.CommandSegments})
+			for n := 0; ctx.Err() == nil; sleep(ctx, statusInterval) {
+				if n++; n%auditQueryInterval == 0 { // reading the audit log must not disturb the fleet
+					fleet.Call(ctx, addr, p.memberNames(), fleet.AdminRequest{Command: fleet.CommandSegments})
 				}
-				r, err := fleet.Call(ctx, addr, p.names(), fleet.AdminRequest{Command: fleet.CommandStatus})
+				r, err := fleet.Call(ctx, addr, p.memberNames(), fleet.AdminRequest{Command: fleet.CommandStatus})
 				if err != nil || r.Status == nil {
 					continue
 				}
 				p.mu.Lock()
-				if f := r.Status.Plan.Fence; f > 0 && p.fences[f].IsZero() {
-					p.fences[f] = time.Now()
+				if f := r.Status.Plan.Fence; f > 0 && p.fenceSeenAt[f].IsZero() {
+					p.fenceSeenAt[f] = time.Now()
 				}
-				p.over = max(p.over, overGuard(r.Status))
+				p.maxOverGuard = max(p.maxOverGuard, overGuard(r.Status))
 				p.mu.Unlock()
 			}
 		}()
 	}
-	for range p.members {
+	for range p.memberAddresses {
 		<-done
 	}
 }
 
-// guard is the program's own share of members that may be without a lease.
-const guard = 0.34
+// maxExcludedShare is the program's default for the share of members that may be without a lease.
+const maxExcludedShare = 0.34
 
-// overGuard counts the members that the plan shuts out past the guard: barred ones, and those that refused what the fence asks.
+// overGuard counts the members without a lease by the plan beyond the allowed share: excluded ones, and those that rejected
+// the version that the fence asks for.
 func overGuard(s *fleet.ClusterStatus) int {
 	out := len(s.Plan.Excluded)
 	for name, t := range s.Reports {
@@ -119,52 +120,52 @@
 			out++
 		}
 	}
-	return max(0, out-int(guard*float64(len(s.MemberNames))))
+	return max(0, out-int(maxExcludedShare*float64(len(s.MemberNames))))
 }
 
-// audit compares the fleet's account with the servers' and clients' own tallies, act by act.
-func (p *play) audit(ctx context.Context, rec *record, r *Report) error {
-	ctx, cancel := context.WithTimeout(ctx, auditWithin)
+// checkAudit compares the fleet's audit log with what servers and clients recorded, event by event.
+func (p *experiment) checkAudit(ctx context.Context, rec *observations, r *Report) error {
+	ctx, cancel := context.WithTimeout(ctx, auditTimeout)
 	defer cancel()
 	codec, err := audit.NewCodec()
 	if err != nil {
 		return err
 	}
 	var all []audit.SealedSegment
-	living := map[takeover.Member]bool{}
-	heard := 0
-	for _, addr := range p.members {
-		s, err := fleet.Call(ctx, addr, p.names(), fleet.AdminRequest{Command: fleet.CommandSegments})
+	alive := map[takeover.Member]bool{}
+	responding := 0
+	for _, addr := range p.memberAddresses {
+		s, err := fleet.Call(ctx, addr, p.memberNames(), fleet.AdminRequest{Command: fleet.CommandSegments})
 		if err != nil {
 			continue // it is down
 		}
-		heard++
+		responding++
 		all = append(all, s.Segments...)
-		if st, err := fleet.Call(ctx, addr, p.names(), fleet.AdminRequest{Command: fleet.CommandStatus}); err == nil && st.Status != nil {
-			living[st.Status.Self] = true
+		if st, err := fleet.Call(ctx, addr, p.memberNames(), fleet.AdminRequest{Command: fleet.CommandStatus}); err == nil && st.Status != nil {
+			alive[st.Status.Self] = true
 			if st.Status.IsLeader {
-				r.Waits, r.Held = st.Status.WaitingFor, st.Status.Plan.PauseReason
+				r.WaitingFor, r.PauseReason = st.Status.WaitingFor, st.Status.Plan.PauseReason
 				for _, n := range st.Status.MemberNames {
 					if st.Status.Reports[n].Report.Active < st.Status.Plan.Target {
-						r.Unagreed++
+						r.NotConverged++
 					}
 				}
 			}
 		}
 	}
-	if heard == 0 {
+	if responding == 0 {
 		return errors.New("no member tells the account")
 	}
 	p.mu.Lock()
-	a := &auditor{r: r, accounts: map[takeover.Member]*told{}, living: living, fences: p.fences, ordered: p.ordered, lease: ms(p.line.LeaseMs)}
-	r.Steps, r.OverGuard = p.steps, p.over
+	a := &auditor{report: r, accounts: map[takeover.Member]*memberAccount{}, alive: alive, fenceSeenAt: p.fenceSeenAt, rolloutTimes: p.rolloutTimes, lease: ms(p.timeline.LeaseMs)}
+	r.Steps, r.OverGuard = p.stepResults, p.maxOverGuard
 	p.mu.Unlock()
 	if a.lease == 0 {
-		a.lease = 600 * time.Millisecond // the program's own
+		a.lease = 600 * time.Millisecond // the program's default
 	}
-	for _, one := range codec.AssembleTrails(fleet.ID(p.names()), all, &audit.Query{}) {
+	for _, one := range codec.AssembleTrails(fleet.ID(p.memberNames()), all, &audit.Query{}) {
 		for _, f := range one.Faults {
-			a.broke(&r.Misstated, "account", fmt.Sprintf("%s/%x: %s", one.Member.Name, one.Member.Incarnation, f))
+			a.addViolation(&r.AuditMismatches, "account", fmt.Sprintf("%s/%x: %s", one.Member.Name, one.Member.Incarnation, f))
 		}
 		a.add(&one)
 	}
@@ -172,48 +173,48 @@
 	return nil
 }
 
-// auditor compares.
+// auditor compares the audit log of each member with the observations.
 type auditor struct {
-	r        *Report
-	accounts map[takeover.Member]*told
-	living   map[takeover.Member]bool
-	fences   map[uint64]time.Time
-	ordered  map[uint64]time.Time
-	lease    time.Duration
+	report       *Report
+	accounts     map[takeover.Member]*memberAccount
+	alive        map[takeover.Member]bool
+	fenceSeenAt  map[uint64]time.Time
+	rolloutTimes map[uint64]time.Time
+	lease        time.Duration
 }
 
-// told is an account with its acts by number.
-type told struct {
+// memberAccount indexes a member's audit events.
+type memberAccount struct {
 	*audit.Trail
-	by   map[uint64]auditevent.Event
-	sent map[string]int // by request and server: sent, less unsent
+	byNumber      map[uint64]auditevent.Event
+	sentByRequest map[string]int // by "request server": sends, less those that were not written
 }
 
 func (a *auditor) add(one *audit.Trail) {
-	t := &told{Trail: one, by: map[uint64]auditevent.Event{}, sent: map[string]int{}}
+	t := &memberAccount{Trail: one, byNumber: map[uint64]auditevent.Event{}, sentByRequest: map[string]int{}}
 	for _, act := range one.Events {
-		t.by[act.Number] = act
+		t.byNumber[act.Number] = act
 		switch act.Kind {
 		case auditevent.Sent:
-			t.sent[act.ID+" "+act.Note]++
+			t.sentByRequest[act.ID+" "+act.Note]++
 		case auditevent.NotSent:
-			t.sent[act.ID+" "+act.Note]--
+			t.sentByRequest[act.ID+" "+act.Note]--
 		}
 	}
-	a.r.Acts += len(one.Events)
+	a.report.AuditEvents += len(one.Events)
 	a.accounts[one.Member] = t
 }
 
-func (a *auditor) broke(count *int, kind, why string) {
-	if *count++; *count <= most {
-		a.r.Breaks = append(a.r.Breaks, kind+": "+why)
+func (a *auditor) addViolation(count *int, kind, why string) {
+	if *count++; *count <= maxReported {
+		a.report.Violations = append(a.report.Violations, kind+": "+why)
 	}
 }
 
-// see compares one thing that was seen with the act that it names.
-func (a *auditor) see(what, actor, id, note string, kinds ...auditevent.Kind) (auditevent.Ref, bool) {
+// compareEvent compares an observation with the audit event that it names. It returns false where the reference is unreadable.
+func (a *auditor) compareEvent(what, actor, id, note string, kinds ...auditevent.Kind) (auditevent.Ref, bool) {
 	wrong := func(format string, args ...any) {
-		a.broke(&a.r.Misstated, "misstated", fmt.Sprintf("%s of %s, by %q: %s", what, id, actor, fmt.Sprintf(format, args...)))
+		a.addViolation(&a.report.AuditMismatches, "misstated", fmt.Sprintf("%s of %s, by %q: %s", what, id, actor, fmt.Sprintf(format, args...)))
 	}
 	ref, err := auditevent.ParseRef(actor)
 	if err != nil {
@@ -222,16 +223,16 @@
 	}
 	t := a.accounts[ref.Member]
 	switch {
-	case t == nil && a.living[ref.Member]:
+	case t == nil && a.alive[ref.Member]:
 		wrong("its member tells nothing")
 		return ref, true
 	case t == nil:
-		a.r.InGaps++ // nobody knows of that incarnation: it tells so
+		a.report.AuditGaps++ // no member has segments of that incarnation, and none claims to
 		return ref, true
 	}
-	act, ok := t.by[ref.Number]
+	act, ok := t.byNumber[ref.Number]
 	switch {
-	case !ok && ref.Number > t.Last && (t.Ended || a.living[ref.Member]):
+	case !ok && ref.Number > t.Last && (t.Ended || a.alive[ref.Member]):
 		wrong("the account ends with act %d", t.Last)
 	case !ok:
 		for _, k := range t.Known {
@@ -239,22 +240,22 @@
 				wrong("no such act, and no gap")
 			}
 		}
-		a.r.InGaps++
+		a.report.AuditGaps++
 	case act.ID != id || act.Note != note || !slices.Contains(kinds, act.Kind) || act.Version.Settings != ref.Version.Settings ||
 		act.Version.Digest != ref.Version.Digest || act.Version.ListSeq != ref.Version.ListSeq:
 		wrong("the account has %+v", act)
 	default:
-		a.r.Matched++
+		a.report.AuditMatches++
 	}
 	return ref, true
 }
 
-func (a *auditor) compare(rec *record) {
+func (a *auditor) compare(rec *observations) {
 	seen := map[takeover.Member]map[string]int{}
-	a.r.TurnMs = map[uint64]int64{}
-	for id, runs := range rec.runs {
+	a.report.RolloutMs = map[uint64]int64{}
+	for id, runs := range rec.executions {
 		for _, run := range runs {
-			ref, ok := a.see("a run at "+run.Server, run.Actor, id, run.Server, auditevent.Sent)
+			ref, ok := a.compareEvent("a run at "+run.Server, run.Actor, id, run.Server, auditevent.Sent)
 			if !ok {
 				continue
 			}
@@ -262,33 +263,33 @@
 				seen[ref.Member] = map[string]int{}
 			}
 			seen[ref.Member][id+" "+run.Server]++
-			for number, at := range a.ordered {
-				if late := run.At.Sub(at).Milliseconds(); ref.Version.Settings < number && late > a.r.TurnMs[number] {
-					a.r.TurnMs[number] = late
+			for number, at := range a.rolloutTimes {
+				if late := run.At.Sub(at).Milliseconds(); ref.Version.Settings < number && late > a.report.RolloutMs[number] {
+					a.report.RolloutMs[number] = late
 				}
 			}
-			for fence, at := range a.fences {
+			for fence, at := range a.fenceSeenAt {
 				if ref.Version.Settings < fence && run.At.After(at.Add(a.lease+fenceSlack)) {
-					a.broke(&a.r.BelowFence, "below the fence", fmt.Sprintf("%s ran under %d, %d ms after fence %d was seen, by %s", id, ref.Version.Settings,
+					a.addViolation(&a.report.BelowFence, "below the fence", fmt.Sprintf("%s ran under %d, %d ms after fence %d was seen, by %s", id, ref.Version.Settings,
 						run.At.Sub(at).Milliseconds(), fence, run.Actor))
 				}
 			}
 		}
 	}
-	for m, runs := range seen { // what was not written can't have run
+	for m, runs := range seen { // a server can't have executed more than the log says was sent
 		t := a.accounts[m]
-		if t == nil || len(t.Gaps()) > 0 || !t.Ended && !a.living[m] {
+		if t == nil || len(t.Gaps()) > 0 || !t.Ended && !a.alive[m] {
 			continue
 		}
 		for key, n := range runs {
-			if n > t.sent[key] {
-				a.broke(&a.r.Misstated, "misstated", fmt.Sprintf("%s: %d runs, %d sendings told of %s/%x", key, n, t.sent[key], m.Name, m.Incarnation))
+			if n > t.sentByRequest[key] {
+				a.addViolation(&a.report.AuditMismatches, "misstated", fmt.Sprintf("%s: %d runs, %d sendings told of %s/%x", key, n, t.sentByRequest[key], m.Name, m.Incarnation))
 			}
 		}
 	}
 	for _, q := range rec.requests {
-		for i := range q.Asks {
-			ask := &q.Asks[i]
+		for i := range q.Attempts {
+			ask := &q.Attempts[i]
 			if ask.Status == 0 || ask.Actor == "" && strings.HasPrefix(ask.Err, "EOF") {
 				continue
 			}
@@ -301,7 +302,7 @@
 			case http.StatusConflict:
 				kinds = []auditevent.Kind{auditevent.DuplicateID}
 			}
-			a.see("an answer", ask.Actor, q.ID, fmt.Sprint(ask.Status), kinds...)
+			a.compareEvent("an answer", ask.Actor, q.ID, fmt.Sprint(ask.Status), kinds...)
 		}
 	}
 }
--- a/internal/lab/faultinjection/client.go
+++ b/internal/lab/faultinjection/client.go
@@ -16,187 +16,189 @@
 )
 
 const (
-	long       = 100 << 10             // bytes of a long body, and what a long answer has more: past what is held whole
-	askStep    = 25 * time.Millisecond // between asks of members that are not there
-	resumeHead = "Req-Resume"          // marks a request that was asked of another member before
+	largeBytes   = 100 << 10             // of a large body, and added to a large response: more than the sidecar buffers
+	retryPause   = 25 * time.Millisecond // between attempts at members that refuse connections
+	resumeHeader = "Req-Resume"          // set on every attempt but the first
 )
 
-// Ask is one ask of one member.
-type Ask struct {
-	Member int
-	After  time.Duration // the request's start
-	Took   time.Duration
-	Status int // 0: no whole answer
-	Body   string
-	Err    string
-	Actor  string // whose act the answer was, as it says
-	n      int
-	Spare  bool // it was asked beside the first, or after the answer
-	Aside  bool // a refusal that the client passes over: its other ask may be under way
+// Attempt is one attempt of a client at one member.
+type Attempt struct {
+	Member   int
+	Offset   time.Duration // since the request's start
+	Duration time.Duration
+	Status   int // HTTP status; 0: no complete response
+	Body     string
+	Err      string
+	Actor    string // the audit reference in the response
+	index    int
+	Extra    bool // duplicate of the first attempt, or repeated after the response
+	Ignored  bool // a rejection that does not end the request, since another attempt may be in flight
 }
 
-// final tells whether the client is done with it.
-func (a *Ask) final() bool { return a.Status != 0 && !a.Aside && a.Status != http.StatusConflict }
+// final reports whether the response ends the request.
+func (a *Attempt) final() bool { return a.Status != 0 && !a.Ignored && a.Status != http.StatusConflict }
 
-// refused tells whether the answer says that trying again is harmless.
-func (a *Ask) refused() bool {
+// rejected reports whether the response promises that a retry is harmless.
+func (a *Attempt) rejected() bool {
 	return a.Status == http.StatusTooManyRequests || a.Status == http.StatusServiceUnavailable
 }
 
-// Request is one request of a client with all that it heard.
+// Request is one request of a client with all its attempts.
 type Request struct {
-	ID    string
-	Class string
-	At    time.Time
-	Asks  []Ask
+	ID        string
+	Class     string
+	StartedAt time.Time
+	Attempts  []Attempt
 
-	doubts, twin, big bool
+	repeatsAfterResponse, duplicated, large bool
 }
 
-// second is the first ask that followed a silence; nil: none.
-func (r *Request) second() *Ask {
-	for i := range r.Asks {
-		if i > 0 && !r.Asks[i].Spare {
-			return &r.Asks[i]
+// firstRetry is the first attempt at another member; nil: none.
+func (r *Request) firstRetry() *Attempt {
+	for i := range r.Attempts {
+		if i > 0 && !r.Attempts[i].Extra {
+			return &r.Attempts[i]
 		}
 	}
 	return nil
 }
 
-// clients ask members for work, each request when its time has come, however the earlier ones went.
+// clients send requests at a fixed rate, independent of how earlier ones went (open loop).
 type clients struct {
-	line    *Timeline
-	members []string // addresses
-	http    *http.Client
-	open    sync.WaitGroup
-	all     []*Request
+	timeline *Timeline
+	members  []string // addresses
+	http     *http.Client
+	pending  sync.WaitGroup
+	requests []*Request
 }
 
 func newClients(t *Timeline, members []string) *clients {
 	dial := &net.Dialer{Timeout: ms(t.DeadlineMs)}
-	return &clients{line: t, members: members, http: &http.Client{Transport: &http.Transport{
+	return &clients{timeline: t, members: members, http: &http.Client{Transport: &http.Transport{
 		DialContext:       dial.DialContext,
-		DisableKeepAlives: true, // so that the library sends nothing again by itself
+		DisableKeepAlives: true, // with connection reuse the library would retry by itself
 	}}}
 }
 
-// run sends requests until the timeline's end and returns them once each has its end.
+// run sends requests until the timeline's end and returns them once all have ended.
 func (c *clients) run(ctx context.Context, start time.Time) []*Request {
-	random := rand.New(rand.NewPCG(c.line.Seed, 3))
-	step := time.Second / time.Duration(c.line.PerSecond)
-	for at := time.Duration(0); at < ms(c.line.LengthMs) && ctx.Err() == nil; at += step {
+	random := rand.New(rand.NewPCG(c.timeline.Seed, 3))
+	step := time.Second / time.Duration(c.timeline.PerSecond)
+	for at := time.Duration(0); at < ms(c.timeline.LengthMs) && ctx.Err() == nil; at += step {
 		select {
 		case <-time.After(time.Until(start.Add(at))):
 		case <-ctx.Done():
 		}
-		r := &Request{ID: fmt.Sprintf("%08x%08x", uint32(c.line.Seed), len(c.all)+1), Class: c.draw(random)}
-		r.doubts, r.twin = random.Float64() < c.line.Doubt, random.Float64() < c.line.Twins
-		r.big = random.Float64() < c.line.Big && r.Class != "look"
-		c.all = append(c.all, r)
+		r := &Request{ID: fmt.Sprintf("%08x%08x", uint32(c.timeline.Seed), len(c.requests)+1), Class: c.drawClass(random)}
+		r.repeatsAfterResponse, r.duplicated = random.Float64() < c.timeline.RepeatShare, random.Float64() < c.timeline.DuplicateShare
+		r.large = random.Float64() < c.timeline.LargeShare && r.Class != "look"
+		c.requests = append(c.requests, r)
 		first := random.IntN(len(c.members))
-		c.open.Add(1)
-		go func() { defer c.open.Done(); c.ask(ctx, r, first) }()
+		c.pending.Add(1)
+		go func() { defer c.pending.Done(); c.sendRequest(ctx, r, first) }()
 	}
-	c.open.Wait()
-	return c.all
+	c.pending.Wait()
+	return c.requests
 }
 
-func (c *clients) draw(random *rand.Rand) string {
+func (c *clients) drawClass(random *rand.Rand) string {
 	all := 0
-	for _, w := range c.line.Work {
+	for _, w := range c.timeline.Workload {
 		all += w.Share
 	}
 	n := random.IntN(all)
-	for _, w := range c.line.Work {
+	for _, w := range c.timeline.Workload {
 		if n -= w.Share; n < 0 {
 			return w.Class
 		}
 	}
-	return c.line.Work[0].Class
+	return c.timeline.Workload[0].Class
 }
 
-// ask asks one member after the other until one has answered or the time is up. A member that is silent is asked no more.
-func (c *clients) ask(ctx context.Context, r *Request, member int) {
-	r.At = time.Now()
-	ctx, cancel := context.WithDeadline(ctx, r.At.Add(ms(c.line.DeadlineMs)+late))
+// sendRequest tries one member after the other until a response is final or the deadline has passed. A member that stays silent
+// for SilenceMs is given up, or, with KeepOpen, left open beside the next.
+func (c *clients) sendRequest(ctx context.Context, r *Request, member int) {
+	r.StartedAt = time.Now()
+	ctx, cancel := context.WithDeadline(ctx, r.StartedAt.Add(ms(c.timeline.DeadlineMs)+finalAnswerGrace))
 	defer cancel()
-	answers := make(chan Ask, 64)
-	open := 0
+	answers := make(chan Attempt, 64)
+	inFlight := 0
 	for n := 0; ; n++ {
-		left := time.Until(r.At.Add(ms(c.line.DeadlineMs)))
-		if left <= 0 {
+		timeLeft := time.Until(r.StartedAt.Add(ms(c.timeline.DeadlineMs)))
+		if timeLeft <= 0 {
 			break
 		}
-		one, end := context.WithCancel(ctx)
-		defer end()
-		open++
+		attemptContext, cancelAttempt := context.WithCancel(ctx)
+		defer cancelAttempt()
+		inFlight++
 		go func(member, n int) {
-			a := c.once(one, r, member, n > 0, left)
-			a.n = n
+			a := c.attempt(attemptContext, r, member, n > 0, timeLeft)
+			a.index = n
 			answers <- a
 		}(member, n)
-		if n == 0 && r.twin {
-			open++
+		if n == 0 && r.duplicated {
+			inFlight++
 			go func(member int) {
-				a := c.once(one, r, member, true, left)
-				a.Spare, a.n = true, -1
+				a := c.attempt(attemptContext, r, member, true, timeLeft)
+				a.Extra, a.index = true, -1
 				answers <- a
 			}((member + 1) % len(c.members))
 		}
-		silence := time.NewTimer(ms(c.line.SilenceMs))
+		silence := time.NewTimer(ms(c.timeline.SilenceMs))
 		for waits := true; waits; {
 			select {
 			case a := <-answers:
-				open--
-				a.Aside = r.twin && a.refused() && (open > 0 || a.n == 0)
-				r.Asks = append(r.Asks, a)
+				inFlight--
+				a.Ignored = r.duplicated && a.rejected() && (inFlight > 0 || a.index == 0)
+				r.Attempts = append(r.Attempts, a)
 				if a.final() {
-					if r.doubts && a.Status == http.StatusOK && left > 0 {
-						again := c.once(ctx, r, (a.Member+1)%len(c.members), true, left)
-						again.Spare = true
-						r.Asks = append(r.Asks, again)
+					if r.repeatsAfterResponse && a.Status == http.StatusOK && timeLeft > 0 {
+						repeated := c.attempt(ctx, r, (a.Member+1)%len(c.members), true, timeLeft)
+						repeated.Extra = true
+						r.Attempts = append(r.Attempts, repeated)
 					}
-					c.rest(r, &a, answers, open, cancel)
+					c.drainAttempts(r, &a, answers, inFlight, cancel)
 					return
 				}
-				if a.n == n { // the end of an earlier one says nothing of this one
-					sleep(ctx, askStep)
+				if a.index == n { // only the end of the newest attempt moves on to the next member
+					sleep(ctx, retryPause)
 					waits = false
 				}
 			case <-silence.C:
-				if waits = false; !c.line.KeepOpen {
-					end()
+				if waits = false; !c.timeline.KeepOpen {
+					cancelAttempt()
 				}
 			}
 		}
 		silence.Stop()
 		member = (member + 1) % len(c.members)
 	}
-	for ; open > 0; open-- { // what is still open may answer
-		r.Asks = append(r.Asks, <-answers)
+	for ; inFlight > 0; inFlight-- { // those still in flight may complete
+		r.Attempts = append(r.Attempts, <-answers)
 	}
 }
 
-// rest hears what else is open: a second answer must not differ. A client that takes a refusal ends its other asks.
-func (c *clients) rest(r *Request, end *Ask, answers <-chan Ask, open int, cancel func()) {
-	if !c.line.KeepOpen || end.refused() {
+// drainAttempts collects the attempts still in flight: a second response must not differ. A client that accepts a rejection
+// cancels its other attempts.
+func (c *clients) drainAttempts(r *Request, end *Attempt, answers <-chan Attempt, inFlight int, cancel func()) {
+	if !c.timeline.KeepOpen || end.rejected() {
 		cancel()
 	}
-	for ; open > 0; open-- {
-		r.Asks = append(r.Asks, <-answers)
+	for ; inFlight > 0; inFlight-- {
+		r.Attempts = append(r.Attempts, <-answers)
 	}
 }
 
-func (c *clients) once(ctx context.Context, r *Request, member int, resume bool, left time.Duration) (a Ask) {
-	a = Ask{Member: member, After: time.Since(r.At)}
+func (c *clients) attempt(ctx context.Context, r *Request, member int, resume bool, left time.Duration) (a Attempt) {
+	a = Attempt{Member: member, Offset: time.Since(r.StartedAt)}
 	began := time.Now()
-	defer func() { a.Took = time.Since(began) }()
-	kind := classes[slices.IndexFunc(classes, func(k class) bool { return k.name == r.Class })] // the timeline was checked
+	defer func() { a.Duration = time.Since(began) }()
+	kind := classes[slices.IndexFunc(classes, func(k class) bool { return k.name == r.Class })] // Validate checked the name
 	method, body := http.MethodGet, io.Reader(nil)
 	if kind.post {
 		method, body = http.MethodPost, strings.NewReader("clip "+r.ID)
-		if r.big {
-			body = strings.NewReader("clip " + r.ID + strings.Repeat(" ", long))
+		if r.large {
+			body = strings.NewReader("clip " + r.ID + strings.Repeat(" ", largeBytes))
 		}
 	}
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+c.members[member]+"/"+r.Class+"/x?obj="+r.ID[12:], body)
@@ -211,7 +213,7 @@
 		q.Header["Idempotency-Key"] = []string{"k" + r.ID}
 	}
 	if resume {
-		q.Header[resumeHead] = []string{"1"}
+		q.Header[resumeHeader] = []string{"1"}
 	}
 	resp, err := c.http.Do(q)
 	if err != nil {
@@ -220,7 +222,7 @@
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	if err != nil { // not whole: no answer
+	if err != nil { // an incomplete response counts as none
 		a.Err = err.Error()
 		return a
 	}
--- a/internal/lab/faultinjection/rig_test.go
+++ b/internal/lab/faultinjection/faultinjection_test.go
@@ -50,7 +50,7 @@
 }
 
 func short(name string, faults ...Fault) *Timeline {
-	line := Lost(7, true)
+	line := KillsAndPause(7, true)
 	line.Note, line.LengthMs, line.PerSecond, line.Faults = name, 5000, 60, faults
 	return line
 }
@@ -58,18 +58,18 @@
 // Work in hand survives what these timelines break: nothing is lost, run twice, answered in two ways, or refused though it ran.
 // The verdict is what happened, never how fast.
 func TestTakeover(t *testing.T) {
-	keep := short("a member stopped past its lease, its client still connected", Fault{AtMs: 1000, ForMs: 1500, Kind: Stop, Who: 1})
+	keep := short("a member stopped past its lease, its client still connected", Fault{AtMs: 1000, DurationMs: 1500, Kind: Stop, Process: 1})
 	keep.KeepOpen, keep.SilenceMs = true, 150
-	bad := short("killed beside a member whose disk is full", Fault{AtMs: 1500, ForMs: 800, Kind: Kill, Who: 2})
-	bad.Disks = []Disk{Full}
+	bad := short("killed beside a member whose disk is full", Fault{AtMs: 1500, DurationMs: 800, Kind: Kill, Process: 2})
+	bad.Disks = []Disk{FullDisk}
 	lines := []*Timeline{
-		short("killed, then another killed", Fault{AtMs: 1000, ForMs: 700, Kind: Kill, Who: 0}, Fault{AtMs: 2600, ForMs: 700, Kind: Kill, Who: 1}),
+		short("killed, then another killed", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2600, DurationMs: 700, Kind: Kill, Process: 1}),
 		keep, bad,
-		short("cut from one other both ways, then killed", Fault{AtMs: 800, ForMs: 2500, Kind: Cut, Who: 0, To: 1, Both: true}, Fault{AtMs: 2000, ForMs: 900, Kind: Kill, Who: 0}),
-		short("cut one way from all", Fault{AtMs: 1000, ForMs: 2000, Kind: Cut, Who: 0, To: 1}, Fault{AtMs: 1000, ForMs: 2000, Kind: Cut, Who: 0, To: 2}),
-		short("frames lost, doubled and swapped; a rolling restart", Fault{AtMs: 300, ForMs: 4000, Kind: Frames, Who: 0, To: 1, Both: true, Lose: 0.2, Double: 0.2, Swap: 0.2},
-			Fault{AtMs: 1000, Kind: Term, Who: 1}, Fault{AtMs: 2500, Kind: Upgrade, Who: 2}),
-		short("a restart loop", Fault{AtMs: 500, ForMs: 3500, Kind: Loop, Who: 1, EveryMs: 400}),
+		short("cut from one other both ways, then killed", Fault{AtMs: 800, DurationMs: 2500, Kind: Partition, Process: 0, Peer: 1, BothWays: true}, Fault{AtMs: 2000, DurationMs: 900, Kind: Kill, Process: 0}),
+		short("cut one way from all", Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 1}, Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 2}),
+		short("frames lost, doubled and swapped; a rolling restart", Fault{AtMs: 300, DurationMs: 4000, Kind: FrameFaults, Process: 0, Peer: 1, BothWays: true, LossShare: 0.2, DuplicateShare: 0.2, ReorderShare: 0.2},
+			Fault{AtMs: 1000, Kind: Terminate, Process: 1}, Fault{AtMs: 2500, Kind: Upgrade, Process: 2}),
+		short("a restart loop", Fault{AtMs: 500, DurationMs: 3500, Kind: RestartLoop, Process: 1, IntervalMs: 400}),
 	}
 	kept, err := filepath.Glob("testdata/*.json") // each that ever failed
 	if err != nil {
@@ -88,8 +88,8 @@
 			slots <- true
 			defer func() { <-slots }()
 			r := played(t, line)
-			if !r.Kept() || r.Served == 0 {
-				t.Errorf("%s\n%s", r.Line(), strings.Join(r.Breaks, "\n"))
+			if !r.Passed() || r.Served == 0 {
+				t.Errorf("%s\n%s", r.Line(), strings.Join(r.Violations, "\n"))
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 
 // The fleet's account tells what servers and clients saw, act by act, and nobody acts below the fence, whatever breaks meanwhile.
 func TestAudit(t *testing.T) {
-	good := Step{AtMs: 600, Do: "rollout", Share: 340, SettleMs: 200, GraceMs: 600}
+	good := Step{AtMs: 600, Action: "rollout", Share: 340, SettleMs: 200, GraceMs: 600}
 	with := func(name string, steps []Step, faults ...Fault) *Timeline {
 		line := short(name, faults...)
 		line.Audit, line.Steps = true, steps
@@ -105,7 +105,7 @@
 	}
 	via := func(s Step, at int64, member int) Step { s.AtMs, s.Via = at, member; return s }
 	refused, falls := good, good
-	refused.Refusers, falls.File = []int{1}, Falls
+	refused.RejectingMembers, falls.Settings = []int{1}, DegradingSettings
 	falls.SettleMs = 4000
 	slow := with("a version that all accept, under which service falls", []Step{falls})
 	slow.PerSecond = 150
@@ -113,33 +113,33 @@
 		line *Timeline
 		want func(*Report) bool
 	}{
-		{with("a rollout, the leader or another killed", []Step{good}, Fault{AtMs: 900, ForMs: 700, Kind: Kill, Who: 0}, Fault{AtMs: 2500, ForMs: 700, Kind: Kill, Who: 1}), nil},
-		{with("a straggler, stopped before the change and across the fence", []Step{via(good, 800, 1)}, Fault{AtMs: 600, ForMs: 3000, Kind: Stop, Who: 2}), nil},
-		{with("a straggler, cut off from all after the change", []Step{good}, Fault{AtMs: 650, ForMs: 2500, Kind: Cut, Who: 2, To: 0, Both: true}, Fault{AtMs: 650, ForMs: 2500, Kind: Cut, Who: 2, To: 1, Both: true}), nil},
-		{with("a straggler that hears, and nobody hears it", []Step{good}, Fault{AtMs: 500, ForMs: 3000, Kind: Cut, Who: 1, To: 0}, Fault{AtMs: 500, ForMs: 3000, Kind: Cut, Who: 1, To: 2}), nil},
-		{with("a straggler that is heard, and hears nobody", []Step{good}, Fault{AtMs: 500, ForMs: 3000, Kind: Cut, Who: 0, To: 1}, Fault{AtMs: 500, ForMs: 3000, Kind: Cut, Who: 2, To: 1}), nil},
-		{with("two targets at once on either side of a cut", []Step{good, via(good, 601, 2)}, Fault{AtMs: 500, ForMs: 2500, Kind: Cut, Who: 2, To: 0, Both: true}, Fault{AtMs: 500, ForMs: 2500, Kind: Cut, Who: 2, To: 1, Both: true}),
-			func(r *Report) bool { return r.Unagreed == 0 }},
-		{with("two targets at once through two members, then back, then another", []Step{good, via(good, 601, 1), {AtMs: 900, Do: "back", Number: 1}, via(good, 1000, 2)}),
-			func(r *Report) bool { return r.Unagreed == 0 }},
+		{with("a rollout, the leader or another killed", []Step{good}, Fault{AtMs: 900, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2500, DurationMs: 700, Kind: Kill, Process: 1}), nil},
+		{with("a straggler, stopped before the change and across the fence", []Step{via(good, 800, 1)}, Fault{AtMs: 600, DurationMs: 3000, Kind: Stop, Process: 2}), nil},
+		{with("a straggler, cut off from all after the change", []Step{good}, Fault{AtMs: 650, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 0, BothWays: true}, Fault{AtMs: 650, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 1, BothWays: true}), nil},
+		{with("a straggler that hears, and nobody hears it", []Step{good}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 1, Peer: 0}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 1, Peer: 2}), nil},
+		{with("a straggler that is heard, and hears nobody", []Step{good}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 0, Peer: 1}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 2, Peer: 1}), nil},
+		{with("two targets at once on either side of a cut", []Step{good, via(good, 601, 2)}, Fault{AtMs: 500, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 0, BothWays: true}, Fault{AtMs: 500, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 1, BothWays: true}),
+			func(r *Report) bool { return r.NotConverged == 0 }},
+		{with("two targets at once through two members, then back, then another", []Step{good, via(good, 601, 1), {AtMs: 900, Action: "back", Number: 1}, via(good, 1000, 2)}),
+			func(r *Report) bool { return r.NotConverged == 0 }},
 		{with("a version that one of three refuses", []Step{refused}),
-			func(r *Report) bool { return r.Unagreed == 1 || strings.Contains(r.Steps[0], "Aside is missing") }}, // it may lead, and then says no at once
-		{slow, func(r *Report) bool { return strings.HasPrefix(r.Held, "service fell") }},
-		{with("a version with a key that no build knows", []Step{{AtMs: 600, Do: "rollout", Share: 1000, File: Unknown}}),
+			func(r *Report) bool { return r.NotConverged == 1 || strings.Contains(r.Steps[0], "Aside is missing") }}, // it may lead, and then says no at once
+		{slow, func(r *Report) bool { return strings.HasPrefix(r.PauseReason, "service fell") }},
+		{with("a version with a key that no build knows", []Step{{AtMs: 600, Action: "rollout", Share: 1000, Settings: UnknownKeySettings}}),
 			func(r *Report) bool {
-				return r.Unagreed == 0 && len(r.Steps) == 1 && strings.Contains(r.Steps[0], "Sideways: unknown key")
+				return r.NotConverged == 0 && len(r.Steps) == 1 && strings.Contains(r.Steps[0], "Sideways: unknown key")
 			}},
-		{with("shut out and readmitted, and a second one at once", []Step{{AtMs: 600, Do: "out", Who: 1}, {AtMs: 700, Do: "out", Who: 2}, {AtMs: 2500, Do: "readmit", Who: 1}}),
+		{with("shut out and readmitted, and a second one at once", []Step{{AtMs: 600, Action: "out", Member: 1}, {AtMs: 700, Action: "out", Member: 2}, {AtMs: 2500, Action: "readmit", Member: 1}}),
 			func(r *Report) bool { return strings.Contains(r.Steps[1], "without a lease would be") }},
-		{with("an upgrade beside the running process in a rollout; a restart loop", []Step{good, via(good, 2500, 1)}, Fault{AtMs: 700, Kind: Upgrade, Who: 1}, Fault{AtMs: 2200, ForMs: 1500, Kind: Loop, Who: 2, EveryMs: 500}), nil},
+		{with("an upgrade beside the running process in a rollout; a restart loop", []Step{good, via(good, 2500, 1)}, Fault{AtMs: 700, Kind: Upgrade, Process: 1}, Fault{AtMs: 2200, DurationMs: 1500, Kind: RestartLoop, Process: 2, IntervalMs: 500}), nil},
 	} {
 		t.Run(c.line.Note, func(t *testing.T) {
 			t.Parallel()
 			slots <- true
 			defer func() { <-slots }()
 			r := played(t, c.line)
-			if !r.Kept() || r.Served == 0 || r.Matched == 0 || c.want != nil && !c.want(r) {
-				t.Errorf("%s\n%s\n%s\n%s", r.Line(), strings.Join(r.Breaks, "\n"), strings.Join(r.Steps, "\n"), r.Waits)
+			if !r.Passed() || r.Served == 0 || r.AuditMatches == 0 || c.want != nil && !c.want(r) {
+				t.Errorf("%s\n%s\n%s\n%s", r.Line(), strings.Join(r.Violations, "\n"), strings.Join(r.Steps, "\n"), r.WaitingFor)
 			}
 		})
 	}
@@ -150,9 +150,9 @@
 	line := short("")
 	line.Audit, line.LeaseMs = true, 2000
 	dir := t.TempDir()
-	p := newPlay(Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: dir}, line)
+	p := newExperiment(Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: dir}, line)
 	defer p.close()
-	if err := p.begin(context.Background()); err != nil {
+	if err := p.start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	file := func(name string, v any) string {
@@ -166,7 +166,7 @@
 		}
 		return path
 	}
-	good, bad := file("good.json", map[string]any{"settings": p.settings(0, Good)}), file("bad.json", map[string]any{"settings": p.settings(0, Unknown)})
+	good, bad := file("good.json", map[string]any{"settings": p.settings(0, ValidSettings)}), file("bad.json", map[string]any{"settings": p.settings(0, UnknownKeySettings)})
 	opts, other := filepath.Join(dir, "n2", "options.toml"), filepath.Join(dir, "other.toml")
 	text, err := os.ReadFile(opts)
 	if err != nil {
@@ -214,9 +214,9 @@
 
 // Without a fleet the same loss runs unsafe work twice. Guards against a rig that can find nothing.
 func TestWithoutAFleetWorkRunsTwice(t *testing.T) {
-	line := short("without a fleet", Fault{AtMs: 1000, ForMs: 700, Kind: Kill, Who: 0}, Fault{AtMs: 2500, ForMs: 1500, Kind: Stop, Who: 1})
-	line.Fleet, line.PerSecond, line.Work = false, 100, []Work{{Class: "once", Share: 1}}
-	if r := played(t, line); r.Twice == 0 {
+	line := short("without a fleet", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2500, DurationMs: 1500, Kind: Stop, Process: 1})
+	line.Fleet, line.PerSecond, line.Workload = false, 100, []Workload{{Class: "once", Share: 1}}
+	if r := played(t, line); r.DuplicateEffects == 0 {
 		t.Errorf("nothing ran twice: %s", r.Line())
 	}
 }
@@ -225,9 +225,9 @@
 func TestAskedAgainAfterTheAnswer(t *testing.T) {
 	line := short("")
 	line.LeaseMs = 2000 // a busy machine must not end a lease here
-	p := newPlay(Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: t.TempDir()}, line)
+	p := newExperiment(Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: t.TempDir()}, line)
 	defer p.close()
-	if err := p.begin(context.Background()); err != nil {
+	if err := p.start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	ask := func(member int, class, id, body string, resume bool) (int, string) {
@@ -237,7 +237,7 @@
 		}
 		q.Header["Req-Id"], q.Header["Req-Deadline-Ms"], q.Header["Idempotency-Key"] = []string{id}, []string{"2000"}, []string{"k" + id}
 		if resume {
-			q.Header[resumeHead] = []string{"1"}
+			q.Header[resumeHeader] = []string{"1"}
 		}
 		c := newClients(line, nil)
 		resp, err := c.http.Do(q)
@@ -268,7 +268,7 @@
 				t.Errorf("%s at member %d as if new: %d %q", class, member, status, other)
 			}
 		}
-		if runs := p.servers.tally()["id-"+class]; len(runs) != 1 {
+		if runs := p.servers.executionsByRequest()["id-"+class]; len(runs) != 1 {
 			t.Errorf("%s: %d runs", class, len(runs))
 		}
 		if status, _ := ask(1, class, "new-"+class, "body", true); status != 200 {
@@ -282,7 +282,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(2500*time.Millisecond, cancel)
 	dir := t.TempDir()
-	line := short("", Fault{AtMs: 300, ForMs: 4000, Kind: Stop, Who: 0})
+	line := short("", Fault{AtMs: 300, DurationMs: 4000, Kind: Stop, Process: 0})
 	if _, err := Run(ctx, Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: dir}, line); err == nil {
 		t.Fatal("no error")
 	}
--- a/internal/lab/faultinjection/link.go
+++ b/internal/lab/faultinjection/link.go
@@ -13,8 +13,8 @@
 
 const linkDial = time.Second
 
-// link is the way from one member to another: a relay that the sender dials in the receiver's place. Members answer over
-// a link of their own, so that one way can break alone. What runs back on the connection is relayed untouched.
+// link is the path from one member to another: a relay that the sender dials instead of the receiver. Each direction has a
+// link of its own, so that one can fail alone. Bytes that flow back on a connection are relayed unchanged.
 type link struct {
 	ln     net.Listener
 	target string
@@ -24,7 +24,7 @@
 	conns  map[*pair]bool
 	faults []*Fault
 	change chan struct{} // closed and replaced at each change of faults
-	over   bool
+	closed bool
 }
 
 // pair is a relayed connection.
@@ -47,22 +47,22 @@
 func (l *link) close() {
 	l.ln.Close()
 	l.mu.Lock()
-	l.over = true
+	l.closed = true
 	for p := range l.conns {
 		p.near.Close()
 		p.far.Close()
 	}
-	l.stir()
+	l.notify()
 	l.mu.Unlock()
 }
 
-// stir wakes all that wait for a change. The caller holds mu.
-func (l *link) stir() {
+// notify wakes all that wait for a change. The caller holds mu.
+func (l *link) notify() {
 	close(l.change)
 	l.change = make(chan struct{})
 }
 
-// set begins a fault or ends it.
+// set starts or ends a fault.
 func (l *link) set(f *Fault, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,7 +77,7 @@
 				p.near.Close()
 				p.far.Close()
 			case HalfOpen:
-				p.far.Close() // what the sender writes is read and dropped
+				p.far.Close() // bytes from the sender are still read, and dropped
 			}
 		}
 	} else {
@@ -88,19 +88,19 @@
 			}
 		}
 	}
-	l.stir()
+	l.notify()
 }
 
-// acting returns the fault of a kind that acts now, and what is closed when faults change.
-func (l *link) acting(k Kind) (*Fault, <-chan struct{}, bool) {
+// active returns the active fault of a kind, and a channel that is closed when the faults change.
+func (l *link) active(k FaultKind) (*Fault, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := len(l.faults) - 1; i >= 0; i-- {
 		if l.faults[i].Kind == k {
-			return l.faults[i], l.change, l.over
+			return l.faults[i], l.change, l.closed
 		}
 	}
-	return nil, l.change, l.over
+	return nil, l.change, l.closed
 }
 
 func (l *link) draw() float64 {
@@ -109,10 +109,10 @@
 	return l.random.Float64()
 }
 
-// uncut waits until the link is not cut; false: it is closed.
-func (l *link) uncut() bool {
+// waitConnected blocks while the link is partitioned; false: it is closed.
+func (l *link) waitConnected() bool {
 	for {
-		f, change, over := l.acting(Cut)
+		f, change, over := l.active(Partition)
 		if over {
 			return false
 		}
@@ -135,7 +135,7 @@
 
 func (l *link) relay(near net.Conn) {
 	defer near.Close()
-	if !l.uncut() {
+	if !l.waitConnected() {
 		return
 	}
 	far, err := net.DialTimeout("tcp", l.target, linkDial)
@@ -145,7 +145,7 @@
 	defer far.Close()
 	p := &pair{near, far}
 	l.mu.Lock()
-	if l.over {
+	if l.closed {
 		l.mu.Unlock()
 		return
 	}
@@ -154,44 +154,44 @@
 	defer func() { l.mu.Lock(); delete(l.conns, p); l.mu.Unlock() }()
 	go func() {
 		io.Copy(near, far)
-		if f, _, _ := l.acting(HalfOpen); f == nil {
+		if f, _, _ := l.active(HalfOpen); f == nil {
 			near.Close()
 		}
 	}()
-	l.carry(p)
+	l.forward(p)
 }
 
-// carry relays frames, as the faults that act have it.
-func (l *link) carry(p *pair) {
-	var kept []byte // a frame that changes places with the next
+// forward relays frames, subject to the active faults.
+func (l *link) forward(p *pair) {
+	var reordered []byte // reordered: goes out behind the next frame
 	for {
-		one, err := nextFrame(p.near)
-		if err != nil || !l.uncut() {
+		current, err := nextFrame(p.near)
+		if err != nil || !l.waitConnected() {
 			return
 		}
-		if f, _, _ := l.acting(Delay); f != nil {
-			time.Sleep(ms(f.ByMs))
+		if f, _, _ := l.active(Delay); f != nil {
+			time.Sleep(ms(f.DelayMs))
 		}
-		if f, _, _ := l.acting(Throttle); f != nil {
-			time.Sleep(time.Duration(float64(len(one)) / float64(f.Rate) * float64(time.Second)))
+		if f, _, _ := l.active(Throttle); f != nil {
+			time.Sleep(time.Duration(float64(len(current)) / float64(f.BytesPerSecond) * float64(time.Second)))
 		}
-		out := [][]byte{one}
-		if f, _, _ := l.acting(Frames); f != nil {
+		out := [][]byte{current}
+		if f, _, _ := l.active(FrameFaults); f != nil {
 			switch x := l.draw(); {
-			case x < f.Lose:
+			case x < f.LossShare:
 				out = nil
-			case x < f.Lose+f.Double:
-				out = append(out, one)
-			case x < f.Lose+f.Double+f.Swap && kept == nil:
-				kept, out = one, nil
+			case x < f.LossShare+f.DuplicateShare:
+				out = append(out, current)
+			case x < f.LossShare+f.DuplicateShare+f.ReorderShare && reordered == nil:
+				reordered, out = current, nil
 			}
 		}
-		if kept != nil && len(out) > 0 {
-			out, kept = append(out, kept), nil
+		if reordered != nil && len(out) > 0 {
+			out, reordered = append(out, reordered), nil
 		}
 		for _, b := range out {
 			if _, err := p.far.Write(b); err != nil {
-				if f, _, _ := l.acting(HalfOpen); f == nil {
+				if f, _, _ := l.active(HalfOpen); f == nil {
 					return
 				}
 			}
@@ -199,7 +199,7 @@
 	}
 }
 
-// nextFrame reads a frame as it is, without a look at its payload.
+// nextFrame reads one frame without decoding its payload.
 func nextFrame(in io.Reader) ([]byte, error) {
 	head := make([]byte, frame.HeaderSize)
 	if _, err := io.ReadFull(in, head); err != nil {
@@ -207,7 +207,7 @@
 	}
 	n, err := frame.PayloadSize(head)
 	var other frame.VersionError
-	if errors.As(err, &other) { // of another build: the length stands at the same place
+	if errors.As(err, &other) { // of another build: the length is at the same offset
 		head[2], other.Version = frame.Version, head[2]
 		n, err = frame.PayloadSize(head)
 		head[2] = other.Version
--- a/internal/lab/faultinjection/overhead.go
+++ b/internal/lab/faultinjection/overhead.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	overheadWarm     = 2 * time.Second // that counts nothing: connections come up, and the limits are learned
-	overheadPatience = 2 * time.Second // of a client
-	listenersMost    = 16              // of the stand-in servers; longer lists name each of them several times
+	overheadWarmup  = 2 * time.Second // not measured: connections open and limits adapt
+	overheadTimeout = 2 * time.Second // a client's deadline
+	maxListeners    = 16              // of the test servers; a longer list names each of them several times
 )
 
-// Overhead is what is added to a call by the sidecar: the same calls are sent direct and through it, in turn.
-type Overhead struct {
-	PerSecond int           // calls through the sidecar, and as many direct ones; 1 to 20000
-	For       time.Duration // that counts, after 2 s that don't; 1 s to 10 min
-	Servers   int           // that the list names; 1 to 20000
-	Balancers int           // that the settings tell of; 0 to 100000, 0: as many as there are members
+// OverheadConfig configures a measurement of the latency that the sidecar adds: calls are sent directly and through it in turn.
+type OverheadConfig struct {
+	PerSecond int           // calls a second through the sidecar, and as many direct ones; 1 to 20000
+	For       time.Duration // measured time, after 2 s of warm-up; 1 s to 10 min
+	Servers   int           // on the endpoint list; 1 to 20000
+	Balancers int           // in the settings; 0 to 100000, 0: as many as there are members
 	Members   int           // 0: no fleet; else 3 to 9, with takeover on, one of which is called
 	Class     string        // look (safe), make (keyed), once (unsafe)
-	ServerMs  int           // that a server needs for an answer; 0 to 1000
+	ServerMs  int           // service time in ms; 0 to 1000
 	Seed      uint64
 }
 
-// Validate names what is out of range.
-func (o *Overhead) Validate() error {
+// Validate returns an error that names the first argument out of range.
+func (o *OverheadConfig) Validate() error {
 	known := false
 	for _, c := range classes {
 		known = known || c.name == o.Class
@@ -59,10 +59,10 @@
 	return nil
 }
 
-// Path is how calls of one way went. Times are in µs and without what the server itself needed.
-type Path struct {
+// PathStats describes the calls of one path. Latencies are in µs and exclude the server's own time.
+type PathStats struct {
 	Calls  int64 `json:"calls"`
-	Failed int64 `json:"failed"` // no answer, or another than 200
+	Failed int64 `json:"failed"` // no response, or a status other than 200
 	P50    int64 `json:"p50_us"`
 	P90    int64 `json:"p90_us"`
 	P99    int64 `json:"p99_us"`
@@ -70,49 +70,49 @@
 	Most   int64 `json:"most_us"`
 }
 
-// OverheadReport is what a run showed.
+// OverheadReport is the result of MeasureOverhead.
 type OverheadReport struct {
-	Direct   Path    `json:"direct"`
-	Sidecar  Path    `json:"sidecar"`
-	AddedP50 int64   `json:"added_p50_us"`
-	AddedP99 int64   `json:"added_p99_us"`
-	CPU      float64 `json:"cpu"` // cores of the sidecar that was called
-	RSSMB    float64 `json:"rss_mb"`
-	StallMs  int64   `json:"stall_ms"` // for which this program did not run at most
+	Direct   PathStats `json:"direct"`
+	Sidecar  PathStats `json:"sidecar"`
+	AddedP50 int64     `json:"added_p50_us"`
+	AddedP99 int64     `json:"added_p99_us"`
+	CPU      float64   `json:"cpu"` // cores used by the sidecar that was called
+	RSSMB    float64   `json:"rss_mb"`
+	StallMs  int64     `json:"stall_ms"` // longest stall of this process
 }
 
 func (r *OverheadReport) String() string {
-	row := func(name string, p Path) string {
+	row := func(name string, p PathStats) string {
 		return fmt.Sprintf("%-8s calls=%d failed=%d p50=%d p90=%d p99=%d p99.9=%d most=%d us\n", name, p.Calls, p.Failed, p.P50, p.P90, p.P99, p.P999, p.Most)
 	}
 	return row("direct", r.Direct) + row("sidecar", r.Sidecar) + fmt.Sprintf(
 		"added_p50_us=%d added_p99_us=%d cpu=%.3f rss_mb=%.1f stall_ms=%d", r.AddedP50, r.AddedP99, r.CPU, r.RSSMB, r.StallMs)
 }
 
-// MeasureOverhead plays the calls. It ends all that it started, also when ctx ends before.
-func MeasureOverhead(ctx context.Context, set Setup, o *Overhead) (*OverheadReport, error) {
+// MeasureOverhead runs the measurement. It ends all processes that it started, also when ctx ends first.
+func MeasureOverhead(ctx context.Context, set Setup, o *OverheadConfig) (*OverheadReport, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
 	}
-	p := newPlay(set, &Timeline{
-		Seed: o.Seed, Processes: max(1, o.Members), Fleet: o.Members > 0, DeadlineMs: overheadPatience.Milliseconds(),
+	p := newExperiment(set, &Timeline{
+		Seed: o.Seed, Processes: max(1, o.Members), Fleet: o.Members > 0, DeadlineMs: overheadTimeout.Milliseconds(),
 	})
 	defer p.close()
-	p.balancers = o.Balancers
+	p.settingsBalancers = o.Balancers
 	p.servers = &servers{}
-	if err := p.servers.plain(o); err != nil {
+	if err := p.servers.startFixedDelay(o); err != nil {
 		return nil, err
 	}
 	if err := p.launch(ctx); err != nil {
 		return nil, err
 	}
-	return p.compare(ctx, o)
+	return p.measureOverhead(ctx, o)
 }
 
-// plain starts servers that need always the same time, and lists them.
-func (s *servers) plain(o *Overhead) error {
+// startFixedDelay starts servers with a constant service time, and lists them.
+func (s *servers) startFixedDelay(o *OverheadConfig) error {
 	var addrs []string
-	for range min(o.Servers, listenersMost) {
+	for range min(o.Servers, maxListeners) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
@@ -120,10 +120,10 @@
 		h := &fasthttp.Server{Handler: func(c *fasthttp.RequestCtx) {
 			began := time.Now()
 			time.Sleep(time.Duration(o.ServerMs) * time.Millisecond)
-			c.WriteString(strconv.FormatInt(time.Since(began).Microseconds(), 10)) // what it needed itself
+			c.WriteString(strconv.FormatInt(time.Since(began).Microseconds(), 10)) // its own service time
 		}}
 		go h.Serve(ln)
-		s.ends = append(s.ends, ln)
+		s.closers = append(s.closers, ln)
 		addrs = append(addrs, ln.Addr().String())
 	}
 	s.list = discovery.Update{Seq: 1, Full: true}
@@ -135,32 +135,32 @@
 	return nil
 }
 
-// lane sends calls one way and measures them.
-type lane struct {
+// measuredPath sends calls over one path and records their latency.
+type measuredPath struct {
 	client *fasthttp.HostClient
 	mu     sync.Mutex
 	times  *hdrhistogram.Histogram
-	path   Path
+	stats  PathStats
 }
 
-func newLane(addr string) *lane {
-	return &lane{
+func newMeasuredPath(addr string) *measuredPath {
+	return &measuredPath{
 		client: &fasthttp.HostClient{
-			Addr: addr, MaxConns: 4096, ReadTimeout: overheadPatience, WriteTimeout: overheadPatience,
+			Addr: addr, MaxConns: 4096, ReadTimeout: overheadTimeout, WriteTimeout: overheadTimeout,
 			MaxIdleConnDuration: time.Second, MaxIdemponentCallAttempts: 1,
 		},
 		times: hdrhistogram.New(1, 60_000_000, 3),
 	}
 }
 
-// call sends one call and counts it where it is to count.
-func (l *lane) call(class class, id string, counts bool) {
+// call sends one call, and records it unless this is the warm-up.
+func (l *measuredPath) call(class class, id string, counts bool) {
 	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(a)
 	q.SetRequestURI("http://" + l.client.Addr + "/" + class.name + "/x?obj=" + id)
 	q.Header.Set("Req-Id", id)
-	q.Header.Set("Req-Deadline-Ms", strconv.FormatInt(overheadPatience.Milliseconds(), 10))
+	q.Header.Set("Req-Deadline-Ms", strconv.FormatInt(overheadTimeout.Milliseconds(), 10))
 	q.Header.Set("Req-Owner", "acme")
 	if class.post {
 		q.Header.SetMethod(fasthttp.MethodPost)
@@ -178,24 +178,24 @@
 	worked, wrong := strconv.ParseInt(string(a.Body()), 10, 64)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.path.Calls++
+	l.stats.Calls++
 	if err != nil || a.StatusCode() != fasthttp.StatusOK || wrong != nil {
-		l.path.Failed++
+		l.stats.Failed++
 		return
 	}
 	l.times.RecordValue(max(1, took-worked))
 }
 
-func (l *lane) end() Path {
+func (l *measuredPath) summarize() PathStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q := l.times.ValueAtQuantile
-	l.path.P50, l.path.P90, l.path.P99, l.path.P999, l.path.Most = q(50), q(90), q(99), q(99.9), l.times.Max()
-	return l.path
+	l.stats.P50, l.stats.P90, l.stats.P99, l.stats.P999, l.stats.Most = q(50), q(90), q(99), q(99.9), l.times.Max()
+	return l.stats
 }
 
-// compare sends calls both ways, each half a step after one of the other way, so that what the machine does meets both.
-func (p *play) compare(ctx context.Context, o *Overhead) (*OverheadReport, error) {
+// measureOverhead alternates between the two paths at even intervals, so that disturbances of the machine affect both.
+func (p *experiment) measureOverhead(ctx context.Context, o *OverheadConfig) (*OverheadReport, error) {
 	var kind class
 	for _, c := range classes {
 		if c.name == o.Class {
@@ -203,11 +203,11 @@
 		}
 	}
 	through := p.processes[0]
-	lanes := []*lane{newLane(p.servers.list.Endpoints[0].Address), newLane(through.listen)}
+	lanes := []*measuredPath{newMeasuredPath(p.servers.list.Endpoints[0].Address), newMeasuredPath(through.listen)}
 	watching, unwatch := context.WithCancel(ctx)
 	defer unwatch()
 	stall := make(chan time.Duration, 1)
-	go func() { stall <- longestStall(watching) }()
+	go func() { stall <- measureStall(watching) }()
 	var open sync.WaitGroup
 	step := time.Second / time.Duration(2*o.PerSecond)
 	start := time.Now()
@@ -216,12 +216,12 @@
 	random := rand.New(rand.NewPCG(o.Seed, 5))
 	for n := 0; ctx.Err() == nil; n++ {
 		at := time.Duration(n) * step
-		if at >= overheadWarm+o.For {
+		if at >= overheadWarmup+o.For {
 			break
 		}
-		if warm && at >= overheadWarm {
+		if warm && at >= overheadWarmup {
 			warm, from = false, time.Now()
-			cpuBefore, _ = through.used()
+			cpuBefore, _ = through.usage()
 		}
 		if d := time.Until(start.Add(at)); d > 0 {
 			time.Sleep(d)
@@ -230,7 +230,7 @@
 		open.Go(func() { l.call(kind, id, counts) })
 	}
 	open.Wait()
-	cpu, rss := through.used()
+	cpu, rss := through.usage()
 	unwatch()
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -238,7 +238,7 @@
 	if through.crashed() {
 		return nil, errors.New("the sidecar ended, see " + through.log.Name())
 	}
-	r := &OverheadReport{Direct: lanes[0].end(), Sidecar: lanes[1].end(), RSSMB: float64(rss) / (1 << 20), StallMs: (<-stall).Milliseconds()}
+	r := &OverheadReport{Direct: lanes[0].summarize(), Sidecar: lanes[1].summarize(), RSSMB: float64(rss) / (1 << 20), StallMs: (<-stall).Milliseconds()}
 	r.CPU = (cpu - cpuBefore).Seconds() / time.Since(from).Seconds()
 	r.AddedP50, r.AddedP99 = r.Sidecar.P50-r.Direct.P50, r.Sidecar.P99-r.Direct.P99
 	return r, nil
--- a/internal/lab/faultinjection/overhead_test.go
+++ b/internal/lab/faultinjection/overhead_test.go
@@ -12,16 +12,16 @@
 )
 
 func TestOverheadNamesWhatIsOutOfRange(t *testing.T) {
-	for name, change := range map[string]func(*Overhead){
-		"per-second": func(o *Overhead) { o.PerSecond = 0 },
-		"for":        func(o *Overhead) { o.For = time.Hour },
-		"servers":    func(o *Overhead) { o.Servers = 20_001 },
-		"balancers":  func(o *Overhead) { o.Balancers = -1 },
-		"members":    func(o *Overhead) { o.Members = 2 },
-		"class":      func(o *Overhead) { o.Class = "none" },
-		"server-ms":  func(o *Overhead) { o.ServerMs = -1 },
+	for name, change := range map[string]func(*OverheadConfig){
+		"per-second": func(o *OverheadConfig) { o.PerSecond = 0 },
+		"for":        func(o *OverheadConfig) { o.For = time.Hour },
+		"servers":    func(o *OverheadConfig) { o.Servers = 20_001 },
+		"balancers":  func(o *OverheadConfig) { o.Balancers = -1 },
+		"members":    func(o *OverheadConfig) { o.Members = 2 },
+		"class":      func(o *OverheadConfig) { o.Class = "none" },
+		"server-ms":  func(o *OverheadConfig) { o.ServerMs = -1 },
 	} {
-		o := &Overhead{PerSecond: 1, For: time.Second, Servers: 1, Class: "look"}
+		o := &OverheadConfig{PerSecond: 1, For: time.Second, Servers: 1, Class: "look"}
 		if err := o.Validate(); err != nil {
 			t.Fatal(err)
 		}
@@ -40,12 +40,12 @@
 			slots <- true
 			defer func() { <-slots }()
 			set := Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: t.TempDir()}
-			o := &Overhead{PerSecond: 20, For: time.Second, Servers: 40, Members: members, Class: class, ServerMs: 1}
+			o := &OverheadConfig{PerSecond: 20, For: time.Second, Servers: 40, Members: members, Class: class, ServerMs: 1}
 			r, err := MeasureOverhead(context.Background(), set, o)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, p := range []Path{r.Direct, r.Sidecar} {
+			for _, p := range []PathStats{r.Direct, r.Sidecar} {
 				if p.Calls != 20 || p.Failed != 0 || p.P50 < 1 || p.Most < p.P99 {
 					t.Errorf("%+v", p)
 				}
@@ -63,15 +63,15 @@
 	}
 	defer ln.Close()
 	go fasthttp.Serve(ln, func(c *fasthttp.RequestCtx) { c.WriteString(body) })
-	l := newLane(ln.Addr().String())
+	l := newMeasuredPath(ln.Addr().String())
 	l.call(classes[0], "1", false)
 	l.call(classes[0], "2", true)
-	if p := l.end(); p.Calls != 1 || p.Failed != 0 || p.Most != 1 {
+	if p := l.summarize(); p.Calls != 1 || p.Failed != 0 || p.Most != 1 {
 		t.Errorf("%+v", p)
 	}
 	body = "done"
 	l.call(classes[0], "3", true)
-	if p := l.end(); p.Calls != 2 || p.Failed != 1 {
+	if p := l.summarize(); p.Calls != 2 || p.Failed != 1 {
 		t.Errorf("%+v", p)
 	}
 }
--- a/internal/lab/faultinjection/process.go
+++ b/internal/lab/faultinjection/process.go
@@ -19,70 +19,70 @@
 )
 
 const (
-	readyWithin = 20 * time.Second // of a start
-	termWithin  = 10 * time.Second // after SIGTERM; past it a process is killed
-	readyStep   = 10 * time.Millisecond
+	readyTimeout      = 20 * time.Second // from the start of a process
+	terminateTimeout  = 10 * time.Second // from SIGTERM; then the process is killed
+	readyPollInterval = 10 * time.Millisecond
 )
 
-// Starter starts processes from one thread that lives as long as it does: the kernel ends them when that thread does,
-// also where this program is killed. Guards against processes that are left behind.
-type Starter struct {
-	asks chan func()
-	done chan struct{}
+// ProcessStarter starts processes from one locked thread with a parent-death signal, so that the kernel kills them when this
+// program ends, however it ends.
+type ProcessStarter struct {
+	requests chan func()
+	done     chan struct{}
 }
 
-// NewStarter makes one. Close ends it, and with it all processes that it started.
-func NewStarter() *Starter {
-	s := &Starter{asks: make(chan func()), done: make(chan struct{})}
+// NewProcessStarter returns a ProcessStarter. Close kills all processes that it started.
+func NewProcessStarter() *ProcessStarter {
+	s := &ProcessStarter{requests: make(chan func()), done: make(chan struct{})}
 	go func() {
 		runtime.LockOSThread()
 		for {
 			select {
-			case f := <-s.asks:
+			case f := <-s.requests:
 				f()
 			case <-s.done:
-				return // the thread ends with it
+				return // a locked thread ends with its goroutine
 			}
 		}
 	}()
 	return s
 }
 
-// Start starts a process in a group of its own. It may not be called after Close.
-func (s *Starter) Start(cmd *exec.Cmd) error {
+// Start starts a process in a process group of its own. It must not be called after Close.
+func (s *ProcessStarter) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	back := make(chan error, 1)
-	s.asks <- func() { back <- cmd.Start() }
+	s.requests <- func() { back <- cmd.Start() }
 	return <-back
 }
 
 // Close ends the thread.
-func (s *Starter) Close() { close(s.done) }
+func (s *ProcessStarter) Close() { close(s.done) }
 
-// process is one sidecar; at times two processes of the program are it.
+// process is one sidecar; during an upgrade it consists of two operating-system processes.
 type process struct {
 	name, binary, listen, dir string
 	config                    map[string]any
 	env                       []string
-	starter                   *Starter
+	starter                   *ProcessStarter
 	log                       *os.File
 
-	mu      sync.Mutex
-	now     *started
-	down    int // faults that keep it from running
-	stopped int // faults that keep it stopped
-	ups     []span
-	over    bool
+	mu       sync.Mutex
+	current  *osProcess
+	killedBy int // number of active faults that keep it from running
+	pausedBy int // number of active faults that keep it paused
+	uptimes  []interval
+	closed   bool
 }
 
-// started is one process of the operating system.
-type started struct {
+// osProcess is one process of the operating system.
+type osProcess struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// span is a time during which a process ran and was not stopped; an open one has no end.
-type span struct{ from, to time.Time }
+// interval is a time during which a process ran and was not paused; one that has not ended has a zero end.
+type interval struct{ from, to time.Time }
 
 func (p *process) prepare() error {
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
@@ -109,21 +109,21 @@
 	if err := p.starter.Start(cmd); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	s := &started{cmd: cmd, done: make(chan struct{})}
+	s := &osProcess{cmd: cmd, done: make(chan struct{})}
 	go func() { cmd.Wait(); close(s.done) }()
-	p.now = s
-	p.mark(true)
+	p.current = s
+	p.markRunning(true)
 	return nil
 }
 
-// mark notes that the process runs from now on, or no longer.
-func (p *process) mark(up bool) {
-	open := len(p.ups) > 0 && p.ups[len(p.ups)-1].to.IsZero()
+// markRunning records that the process runs from now on, or no longer.
+func (p *process) markRunning(up bool) {
+	open := len(p.uptimes) > 0 && p.uptimes[len(p.uptimes)-1].to.IsZero()
 	switch {
 	case up && !open:
-		p.ups = append(p.ups, span{from: time.Now()})
+		p.uptimes = append(p.uptimes, interval{from: time.Now()})
 	case !up && open:
-		p.ups[len(p.ups)-1].to = time.Now()
+		p.uptimes[len(p.uptimes)-1].to = time.Now()
 	}
 }
 
@@ -133,71 +133,71 @@
 	return p.run()
 }
 
-// hold keeps the process down (or, with pause, stopped) until the matching release.
-func (p *process) hold(pause bool) {
+// suspend kills the process (or, with pause, stops it) until the matching resume.
+func (p *process) suspend(pause bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if pause {
-		p.stopped++
+		p.pausedBy++
 		p.signal(syscall.SIGSTOP)
 	} else {
-		p.down++
+		p.killedBy++
 		p.signal(syscall.SIGKILL)
-		p.await()
+		p.waitExit()
 	}
-	p.mark(false)
+	p.markRunning(false)
 }
 
-func (p *process) release(pause bool) error {
+func (p *process) resume(pause bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.closed {
 		return nil
 	}
 	if pause {
-		if p.stopped--; p.stopped == 0 && p.down == 0 {
+		if p.pausedBy--; p.pausedBy == 0 && p.killedBy == 0 {
 			p.signal(syscall.SIGCONT)
-			p.mark(true)
+			p.markRunning(true)
 		}
 		return nil
 	}
-	if p.down--; p.down > 0 {
+	if p.killedBy--; p.killedBy > 0 {
 		return nil
 	}
 	if err := p.run(); err != nil {
 		return err
 	}
-	if p.stopped > 0 {
+	if p.pausedBy > 0 {
 		p.signal(syscall.SIGSTOP)
-		p.mark(false)
+		p.markRunning(false)
 	}
 	return nil
 }
 
-// term ends it with SIGTERM and starts it again.
+// term ends the process with SIGTERM and starts it again.
 func (p *process) term() error {
 	p.mu.Lock()
-	if p.down > 0 || p.stopped > 0 || p.over {
+	if p.killedBy > 0 || p.pausedBy > 0 || p.closed {
 		p.mu.Unlock()
 		return nil
 	}
-	p.down++
-	old := p.now
-	p.mark(false)
+	p.killedBy++
+	old := p.current
+	p.markRunning(false)
 	p.signal(syscall.SIGTERM)
 	p.mu.Unlock()
-	old.end()
-	return p.release(false)
+	old.waitOrKill()
+	return p.resume(false)
 }
 
 // upgrade starts a second process beside the first, and ends the first once the second serves.
 func (p *process) upgrade(ctx context.Context) error {
 	p.mu.Lock()
-	if p.down > 0 || p.stopped > 0 || p.over {
+	if p.killedBy > 0 || p.pausedBy > 0 || p.closed {
 		p.mu.Unlock()
 		return nil
 	}
-	old := p.now
+	old := p.current
 	err := p.run()
 	p.mu.Unlock()
 	if err != nil {
@@ -208,69 +208,69 @@
 	case <-ctx.Done():
 	}
 	old.cmd.Process.Signal(syscall.SIGTERM)
-	old.end()
+	old.waitOrKill()
 	return nil
 }
 
-// end waits for a process that was told to end, and kills it where it does not.
-func (s *started) end() {
+// waitOrKill waits for a process after SIGTERM, and kills it after terminateTimeout.
+func (s *osProcess) waitOrKill() {
 	select {
 	case <-s.done:
-	case <-time.After(termWithin):
+	case <-time.After(terminateTimeout):
 		s.cmd.Process.Kill()
 		<-s.done
 	}
 }
 
 func (p *process) signal(sig syscall.Signal) {
-	if p.now != nil {
-		p.now.cmd.Process.Signal(sig)
+	if p.current != nil {
+		p.current.cmd.Process.Signal(sig)
 	}
 }
 
-func (p *process) await() {
-	if p.now != nil {
-		<-p.now.done
+func (p *process) waitExit() {
+	if p.current != nil {
+		<-p.current.done
 	}
 }
 
-// close ends it for good.
+// close kills the process; it is not started again.
 func (p *process) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = true
+	p.closed = true
 	p.signal(syscall.SIGKILL)
-	p.await()
-	p.mark(false)
+	p.waitExit()
+	p.markRunning(false)
 	if p.log != nil {
 		p.log.Close()
 	}
 }
 
-// crashed tells whether it ended though nobody ended it.
+// crashed reports whether the process exited without having been told to.
 func (p *process) crashed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.now == nil || p.down > 0 || p.over {
+	if p.current == nil || p.killedBy > 0 || p.closed {
 		return false
 	}
 	select {
-	case <-p.now.done:
+	case <-p.current.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// used tells the CPU time that the process has used, and its resident memory in bytes, as far as the system tells them.
-func (p *process) used() (cpu time.Duration, rss int64) {
+// usage returns the CPU time and the resident memory in bytes of the process; zeros where /proc can't be read.
+func (p *process) usage() (cpu time.Duration, rss int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.now == nil || p.down > 0 {
+	if p.current == nil || p.killedBy > 0 {
 		return 0, 0
 	}
-	const tick = 10 * time.Millisecond // of the kernel's account
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.now.cmd.Process.Pid))
+	const tick = 10 * time.Millisecond // the kernel's unit
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.current.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0
 	}
@@ -285,9 +285,9 @@
 	return time.Duration(user+system) * tick, pages * int64(os.Getpagesize())
 }
 
-// ready waits until the process serves.
+// ready waits until the process reports readiness.
 func (p *process) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.listen+"/health/ready", nil)
@@ -308,7 +308,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%s is not ready: %w", p.name, ctx.Err())
-		case <-time.After(readyStep):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
--- a/internal/lab/faultinjection/registry.go
+++ b/internal/lab/faultinjection/registry.go
@@ -10,9 +10,9 @@
 	"damsonscale/internal/discovery"
 )
 
-const beat = 2 * time.Second // of a watch
+const heartbeatInterval = 2 * time.Second
 
-// registry is the stand-in of discovery: it lists the same servers for good.
+// registry is a discovery service with a constant endpoint list.
 type registry struct {
 	addr string
 	*http.Server
@@ -28,7 +28,7 @@
 		if r.URL.Query().Get("watch") != "1" {
 			return
 		}
-		tick := time.NewTicker(beat)
+		tick := time.NewTicker(heartbeatInterval)
 		defer tick.Stop()
 		for {
 			w.(http.Flusher).Flush()
--- a/internal/lab/faultinjection/run.go
+++ b/internal/lab/faultinjection/run.go
@@ -15,72 +15,73 @@
 	"time"
 )
 
-const settleFleet = 1500 * time.Millisecond // for the members to agree on each other before the first request
+// fleetSettleTime is how long members get to agree on the membership before the first request.
+const fleetSettleTime = 1500 * time.Millisecond
 
-// Setup is where a timeline is played.
+// Setup says which program to run, and where.
 type Setup struct {
-	Binary string // of the program
-	Dir    string // for configurations, state and logs
+	Binary string // path of the program
+	Dir    string // existing directory for configurations, state and logs
 }
 
-// Run plays a timeline and judges it. It ends all processes that it started, also when ctx ends before.
+// Run runs a timeline and evaluates it. It ends all processes that it started, also when ctx ends first.
 func Run(ctx context.Context, set Setup, t *Timeline) (*Report, error) {
 	if err := t.Validate(); err != nil {
 		return nil, err
 	}
-	p := newPlay(set, t)
+	p := newExperiment(set, t)
 	defer p.close()
-	if err := p.begin(ctx); err != nil {
+	if err := p.start(ctx); err != nil {
 		return nil, err
 	}
-	return p.judge(ctx)
+	return p.runFaults(ctx)
 }
 
-// play is a timeline under way.
-type play struct {
-	set       Setup
-	line      *Timeline
-	starter   *Starter
-	balancers int // that the settings tell of, where more than there are processes
-	servers   *servers
-	registry  *registry
-	processes []*process
-	links     map[[2]int]*link
+// experiment is a running timeline.
+type experiment struct {
+	setup             Setup
+	timeline          *Timeline
+	starter           *ProcessStarter
+	settingsBalancers int // number of balancers in the settings, where larger than the number of processes
+	servers           *servers
+	registry          *registry
+	processes         []*process
+	links             map[[2]int]*link
 
-	members []string // addresses of the fleet, as nothing between stands
+	memberAddresses []string // the members' own addresses, without links
 
-	mu      sync.Mutex
-	crashes []string
-	fences  map[uint64]time.Time // when each was first seen by anybody
-	steps   []string             // of operators, with what became of them
-	ordered map[uint64]time.Time // when each version was
-	over    int                  // members shut out at once past the guard, at most
+	mu           sync.Mutex
+	crashes      []string
+	fenceSeenAt  map[uint64]time.Time // by fence: when it was first reported
+	stepResults  []string             // operators' commands with their replies
+	rolloutTimes map[uint64]time.Time // by version: when its command was sent
+	maxOverGuard int                  // most members without a lease at once beyond the allowed share
 }
 
-func newPlay(set Setup, t *Timeline) *play {
-	return &play{set: set, line: t, starter: NewStarter(), links: map[[2]int]*link{}}
+func newExperiment(set Setup, t *Timeline) *experiment {
+	return &experiment{setup: set, timeline: t, starter: NewProcessStarter(), links: map[[2]int]*link{}}
 }
 
-func (p *play) begin(ctx context.Context) (err error) {
-	if p.servers, err = startServers(p.line.Servers, p.line.Seed); err != nil {
+func (p *experiment) start(ctx context.Context) (err error) {
+	if p.servers, err = startServers(p.timeline.Servers, p.timeline.Seed); err != nil {
 		return err
 	}
 	return p.launch(ctx)
 }
 
-// launch starts discovery and the processes beside the servers, and waits until all serve.
-func (p *play) launch(ctx context.Context) (err error) {
+// launch starts discovery and the processes, and waits until all are ready.
+func (p *experiment) launch(ctx context.Context) (err error) {
 	if p.registry, err = startRegistry(&p.servers.list); err != nil {
 		return err
 	}
-	fleet, err := FreeAddrs(2 * p.line.Processes)
+	fleet, err := FreeAddrs(2 * p.timeline.Processes)
 	if err != nil {
 		return err
 	}
-	listens, members := fleet[:p.line.Processes], fleet[p.line.Processes:]
-	p.members = members
+	listens, members := fleet[:p.timeline.Processes], fleet[p.timeline.Processes:]
+	p.memberAddresses = members
 	for i := range listens {
-		one, err := p.prepare(i, listens[i], members)
+		one, err := p.newProcess(i, listens[i], members)
 		if err != nil {
 			return err
 		}
@@ -94,14 +95,14 @@
 			return err
 		}
 	}
-	if p.line.Fleet {
-		sleep(ctx, max(settleFleet, 3*ms(p.line.LeaseMs)))
+	if p.timeline.Fleet {
+		sleep(ctx, max(fleetSettleTime, 3*ms(p.timeline.LeaseMs)))
 	}
 	return ctx.Err()
 }
 
-// FreeAddrs finds addresses that are free now, all different, on a loopback host of their own. Guards against a port that
-// some connection from 127.0.0.1 takes before the process listens, or while it is down.
+// FreeAddrs returns n distinct free addresses on a random loopback host. Ports of 127.0.0.1 could be taken by an outgoing
+// connection before the process listens, or while it is down.
 func FreeAddrs(n int) ([]string, error) {
 	var out []string
 	host := fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
@@ -116,15 +117,15 @@
 	return out, nil
 }
 
-func name(i int) string { return fmt.Sprintf("n%d", i+1) }
+func processName(i int) string { return fmt.Sprintf("n%d", i+1) }
 
-func (p *play) prepare(i int, listen string, members []string) (*process, error) {
+func (p *experiment) newProcess(i int, listen string, members []string) (*process, error) {
 	one := &process{
-		name: name(i), binary: p.set.Binary, listen: listen, dir: filepath.Join(p.set.Dir, name(i)), starter: p.starter,
+		name: processName(i), binary: p.setup.Binary, listen: listen, dir: filepath.Join(p.setup.Dir, processName(i)), starter: p.starter,
 	}
 	one.config = p.config(i, listen)
-	if p.line.Fleet {
-		path, err := p.options(i, one.dir, members)
+	if p.timeline.Fleet {
+		path, err := p.writeOptions(i, one.dir, members)
 		if err != nil {
 			return nil, err
 		}
@@ -133,40 +134,40 @@
 	return one, one.prepare()
 }
 
-// config is the platform's configuration of one process.
-func (p *play) config(i int, listen string) map[string]any {
-	settings := p.settings(i, Good)
-	for _, s := range p.line.Steps {
-		if slices.Contains(s.Refusers, i) {
+// config is the configuration file of one process.
+func (p *experiment) config(i int, listen string) map[string]any {
+	settings := p.settings(i, ValidSettings)
+	for _, s := range p.timeline.Steps {
+		if slices.Contains(s.RejectingMembers, i) {
 			settings["Aside"] = true
 		}
 	}
 	return map[string]any{
-		"name": name(i), "listen": listen, "discovery": p.registry.addr, "seed": fmt.Sprintf("%016x", p.line.Seed+uint64(i)),
+		"name": processName(i), "listen": listen, "discovery": p.registry.addr, "seed": fmt.Sprintf("%016x", p.timeline.Seed+uint64(i)),
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":    &p.servers.list,
 		"settings": settings,
 	}
 }
 
-// settings are those of one process, or a version for all.
-func (p *play) settings(i int, f File) map[string]any {
+// settings are the settings of process i, or of a version for all.
+func (p *experiment) settings(i int, f SettingsKind) map[string]any {
 	var services []map[string]any
 	for _, c := range classes {
-		deadline := p.line.DeadlineMs * 1000
-		if f == Falls {
+		deadline := p.timeline.DeadlineMs * 1000
+		if f == DegradingSettings {
 			deadline = 1000
 		}
 		s := map[string]any{
 			"Name": c.name, "Semantics": c.semantics, "AimUs": deadline / 2, "DeadlineUs": deadline, "LateShare": 0.3, "Worth": 1,
 		}
 		if c.key {
-			s["Group"], s["WindowUs"] = "all", p.line.DeadlineMs*4000
+			s["Group"], s["WindowUs"] = "all", p.timeline.DeadlineMs*4000
 		}
 		services = append(services, s)
 	}
 	settings := map[string]any{
-		"Balancers": max(p.balancers, p.line.Processes), "Me": i, "Zone": "a", "RegistryMode": "on_request", "WeightSource": "nominal", "TickUs": 5000,
+		"Balancers": max(p.settingsBalancers, p.timeline.Processes), "Me": i, "Zone": "a", "RegistryMode": "on_request", "WeightSource": "nominal", "TickUs": 5000,
 		"Services": services,
 		"Realms":   []any{map[string]any{"Name": "acme", "AllowancePerS": 10_000, "Share": 1.0}},
 		"Limits": map[string]any{
@@ -179,15 +180,15 @@
 			"OverloadFactor": 3, "FallUs": 3_000_000,
 		},
 	}
-	if f == Unknown {
+	if f == UnknownKeySettings {
 		settings["Sideways"] = true
 	}
 	return settings
 }
 
-// options writes the fleet's options of one process: it reaches each other member over a link of its own.
-func (p *play) options(i int, dir string, members []string) (string, error) {
-	state, err := p.state(i, dir)
+// writeOptions writes the options file of one process, which reaches each other member over a link of its own.
+func (p *experiment) writeOptions(i int, dir string, members []string) (string, error) {
+	state, err := p.stateDir(i, dir)
 	if err != nil {
 		return "", err
 	}
@@ -195,50 +196,50 @@
 	fmt.Fprintf(&b, "[fleet]\naddress = %q\nstate_dir = %q\nmembers = [\n", members[i], state)
 	for j, addr := range members {
 		if j != i {
-			l, err := startLink(addr, p.line.Seed<<8+uint64(i*len(members)+j))
+			l, err := startLink(addr, p.timeline.Seed<<8+uint64(i*len(members)+j))
 			if err != nil {
 				return "", err
 			}
 			p.links[[2]int{i, j}], addr = l, l.addr()
 		}
-		fmt.Fprintf(&b, "  {name = %q, address = %q},\n", name(j), addr)
+		fmt.Fprintf(&b, "  {name = %q, address = %q},\n", processName(j), addr)
 	}
 	fmt.Fprint(&b, "]\n")
-	if t := p.line.LeaseMs; t > 0 {
+	if t := p.timeline.LeaseMs; t > 0 {
 		fmt.Fprintf(&b, "lease_ms = %d\n", t)
 	}
 	fmt.Fprint(&b, "[takeover]\nenabled = true\n")
 	if len(members) < 3 {
 		fmt.Fprint(&b, "holders = 1\n")
 	}
-	if p.line.Audit {
+	if p.timeline.Audit {
 		b.WriteString("[audit]\nenabled = true\n")
-		if !p.line.InMemory {
+		if !p.timeline.InMemory {
 			fmt.Fprintf(&b, "dir = %q\n", filepath.Join(dir, "audit"))
 		}
 	}
 	fmt.Fprint(&b, "[takeover.custody]\n")
-	for _, c := range p.line.Strict {
+	for _, c := range p.timeline.Strict {
 		fmt.Fprintf(&b, "%s = \"strict\"\n", c)
 	}
 	path := filepath.Join(dir, "options.toml")
 	return path, os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-// state makes the place where a process keeps its state, or one where it can't.
-func (p *play) state(i int, dir string) (string, error) {
+// stateDir prepares the state directory of a process, or one where writes fail.
+func (p *experiment) stateDir(i int, dir string) (string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
 	}
-	disk := Writable
-	if i < len(p.line.Disks) {
-		disk = p.line.Disks[i]
+	disk := WritableDisk
+	if i < len(p.timeline.Disks) {
+		disk = p.timeline.Disks[i]
 	}
 	switch disk {
-	case ReadOnly: // no rights are needed to be refused below a file
+	case ReadOnlyDisk: // a path below a file fails for any user
 		file := filepath.Join(dir, "file")
 		return filepath.Join(file, "state"), os.WriteFile(file, nil, 0o644)
-	case Full: // each write fails with ENOSPC
+	case FullDisk: // each write fails with ENOSPC
 		state := filepath.Join(dir, "state")
 		if err := os.MkdirAll(state, 0o755); err != nil {
 			return "", err
@@ -248,17 +249,17 @@
 	return filepath.Join(dir, "state"), nil
 }
 
-// judge plays the faults under the clients' requests.
-func (p *play) judge(ctx context.Context) (*Report, error) {
+// runFaults injects the faults and operators' steps while clients send requests, then evaluates the observations.
+func (p *experiment) runFaults(ctx context.Context) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	start := time.Now()
 	var faults sync.WaitGroup
-	failed := make(chan error, mostFaults)
-	for i := range p.line.Faults {
-		f := &p.line.Faults[i]
+	failed := make(chan error, maxFaults)
+	for i := range p.timeline.Faults {
+		f := &p.timeline.Faults[i]
 		faults.Go(func() {
-			if err := p.fault(ctx, start, f); err != nil && ctx.Err() == nil {
+			if err := p.injectFault(ctx, start, f); err != nil && ctx.Err() == nil {
 				failed <- err
 			}
 		})
@@ -267,17 +268,17 @@
 	for i, one := range p.processes {
 		addrs[i] = one.listen
 	}
-	for i := range p.line.Steps {
-		s := &p.line.Steps[i]
-		faults.Go(func() { p.step(ctx, start, i, s) })
+	for i := range p.timeline.Steps {
+		s := &p.timeline.Steps[i]
+		faults.Go(func() { p.runStep(ctx, start, i, s) })
 	}
 	stall := make(chan time.Duration, 1)
 	watched := make(chan struct{})
 	watching, unwatch := context.WithCancel(ctx)
-	go func() { defer close(watched); p.watch(watching) }()
+	go func() { defer close(watched); p.watchFences(watching) }()
 	defer unwatch()
-	go func() { stall <- longestStall(watching) }()
-	requests := newClients(p.line, addrs).run(ctx, start)
+	go func() { stall <- measureStall(watching) }()
+	requests := newClients(p.timeline, addrs).run(ctx, start)
 	faults.Wait()
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -287,34 +288,34 @@
 		return nil, err
 	default:
 	}
-	p.look()
+	p.noteCrashes()
 	var cpu time.Duration
 	var rss int64
 	for _, one := range p.processes {
-		c, m := one.used()
+		c, m := one.usage()
 		cpu, rss = cpu+c, max(rss, m)
 	}
-	sleep(ctx, ms(p.line.DeadlineMs)/2) // what is sent too late still counts
-	rec := &record{requests: requests, runs: p.servers.tally(), deadline: ms(p.line.DeadlineMs), crashes: p.crashes}
+	sleep(ctx, ms(p.timeline.DeadlineMs)/2) // executions after the deadline still count
+	rec := &observations{requests: requests, executions: p.servers.executionsByRequest(), deadline: ms(p.timeline.DeadlineMs), crashes: p.crashes}
 	for _, one := range p.processes {
 		one.mu.Lock()
-		rec.ups = append(rec.ups, append([]span(nil), one.ups...))
+		rec.uptimes = append(rec.uptimes, append([]interval(nil), one.uptimes...))
 		one.mu.Unlock()
 	}
-	r := judge(rec)
+	r := evaluate(rec)
 	r.CPUUs, r.RSSMB = cpu.Microseconds()/int64(max(1, len(requests))), float64(rss)/(1<<20)
 	unwatch()
 	<-watched
 	r.StallMs = (<-stall).Milliseconds()
-	if p.line.Audit {
-		err := p.audit(ctx, rec, r)
+	if p.timeline.Audit {
+		err := p.checkAudit(ctx, rec, r)
 		return r, err
 	}
 	return r, nil
 }
 
-// longestStall tells for how long this process did not run at most, until ctx ends.
-func longestStall(ctx context.Context) (most time.Duration) {
+// measureStall returns the longest time for which this process did not run, until ctx ends.
+func measureStall(ctx context.Context) (most time.Duration) {
 	const step = 10 * time.Millisecond
 	tick := time.NewTicker(step)
 	defer tick.Stop()
@@ -329,8 +330,8 @@
 	}
 }
 
-// look notes processes that ended by themselves.
-func (p *play) look() {
+// noteCrashes records processes that exited unexpectedly.
+func (p *experiment) noteCrashes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, one := range p.processes {
@@ -340,57 +341,57 @@
 	}
 }
 
-// fault begins and ends one fault in its time.
-func (p *play) fault(ctx context.Context, start time.Time, f *Fault) error {
+// injectFault starts and ends one fault at its times.
+func (p *experiment) injectFault(ctx context.Context, start time.Time, f *Fault) error {
 	sleep(ctx, time.Until(start.Add(ms(f.AtMs))))
 	if ctx.Err() != nil {
 		return nil
 	}
-	lasts := func() {
-		to := ms(f.AtMs + f.ForMs)
-		if f.ForMs == 0 {
-			to = ms(p.line.LengthMs)
+	waitForEnd := func() {
+		to := ms(f.AtMs + f.DurationMs)
+		if f.DurationMs == 0 {
+			to = ms(p.timeline.LengthMs)
 		}
 		sleep(ctx, time.Until(start.Add(to)))
 	}
-	one := p.processes[f.Who]
+	process := p.processes[f.Process]
 	switch f.Kind {
 	case Kill, Stop:
-		one.hold(f.Kind == Stop)
-		lasts()
-		if f.Kind == Kill && f.ForMs == 0 {
+		process.suspend(f.Kind == Stop)
+		waitForEnd()
+		if f.Kind == Kill && f.DurationMs == 0 {
 			return nil
 		}
-		return one.release(f.Kind == Stop)
-	case Term:
-		return one.term()
+		return process.resume(f.Kind == Stop)
+	case Terminate:
+		return process.term()
 	case Upgrade:
-		return one.upgrade(ctx)
-	case Loop:
-		for end := start.Add(ms(f.AtMs + f.ForMs)); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, ms(f.EveryMs)) {
-			one.hold(false)
-			if err := one.release(false); err != nil {
+		return process.upgrade(ctx)
+	case RestartLoop:
+		for end := start.Add(ms(f.AtMs + f.DurationMs)); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, ms(f.IntervalMs)) {
+			process.suspend(false)
+			if err := process.resume(false); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	ways := []*link{p.links[[2]int{f.Who, f.To}]}
-	if f.Both {
-		ways = append(ways, p.links[[2]int{f.To, f.Who}])
+	links := []*link{p.links[[2]int{f.Process, f.Peer}]}
+	if f.BothWays {
+		links = append(links, p.links[[2]int{f.Peer, f.Process}])
 	}
-	for _, l := range ways {
+	for _, l := range links {
 		if l == nil {
 			return nil // without a fleet there are no links
 		}
 		l.set(f, true)
 		defer l.set(f, false)
 	}
-	lasts()
+	waitForEnd()
 	return nil
 }
 
-func (p *play) close() {
+func (p *experiment) close() {
 	for _, one := range p.processes {
 		one.close()
 	}
@@ -406,7 +407,7 @@
 	p.starter.Close()
 }
 
-// Save writes a timeline and what it came to beside each other.
+// Save writes a timeline and its report into dir.
 func Save(dir string, t *Timeline, r *Report) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/lab/faultinjection/servers.go
+++ b/internal/lab/faultinjection/servers.go
@@ -15,7 +15,7 @@
 	"damsonscale/internal/discovery"
 )
 
-// class is a kind of request, as the processes' settings have it.
+// class is a request class of the settings.
 type class struct {
 	name      string
 	semantics string
@@ -28,29 +28,29 @@
 	{name: "once", semantics: "at_most_once", post: true},
 }
 
-// Execution is one run of a request at a server: it had come whole, and work on it began.
+// Execution is one execution of a request at a server, from when its body was complete.
 type Execution struct {
 	Server string
 	At     time.Time
-	Repeat bool   // its key was known: no effect
-	Answer string // what the server answers to it
-	Actor  string // whose act its sending was, as the request says
+	Repeat bool   // its idempotency key was known: no effect
+	Answer string // body of the server's response
+	Actor  string // the audit reference in the request
 }
 
-// servers is the group of stand-ins, with what they did. Those of keyed work know each other's keys.
+// servers is a group of test servers that share a store of idempotency keys, and record every execution.
 type servers struct {
-	mu     sync.Mutex
-	runs   map[string][]Execution // by request
-	keys   map[string]string      // the answer, by key
-	random *rand.Rand
-	count  atomic.Int64
-	list   discovery.Update // as discovery tells it
-	ends   []io.Closer
+	mu         sync.Mutex
+	executions map[string][]Execution // by request ID
+	keys       map[string]string      // by key: the first response
+	random     *rand.Rand
+	count      atomic.Int64
+	list       discovery.Update // the endpoint list that discovery serves
+	closers    []io.Closer
 }
 
-func startServers(set []Server, seed uint64) (*servers, error) {
+func startServers(set []ServerConfig, seed uint64) (*servers, error) {
 	s := &servers{
-		runs: map[string][]Execution{}, keys: map[string]string{}, random: rand.New(rand.NewPCG(seed, 1)),
+		executions: map[string][]Execution{}, keys: map[string]string{}, random: rand.New(rand.NewPCG(seed, 1)),
 		list: discovery.Update{Seq: 1, Full: true},
 	}
 	for i, one := range set {
@@ -62,7 +62,7 @@
 		name := fmt.Sprintf("s-%d", i+1)
 		h := &http.Server{Handler: s.handler(name, one)}
 		go h.Serve(ln)
-		s.ends = append(s.ends, h)
+		s.closers = append(s.closers, h)
 		s.list.Endpoints = append(s.list.Endpoints, discovery.Endpoint{
 			Host: name, Address: ln.Addr().String(), Zone: "a", Health: discovery.Ready, Capacity: 1,
 		})
@@ -71,29 +71,29 @@
 }
 
 func (s *servers) close() {
-	for _, e := range s.ends {
+	for _, e := range s.closers {
 		e.Close()
 	}
 }
 
-// handler works on a request for the server's time, whether or not its asker waits.
-func (s *servers) handler(name string, set Server) http.HandlerFunc {
+// handler serves a request for the configured service time, whether or not the client is still connected.
+func (s *servers) handler(name string, set ServerConfig) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/health/live" {
 			return
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // it never came whole
+			return // the request is incomplete
 		}
-		took, answer := s.begin(name, set, r, body)
+		took, answer := s.beginExecution(name, set, r, body)
 		time.Sleep(took)
 		io.WriteString(w, answer)
 	}
 }
 
-// begin tallies a run. A safe request has one right answer; a key has the answer of its first run.
-func (s *servers) begin(name string, set Server, r *http.Request, body []byte) (time.Duration, string) {
+// beginExecution records an execution. A safe request has one correct response; a key has the response of its first execution.
+func (s *servers) beginExecution(name string, set ServerConfig, r *http.Request, body []byte) (time.Duration, string) {
 	id, key := r.Header.Get("Req-Id"), r.Header.Get("Idempotency-Key")
 	c := strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)[0]
 	s.mu.Lock()
@@ -106,23 +106,23 @@
 		run.Repeat, run.Answer = true, answer
 	default:
 		run.Answer = fmt.Sprintf("%s %s run %d at %s of %d bytes", c, id, s.count.Add(1), name, len(body))
-		if len(body) > long {
-			run.Answer += strings.Repeat(".", long)
+		if len(body) > largeBytes {
+			run.Answer += strings.Repeat(".", largeBytes)
 		}
 		if key != "" {
 			s.keys[key] = run.Answer
 		}
 	}
-	s.runs[id] = append(s.runs[id], run)
-	return ms(set.LeastMs) + time.Duration(s.random.Float64()*float64(ms(set.MostMs-set.LeastMs))), run.Answer
+	s.executions[id] = append(s.executions[id], run)
+	return ms(set.MinMs) + time.Duration(s.random.Float64()*float64(ms(set.MaxMs-set.MinMs))), run.Answer
 }
 
-// tally returns the runs by request.
-func (s *servers) tally() map[string][]Execution {
+// executionsByRequest returns a copy of all executions, by request ID.
+func (s *servers) executionsByRequest() map[string][]Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string][]Execution, len(s.runs))
-	for id, runs := range s.runs {
+	out := make(map[string][]Execution, len(s.executions))
+	for id, runs := range s.executions {
 		out[id] = append([]Execution(nil), runs...)
 	}
 	return out
--- a/internal/lab/fleetscale/children.go
+++ b/internal/lab/fleetscale/children.go
@@ -37,7 +37,7 @@
 
 // children starts processes and hands on what is seen of them.
 type children struct {
-	starter *faultinjection.Starter
+	starter *faultinjection.ProcessStarter
 	dir     string
 	see     func(*child, Event)
 	all     []*child
@@ -46,7 +46,7 @@
 }
 
 func newChildren(dir string, see func(*child, Event)) *children {
-	return &children{starter: faultinjection.NewStarter(), dir: dir, see: see, stop: make(chan struct{})}
+	return &children{starter: faultinjection.NewProcessStarter(), dir: dir, see: see, stop: make(chan struct{})}
 }
 
 func (c *children) start(name string, members []int, cmd *exec.Cmd) (*child, error) {
