--- a/cmd/damsonscale/fleet_test.go
+++ b/cmd/damsonscale/fleet_test.go
@@ -44,7 +44,7 @@
 			t.Fatal(s, body)
 		}
 	}
-	p.expect(t, "event=suspend")
+	p.expect(t, "event=endpoint_ejected")
 	p.expect(t, "event=watch_ended")
 }
 
--- a/decide/backoff_test.go
+++ b/decide/backoff_test.go
@@ -17,7 +17,7 @@
 				b := New(set, seed, silent{})
 				for b.pollFailures = range 20 {
 					wait := b.pollBackoff(waited)
-					if wait < minPollSpan/10 || wait > max(minPollSpan, 4_500_000-waited) {
+					if wait < minPollSpanMicros/10 || wait > max(minPollSpanMicros, 4_500_000-waited) {
 						t.Fatalf("%d balancers, failure %d after %d us: asks in %d us", balancers, b.pollFailures, waited, wait)
 					}
 				}
@@ -45,7 +45,7 @@
 						now += hangs + b.pollBackoff(hangs)
 					}
 				}
-				expected := float64(window) / 0.9 * max(float64(n)/maxPollDelay, 1.0/pollSlotPerBalancer)
+				expected := float64(window) / 0.9 * max(float64(n)/maxPollDelayMicros, 1.0/pollSlotPerBalancerMicros)
 				most := expected + 4*math.Sqrt(expected)
 				for i, got := range calls[:span/window] {
 					if float64(got) > most {
--- a/decide/candidates.go
+++ b/decide/candidates.go
@@ -1,31 +1,34 @@
+// Whether a request may have an attempt now, and which endpoints may take it.
+
 package decide
 
-import (
-	"slices"
-)
+import "slices"
 
-// canAttempt tells whether a further attempt is allowed at all, whatever the server.
+// canAttempt reports whether an attempt of r is allowed, whatever the endpoint: it has time and attempts
+// left, none is in flight, and the attempt budget has one for a retry.
 func (b *Balancer) canAttempt(now int64, r *request) bool {
 	return !r.ended && !r.streamStarted && now < r.deadline && r.inFlight == 0 &&
 		len(r.attempts) < r.maxAttempts && (!r.hasPriorAttempt() || b.attemptBudgetRemaining(now) >= 1)
 }
 
-// hasPermittedEndpoint tells whether r lacks only room: some arm could take it without harm.
+// hasPermittedEndpoint reports whether r lacks only capacity: some endpoint of the subset could take it
+// without a second effect.
 func (b *Balancer) hasPermittedEndpoint(now int64, r *request) bool {
 	return slices.ContainsFunc(b.subset, func(s *endpointState) bool { return r.repeatIsSafe(now, s) })
 }
 
-// collectCandidates gathers the servers that an attempt of r may go to: without replacement while others remain.
-func (b *Balancer) collectCandidates(now int64, r *request, home *endpointState) bool {
+// collectCandidates fills b.candidates with the endpoints that an attempt of r may go to: those of the subset
+// and its preferred replica. Those that the request has tried already count only where no other is eligible.
+func (b *Balancer) collectCandidates(now int64, r *request, preferred *endpointState) bool {
 	for _, again := range []bool{false, true} {
 		b.candidates = b.candidates[:0]
 		for _, s := range b.subset {
-			if s != home && b.eligible(now, r, s) && r.attempted(s) == again {
+			if s != preferred && b.eligible(now, r, s) && r.attempted(s) == again {
 				b.candidates = append(b.candidates, s)
 			}
 		}
-		if home != nil && b.eligible(now, r, home) && r.attempted(home) == again {
-			b.candidates = append(b.candidates, home)
+		if preferred != nil && b.eligible(now, r, preferred) && r.attempted(preferred) == again {
+			b.candidates = append(b.candidates, preferred)
 		}
 		if len(b.candidates) > 0 {
 			return true
@@ -34,11 +37,16 @@
 	return false
 }
 
-// eligible tells whether an attempt of r may go to s now.
+// eligible reports whether an attempt of r may go to s now.
 func (b *Balancer) eligible(now int64, r *request, s *endpointState) bool {
-	h := &s.ejections[r.Class]
-	if s.Phase != InService || b.totalInFlight(now, s) >= b.concurrencyBound(s) || b.gossipEnabled() && b.unresponsive(now, s) ||
-		h.ejected && (now < h.ejectedUntil || h.inFlight > 0 || s.ejectedForAll && s.inFlight > 0) {
+	switch {
+	case !s.inService():
+		return false
+	case b.totalInFlight(now, s) >= b.concurrencyBound(s):
+		return false
+	case b.gossipEnabled() && b.unresponsive(now, s):
+		return false
+	case !s.admitsTrial(now, r.Class):
 		return false
 	}
 	return b.slowStartAdmits(now, s) && r.repeatIsSafe(now, s)
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -1,28 +1,20 @@
+// The capacity of each endpoint: the listed one, corrected by how fast the endpoint reports to work. The mean
+// is one.
+
 package decide
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
-	maxSpeedRatio     = 8.0 // times faster or slower than the mean that a server counts as
-	maxListedCapacity = 1e9 // of a listed size: a sum of a fleet of them stays exact enough
+	maxListedCapacity = 1e9 // a larger one counts as one: sums of a fleet of them would be inexact
+	maxSpeedRatio     = 8.0 // to the mean, up or down
 )
 
-// scaleCapacities makes the mean size one, so that sizes read as shares of a mean server. A size that moves with load is
-// taken at its largest, at the median of the machine's kind: guards against herds that follow it, and wild figures.
+// scaleCapacities derives the capacities from the list. A listed one that moves with the endpoint's load
+// counts with its peak, at the median of the machine's kind, so that balancers don't follow it all at once.
 func (b *Balancer) scaleCapacities() {
+	peaks := b.peaksByKind()
 	sum := 0.0
-	peaks := map[string][]float64{}
-	if b.settings.CapacityLive {
-		for _, s := range b.endpoints {
-			peaks[s.MachineKind] = append(peaks[s.MachineKind], s.peakCapacity)
-		}
-		delete(peaks, "")
-		for _, p := range peaks {
-			slices.Sort(p)
-		}
-	}
 	for _, s := range b.endpoints {
 		s.Capacity = s.listedCapacity
 		if b.settings.CapacityLive && s.peakCapacity > 0 {
@@ -39,28 +31,38 @@
 	b.scaleBySpeed()
 }
 
-// scaleBySpeed makes the sizes those of scaleCapacities by how fast servers work, as they tell, beside the mean of those that do. One
-// that does not tell counts as its kind, else as the mean. Guards against machines that are listed alike and are not.
-func (b *Balancer) scaleBySpeed() {
-	type mean struct{ sum, n float64 }
-	kinds, all := map[string]mean{}, mean{}
+// peaksByKind lists the peaks of each kind of machine in order; none where listed capacities don't move.
+func (b *Balancer) peaksByKind() map[string][]float64 {
+	peaks := map[string][]float64{}
+	if !b.settings.CapacityLive {
+		return peaks
+	}
 	for _, s := range b.endpoints {
-		if s.reportedLatencyMs > 0 {
-			k := kinds[s.MachineKind]
-			kinds[s.MachineKind], all = mean{k.sum + s.reportedLatencyMs, k.n + 1}, mean{all.sum + s.reportedLatencyMs, all.n + 1}
+		if s.MachineKind != "" {
+			peaks[s.MachineKind] = append(peaks[s.MachineKind], s.peakCapacity)
 		}
 	}
+	for _, p := range peaks {
+		slices.Sort(p)
+	}
+	return peaks
+}
+
+// scaleBySpeed corrects the capacities by the reported latencies beside their mean: machines that are listed
+// alike may differ. An endpoint that reports none counts as the mean of its kind, else of all.
+func (b *Balancer) scaleBySpeed() {
+	kinds, all := b.reportedLatencies()
 	sum := 0.0
 	for _, s := range b.endpoints {
 		speed := 1.0
-		if all.n > 0 {
-			pace := s.reportedLatencyMs
-			if k := kinds[s.MachineKind]; pace == 0 && k.n > 0 {
-				pace = k.sum / k.n
-			} else if pace == 0 {
-				pace = all.sum / all.n
+		if all.count > 0 {
+			latency := s.reportedLatencyMs
+			if kind := kinds[s.MachineKind]; latency == 0 && kind.count > 0 {
+				latency = kind.value()
+			} else if latency == 0 {
+				latency = all.value()
 			}
-			speed = min(max(all.sum/all.n/pace, 1/maxSpeedRatio), maxSpeedRatio)
+			speed = min(max(all.value()/latency, 1/maxSpeedRatio), maxSpeedRatio)
 		}
 		s.Capacity = s.baseCapacity * speed
 		sum += s.Capacity
@@ -69,3 +71,22 @@
 		s.Capacity *= float64(len(b.endpoints)) / sum
 	}
 }
+
+// mean is an average in the making.
+type mean struct{ sum, count float64 }
+
+func (m mean) add(value float64) mean { return mean{m.sum + value, m.count + 1} }
+
+func (m mean) value() float64 { return m.sum / m.count }
+
+// reportedLatencies averages the latencies reported, in ms, by kind of machine and over all.
+func (b *Balancer) reportedLatencies() (kinds map[string]mean, all mean) {
+	kinds = map[string]mean{}
+	for _, s := range b.endpoints {
+		if s.reportedLatencyMs > 0 {
+			kinds[s.MachineKind] = kinds[s.MachineKind].add(s.reportedLatencyMs)
+			all = all.add(s.reportedLatencyMs)
+		}
+	}
+	return kinds, all
+}
--- a/decide/congestion.go
+++ b/decide/congestion.go
@@ -1,38 +1,49 @@
+// Whether a late answer tells of congestion or is slow by nature (a tail, a slow dependency). Only congestion
+// gets better when less is sent.
+
 package decide
 
 const (
-	earlyShareWithReports = 0.6  // of the aim: later answers warn of a crowd while there is time to act
-	earlyShare            = 0.75 // the same where balancers tell one another what they hold, and where no server tells
-	endpointP15Step       = 0.3  // of the steps of one server
-	unloadedFactor        = 1.5  // of its lowest, up to which the quick mark tells of no crowd
-	minTailAnswerRate     = 4.0  // of a class each second, from which on its quickest tell of a crowd in time
-	congestedP90Factor    = 1.6  // uncrowded calm marks: servers that slow down when crowded lose work before the aim
+	// earlyShare of the latency objective: an answer within it is early. Later ones warn while there is time
+	// to act.
+	earlyShare = 0.75
+	// earlyShareWithReports takes its place where endpoints report their load: the draw evens out single slow
+	// ones then, so a late answer tells of all.
+	earlyShareWithReports = 0.6
+	// congestedP90Factor times the baseline: later answers are late whatever the objective, since endpoints
+	// that slow down under load lose work before answers come near it.
+	congestedP90Factor = 1.6
+
+	unloadedFactor    = 1.5 // times its baseline, up to which the quickest answers show no congestion
+	minTailAnswerRate = 4.0 // answers of a class per second, from which on they show congestion in time
+	endpointP15Step   = 0.3
 )
 
-// isEarly tells whether an outcome warns of no crowd: it takes a part of the aim at the most, less where servers tell of their
-// load, so that the draw evens them out and a late answer tells of the whole, and no more than congestedP90Factor of the uncrowded
-// mark. Guards against refusals for single slow servers where they do not tell.
+// isEarly reports whether an outcome shows no congestion by its latency.
 func (b *Balancer) isEarly(c *classState, o Outcome) bool {
 	share := earlyShare
-	if b.loadReportsSeen {
+	if b.loadReports.seen {
 		share = earlyShareWithReports
 	}
 	late := min(share*float64(c.LatencyObjective), congestedP90Factor*c.baselineP90)
 	return o.Result != Errored && o.Result != TimedOut && float64(o.Latency) <= late
 }
 
-// unloadedLatency takes in how quick an answer of s was, and tells whether a late one is slow by nature: calm, as the quickest of its class
-// are as quick as ever; well, as those of s are too. Guards against refusals for a slow tail, which no refusal makes quicker.
-// Where servers or balancers tell what is held, that tells of a crowd, and where answers are few they tell of one too late.
-func (b *Balancer) unloadedLatency(c *classState, s *endpointState, o Outcome) (calm, well bool) {
+// unloadedLatency takes in the latency of an answer of s, and reports whether the quickest answers are as
+// quick as ever: those of the class, and also those of s. Congestion would delay them too, so a late answer
+// is then slow by nature. Where load is reported or gossiped that is better evidence, and a few answers come
+// too late: both are false.
+func (b *Balancer) unloadedLatency(c *classState, s *endpointState, o Outcome) (class, endpoint bool) {
 	if o.Result != Succeeded {
 		return false, false
 	}
-	part := float64(o.Latency) / max(1, c.baselineP15)
+	ratio := float64(o.Latency) / max(1, c.baselineP15)
 	if s.latencyP15Ratio == 0 {
-		s.latencyP15Ratio = part
+		s.latencyP15Ratio = ratio
 	}
-	s.latencyP15Ratio = stepP15(s.latencyP15Ratio, part, endpointP15Step)
-	calm = !b.loadReportsSeen && !b.gossipEnabled() && max(c.answerRate, c.answersThisSecond) >= minTailAnswerRate && c.latencyP15 <= unloadedFactor*c.baselineP15
-	return calm, calm && s.latencyP15Ratio <= unloadedFactor
+	s.latencyP15Ratio = stepP15(s.latencyP15Ratio, ratio, endpointP15Step)
+	class = !b.loadReports.seen && !b.gossipEnabled() &&
+		max(c.answerRate, c.answersThisSecond) >= minTailAnswerRate &&
+		c.latencyP15 <= unloadedFactor*c.baselineP15
+	return class, class && s.latencyP15Ratio <= unloadedFactor
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -106,7 +106,7 @@
 // and requests for servers at ease were refused.
 func TestSilentServersHoldNoRoom(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(10)...)
-	w.b.poolLimit = 0.3
+	w.b.pool.limit = 0.3
 	for i := range 3 {
 		w.request(fmt.Sprint("lost", i), 0, 2*second)
 	}
@@ -128,7 +128,7 @@
 func TestTheOneBoundIsForQuietBalancers(t *testing.T) {
 	for perSecond, want := range map[float64]int{0.5: 1, 20: 4} {
 		w := newWorld(t, testSettings(), fleet(10)...)
-		w.b.throughputPerCapacity[1], w.b.poolLimit = perSecond/float64(second), 0.1
+		w.b.rates.perCapacity[1], w.b.pool.limit = perSecond/float64(second), 0.1
 		for i := range 4 {
 			w.request(fmt.Sprint("r", i), 0, 2*second)
 		}
@@ -136,7 +136,7 @@
 			t.Errorf("%v answers a second from each server: %d sent with room for one, want %d", perSecond, n, want)
 		}
 		w.settle(w.pending[0], Saturated)
-		near(t, "density after a full server", w.b.poolLimit, 0.1, 0)
+		near(t, "density after a full server", w.b.pool.limit, 0.1, 0)
 	}
 }
 
@@ -148,19 +148,19 @@
 	w.request("quick", 0, 2*second) // so that it is known how quick answers are at ease
 	w.advance(20_000)
 	w.settle(w.pending[0], Succeeded)
-	w.b.poolLimit = 20
+	w.b.pool.limit = 20
 	for i := range 40 {
 		w.request(fmt.Sprint("r", i), 0, 2*second)
 	}
 	if n := len(w.pending); n != 40 {
 		t.Fatalf("%d out, want 40", n)
 	}
-	before := w.b.poolLimit
+	before := w.b.pool.limit
 	w.advance(350_000)
 	for len(w.pending) > 0 {
 		w.settle(w.pending[0], Succeeded)
 	}
-	near(t, "part of the room kept", w.b.poolLimit/before, 0.13, 0.03)
+	near(t, "part of the room kept", w.b.pool.limit/before, 0.13, 0.03)
 }
 
 // A late answer cuts what may be out at all servers together, at once; early ones that find no room bring it back.
@@ -172,13 +172,13 @@
 	w.settle(w.pending[0], Succeeded)
 	_, after := w.b.poolCapacity(w.now)
 	near(t, "room after a late answer", after/before, 0.85, 1e-9)
-	w.b.poolLimit = 0.1
+	w.b.pool.limit = 0.1
 	for i := range 5 {
 		w.request(fmt.Sprint("quick", i), 0, 2*second)
 		w.advance(20_000)
 		w.settle(w.pending[0], Succeeded)
 	}
-	near(t, "density after five early ones", w.b.poolLimit, 0.1*math.Pow(1.05, 5), 1e-9)
+	near(t, "density after five early ones", w.b.pool.limit, 0.1*math.Pow(1.05, 5), 1e-9)
 }
 
 func TestCancelledAndUnsentAttemptsTeachNothing(t *testing.T) {
@@ -218,7 +218,7 @@
 	for answers, keep := range map[int]float64{0: 1, 2: 0.98, 1000: 0.9} {
 		w := newWorld(t, testSettings(), fleet(2)...)
 		w.b.endpoints[0].setLogWeight(1)
-		w.b.successesThisSecond = answers
+		w.b.rates.successesThisSecond = answers
 		w.b.onSecond(w.now)
 		near(t, fmt.Sprint("distance kept after ", answers), w.b.endpoints[0].logWeight-w.b.endpoints[1].logWeight, keep, 1e-9)
 	}
@@ -404,7 +404,7 @@
 		return Succeeded, w.now-f.sent >= 200_000 && (f.server.ID != "s0" || !hung)
 	}
 	w.traffic(300, answer)
-	if w.count("log suspend") == 0 {
+	if w.count("log endpoint_ejected") == 0 {
 		t.Error("the server answers nothing and was not suspended")
 	}
 	hung = false
@@ -412,7 +412,7 @@
 		w.settle(f, Reset)
 	}
 	w.traffic(1700, answer)
-	if w.count("log return") == 0 || w.b.knownEndpoints["s0"].ejectedForAll {
+	if w.count("log endpoint_restored") == 0 || w.b.knownEndpoints["s0"].ejectedForAll {
 		t.Error("the server answers again but was not brought back")
 	}
 	if w.b.knownEndpoints["s0"].slowStartSince == 0 {
@@ -499,7 +499,7 @@
 // What servers find faulty fails at once: no server is blamed, and no retry is spent on it.
 func TestARejectedRequestFailsAtOnce(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(2)...)
-	before := w.b.retryTokens
+	before := w.b.retryBudget.tokens
 	for i := range 6 {
 		r := w.request(fmt.Sprint("bad", i), 0, 2*second)
 		w.settle(w.pending[0], InvalidRequest)
@@ -507,8 +507,8 @@
 			t.Fatalf("answered %q after %d tries", r.answered, len(r.tries))
 		}
 	}
-	if w.b.retryTokens != before || w.count("log suspend") != 0 || w.b.endpoints[0].logWeight != 0 {
-		t.Errorf("%v retries of %v left, %d suspensions", w.b.retryTokens, before, w.count("log suspend"))
+	if w.b.retryBudget.tokens != before || w.count("log endpoint_ejected") != 0 || w.b.endpoints[0].logWeight != 0 {
+		t.Errorf("%v retries of %v left, %d suspensions", w.b.retryBudget.tokens, before, w.count("log endpoint_ejected"))
 	}
 }
 
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,6 +1,56 @@
-// Package decide holds every decision of one balancer and no input or output.
+// Package decide holds every decision of one balancer. It does no I/O, reads no clock and starts no
+// goroutine.
 //
-// A host makes a Balancer with New, reports each event by its method together with the time, and carries
-// out the actions that the Balancer calls on its Actions before the method returns. Times are
-// microseconds of one clock that only moves forward; durations are microseconds too.
+// A host makes a Balancer with New, reports each event by the method for it together with the time, and
+// carries out the Actions that the Balancer calls before that method returns. A Balancer is not safe for
+// concurrent use: one goroutine reports all events. The same seed and the same events lead to the same
+// actions.
+//
+// # Units
+//
+// Times are microseconds of one clock that only moves forward, and durations are microseconds too, whether
+// they are int64 or float64. A name that ends in Ms holds milliseconds. A rate says in its comment whether it
+// is per second or per microsecond. Capacity is relative: the mean of the listed endpoints is 1.
+//
+// # Where to look
+//
+// The way of each event through the rules: balancer.go.
+//
+//	Which requests are rejected on arrival?              admission.go, key_outliers.go
+//	Which waiting requests are rejected, and in          queue.go, priority.go, quota.go
+//	what order do they go?
+//	How many attempts may be in flight?                  concurrency_limit.go, congestion.go
+//	Which endpoints are used at all?                     subset.go, locality.go, key_affinity.go
+//	Which may take this attempt?                         candidates.go, draining.go, slow_start.go
+//	Which of these is drawn?                             exp3.go, utilization.go
+//	When is an endpoint ejected and restored?            outlier_detection.go
+//	Who may retry?                                       candidates.go, retry_budget.go, attempt_budget.go
+//	May a request run twice?                             idempotency.go
+//	How long may an attempt take?                        attempt_timeout.go, latency.go, work_hint.go
+//	When is an idle connection closed?                   idle_connections.go
+//	When is the endpoint list polled?                    endpoint_poll.go
+//	What does a change of the list do?                   endpoint_list.go, capacity.go
+//	When are endpoints health checked?                   health_checks.go
+//	What do load reports change?                         load_reports.go, capacity.go
+//	What do balancers tell each other?                   gossip.go, gossip_message.go
+//	What does a change of settings do?                   settings_update.go
+//	What is logged?                                      event_log.go
+//
+// The interface is in api.go (events, actions) and settings.go. shadow_follow.go serves a second Balancer
+// that follows the decisions of another one without sending anything.
+//
+// # The rules it keeps
+//
+// The deployments that it is built for check five rules, which comments refer to by number:
+//
+//  1. Each request gets exactly one final answer (balancer.go, request.go).
+//  2. No request that is not idempotent takes effect twice (idempotency.go).
+//  3. A draining endpoint gets no new attempt (draining.go).
+//  4. An endpoint in slow start is not overloaded by all balancers together (slow_start.go).
+//  5. Attempts beyond the first of each request stay within a budget for any time window (attempt_budget.go).
 package decide
+
+const (
+	millisecond = int64(1_000)
+	second      = 1000 * millisecond
+)
--- a/decide/endpoint_list.go
+++ b/decide/endpoint_list.go
@@ -1,39 +1,68 @@
+// What a balancer knows of each endpoint, and how a new list or a change of it is applied.
+
 package decide
 
-import (
-	"slices"
-)
+import "slices"
+
+// removedRetention is how long an endpoint that left the list is remembered: a list may be stale for tens of
+// seconds, and bring it back.
+const removedRetention = 60 * second
+
+// endpointState is what a balancer knows of one endpoint. Its Capacity is scaled, see capacity.go.
+type endpointState struct {
+	Endpoint
+	idHash    uint64
+	inList    bool
+	removedAt int64 // when it left the list
+
+	listedCapacity float64 // 0: never listed
+	peakCapacity   float64 // highest listed
+	baseCapacity   float64 // scaled, before the correction by speed
+
+	subsetRank uint64 // place in this balancer's order
+	inSubset   bool
+	logWeight  float64 // of EXP3
+	weight     float64 // exp(logWeight)
+
+	inFlight            int // own attempts
+	successesThisSecond int
+	lastSuccessAt       int64
+	silentSince         int64 // its latest answer, or the first send after it if that is later
+
+	concurrencyLimit float64 // own attempts that may be in flight
+	limitCutAt       int64   // 0: no late answer yet
+	lastAnswerEarly  bool
+	latencyP15Ratio  float64 // the quickest answers, in parts of the class's baselineP15; 0: none yet
+
+	ejections     []ejectionState // by class
+	ejectedForAll bool            // from every class
+
+	slowStartSince  int64 // 0: never
+	slowStartTokens expiringTokenBucket
+
+	reportedInFlight  float64 // requests
+	reportedLatencyMs float64 // of work there, without waiting; 0: not reported
 
-const (
-	removedRetention = 60 * second // a list may be stale by tens of seconds
-)
+	idleSince         int64 // when the connection to it fell idle; 0: none is open
+	connectionSuspect bool  // an attempt got no answer and none came since
+	peerLoads         []peerLoad
+}
 
-// OnEndpoints takes the list, whole or its changes.
-func (b *Balancer) OnEndpoints(now int64, list []Endpoint, whole bool) {
+// OnEndpoints takes the endpoint list: all of it, or its changes.
+func (b *Balancer) OnEndpoints(now int64, list []Endpoint, complete bool) {
 	b.pollFailures = 0
-	if whole {
+	if complete {
 		for _, s := range b.endpoints {
 			s.Phase = Removed
 		}
 	}
-	var fresh []*endpointState
-	for _, in := range list {
-		s := b.endpointFor(now, in)
-		if s.listedCapacity == 0 || in.StartedAt > s.StartedAt { // a new process: cold, and no old failure counts
-			s.clearFailures()
-			b.beginSlowStart(now, s, max(in.StartedAt, 0))
-			fresh = append(fresh, s)
-		}
-		s.applyListing(in, b.settings.CapacityListed)
-		if in.Phase != Removed && !s.inList {
-			s.inList, b.endpoints = true, append(b.endpoints, s)
-		}
-	}
-	b.removeUnlisted(now)
+	started := b.applyList(now, list)
+	b.dropRemoved(now)
 	b.sortEndpoints()
+	b.indexGossipTags()
 	b.scaleCapacities()
 	b.updateSubset(now)
-	for _, s := range fresh {
+	for _, s := range started {
 		b.resetLimit(s)
 	}
 	b.checkHealth(now)
@@ -41,62 +70,56 @@
 	b.dispatchQueued(now)
 }
 
-// endpointState is what this balancer knows of one server.
-type endpointState struct {
-	Endpoint                            // Size is scaled to a mean of one
-	listedCapacity      float64         // size as listed
-	peakCapacity        float64         // the largest so far
-	idHash              uint64          // of its ID
-	subsetRank          uint64          // place in this balancer's order
-	inSubset, inList    bool            // drawn from; in the list of servers
-	logWeight           float64         // EXP3's log-weight
-	weight              float64         // exp(log)
-	inFlight            int             // own attempts out
-	silentSince         int64           // of its latest answer, or when the first attempt after that was sent
-	concurrencyLimit    float64         // own attempts it may hold
-	idleSince           int64           // when the connection to it fell idle; 0: none is open
-	connectionSuspect   bool            // an attempt got no answer and none came since: its connection may be dead
-	peerLoads           []peerLoad      // other balancers that draw from it
-	lastAnswerEarly     bool            // its latest answer was
-	limitCutAt          int64           // when the limit was last cut; 0 before its first late answer
-	ejections           []ejectionState // by class
-	ejectedForAll       bool            // for every class
-	lastSuccessAt       int64
-	removedAt           int64               // when it left the list, where it is not held
-	slowStartSince      int64               // start of its latest warm-up; 0: warm
-	slowStartTokens     expiringTokenBucket // while cold: sends that it may get
-	successesThisSecond int                 // own answers this second
-	baseCapacity        float64             // its size before its pace counts
-	reportedInFlight    float64             // requests that it holds, as it tells
-	reportedLatencyMs   float64             // ms that work takes it without waiting, as it tells; 0: not told
-	latencyP15Ratio     float64             // one answer in 7 is quicker, as a part of its class's ease
+// applyList takes over entries and returns the endpoints that are new or were restarted. These are in slow
+// start, and no earlier failure counts.
+func (b *Balancer) applyList(now int64, list []Endpoint) (started []*endpointState) {
+	for _, entry := range list {
+		s := b.endpointFor(now, entry)
+		if s.listedCapacity == 0 || entry.StartedAt > s.StartedAt {
+			s.clearFailures()
+			b.beginSlowStart(now, s, max(entry.StartedAt, 0))
+			started = append(started, s)
+		}
+		s.applyEntry(entry, b.settings.CapacityListed)
+		if entry.Phase != Removed && !s.inList {
+			s.inList = true
+			b.endpoints = append(b.endpoints, s)
+		}
+	}
+	return started
 }
 
-// endpointFor returns what is known of a listed server; a new one starts at the mean log-weight, not yet silent.
-func (b *Balancer) endpointFor(now int64, in Endpoint) *endpointState {
-	s, met := b.knownEndpoints[in.ID]
-	if !met {
-		s = &endpointState{idHash: hash(in.ID), lastSuccessAt: now, ejections: make([]ejectionState, len(b.classes)), reportedInFlight: b.meanReportedInFlight}
-		s.subsetRank = mixBits(s.idHash ^ b.subsetSeed)
-		s.subsetRank = uint64(float64(s.subsetRank) / max(1, b.zoneWeight(in.Zone)/zoneRankFactor))
-		s.setLogWeight(b.meanLogWeight())
-		b.knownEndpoints[in.ID] = s
+// endpointFor returns what is known of a listed endpoint. A new one starts with the mean log-weight and load.
+func (b *Balancer) endpointFor(now int64, entry Endpoint) *endpointState {
+	s, known := b.knownEndpoints[entry.ID]
+	if known {
+		return s
+	}
+	s = &endpointState{
+		idHash:           hash(entry.ID),
+		lastSuccessAt:    now,
+		ejections:        make([]ejectionState, len(b.classes)),
+		reportedInFlight: b.loadReports.meanInFlight,
 	}
+	s.subsetRank = b.subsetRank(s, entry.Zone)
+	s.setLogWeight(b.meanLogWeight())
+	b.knownEndpoints[entry.ID] = s
 	return s
 }
 
-// applyListing takes over an entry; a size that says nothing, or is past all measure, counts as one.
-func (s *endpointState) applyListing(in Endpoint, sized bool) {
-	if !sized || !(in.Capacity > 0 && in.Capacity <= maxListedCapacity) {
-		in.Capacity = 1
+// applyEntry takes over an entry. A capacity that isn't listed, or is absurd, counts as one.
+func (s *endpointState) applyEntry(entry Endpoint, capacityListed bool) {
+	if !capacityListed || !(entry.Capacity > 0 && entry.Capacity <= maxListedCapacity) {
+		entry.Capacity = 1
 	} else {
-		s.peakCapacity = max(s.peakCapacity, in.Capacity)
+		s.peakCapacity = max(s.peakCapacity, entry.Capacity)
 	}
-	s.Endpoint, s.listedCapacity = in, in.Capacity
+	s.Endpoint = entry
+	s.listedCapacity = entry.Capacity
 }
 
-// removeUnlisted forgets the place of servers that left the list.
-func (b *Balancer) removeUnlisted(now int64) {
+// dropRemoved takes endpoints that have left out of the list.
+func (b *Balancer) dropRemoved(now int64) {
 	b.endpoints = slices.DeleteFunc(b.endpoints, func(s *endpointState) bool {
 		if s.Phase == Removed {
 			s.inList, s.removedAt = false, now
@@ -105,8 +128,7 @@
 	})
 }
 
-// forgetRemoved forgets servers that left the list long ago; one that a stale list brings back is remembered till then.
-// Guards against a fleet whose servers are replaced all day: each new id stayed for good.
+// forgetRemoved forgets endpoints that left the list long ago.
 func (b *Balancer) forgetRemoved(now int64) {
 	for id, s := range b.knownEndpoints {
 		if !s.inList && now-s.removedAt > removedRetention {
--- a/decide/exp3.go
+++ b/decide/exp3.go
@@ -1,35 +1,48 @@
+// The draw of an endpoint by EXP3, with the words of the paper (docs/design.md names it): an arm is an
+// endpoint of the subset, gamma is the share of exploration, and only the drawn arm learns, by its payoff
+// over the probability of its draw. An endpoint of capacity z counts as z equal arms.
+
 package decide
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	gamma              = 0.07 // share of draws spread evenly: the paper's value
-	maxLearningBoost   = 3.0  // times the paper's rate, where an arm gives few answers: what is learned fades
-	fullPayoffShare    = 0.6  // of the uncrowded calm mark, about its median: faster answers earn all
-	minWeightRetention = 0.9  // of a log-weight's distance from the mean, kept each second at least (the design's)
-	retentionPerAnswer = 0.98 // the same for each answer a server gives: quiet balancers forget more slowly
-	maxRedraws         = 8    // per draw: past that many crowded servers all are crowded, and the draw stands
-	maxLogWeight       = 30.0 // log-weights stay within this of zero: beyond it a sum of floats loses the small ones
+	gamma = 0.07 // the paper's value
+
+	// maxLearningBoost bounds how much faster than the paper's rate a quiet balancer learns, whose weights
+	// decay before the next answers come.
+	maxLearningBoost = 3.0
+
+	// fullPayoffShare of the baseline of a class's latency, which is about the median: faster answers earn
+	// all.
+	fullPayoffShare = 0.6
+
+	minWeightRetention = 0.9  // of a log-weight's distance from the mean, kept each second at least
+	retentionPerAnswer = 0.98 // the same for each answer of an arm: quiet balancers forget slowly
+
+	maxLogWeight = 30.0 // beyond it a sum of weights loses the small ones
+
+	maxRedraws = 8 // with more, all endpoints are above the mean utilization and the draw stands
 )
 
-// drawEndpoint picks a server for r by EXP3 and returns it with its probability, or nil when none has room.
+// drawEndpoint picks an endpoint for r and returns it with the probability of the draw; nil where none is
+// eligible. A draw that finds an endpoint above the mean utilization is repeated.
 func (b *Balancer) drawEndpoint(now int64, r *request) (*endpointState, float64) {
-	home := b.preferredReplica(r)
-	if !b.collectCandidates(now, r, home) {
+	preferred := b.preferredReplica(r)
+	if !b.collectCandidates(now, r, preferred) {
 		return nil, 0
 	}
-	sum, size := b.totalWeight(b.candidates, home)
+	weight, capacity := b.totalWeight(b.candidates, preferred)
 	b.counters.draws++
-	for n, crowd := 0, b.meanUtilization(now); ; n++ {
-		s, p := b.sampleCandidate(sum, size, home)
-		bound := crowd
-		if s == home || b.zoneWeight(s.Zone) > 1 && !b.gossipEnabled() {
-			bound = 1/s.Capacity + 2*crowd // the design's bound: a home or a near one may hold more
+	mean := b.meanUtilization(now)
+	for n := 0; ; n++ {
+		s, probability := b.sampleCandidate(weight, capacity, preferred)
+		bound := mean
+		if s == preferred || b.zoneWeight(s.Zone) > 1 && !b.gossipEnabled() {
+			bound = 1/s.Capacity + 2*mean // more may be in flight at these, the paper's bound
 		}
 		if n == maxRedraws || b.utilization(now, s) <= bound {
-			return s, p
+			return s, probability
 		}
 		if n == 0 {
 			b.counters.redrawn++
@@ -37,50 +50,83 @@
 	}
 }
 
-// sampleCandidate draws one of the candidates at random. A server of listed size z counts as z equal arms, so the
-// design's p = (1-gamma)*w/sum + gamma/M becomes p = (1-gamma)*z*w/sum + gamma*z/size.
-func (b *Balancer) sampleCandidate(sum, size float64, home *endpointState) (*endpointState, float64) {
-	x, p := b.rng.Float64(), 0.0
+// sampleCandidate draws one of the candidates, whose weight and capacity are these in all.
+func (b *Balancer) sampleCandidate(
+	weight, capacity float64, preferred *endpointState,
+) (*endpointState, float64) {
+	x, probability := b.rng.Float64(), 0.0
 	for _, s := range b.candidates {
-		p = b.drawProbability(s, home, sum, size)
-		if x -= p; x < 0 {
-			return s, p
+		probability = b.drawProbability(s, preferred, weight, capacity)
+		if x -= probability; x < 0 {
+			return s, probability
 		}
 	}
-	return b.candidates[len(b.candidates)-1], p
+	return b.candidates[len(b.candidates)-1], probability
+}
+
+// drawProbability is the probability that a draw among endpoints of that weight and capacity in all picks s:
+// (1-gamma)*w/sum(w) + gamma/M, with s as s.Capacity arms.
+func (b *Balancer) drawProbability(s, preferred *endpointState, weight, capacity float64) float64 {
+	return (1-gamma)*b.drawWeight(s, preferred)/weight + gamma*s.Capacity/capacity
 }
 
-// drawProbability is how likely a draw among servers of that weight and size in all picks s.
-func (b *Balancer) drawProbability(s, home *endpointState, sum, size float64) float64 {
-	return (1-gamma)*b.drawWeight(s, home)/sum + gamma*s.Capacity/size
+// totalWeight adds up the weights and the capacity of endpoints.
+func (b *Balancer) totalWeight(
+	endpoints []*endpointState, preferred *endpointState,
+) (weight, capacity float64) {
+	for _, s := range endpoints {
+		weight += b.drawWeight(s, preferred)
+		capacity += s.Capacity
+	}
+	return weight, capacity
 }
 
-// drawWeight is the server's weight over all its arms, raised where the request's key is at home. A limit
-// under one counts as that part of it. Guards against many balancers that take turns at a jammed server and
-// keep it so: work they gave up on still goes on there.
-func (b *Balancer) drawWeight(s, home *endpointState) float64 {
-	w := s.Capacity * s.weight * min(1, b.concurrencyBound(s)) * b.zoneWeight(s.Zone) * b.loadWeight(s) * s.slowStartTokens.weightFactor(len(b.subset))
-	if s == home {
+// drawWeight is the weight of s over all its arms, times the factors of the other rules. A concurrency limit
+// below one counts as that part of the weight, or many balancers would take turns at a congested endpoint and
+// keep it so.
+func (b *Balancer) drawWeight(s, preferred *endpointState) float64 {
+	w := s.Capacity * s.weight * min(1, b.concurrencyBound(s)) * b.zoneWeight(s.Zone) * b.loadWeight(s) *
+		s.slowStartTokens.weightFactor(len(b.subset))
+	if s == preferred {
 		return affinityBoost * float64(len(b.subset)) * w
 	}
 	return w
 }
 
-// updateWeight is EXP3's update of the drawn server: w*exp(gamma*r/(p*M)), faster at a quiet balancer.
+// updateWeight lets the drawn arm learn: w*exp(rate*payoff/(p*M)).
 func (b *Balancer) updateWeight(a *attempt, payoff float64) {
-	a.endpoint.setLogWeight(a.endpoint.logWeight + b.learningRate*payoff/(a.probability*float64(max(1, len(b.subset)))))
+	arms := float64(max(1, len(b.subset)))
+	a.endpoint.setLogWeight(a.endpoint.logWeight + b.learningRate*payoff/(a.probability*arms))
 }
 
-// payoff is 1 for an answer as fast as from a server at ease, falls with the latency after that, and is 0 for
-// a failure. Guards against slow machines that keep their part at every balancer until they are late.
+// payoff is 1 for an answer as fast as from an endpoint that is not congested, falls with the latency after
+// that, and is 0 for a failure. It falls before the latency objective, so that slow machines get less before
+// they are late.
 func (r *request) payoff(o Outcome) float64 {
 	if o.Result != Succeeded {
 		return 0
 	}
-	return min(1, fullPayoffShare*r.class.baselineP90*float64(r.latencyObjective)/float64(r.classRules.LatencyObjective*max(1, o.Latency)))
+	full := fullPayoffShare * r.class.baselineP90 * float64(r.latencyObjective)
+	return min(1, full/float64(r.classRules.LatencyObjective*max(1, o.Latency)))
 }
 
-// meanLogWeight is the mean log-weight, where a new server starts.
+// decayWeights lets the log-weights return to their mean, once a second.
+func (b *Balancer) decayWeights() {
+	answersPerArm := float64(b.rates.successesThisSecond) / float64(max(1, len(b.subset)))
+	keep := max(minWeightRetention, math.Pow(retentionPerAnswer, answersPerArm))
+	mean := b.meanLogWeight()
+	for _, s := range b.endpoints {
+		s.setLogWeight((s.logWeight - mean) * keep)
+	}
+}
+
+// updateLearningRate sets the rate by how many answers an arm gives.
+func (b *Balancer) updateLearningRate() {
+	answersPerArm := b.rates.perCapacity[groupSubset] * float64(second)
+	b.learningRate = gamma * min(max(1, busyThroughput/answersPerArm), maxLearningBoost)
+}
+
+// meanLogWeight is that of the subset, where a new endpoint starts.
 func (b *Balancer) meanLogWeight() (mean float64) {
 	for _, s := range b.subset {
 		mean += s.logWeight / float64(len(b.subset))
@@ -88,16 +134,8 @@
 	return mean
 }
 
-// setLogWeight keeps the weight beside its logarithm.
+// setLogWeight sets the weight by its logarithm.
 func (s *endpointState) setLogWeight(l float64) {
 	s.logWeight = min(max(l, -maxLogWeight), maxLogWeight)
 	s.weight = math.Exp(s.logWeight)
 }
-
-// totalWeight sums the weights and sizes of servers, as the odds of a draw among them need.
-func (b *Balancer) totalWeight(servers []*endpointState, home *endpointState) (sum, size float64) {
-	for _, s := range servers {
-		sum, size = sum+b.drawWeight(s, home), size+s.Capacity
-	}
-	return sum, size
-}
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -58,7 +58,7 @@
 	n map[string]int
 }
 
-func (m *mouth) SendAttempt(request, server string, timeout int64) {
+func (m *mouth) SendAttempt(request, server string, _ int64) {
 	done := m.c.now + 60_000
 	if m.c.busy != nil { // one after the other, 30 ms each, and 30 ms on the way
 		done = max(m.c.now, m.c.busy[server]) + 30_000
@@ -349,7 +349,7 @@
 		set.Rules.OverloadFactor = factor
 		b := newCrowd(2, set, 0, fleet(4)).bs[0]
 		s, now := b.endpoints[0], 2000*second
-		b.throughputPerCapacity[1], s.slowStartSince, s.slowStartTokens = 10/float64(second), now-1, expiringTokenBucket{updatedAt: now - second/10}
+		b.rates.perCapacity[1], s.slowStartSince, s.slowStartTokens = 10/float64(second), now-1, expiringTokenBucket{updatedAt: now - second/10}
 		b.slowStartAdmits(now, s)
 		near(t, fmt.Sprint("tokens where the factor is ", factor), s.slowStartTokens.tokens, want, 1e-3)
 	}
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -1,188 +1,227 @@
+// What balancers tell each other: the attempts that each has in flight at the endpoints of its subset. It
+// acts only where Settings.Limits.Gossip is set. The bytes of a message are in gossip_message.go.
+//
+// A message of one endpoint goes to the balancers that share it, at each send and each end of an attempt
+// there. One of the whole subset goes to all balancers now and then, so that they learn who shares what.
+
 package decide
 
-import (
-	"math"
-	"slices"
-)
+import "slices"
 
 const (
-	peerLoadIntervals         = 3           // words to all may fail to come before a sharer is forgotten
-	peerLoadTTL               = second      // that a count told holds: its end may be lost
-	gossipLossTimeout         = second / 4  // without a word from anybody, past which words are taken to be lost
-	maxGossipFanout           = 24.0        // balancers that a word goes to
-	gossipCPUPerPeer          = 400.0       // µs of CPU a second for each of them
-	fleetGossipFanout         = 16_000.0    // of all balancers together: words of a large fleet fill the links
-	minGossipInterval         = 20 * second // µs between two words to all, up to twice that
-	gossipIntervalPerBalancer = 100_000     // µs of that time for each balancer: a word to all costs each of them
-	minGossipChangeInterval   = 4 * second  // µs, sooner than that where what it draws from has changed
-	gossipChangePerPair       = 100         // µs of this for each pair of balancers
+	// peerLoadTTL is how long a count holds: the message that ends it may be lost.
+	peerLoadTTL = second
+	// peerLoadIntervals of gossipInterval without a message, and a balancer no longer counts as sharing an
+	// endpoint.
+	peerLoadIntervals = 3
+	// gossipLossTimeout without a message of any balancer: the messages are taken to be lost.
+	gossipLossTimeout = second / 4
+
+	maxGossipFanout   = 24.0
+	gossipCPUPerPeer  = 400.0    // µs of CPU per second that each receiver needs for each sender
+	fleetGossipFanout = 16_000.0 // of all balancers together, which the links can take
+
+	// Between two messages to all: from this time up to twice that, longer in a large fleet.
+	minGossipInterval         = 20 * second
+	gossipIntervalPerBalancer = 100 * millisecond
+
+	// The same after the subset has changed.
+	minGossipChangeInterval     = 4 * second
+	gossipChangeIntervalPerPair = millisecond / 10 // for each pair of balancers
+
+	// expectedDispatchers of those that hear of free capacity dispatch their queue, since messages may be
+	// lost.
+	expectedDispatchers = 2.0
 )
 
-// gossipEndpoint tells those who draw from s what this balancer has out there.
-func (b *Balancer) gossipEndpoint(now int64, s *endpointState) {
-	if b.gossipEnabled() && s.inSubset && len(s.peerLoads) > 0 {
-		w := b.encodeGossip(s)
-		for _, p := range s.peerLoads[:min(len(s.peerLoads), b.gossipFanout())] {
-			b.actions.SendGossip(p.peer, w)
-		}
+// gossipState is what a balancer knows of its peers.
+type gossipState struct {
+	peers          []peerState // by balancer index
+	endpointsByTag map[[2]byte]*endpointState
+	lastSentAt     int64 // of messages to all
+	nextSendAt     int64
+	lastReceivedAt int64  // of any message
+	seq            byte   // of the messages sent
+	buffer         []byte // scratch space of encodeGossip
+}
+
+// peerState is what the last message of a balancer said.
+type peerState struct {
+	seq        byte
+	receivedAt int64            // 0: never
+	endpoints  []*endpointState // in its subset
+}
+
+// peerLoad is what a balancer has in flight at an endpoint, by its last message.
+type peerLoad struct {
+	peer       int // index of the balancer
+	inFlight   int
+	receivedAt int64
+}
+
+// gossipEnabled reports whether balancers may send each other messages.
+func (b *Balancer) gossipEnabled() bool { return b.settings.Limits.Gossip }
+
+// gossipLost reports whether messages are taken to be lost.
+func (b *Balancer) gossipLost(now int64) bool {
+	return b.gossipEnabled() && now-b.gossip.lastReceivedAt > gossipLossTimeout
+}
+
+// gossipEndpoint sends what is in flight at s to those that share it.
+func (b *Balancer) gossipEndpoint(s *endpointState) {
+	if !b.gossipEnabled() || !s.inSubset || len(s.peerLoads) == 0 {
+		return
+	}
+	message := b.encodeGossip(s)
+	for _, load := range s.peerLoads[:min(len(s.peerLoads), b.gossipFanout())] {
+		b.actions.SendGossip(load.peer, message)
 	}
 }
 
-// gossipSubset tells all what this balancer draws from when it is time: soon after that has changed.
+// gossipSubset sends the whole subset to all balancers when it is time.
 func (b *Balancer) gossipSubset(now int64) {
-	if b.gossipEnabled() && now >= b.nextGossipAt {
-		b.lastGossipAt, b.nextGossipAt = now, now+b.gossipInterval()+b.rng.Int64N(b.gossipInterval())
-		b.actions.SendGossip(-1, b.encodeGossip(b.subset...))
+	if !b.gossipEnabled() || now < b.gossip.nextSendAt {
+		return
 	}
+	b.gossip.lastSentAt = now
+	b.gossip.nextSendAt = now + b.gossipInterval() + b.rng.Int64N(b.gossipInterval())
+	b.actions.SendGossip(-1, b.encodeGossip(b.subset...))
+}
+
+// subsetChanged brings the next message to all forward, to that long after the last one.
+func (g *gossipState) subsetChanged(interval int64) {
+	g.nextSendAt = min(g.nextSendAt, g.lastSentAt+interval)
 }
 
-// OnGossip takes in another balancer's message.
-func (b *Balancer) OnGossip(now int64, from int, word []byte) {
+// OnGossip takes another balancer's message. One that is damaged, old, or of an unknown version or sender is
+// ignored.
+func (b *Balancer) OnGossip(now int64, from int, message []byte) {
 	if !b.gossipEnabled() {
 		return
 	}
-	ok, met := b.handleGossip(now, from, word)
-	if met { // it may not know of this one: it started anew, or a word to all was lost
+	accepted, newSharer := b.handleGossip(now, from, message)
+	if newSharer { // it may have been restarted, or have missed the last message to all
 		b.actions.SendGossip(from, b.encodeGossip(b.subset...))
 	}
-	if ok {
-		b.lastGossipReceivedAt = now
-		if len(b.queue) > 0 && b.rng.Float64()*b.balancersPerEndpoint() < expectedDispatchers {
-			b.dispatchQueued(now)
-		}
+	if !accepted {
+		return
+	}
+	b.gossip.lastReceivedAt = now
+	if len(b.queue) > 0 && b.rng.Float64()*b.balancersPerEndpoint() < expectedDispatchers {
+		b.dispatchQueued(now)
 	}
 }
 
-// peerLoad is another balancer that draws from a server, as it last told.
-type peerLoad struct {
-	peer, inFlight int
-	reportedAt     int64
-}
-
-// peerState is the last word heard of a balancer.
-type peerState struct {
-	seq        byte
-	receivedAt int64            // 0: never
-	endpoints  []*endpointState // where it is a sharer
-}
-
-// handleGossip takes in a message, unless it is none, damaged, of another version, old, or from itself. Of servers not
-// listed here it keeps nothing. met: the sender is new as a sharer of an arm.
-func (b *Balancer) handleGossip(now int64, from int, w []byte) (ok, met bool) {
-	if len(w) < gossipHeaderBytes || len(w) > maxGossipBytes || (len(w)-gossipHeaderBytes)%gossipEntryBytes != 0 || w[0]&^gossipSeqMask != gossipVersion ||
-		from == b.settings.BalancerIndex || from < 0 || from >= b.settings.BalancerCount {
+// handleGossip takes in a message if it is valid. newSharer: the sender is new to an endpoint of the subset.
+func (b *Balancer) handleGossip(now int64, from int, message []byte) (accepted, newSharer bool) {
+	fromPeer := from != b.settings.BalancerIndex && from >= 0 && from < b.settings.BalancerCount
+	if !fromPeer || !validGossip(message) {
 		return false, false
 	}
-	for e := gossipHeaderBytes; e < len(w); e += gossipEntryBytes {
-		if w[e+2]&15 != gossipChecksum(w[0], w[1], w[e], w[e+1], w[e+2]>>4) {
-			return false, false
-		}
-	}
-	for len(b.peers) <= from {
-		b.peers = append(b.peers, peerState{})
+	for len(b.gossip.peers) <= from {
+		b.gossip.peers = append(b.gossip.peers, peerState{})
 	}
-	v, seq := &b.peers[from], w[0]&gossipSeqMask
-	if v.receivedAt > 0 && now-v.receivedAt < second && (seq-v.seq-1)&gossipSeqMask >= gossipSeqHalf {
+	peer, seq := &b.gossip.peers[from], gossipSeq(message)
+	if peer.receivedAt > 0 && now-peer.receivedAt < second && !newerGossip(seq, peer.seq) {
 		return false, false
 	}
-	v.seq, v.receivedAt = seq, now
-	if w[1] < 255 && from+1 != b.gossipedIdlePeer { // it has evidence, and did not tell the last
-		if idle := gossipIdleUnit * math.Exp(gossipIdleLogStep*float64(w[1])); idle < b.safeIdleTime {
-			b.safeIdleTime = min(b.safeIdleTime, max(idle, b.gossipedIdleBound)) // the higher of what two have told
-			b.gossipedIdleBound, b.gossipedIdlePeer = idle, from+1
-		}
+	peer.seq, peer.receivedAt = seq, now
+	if idle, known := gossipIdleTime(message); known {
+		b.idle.observeGossiped(from, idle)
 	}
-	if len(w) != gossipHeaderBytes+gossipEntryBytes { // all its servers: it has left the others
-		v.endpoints = slices.DeleteFunc(v.endpoints, func(s *endpointState) bool {
-			left := !mentions(w, s)
-			if left {
-				s.peerLoads = slices.DeleteFunc(s.peerLoads, func(p peerLoad) bool { return p.peer == from })
-			}
-			return left
-		})
-	}
-	for e := gossipHeaderBytes; e < len(w); e += gossipEntryBytes {
-		if s := b.endpointsByTag[[2]byte{w[e], w[e+1]}]; s != nil {
-			met = b.recordPeerLoad(now, s, from, int(w[e+2]>>4)) || met
+	if describesSubset(message) {
+		b.dropPeerLoads(peer, from, message)
+	}
+	for tag, inFlight := range gossipEntries(message) {
+		if s := b.gossip.endpointsByTag[tag]; s != nil {
+			newSharer = b.recordPeerLoad(now, s, from, inFlight) || newSharer
 		}
 	}
-	return true, met
+	return true, newSharer
 }
 
-// recordPeerLoad writes down what a sharer holds at s and tells whether it is new as a sharer of an arm.
-func (b *Balancer) recordPeerLoad(now int64, s *endpointState, from, held int) bool {
-	at := slices.IndexFunc(s.peerLoads, func(p peerLoad) bool { return p.peer == from })
-	fresh := at < 0
-	if fresh {
+// dropPeerLoads forgets a balancer at the endpoints that its message, of its whole subset, doesn't mention.
+func (b *Balancer) dropPeerLoads(peer *peerState, from int, message []byte) {
+	peer.endpoints = slices.DeleteFunc(peer.endpoints, func(s *endpointState) bool {
+		if mentions(message, s) {
+			return false
+		}
+		s.peerLoads = slices.DeleteFunc(s.peerLoads, func(load peerLoad) bool { return load.peer == from })
+		return true
+	})
+}
+
+// recordPeerLoad sets what a balancer has in flight at s, and reports whether it is new to an endpoint of the
+// subset.
+func (b *Balancer) recordPeerLoad(now int64, s *endpointState, from, inFlight int) bool {
+	at := slices.IndexFunc(s.peerLoads, func(load peerLoad) bool { return load.peer == from })
+	added := at < 0
+	if added {
 		at = b.insertPeerLoad(s, from)
-		if v := &b.peers[from]; !slices.Contains(v.endpoints, s) {
-			v.endpoints = append(v.endpoints, s)
+		if peer := &b.gossip.peers[from]; !slices.Contains(peer.endpoints, s) {
+			peer.endpoints = append(peer.endpoints, s)
 		}
 	}
-	s.peerLoads[at].inFlight, s.peerLoads[at].reportedAt = held, now
-	return fresh && s.inSubset
+	s.peerLoads[at].inFlight, s.peerLoads[at].receivedAt = inFlight, now
+	return added && s.inSubset
 }
 
-// insertPeerLoad adds a sharer to a server's: those that come next after this balancer's number are first.
+// insertPeerLoad adds a balancer to those that share s. They are in the order of their indexes, from the one
+// after this balancer's own, so that each sends to others where a message can't go to all.
 func (b *Balancer) insertPeerLoad(s *endpointState, from int) int {
-	far := func(n int) int {
-		return (n - b.settings.BalancerIndex + b.settings.BalancerCount) % b.settings.BalancerCount
-	}
+	count := b.settings.BalancerCount
+	distance := func(peer int) int { return (peer - b.settings.BalancerIndex + count) % count }
 	at := 0
-	for at < len(s.peerLoads) && far(s.peerLoads[at].peer) < far(from) {
+	for at < len(s.peerLoads) && distance(s.peerLoads[at].peer) < distance(from) {
 		at++
 	}
 	s.peerLoads = slices.Insert(s.peerLoads, at, peerLoad{peer: from})
 	return at
 }
 
-// gossipInterval is the time between two words to all, at the most: longer where there are many to tell.
-func (b *Balancer) gossipInterval() int64 {
-	return max(minGossipInterval, int64(b.settings.BalancerCount)*gossipIntervalPerBalancer)
-}
-
-// gossipChangeInterval is the time between them where what this balancer draws from has changed.
-func (b *Balancer) gossipChangeInterval() int64 {
-	return max(minGossipChangeInterval, gossipChangePerPair*int64(b.settings.BalancerCount)*int64(b.settings.BalancerCount))
-}
-
-// expirePeerLoads drops those not heard for long.
+// expirePeerLoads forgets balancers that have sent nothing for long.
 func (b *Balancer) expirePeerLoads(now int64) {
+	expired := func(load peerLoad) bool { return now-load.receivedAt > peerLoadIntervals*b.gossipInterval() }
 	for _, s := range b.endpoints {
-		s.peerLoads = slices.DeleteFunc(s.peerLoads, func(p peerLoad) bool { return now-p.reportedAt > peerLoadIntervals*b.gossipInterval() })
+		s.peerLoads = slices.DeleteFunc(s.peerLoads, expired)
 	}
 }
 
-// gossipEnabled tells whether balancers may tell one another what they have out.
-func (b *Balancer) gossipEnabled() bool { return b.settings.Limits.Gossip }
-
-// gossipLost tells whether the words of the others are lost.
-func (b *Balancer) gossipLost(now int64) bool {
-	return b.gossipEnabled() && now-b.lastGossipReceivedAt > gossipLossTimeout
-}
-
-// totalInFlight is what all balancers that draw from s have out there, as far as this one was told.
+// totalInFlight is what all balancers have in flight at s, as far as they told. Where messages are lost the
+// others are taken to have as much as this one.
 func (b *Balancer) totalInFlight(now int64, s *endpointState) float64 {
 	if len(s.peerLoads) == 0 && !b.gossipEnabled() {
 		return float64(s.inFlight)
 	}
-	n := 0
-	if b.gossipLost(now) { // words are lost: the others are taken to do as this one does
+	if b.gossipLost(now) {
 		return float64(s.inFlight) * b.balancersPerEndpoint()
 	}
+	others := 0
 	for i := range s.peerLoads {
-		if p := &s.peerLoads[i]; now-p.reportedAt < peerLoadTTL {
-			n += p.inFlight
+		if load := &s.peerLoads[i]; now-load.receivedAt < peerLoadTTL {
+			others += load.inFlight
 		}
 	}
-	return float64(s.inFlight) + float64(n)*max(1, float64(len(s.peerLoads))/float64(b.gossipFanout()))
+	// Where more balancers share s than a message goes to, those heard of stand for all.
+	return float64(s.inFlight) + float64(others)*max(1, float64(len(s.peerLoads))/float64(b.gossipFanout()))
+}
+
+// gossipInterval is the least time between two messages to all.
+func (b *Balancer) gossipInterval() int64 {
+	return max(minGossipInterval, int64(b.settings.BalancerCount)*gossipIntervalPerBalancer)
+}
+
+// gossipChangeInterval is that time where the subset has changed.
+func (b *Balancer) gossipChangeInterval() int64 {
+	count := int64(b.settings.BalancerCount)
+	return max(minGossipChangeInterval, gossipChangeIntervalPerPair*count*count)
 }
 
-// gossipFanout is how many a word goes to: each that comes costs its receiver some of the CPU that it has.
+// gossipFanout is how many balancers a message of one endpoint goes to.
 func (b *Balancer) gossipFanout() int {
-	most := min(maxGossipFanout, fleetGossipFanout/float64(max(1, b.settings.BalancerCount)))
+	fanout := min(maxGossipFanout, fleetGossipFanout/float64(max(1, b.settings.BalancerCount)))
 	if b.settings.Limits.CPU > 0 {
-		most = min(most, float64(b.settings.Limits.CPU)/gossipCPUPerPeer)
+		fanout = min(fanout, float64(b.settings.Limits.CPU)/gossipCPUPerPeer)
 	}
-	return int(max(1, most))
+	return int(max(1, fanout))
 }
--- a/decide/gossip_message.go
+++ b/decide/gossip_message.go
@@ -1,35 +1,70 @@
+// The bytes of a gossip message. Balancers of different versions read each other's, so this format doesn't
+// change without its version.
+//
+//	byte 0      version (2 bits), sequence number (6 bits)
+//	byte 1      safe idle time, on a logarithmic scale
+//	3 per entry two bytes of the endpoint's hash; attempts in flight (4 bits), checksum (4 bits)
+//
+// A message with one entry is of that endpoint; one with more, or none, lists the sender's whole subset.
+
 package decide
 
 import (
+	"iter"
 	"math"
 )
 
 const (
-	gossipVersion     = 1 << 6 // in the two high bits of the first byte; the others are a number that grows with each word
-	gossipSeqMask     = 1<<6 - 1
-	gossipSeqHalf     = 1 << 5              // newer than the last by less than this, in steps of one
-	gossipHeaderBytes = 2                   // bytes: the one above, and how long connections may be idle, in steps of a tenth
-	gossipIdleUnit    = 50_000              // µs, of which the steps count
-	gossipIdleLogStep = 0.09531017980432493 // of their logarithm: a tenth
-	gossipEntryBytes  = 3                   // bytes: two of the server's hash; the count and four bits that check the entry
-	maxGossipBytes    = 64                  // bytes of a message
-	maxGossipInFlight = 15                  // attempts that an entry can tell of
+	gossipVersion = 1 << 6 // in the two high bits
+
+	gossipSeqMask = 1<<6 - 1
+	gossipSeqHalf = 1 << 5 // a message is newer than another by less than this
+
+	gossipHeaderBytes = 2
+	gossipEntryBytes  = 3
+	maxGossipBytes    = 64
+
+	maxGossipInFlight = 15
+
+	// The safe idle time is gossipIdleUnitMicros * exp(gossipIdleLogStep * byte), steps of a tenth.
+	gossipIdleUnitMicros = 50_000
+	gossipIdleLogStep    = 0.09531017980432493 // log(1.1)
+	gossipIdleUnknown    = 255                 // or longer than can be told
 )
 
-// encodeGossip writes a message of this balancer's attempts at some servers. More than one entry, or none, are all
-// servers that it draws from.
-func (b *Balancer) encodeGossip(servers ...*endpointState) []byte {
-	b.gossipSeq++
-	head := gossipVersion | b.gossipSeq&gossipSeqMask
-	idle := byte(min(math.Log(max(1, b.safeIdleTime/gossipIdleUnit))/gossipIdleLogStep, 255))
-	b.gossipBuffer = append(b.gossipBuffer[:0], head, idle)
-	for _, s := range servers[:min(len(servers), (maxGossipBytes-gossipHeaderBytes)/gossipEntryBytes)] {
-		hi, lo, held := s.gossipTag()[0], s.gossipTag()[1], byte(min(s.inFlight, maxGossipInFlight))
-		b.gossipBuffer = append(b.gossipBuffer, hi, lo, held<<4|gossipChecksum(head, idle, hi, lo, held))
+// encodeGossip writes a message of own attempts at endpoints. It is valid until the next one is written.
+func (b *Balancer) encodeGossip(endpoints ...*endpointState) []byte {
+	g := &b.gossip
+	g.seq++
+	head := gossipVersion | g.seq&gossipSeqMask
+	steps := math.Log(max(1, b.idle.safeTime/gossipIdleUnitMicros)) / gossipIdleLogStep
+	idle := byte(min(steps, gossipIdleUnknown))
+	g.buffer = append(g.buffer[:0], head, idle)
+	for _, s := range endpoints[:min(len(endpoints), (maxGossipBytes-gossipHeaderBytes)/gossipEntryBytes)] {
+		tag, inFlight := s.gossipTag(), byte(min(s.inFlight, maxGossipInFlight))
+		checksum := gossipChecksum(head, idle, tag[0], tag[1], inFlight)
+		g.buffer = append(g.buffer, tag[0], tag[1], inFlight<<4|checksum)
+	}
+	return g.buffer
+}
+
+// validGossip reports whether a message is of this version and undamaged.
+func validGossip(m []byte) bool {
+	if len(m) < gossipHeaderBytes || len(m) > maxGossipBytes {
+		return false
+	}
+	if (len(m)-gossipHeaderBytes)%gossipEntryBytes != 0 || m[0]&^gossipSeqMask != gossipVersion {
+		return false
+	}
+	for e := gossipHeaderBytes; e < len(m); e += gossipEntryBytes {
+		if m[e+2]&15 != gossipChecksum(m[0], m[1], m[e], m[e+1], m[e+2]>>4) {
+			return false
+		}
 	}
-	return b.gossipBuffer
+	return true
 }
 
+// gossipChecksum is four bits of FNV-1a.
 func gossipChecksum(bytes ...byte) byte {
 	sum := uint32(2166136261)
 	for _, c := range bytes {
@@ -38,17 +73,54 @@
 	return byte(sum >> 28)
 }
 
-// gossipTag stands for s in a word: two bytes of its hash. Servers with the same tag are few, and count for one of them.
-func (s *endpointState) gossipTag() [2]byte {
-	return [2]byte{byte(s.idHash >> 40), byte(s.idHash >> 32)}
+// gossipSeq is the sequence number of a valid message.
+func gossipSeq(m []byte) byte { return m[0] & gossipSeqMask }
+
+// newerGossip reports whether a sequence number is newer than another; they wrap around.
+func newerGossip(seq, than byte) bool { return (seq-than-1)&gossipSeqMask < gossipSeqHalf }
+
+// gossipIdleTime is the safe idle time of a valid message, in µs, if its sender knows one.
+func gossipIdleTime(m []byte) (idle float64, known bool) {
+	if m[1] == gossipIdleUnknown {
+		return 0, false
+	}
+	return gossipIdleUnitMicros * math.Exp(gossipIdleLogStep*float64(m[1])), true
+}
+
+// describesSubset reports whether a valid message lists the sender's whole subset.
+func describesSubset(m []byte) bool { return len(m) != gossipHeaderBytes+gossipEntryBytes }
+
+// gossipEntries yields the tags and the attempts in flight of a valid message, in its order.
+func gossipEntries(m []byte) iter.Seq2[[2]byte, int] {
+	return func(yield func([2]byte, int) bool) {
+		for e := gossipHeaderBytes; e < len(m); e += gossipEntryBytes {
+			if !yield([2]byte{m[e], m[e+1]}, int(m[e+2]>>4)) {
+				return
+			}
+		}
+	}
 }
 
-// mentions tells whether a word has an entry of s.
-func mentions(w []byte, s *endpointState) bool {
-	for e := gossipHeaderBytes; e < len(w); e += gossipEntryBytes {
-		if [2]byte{w[e], w[e+1]} == s.gossipTag() {
+// mentions reports whether a valid message has an entry of s.
+func mentions(m []byte, s *endpointState) bool {
+	for tag := range gossipEntries(m) {
+		if tag == s.gossipTag() {
 			return true
 		}
 	}
 	return false
 }
+
+// gossipTag stands for s in a message: two bytes of its hash. Of endpoints with the same tag one counts for
+// all.
+func (s *endpointState) gossipTag() [2]byte {
+	return [2]byte{byte(s.idHash >> 40), byte(s.idHash >> 32)}
+}
+
+// indexGossipTags finds the listed endpoints by their tags.
+func (b *Balancer) indexGossipTags() {
+	clear(b.gossip.endpointsByTag)
+	for _, s := range b.endpoints {
+		b.gossip.endpointsByTag[s.gossipTag()] = s
+	}
+}
--- a/decide/hash.go
+++ b/decide/hash.go
@@ -1,6 +1,6 @@
 package decide
 
-// hash is FNV-1a; mix spreads it over all bits.
+// hash is FNV-1a. All balancers hash alike, also those of other versions.
 func hash(text string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(text) {
@@ -9,6 +9,7 @@
 	return h
 }
 
+// mixBits spreads a hash over all its bits, as MurmurHash3 ends.
 func mixBits(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
--- a/decide/health_checks.go
+++ b/decide/health_checks.go
@@ -1,24 +1,30 @@
+// When endpoints are health checked: where they report their load to health checks alone, which cost
+// something. Without them slow machines would get as much as fast ones until they are overloaded.
+
 package decide
 
-const (
-	healthCheckSpend = 0.002 // points for probes, of what a day may earn
-)
+// healthCheckSpend is the part of the service objective that health checks may cost.
+const healthCheckSpend = 0.002
 
-// checkHealth probes the arms where servers tell of themselves to probes alone, as often as their price leaves little
-// to notice. Guards against slow machines that get as much as fast ones until they choke: in two seconds.
+// checkHealth checks the subset, once a second at most, and as seldom as the price asks for.
 func (b *Balancer) checkHealth(now int64) {
-	wait := float64(second*int64(len(b.subset))) * b.settings.HealthCheckPrice / (healthCheckSpend * max(1, b.requestRate))
-	if b.settings.LoadFromHealthChecks && b.settings.Limits.HealthChecks && float64(now-b.lastHealthCheckAt) >= wait {
-		b.lastHealthCheckAt = now
-		for _, s := range b.subset {
-			b.actions.CheckHealth(s.ID)
-		}
+	if !b.settings.LoadFromHealthChecks || !b.settings.Limits.HealthChecks {
+		return
+	}
+	price := float64(second*int64(len(b.subset))) * b.settings.HealthCheckPrice
+	interval := price / (healthCheckSpend * max(1, b.rates.requests))
+	if float64(now-b.lastHealthCheckAt) < interval {
+		return
+	}
+	b.lastHealthCheckAt = now
+	for _, s := range b.subset {
+		b.actions.CheckHealth(s.ID)
 	}
 }
 
-// OnHealthCheck takes in what a server tells to a probe.
-func (b *Balancer) OnHealthCheck(now int64, p HealthCheck) {
-	if s := b.knownEndpoints[p.Server]; s != nil && p.Result == Succeeded {
-		b.recordLoadReport(s, p.Load)
+// OnHealthCheck takes the end of a health check. It says nothing but the load: a failed one ejects nobody.
+func (b *Balancer) OnHealthCheck(_ int64, c HealthCheck) {
+	if s := b.knownEndpoints[c.Server]; s != nil && c.Result == Succeeded {
+		b.recordLoadReport(s, c.Load)
 	}
 }
--- a/decide/idempotency.go
+++ b/decide/idempotency.go
@@ -1,6 +1,11 @@
+// Rule 2: no request that is not idempotent takes effect twice.
+//
+// An attempt whose result doesn't prove the contrary may have run. After it a request is sent again only
+// where the endpoint recognizes the repeat, and is rejected only where a repeat by the client is harmless.
+
 package decide
 
-// repeatIsSafe is rule 2 for a send: it tells whether s cannot cause the effect a second time.
+// repeatIsSafe reports whether a send to s can't cause the effect a second time.
 func (r *request) repeatIsSafe(now int64, s *endpointState) bool {
 	first := r.firstPossiblyExecuted()
 	if first == nil || r.classRules.Semantics == Idempotent {
@@ -18,14 +23,18 @@
 	return true
 }
 
-// rejectIsSafe is rule 2 for a refusal: it tells whether a new try of the client is harmless.
+// rejectIsSafe reports whether the client may send the request again, as a rejection invites it to: to any
+// endpoint.
 func (r *request) rejectIsSafe(now int64) bool {
 	first := r.firstPossiblyExecuted()
-	return first == nil || r.classRules.Semantics == Idempotent ||
-		r.classRules.Semantics == IdempotencyKeyed && r.classRules.DedupScope == ScopeAll && now-first.sentAt < r.classRules.DedupWindow
+	if first == nil || r.classRules.Semantics == Idempotent {
+		return true
+	}
+	return r.classRules.Semantics == IdempotencyKeyed && r.classRules.DedupScope == ScopeAll &&
+		now-first.sentAt < r.classRules.DedupWindow
 }
 
-// firstPossiblyExecuted returns the first attempt that may have run, or nil.
+// firstPossiblyExecuted returns the first attempt that may have run, or nil. An attempt in flight may have.
 func (r *request) firstPossiblyExecuted() *attempt {
 	if r.priorAttempt != nil {
 		return r.priorAttempt
--- a/decide/key_affinity.go
+++ b/decide/key_affinity.go
@@ -1,41 +1,48 @@
+// Affinity of keys to endpoints: where an endpoint does keys that it served lately faster, all balancers send
+// a key to the same few endpoints, its preferred replicas, without a word between them.
+
 package decide
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	replicasPerShare = 2.0  // homes of a key for each mean server's part of the requests that ask for it
-	minKeyRequests   = 20.0 // requests that a key's part is taken of at the least
-	affinityBoost    = 2.0  // times all arms together weighs a key's home: with more, slow homes keep their keys
+	// replicasPerShare is how many more replicas a key has for each mean endpoint's share of the requests
+	// that ask for it, so that no endpoint gets a hot key alone.
+	replicasPerShare = 2.0
+	// minKeyRequests is added to the requests that a key's share is taken of, of which there may be few.
+	minKeyRequests = 20.0
+	// affinityBoost times the weight of the whole subset is the weight of the preferred replica. With more, a
+	// slow one would keep its keys.
+	affinityBoost = 2.0
 )
 
-// affinityReplica counts a request for a key and picks one of its homes, more for a key that is a large part of the
-// requests seen here; 0: none. Guards against hot keys that flood one server from every balancer.
-func (b *Balancer) affinityReplica(name string) uint64 {
-	if !b.settings.KeyAffinity || name == "" {
+// affinityReplica counts a request for a key and picks one of the key's replicas at random, as a hash; 0: it
+// has none.
+func (b *Balancer) affinityReplica(key string) uint64 {
+	if !b.settings.KeyAffinity || key == "" {
 		return 0
 	}
-	key := hash(name)
-	books := b.keyStatsFor(name)
-	books.requests++
-	b.keyRequests++
-	more := int(replicasPerShare * float64(len(b.endpoints)) * books.requests / (b.keyRequests + minKeyRequests))
-	return mixBits(key+uint64(b.rng.IntN(1+more))) | 1
+	stats := b.keyStatsFor(key)
+	stats.requests++
+	b.keys.requests++
+	total := b.keys.requests + minKeyRequests
+	more := int(replicasPerShare * float64(len(b.endpoints)) * stats.requests / total)
+	return mixBits(hash(key)+uint64(b.rng.IntN(1+more))) | 1
 }
 
-// preferredReplica is the server that all balancers with this list pick for a replica of a key, by rendezvous hashing
-// over sizes: where servers do known keys faster, a key that all send to one server is warm for all.
+// preferredReplica is the endpoint that r prefers, or nil: by weighted rendezvous hashing over all listed
+// endpoints, which all balancers with the same list do alike.
 func (b *Balancer) preferredReplica(r *request) (best *endpointState) {
 	if r.affinityHash == 0 {
 		return nil
 	}
-	least := math.Inf(1)
+	nearest := math.Inf(1)
 	for _, s := range b.endpoints {
-		if s.Phase == InService && !s.ejections[r.Class].ejected {
-			if far := -math.Log(unitInterval(r.affinityHash^s.idHash)) / s.Capacity; far < least {
-				best, least = s, far
-			}
+		if !s.inService() || s.ejections[r.Class].ejected {
+			continue
+		}
+		if distance := -math.Log(unitInterval(r.affinityHash^s.idHash)) / s.Capacity; distance < nearest {
+			best, nearest = s, distance
 		}
 	}
 	return best
--- a/decide/key_outliers.go
+++ b/decide/key_outliers.go
@@ -1,56 +1,97 @@
+// Keys whose requests fail for a reason of their own, at any endpoint: a lock behind all endpoints, a client
+// that reads slowly, an invalid request. They would hold the capacity of others and have healthy endpoints
+// ejected. So a bad outcome of such a key doesn't count against the endpoint, the request gets no retry, and
+// part of the key's requests is rejected on arrival until those that pass are answered well.
+//
+// It does harm where one key alone overloads its preferred replica.
+
 package decide
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	outlierDeviations  = 2.0  // standard deviations, and one, past which bad answers of a key are its own fault
-	passDecrease       = 0.5  // of a key's requests that pass, kept for a bad answer; with passIncrease it rests ...
-	passIncrease       = 1.1  // where one in eight is bad
-	minPassRatio       = 0.05 // of them pass whatever comes, to see whether it is over
-	keyAnswerRetention = 0.9  // of the answers of a key and the bad ones among them, kept each second
-	passRecovery       = 1.03 // of a key's requests that pass, each second
+	keySlots = 512 // keys are told apart by their hash
+
+	outlierDeviations = 2.0 // standard deviations, and one answer, above the ratio of all other keys
+
+	// The ratio of a key's requests that pass is multiplied by one of these for each answer. It rests where
+	// one answer in eight is bad.
+	passDecrease = 0.5
+	passIncrease = 1.1
+	minPassRatio = 0.05 // to see when the reason is gone
+	passRecovery = 1.03 // factor of the ratio each second
+
+	keyAnswerRetention = 0.9 // of the counts of answers, each second
 )
 
-// recordKeyResult tells whether a bad outcome is the request's fault, not the server's: answers of its key are bad
-// more often than those of all others, past chance. It gets no further attempt, and such requests are
-// thinned at the door until those that pass are answered well. Guards against locks behind all servers,
-// clients that read slowly and requests found in error anywhere, which held the places of others and had
-// all servers suspended. It does harm where one key alone jams its home.
+// keyStats counts the recent requests and answers of the keys of one slot.
+type keyStats struct {
+	requests    float64 // counted only with key affinity
+	answers     float64
+	badAnswers  float64
+	rejectRatio float64 // of its requests, on arrival
+}
+
+// keyTable holds the statistics of all keys.
+type keyTable struct {
+	slots    [keySlots]keyStats
+	requests float64  // of all keys
+	total    keyStats // its answers and badAnswers are those of all keys
+}
+
+// keyStatsFor returns the statistics of a key's slot; nil for a request without a key.
+func (b *Balancer) keyStatsFor(key string) *keyStats {
+	if key == "" {
+		return nil
+	}
+	return &b.keys.slots[hash(key)%keySlots]
+}
+
+// isKeyOutlier reports whether requests of its key are being rejected on arrival.
+func (r *request) isKeyOutlier() bool { return r.keyStats != nil && r.keyStats.rejectRatio > 0 }
+
+// recordKeyResult takes in an outcome, and reports whether it is bad and its key is at fault: the key's
+// answers are bad more often than those of all other keys, past chance.
 func (b *Balancer) recordKeyResult(r *request, o Outcome) bool {
-	bad, k := !b.isEarly(r.class, o), r.keyStats
+	k, total := r.keyStats, &b.keys.total
+	bad := !b.isEarly(r.class, o)
 	if k == nil || !bad && o.Result != Succeeded {
 		return false
 	}
-	k.answers, b.totalKeyStats.answers = k.answers+1, b.totalKeyStats.answers+1
+	k.answers++
+	total.answers++
 	if !bad {
 		k.rejectRatio = 1 - min(1, (1-k.rejectRatio)*passIncrease)
 		return false
 	}
-	k.badAnswers, b.totalKeyStats.badAnswers = k.badAnswers+1, b.totalKeyStats.badAnswers+1
-	others := (b.totalKeyStats.badAnswers - k.badAnswers + 1) / (b.totalKeyStats.answers - k.answers + 2) // share of bad ones among them
-	if k.badAnswers-k.answers*others <= outlierDeviations*math.Sqrt(k.answers*others*(1-others))+1 {
+	k.badAnswers++
+	total.badAnswers++
+	if !k.isOutlier(total) {
 		return false
 	}
 	k.rejectRatio = 1 - max(minPassRatio, (1-k.rejectRatio)*passDecrease)
 	return true
 }
 
-// keyStats are the requests of the keys of one slot, of late.
-type keyStats struct {
-	requests            float64 // where homes go by it
-	answers, badAnswers float64
-	rejectRatio         float64 // share of them that is refused at the door
+// isOutlier reports whether a key has more bad answers than chance explains at the ratio of all other keys.
+func (k *keyStats) isOutlier(total *keyStats) bool {
+	others := (total.badAnswers - k.badAnswers + 1) / (total.answers - k.answers + 2)
+	deviation := math.Sqrt(k.answers * others * (1 - others))
+	return k.badAnswers-k.answers*others > outlierDeviations*deviation+1
 }
 
-// isKeyOutlier tells whether requests of its key are thinned.
-func (r *request) isKeyOutlier() bool { return r.keyStats != nil && r.keyStats.rejectRatio > 0 }
-
-// keyStatsFor returns the books of a key's slot.
-func (b *Balancer) keyStatsFor(key string) *keyStats {
-	if key == "" {
-		return nil
+// decayKeyStats lets the counts fade and the rejection ease, once a second.
+func (b *Balancer) decayKeyStats() {
+	b.keys.total.answers *= keyAnswerRetention
+	b.keys.total.badAnswers *= keyAnswerRetention
+	for i := range b.keys.slots {
+		k := &b.keys.slots[i]
+		k.requests *= requestRetention
+		k.answers *= keyAnswerRetention
+		k.badAnswers *= keyAnswerRetention
+		if k.rejectRatio > 0 {
+			k.rejectRatio = 1 - min(1, (1-k.rejectRatio)*passRecovery)
+		}
 	}
-	return &b.keyStats[hash(key)%uint64(len(b.keyStats))]
+	b.keys.requests *= requestRetention
 }
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -1,32 +1,67 @@
+// Estimates of a class's latency, all in microseconds. Each is a quantile that moves by a step of its
+// logarithm with each answer: up for an answer above it, down for one below, in the proportion that makes it
+// rest at the quantile.
+
 package decide
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	p95Quantile       = 0.95 // of the answers come before the latency mark: time-outs stand on it
-	p95Step           = 0.2  // log step of the mark for an answer past it: trouble shows in a few answers
-	medianStep        = 0.04 // of the median
-	p90Quantile       = 0.9  // of the answers come before the calm mark, whose lowest value is kept as uncrowded
-	p90Step           = 0.05 // of the calm mark: one burst of late answers must not move it far
-	baselineGrowth    = 1.01 // of the uncrowded mark each second: doubled in 70 s, longer than a jam should last
-	answerRateStep    = 0.3  // of the rate of answers, each second
-	p15Quantile       = 0.15 // of the answers are quicker than the quick mark
-	minP15Step        = 0.03 // of its steps
-	maxP15Step        = 0.6  // the same
-	p15StepsPerSecond = 5.0  // steps of all answers of a second together
+	p95Quantile = 0.95
+	p95Step     = 0.2 // so that a fault shows in a few answers
+
+	medianStep = 0.04
+
+	p90Quantile    = 0.9
+	p90Step        = 0.05 // so that one burst of late answers doesn't move it far
+	baselineGrowth = 1.01 // each second: a baseline doubles in 70 s, longer than an overload should last
+
+	p15Quantile       = 0.15
+	minP15Step        = 0.03
+	maxP15Step        = 0.6
+	p15StepsPerSecond = 5.0 // sum of the steps of all answers of a second
+
+	answerRateStep = 0.3 // of the rate of answers, each second
 )
 
-// stepQuantile moves an estimate of a quantile towards a sample: far up when passed, a little down when not.
-func stepQuantile(mark, sample, share, size float64) float64 {
-	if sample > mark {
-		return mark * math.Exp(size*share)
+// classState is a class with what was learned of it.
+type classState struct {
+	Class
+	priority         float64 // see priority.go
+	maxFirstTimeLeft int64   // the longest time left that a first attempt of a client came with
+	requests         float64 // recent
+	onTimeAnswers    float64 // recent ones within the latency objective
+	meanWork         float64 // of the work hints; 0: none came
+
+	latencyP95    float64
+	latencyMedian float64
+	latencyP90    float64
+	baselineP90   float64 // the lowest latencyP90 of late: that of endpoints that are not congested
+	latencyP15    float64
+	baselineP15   float64 // the lowest latencyP15 of late: that of an answer that waited for nothing
+
+	samples           float64
+	answerRate        float64 // per second
+	answersThisSecond float64
+}
+
+// newClassState starts the estimates of a class from its latency objective.
+func newClassState(c Class) *classState {
+	if c.Deadline == 0 {
+		c.Deadline = defaultDeadline
+	}
+	if c.LatencyObjective == 0 {
+		c.LatencyObjective = c.Deadline
+	}
+	objective := float64(c.LatencyObjective)
+	return &classState{
+		Class: c, priority: c.PriorityWeight,
+		latencyP95: objective / 2, latencyMedian: objective / 4,
+		latencyP90: objective / 2, baselineP90: objective / 2,
 	}
-	return max(1, mark*math.Exp(-size*(1-share)))
 }
 
-// observeLatency moves the latency marks; a time-out counts as an answer at least that late.
+// observeLatency takes in the latency of an answer. A timeout counts as an answer that took that long.
 func (c *classState) observeLatency(latency float64) {
 	c.latencyP95 = stepQuantile(c.latencyP95, latency, p95Quantile, p95Step)
 	c.latencyMedian = stepQuantile(c.latencyMedian, latency, 0.5, medianStep)
@@ -35,20 +70,43 @@
 	c.observeP15(latency)
 }
 
-// observeP15 moves the mark of the quickest answers: within about a second where there are many, by each one where there are few.
+// observeP15 moves the estimate of the quickest answers: within about a second where there are many, by each
+// answer where there are few.
 func (c *classState) observeP15(latency float64) {
 	if c.samples++; c.samples == 1 {
 		c.latencyP15, c.baselineP15 = latency, float64(c.LatencyObjective)
 	}
 	c.answersThisSecond++
-	c.latencyP15 = stepP15(c.latencyP15, latency, min(maxP15Step, max(minP15Step, p15StepsPerSecond/max(1, c.answerRate), p15StepsPerSecond/c.samples)))
+	step := max(minP15Step, p15StepsPerSecond/max(1, c.answerRate), p15StepsPerSecond/c.samples)
+	c.latencyP15 = stepP15(c.latencyP15, latency, min(maxP15Step, step))
 	c.baselineP15 = min(c.baselineP15, c.latencyP15)
 }
 
-// stepP15 moves a mark of quickest answers by a sample, and never past it: guards against an ease that no answer had.
-func stepP15(mark, sample, size float64) float64 {
-	if sample > mark {
-		return min(sample, mark*math.Exp(size*p15Quantile))
+// decayClassStatistics lets counts of requests fade and baselines rise, once a second.
+func (b *Balancer) decayClassStatistics() {
+	for _, c := range b.classes {
+		c.requests *= requestRetention
+		c.onTimeAnswers *= requestRetention
+		c.baselineP90 *= baselineGrowth
+		c.baselineP15 *= baselineGrowth
+		c.answerRate += answerRateStep * (c.answersThisSecond - c.answerRate)
+		c.answersThisSecond = 0
+	}
+}
+
+// stepQuantile moves an estimate of a quantile towards a sample.
+func stepQuantile(estimate, sample, quantile, step float64) float64 {
+	if sample > estimate {
+		return estimate * math.Exp(step*quantile)
+	}
+	return max(1, estimate*math.Exp(-step*(1-quantile)))
+}
+
+// stepP15 moves an estimate of the quickest answers towards a sample, and never past it, so that a baseline
+// is a latency that some answer had.
+func stepP15(estimate, sample, step float64) float64 {
+	if sample > estimate {
+		return min(sample, estimate*math.Exp(step*p15Quantile))
 	}
-	return max(sample, mark*math.Exp(-size*(1-p15Quantile)))
+	return max(sample, estimate*math.Exp(-step*(1-p15Quantile)))
 }
--- a/decide/load_reports.go
+++ b/decide/load_reports.go
@@ -1,39 +1,50 @@
+// What endpoints report of their own load, with answers or to health checks.
+
 package decide
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	reportedInFlightReports = 20.0 // reports, about, that the mean of what servers hold is taken over
-	reportedLatencyStep     = 0.25 // of what a server tells of its pace: one word of few requests is rough
+	meanInFlightReports = 20.0 // that the mean is averaged over, about
+	reportedLatencyStep = 0.25 // a report after few requests is rough
+
+	// Larger figures are taken for mistakes.
+	maxReportedInFlight  = 1e6
+	maxReportedLatencyMs = 1e6
 )
 
-// recordLoadReport takes in what a server tells of itself, with an answer or to a probe.
-func (b *Balancer) recordLoadReport(s *endpointState, l *LoadReport) {
-	if l == nil {
+// loadReports is what all reports together say.
+type loadReports struct {
+	seen         bool    // some endpoint reports its load
+	meanInFlight float64 // requests that an endpoint has in flight
+}
+
+// recordLoadReport takes in a report of s; nil says nothing.
+func (b *Balancer) recordLoadReport(s *endpointState, report *LoadReport) {
+	if report == nil {
 		return
 	}
-	b.loadReportsSeen = true
-	n := l.InFlight
-	if n < 0 && l.Queue >= 0 {
-		n = math.Sqrt(1+l.Queue) - 1 // what waits says less than what is held: half of its power
+	b.loadReports.seen = true
+	inFlight := report.InFlight
+	if inFlight < 0 && report.Queue >= 0 {
+		inFlight = math.Sqrt(1+report.Queue) - 1 // a queue says less than what is in flight
 	}
-	if n >= 0 && n < 1e6 {
-		s.reportedInFlight = n
-		b.meanReportedInFlight += (n - b.meanReportedInFlight) / reportedInFlightReports
+	if inFlight >= 0 && inFlight < maxReportedInFlight {
+		s.reportedInFlight = inFlight
+		b.loadReports.meanInFlight += (inFlight - b.loadReports.meanInFlight) / meanInFlightReports
 	}
-	if !(l.Latency > 0 && l.Latency < 1e6) {
+	if !(report.Latency > 0 && report.Latency < maxReportedLatencyMs) {
 		return
 	}
 	if s.reportedLatencyMs == 0 {
-		s.reportedLatencyMs = l.Latency
+		s.reportedLatencyMs = report.Latency
 	}
-	s.reportedLatencyMs += (l.Latency - s.reportedLatencyMs) * reportedLatencyStep
+	s.reportedLatencyMs += (report.Latency - s.reportedLatencyMs) * reportedLatencyStep
 }
 
-// loadWeight is how much more a server weighs for holding less than the mean, as told: by the square, since reports are old.
+// loadWeight is the factor of s in the draw for what it reports to have in flight, beside the mean. It is
+// squared and no higher power, since reports are old by the time they count.
 func (b *Balancer) loadWeight(s *endpointState) float64 {
-	part := (b.meanReportedInFlight + 1) / (s.reportedInFlight/s.Capacity + 1)
-	return part * part
+	ratio := (b.loadReports.meanInFlight + 1) / (s.reportedInFlight/s.Capacity + 1)
+	return ratio * ratio
 }
--- a/decide/locality.go
+++ b/decide/locality.go
@@ -1,11 +1,16 @@
+// Preference for the own zone, where the settings give attempts to other zones a price.
+
 package decide
 
 const (
-	zoneBoostPerPrice = 400.0 / 3 // of the price of crossing zones that a server of the own zone weighs more
-	zoneRankFactor    = 3.4       // times that a server of the own zone may weigh more and still not come first
+	// zoneBoostPerPrice is how much more weight an endpoint of the own zone gets for each unit of the price.
+	zoneBoostPerPrice = 400.0 / 3
+	// zoneRankFactor divides the weight for the order of the subset: up to it the own zone doesn't come
+	// first.
+	zoneRankFactor = 3.4
 )
 
-// zoneWeight is how much more a server of the own zone weighs, where attempts to other zones have a price.
+// zoneWeight is the factor of an endpoint of that zone in the draw.
 func (b *Balancer) zoneWeight(zone string) float64 {
 	if zone == b.settings.Zone {
 		return 1 + b.settings.CrossZonePrice*zoneBoostPerPrice
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -29,6 +29,7 @@
 }
 
 func talkers(t *testing.T, n, servers int) (bs []*Balancer, now *int64, lost *bool, sent *int) {
+	t.Helper()
 	bs, now, lost, sent = make([]*Balancer, n), new(int64), new(bool), new(int)
 	*now = 1000 * second
 	for i := range bs {
@@ -38,7 +39,7 @@
 	}
 	for range 2 { // the second time all are known
 		for _, b := range bs {
-			b.nextGossipAt = 0
+			b.gossip.nextSendAt = 0
 			b.OnEndpoints(*now, fleet(servers), true)
 		}
 	}
@@ -113,7 +114,7 @@
 		for _, s := range b.endpoints {
 			out += fmt.Sprint(s.ID, b.totalInFlight(*now, s), len(s.peerLoads), " ")
 		}
-		return out + fmt.Sprint(b.safeIdleTime)
+		return out + fmt.Sprint(b.idle.safeTime)
 	}
 	taken := 0
 	for name, w := range bad {
@@ -172,7 +173,7 @@
 	w := newWorld(t, testSettings(), fleet(3)...)
 	w.traffic(50, func(*flight) (Result, bool) { return Succeeded, true })
 	w.b.OnGossip(w.now, 1, []byte{gossipVersion | 1, 0, 0, 0, 0})
-	if slices.ContainsFunc(w.acts, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.peers) > 0 {
+	if slices.ContainsFunc(w.acts, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.gossip.peers) > 0 {
 		t.Error("words were sent or heard where the settings permit none")
 	}
 }
@@ -313,7 +314,7 @@
 		b.OnEndpoints(now, fleet(1), true)
 		other.OnEndpoints(now, fleet(1), true)
 		s := other.endpoints[0]
-		b.poolLimit, s.inFlight = 0.5, 1
+		b.pool.limit, s.inFlight = 0.5, 1
 		b.OnGossip(now, 1, other.encodeGossip(s))
 		b.OnRequest(now, Request{ID: "a", Tenant: -1, TimeLeft: second})
 		if len(b.queue) != 1 {
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -1,16 +1,26 @@
+// The queue of requests that wait for capacity: in what order they go, for how long they wait, and which are
+// rejected when too many wait.
+
 package decide
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
-	maxQueueShare       = 0.35 // of the aim that a request may wait unsent: the rest is for its answer
-	expectedDispatchers = 2.0  // of those who hear that a server has room send what waits: words may be lost
-	minQueueLength      = 4.0  // requests that may wait whatever the drain: a start knows none yet
+	// maxQueueShare is the share of its latency objective that a request may wait for its first attempt. The
+	// rest is for the answer.
+	maxQueueShare = 0.35
+	// minQueueLength of requests may wait whatever the throughput, which is not known at the start.
+	minQueueLength = 4.0
 )
 
-// enqueue queues r by worth, and refuses the least worthy of those whose wait would not end in an answer.
+// queueDeadline is when r, which arrives now, may wait no longer.
+func queueDeadline(r *request) int64 {
+	left := max(0, r.latencyObjective-r.elapsedBeforeArrival)
+	return min(r.arrivedAt+int64(maxQueueShare*float64(left)), r.deadline)
+}
+
+// enqueue queues r by priority, newest first among equals. It rejects those of the lowest priority that, at
+// the present throughput, would not be sent in time.
 func (b *Balancer) enqueue(now int64, r *request) {
 	at := len(b.queue)
 	for at > 0 && b.queue[at-1].priority <= r.priority {
@@ -18,14 +28,16 @@
 	}
 	b.queue = slices.Insert(b.queue, at, r)
 	b.actions.SetTimer(r.queueDeadline-now, timerQueue)
-	for float64(len(b.queue)) > max(minQueueLength, b.throughput*maxQueueShare*float64(r.latencyObjective)) {
+	longest := max(minQueueLength, b.rates.successes*maxQueueShare*float64(r.latencyObjective))
+	for float64(len(b.queue)) > longest {
 		last := b.queue[len(b.queue)-1]
 		b.queue = b.queue[:len(b.queue)-1]
 		b.rejectOrFail(now, last)
 	}
 }
 
-// dispatchQueued sends what waits, worthiest first, and answers what has waited too long.
+// dispatchQueued sends queued requests while there is capacity, highest priority first, and answers those
+// that have reached their queue deadline or have no permitted endpoint any more.
 func (b *Balancer) dispatchQueued(now int64) {
 	waiting := b.queue
 	b.queue = b.queue[:0]
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -1,16 +1,28 @@
+// Tenants over their quota: their excess requests wait behind others (see Settings.OverQuotaWeight). Nothing
+// is rejected for that alone.
+
 package decide
 
-// overQuota tells whether a request counts as over its tenant's share: that part of them, drawn at random, by
-// which the tenant's part of the traffic seen here is more than its part of the allowances.
+// overQuota counts a request of a tenant and reports whether it is one of those over the tenant's quota: as
+// many of them, drawn at random, as its part of the requests seen here exceeds its part of all allowances.
 func (b *Balancer) overQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(b.tenantRequests) {
 		return false
 	}
 	b.tenantRequests[tenant]++
-	taken, allowed := 0.0, 0.0
+	requests, allowances := 0.0, 0.0
 	for i, t := range b.settings.Tenants {
-		taken, allowed = taken+b.tenantRequests[i], allowed+t.Allowance
+		requests += b.tenantRequests[i]
+		allowances += t.Allowance
 	}
-	fairShare := b.settings.Tenants[tenant].Allowance / max(allowed, 1e-9) * taken / b.tenantRequests[tenant]
+	allowance := b.settings.Tenants[tenant].Allowance
+	fairShare := allowance / max(allowances, 1e-9) * requests / b.tenantRequests[tenant]
 	return b.rng.Float64() > fairShare
 }
+
+// decayTenantRequests lets the counts fade, once a second.
+func (b *Balancer) decayTenantRequests() {
+	for i := range b.tenantRequests {
+		b.tenantRequests[i] *= requestRetention
+	}
+}
--- a/decide/ration_test.go
+++ b/decide/ration_test.go
@@ -115,7 +115,7 @@
 func TestScarceAttemptsGoWhereTheyHelp(t *testing.T) {
 	w := newWorld(t, budgeted(3, 0, 10*second), fleet(5)...)
 	b, r := w.b, &request{priority: 1}
-	b.meanPriority, b.retrySuccessRates[Errored], b.retrySuccessRates[Saturated] = 1, 0.01, 0.9
+	b.meanPriority, b.retryBudget.successRates[Errored], b.retryBudget.successRates[Saturated] = 1, 0.01, 0.9
 	failed, full := &attempt{result: Errored}, &attempt{result: Saturated}
 	if b.acquireRetry(w.now, r, failed) || !b.acquireRetry(w.now, r, full) {
 		t.Error("of three left one was spent after an error, or none after full")
@@ -129,11 +129,11 @@
 			t.Errorf("not tried again with %v left", b.attemptBudgetRemaining(w.now))
 		}
 	}
-	near(t, "odds after one more that failed", oddsAfter(b, Errored, Errored), 0.01*(1-1/retrySuccessRetries), 1e-9)
-	near(t, "odds after one that helped", oddsAfter(b, Saturated, Succeeded), 0.9+0.1/retrySuccessRetries, 1e-9)
+	near(t, "odds after one more that failed", oddsAfter(b, Errored, Errored), 0.01*(1-1/successRateRetries), 1e-9)
+	near(t, "odds after one that helped", oddsAfter(b, Saturated, Succeeded), 0.9+0.1/successRateRetries, 1e-9)
 }
 
 func oddsAfter(b *Balancer, cause, result Result) float64 {
 	b.recordRetryResult(&request{attempts: []attempt{{result: cause}, {}}}, Outcome{Attempt: 1, Result: result})
-	return b.retrySuccessRates[cause]
+	return b.retryBudget.successRates[cause]
 }
--- a/decide/request.go
+++ b/decide/request.go
@@ -1,72 +1,114 @@
 package decide
 
-import (
-	"slices"
-)
+import "slices"
 
-// finish closes r and calls back what is still out for it.
-func (b *Balancer) finish(r *request) {
-	r.ended = true
-	if r.inFlight == 0 {
-		delete(b.openRequests, r.ID)
-		return
-	}
-	for i := range r.attempts {
-		if !r.attempts[i].done && b.settings.Limits.Cancel {
-			b.actions.CancelAttempt(r.ID, i)
-		}
-	}
-}
-
-// request is one request taken, kept until it is answered and none of its attempts is out.
+// request is one that is not answered yet, or has attempts in flight.
 type request struct {
 	Request
 	class                *classState
-	classRules           Class // as they were when it was taken
-	maxAttempts          int   // attempts that it may have
+	classRules           Class // as they were when the request arrived
+	maxAttempts          int
 	arrivedAt            int64
 	deadline             int64
-	latencyObjective     int64   // the class's, stretched by the work hinted
-	elapsedBeforeArrival int64   // time that its client has waited on earlier tries, where that shows
-	queueDeadline        int64   // when waiting unsent ends
-	priority             float64 // worth for the time it takes: who waits first and who is refused last
+	latencyObjective     int64   // of its class, extended by the work hint
+	elapsedBeforeArrival int64   // that its client has waited on earlier attempts, where that shows
+	queueDeadline        int64   // when it may wait no longer for its first attempt
+	priority             float64 // see priority.go
 	attempts             []attempt
 	inFlight             int
-	workFactor           float64   // times longer than a mean request of its class that it takes, by the work hinted
+	workFactor           float64   // see work_hint.go
 	keyStats             *keyStats // of its key; nil: it has none
-	affinityHash         uint64    // hash of the replica of its key; 0: none
-	ended                bool
-	streamStarted        bool     // its stream has begun
+	affinityHash         uint64    // picks its preferred replica; 0: it has none
+	ended                bool      // it has its final answer
+	streamStarted        bool
 	priorAttempt         *attempt // that another balancer may have sent; nil: none
-	followedAttempts     int      // tries that were really sent, where another balancer is watched
+	followedAttempts     int      // in shadow evaluation: attempts that were really sent
 }
 
-// attempt is one send. Its server's group is kept as it was when sent.
+// attempt is one send. Its endpoint's zone and cell are those at the time of the send.
 type attempt struct {
 	endpoint       *endpointState
 	zone           string
 	cell           int64
 	sentAt         int64
 	connectionIdle int64   // how long its connection had been idle; 0: in use or new
-	probability    float64 // probability of the draw that chose the server
+	probability    float64 // of the draw that chose the endpoint
 	done           bool
-	released       bool   // it holds no place any more
-	result         Result // once done; that of one that is out is Served, which may have run
+	released       bool   // it no longer counts as in flight at its endpoint
+	result         Result // once done; until then Succeeded, which may have run
+}
+
+// newRequest derives what the rules need to know of a request.
+func (b *Balancer) newRequest(now int64, in Request) *request {
+	class := b.classes[in.Class]
+	r := &request{
+		Request:      in,
+		class:        class,
+		classRules:   class.Class,
+		maxAttempts:  b.settings.Limits.MaxAttempts,
+		arrivedAt:    now,
+		priority:     class.priority,
+		affinityHash: b.affinityReplica(in.Key),
+		keyStats:     b.keyStatsFor(in.Key),
+		priorAttempt: newPriorAttempt(now, in.PriorAttemptAge),
+	}
+	objective := float64(class.LatencyObjective) + class.ObjectivePerWork*float64(max(0, in.WorkHint))
+	r.latencyObjective = int64(min(objective, float64(class.Deadline)))
+	if r.TimeLeft < 0 {
+		r.TimeLeft = class.Deadline
+	}
+	if !in.IsRetry {
+		class.maxFirstTimeLeft = max(class.maxFirstTimeLeft, r.TimeLeft)
+	} else if r.TimeLeft < class.maxFirstTimeLeft-b.settings.Rules.AnswerSlack {
+		r.elapsedBeforeArrival = max(0, class.Deadline-r.TimeLeft)
+	}
+	r.workFactor = class.workFactor(in.WorkHint)
+	r.deadline = now + r.TimeLeft
+	r.queueDeadline = queueDeadline(r)
+	return r
 }
 
-// newPriorAttempt is what is known of an attempt that another balancer may have sent some time ago: not where, so that no server
-// of a zone or a cell is known to drop a repeat.
-func newPriorAttempt(now, ago int64) *attempt {
-	if ago <= 0 {
+// newPriorAttempt is an attempt that another balancer may have sent that long ago; nil for 0. Its endpoint is
+// not known, so its zone and cell are those of none.
+func newPriorAttempt(now, age int64) *attempt {
+	if age <= 0 {
 		return nil
 	}
-	return &attempt{sentAt: now - ago, zone: "?", cell: -2, done: true, result: Reset}
+	return &attempt{sentAt: now - age, zone: "?", cell: -2, done: true, result: Reset}
 }
 
-// hasPriorAttempt tells whether a send would be one beyond the request's first, also where another balancer may have sent that.
-// Guards against a takeover that mints attempts.
+// hasPriorAttempt reports whether a send would be one beyond the request's first. It would be too where
+// another balancer may have sent that, or a takeover would add attempts.
 func (r *request) hasPriorAttempt() bool { return len(r.attempts) > 0 || r.priorAttempt != nil }
 
+// attempted reports whether an attempt of r has gone to s.
 func (r *request) attempted(s *endpointState) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == s })
 }
+
+// releaseCapacity ends an attempt's count as in flight, once.
+func (b *Balancer) releaseCapacity(r *request, a *attempt) {
+	if a.released {
+		return
+	}
+	a.released = true
+	a.endpoint.inFlight--
+	b.gossipEndpoint(a.endpoint)
+	a.endpoint.ejections[r.Class].inFlight--
+	b.inFlight--
+}
+
+// finish closes r, which has its final answer, and cancels its attempts in flight where the settings allow
+// it.
+func (b *Balancer) finish(r *request) {
+	r.ended = true
+	if r.inFlight == 0 {
+		delete(b.openRequests, r.ID)
+		return
+	}
+	for i := range r.attempts {
+		if !r.attempts[i].done && b.settings.Limits.Cancel {
+			b.actions.CancelAttempt(r.ID, i)
+		}
+	}
+}
--- a/decide/retry_budget.go
+++ b/decide/retry_budget.go
@@ -1,44 +1,68 @@
+// Who may retry: a retry that repeats work needs a token, and one that an attempt budget makes scarce must be
+// worth it.
+
 package decide
 
 const (
-	retryTokensPerSuccess = 0.15 // retries earned by an answer: a storm of retries adds under a sixth more work
-	scarceRetryValue      = 0.5  // of a mean request's value by odds by further attempts left: less is not sent
-	scarceRetries         = 8.0  // left, with which any is: they would go unused
-	maxRetryTokens        = 10.0 // retries that may be saved up, for the first moments of trouble
-	retrySuccessRetries   = 20.0 // further attempts, about, that the odds of one are taken over
+	retryTokensPerSuccess = 0.15 // so retries add less than a sixth to the work, however many attempts fail
+	maxRetryTokens        = 10.0 // saved up for the first moments of a fault
+
+	// Retries are scarce with fewer than scarceRetries left in the attempt budget. One is then made only if
+	// its priority, in parts of the mean, times its chance of success times the retries left is at least
+	// scarceRetryValue.
+	scarceRetries    = 8.0
+	scarceRetryValue = 0.5
+
+	initialSuccessRate = 0.5
+	successRateRetries = 20.0 // that a rate is averaged over, about
 )
 
-// acquireRetry pays for a further attempt; one that never ran cost the servers next to nothing. Where they are
-// rationed it must be worth one: by its value, and by the odds that an attempt after such an end has had of
-// late. Guards against the last ones spent on what fails everywhere.
-func (b *Balancer) acquireRetry(now int64, r *request, a *attempt) bool {
-	left := b.attemptBudgetRemaining(now)
-	if b.retrySuccessRates[a.result]*r.priority*left < scarceRetryValue*b.meanPriority && left < scarceRetries {
-		return false
+// retryBudget holds the tokens for retries of attempts that may have run, and how well retries do.
+type retryBudget struct {
+	tokens       float64
+	successRates [InvalidRequest + 1]float64 // of retries, by the result of the attempt before
+}
+
+func newRetryBudget() retryBudget {
+	k := retryBudget{tokens: maxRetryTokens}
+	for i := range k.successRates {
+		k.successRates[i] = initialSuccessRate
 	}
-	if a.result.NeverRan() || b.retryTokens < 1 {
-		return a.result.NeverRan()
+	return k
+}
+
+// deposit earns a part of a token for a successful attempt.
+func (k *retryBudget) deposit() { k.tokens = min(k.tokens+retryTokensPerSuccess, maxRetryTokens) }
+
+// withdraw takes a token if there is one.
+func (k *retryBudget) withdraw() bool {
+	if k.tokens < 1 {
+		return false
 	}
-	b.retryTokens--
+	k.tokens--
 	return true
 }
 
-// initialRetrySuccessRates are those of further attempts before any was tried.
-func initialRetrySuccessRates() (odds [InvalidRequest + 1]float64) {
-	for i := range odds {
-		odds[i] = 0.5
+// acquireRetry reports whether r may retry after an attempt, and pays for it. A retry of an attempt that
+// never ran needs no token, since it cost the endpoints next to nothing.
+func (b *Balancer) acquireRetry(now int64, r *request, a *attempt) bool {
+	left := b.attemptBudgetRemaining(now)
+	value := b.retryBudget.successRates[a.result] * r.priority * left
+	if value < scarceRetryValue*b.meanPriority && left < scarceRetries {
+		return false
 	}
-	return odds
+	return a.result.NeverRan() || b.retryBudget.withdraw()
 }
 
-// recordRetryResult counts how an attempt went, by how the one before it ended.
+// recordRetryResult takes in how a retry ended.
 func (b *Balancer) recordRetryResult(r *request, o Outcome) {
 	if o.Attempt == 0 {
 		return
 	}
-	served, odds := 0.0, &b.retrySuccessRates[r.attempts[o.Attempt-1].result]
+	success := 0.0
 	if o.Result == Succeeded {
-		served = 1
+		success = 1
 	}
-	*odds += (served - *odds) / retrySuccessRetries
+	rate := &b.retryBudget.successRates[r.attempts[o.Attempt-1].result]
+	*rate += (success - *rate) / successRateRetries
 }
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -98,7 +98,7 @@
 			t.Errorf("%s: health %+v", id, s.ejections)
 		}
 	}
-	w.traffic(50, func(f *flight) (Result, bool) { return Succeeded, true })
+	w.traffic(50, func(_ *flight) (Result, bool) { return Succeeded, true })
 }
 
 // A server that is out of the draw for every class is not tried anew for a class that is new.
--- a/decide/settings_update.go
+++ b/decide/settings_update.go
@@ -1,83 +1,52 @@
+// What a change of settings keeps: everything that was learned of classes and tenants with the same name, and
+// for open requests the rules that they arrived under.
+
 package decide
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
-	defaultMaxAttempts = 4 // attempts for a request where the settings name no limit
+	defaultMaxAttempts = 4           // of a request, where no limit is set
+	defaultDeadline    = 60 * second // of a class that sets none
 )
 
-// classState is a class with the latencies seen of it, in µs.
-type classState struct {
-	Class
-	latencyP95                    float64 // one answer in 20 takes longer
-	latencyMedian                 float64 // median
-	priority                      float64 // what an answer adds to the goal, for the time it takes
-	maxFirstTimeLeft              int64   // the longest time that a first try came with
-	requests, onTimeAnswers       float64 // of late: requests, and those answered within the aim
-	meanWork                      float64 // hinted, on average; 0: no hints
-	latencyP90                    float64 // one answer in 10 takes longer
-	latencyP15, baselineP15       float64 // one answer in 7 is quicker, and the lowest that this was: with nothing before them
-	samples                       float64
-	answerRate, answersThisSecond float64 // answers a second, and in this one
-	baselineP90                   float64 // the same when servers are not crowded
-}
-
-// applySettings takes settings over; classes and tenants known by name keep what was learned of them.
+// applySettings takes settings over.
 func (b *Balancer) applySettings(set Settings) {
 	if set.Limits.MaxAttempts == 0 {
 		set.Limits.MaxAttempts = defaultMaxAttempts
 	}
-	classes, tenants := make([]*classState, len(set.Classes)), make([]float64, len(set.Tenants))
+	classes := make([]*classState, len(set.Classes))
 	for i, c := range set.Classes {
 		classes[i] = newClassState(c)
-		for _, k := range b.classes {
-			if k.Name == c.Name {
-				if k.Deadline != classes[i].Deadline {
-					k.maxFirstTimeLeft = 0
+		for _, old := range b.classes {
+			if old.Name == c.Name {
+				if old.Deadline != classes[i].Deadline {
+					old.maxFirstTimeLeft = 0
 				}
-				k.Class, classes[i] = classes[i].Class, k
+				old.Class, classes[i] = classes[i].Class, old
 			}
 		}
 	}
+	tenantRequests := make([]float64, len(set.Tenants))
 	for i, t := range set.Tenants {
-		if at := slices.IndexFunc(b.settings.Tenants, func(o Tenant) bool { return o.Name == t.Name }); at >= 0 {
-			tenants[i] = b.tenantRequests[at]
+		at := slices.IndexFunc(b.settings.Tenants, func(old Tenant) bool { return old.Name == t.Name })
+		if at >= 0 {
+			tenantRequests[i] = b.tenantRequests[at]
 		}
 	}
-	b.settings, b.classes, b.tenantRequests = set, classes, tenants
+	b.settings, b.classes, b.tenantRequests = set, classes, tenantRequests
 	b.attemptBudget.setWindow(set.Rules.AttemptBudgetWindow)
 }
 
-// newClassState starts the memory of a class.
-func newClassState(c Class) *classState {
-	if c.Deadline == 0 {
-		c.Deadline = 60 * second // a class that sets none: longer than a call between services takes
-	}
-	if c.LatencyObjective == 0 {
-		c.LatencyObjective = c.Deadline
-	}
-	aim := float64(c.LatencyObjective)
-	return &classState{Class: c, latencyP95: aim / 2, latencyP90: aim / 2, baselineP90: aim / 2, latencyMedian: aim / 4, priority: c.PriorityWeight}
-}
-
-// UpdateSettings takes other settings in force from now on. Open requests keep the rules they were taken under, and their place
-// among the classes as long as they are open, also where their class is none any more. Guards against a request that
-// changes its effect between two attempts, and against a balancer that learns anew.
+// UpdateSettings puts other settings in force. Open requests keep the rules that they arrived under, and
+// their class until they end, also where the settings no longer have it. The settings must be valid, see
+// Settings.Validate.
 func (b *Balancer) UpdateSettings(now int64, set Settings) {
 	old := b.classes
 	b.applySettings(set)
-	servers := map[*endpointState]bool{}
-	for _, s := range b.knownEndpoints {
-		servers[s] = true
-	}
 	used := map[*classState]bool{}
 	for _, r := range b.openRequests {
 		used[r.class] = true
-		for i := range r.attempts {
-			servers[r.attempts[i].endpoint] = true // it may be forgotten by now
-		}
 	}
 	for _, c := range old {
 		if used[c] && !slices.Contains(b.classes, c) {
@@ -87,36 +56,56 @@
 	for _, r := range b.openRequests {
 		r.Class = slices.Index(b.classes, r.class)
 	}
-	for s := range servers {
-		was := s.ejections
-		s.ejections = make([]ejectionState, len(b.classes))
-		for i, c := range b.classes {
-			if at := slices.Index(old, c); at >= 0 {
-				s.ejections[i] = was[at]
-			} else if s.ejectedForAll { // one that serves no class is not tried anew for another
-				s.ejections[i] = was[0]
-				s.ejections[i].inFlight = 0
-			}
-		}
+	for s := range b.referencedEndpoints() {
+		s.moveEjections(old, b.classes)
 	}
 	b.updatePriorities()
 	b.updateSubset(now)
 }
 
-// forgetUnusedClasses drops classes that no request has any more.
+// referencedEndpoints are the known endpoints and those that open requests still name.
+func (b *Balancer) referencedEndpoints() map[*endpointState]bool {
+	endpoints := map[*endpointState]bool{}
+	for _, s := range b.knownEndpoints {
+		endpoints[s] = true
+	}
+	for _, r := range b.openRequests {
+		for i := range r.attempts {
+			endpoints[r.attempts[i].endpoint] = true
+		}
+	}
+	return endpoints
+}
+
+// moveEjections sorts the ejection states of s by the new list of classes. An endpoint that is ejected from
+// every class is so from a new one.
+func (s *endpointState) moveEjections(old, classes []*classState) {
+	was := s.ejections
+	s.ejections = make([]ejectionState, len(classes))
+	for i, c := range classes {
+		if at := slices.Index(old, c); at >= 0 {
+			s.ejections[i] = was[at]
+		} else if s.ejectedForAll {
+			s.ejections[i] = was[0]
+			s.ejections[i].inFlight = 0
+		}
+	}
+}
+
+// forgetUnusedClasses drops the classes that the settings no longer have, once no open request has one.
 func (b *Balancer) forgetUnusedClasses() {
-	n := len(b.settings.Classes)
-	if len(b.classes) == n {
+	count := len(b.settings.Classes)
+	if len(b.classes) == count {
 		return
 	}
 	for _, r := range b.openRequests {
-		if r.Class >= n {
+		if r.Class >= count {
 			return
 		}
 	}
-	b.classes = b.classes[:n:n]
+	b.classes = b.classes[:count:count]
 	for _, s := range b.knownEndpoints {
-		s.ejections = s.ejections[:n:n]
-		s.ejectedForAll = !slices.ContainsFunc(s.ejections, func(h ejectionState) bool { return !h.ejected })
+		s.ejections = s.ejections[:count:count]
+		s.ejectedForAll = s.ejectedFromAllClasses()
 	}
 }
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -1,47 +1,57 @@
+// Rule 4, slow start: how much an endpoint that has just started may get, from all balancers together.
+//
+// Its share of capacity grows evenly from Rules.SlowStartMinShare to 1 over Rules.SlowStartWindow. Each
+// balancer has a bucket of tokens for it, one for each attempt, which fills at that share of the answers that
+// this balancer gets from a warm endpoint.
+
 package decide
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	overloadShare         = 0.5    // of what would push a cold server over is its most: its warm-up as stated is the slowest
-	minTokenLifetimeShare = 0.1    // of a window that a token holds, where the factor leaves no room
-	defaultOverloadWindow = second // µs, where none is stated
-)
+	// overloadShare of what would overload an endpoint (Rules.OverloadFactor) may be sent where that is more
+	// than its share: else it would idle while warm ones are late.
+	overloadShare = 0.5
 
-// slowStartAdmits keeps rule 4 alone, for all balancers together: a cold server gets its warm-up's part of the
-// answers (not sends: they pile up in a jam) that a warm one of its size gives this balancer, or more where
-// that is half of what would push it over: guards against cold ones at ease while warm ones are late. What is
-// not used runs out: see bucket.
-func (b *Balancer) slowStartAdmits(now int64, s *endpointState) bool {
-	w := b.warmupFraction(now, s)
-	if w >= 1 {
-		s.slowStartTokens.availability = 1
-		return true
-	}
-	w *= max(1, b.settings.Rules.OverloadFactor*overloadShare)
-	return s.slowStartTokens.take(now, w*b.throughputPerCapacity[s.throughputGroup()]*s.Capacity, b.slowStartTokenLifetime())
-}
+	minTokenLifetimeShare = 0.1    // of the overload window, where the overload factor leaves no room
+	defaultOverloadWindow = second // where none is set
+)
 
-// warmupFraction is the least share of its capacity that s has by now: even growth over the stated time.
+// warmupFraction is the share of its capacity that s has by now; 1: it is warm.
 func (b *Balancer) warmupFraction(now int64, s *endpointState) float64 {
+	rules := &b.settings.Rules
 	age := now - s.slowStartSince
-	if s.slowStartSince == 0 || age >= b.settings.Rules.SlowStartWindow {
+	if s.slowStartSince == 0 || age >= rules.SlowStartWindow {
 		return 1
 	}
-	from := b.settings.Rules.SlowStartMinShare
-	return from + (1-from)*float64(max(age, 0))/float64(b.settings.Rules.SlowStartWindow)
+	from := rules.SlowStartMinShare
+	return from + (1-from)*float64(max(age, 0))/float64(rules.SlowStartWindow)
 }
 
-// beginSlowStart makes s cold since a time. Its bucket starts at random between two tokens, so that balancers have theirs at times
-// of their own. Another word of the same start grants nothing anew.
+// beginSlowStart starts the slow start of s at a time that may be past. The bucket starts with a random part
+// of a token, so that balancers have theirs at different times, and a second notice of the same start adds
+// none.
 func (b *Balancer) beginSlowStart(now int64, s *endpointState, since int64) {
-	s.slowStartSince, s.slowStartTokens = since, expiringTokenBucket{tokens: b.rng.Float64(), updatedAt: now, availability: 1}
+	s.slowStartSince = since
+	s.slowStartTokens = expiringTokenBucket{tokens: b.rng.Float64(), updatedAt: now, availability: 1}
+}
+
+// slowStartAdmits reports whether s is warm or has a token. Tokens are earned by answers and not by sends,
+// which pile up in an overload.
+func (b *Balancer) slowStartAdmits(now int64, s *endpointState) bool {
+	share := b.warmupFraction(now, s)
+	if share >= 1 {
+		s.slowStartTokens.availability = 1
+		return true
+	}
+	share *= max(1, b.settings.Rules.OverloadFactor*overloadShare)
+	rate := share * b.rates.perCapacity[s.throughputGroup()] * s.Capacity
+	return s.slowStartTokens.take(now, rate, b.slowStartTokenLifetime())
 }
 
-// slowStartTokenLifetime is how long a token holds, in µs: what is earned in a window and in that time is what would push a cold server
-// over, at the most and on average. For factors from 2 on it is a window, since half of that is earned in one.
+// slowStartTokenLifetime is how long a token lasts, in µs: as long as what is earned in an overload window
+// and in that time together doesn't overload the endpoint, on average. For overload factors from 2 on that is
+// one window.
 func (b *Balancer) slowStartTokenLifetime() float64 {
 	window, factor := float64(b.settings.Rules.OverloadWindow), b.settings.Rules.OverloadFactor
 	if window == 0 {
@@ -53,35 +63,38 @@
 	return window * max(minTokenLifetimeShare, factor/max(1, factor*overloadShare)-1)
 }
 
-// expiringTokenBucket is a token bucket whose tokens run out when they are not used: they are earned at times that no traffic moves,
-// each balancer at its own, so what a fleet holds is a sum of independent parts. Guards against hundreds of quiet balancers
-// that each save up a send, and spend it in the same moment: after a lull, at the end of a jam, when other servers fail.
+// expiringTokenBucket holds one token, which expires when it isn't used. The next comes when it would have
+// come anyway. So the times of tokens don't depend on traffic, and many quiet balancers can't save up tokens
+// and spend them all at once, as after a lull or when other endpoints fail.
 type expiringTokenBucket struct {
-	tokens       float64 // one and a part: a send may go; the part alone: what has grown of the next
-	updatedAt    int64   // when it grew last
-	availability float64 // of the time that it holds one where none is spent
+	tokens       float64 // from 1 on a send may go; the fraction is what has grown of the next token
+	updatedAt    int64
+	availability float64 // share of the time in which it holds a token if none is spent
 }
 
-// take lets the bucket grow at a rate, in tokens a µs that hold for so many µs, and tells whether it holds one.
-func (k *expiringTokenBucket) take(now int64, rate, holds float64) bool {
+// take lets the bucket grow at a rate in tokens per µs that last for lifetime µs, and reports whether it
+// holds one. The send subtracts it.
+func (k *expiringTokenBucket) take(now int64, rate, lifetime float64) bool {
 	k.tokens += rate * float64(now-k.updatedAt)
-	k.updatedAt, k.availability = now, min(1, rate*holds)
+	k.updatedAt = now
+	k.availability = min(1, rate*lifetime)
 	if k.tokens < 1 {
 		return false
 	}
-	_, grown := math.Modf(k.tokens)
-	if k.tokens = grown; grown < k.availability { // the latest is not too old
+	_, fraction := math.Modf(k.tokens)
+	k.tokens = fraction
+	if fraction < k.availability { // the latest token has not expired
 		k.tokens++
 	}
 	return k.tokens >= 1
 }
 
-// weightFactor is how much more a server weighs in the draw while its bucket holds a token: as much as makes up for the time in
-// which it holds none, to the weight of all arms. Guards against cold servers that get a small part of their ration from
-// quiet balancers, whose tokens run out unused.
-func (k *expiringTokenBucket) weightFactor(arms int) float64 {
+// weightFactor raises the weight of an endpoint in the draw while its bucket holds a token, up to the weight
+// of the whole subset, to make up for the time in which it holds none. A quiet balancer would let most tokens
+// expire.
+func (k *expiringTokenBucket) weightFactor(subsetSize int) float64 {
 	if k.availability == 0 || k.availability >= 1 {
 		return 1
 	}
-	return 1 / max(k.availability, 1/float64(max(1, arms)))
+	return 1 / max(k.availability, 1/float64(max(1, subsetSize)))
 }
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -1,3 +1,6 @@
+// The subset of endpoints that a balancer draws from. With all of a large fleet's endpoints a quiet balancer
+// would meet each once a minute, learn nothing and keep connections to all.
+
 package decide
 
 import (
@@ -7,61 +10,76 @@
 )
 
 const (
-	minSubset                    = 3    // servers to draw from at the least: enough to spread losses and retries
-	minSubsetWithGossip          = 2    // the same where balancers tell one another
-	requestRatePerEndpoint       = 4.0  // requests a second that an arm wants, as evidence: more traffic, more arms
-	requestRatePerPricedEndpoint = 16.0 // the same where open connections have a price
-	coverage                     = 8.0  // balancers that have a server as an arm, on average: fewer leave servers unused
-	coverageWithGossip           = 14.0 // the same where balancers tell one another
-	maxCoverageWithGossip        = 8.0  // there at the most: each draw counts what all hold at each
-	maxSubsetFactor              = 3    // times the arms wanted, with ill ones: past that the cause is shared
+	minSubset           = 3 // enough to spread losses and retries
+	minSubsetWithGossip = 2
+
+	// Requests per second for each endpoint of the subset: enough answers to learn from.
+	requestRatePerEndpoint       = 4.0
+	requestRatePerPricedEndpoint = 16.0 // where open connections have a price
+
+	// Balancers that have an endpoint in their subset, on average: with fewer some endpoints get nothing.
+	coverage           = 8.0
+	coverageWithGossip = 14.0
+
+	// maxCoverageSubset bounds the subset that coverage asks for, with gossip, where each draw looks at what
+	// all balancers have in flight.
+	maxCoverageSubset = 8.0
+
+	// maxSubsetFactor times the size bounds the subset with its ejected endpoints. More have a common cause.
+	maxSubsetFactor = 3
 )
 
-// subsetSize is how many servers this balancer's own traffic can learn of, within those limits.
+// subsetSize is how many endpoints the subset should have that are not ejected.
 func (b *Balancer) subsetSize() int {
-	least, each, sharers, most := float64(minSubset), requestRatePerEndpoint, coverage, math.Inf(1)
+	least, balancers, maxCover := float64(minSubset), coverage, math.Inf(1)
 	if b.gossipEnabled() {
-		least, sharers, most = minSubsetWithGossip, coverageWithGossip, maxCoverageWithGossip
+		least, balancers, maxCover = minSubsetWithGossip, coverageWithGossip, maxCoverageSubset
 	}
+	perEndpoint := requestRatePerEndpoint
 	if b.settings.ConnectionPrice > 0 {
-		each = requestRatePerPricedEndpoint
+		perEndpoint = requestRatePerPricedEndpoint
 	}
-	servers := float64(len(b.endpoints))
-	cover := min(sharers*(servers/float64(max(1, b.settings.BalancerCount))), most)
-	return int(min(max(least, b.requestRate/each, cover), servers))
+	endpoints := float64(len(b.endpoints))
+	cover := min(balancers*(endpoints/float64(max(1, b.settings.BalancerCount))), maxCover)
+	return int(min(max(least, b.rates.requests/perEndpoint, cover), endpoints))
 }
 
-// updateSubset makes the arms the first in service of this balancer's own order (rendezvous hashing by its seed).
-// Ill ones stay for their trials and are not counted; a cold one counts for its part. Guards against quiet
-// balancers of a large fleet that meet each server once a minute, learn nothing and keep connections to all.
+// updateSubset takes the first endpoints in service by this balancer's order. Ejected ones stay in it for
+// their trials and don't count, one in slow start counts for the part that it has warmed up.
 func (b *Balancer) updateSubset(now int64) {
-	want, well := b.subsetSize(), 0.0
+	size, healthy := b.subsetSize(), 0.0
 	b.subset = b.subset[:0]
 	for _, s := range b.endpoints {
-		was := s.inSubset
-		s.inSubset = s.Phase == InService && well < float64(want) && len(b.subset) < maxSubsetFactor*want
-		if s.inSubset {
-			if !was { // those who share it are to know soon
-				b.nextGossipAt = min(b.nextGossipAt, b.lastGossipAt+b.gossipChangeInterval())
-			}
-			b.subset = append(b.subset, s)
-			if !s.ejectedForAll {
-				well += b.warmupFraction(now, s)
-			}
+		joined := !s.inSubset
+		s.inSubset = s.inService() && healthy < float64(size) && len(b.subset) < maxSubsetFactor*size
+		if !s.inSubset {
+			continue
+		}
+		if joined {
+			b.gossip.subsetChanged(b.gossipChangeInterval())
+		}
+		b.subset = append(b.subset, s)
+		if !s.ejectedForAll {
+			healthy += b.warmupFraction(now, s)
 		}
 	}
 }
 
-// sortEndpoints sorts the servers for this balancer and finds them by their tags.
+// subsetRank places an endpoint in this balancer's order, by rendezvous hashing: a change of the list moves
+// few. Those of the own zone come first in part, see locality.go.
+func (b *Balancer) subsetRank(s *endpointState, zone string) uint64 {
+	rank := mixBits(s.idHash ^ b.subsetSeed)
+	return uint64(float64(rank) / max(1, b.zoneWeight(zone)/zoneRankFactor))
+}
+
+// sortEndpoints puts the list in this balancer's order.
 func (b *Balancer) sortEndpoints() {
-	slices.SortFunc(b.endpoints, func(a, c *endpointState) int { return cmp.Compare(a.subsetRank, c.subsetRank) })
-	clear(b.endpointsByTag)
-	for _, s := range b.endpoints {
-		b.endpointsByTag[s.gossipTag()] = s
-	}
+	slices.SortFunc(b.endpoints, func(a, other *endpointState) int {
+		return cmp.Compare(a.subsetRank, other.subsetRank)
+	})
 }
 
-// balancersPerEndpoint is how many balancers draw from a server, on average.
+// balancersPerEndpoint is how many balancers have an endpoint in their subset, on average.
 func (b *Balancer) balancersPerEndpoint() float64 {
 	return max(1, float64(b.settings.BalancerCount*b.subsetSize())/float64(max(1, len(b.endpoints))))
 }
--- a/decide/tails_test.go
+++ b/decide/tails_test.go
@@ -265,6 +265,6 @@
 		all := float64(t.how["served"] + t.how["refused"] + t.how["failed"])
 		b.ReportMetric(100*float64(t.how["refused"])/all, "%refused")
 		b.ReportMetric(100*t.points/all, "%earned")
-		b.ReportMetric(t.bs[0].poolLimit, "density")
+		b.ReportMetric(t.bs[0].pool.limit, "density")
 	})
 }
--- a/decide/told_test.go
+++ b/decide/told_test.go
@@ -38,13 +38,13 @@
 // ((1+1)/(3+1)) to the power of 2. What waits counts by its root, so less.
 func TestServersWeighByWhatTheyTellThatTheyHold(t *testing.T) {
 	w := newWorld(t, testSettings(), fleet(2)...)
-	w.b.meanReportedInFlight = 1
+	w.b.loadReports.meanInFlight = 1
 	a, q := w.b.knownEndpoints["s0"], w.b.knownEndpoints["s1"]
 	w.b.recordLoadReport(a, told(3, -1, -1))
-	w.b.meanReportedInFlight = 1
+	w.b.loadReports.meanInFlight = 1
 	near(t, "ease of one that holds three", w.b.loadWeight(a), 0.25, 1e-9)
 	w.b.recordLoadReport(q, told(-1, 3, -1))
-	w.b.meanReportedInFlight = 1
+	w.b.loadReports.meanInFlight = 1
 	near(t, "ease of one where three wait", w.b.loadWeight(q), 1, 1e-9)
 }
 
@@ -60,7 +60,7 @@
 		set := testSettings()
 		set.LoadFromHealthChecks, set.Limits.HealthChecks, set.HealthCheckPrice = c.pull, c.allowed, c.price
 		w := newWorld(t, set, fleet(6)...)
-		w.traffic(int(120*c.rate), func(f *flight) (Result, bool) { return Succeeded, true })
+		w.traffic(int(120*c.rate), func(_ *flight) (Result, bool) { return Succeeded, true })
 		w.advance(120*second - int64(120*c.rate)*10_000)
 		probes := w.count("probe")
 		if c.any != (probes > 0) {
@@ -105,7 +105,7 @@
 		set := testSettings()
 		set.ConnectionPrice, set.BalancerCount = c.price, 1000
 		w := newWorld(t, set, fleet(60)...)
-		if w.b.requestRate = c.rate; w.b.subsetSize() != c.want {
+		if w.b.rates.requests = c.rate; w.b.subsetSize() != c.want {
 			t.Errorf("price %v, %v requests a second: %d arms, want %d", c.price, c.rate, w.b.subsetSize(), c.want)
 		}
 	}
@@ -180,9 +180,9 @@
 			}
 		}
 	}
-	for i := range w.b.keyStats {
-		if w.b.keyStats[i].rejectRatio > 0.5 {
-			t.Fatalf("slot %d is thinned by %v", i, w.b.keyStats[i].rejectRatio)
+	for i := range w.b.keys.slots {
+		if w.b.keys.slots[i].rejectRatio > 0.5 {
+			t.Fatalf("slot %d is thinned by %v", i, w.b.keys.slots[i].rejectRatio)
 		}
 	}
 }
--- a/decide/utilization.go
+++ b/decide/utilization.go
@@ -1,6 +1,9 @@
+// How loaded an endpoint is by what is in flight there, and whether it responds.
+
 package decide
 
-// utilization is what s holds for its size; where balancers tell one another, as it would be with one attempt more.
+// utilization is the number of attempts in flight at s per unit of its capacity: own ones, or with gossip
+// those of all balancers and one more.
 func (b *Balancer) utilization(now int64, s *endpointState) float64 {
 	if b.gossipEnabled() {
 		return (b.totalInFlight(now, s) + 1) / s.Capacity
@@ -8,25 +11,26 @@
 	return float64(s.inFlight) / s.Capacity
 }
 
-// meanUtilization is the mean load of the arms: a server with more is drawn again. Attempts that pile up show a paused or
-// slow server before its first answer does.
+// meanUtilization is that of the subset. A draw that finds an endpoint above it is repeated: attempts pile up
+// at a paused or slow endpoint before its first answer shows it.
 func (b *Balancer) meanUtilization(now int64) float64 {
-	size, n, load := 0.0, 0.0, 0.0
+	capacity, healthy, sum := 0.0, 0.0, 0.0
 	for _, s := range b.subset {
-		size += s.Capacity
+		capacity += s.Capacity
 		if !s.ejectedForAll {
-			n, load = n+1, load+b.utilization(now, s)
+			healthy++
+			sum += b.utilization(now, s)
 		}
 	}
 	if b.gossipEnabled() {
-		return load / n
+		return sum / healthy
 	}
-	return float64(b.inFlight) / size
+	return float64(b.inFlight) / capacity
 }
 
-// unresponsive tells whether attempts at s have gone without an answer for longer than answers take.
+// unresponsive reports whether attempts at s have had no answer for longer than nearly all answers take.
 func (b *Balancer) unresponsive(now int64, s *endpointState) bool {
-	if s.inFlight == 0 { // most, where each request asks it of all
+	if s.inFlight == 0 {
 		return false
 	}
 	patience := 0.0
--- a/decide/work_hint.go
+++ b/decide/work_hint.go
@@ -1,12 +1,14 @@
+// Requests whose client hints how much work they are: latencies are compared as if all were of mean size.
+
 package decide
 
 const (
-	meanWorkStep = 0.02 // of the mean work hinted, for each request
-	workShare    = 0.5  // of a request's time, that goes by its work
+	meanWorkStep = 0.02 // of the mean hint, for each request
+	workShare    = 0.5  // of a request's time that is in proportion to its work
 )
 
-// workFactor is how much longer than a mean request one of that work takes: half of the time goes by the work. Guards
-// against a crowd that is seen where requests are large: one in five was late at servers at ease.
+// workFactor takes in a hint and is how many times longer than the mean a request with that much work takes.
+// Without it large requests would pass for congestion.
 func (c *classState) workFactor(work int64) float64 {
 	if work <= 0 {
 		return 1
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -303,7 +303,7 @@
 	return r
 }
 
-func (w *world) Reject(id string, after int64) {
+func (w *world) Reject(id string, _ int64) {
 	if r := w.answer(id, "refuse"); r != nil && !w.harmless(r, nil) {
 		w.broken("rule 2: %s refused, but it may have run", id)
 	}
