--- /dev/null
+++ b/decide/admission_test.go
@@ -0,0 +1,100 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Requests wait for room worthiest first; those that would wait too long are refused at once.
+func TestLowestPriorityIsRejectedFirst(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(1)...)
+	for i := range 4 {
+		w.request(fmt.Sprint("out", i), 0, 2*second)
+	}
+	var low []*trackedRequest
+	for i := range 4 {
+		low = append(low, w.request(fmt.Sprint("low", i), 0, 2*second))
+	}
+	high := w.request("high", 1, 2*second)
+	if low[0].answered != "refuse" || high.answered != "" {
+		t.Errorf("the oldest of the low is %q and the high %q, want refuse and waiting", low[0].answered, high.answered)
+	}
+	w.endAttempt(w.inFlight[0], Succeeded)
+	if len(high.attempts) != 1 || len(low[2].attempts) != 0 { // the limit grew a little: one more may go
+		t.Error("room came, and the worthiest was not the one sent")
+	}
+	w.advance(300_000)
+	for _, r := range low {
+		if len(r.attempts) == 0 && r.answered != "refuse" {
+			t.Errorf("%s waited past its part of the aim and is %q", r.ID, r.answered)
+		}
+	}
+}
+
+// The failure: a request whose client had left stood in the queue and was answered when it overflowed.
+func TestDisconnectedClientIsNotAnswered(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(1)...)
+	var low []*trackedRequest
+	for i := range 8 {
+		low = append(low, w.request(fmt.Sprint("r", i), 0, 2*second))
+	}
+	w.disconnect(low[7])
+	w.request("high", 1, 2*second) // the world objects to an answer for low[7]
+	w.advance(2 * second)
+}
+
+// By hand: with equal allowances a tenant with three quarters of the traffic is over its share by a third of
+// its requests; the other never is.
+func TestOverQuotaByTraffic(t *testing.T) {
+	set := testSettings()
+	set.Tenants = []Tenant{{Name: "a", Allowance: 50}, {Name: "b", Allowance: 50}}
+	w := newWorkload(t, set, testEndpoints(1)...)
+	over := [2]int{}
+	for i := range 8000 {
+		tenant := min(i%4, 1) // b three times of four
+		if w.b.overQuota(tenant) && i >= 2000 {
+			over[tenant]++
+		}
+	}
+	assertNear(t, "requests of b over its share", float64(over[1])/4500, 1.0/3, 0.03)
+	if over[0] != 0 {
+		t.Errorf("%d requests of a over its share, want none", over[0])
+	}
+	if w.b.overQuota(-1) || w.b.overQuota(2) {
+		t.Error("a request without a known tenant is over no share")
+	}
+}
+
+// A refusal tells the client when to come back, where the settings allow that, and never after the longest
+// wait that a client follows.
+func TestRejectionNamesRetryAfter(t *testing.T) {
+	for _, told := range []bool{true, false} {
+		set := testSettings()
+		set.Limits.RetryAfter, set.Limits.MaxRetryAfter = told, 50_000
+		w := newWorkload(t, set)
+		w.b.classes[0].latencyMedian = 80_000
+		got, want := w.b.retryAfter(newPlainRequest(w.b)), int64(0)
+		if told {
+			want = 50_000
+		}
+		if got != want {
+			t.Errorf("told %v: come back after %d us, want %d", told, got, want)
+		}
+	}
+}
+
+// A repeat whose client has waited past the aim is answered at once where late is worth nothing.
+// Guards against repeats that keep a jam going.
+func TestLateRetriesOfClientsAreRejected(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(3)...)
+	w.request("first", 0, 1_200_000)
+	repeat := func(id string, left int64) *trackedRequest {
+		return w.take(Request{ID: id, Tenant: -1, TimeLeft: left, IsRetry: true})
+	}
+	if r := repeat("late", 800_000); r.answered == "" || len(r.attempts) > 0 {
+		t.Error("a repeat 1.2 s after its start was sent with an aim of 0.4 s")
+	}
+	if r := repeat("soon", 1_200_000); len(r.attempts) != 1 {
+		t.Error("a repeat that may be in time was not sent")
+	}
+}
--- /dev/null
+++ b/decide/attempt_timeout_test.go
@@ -0,0 +1,21 @@
+package decide
+
+import (
+	"testing"
+)
+
+// The failure: time-outs at a multiple of the latency mark fed a jam, as late work goes on at the servers.
+func TestNoShortTimeoutWhenRetryWouldBeLate(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(2)...)
+	c := w.b.classes[0]
+	r := newPlainRequest(w.b)
+	r.latencyObjective, r.arrivedAt, r.deadline = c.LatencyObjective, w.now, w.now+2*second
+	c.latencyP95, c.latencyMedian = 100_000, 50_000
+	if got := w.b.attemptTimeout(w.now, r); got != 200_000 {
+		t.Errorf("time-out %d, want 200000: a retry still fits", got)
+	}
+	c.latencyP95 = 300_000
+	if got := w.b.attemptTimeout(w.now, r); got != 2*second {
+		t.Errorf("time-out %d, want all that is left", got)
+	}
+}
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -11,10 +11,10 @@
 		b.Run(fmt.Sprint("warm keys ", warm), func(b *testing.B) {
 			set := testSettings()
 			set.KeyAffinity, set.BalancerCount = warm, 800
-			bal := New(set, 1, silent{})
+			bal := New(set, 1, noActions{})
 			now := int64(1000 * second)
 			bal.Start(now)
-			bal.OnEndpoints(now, fleet(250), true)
+			bal.OnEndpoints(now, testEndpoints(250), true)
 			ids := make([]string, 1024)
 			for i := range ids {
 				ids[i] = fmt.Sprint("r", i)
--- /dev/null
+++ b/decide/concurrency_limit_test.go
@@ -0,0 +1,185 @@
+package decide
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+)
+
+// The failure: when a zone fell silent, attempts at its servers held all the room of a balancer until they timed out,
+// and requests for servers at ease were refused.
+func TestUnresponsiveEndpointsTakeNoCapacity(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(10)...)
+	w.b.pool.limit = 0.3
+	for i := range 3 {
+		w.request(fmt.Sprint("lost", i), 0, 2*second)
+	}
+	w.advance(50_000)
+	w.request("early", 0, 2*second)
+	if n := w.countActions("send"); n != 3 {
+		t.Fatalf("%d sent with room for three", n)
+	}
+	w.advance(200_000) // past the latency mark
+	w.request("late", 0, 2*second)
+	if n := w.countActions("send late"); n != 1 {
+		t.Error("a request is not sent while silent servers hold all room")
+	}
+}
+
+// The failure: where some servers of nine were throttled, a busy balancer held back two thirds of what the others would
+// have answered in a twentieth of the aim. Many answers a server move its own limit in time, so the one bound does not
+// act there; and a full server tells of itself alone.
+func TestPoolLimitBindsQuietBalancers(t *testing.T) {
+	for perSecond, want := range map[float64]int{0.5: 1, 20: 4} {
+		w := newWorkload(t, testSettings(), testEndpoints(10)...)
+		w.b.rates.perCapacity[1], w.b.pool.limit = perSecond/float64(second), 0.1
+		for i := range 4 {
+			w.request(fmt.Sprint("r", i), 0, 2*second)
+		}
+		if n := w.countActions("send"); n != want {
+			t.Errorf("%v answers a second from each server: %d sent with room for one, want %d", perSecond, n, want)
+		}
+		w.endAttempt(w.inFlight[0], Saturated)
+		assertNear(t, "density after a full server", w.b.pool.limit, 0.1, 0)
+	}
+}
+
+// The failure: at a busy balancer forty answers that came late together left it two parts in a thousand of its room, and
+// two sidecars of a small fleet refused what their servers could do. By hand: with n out each cuts by 0.6/n, or by 0.15
+// with four or less, from forty down to one all together to 0.13 of it.
+func TestBurstOfLateAnswersLeavesCapacity(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(10)...)
+	w.request("quick", 0, 2*second) // so that it is known how quick answers are at ease
+	w.advance(20_000)
+	w.endAttempt(w.inFlight[0], Succeeded)
+	w.b.pool.limit = 20
+	for i := range 40 {
+		w.request(fmt.Sprint("r", i), 0, 2*second)
+	}
+	if n := len(w.inFlight); n != 40 {
+		t.Fatalf("%d out, want 40", n)
+	}
+	before := w.b.pool.limit
+	w.advance(350_000)
+	for len(w.inFlight) > 0 {
+		w.endAttempt(w.inFlight[0], Succeeded)
+	}
+	assertNear(t, "part of the room kept", w.b.pool.limit/before, 0.13, 0.03)
+}
+
+// A late answer cuts what may be out at all servers together, at once; early ones that find no room bring it back.
+func TestLateAnswersLowerPoolLimit(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(10)...)
+	_, before := w.b.poolCapacity(w.now)
+	w.request("slow", 0, 2*second)
+	w.advance(350_000) // past 3/4 of the aim
+	w.endAttempt(w.inFlight[0], Succeeded)
+	_, after := w.b.poolCapacity(w.now)
+	assertNear(t, "room after a late answer", after/before, 0.85, 1e-9)
+	w.b.pool.limit = 0.1
+	for i := range 5 {
+		w.request(fmt.Sprint("quick", i), 0, 2*second)
+		w.advance(20_000)
+		w.endAttempt(w.inFlight[0], Succeeded)
+	}
+	assertNear(t, "density after five early ones", w.b.pool.limit, 0.1*math.Pow(1.05, 5), 1e-9)
+}
+
+// The failure: many small balancers each kept one attempt at every server and together filled the fleet;
+// every answer was late for good. Limits fall below one, and what is out with them.
+func TestLateAnswersLowerInFlight(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(20)...)
+	most := 0
+	for i := range 2000 {
+		w.request(fmt.Sprint("r", i), 0, 2*second)
+		w.advance(20_000)
+		for _, f := range slices.Clone(w.inFlight) {
+			if w.now-f.sent >= 900_000 {
+				w.endAttempt(f, Succeeded)
+			}
+		}
+		if i > 1500 {
+			most = max(most, len(w.inFlight))
+		}
+	}
+	if most >= 10 {
+		t.Errorf("%d attempts out at 20 servers that all answer late, want under 10", most)
+	}
+}
+
+// The failure: attempts that fell silent one by one at all servers cut every limit, though all else was answered early, and
+// a third of the requests was refused. In a jam answers are late as well: there a time-out still cuts.
+func TestLoneTimeoutKeepsLimit(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(1)...)
+	s, c := w.b.endpoints[0], w.b.classes[0]
+	end := func(result Result, latency int64) float64 {
+		before := s.concurrencyLimit
+		w.now += second
+		w.b.adaptLimits(w.now, c, &attempt{endpoint: s, sentAt: w.now - latency}, Outcome{Result: result, Latency: latency})
+		return s.concurrencyLimit / before
+	}
+	end(Succeeded, 1000)
+	if f := end(TimedOut, c.Deadline); f != 1 {
+		t.Errorf("a time-out after an early answer moved the limit by %v", f)
+	}
+	end(Succeeded, c.LatencyObjective)
+	if f := end(TimedOut, c.Deadline); f >= 1 {
+		t.Errorf("a time-out after a late answer moved the limit by %v", f)
+	}
+}
+
+// The failure: nine new balancers allowed themselves four attempts at each server and flooded the fleet in the
+// first seconds. By hand: 8 for all, a ninth of it each.
+func TestInitialLimitsAreShared(t *testing.T) {
+	set := testSettings()
+	set.BalancerCount = 9
+	w := newWorkload(t, set, testEndpoints(2)...)
+	assertNear(t, "start limit", w.b.endpoints[0].concurrencyLimit, 8.0/9, 1e-9)
+}
+
+// The failure: when four servers in ten left, quiet balancers, each of whose limits an answer moved only now and then,
+// went on filling the rest: 499 answers came within the aim and 6,700 late. By hand: 36 servers do 1,200 a
+// second of the 1,600 asked for, so a fleet that holds back what is over can be early with nearly all of those.
+func TestQuietBalancersSendLessWhenEndpointsLeave(t *testing.T) {
+	set := testSettings()
+	set.KeyAffinity = true // each balancer meets all servers, as keys' homes
+	c := newCluster(80, set, 0, testEndpoints(60))
+	c.busy, c.keys = map[string]int64{}, 300
+	c.run(6, 1600)
+	for _, b := range c.bs {
+		list := testEndpoints(60)[36:]
+		for i := range list {
+			list[i].Phase = Draining
+		}
+		b.OnEndpoints(c.now, list, false)
+	}
+	c.run(2, 1600)
+	c.served = map[bool]int{}
+	c.run(6, 1600)
+	if in, late := c.served[true], c.served[false]; in < 6*900 || late > in/4 {
+		t.Errorf("%d answers within the aim and %d late in 6 s, want 5400 or more and few late", in, late)
+	}
+}
+
+// A server that turns away early and answers in time keeps its limit; where further attempts are rationed it does not.
+func TestSaturationAtAnEarlyEndpoint(t *testing.T) {
+	for _, c := range []struct {
+		span int64
+		kept bool
+	}{{0, true}, {10 * second, false}} {
+		set := testSettings()
+		set.Rules.AttemptBudgetWindow, set.Rules.AttemptBudgetRatio = c.span, 0.1
+		if c.span == 0 {
+			set.Rules.AttemptBudgetRatio = 0
+		}
+		w := newWorkload(t, set, testEndpoints(1)...)
+		s := w.b.knownEndpoints["s0"]
+		w.endAttempt(w.request("a", 0, second).attempts[0], Succeeded)
+		before := s.concurrencyLimit
+		w.endAttempt(w.request("b", 0, second).attempts[0], Saturated)
+		if kept := s.concurrencyLimit >= before; kept != c.kept {
+			t.Errorf("span %d: limit %v, was %v", c.span, s.concurrencyLimit, before)
+		}
+	}
+}
--- /dev/null
+++ b/decide/endpoint_list_test.go
@@ -0,0 +1,101 @@
+package decide
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+// Rule 3: draining, removed and unlisted servers get nothing, however they are told.
+func TestDrainingEndpointsGetNothing(t *testing.T) {
+	for name, tell := range map[string]func(*workload, []Endpoint){
+		"draining": func(w *workload, l []Endpoint) { l[0].Phase = Draining; w.sendEndpoints(false, l[0]) },
+		"removed":  func(w *workload, l []Endpoint) { l[0].Phase = Removed; w.sendEndpoints(false, l[0]) },
+		"unlisted": func(w *workload, l []Endpoint) { w.sendEndpoints(true, l[1]) },
+	} {
+		w := newWorkload(t, testSettings(), testEndpoints(2)...)
+		tell(w, testEndpoints(2))
+		for i := range 50 {
+			r := w.request(fmt.Sprint("r", i), 0, second)
+			w.endAttempt(r.attempts[0], Succeeded)
+			if r.attempts[0].server.ID != "s1" {
+				t.Errorf("%s: sent to %s", name, r.attempts[0].server.ID)
+			}
+		}
+	}
+}
+
+func TestRejectAtOnceWithoutEndpoints(t *testing.T) {
+	w := newWorkload(t, testSettings())
+	if r := w.request("a", 0, second); r.answered != "refuse" {
+		t.Errorf("answer %q, want refuse", r.answered)
+	}
+}
+
+// The failure: what was known of servers that are gone was kept for good.
+func TestRemovedEndpointsAreForgotten(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(3)...)
+	for i := range 50 {
+		w.b.OnEndpoints(w.now, []Endpoint{{ID: fmt.Sprint("new", i), Capacity: 1}}, true)
+		w.b.OnTimer(w.now, timerSecond)
+		w.now += 2 * second
+	}
+	if n := len(w.b.knownEndpoints); n > int(removedRetention/(2*second))+2 {
+		t.Errorf("%d servers remembered of 53, one of them listed", n)
+	}
+}
+
+// A list that grows from one server to a thousand, repeats entries, shrinks to none and comes back neither panics nor
+// starves: whatever is listed is used, at any size.
+func TestListOfAnyLength(t *testing.T) {
+	set := testSettings()
+	set.BalancerCount = 500
+	w := newWorkload(t, set, testEndpoints(1)...)
+	serve := func(f *trackedAttempt) (Result, bool) { return Succeeded, w.now-f.sent >= 20_000 }
+	for _, n := range []int{1, 2, 10, 100, 1000, 1, 0, 300} {
+		list := testEndpoints(n)
+		w.sendEndpoints(true, append(list, list...)...)
+		if len(w.b.endpoints) != n || len(w.b.subset) > max(n, 3*minSubset) || n > 0 && len(w.b.subset) == 0 {
+			t.Fatalf("%d listed: %d servers kept, %d arms", n, len(w.b.endpoints), len(w.b.subset))
+		}
+		before := w.countActions("send")
+		w.traffic(50, serve)
+		if got := w.countActions("send") - before; n > 0 && got < 20 { // limits start at a part of one send for 500 balancers and grow
+			t.Errorf("%d listed: %d sends for 50 requests", n, got)
+		}
+	}
+}
+
+// A number of balancers that is absent, or wrong by a factor of ten either way, still keeps rule 4 for all together
+// and serves what comes.
+func TestWrongBalancerCount(t *testing.T) {
+	for _, told := range []int{0, 5, 500} {
+		set := testSettings()
+		const servers, perSecond = 20, 800
+		c := newCluster(50, set, 0.3, testEndpoints(servers))
+		for _, b := range c.bs {
+			b.settings.BalancerCount = told
+			b.OnEndpoints(c.now, testEndpoints(servers), true)
+		}
+		c.run(5, perSecond)
+		if c.sent < 3*perSecond {
+			t.Errorf("told %d: %d attempts for %d requests", told, c.sent, c.requests)
+		}
+		cold := len(c.sendsToStartingServer(2, perSecond))
+		if most := set.Rules.OverloadFactor * set.Rules.SlowStartMinShare * perSecond / servers * 2; float64(cold) > most {
+			t.Errorf("told %d: %d sends to a cold server in its first window, budget %.0f", told, cold, most)
+		}
+	}
+}
+
+// An infinite or absurd listed size counts as one: it would leave all others without a part.
+func TestAbsurdCapacityCountsAsOne(t *testing.T) {
+	set := testSettings()
+	set.CapacityListed = true
+	list := testEndpoints(3)
+	list[0].Capacity, list[1].Capacity = math.Inf(1), 1e300
+	w := newWorkload(t, set, list...)
+	for _, s := range w.b.endpoints {
+		assertNear(t, "size of "+s.ID, s.Capacity, 1, 1e-9)
+	}
+}
--- a/decide/fuzz_test.go
+++ b/decide/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// drive turns bytes into a legal order of events and returns the actions taken.
-func drive(t testing.TB, data []byte) []string {
+// playFuzzInput turns bytes into a legal order of events and returns the actions taken.
+func playFuzzInput(t testing.TB, data []byte) []string {
 	set := testSettings()
 	if len(data) > 0 {
 		set.Limits.Cancel = data[0]&1 == 0
@@ -27,34 +27,34 @@
 			size, set.BalancerCount = 100*int(data[1]-238), 500
 		}
 	}
-	w := newWorld(t, set, fleet(size)...)
+	w := newWorkload(t, set, testEndpoints(size)...)
 	begun := w.now // two minutes of clock are enough for one order, or the search stalls on jumps
 	for i := 2; i+1 < len(data) && !w.failed && w.now-begun < 120*second; i += 2 {
 		w.step(i, data[i], int(data[i+1]))
 	}
 	w.advance(3 * second) // everything taken is answered by then
-	return w.acts
+	return w.actions
 }
 
-func (w *world) step(i int, op byte, arg int) {
+func (w *workload) step(i int, op byte, arg int) {
 	switch op % 16 {
 	case 0, 1, 2, 3, 4:
 		w.request(fmt.Sprint("r", i), arg%len(w.set.Classes), []int64{2 * second, 300_000, 1, 900_000}[arg/8%4])
 	case 5, 6, 7, 8:
-		if n := len(w.pending); n > 0 {
-			w.settle(w.pending[arg%n], []Result{Succeeded, Succeeded, Errored, Saturated, ConnectFailed, Reset, Cancelled, NotSent}[arg/32])
+		if n := len(w.inFlight); n > 0 {
+			w.endAttempt(w.inFlight[arg%n], []Result{Succeeded, Succeeded, Errored, Saturated, ConnectFailed, Reset, Cancelled, NotSent}[arg/32])
 		}
 	case 9, 10:
 		w.advance(int64(arg) * 1000)
 	case 11:
 		w.advance(int64(arg) * 20_000) // a jump of the clock
 	case 12:
-		ids := make([]string, 0, len(w.reqs))
-		for id := range w.reqs {
+		ids := make([]string, 0, len(w.requests))
+		for id := range w.requests {
 			ids = append(ids, id)
 		}
 		if slices.Sort(ids); len(ids) > 0 {
-			w.gone(w.reqs[ids[arg%len(ids)]])
+			w.disconnect(w.requests[ids[arg%len(ids)]])
 		}
 	case 13:
 		s := Endpoint{ID: fmt.Sprint("s", arg%10), Capacity: 1, Zone: fmt.Sprint("z", arg%2), Cell: int64(arg % 3)}
@@ -63,12 +63,12 @@
 		if arg > 127 && s.Phase == InService {
 			s.StartedAt = w.now
 		}
-		w.list(false, s)
+		w.sendEndpoints(false, s)
 	case 14:
 		if arg < 128 {
 			w.b.OnPollFailed(w.now, 0)
 		} else {
-			w.list(true, fleet(arg%7)...)
+			w.sendEndpoints(true, testEndpoints(arg%7)...)
 		}
 	case 15:
 		if arg%8 == 1 && len(w.b.endpoints) > 0 { // another tells of its attempts, or of nonsense
@@ -85,11 +85,11 @@
 			if set.Rules.AttemptBudgetWindow > 0 {
 				set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio = float64(arg/8%3), float64(arg/64)/10
 			}
-			w.retune(set)
+			w.updateSettings(set)
 		}
 		if arg%8 == 0 {
 			w.restart()
-			w.list(true, fleet(arg/8%9)...)
+			w.sendEndpoints(true, testEndpoints(arg/8%9)...)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 		if len(data) > 6000 {
 			return
 		}
-		drive(t, data)
+		playFuzzInput(t, data)
 	})
 }
 
@@ -121,7 +121,7 @@
 	for i := range data {
 		data[i] = byte(rng.Uint32())
 	}
-	a, b := drive(t, data), drive(t, data)
+	a, b := playFuzzInput(t, data), playFuzzInput(t, data)
 	if !slices.Equal(a, b) {
 		t.Error("the same events gave other actions")
 	}
--- a/decide/peers_test.go
+++ b/decide/gossip_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// post carries the words of balancers to one another, at once.
-type post struct {
-	silent
+// gossipLink carries the words of balancers to one another, at once.
+type gossipLink struct {
+	noActions
 	from int
 	to   []*Balancer
 	now  *int64
@@ -19,7 +19,7 @@
 	sent *int
 }
 
-func (p post) SendGossip(peer int, word []byte) {
+func (p gossipLink) SendGossip(peer int, word []byte) {
 	*p.sent++
 	for i, b := range p.to {
 		if b != nil && i != p.from && (peer < 0 || peer == i) && !*p.lost {
@@ -28,19 +28,19 @@
 	}
 }
 
-func talkers(t *testing.T, n, servers int) (bs []*Balancer, now *int64, lost *bool, sent *int) {
+func gossipingBalancers(t *testing.T, n, servers int) (bs []*Balancer, now *int64, lost *bool, sent *int) {
 	t.Helper()
 	bs, now, lost, sent = make([]*Balancer, n), new(int64), new(bool), new(int)
 	*now = 1000 * second
 	for i := range bs {
 		set := testSettings()
 		set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount, set.BalancerIndex = true, true, n, i
-		bs[i] = New(set, uint64(i+1), post{from: i, to: bs, now: now, lost: lost, sent: sent})
+		bs[i] = New(set, uint64(i+1), gossipLink{from: i, to: bs, now: now, lost: lost, sent: sent})
 	}
 	for range 2 { // the second time all are known
 		for _, b := range bs {
 			b.gossip.nextSendAt = 0
-			b.OnEndpoints(*now, fleet(servers), true)
+			b.OnEndpoints(*now, testEndpoints(servers), true)
 		}
 	}
 	return bs, now, lost, sent
@@ -48,8 +48,8 @@
 
 // What one sends, those that share the server count, until it ends. Guards against a pool in which each sees its own
 // few attempts and all choose the same server.
-func TestSharersCountWhatAllHold(t *testing.T) {
-	bs, now, _, _ := talkers(t, 3, 3)
+func TestGossipCountsAllInFlight(t *testing.T) {
+	bs, now, _, _ := gossipingBalancers(t, 3, 3)
 	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: second})
 	busy := -1
 	for i, s := range bs[0].endpoints {
@@ -71,8 +71,8 @@
 
 // A count whose end is lost is forgotten after a second; where no word comes at all, each takes the others to hold
 // what it holds itself. Guards against a collapse while all messages are lost.
-func TestLostWords(t *testing.T) {
-	bs, now, lost, _ := talkers(t, 4, 2)
+func TestLostGossip(t *testing.T) {
+	bs, now, lost, _ := gossipingBalancers(t, 4, 2)
 	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: 3 * second})
 	*lost = true
 	s := bs[1].endpoints[0]
@@ -94,8 +94,8 @@
 
 // Words that are none, damaged, of another version, stale, doubled, from oneself or nobody, or about servers that are
 // not listed change nothing.
-func TestBadWordsAreIgnored(t *testing.T) {
-	bs, now, _, _ := talkers(t, 3, 3)
+func TestInvalidGossipIsIgnored(t *testing.T) {
+	bs, now, _, _ := gossipingBalancers(t, 3, 3)
 	b := bs[0]
 	bs[1].endpoints[0].inFlight = 9
 	good := slices.Clone(bs[1].encodeGossip(bs[1].endpoints[0]))
@@ -152,8 +152,8 @@
 }
 
 // A word is heard once, and not after a newer one.
-func TestOldWordsAreIgnored(t *testing.T) {
-	bs, now, _, _ := talkers(t, 2, 1)
+func TestOldGossipIsIgnored(t *testing.T) {
+	bs, now, _, _ := gossipingBalancers(t, 2, 1)
 	s := bs[1].endpoints[0]
 	s.inFlight = 5
 	old := slices.Clone(bs[1].encodeGossip(s))
@@ -169,150 +169,58 @@
 }
 
 // No balancer without leave sends or hears a word.
-func TestNoWordsWithoutLeave(t *testing.T) {
-	w := newWorld(t, testSettings(), fleet(3)...)
-	w.traffic(50, func(*flight) (Result, bool) { return Succeeded, true })
+func TestNoGossipUnlessEnabled(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(3)...)
+	w.traffic(50, func(*trackedAttempt) (Result, bool) { return Succeeded, true })
 	w.b.OnGossip(w.now, 1, []byte{gossipVersion | 1, 0, 0, 0, 0})
-	if slices.ContainsFunc(w.acts, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.gossip.peers) > 0 {
+	if slices.ContainsFunc(w.actions, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.gossip.peers) > 0 {
 		t.Error("words were sent or heard where the settings permit none")
 	}
 }
 
 // A word goes to no more balancers than the CPU of its receivers bears: by hand 8 ms / 0.4 ms = 20, 24 at the most; and
 // to no more than 16,000 for all balancers together: of 2,000 each to 8.
-func TestWordsGoToFew(t *testing.T) {
+func TestGossipFanout(t *testing.T) {
 	for cpu, want := range map[int64]int{0: 24, 8000: 20, 500_000: 24, 1: 1} {
 		set := testSettings()
 		set.Limits.CPU = cpu
-		if got := New(set, 1, silent{}).gossipFanout(); got != want {
+		if got := New(set, 1, noActions{}).gossipFanout(); got != want {
 			t.Errorf("CPU %d: to %d, want %d", cpu, got, want)
 		}
 	}
 	set := testSettings()
 	set.BalancerCount = 2000
-	if got := New(set, 1, silent{}).gossipFanout(); got != 8 {
+	if got := New(set, 1, noActions{}).gossipFanout(); got != 8 {
 		t.Errorf("2,000 balancers: to %d, want 8", got)
 	}
 }
 
-// Live weights give the size by their largest, at the median of a kind; wild ones change nothing.
-func TestSizesFromLiveWeights(t *testing.T) {
-	set := testSettings()
-	set.CapacityListed, set.CapacityLive = true, true
-	list := []Endpoint{{ID: "a", MachineKind: "big", Capacity: 3}, {ID: "b", MachineKind: "big", Capacity: 1.1}, {ID: "c", MachineKind: "big", Capacity: 3},
-		{ID: "d", MachineKind: "small", Capacity: 1}}
-	w := newWorld(t, set, list...)
-	for _, wild := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300, 0.4, 1e8} {
-		list[0].Capacity, list[3].Capacity = 0.5, min(wild, 1) // loads swing
-		list[1].Capacity = wild
-		w.list(false, list...)
-		near(t, fmt.Sprint("big against small after ", wild), w.b.knownEndpoints["a"].Capacity/w.b.knownEndpoints["d"].Capacity, 3, 1e-9)
-	}
-}
-
-// What got no answer on an idle connection closes it; after two of them others as long idle are closed before a send.
-// Guards against connections dropped unseen, a payout sent on one is lost, and against handshakes for slow answers.
-func TestDeadConnectionsAreClosed(t *testing.T) {
-	w := newWorld(t, testSettings(), fleet(1)...)
-	served := func(id string) { w.settle(w.request(id, 0, 2*second).tries[0], Succeeded) }
-	closes := func() (n int) {
-		for _, a := range w.acts {
-			if strings.Contains(a, " close ") {
-				n++
-			}
-		}
-		return n
-	}
-	served("a")
-	w.advance(second)
-	served("b") // idle for a second and still good
-	if closes() != 0 {
-		t.Fatal("a connection was closed without cause")
-	}
-	want := func(n int, when string) {
-		if t.Helper(); closes() != n {
-			t.Errorf("%d closes %s, want %d", closes(), when, n)
-		}
-	}
-	lose := func(id string) { // and one more, on a new connection
-		w.advance(second)
-		if lost := w.request(id, 0, 300_000); len(lost.tries) != 1 {
-			t.Fatal("not sent")
-		}
-		w.advance(400_000)
-		served(id + " again")
-	}
-	lose("c")
-	want(1, "after a lost attempt")
-	w.advance(900_000)
-	served("d")
-	want(1, "as long idle again: the server may have been slow")
-	lose("e")
-	want(2, "after another lost attempt")
-	w.advance(700_000) // under 0.8 of the second
-	served("f")
-	want(2, "under the time that two have lost")
-	w.advance(900_000)
-	served("g")
-	want(3, "after longer idling")
-}
-
-// A repeat whose client has waited past the aim is answered at once where late is worth nothing.
-// Guards against repeats that keep a jam going.
-func TestRepeatsPastTheAimAreAnsweredAtOnce(t *testing.T) {
-	w := newWorld(t, testSettings(), fleet(3)...)
-	w.request("first", 0, 1_200_000)
-	repeat := func(id string, left int64) *booked {
-		return w.take(Request{ID: id, Tenant: -1, TimeLeft: left, IsRetry: true})
-	}
-	if r := repeat("late", 800_000); r.answered == "" || len(r.tries) > 0 {
-		t.Error("a repeat 1.2 s after its start was sent with an aim of 0.4 s")
-	}
-	if r := repeat("soon", 1_200_000); len(r.tries) != 1 {
-		t.Error("a repeat that may be in time was not sent")
-	}
-}
-
 // A server that has been silent for a latency mark gets nothing new. Guards against attempts that follow one lost on a
 // dead connection, and against hung servers.
-func TestSilentServersWait(t *testing.T) {
+func TestUnresponsiveEndpointsGetNothingWithGossip(t *testing.T) {
 	set := testSettings()
 	set.Limits.Gossip = true
-	w := newWorld(t, set, fleet(1)...)
+	w := newWorkload(t, set, testEndpoints(1)...)
 	w.request("a", 0, 2*second)
 	w.advance(250_000)
-	if r := w.request("b", 0, 2*second); len(r.tries) > 0 {
+	if r := w.request("b", 0, 2*second); len(r.attempts) > 0 {
 		t.Error("sent to a server silent for 250 ms, where answers are taken to need 200 ms")
 	}
 }
 
-// However the list grows, few arms are drawn from where balancers talk. Guards against a draw that counts what all hold
-// at dozens of servers: a fleet of 400 that grew to 436 servers took more CPU than there was.
-func TestArmsStayFewWhereBalancersTalk(t *testing.T) {
-	set := testSettings()
-	set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount = true, true, 400
-	b := New(set, 1, silent{})
-	for servers, want := range map[int]int{57: 2, 119: 4, 436: 8} {
-		b.OnEndpoints(1000*second, fleet(servers), true)
-		if got := b.subsetSize(); got != want {
-			t.Errorf("%d servers: %d arms, want %d", servers, got, want)
-		}
-	}
-}
-
 // Of eight who share a server and hear that it has room, about two send what waits. Guards against a herd: at an
 // overloaded fleet each freed place was taken by all who waited, and a third of what was sent came late.
-func TestFewTakeTheRoomThatAWordTellsOf(t *testing.T) {
+func TestFewDispatchOnGossip(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
 		set := testSettings()
 		set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount, set.BalancerIndex = true, true, 8, 0
-		b := New(set, seed, silent{})
+		b := New(set, seed, noActions{})
 		set.BalancerIndex = 1
-		other := New(set, 1, silent{})
+		other := New(set, 1, noActions{})
 		now := 1000 * second
-		b.OnEndpoints(now, fleet(1), true)
-		other.OnEndpoints(now, fleet(1), true)
+		b.OnEndpoints(now, testEndpoints(1), true)
+		other.OnEndpoints(now, testEndpoints(1), true)
 		s := other.endpoints[0]
 		b.pool.limit, s.inFlight = 0.5, 1
 		b.OnGossip(now, 1, other.encodeGossip(s))
--- /dev/null
+++ b/decide/idempotency_test.go
@@ -0,0 +1,89 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Rule 2, every class with every outcome of its first attempt: what may follow. The world checks each
+// action against its own books; here the wanted kind of action is named too.
+func TestRepeatIsSafeAfterEachResult(t *testing.T) {
+	never := []Result{Saturated, ConnectFailed, NotSent}
+	maybe := []Result{Errored, TimedOut, Reset, Cancelled}
+	for class, c := range testSettings().Classes {
+		for _, result := range append(never, maybe...) {
+			t.Run(fmt.Sprint(c.Name, "/", result), func(t *testing.T) {
+				w := newWorkload(t, testSettings(), testEndpoints(6)...)
+				r := w.request("a", class, 2*second)
+				w.advance(10_000)
+				w.endAttempt(r.attempts[0], result)
+				switch {
+				case c.Semantics == AtMostOnce && !result.NeverRan():
+					if r.answered != "fail" || len(r.attempts) != 1 {
+						t.Errorf("unsafe after %d: %q with %d attempts, want fail after one", result, r.answered, len(r.attempts))
+					}
+				case len(r.attempts) != 2:
+					t.Errorf("%d attempts after %d, want a second one; answer %q", len(r.attempts), result, r.answered)
+				}
+			})
+		}
+	}
+}
+
+// Rule 2: past its window a keyed request that may have run is neither sent again nor refused.
+func TestNoRetryPastDedupWindow(t *testing.T) {
+	for class := 1; class <= 3; class++ {
+		w := newWorkload(t, testSettings(), testEndpoints(6)...)
+		r := w.request("a", class, 2*second)
+		w.inFlight[0].expires = w.now + 10*second // an outcome that comes late
+		w.advance(1_200_000)
+		w.endAttempt(r.attempts[0], Errored)
+		if r.answered != "fail" || len(r.attempts) != 1 {
+			t.Errorf("class %d: %q with %d attempts, want fail with one", class, r.answered, len(r.attempts))
+		}
+	}
+}
+
+// Rule 2: with its group drained away, a keyed request that may have run fails at once.
+func TestNoRetryOutsideDedupScope(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(2)...)
+	r := w.request("a", 2, 2*second)
+	mine := r.attempts[0].server
+	mine.Phase = Draining
+	w.sendEndpoints(false, mine)
+	w.endAttempt(r.attempts[0], Errored)
+	if r.answered != "fail" {
+		t.Errorf("answer %q, want fail", r.answered)
+	}
+}
+
+// A request that another balancer may have sent is sent again only where that has no second effect, and what is sent counts
+// as beyond its first attempt. Guards against a takeover that runs work twice or mints attempts.
+func TestPriorAttemptOfAnotherBalancer(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		class  int
+		former int64
+		floor  float64 // of the budget of attempts
+		sent   bool
+		answer string // where it is not sent
+	}{
+		{"nobody has", 4, 0, 0, true, ""},
+		{"safe", 0, 100_000, 1, true, ""},
+		{"safe, no attempt left", 0, 100_000, 0, false, "refuse"},
+		{"keyed", 1, 100_000, 1, true, ""},
+		{"keyed, no attempt left", 1, 100_000, 0, false, "refuse"},
+		{"keyed, its window over", 1, second, 1, false, "fail"},
+		{"keyed in one zone, nobody knows which", 2, 100_000, 1, false, "fail"},
+		{"keyed in one cell, nobody knows which", 3, 100_000, 1, false, "fail"},
+		{"unsafe", 4, 100_000, 1, false, "fail"},
+	} {
+		w := newWorkload(t, withAttemptBudget(c.floor, 0, 10*second), testEndpoints(6)...)
+		r := w.take(Request{ID: "x", Class: c.class, Tenant: -1, TimeLeft: 2 * second, Key: "k", PriorAttemptAge: c.former})
+		w.advance(2 * second)
+		_, further := w.b.attemptBudget.counts(w.now)
+		if sent := len(r.attempts) > 0; sent != c.sent || !sent && r.answered != c.answer || (further > 0) != (sent && c.former > 0) {
+			t.Errorf("%s: sent %t, answered %q, %d further", c.name, sent, r.answered, further)
+		}
+	}
+}
--- /dev/null
+++ b/decide/locality_test.go
@@ -0,0 +1,32 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+)
+
+// By hand: of four equal servers in four zones, where crossing has a price, the own one weighs 5 beside 3:
+// p = 0.93*5/8 + 0.07/4 = 0.59875. Without a price all are equal.
+func TestOwnZoneWeighsMoreWhenCrossingIsPriced(t *testing.T) {
+	for price, want := range map[float64]float64{0: 0.25, 0.03: 0.93*5/8 + 0.07/4} {
+		set := testSettings()
+		set.Zone, set.CrossZonePrice = "home", price
+		list := testEndpoints(4)
+		for i := range list {
+			list[i].Zone = fmt.Sprint("z", i)
+		}
+		list[2].Zone = "home"
+		w := newWorkload(t, set, list...)
+		r := newPlainRequest(w.b)
+		met := false
+		for range 200 {
+			if s, p := w.b.drawEndpoint(w.now, r); s.Zone == "home" {
+				met = true
+				assertNear(t, fmt.Sprint("p of the own zone at price ", price), p, want, 1e-9)
+			}
+		}
+		if !met {
+			t.Error("the own zone was never drawn")
+		}
+	}
+}
--- /dev/null
+++ b/decide/request_test.go
@@ -0,0 +1,109 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+)
+
+// What servers find faulty fails at once: no server is blamed, and no retry is spent on it.
+func TestInvalidRequestFailsAtOnce(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(2)...)
+	before := w.b.retryBudget.tokens
+	for i := range 6 {
+		r := w.request(fmt.Sprint("bad", i), 0, 2*second)
+		w.endAttempt(w.inFlight[0], InvalidRequest)
+		if r.answered != "fail" || len(r.attempts) != 1 {
+			t.Fatalf("answered %q after %d tries", r.answered, len(r.attempts))
+		}
+	}
+	if w.b.retryBudget.tokens != before || w.countActions("log endpoint_ejected") != 0 || w.b.endpoints[0].logWeight != 0 {
+		t.Errorf("%v retries of %v left, %d suspensions", w.b.retryBudget.tokens, before, w.countActions("log endpoint_ejected"))
+	}
+}
+
+func TestStartedStreamIsNotRetried(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(3)...)
+	r := w.request("a", 5, 2*second)
+	w.b.OnStreamStarted(w.now, "a", 0)
+	r.attempts[0].expires, r.deadline = w.now+100*second, w.now+100*second
+	w.advance(5 * second)
+	r.answered = "stream"
+	w.endAttempt(r.attempts[0], Reset)
+	if len(r.attempts) != 1 || len(w.b.openRequests) != 0 {
+		t.Errorf("%d attempts, %d requests open, want one and none", len(r.attempts), len(w.b.openRequests))
+	}
+}
+
+// By hand: an aim of 400 ms stretched by 3 times the work hinted: 100 ms of work 700 ms, 900 ms of work no more than the
+// deadline of 2 s, none the class's own.
+func TestObjectiveGrowsWithWorkHint(t *testing.T) {
+	set := testSettings()
+	set.Classes[0].ObjectivePerWork = 3
+	w := newWorkload(t, set, testEndpoints(3)...)
+	for work, want := range map[int64]int64{0: 400_000, 100_000: 700_000, 900_000: 2 * second} {
+		id := fmt.Sprint("r", work)
+		w.take(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, WorkHint: work})
+		if got := w.b.openRequests[id].latencyObjective; got != want {
+			t.Errorf("aim with %d us of work: %d, want %d", work, got, want)
+		}
+	}
+}
+
+// An answer that has begun holds no place: its server has done its work. Guards against requests refused for want of
+// room while slow clients take long answers (573 of 1,200 in 5 s with 88 out, most of them such).
+func TestStartedStreamTakesNoCapacity(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(2)...)
+	r := w.request("long", 0, 2*second)
+	s := w.b.knownEndpoints[r.attempts[0].server.ID]
+	if s.inFlight != 1 || w.b.inFlight != 1 {
+		t.Fatal(s.inFlight, w.b.inFlight)
+	}
+	r.answered = "served"
+	w.b.OnStreamStarted(w.now, "long", 0)
+	w.b.OnStreamStarted(w.now, "long", 0)
+	if s.inFlight != 0 || w.b.inFlight != 0 || s.ejections[0].inFlight != 0 {
+		t.Fatalf("held at the server %d, in all %d, on trial %d", s.inFlight, w.b.inFlight, s.ejections[0].inFlight)
+	}
+	w.endAttempt(r.attempts[0], Succeeded)
+	if s.inFlight != 0 || w.b.inFlight != 0 || s.ejections[0].inFlight != 0 || len(w.b.openRequests) != 0 {
+		t.Fatalf("after its end: %d, %d, %d, %d open", s.inFlight, w.b.inFlight, s.ejections[0].inFlight, len(w.b.openRequests))
+	}
+}
+
+// A body that is not held gets all the time that is left, and no second attempt once it has gone; one that never left is
+// tried again.
+func TestUnbufferedBodyIsSentOnce(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(3)...)
+	once := func(id string, spent bool) *trackedRequest {
+		r := w.take(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, BodyUnbuffered: true})
+		if got := r.attempts[0].expires - w.now; got != 2*second {
+			t.Fatalf("%s: %d of %d µs", id, got, 2*second)
+		}
+		f := r.attempts[0]
+		f.ended = true
+		w.inFlight = w.inFlight[:0]
+		if spent {
+			r.answered = "" // the module has to answer it
+		}
+		w.b.OnOutcome(w.now, Outcome{Request: id, Server: f.server.ID, Result: ConnectFailed, BodyConsumed: spent})
+		return r
+	}
+	if r := once("gone", true); len(r.attempts) != 1 || r.answered != "refuse" {
+		t.Fatalf("%d attempts, %q", len(r.attempts), r.answered)
+	}
+	if r := once("kept", false); len(r.attempts) != 2 || r.answered != "" {
+		t.Fatalf("%d attempts, %q", len(r.attempts), r.answered)
+	}
+}
+
+// Latencies count in parts of what the work hinted makes likely: half of the time goes by it.
+func TestWorkFactor(t *testing.T) {
+	c := newClassState(Class{LatencyObjective: second})
+	assertNear(t, "without a hint", c.workFactor(0), 1, 0)
+	assertNear(t, "the first", c.workFactor(1000), 1, 1e-9)
+	for range 500 {
+		c.workFactor(1000)
+	}
+	assertNear(t, "three times the mean", c.workFactor(3000), 2, 0.06)
+	assertNear(t, "next to nothing", c.workFactor(1), 0.5, 0.05)
+}
--- a/decide/retune_test.go
+++ b/decide/settings_update_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-// retuned are test settings with other classes.
-func retuned(classes ...Class) Settings {
+// settingsWith are test settings with other classes.
+func settingsWith(classes ...Class) Settings {
 	set := testSettings()
 	set.Classes = classes
 	return set
 }
 
-func (w *world) retune(set Settings) {
+func (w *workload) updateSettings(set Settings) {
 	w.set = set
 	w.b.UpdateSettings(w.now, set)
 }
 
 // What was learned of servers and of classes that stay is kept, wherever the class now stands; a new one starts as new.
 // Guards against a balancer that learns anew at each reload.
-func TestRetuneKeepsWhatWasLearned(t *testing.T) {
+func TestUpdateSettingsKeepsEstimates(t *testing.T) {
 	set := testSettings()
-	w := newWorld(t, set, fleet(4)...)
-	w.traffic(200, func(f *flight) (Result, bool) { return Succeeded, w.now-f.sent >= 20_000 })
+	w := newWorkload(t, set, testEndpoints(4)...)
+	w.traffic(200, func(f *trackedAttempt) (Result, bool) { return Succeeded, w.now-f.sent >= 20_000 })
 	weights, limits := map[string]float64{}, map[string]float64{}
 	for id, s := range w.b.knownEndpoints {
 		weights[id], limits[id] = s.logWeight, s.concurrencyLimit
@@ -32,7 +32,7 @@
 	fresh := Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: 100_000, Deadline: second}
 	slower := set.Classes[0]
 	slower.Deadline *= 2
-	w.retune(retuned(fresh, slower))
+	w.updateSettings(settingsWith(fresh, slower))
 	for id, s := range w.b.knownEndpoints {
 		if s.logWeight != weights[id] || s.concurrencyLimit != limits[id] || len(s.ejections) != 2 {
 			t.Errorf("%s: log %v was %v, limit %v was %v, %d classes", id, s.logWeight, weights[id], s.concurrencyLimit, limits[id], len(s.ejections))
@@ -51,28 +51,28 @@
 func TestOpenRequestsKeepTheirRules(t *testing.T) {
 	set := testSettings()
 	set.Limits.MaxAttempts = 3
-	w := newWorld(t, set, fleet(4)...)
+	w := newWorkload(t, set, testEndpoints(4)...)
 	name := set.Classes[0].Name
 	old := w.request("old", 0, 2*second)
-	next := retuned(Class{Name: name, PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second, Semantics: AtMostOnce})
+	next := settingsWith(Class{Name: name, PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second, Semantics: AtMostOnce})
 	next.Limits.MaxAttempts = 1
 	w.b.UpdateSettings(w.now, next) // the checker of the world goes by the old settings: the open request does
-	for len(old.tries) < 3 {
-		n := len(old.tries)
-		w.settle(old.tries[n-1], Errored)
-		if len(old.tries) == n {
+	for len(old.attempts) < 3 {
+		n := len(old.attempts)
+		w.endAttempt(old.attempts[n-1], Errored)
+		if len(old.attempts) == n {
 			t.Fatalf("an open request got %d attempts, want 3", n)
 		}
 	}
-	w.settle(old.tries[2], Errored)
+	w.endAttempt(old.attempts[2], Errored)
 	if old.answered != "refuse" {
 		t.Fatalf("a safe request was %q", old.answered)
 	}
 	w.set = next
 	fresh := w.request("new", 0, 2*second)
-	w.settle(fresh.tries[0], Errored)
-	if len(fresh.tries) != 1 || fresh.answered != "fail" {
-		t.Fatalf("a request of now: %d attempts, %q", len(fresh.tries), fresh.answered)
+	w.endAttempt(fresh.attempts[0], Errored)
+	if len(fresh.attempts) != 1 || fresh.answered != "fail" {
+		t.Fatalf("a request of now: %d attempts, %q", len(fresh.attempts), fresh.answered)
 	}
 }
 
@@ -81,14 +81,14 @@
 	set := testSettings()
 	a, z := Class{Name: "a", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second}, Class{Name: "z", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second}
 	set.Classes = []Class{a, z}
-	w := newWorld(t, set, fleet(4)...)
+	w := newWorkload(t, set, testEndpoints(4)...)
 	open := w.request("open", 0, 2*second)
-	w.retune(retuned(z))
+	w.updateSettings(settingsWith(z))
 	w.advance(second)
 	if len(w.b.classes) != 2 || w.b.openRequests["open"].Class != 1 {
 		t.Fatalf("%d classes while a request is open, its class %d", len(w.b.classes), w.b.openRequests["open"].Class)
 	}
-	w.settle(open.tries[0], Succeeded)
+	w.endAttempt(open.attempts[0], Succeeded)
 	w.advance(second)
 	if len(w.b.classes) != 1 {
 		t.Fatalf("%d classes", len(w.b.classes))
@@ -98,13 +98,13 @@
 			t.Errorf("%s: health %+v", id, s.ejections)
 		}
 	}
-	w.traffic(50, func(_ *flight) (Result, bool) { return Succeeded, true })
+	w.traffic(50, func(_ *trackedAttempt) (Result, bool) { return Succeeded, true })
 }
 
 // A server that is out of the draw for every class is not tried anew for a class that is new.
-func TestSuspendedServerStaysSoForANewClass(t *testing.T) {
-	w := newWorld(t, testSettings(), fleet(4)...)
-	w.traffic(200, func(f *flight) (Result, bool) {
+func TestEjectedEndpointStaysSoForNewClass(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(4)...)
+	w.traffic(200, func(f *trackedAttempt) (Result, bool) {
 		if f.server.ID == "s0" {
 			return ConnectFailed, true
 		}
@@ -114,7 +114,7 @@
 		t.Fatal("the dead server is in the draw")
 	}
 	set := testSettings()
-	w.retune(retuned(append(set.Classes, Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second})...))
+	w.updateSettings(settingsWith(append(set.Classes, Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second})...))
 	s := w.b.knownEndpoints["s0"]
 	if h := s.ejections[len(s.ejections)-1]; !h.ejected || !s.ejectedForAll {
 		t.Fatalf("%+v", h)
@@ -122,32 +122,32 @@
 }
 
 // Tenants go by name.
-func TestRetunedTenants(t *testing.T) {
+func TestUpdatedTenants(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{"a", 1}, {"b", 1}}
-	w := newWorld(t, set, fleet(2)...)
+	w := newWorkload(t, set, testEndpoints(2)...)
 	w.b.tenantRequests[1] = 7
 	set.Tenants = []Tenant{{"c", 1}, {"b", 1}, {"a", 1}}
-	w.retune(set)
+	w.updateSettings(set)
 	if want := []float64{0, 7, 0}; !reflect.DeepEqual(w.b.tenantRequests, want) {
 		t.Fatal(w.b.tenantRequests)
 	}
 }
 
 // The same settings again change no decision, and fifty turns leave nothing behind.
-func TestRetuneToTheSameChangesNothing(t *testing.T) {
+func TestUpdateToSameSettingsChangesNothing(t *testing.T) {
 	play := func(retune bool) []string {
-		w := newWorld(t, testSettings(), fleet(5)...)
+		w := newWorkload(t, testSettings(), testEndpoints(5)...)
 		for i := range 50 {
-			w.traffic(4, func(f *flight) (Result, bool) { return Succeeded, w.now-f.sent >= 15_000 })
+			w.traffic(4, func(f *trackedAttempt) (Result, bool) { return Succeeded, w.now-f.sent >= 15_000 })
 			if retune {
-				w.retune(testSettings())
+				w.updateSettings(testSettings())
 				if n := len(w.b.classes); n != len(testSettings().Classes) {
 					t.Fatalf("turn %d: %d classes", i, n)
 				}
 			}
 		}
-		return w.acts
+		return w.actions
 	}
 	a, b := play(false), play(true)
 	if fmt.Sprint(a) != fmt.Sprint(b) {
--- a/decide/cold_test.go
+++ b/decide/slow_start_fleet_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// ramp watches what a whole fleet sends to servers in their warm-up.
-type ramp struct {
-	*crowd
+// slowStartCluster watches what a whole fleet sends to servers in their warm-up.
+type slowStartCluster struct {
+	*cluster
 	set     Settings
 	seed    uint64
 	servers int              // that are warm from the first
@@ -18,13 +18,13 @@
 	owed    float64 // part of a request that the traffic is behind
 }
 
-// rampOf makes a fleet before warm servers that take so much each, and lets it learn.
-func rampOf(seed uint64, balancers, warm int, rate, skew float64, keys int) *ramp {
+// newSlowStartCluster makes a fleet before warm servers that take so much each, and lets it learn.
+func newSlowStartCluster(seed uint64, balancers, warm int, rate, skew float64, keys int) *slowStartCluster {
 	set := testSettings()
 	set.Rules.OverloadWindow, set.Rules.SlowStartWindow = second, 20*second // the more windows a warm-up has, the more can be saved in it
 	set.KeyAffinity = keys > 0
-	f := &ramp{set: set, seed: seed, servers: warm, rate: rate, since: map[string]int64{}, sends: map[string][]int64{}}
-	f.crowd = newCrowdOf(seed+1, balancers, set, skew, fleet(warm))
+	f := &slowStartCluster{set: set, seed: seed, servers: warm, rate: rate, since: map[string]int64{}, sends: map[string][]int64{}}
+	f.cluster = newSeededCluster(seed+1, balancers, set, skew, testEndpoints(warm))
 	f.keys = keys
 	f.onSend = func(id string) {
 		if _, cold := f.since[id]; cold {
@@ -36,28 +36,28 @@
 }
 
 // play lets time pass under so many times the traffic that gives each warm server its rate.
-func (f *ramp) play(seconds, times float64) {
+func (f *slowStartCluster) play(seconds, times float64) {
 	for end := f.now + int64(seconds*1e6); f.now < end; {
-		f.owed += times * f.rate * f.warm() * crowdTick / float64(second)
+		f.owed += times * f.rate * f.warm() * clusterTick / float64(second)
 		n := int(f.owed)
 		f.owed -= float64(n)
 		f.step(n)
 	}
 }
 
-func (f *ramp) warm() float64 { return float64(f.servers) }
+func (f *slowStartCluster) warm() float64 { return float64(f.servers) }
 
 // all gives each balancer so many requests in one moment.
-func (f *ramp) all(each int) {
+func (f *slowStartCluster) all(each int) {
 	for i := range f.bs {
 		for range each {
-			f.ask(i)
+			f.sendRequest(i)
 		}
 	}
 }
 
 // bursts gives each balancer so many requests at once, again and again, as often as makes the traffic of the rate.
-func (f *ramp) bursts(seconds, each float64) {
+func (f *slowStartCluster) bursts(seconds, each float64) {
 	gap := each * float64(len(f.bs)) / (f.rate * f.warm())
 	for ; seconds > 0; seconds -= gap {
 		f.play(min(gap, seconds), 0)
@@ -66,7 +66,7 @@
 }
 
 // begin starts servers now and names them; who is to tell of them.
-func (f *ramp) begin(n int) (list []Endpoint) {
+func (f *slowStartCluster) begin(n int) (list []Endpoint) {
 	for i := range n {
 		id := fmt.Sprint("cold", i)
 		f.since[id] = f.now
@@ -75,7 +75,7 @@
 	return list
 }
 
-func (f *ramp) tell(list []Endpoint) {
+func (f *slowStartCluster) tell(list []Endpoint) {
 	for _, b := range f.bs {
 		b.OnEndpoints(f.now, list, false)
 	}
@@ -84,7 +84,7 @@
 // most is the fullest window of a cold server as a part of its bound, of windows that begin with any send: N calls and
 // 2 root of N + 2, where N is what the settings allow for what a warm server takes, by the part of its warm-up that has
 // passed as the window begins. got is what they had of N over the whole warm-up.
-func (f *ramp) most() (most, got float64) {
+func (f *slowStartCluster) most() (most, got float64) {
 	rules := f.set.Rules
 	for id, times := range f.sends {
 		for i, at := range times {
@@ -116,32 +116,32 @@
 var ramps = []struct {
 	name string
 	skew float64 // 0: all balancers have the same part of the traffic
-	run  func(f *ramp)
+	run  func(f *slowStartCluster)
 }{
-	{"steady", 0, func(f *ramp) {
+	{"steady", 0, func(f *slowStartCluster) {
 		f.tell(f.begin(1))
 		f.play(20, 1)
 	}},
-	{"after a lull", 0, func(f *ramp) {
+	{"after a lull", 0, func(f *slowStartCluster) {
 		f.tell(f.begin(1))
 		f.play(12, 1)
 		f.play(3, 0)
 		f.all(4)
 		f.play(5, 1)
 	}},
-	{"bursts of one each", 0, func(f *ramp) {
+	{"bursts of one each", 0, func(f *slowStartCluster) {
 		f.tell(f.begin(1))
 		f.bursts(20, 1)
 	}},
-	{"a burst after long calm", 0, func(f *ramp) {
+	{"a burst after long calm", 0, func(f *slowStartCluster) {
 		f.tell(f.begin(1))
 		f.play(16, 1)
 		f.all(4)
 		f.play(2, 1)
 	}},
-	{"restarted with the server", 0, func(f *ramp) {
+	{"restarted with the server", 0, func(f *slowStartCluster) {
 		f.due = nil
-		list := append(fleet(f.servers), f.begin(1)...)
+		list := append(testEndpoints(f.servers), f.begin(1)...)
 		for i := range f.bs {
 			f.bs[i] = f.join(f.seed+77, i, len(f.bs), f.set, list)
 		}
@@ -149,7 +149,7 @@
 		f.play(2, 2)
 		f.play(18, 1)
 	}},
-	{"a jam that ends", 0, func(f *ramp) {
+	{"a jam that ends", 0, func(f *slowStartCluster) {
 		f.tell(f.begin(1))
 		for range 5 {
 			f.play(2, 1)
@@ -159,21 +159,21 @@
 			f.play(0.8, 0.5)
 		}
 	}},
-	{"one with most traffic", 5, func(f *ramp) {
+	{"one with most traffic", 5, func(f *slowStartCluster) {
 		f.tell(f.begin(1))
 		f.play(10, 1)
 		f.play(2, 0)
 		f.all(4)
 		f.play(8, 1)
 	}},
-	{"several cold", 0, func(f *ramp) {
+	{"several cold", 0, func(f *slowStartCluster) {
 		f.tell(f.begin(4))
 		f.play(10, 1)
 		f.play(2, 0)
 		f.all(4)
 		f.play(8, 1)
 	}},
-	{"told at other times", 0, func(f *ramp) {
+	{"told at other times", 0, func(f *slowStartCluster) {
 		list := f.begin(1)
 		for i := range f.bs {
 			f.bs[i].OnEndpoints(f.now, list, false)
@@ -182,10 +182,10 @@
 		f.all(4)
 		f.play(18, 1)
 	}},
-	{"the others drain", 0, func(f *ramp) {
+	{"the others drain", 0, func(f *slowStartCluster) {
 		f.tell(f.begin(1))
 		f.play(12, 1)
-		list := fleet(f.servers)
+		list := testEndpoints(f.servers)
 		for i := range list {
 			list[i].Phase = Draining
 		}
@@ -193,7 +193,7 @@
 		f.all(4)
 		f.play(5, 0.5)
 	}},
-	{"the others hang", 0, func(f *ramp) {
+	{"the others hang", 0, func(f *slowStartCluster) {
 		f.tell(f.begin(1))
 		f.play(14, 1)
 		f.stuck = true
@@ -207,7 +207,7 @@
 // sends, N being what the settings allow as the window begins. By hand: at a factor of 3 all together earn N/2 in a window
 // where warm servers do all they can, and hold what a window earned, so N may come in one on average, after a lull at the
 // worst; each earns at times of its own, so the sum strays by root of N at the most.
-func TestRampHoldsForTheFleet(t *testing.T) {
+func TestSlowStartHoldsForTheFleet(t *testing.T) {
 	for _, c := range ramps {
 		for n, seeds := range map[int]int{20: 3, 30: 3, 300: 1} {
 			t.Run(fmt.Sprint(c.name, ", ", n, " balancers"), func(t *testing.T) {
@@ -217,7 +217,7 @@
 					keys    int
 				}{{1, 5, 0}, {2, 5, 0}, {2, 15, 300}, {4, 40, 0}} {
 					for seed := range uint64(seeds) {
-						f := rampOf(seed, n, of.servers, of.rate, c.skew, of.keys)
+						f := newSlowStartCluster(seed, n, of.servers, of.rate, c.skew, of.keys)
 						c.run(f)
 						if most, _ := f.most(); most > 1 {
 							t.Errorf("%d servers that take %v a second, seed %d: %.2f of what a cold one may get in a window",
@@ -232,14 +232,14 @@
 
 // What runs out unused isn't lost to a server that is asked for: with ample traffic it gets as much of its budget as it did
 // from balancers that saved up (0.14 and 0.12 of N, which is three times what it can do), and with little a part of it.
-func TestAColdServerWarmsUp(t *testing.T) {
+func TestSlowStartServerWarmsUp(t *testing.T) {
 	for _, of := range []struct {
 		balancers, servers int
 		rate, least        float64
 	}{{20, 4, 40, 0.14}, {30, 4, 40, 0.12}, {30, 2, 5, 0.05}} {
 		sum := 0.0
 		for seed := range uint64(6) {
-			f := rampOf(seed, of.balancers, of.servers, of.rate, 0, 0)
+			f := newSlowStartCluster(seed, of.balancers, of.servers, of.rate, 0, 0)
 			ramps[0].run(f)
 			_, got := f.most()
 			sum += got / 6
@@ -253,7 +253,7 @@
 
 // A token holds for a time, is one at the most, and the next comes when it would have come without it: traffic moves none.
 // By hand: one each 100 µs, holding for 30.
-func TestTokensRunOut(t *testing.T) {
+func TestSlowStartTokensExpire(t *testing.T) {
 	k := expiringTokenBucket{tokens: 0.5}
 	for _, at := range []struct {
 		now  int64
--- /dev/null
+++ b/decide/slow_start_test.go
@@ -0,0 +1,115 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+)
+
+// The failure: the cold budget followed the sends to warm servers, which in a jam are far more than they
+// can do, and a cold server that got its part of that fell over.
+func TestSlowStartFollowsAnswersNotSends(t *testing.T) {
+	list := testEndpoints(3)
+	w := newWorkload(t, testSettings(), list...)
+	w.advance(second)
+	cold := Endpoint{ID: "new", Capacity: 1, Zone: "z0", StartedAt: w.now}
+	w.sendEndpoints(false, cold)
+	for i := range 400 { // a jam: everything turned away, many sends, no answers
+		r := w.request(fmt.Sprint("r", i), 0, second)
+		for range 4 {
+			if n := len(r.attempts); n > 0 {
+				w.endAttempt(r.attempts[n-1], Saturated)
+			}
+		}
+		w.advance(5000)
+	}
+	if n := w.countActions("send"); n < 100 {
+		t.Fatalf("only %d sends: the jam did not form", n)
+	}
+}
+
+func TestWarmupFractionGrowsOverWindow(t *testing.T) {
+	w := newWorkload(t, testSettings(), testEndpoints(1)...)
+	s := &endpointState{slowStartSince: w.now}
+	assertNear(t, "at its start", w.b.warmupFraction(w.now, s), 0.3, 1e-9)
+	assertNear(t, "half way", w.b.warmupFraction(w.now+4*second, s), 0.65, 1e-9)
+	assertNear(t, "warm", w.b.warmupFraction(w.now+8*second, s), 1, 1e-9)
+	assertNear(t, "a clock before its start", w.b.warmupFraction(w.now-second, s), 0.3, 1e-9)
+}
+
+// The failure: each of hundreds of quiet balancers granted a cold server one send a window, and together they
+// pushed it over. However many balancers share the traffic and however unevenly, what all of them send to one that
+// has just started stays, in any window of the rule, under the stated multiple of its warm-up's part of what a
+// warm server gets.
+func TestSlowStartOfManyBalancersTogether(t *testing.T) {
+	for _, n := range []int{1, 10, 1000} {
+		for _, skew := range []float64{0, 0.3} {
+			t.Run(fmt.Sprint(n, " balancers, skew ", skew), func(t *testing.T) {
+				set := testSettings()
+				set.Rules.OverloadFactor = 2
+				set.KeyAffinity = n == 10 // all servers are met, as homes
+				const servers, perSecond = 20, 800
+				c := newCluster(n, set, skew, testEndpoints(servers))
+				c.keys = 300
+				c.run(6, perSecond)
+				start := c.now
+				times := c.sendsToStartingServer(8, perSecond)
+				window := set.Rules.OverloadWindow
+				for i, at := range times {
+					in := 0
+					for _, other := range times[i:] {
+						if other-at < window {
+							in++
+						}
+					}
+					part := set.Rules.SlowStartMinShare + (1-set.Rules.SlowStartMinShare)*float64(at-start)/float64(set.Rules.SlowStartWindow)
+					budget := set.Rules.OverloadFactor * part * perSecond / servers * float64(window) / float64(second)
+					if float64(in) > budget {
+						t.Fatalf("%d sends within a window from %.2f s after the start, budget %.1f", in,
+							float64(at-start)/1e6, budget)
+					}
+				}
+				if len(times) == 0 {
+					t.Error("the cold server got nothing at all")
+				}
+			})
+		}
+	}
+}
+
+// The failure: where all servers are met as homes of keys, a balancer's answers from its few arms were spread over the
+// whole fleet, so a cold server's arms gave it a tenth of its warm-up's part. By hand: a warm server gets 20 a second;
+// over 8 s from 0.3 to 1 of it are 104, and a random first part of one send.
+func TestSlowStartShareFromSubset(t *testing.T) {
+	set := testSettings()
+	set.KeyAffinity = true
+	c := newCluster(80, set, 0, testEndpoints(60))
+	c.run(6, 1200)
+	if n := len(c.sendsToStartingServer(8, 1200)); n < 52 || n > 208 {
+		t.Errorf("a cold server got %d sends in its warm-up, want 104 or so", n)
+	}
+}
+
+// The failure: cold servers answered at ease with their part as the slowest warm-up has it, while warm ones were late. By
+// hand: a warm arm gives 10 answers a second, so 100 ms after its start (0.3 of its capacity) a cold one has earned 0.3
+// sends where twice its capacity would push it over, and 0.9 where six times would: half of that.
+func TestSlowStartMayUseHalfOfOverload(t *testing.T) {
+	for factor, want := range map[float64]float64{2: 0.3, 6: 0.9} {
+		set := testSettings()
+		set.Rules.OverloadFactor = factor
+		b := newCluster(2, set, 0, testEndpoints(4)).bs[0]
+		s, now := b.endpoints[0], 2000*second
+		b.rates.perCapacity[1], s.slowStartSince, s.slowStartTokens = 10/float64(second), now-1, expiringTokenBucket{updatedAt: now - second/10}
+		b.slowStartAdmits(now, s)
+		assertNear(t, fmt.Sprint("tokens where the factor is ", factor), s.slowStartTokens.tokens, want, 1e-3)
+	}
+}
+
+// The failure: a balancer that had just started knew no rate and gave a cold server nothing but its random first part
+// for some seconds. By hand: 20 balancers of 40 a second at 10 servers make 80 a second a warm server.
+func TestNewBalancerServesSlowStartSoon(t *testing.T) {
+	c := newCluster(20, testSettings(), 0, testEndpoints(10))
+	c.run(1, 800)
+	if n := len(c.sendsToStartingServer(2, 800)); n < 30 {
+		t.Errorf("a cold server got %d sends within 2 s of a start, want 60 or so", n)
+	}
+}
--- /dev/null
+++ b/decide/subset_test.go
@@ -0,0 +1,78 @@
+package decide
+
+import (
+	"slices"
+	"testing"
+)
+
+// The failure: quiet balancers of a large fleet met each server once a minute, learned nothing, and kept a
+// connection to each. By hand: 1,000 balancers and 200 servers leave minSubset arms to each; all arms together are 15
+// a server, so none is without and none has over three times that. With two balancers every server is an arm.
+func TestSubsetsOfManyBalancers(t *testing.T) {
+	c := newCluster(1000, testSettings(), 0, testEndpoints(200))
+	held := map[string]int{}
+	for _, b := range c.bs {
+		if len(b.subset) != minSubset {
+			t.Fatalf("%d arms, want %d", len(b.subset), minSubset)
+		}
+		for _, s := range b.subset {
+			held[s.ID]++
+		}
+	}
+	for _, s := range testEndpoints(200) {
+		if n := held[s.ID]; n < 1 || n > 45 {
+			t.Errorf("%s is an arm of %d balancers, want 15 or so", s.ID, n)
+		}
+	}
+	if b := newCluster(2, testSettings(), 0, testEndpoints(12)).bs[0]; len(b.subset) != 12 {
+		t.Errorf("%d arms of 12 servers at two balancers, want all", len(b.subset))
+	}
+}
+
+// An ill arm is made up for by the next of the balancer's own order and comes back to its place; a change of the
+// list far away moves no arm.
+func TestEjectedEndpointIsReplacedInSubset(t *testing.T) {
+	b := newCluster(1000, testSettings(), 0, testEndpoints(200)).bs[0]
+	now, before := 1000*second, slices.Clone(b.subset)
+	for _, s := range before[1:] {
+		s.successesThisSecond, s.lastSuccessAt = 1, now
+	}
+	failRepeatedly(b, now, before[0], TimedOut)
+	if n := len(b.subset); n != len(before)+1 || !slices.Equal(b.subset[:len(before)], before) {
+		t.Errorf("%d arms after one fell ill, want the same and one more", n)
+	}
+	b.restore(now, before[0], 0)
+	b.OnEndpoints(now, []Endpoint{{ID: b.endpoints[100].ID, Capacity: 1, Phase: Removed}}, false)
+	if !slices.Equal(b.subset, before) {
+		t.Error("the arms are not the same after the return and a change elsewhere")
+	}
+}
+
+// However the list grows, few arms are drawn from where balancers talk. Guards against a draw that counts what all hold
+// at dozens of servers: a fleet of 400 that grew to 436 servers took more CPU than there was.
+func TestSubsetStaysSmallWithGossip(t *testing.T) {
+	set := testSettings()
+	set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount = true, true, 400
+	b := New(set, 1, noActions{})
+	for servers, want := range map[int]int{57: 2, 119: 4, 436: 8} {
+		b.OnEndpoints(1000*second, testEndpoints(servers), true)
+		if got := b.subsetSize(); got != want {
+			t.Errorf("%d servers: %d arms, want %d", servers, got, want)
+		}
+	}
+}
+
+// More traffic wants more to draw from, less where open connections have a price.
+func TestSubsetSizeByTraffic(t *testing.T) {
+	for _, c := range []struct {
+		price, rate float64
+		want        int
+	}{{0, 40, 10}, {0.04, 40, 3}, {0.04, 160, 10}, {0, 1, 3}} {
+		set := testSettings()
+		set.ConnectionPrice, set.BalancerCount = c.price, 1000
+		w := newWorkload(t, set, testEndpoints(60)...)
+		if w.b.rates.requests = c.rate; w.b.subsetSize() != c.want {
+			t.Errorf("price %v, %v requests a second: %d arms, want %d", c.price, c.rate, w.b.subsetSize(), c.want)
+		}
+	}
+}
--- a/decide/tails_test.go
+++ b/decide/tail_latency_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// tails plays some balancers before servers whose times are drawn: how slow an answer is has nothing to do with what is
+// tailSimulation plays some balancers before servers whose times are drawn: how slow an answer is has nothing to do with what is
 // held, unless the servers have places. It counts what becomes of requests.
-type tails struct {
+type tailSimulation struct {
 	now    int64
 	rng    *rand.Rand
 	bs     []*Balancer
@@ -47,24 +47,24 @@
 	do func()
 }
 
-// tailMouth carries out what one balancer does.
-type tailMouth struct {
-	silent
-	t *tails
+// tailActions carries out what one balancer does.
+type tailActions struct {
+	noActions
+	t *tailSimulation
 	i int
 }
 
-func (t *tails) after(in int64, do func()) {
+func (t *tailSimulation) after(in int64, do func()) {
 	e := tailEvent{t.now + in, do}
 	at, _ := slices.BinarySearchFunc(t.queue, e, func(a, b tailEvent) int { return cmp.Or(cmp.Compare(a.at, b.at), -1) })
 	t.queue = slices.Insert(t.queue, at, e)
 }
 
-func (m *tailMouth) SetTimer(in, token int64) {
+func (m *tailActions) SetTimer(in, token int64) {
 	m.t.after(max(in, 1), func() { m.t.bs[m.i].OnTimer(m.t.now, token) })
 }
 
-func (m *tailMouth) SendAttempt(id, server string, timeout int64) {
+func (m *tailActions) SendAttempt(id, server string, timeout int64) {
 	t := m.t
 	r, s := t.open[id], &t.set[t.names[server]]
 	n, sent := r.tries, t.now
@@ -105,10 +105,11 @@
 	})
 }
 
-func (m *tailMouth) Reject(id string, _ int64) { m.t.ends(id, "refused") }
-func (m *tailMouth) Fail(id string)            { m.t.ends(id, "failed") }
+func (m *tailActions) Reject(id string, _ int64) { m.t.ends(id, "refused") }
 
-func (t *tails) ends(id, how string) {
+func (m *tailActions) Fail(id string) { m.t.ends(id, "failed") }
+
+func (t *tailSimulation) ends(id, how string) {
 	r := t.open[id]
 	if r.over {
 		return
@@ -135,8 +136,8 @@
 }
 
 // play has n balancers take so many requests a second together, for some seconds.
-func playTails(n int, perSecond, seconds float64, seed uint64, set ...tailServer) *tails {
-	t := &tails{now: 1000 * second, rng: rand.New(rand.NewPCG(seed, 5)), names: map[string]int{}, set: set, open: map[string]*tailRequest{}, how: map[string]int{}}
+func playTails(n int, perSecond, seconds float64, seed uint64, set ...tailServer) *tailSimulation {
+	t := &tailSimulation{now: 1000 * second, rng: rand.New(rand.NewPCG(seed, 5)), names: map[string]int{}, set: set, open: map[string]*tailRequest{}, how: map[string]int{}}
 	var list []Endpoint
 	for i := range set {
 		id := fmt.Sprint("s", i)
@@ -146,7 +147,7 @@
 	for i := range n {
 		s := tailSettings()
 		s.BalancerIndex, s.BalancerCount = i, n
-		b := New(s, seed+uint64(i), &tailMouth{t: t, i: i})
+		b := New(s, seed+uint64(i), &tailActions{t: t, i: i})
 		t.bs = append(t.bs, b)
 		b.Start(t.now)
 		b.OnEndpoints(t.now, list, true)
@@ -177,7 +178,7 @@
 	return out
 }
 
-func same(times ...int64) []tailServer { return slowTimes(times, times, times, times) }
+func alikeServers(times ...int64) []tailServer { return slowTimes(times, times, times, times) }
 
 var tailRows = []struct {
 	name      string
@@ -185,45 +186,47 @@
 	set       func() []tailServer
 	earns     float64 // where room is short: what was earned by limits that fell with each late answer
 }{
-	{"20 50 100 100", 200, func() []tailServer { return same(20_000, 50_000, 100_000, 100_000) }, 0},
+	{"20 50 100 100", 200, func() []tailServer { return alikeServers(20_000, 50_000, 100_000, 100_000) }, 0},
 	{"50 nine in ten, 400", 200, func() []tailServer {
-		return same(50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 400_000)
+		return alikeServers(50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 400_000)
 	}, 0},
-	{"50 50 250 250", 200, func() []tailServer { return same(50_000, 50_000, 250_000, 250_000) }, 0},
-	{"50 four in five, 400", 200, func() []tailServer { return same(50_000, 50_000, 50_000, 50_000, 400_000) }, 0},
-	{"250 always", 200, func() []tailServer { return same(250_000) }, 0},
-	{"20 50 100 400", 200, func() []tailServer { return same(20_000, 50_000, 100_000, 400_000) }, 0},
-	{"10 50 600", 200, func() []tailServer { return same(10_000, 50_000, 600_000) }, 0},
+	{"50 50 250 250", 200, func() []tailServer { return alikeServers(50_000, 50_000, 250_000, 250_000) }, 0},
+	{"50 four in five, 400", 200, func() []tailServer { return alikeServers(50_000, 50_000, 50_000, 50_000, 400_000) }, 0},
+	{"250 always", 200, func() []tailServer { return alikeServers(250_000) }, 0},
+	{"20 50 100 400", 200, func() []tailServer { return alikeServers(20_000, 50_000, 100_000, 400_000) }, 0},
+	{"10 50 600", 200, func() []tailServer { return alikeServers(10_000, 50_000, 600_000) }, 0},
 	{"one server of four 400", 200, func() []tailServer {
 		return slowTimes([]int64{50_000}, []int64{50_000}, []int64{50_000}, []int64{400_000})
 	}, 0},
 	{"a tail that comes", 200, func() []tailServer {
-		return change(same(50_000), func(s *tailServer) { s.then = []int64{50_000, 50_000, 400_000} })
+		return alterServers(alikeServers(50_000), func(s *tailServer) { s.then = []int64{50_000, 50_000, 400_000} })
 	}, 0},
 	{"a tail that goes", 200, func() []tailServer {
-		return change(same(50_000, 50_000, 400_000), func(s *tailServer) { s.then = []int64{50_000} })
+		return alterServers(alikeServers(50_000, 50_000, 400_000), func(s *tailServer) { s.then = []int64{50_000} })
 	}, 0},
-	{"two places of 50, offered 140", 140, func() []tailServer { return placed(2, 50_000) }, 0},
-	{"two places of 50, offered 200", 200, func() []tailServer { return placed(2, 50_000) }, 0.752},
-	{"two places of 50, offered 400", 400, func() []tailServer { return placed(2, 50_000) }, 0.381},
-	{"the same, a jam at the start", 200, func() []tailServer { return change(placed(2, 50_000), func(s *tailServer) { s.jam = second }) }, 0.702},
-	{"six of 50 and 400, offered 100", 100, func() []tailServer { return placed(6, 50_000, 50_000, 50_000, 50_000, 400_000) }, 0},
-	{"six of 50 and 400, offered 300", 300, func() []tailServer { return placed(6, 50_000, 50_000, 50_000, 50_000, 400_000) }, 0.582},
+	{"two places of 50, offered 140", 140, func() []tailServer { return limitedServers(2, 50_000) }, 0},
+	{"two places of 50, offered 200", 200, func() []tailServer { return limitedServers(2, 50_000) }, 0.752},
+	{"two places of 50, offered 400", 400, func() []tailServer { return limitedServers(2, 50_000) }, 0.381},
+	{"the same, a jam at the start", 200, func() []tailServer {
+		return alterServers(limitedServers(2, 50_000), func(s *tailServer) { s.jam = second })
+	}, 0.702},
+	{"six of 50 and 400, offered 100", 100, func() []tailServer { return limitedServers(6, 50_000, 50_000, 50_000, 50_000, 400_000) }, 0},
+	{"six of 50 and 400, offered 300", 300, func() []tailServer { return limitedServers(6, 50_000, 50_000, 50_000, 50_000, 400_000) }, 0.582},
 	{"six, then two of 50 and 400", 120, func() []tailServer {
-		return change(placed(6, 50_000, 50_000, 50_000, 50_000, 400_000), func(s *tailServer) { s.fewer = 2 })
+		return alterServers(limitedServers(6, 50_000, 50_000, 50_000, 50_000, 400_000), func(s *tailServer) { s.fewer = 2 })
 	}, 0.568},
 }
 
-// placed are four servers that hold so many at once.
-func placed(places int, times ...int64) []tailServer {
-	out := same(times...)
+// limitedServers are four servers that hold so many at once.
+func limitedServers(places int, times ...int64) []tailServer {
+	out := alikeServers(times...)
 	for i := range out {
 		out[i].places = places
 	}
 	return out
 }
 
-func change(set []tailServer, how func(*tailServer)) []tailServer {
+func alterServers(set []tailServer, how func(*tailServer)) []tailServer {
 	for i := range set {
 		how(&set[i])
 	}
@@ -233,7 +236,7 @@
 // Where answers are slow by nature hardly anything is refused, and where room is short it is kept as before: what is earned
 // may fall by chance alone. Figures are of the simulation, and the same at each run. Guards against limits that take a slow tail
 // for a crowd: they refused up to 83% of what servers had room for.
-func TestLimitsTellATailFromACrowd(t *testing.T) {
+func TestLimitsTellTailFromCongestion(t *testing.T) {
 	for _, row := range tailRows {
 		got := playTails(3, row.perSecond, 30, 1, row.set()...)
 		all := float64(got.how["served"] + got.how["refused"] + got.how["failed"])
@@ -251,14 +254,14 @@
 func BenchmarkTails(b *testing.B) {
 	for _, row := range tailRows {
 		for _, n := range []int{3, 60} {
-			benchmarkTails(b, fmt.Sprint(row.name, ", ", n), func() *tails { return playTails(n, row.perSecond, 30, 1, row.set()...) })
+			benchmarkTails(b, fmt.Sprint(row.name, ", ", n), func() *tailSimulation { return playTails(n, row.perSecond, 30, 1, row.set()...) })
 		}
 	}
 }
 
-func benchmarkTails(b *testing.B, name string, play func() *tails) {
+func benchmarkTails(b *testing.B, name string, play func() *tailSimulation) {
 	b.Run(name, func(b *testing.B) {
-		var t *tails
+		var t *tailSimulation
 		for b.Loop() {
 			t = play()
 		}
--- /dev/null
+++ b/decide/workload_test.go
@@ -0,0 +1,369 @@
+package decide
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// workload is an order generator with a checker, not a model of servers: it keeps the books of what a host
+// would know and fails the test at the first action that breaks one of the four rules.
+type workload struct {
+	t               testing.TB
+	set             Settings
+	b               *Balancer
+	now             int64
+	requests        map[string]*trackedRequest
+	unanswered      []*trackedRequest
+	inFlight        []*trackedAttempt
+	timers          []pendingTimer
+	phase           map[string]Endpoint
+	warmAt          map[string]int64 // when a server is warm
+	sends           map[string][]int64
+	recentSuccesses []int64 // times of the last second's answers
+	bestSecond      int     // answers in the best second
+	actions         []string
+	failed          bool
+	requestsSent    int // requests of traffic
+	requestTimes    []int64
+	retryTimes      []int64 // times of attempts beyond a request's first
+}
+
+type trackedRequest struct {
+	Request
+	deadline int64
+	answered string
+	attempts []*trackedAttempt
+}
+
+type trackedAttempt struct {
+	r             *trackedRequest
+	n             int
+	server        Endpoint
+	sent, expires int64
+	ended         bool
+	result        Result
+}
+
+type pendingTimer struct{ at, token int64 }
+
+func newWorkload(t testing.TB, set Settings, servers ...Endpoint) *workload {
+	w := &workload{t: t, set: set, now: 1000 * second}
+	w.restart()
+	w.sendEndpoints(true, servers...)
+	return w
+}
+
+// restart is a kill and a new start: what was held is the clients' to retry.
+func (w *workload) restart() {
+	w.requests, w.unanswered, w.inFlight, w.timers = map[string]*trackedRequest{}, nil, nil, nil
+	w.phase, w.warmAt, w.sends = map[string]Endpoint{}, map[string]int64{}, map[string][]int64{}
+	w.requestTimes, w.retryTimes = nil, nil
+	w.b = New(w.set, 7, w)
+	w.b.Start(w.now)
+}
+
+func (w *workload) violation(format string, args ...any) {
+	w.failed = true
+	w.t.Errorf("at %.3f s: %s", float64(w.now)/1e6, fmt.Sprintf(format, args...))
+}
+
+func (w *workload) record(format string, args ...any) {
+	w.actions = append(w.actions, fmt.Sprintf("%d ", w.now)+fmt.Sprintf(format, args...))
+}
+
+func (w *workload) sendEndpoints(whole bool, servers ...Endpoint) {
+	if whole {
+		for id, s := range w.phase {
+			s.Phase = Removed
+			w.phase[id] = s
+		}
+	}
+	for _, s := range servers {
+		if old, ok := w.phase[s.ID]; !ok || s.StartedAt > old.StartedAt {
+			if s.StartedAt > 0 {
+				w.warmAt[s.ID] = s.StartedAt + w.set.Rules.SlowStartWindow
+			}
+		}
+		w.phase[s.ID] = s
+	}
+	w.b.OnEndpoints(w.now, servers, whole)
+}
+
+func (w *workload) request(id string, class int, left int64) *trackedRequest {
+	return w.take(Request{ID: id, Class: class, Tenant: -1, TimeLeft: left, Key: "k" + id})
+}
+
+// take books a request and hands it to the balancer.
+func (w *workload) take(in Request) *trackedRequest {
+	r := &trackedRequest{Request: in, deadline: w.now + in.TimeLeft}
+	w.requests[in.ID] = r
+	w.unanswered = append(w.unanswered, r)
+	w.requestTimes = append(w.requestTimes, w.now)
+	w.b.OnRequest(w.now, in)
+	return r
+}
+
+// traffic sends n requests of the first class 10 ms apart and ends the flights that answer gives a result.
+func (w *workload) traffic(n int, answer func(f *trackedAttempt) (Result, bool)) {
+	for range n {
+		w.requestsSent++
+		w.request(fmt.Sprint("r", w.requestsSent), 0, 2*second)
+		w.advance(10_000)
+		for _, f := range slices.Clone(w.inFlight) {
+			if result, ok := answer(f); ok {
+				w.endAttempt(f, result)
+			}
+		}
+	}
+}
+
+// countRefusedConnections plays traffic of n requests before servers of which the dead turn connections away at once and the others
+// answer after some time; it counts what the dead turned away.
+func (w *workload) countRefusedConnections(n int, answerAfter int64, dead func(id string) bool) (refused int) {
+	w.traffic(n, func(f *trackedAttempt) (Result, bool) {
+		if dead(f.server.ID) {
+			refused++
+			return ConnectFailed, true
+		}
+		return Succeeded, w.now-f.sent >= answerAfter
+	})
+	return refused
+}
+
+// endAttempt ends a flight; a served one closes its request.
+func (w *workload) endAttempt(f *trackedAttempt, result Result) {
+	if f.ended {
+		return
+	}
+	f.ended, f.result = true, result
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(g *trackedAttempt) bool { return g == f })
+	closed := f.r.answered != ""
+	if result == Succeeded {
+		w.recentSuccesses = append(w.recentSuccesses, w.now)
+		for w.now-w.recentSuccesses[0] > second {
+			w.recentSuccesses = w.recentSuccesses[1:]
+		}
+		w.bestSecond = max(w.bestSecond, len(w.recentSuccesses))
+		if !closed {
+			closed, f.r.answered = true, "served"
+		}
+	}
+	w.b.OnOutcome(w.now, Outcome{Request: f.r.ID, Attempt: f.n, Server: f.server.ID, Result: result,
+		Latency: w.now - f.sent, RequestAnswered: closed})
+}
+
+func (w *workload) disconnect(r *trackedRequest) {
+	if r.answered == "" {
+		r.answered = "gone"
+	}
+	w.b.OnClientDisconnected(w.now, r.ID)
+}
+
+// advance lets time pass in ticks; attempts expire and timers come due in it.
+func (w *workload) advance(d int64) {
+	const tick = 5000
+	for end := w.now + d; w.now < end; {
+		w.now = min(w.now+tick, end)
+		for _, f := range slices.Clone(w.inFlight) {
+			if f.expires <= w.now {
+				w.endAttempt(f, TimedOut)
+			}
+		}
+		due := slices.Clone(w.timers)
+		w.timers = slices.DeleteFunc(w.timers, func(a pendingTimer) bool { return a.at <= w.now })
+		for _, a := range due {
+			if a.at <= w.now {
+				w.b.OnTimer(w.now, a.token)
+			}
+		}
+		w.checkDeadlines()
+	}
+}
+
+// checkDeadlines is rule 1: one answer before the deadline and its slack.
+func (w *workload) checkDeadlines() {
+	w.unanswered = slices.DeleteFunc(w.unanswered, func(r *trackedRequest) bool { return r.answered != "" })
+	for _, r := range w.unanswered {
+		if r.answered == "" && w.now > r.deadline+w.set.Rules.AnswerSlack {
+			w.violation("rule 1: %s has no answer %d us after its deadline", r.ID, w.now-r.deadline)
+			r.answered = "overdue"
+		}
+	}
+}
+
+// isSafe is rule 2, worked out from the books: may server run r again, or may r be refused ("")?
+func (w *workload) isSafe(r *trackedRequest, server *Endpoint) bool {
+	c := w.set.Classes[r.Class]
+	for _, f := range r.attempts {
+		if f.ended && f.result.NeverRan() {
+			continue
+		}
+		switch c.Semantics {
+		case AtMostOnce:
+			return false
+		case IdempotencyKeyed:
+			if w.now-f.sent >= c.DedupWindow || server == nil && c.DedupScope != ScopeAll {
+				return false
+			}
+			if server != nil && c.DedupScope == ScopeZone && server.Zone != f.server.Zone {
+				return false
+			}
+			if server != nil && c.DedupScope == ScopeCell && server.Cell != f.server.Cell {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+func (w *workload) SendAttempt(id, server string, timeout int64) {
+	w.record("send %s %s %d", id, server, timeout)
+	r, s := w.requests[id], w.phase[server]
+	if r == nil || r.answered != "" || w.now >= r.deadline {
+		w.violation("rule 1: send for a request that is over: %s", id)
+		return
+	}
+	if s.ID == "" || s.Phase != InService {
+		w.violation("rule 3: send to %q in phase %d", server, s.Phase)
+	}
+	if !w.isSafe(r, &s) {
+		w.violation("rule 2: %s may run twice at %s", id, server)
+	}
+	for _, f := range r.attempts {
+		if !f.ended && !w.set.Limits.Hedging {
+			w.violation("rule 2: two attempts out for %s", id)
+		}
+	}
+	w.checkSlowStart(server)
+	if len(r.attempts) > 0 {
+		w.checkAttemptBudget(id)
+	}
+	f := &trackedAttempt{r: r, n: len(r.attempts), server: s, sent: w.now, expires: min(w.now+timeout, r.deadline)}
+	if timeout <= 0 {
+		f.expires = r.deadline
+	}
+	r.attempts = append(r.attempts, f)
+	w.inFlight = append(w.inFlight, f)
+}
+
+// checkSlowStart is this balancer's part of rule 4: in any window no more than one send, or than the answers
+// that it got from the whole fleet in its best second would make in that time.
+func (w *workload) checkSlowStart(server string) {
+	if w.now >= w.warmAt[server] {
+		return
+	}
+	window := w.set.Rules.OverloadWindow
+	sends := append(w.sends[server], w.now)
+	for len(sends) > 0 && w.now-sends[0] >= window {
+		sends = sends[1:]
+	}
+	w.sends[server] = sends
+	if allowed := max(1, float64(w.bestSecond)*float64(window)/float64(second)); float64(len(sends)) > allowed {
+		w.violation("rule 4: %d sends to cold %s within its window, %.1f allowed", len(sends), server, allowed)
+	}
+}
+
+// checkAttemptBudget is rule 5, counted exactly.
+func (w *workload) checkAttemptBudget(id string) {
+	w.retryTimes = append(w.retryTimes, w.now)
+	rules := w.set.Rules
+	if rules.AttemptBudgetWindow == 0 {
+		return
+	}
+	within := func(times []int64) (n float64) {
+		for _, at := range times {
+			if w.now-at < rules.AttemptBudgetWindow {
+				n++
+			}
+		}
+		return n
+	}
+	sent, allowed := within(w.retryTimes), rules.AttemptBudgetMin+rules.AttemptBudgetRatio*within(w.requestTimes)
+	if sent > allowed {
+		w.violation("rule 5: %s got the %.0fth further attempt, %.1f allowed", id, sent, allowed)
+	}
+}
+
+func (w *workload) CancelAttempt(id string, n int) {
+	w.record("cancel %s %d", id, n)
+	if !w.set.Limits.Cancel || w.requests[id] == nil || n >= len(w.requests[id].attempts) {
+		w.violation("cancel of %s %d", id, n)
+	}
+}
+
+func (w *workload) answer(id, how string) *trackedRequest {
+	w.record("%s %s", how, id)
+	r := w.requests[id]
+	if r == nil || r.answered != "" {
+		w.violation("rule 1: %s for %s, which is over", how, id)
+		return nil
+	}
+	r.answered = how
+	return r
+}
+
+func (w *workload) Reject(id string, _ int64) {
+	if r := w.answer(id, "refuse"); r != nil && !w.isSafe(r, nil) {
+		w.violation("rule 2: %s refused, but it may have run", id)
+	}
+}
+
+func (w *workload) Fail(id string) { w.answer(id, "fail") }
+
+func (w *workload) CheckHealth(s string) { w.record("probe %s", s) }
+
+func (w *workload) WatchEndpoints(on bool) { w.record("watch %v", on) }
+
+func (w *workload) SendGossip(p int, word []byte) {
+	if w.record("tell %d %x", p, word); !w.set.Limits.Gossip || p >= w.set.BalancerCount || p == w.set.BalancerIndex || len(word) > 256 {
+		w.violation("message of %d bytes to %d", len(word), p)
+	}
+}
+
+func (w *workload) CloseIdleConnections(s string) { w.record("close %s", s) }
+
+func (w *workload) Log(line string) { w.record("log %s", line) }
+
+func (w *workload) SetTimer(in, tok int64) {
+	w.timers = append(w.timers, pendingTimer{w.now + in, tok})
+}
+
+func (w *workload) countActions(prefix string) (n int) {
+	for _, a := range w.actions {
+		var at int64
+		var word, rest string
+		fmt.Sscanf(a, "%d %s %s", &at, &word, &rest)
+		if word == prefix || word+" "+rest == prefix {
+			n++
+		}
+	}
+	return n
+}
+
+// testSettings has a class of each kind that the wire knows.
+func testSettings() Settings {
+	return Settings{
+		Classes: []Class{
+			{Name: "safe", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 3, Semantics: Idempotent},
+			{Name: "keyed-all", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 8, Semantics: IdempotencyKeyed, DedupWindow: second},
+			{Name: "keyed-zone", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 8, Semantics: IdempotencyKeyed,
+				DedupScope: ScopeZone, DedupWindow: second},
+			{Name: "keyed-cell", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 8, Semantics: IdempotencyKeyed,
+				DedupScope: ScopeCell, DedupWindow: second},
+			{Name: "unsafe", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 5, Semantics: AtMostOnce},
+			{Name: "stream", LatencyObjective: 400_000, Deadline: 2 * second, PriorityWeight: 5, Semantics: Idempotent, Stream: true},
+		},
+		Rules: Rules{AnswerSlack: 20_000, PollInterval: 10 * second, DrainGrace: second, SlowStartMinShare: 0.3,
+			SlowStartWindow: 8 * second, OverloadFactor: 3, OverloadWindow: 2 * second},
+		Limits:        Limits{Cancel: true, HealthChecks: true, RetryAfter: true, MaxAttempts: 4, MinEventInterval: 5000},
+		BalancerCount: 2,
+	}
+}
+
+func testEndpoints(n int) (list []Endpoint) {
+	for i := range n {
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%d", i), Capacity: 1, Zone: fmt.Sprintf("z%d", i%2), Cell: int64(i % 3)})
+	}
+	return list
+}
