--- a/internal/app/tuning.go
+++ b/internal/app/tuning.go
@@ -13,8 +13,8 @@
 	"damsonscale/internal/sidecar"
 )
 
-// Tuning owns the configuration in force: its file's, or with the settings of a fleet's version.
-type Tuning struct {
+// SettingsManager owns the configuration in force: its file's, or with the settings of a fleet's version.
+type SettingsManager struct {
 	side  *sidecar.Sidecar
 	front *frontend.Frontend
 	most  *atomic.Int64            // the longest deadline of any settings so far
@@ -30,7 +30,7 @@
 
 // reload reads the file again. A faulty file changes nothing. Once a fleet's settings are in force those of the file are checked
 // and not taken.
-func (t *Tuning) reload() {
+func (t *SettingsManager) reload() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next, restart, err := t.conf.Reload(t.env)
@@ -55,7 +55,7 @@
 }
 
 // digest is that of the bytes that settings come from.
-func (t *Tuning) digest(c *config.Config) uint64 {
+func (t *SettingsManager) digest(c *config.Config) uint64 {
 	switch {
 	case t.sum == nil:
 		return 0
@@ -66,18 +66,18 @@
 }
 
 // take puts a configuration in force, in one step. The caller holds mu.
-func (t *Tuning) take(next *config.Config, number, digest uint64) (retuned bool) {
+func (t *SettingsManager) take(next *config.Config, number, digest uint64) (retuned bool) {
 	next.SettingsVersion, next.SettingsDigest = number, digest
 	retuned = next.SettingsChanged(t.conf)
 	if retuned || next.SettingsVersion != t.conf.SettingsVersion || next.SettingsDigest != t.conf.SettingsDigest {
 		t.most.Store(max(t.most.Load(), longest(next.Settings.Classes)))
-		t.side.ApplyConfig(next, t.front.Retune)
+		t.side.ApplyConfig(next, t.front.ApplySettings)
 	}
 	return retuned
 }
 
 // ApplySettings puts the settings of a fleet's version in force, or returns why that can't be; then nothing has changed.
-func (t *Tuning) ApplySettings(number uint64, text []byte) error {
+func (t *SettingsManager) ApplySettings(number uint64, text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next, err := t.conf.WithFleetSettings(text, t.env)
@@ -92,7 +92,7 @@
 }
 
 // ValidateSettings tells what Adopt would say.
-func (t *Tuning) ValidateSettings(text []byte) error {
+func (t *SettingsManager) ValidateSettings(text []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_, err := t.conf.WithFleetSettings(text, t.env)
@@ -100,11 +100,11 @@
 }
 
 // CloseIdleConnections closes what is idle: this process may not act.
-func (t *Tuning) CloseIdleConnections() {
-	t.front.Rest()
+func (t *SettingsManager) CloseIdleConnections() {
+	t.front.CloseIdleConnections()
 	t.side.CloseIdleConnections()
 }
 
-func newTuning(conf *config.Config, side *sidecar.Sidecar, front *frontend.Frontend, most *atomic.Int64) *Tuning {
-	return &Tuning{side: side, front: front, most: most, env: os.Getenv, conf: conf, version: 1}
+func newTuning(conf *config.Config, side *sidecar.Sidecar, front *frontend.Frontend, most *atomic.Int64) *SettingsManager {
+	return &SettingsManager{side: side, front: front, most: most, env: os.Getenv, conf: conf, version: 1}
 }
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -307,7 +307,7 @@
 // goes on living: nobody else may take its work over, so nobody would answer.
 func (k *keeper) await(l takeover.Lease) {
 	const step = 2 * time.Millisecond
-	for end := time.Now().Add(2 * k.f.opts.Fleet.Lease); !l.Valid() && time.Now().Before(end); {
+	for end := time.Now().Add(2 * k.f.opts.Fleet.LeaseDuration); !l.Valid() && time.Now().Before(end); {
 		select {
 		case <-l.Done():
 			return
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -149,7 +149,7 @@
 	if t.wanted != v.Number {
 		t.wanted, t.asks = v.Number, 0
 	}
-	if t.asks > 0 && time.Since(t.asked) < f.opts.Fleet.Lease/asksALease/2 {
+	if t.asks > 0 && time.Since(t.asked) < f.opts.Fleet.LeaseDuration/asksALease/2 {
 		return
 	}
 	name, ok := whoHas(f.voters, f.names, f.name, t.asks, rand.IntN)
