--- a/internal/fleet/desk.go
+++ b/internal/fleet/desk.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	deskMost    = 8 // operators at a time
-	deskWait    = 5 * time.Second
-	deskPart    = 1 << 20 // bytes of segments in a frame
-	deskStall   = 10 * time.Second
-	orderStarts = 64 << 10
+	maxAdminConnections = 8 // operators at a time
+	adminTimeout        = 5 * time.Second
+	adminSegmentBytes   = 1 << 20 // bytes of segments in a frame
+	adminWriteTimeout   = 10 * time.Second
+	adminRequestBuffer  = 64 << 10
 )
 
 // What an operator may ask for.
@@ -72,107 +72,107 @@
 	WaitingFor  string                  `json:"Waits"`
 }
 
-// desk answers one operator.
-func (f *Fleet) desk(conn net.Conn, payload []byte) {
+// handleAdmin answers one operator.
+func (f *Fleet) handleAdmin(conn net.Conn, payload []byte) {
 	var a AdminRequest
 	reply := AdminResponse{}
-	switch err := f.coder.in.Unmarshal(payload, &a); {
+	switch err := f.codec.in.Unmarshal(payload, &a); {
 	case err != nil:
 		reply.Err = fmt.Sprintf("not readable: %v", err)
-	case a.FleetID != f.wire.id:
+	case a.FleetID != f.transport.fleetID:
 		reply.Err = "this member is of another fleet: its members have other names"
-	case f.ledger == nil:
+	case f.replicator == nil:
 		reply.Err = "this member keeps no account: audit.enabled is false in its options"
 	default:
-		reply = f.answer(conn, &a)
+		reply = f.adminResponse(conn, &a)
 	}
-	f.reply(conn, &reply)
+	f.sendAdminResponse(conn, &reply)
 }
 
-func (f *Fleet) reply(conn net.Conn, r *AdminResponse) error {
-	text, err := f.coder.out.Marshal(r)
+func (f *Fleet) sendAdminResponse(conn net.Conn, r *AdminResponse) error {
+	text, err := f.codec.out.Marshal(r)
 	if err != nil {
 		return err
 	}
-	out, err := frame.Append(nil, kindDesk, text)
+	out, err := frame.Append(nil, KindAdmin, text)
 	if err != nil {
 		return err
 	}
-	conn.SetWriteDeadline(time.Now().Add(deskStall))
+	conn.SetWriteDeadline(time.Now().Add(adminWriteTimeout))
 	_, err = conn.Write(out)
 	return err
 }
 
-func (f *Fleet) answer(conn net.Conn, a *AdminRequest) AdminResponse {
-	ctx, cancel := context.WithTimeout(f.ctx, deskWait)
+func (f *Fleet) adminResponse(conn net.Conn, a *AdminRequest) AdminResponse {
+	ctx, cancel := context.WithTimeout(f.ctx, adminTimeout)
 	defer cancel()
 	switch a.Command {
 	case CommandStatus:
-		return AdminResponse{Status: f.standing(ctx)}
+		return AdminResponse{Status: f.clusterStatus(ctx)}
 	case CommandSegments:
-		return f.segments(ctx, conn, a.Member)
+		return f.sendSegments(ctx, conn, a.Member)
 	case CommandOrder:
 		if a.Order == nil || a.Order.Kind > rollout.Readmit {
 			return AdminResponse{Err: "no order of an operator's"}
 		}
-		if err := f.ordered(ctx, a.Order); errors.Is(err, errNoLead) {
-			return AdminResponse{Err: err.Error(), NotLeader: true, Leader: f.leads()}
-		} else if errors.Is(err, errNoLeader) || errors.Is(err, errLate) {
+		if err := f.submitCommand(ctx, a.Order); errors.Is(err, ErrNotLeader) {
+			return AdminResponse{Err: err.Error(), NotLeader: true, Leader: f.leaderName()}
+		} else if errors.Is(err, ErrLeaderChanged) || errors.Is(err, ErrTimeout) {
 			return AdminResponse{Err: err.Error(), OutcomeUnknown: true}
 		} else if err != nil {
 			return AdminResponse{Err: err.Error()}
 		}
-		return AdminResponse{Status: f.standing(ctx)}
+		return AdminResponse{Status: f.clusterStatus(ctx)}
 	}
 	return AdminResponse{Err: fmt.Sprintf("%q is nothing that can be asked", a.Command)}
 }
 
-func (f *Fleet) leads() string {
+func (f *Fleet) leaderName() string {
 	if l := f.leader.Load(); l != nil {
 		return *l
 	}
 	return ""
 }
 
-// ordered has an order agreed. The member that it enters by checks a version before anybody else sees it.
-func (f *Fleet) ordered(ctx context.Context, o *rollout.Command) error {
+// submitCommand has an order agreed. The member that it enters by checks a version before anybody else sees it.
+func (f *Fleet) submitCommand(ctx context.Context, o *rollout.Command) error {
 	if err := o.Check(); err != nil {
 		return err
 	}
-	e := f.epochs.Load()
+	e := f.log.Load()
 	if e == nil {
-		return errNoLead
+		return ErrNotLeader
 	}
 	if o.Kind == rollout.RollOut {
-		if err := f.tuner.ValidateSettings(o.Settings); err != nil {
+		if err := f.applier.ValidateSettings(o.Settings); err != nil {
 			return err
 		}
 	}
-	if o.Name != "" && !slices.Contains(f.names, o.Name) {
+	if o.Name != "" && !slices.Contains(f.memberNames, o.Name) {
 		return fmt.Errorf("%q is no member of this fleet", o.Name)
 	}
 	back := make(chan error, 1)
 	select {
-	case e.box <- func() { e.order(o, func(err error) { back <- err }) }:
+	case e.mailbox <- func() { e.submit(o, func(err error) { back <- err }) }:
 	case <-ctx.Done():
-		return errBusy
+		return ErrBusy
 	}
 	select {
 	case err := <-back:
 		return err
 	case <-ctx.Done():
-		return errLate
+		return ErrTimeout
 	}
 }
 
-// standing tells what this member knows, and what all reported if it leads.
-func (f *Fleet) standing(ctx context.Context) *ClusterStatus {
-	r := f.roster.Load()
-	s := &ClusterStatus{Name: f.name, Self: *f.me.Load(), Leader: f.leads(), Epoch: r.Epoch, Plan: r.Plan, MemberNames: f.names}
-	for _, one := range r.Seats {
+// clusterStatus tells what this member knows, and what all reported if it leads.
+func (f *Fleet) clusterStatus(ctx context.Context) *ClusterStatus {
+	r := f.membership.Load()
+	s := &ClusterStatus{Name: f.name, Self: *f.self.Load(), Leader: f.leaderName(), Epoch: r.Epoch, Plan: r.Plan, MemberNames: f.memberNames}
+	for _, one := range r.Members {
 		s.Members = append(s.Members, one.Member)
 	}
-	e := f.epochs.Load()
+	e := f.log.Load()
 	if e == nil {
 		return s
 	}
@@ -183,8 +183,8 @@
 	}
 	back := make(chan told, 1)
 	select {
-	case e.box <- func() {
-		h, w, l := e.standing()
+	case e.mailbox <- func() {
+		h, w, l := e.status()
 		back <- told{h, w, l}
 	}:
 	case <-ctx.Done():
@@ -204,27 +204,27 @@
 	return s
 }
 
-// segments sends what this member holds, its own up to now first.
-func (f *Fleet) segments(ctx context.Context, conn net.Conn, name string) AdminResponse {
+// sendSegments sends what this member holds, its own up to now first.
+func (f *Fleet) sendSegments(ctx context.Context, conn net.Conn, name string) AdminResponse {
 	back := make(chan []audit.SealedSegment, 1)
 	select {
-	case f.ledger.box <- func() {
-		f.ledger.add(f.book.Cut(time.Now().UnixMilli()))
-		back <- f.ledger.shelf.Segments(name)
+	case f.replicator.mailbox <- func() {
+		f.replicator.addSegments(f.recorder.Cut(time.Now().UnixMilli()))
+		back <- f.replicator.store.Segments(name)
 	}:
 	case <-ctx.Done():
-		return AdminResponse{Err: errBusy.Error()}
+		return AdminResponse{Err: ErrBusy.Error()}
 	}
 	var all []audit.SealedSegment
 	select {
 	case all = <-back:
 	case <-ctx.Done():
-		return AdminResponse{Err: errBusy.Error()}
+		return AdminResponse{Err: ErrBusy.Error()}
 	}
 	part, bytes := []audit.SealedSegment(nil), 0
 	for _, z := range all {
-		if bytes += len(z.Encoded); bytes > deskPart && len(part) > 0 {
-			if err := f.reply(conn, &AdminResponse{Segments: part, More: true}); err != nil {
+		if bytes += len(z.Encoded); bytes > adminSegmentBytes && len(part) > 0 {
+			if err := f.sendAdminResponse(conn, &AdminResponse{Segments: part, More: true}); err != nil {
 				return AdminResponse{Err: err.Error()}
 			}
 			part, bytes = nil, len(z.Encoded)
@@ -236,16 +236,16 @@
 
 // Call asks a member as an operator does.
 func Call(ctx context.Context, addr string, names []string, a AdminRequest) (*AdminResponse, error) {
-	coder, err := newCoder()
+	coder, err := newCodec()
 	if err != nil {
 		return nil, err
 	}
-	a.FleetID = fleetID(names)
+	a.FleetID = FleetID(names)
 	text, err := coder.out.Marshal(a)
 	if err != nil {
 		return nil, err
 	}
-	out, err := frame.Append(make([]byte, 0, orderStarts), kindDesk, text)
+	out, err := frame.Append(make([]byte, 0, adminRequestBuffer), KindAdmin, text)
 	if err != nil {
 		return nil, err
 	}
@@ -256,7 +256,7 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	conn.SetDeadline(time.Now().Add(deskWait + deskStall))
+	conn.SetDeadline(time.Now().Add(adminTimeout + adminWriteTimeout))
 	if _, err := conn.Write(out); err != nil {
 		return nil, err
 	}
@@ -267,8 +267,8 @@
 			return nil, err
 		}
 		var r AdminResponse
-		if kind != kindDesk {
-			return nil, errKind
+		if kind != KindAdmin {
+			return nil, ErrUnknownKind
 		}
 		if err := coder.in.Unmarshal(payload, &r); err != nil {
 			return nil, err
@@ -281,4 +281,4 @@
 }
 
 // ID tells fleets apart by their members' names.
-func ID(names []string) uint64 { return fleetID(names) }
+func ID(names []string) uint64 { return FleetID(names) }
--- a/internal/fleet/disk_test.go
+++ b/internal/fleet/disk_test.go
@@ -38,7 +38,7 @@
 // A directory that fails for a while, at each segment and for any number of calls, has all segments in order once it works again, and no torn
 // one between them.
 func TestADirectoryThatFailsForAWhile(t *testing.T) {
-	coder, err := newCoder()
+	coder, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,8 +46,8 @@
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 9))
 		faults, dir := 0, t.TempDir()
-		d := &disk{dir: dir, most: 1 << 20, coder: coder}
-		d.write = func(path string) (segmentFile, error) {
+		d := &Directory{path: dir, maxBytes: 1 << 20, codec: coder}
+		d.openAppend = func(path string) (segmentFile, error) {
 			if faults > 0 {
 				faults--
 				return nil, syscall.EIO
@@ -55,7 +55,7 @@
 			file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 			return tornFile{file, random, &faults}, err
 		}
-		d.open(member("a", 1))
+		d.Open(member("a", 1))
 		book, err := audit.NewSegmentWriter(7, member("a", 1), "build", protocol, func() int64 { return 0 }, audit.NoFault)
 		if err != nil {
 			t.Fatal(err)
@@ -69,15 +69,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.append(&all[0])
+			d.Append(&all[0])
 		}
 		for range faults + 1 {
-			d.flush()
+			d.Flush()
 		}
-		if all, _, err := ReadSegments(filepath.Join(dir, "a-1"+segmentsEnd)); err != nil || len(all) != segments {
+		if all, _, err := ReadFile(filepath.Join(dir, "a-1"+Suffix)); err != nil || len(all) != segments {
 			t.Fatalf("seed %d: %d of %d segments, %v", seed, len(all), segments, err)
 		}
-		if d.said {
+		if d.faultLogged {
 			t.Fatalf("seed %d: nobody says that it works again", seed)
 		}
 	}
--- a/internal/fleet/epochs.go
+++ b/internal/fleet/epochs.go
@@ -18,95 +18,95 @@
 )
 
 const (
-	votersMost    = 5    // of the members, the first by name: more would only make agreement slower
-	compactAfter  = 1000 // entries
-	ticksElection = 10
-	ticksBeat     = 2
-	epochsBox     = 256
+	maxVoters           = 5    // of the members, the first by name: more would only make agreement slower
+	compactAfterEntries = 1000 // entries
+	electionTicks       = 10
+	heartbeatTicks      = 2
+	logMailboxSize      = 256
 )
 
-// askLease is a member's ask for a lease. Sent is its own clock's, and comes back with the grant.
-type askLease struct {
-	_       struct{} `cbor:",toarray"`
-	Member  takeover.Member
-	Sent    int64
-	Address string // where it listens, if not where the options say
-	Report  rollout.Report
+// LeaseRequest is a member's ask for a lease. Sent is its own clock's, and comes back with the grant.
+type LeaseRequest struct {
+	_           struct{} `cbor:",toarray"`
+	Member      takeover.Member
+	RequestedAt int64
+	Address     string // where it listens, if not where the options say
+	Report      rollout.Report
 }
 
-// granted answers it. Out: the member is out, and has to come back as another.
-type granted struct {
-	_      struct{} `cbor:",toarray"`
-	Member takeover.Member
-	Sent   int64
-	Epoch  uint64
-	Out    bool
-	Shut   bool // it may not act by the plan of that epoch
+// LeaseGrant answers it. Out: the member is out, and has to come back as another.
+type LeaseGrant struct {
+	_           struct{} `cbor:",toarray"`
+	Member      takeover.Member
+	RequestedAt int64
+	Epoch       uint64
+	Evicted     bool
+	Excluded    bool // it may not act by the plan of that epoch
 }
 
-// kept is what a snapshot of the log has.
-type kept struct {
-	_      struct{} `cbor:",toarray"`
-	Roster *roster
-	Texts  map[string][]byte // bytes of the versions, by digest
+// snapshot is what a snapshot of the log has.
+type snapshot struct {
+	_          struct{} `cbor:",toarray"`
+	Membership *Membership
+	Settings   map[string][]byte // bytes of the versions, by digest
 }
 
-// epochs is the actor of the epoch log at one of those who vote.
-type epochs struct {
-	lease   time.Duration
-	every   time.Duration // between ticks
-	voters  []string
-	store   *store
-	node    *raft.RawNode
-	conf    *raftpb.ConfState
-	box     chan func()
-	send    func(name string, kind byte, payload []byte)
-	told    func(*roster, map[string][]byte)
-	coder   *coder
-	names   []string
-	texts   map[string][]byte // of the plan's versions, by digest; one that was handed on is never changed
-	driver  rollout.Controller
-	heard   map[string]rollout.ReceivedReport // in this term
-	orders  map[uint64]func(error)            // that wait for their entry, by id
-	noFence bool                              // a fault on purpose
+// Log is the actor of the epoch log at one of those who vote.
+type Log struct {
+	leaseDuration   time.Duration
+	tickInterval    time.Duration // between ticks
+	voters          []string
+	store           *store
+	raftNode        *raft.RawNode
+	confState       *raftpb.ConfState
+	mailbox         chan func()
+	send            func(name string, kind byte, payload []byte)
+	onChange        func(*Membership, map[string][]byte)
+	codec           *Codec
+	memberNames     []string
+	settings        map[string][]byte // of the plan's versions, by digest; one that was handed on is never changed
+	controller      rollout.Controller
+	reports         map[string]rollout.ReceivedReport // in this term
+	pendingCommands map[uint64]func(error)            // that wait for their entry, by id
+	ignoreFence     bool                              // a fault on purpose
 
-	roster  *roster
-	applied uint64
-	old     uint64 // index up to which the log was agreed before this process started
-	leads   bool
-	grants  grants
-	waiting []askLease // for the next confirmation
-	asked   []askLease // for the one under way
-	read    uint64     // its number
-	index   uint64     // of the log, which has to be applied before they are answered; 0: not known yet
-	joining map[takeover.Member]time.Time
+	membership         *Membership
+	appliedIndex       uint64
+	recoveredIndex     uint64 // index up to which the log was agreed before this process started
+	isLeader           bool
+	leases             leaseTable
+	waitingRequests    []LeaseRequest // for the next confirmation
+	confirmingRequests []LeaseRequest // for the one under way
+	readID             uint64         // its number
+	readIndex          uint64         // of the log, which has to be applied before they are answered; 0: not known yet
+	joining            map[takeover.Member]time.Time
 }
 
-// quiet is the library's log: warnings and worse go into ours.
-type quiet struct{}
+// raftLogger is the library's log: warnings and worse go into ours.
+type raftLogger struct{}
 
-func (quiet) Debug(...any)                {}
-func (quiet) Debugf(string, ...any)       {}
-func (quiet) Info(...any)                 {}
-func (quiet) Infof(string, ...any)        {}
-func (quiet) Warning(...any)              {}
-func (quiet) Warningf(string, ...any)     {}
-func (quiet) Error(v ...any)              { log.Printf("event=fleet_log_error err=%q", fmt.Sprint(v...)) }
-func (q quiet) Errorf(f string, v ...any) { q.Error(fmt.Sprintf(f, v...)) }
-func (quiet) Fatal(v ...any)              { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
-func (quiet) Panic(v ...any)              { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
+func (raftLogger) Debug(...any)                {}
+func (raftLogger) Debugf(string, ...any)       {}
+func (raftLogger) Info(...any)                 {}
+func (raftLogger) Infof(string, ...any)        {}
+func (raftLogger) Warning(...any)              {}
+func (raftLogger) Warningf(string, ...any)     {}
+func (raftLogger) Error(v ...any)              { log.Printf("event=fleet_log_error err=%q", fmt.Sprint(v...)) }
+func (q raftLogger) Errorf(f string, v ...any) { q.Error(fmt.Sprintf(f, v...)) }
+func (raftLogger) Fatal(v ...any)              { panic(fmt.Sprint(v...)) }
+func (raftLogger) Fatalf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
+func (raftLogger) Panic(v ...any)              { panic(fmt.Sprint(v...)) }
+func (raftLogger) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
 
-// votersOf are those of the names who vote, by name.
-func votersOf(names []string) []string {
+// Voters are those of the names who vote, by name.
+func Voters(names []string) []string {
 	all := slices.Sorted(slices.Values(names))
-	n := min(len(all), votersMost)
+	n := min(len(all), maxVoters)
 	return all[:n-(n+1)%2] // an even number would survive no more losses than one fewer
 }
 
-// newEpochs opens the log. The caller has found that name is one of the voters.
-func newEpochs(dir, name string, voters []string, lease time.Duration) (*epochs, error) {
+// OpenLog opens the log. The caller has found that name is one of the voters.
+func OpenLog(dir, name string, voters []string, lease time.Duration) (*Log, error) {
 	var ids []uint64
 	for i := range voters {
 		ids = append(ids, uint64(i+1))
@@ -115,28 +115,28 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &epochs{
-		lease: lease, every: max(lease/20, 5*time.Millisecond), voters: voters, store: s, box: make(chan func(), epochsBox),
-		roster: &roster{}, joining: map[takeover.Member]time.Time{}, grants: grants{lease: lease}, texts: map[string][]byte{},
-		driver: rollout.Controller{Leader: name}, heard: map[string]rollout.ReceivedReport{}, orders: map[uint64]func(error){},
+	e := &Log{
+		leaseDuration: lease, tickInterval: max(lease/20, 5*time.Millisecond), voters: voters, store: s, mailbox: make(chan func(), logMailboxSize),
+		membership: &Membership{}, joining: map[takeover.Member]time.Time{}, leases: leaseTable{duration: lease}, settings: map[string][]byte{},
+		controller: rollout.Controller{Leader: name}, reports: map[string]rollout.ReceivedReport{}, pendingCommands: map[uint64]func(error){},
 	}
-	e.grants.reset(time.Now())
-	if e.coder, err = newCoder(); err != nil {
+	e.leases.reset(time.Now())
+	if e.codec, err = newCodec(); err != nil {
 		s.close()
 		return nil, err
 	}
 	if hard, _, err := s.InitialState(); err == nil {
-		e.old = hard.GetCommit()
+		e.recoveredIndex = hard.GetCommit()
 	}
 	snapshot, err := s.Snapshot()
 	if err == nil {
-		e.conf, e.applied = snapshot.GetMetadata().GetConfState(), snapshot.GetMetadata().GetIndex()
+		e.confState, e.appliedIndex = snapshot.GetMetadata().GetConfState(), snapshot.GetMetadata().GetIndex()
 		err = e.restore(snapshot.GetData())
 	}
 	if err == nil {
-		e.node, err = raft.NewRawNode(&raft.Config{
-			ID: uint64(slices.Index(voters, name) + 1), ElectionTick: ticksElection, HeartbeatTick: ticksBeat, Storage: s, Applied: e.applied,
-			MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: quiet{},
+		e.raftNode, err = raft.NewRawNode(&raft.Config{
+			ID: uint64(slices.Index(voters, name) + 1), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: s, Applied: e.appliedIndex,
+			MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: raftLogger{},
 		})
 	}
 	if err != nil {
@@ -146,28 +146,28 @@
 	return e, nil
 }
 
-func (e *epochs) restore(data []byte) error {
+func (e *Log) restore(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
-	var k kept
-	if err := e.coder.in.Unmarshal(data, &k); err != nil || k.Roster == nil {
-		return fmt.Errorf("snapshot: %w", errors.Join(err, errRoster))
+	var k snapshot
+	if err := e.codec.in.Unmarshal(data, &k); err != nil || k.Membership == nil {
+		return fmt.Errorf("snapshot: %w", errors.Join(err, ErrInvalid))
 	}
-	e.roster, e.texts = k.Roster, k.Texts
+	e.membership, e.settings = k.Membership, k.Settings
 	return nil
 }
 
 // post hands the actor something to do, unless it is over or has too much to do.
-func (e *epochs) post(f func()) {
+func (e *Log) post(f func()) {
 	select {
-	case e.box <- f:
+	case e.mailbox <- f:
 	default:
 	}
 }
 
-// run is the actor. It returns when ctx ends, or where the log is no more what it was.
-func (e *epochs) run(ctx context.Context) (err error) {
+// Run is the actor. It returns when ctx ends, or where the log is no more what it was.
+func (e *Log) Run(ctx context.Context) (err error) {
 	e.store.stop = ctx.Done()
 	defer e.store.close()
 	defer func() {
@@ -175,129 +175,129 @@
 			err = fmt.Errorf("the fleet's log: %v", p)
 		}
 	}()
-	tick := time.NewTicker(e.every)
+	tick := time.NewTicker(e.tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case f := <-e.box:
+		case f := <-e.mailbox:
 			f()
 		case now := <-tick.C:
-			e.node.Tick()
-			e.turn(now)
+			e.raftNode.Tick()
+			e.tick(now)
 		}
-		if err := e.ready(); err != nil {
+		if err := e.processReady(); err != nil {
 			return err
 		}
 	}
 }
 
-// turn puts out whose lease is over, where this member leads.
-func (e *epochs) turn(now time.Time) {
-	e.grants.tick(now, e.every)
-	if !e.leads {
+// tick puts out whose lease is over, where this member leads.
+func (e *Log) tick(now time.Time) {
+	e.leases.noteTick(now, e.tickInterval)
+	if !e.isLeader {
 		return
 	}
-	for _, m := range e.grants.due(now, e.roster) {
+	for _, m := range e.leases.expired(now, e.membership) {
 		log.Printf("event=fleet_putting_out member=%s incarnation=%x", m.Name, m.Incarnation)
-		e.propose(&entry{Out: true, Member: m})
+		e.propose(&Change{Evict: true, Member: m})
 	}
-	if o := e.driver.Step(now, &e.roster.Plan, e.names, e.roster.living(), e.heard); o != nil {
+	if o := e.controller.Step(now, &e.membership.Plan, e.memberNames, e.membership.MemberNames(), e.reports); o != nil {
 		log.Printf("event=fleet_orders order=%v number=%d why=%q", o.Kind, o.Number, o.Reason)
-		e.propose(&entry{Order: o})
+		e.propose(&Change{Command: o})
 	}
-	e.confirm()
+	e.confirmLeadership()
 }
 
-func (e *epochs) propose(one *entry) error {
-	data, err := e.coder.out.Marshal(one)
+func (e *Log) propose(one *Change) error {
+	data, err := e.codec.out.Marshal(one)
 	if err == nil {
-		err = e.node.Propose(data)
+		err = e.raftNode.Propose(data)
 	}
-	if err != nil && one.Order == nil {
-		delete(e.grants.outing, one.Member)
+	if err != nil && one.Command == nil {
+		delete(e.leases.evicting, one.Member)
 		delete(e.joining, one.Member)
 	}
 	return err
 }
 
-// ready carries out what the library wants: disk first, then messages, then what is agreed.
-func (e *epochs) ready() error {
-	for e.node.HasReady() {
-		rd := e.node.Ready()
+// processReady carries out what the library wants: disk first, then messages, then what is agreed.
+func (e *Log) processReady() error {
+	for e.raftNode.HasReady() {
+		rd := e.raftNode.Ready()
 		if err := e.store.save(&rd); err != nil {
 			return err
 		}
 		if rd.SoftState != nil {
-			if leads := rd.SoftState.RaftState == raft.StateLeader; leads != e.leads {
-				e.leads, e.waiting, e.asked = leads, nil, nil
+			if leads := rd.SoftState.RaftState == raft.StateLeader; leads != e.isLeader {
+				e.isLeader, e.waitingRequests, e.confirmingRequests = leads, nil, nil
 				e.joining = map[takeover.Member]time.Time{}
-				e.heard = map[string]rollout.ReceivedReport{}
-				e.driver.Reset()
-				for id, reply := range e.orders {
-					delete(e.orders, id)
-					reply(errNoLeader)
+				e.reports = map[string]rollout.ReceivedReport{}
+				e.controller.Reset()
+				for id, reply := range e.pendingCommands {
+					delete(e.pendingCommands, id)
+					reply(ErrLeaderChanged)
 				}
-				e.grants.reset(time.Now())
+				e.leases.reset(time.Now())
 				if leads {
 					log.Printf("event=fleet_leads")
 				}
 			}
 		}
 		for _, m := range rd.Messages {
-			e.deliver(m)
+			e.sendRaft(m)
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			if err := e.restore(rd.Snapshot.GetData()); err != nil {
 				return err
 			}
-			e.applied = rd.Snapshot.GetMetadata().GetIndex()
-			e.told(e.roster, e.texts)
+			e.appliedIndex = rd.Snapshot.GetMetadata().GetIndex()
+			e.onChange(e.membership, e.settings)
 		}
-		before := e.roster
+		before := e.membership
 		for _, one := range rd.CommittedEntries {
-			e.apply(one)
+			e.applyEntry(one)
 		}
-		if e.roster != before {
-			e.told(e.roster, e.texts)
+		if e.membership != before {
+			e.onChange(e.membership, e.settings)
 		}
 		for _, r := range rd.ReadStates {
-			if len(r.RequestCtx) == 8 && binary.BigEndian.Uint64(r.RequestCtx) == e.read && len(e.asked) > 0 {
-				e.index = r.Index
+			if len(r.RequestCtx) == 8 && binary.BigEndian.Uint64(r.RequestCtx) == e.readID && len(e.confirmingRequests) > 0 {
+				e.readIndex = r.Index
 			}
 		}
-		e.node.Advance(rd)
-		e.answer()
+		e.raftNode.Advance(rd)
+		e.answerLeaseRequests()
 	}
 	return e.compact()
 }
 
-func (e *epochs) apply(one *raftpb.Entry) {
-	e.applied = one.GetIndex()
+func (e *Log) applyEntry(one *raftpb.Entry) {
+	e.appliedIndex = one.GetIndex()
 	if len(one.GetData()) == 0 || one.GetType() != raftpb.EntryNormal {
 		return
 	}
-	var what entry
-	if err := e.coder.in.Unmarshal(one.GetData(), &what); err != nil {
+	var what Change
+	if err := e.codec.in.Unmarshal(one.GetData(), &what); err != nil {
 		log.Printf("event=fleet_entry_unreadable index=%d err=%q", one.GetIndex(), err) // of a newer build: it changes nothing here
 		return
 	}
-	if what.Order != nil {
-		e.ordered(what.Order, one.GetIndex() <= e.old)
+	if what.Command != nil {
+		e.applyCommand(what.Command, one.GetIndex() <= e.recoveredIndex)
 		return
 	}
 	delete(e.joining, what.Member)
-	if next := e.roster.apply(&what, e.names); next != e.roster {
-		e.roster = next
-		if one.GetIndex() <= e.old {
+	if next := e.membership.Apply(&what, e.memberNames); next != e.membership {
+		e.membership = next
+		if one.GetIndex() <= e.recoveredIndex {
 			return
 		}
-		log.Printf("event=fleet_epoch epoch=%d member=%s incarnation=%x out=%t", next.Epoch, what.Member.Name, what.Member.Incarnation, what.Out)
+		log.Printf("event=fleet_epoch epoch=%d member=%s incarnation=%x out=%t", next.Epoch, what.Member.Name, what.Member.Incarnation, what.Evict)
 	}
 }
 
-func (e *epochs) deliver(m *raftpb.Message) {
+func (e *Log) sendRaft(m *raftpb.Message) {
 	if m.GetTo() == 0 || m.GetTo() > uint64(len(e.voters)) {
 		return
 	}
@@ -305,14 +305,14 @@
 	if err != nil {
 		return
 	}
-	e.send(e.voters[m.GetTo()-1], kindRaft, text)
+	e.send(e.voters[m.GetTo()-1], KindRaft, text)
 	if m.GetType() == raftpb.MsgSnap { // sent again where it is lost
-		e.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+		e.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
 
-// step takes a message of another voter.
-func (e *epochs) step(from string, payload []byte) {
+// stepRaft takes a message of another voter.
+func (e *Log) stepRaft(from string, payload []byte) {
 	m := new(raftpb.Message)
 	if err := proto.Unmarshal(payload, m); err != nil {
 		log.Printf("event=fleet_refused from=%q err=%q", from, err)
@@ -321,92 +321,92 @@
 	if at := m.GetFrom(); at == 0 || at > uint64(len(e.voters)) || e.voters[at-1] != from || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
-	e.node.Step(m) // what it can't use it says by an error, which changes nothing
+	e.raftNode.Step(m) // what it can't use it says by an error, which changes nothing
 }
 
-// ask takes a member's ask for a lease. Only who leads answers.
-func (e *epochs) ask(a askLease) {
-	if !e.leads {
+// handleLeaseRequest takes a member's ask for a lease. Only who leads answers.
+func (e *Log) handleLeaseRequest(a LeaseRequest) {
+	if !e.isLeader {
 		return
 	}
-	e.heard[a.Member.Name] = rollout.ReceivedReport{Report: a.Report, ReceivedAt: time.Now()}
+	e.reports[a.Member.Name] = rollout.ReceivedReport{Report: a.Report, ReceivedAt: time.Now()}
 	switch {
-	case e.roster.gone(a.Member):
-		e.give(a, granted{Out: true})
-	case !e.may(&a):
-		e.give(a, granted{Shut: true})
-	case !e.roster.lives(a.Member):
-		if now := time.Now(); now.Sub(e.joining[a.Member]) >= e.lease {
+	case e.membership.IsEvicted(a.Member):
+		e.sendGrant(a, LeaseGrant{Evicted: true})
+	case !e.mayLease(&a):
+		e.sendGrant(a, LeaseGrant{Excluded: true})
+	case !e.membership.Contains(a.Member):
+		if now := time.Now(); now.Sub(e.joining[a.Member]) >= e.leaseDuration {
 			e.joining[a.Member] = now
-			e.propose(&entry{Member: a.Member, Address: a.Address})
+			e.propose(&Change{Member: a.Member, Address: a.Address})
 		}
-	case len(e.waiting) < 4*epochsBox:
-		e.waiting = append(e.waiting, a)
+	case len(e.waitingRequests) < 4*logMailboxSize:
+		e.waitingRequests = append(e.waitingRequests, a)
 	}
 }
 
-// confirm asks a quorum whether this member leads, for all that wait: a grant counts only if it did after the ask came. It is
+// confirmLeadership asks a quorum whether this member leads, for all that wait: a grant counts only if it did after the ask came. It is
 // called at each tick, a twentieth of a lease, so that the asks of a tick share a round. Guards against a leader whose rounds
 // are as many as its members' asks: they were most of what it sent, and of its processor time.
-func (e *epochs) confirm() {
-	if len(e.asked) > 0 || len(e.waiting) == 0 {
+func (e *Log) confirmLeadership() {
+	if len(e.confirmingRequests) > 0 || len(e.waitingRequests) == 0 {
 		return
 	}
-	e.asked, e.waiting, e.index = e.waiting, nil, 0
-	e.read++
-	e.node.ReadIndex(binary.BigEndian.AppendUint64(nil, e.read))
+	e.confirmingRequests, e.waitingRequests, e.readIndex = e.waitingRequests, nil, 0
+	e.readID++
+	e.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, e.readID))
 }
 
-// answer grants what was confirmed.
-func (e *epochs) answer() {
-	if e.index == 0 || e.applied < e.index {
+// answerLeaseRequests grants what was confirmed.
+func (e *Log) answerLeaseRequests() {
+	if e.readIndex == 0 || e.appliedIndex < e.readIndex {
 		return
 	}
-	asked := e.asked
-	e.asked, e.index = nil, 0
+	asked := e.confirmingRequests
+	e.confirmingRequests, e.readIndex = nil, 0
 	now := time.Now()
 	for _, a := range asked {
 		switch {
-		case e.roster.gone(a.Member):
-			e.give(a, granted{Out: true})
-		case !e.may(&a): // by the log as of a moment after the ask came: guards against a lease that begins below the fence
-			e.give(a, granted{Shut: true})
-		case e.roster.lives(a.Member) && e.grants.grant(now, a.Member):
-			e.give(a, granted{})
+		case e.membership.IsEvicted(a.Member):
+			e.sendGrant(a, LeaseGrant{Evicted: true})
+		case !e.mayLease(&a): // by the log as of a moment after the ask came: guards against a lease that begins below the fence
+			e.sendGrant(a, LeaseGrant{Excluded: true})
+		case e.membership.Contains(a.Member) && e.leases.grant(now, a.Member):
+			e.sendGrant(a, LeaseGrant{})
 		}
 	}
 }
 
-// may tells whether the plan lets a member act.
-func (e *epochs) may(a *askLease) bool {
-	return e.noFence || e.roster.Plan.MayLease(a.Member.Name, a.Report.Active)
+// mayLease tells whether the plan lets a member act.
+func (e *Log) mayLease(a *LeaseRequest) bool {
+	return e.ignoreFence || e.membership.Plan.MayLease(a.Member.Name, a.Report.Active)
 }
 
-func (e *epochs) give(a askLease, g granted) {
-	g.Member, g.Sent, g.Epoch = a.Member, a.Sent, e.roster.Epoch
-	text, err := e.coder.out.Marshal(g)
+func (e *Log) sendGrant(a LeaseRequest, g LeaseGrant) {
+	g.Member, g.RequestedAt, g.Epoch = a.Member, a.RequestedAt, e.membership.Epoch
+	text, err := e.codec.out.Marshal(g)
 	if err == nil {
-		e.send(a.Member.Name, kindGrant, text)
+		e.send(a.Member.Name, KindLeaseGrant, text)
 	}
 }
 
-// left puts a member out that says it has ended its work.
-func (e *epochs) left(m takeover.Member) {
-	if e.leads && e.roster.lives(m) {
-		e.grants.outing[m] = time.Now()
-		e.propose(&entry{Out: true, Member: m})
+// handleLeave puts a member out that says it has ended its work.
+func (e *Log) handleLeave(m takeover.Member) {
+	if e.isLeader && e.membership.Contains(m) {
+		e.leases.evicting[m] = time.Now()
+		e.propose(&Change{Evict: true, Member: m})
 	}
 }
 
 // compact puts a snapshot in the place of old entries. Guards against a log that grows with every restart.
-func (e *epochs) compact() error {
+func (e *Log) compact() error {
 	first, err := e.store.FirstIndex()
-	if err != nil || e.applied < first+compactAfter {
+	if err != nil || e.appliedIndex < first+compactAfterEntries {
 		return err
 	}
-	data, err := e.coder.out.Marshal(kept{Roster: e.roster, Texts: e.texts})
+	data, err := e.codec.out.Marshal(snapshot{Membership: e.membership, Settings: e.settings})
 	if err != nil {
 		return err
 	}
-	return e.store.compact(e.applied, e.conf, data)
+	return e.store.compact(e.appliedIndex, e.confState, data)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	asksALease  = 5 // asks for a lease while one lasts
-	reopenEvery = time.Second
-	leaveWait   = 100 * time.Millisecond
+	leaseRequestsPerLease = 5 // asks for a lease while one lasts
+	reopenInterval        = time.Second
+	leaveGrace            = 100 * time.Millisecond
 )
 
 // Hooks are what a fleet needs of the program.
@@ -48,53 +48,53 @@
 // protocol is the version of what members tell each other.
 const protocol = frame.Version
 
-// plants are faults on purpose.
-type plants struct {
-	custody    takeover.InjectedFault
-	audit      audit.InjectedFault
-	noFence    bool // leases are given below the fence
-	looseGuard bool // the guard lets one more be without a lease
+// injectedFaults are faults on purpose.
+type injectedFaults struct {
+	takeover    takeover.InjectedFault
+	audit       audit.InjectedFault
+	ignoreFence bool // leases are given below the fence
+	looseGuard  bool // the guard lets one more be without a lease
 }
 
 // Fleet is this process's part in its fleet.
 type Fleet struct {
-	name    string
-	longest time.Duration
-	opts    *options.Options
-	listed  map[string]string // addresses by the options
-	names   []string
-	sorted  []string // the same, by name: those that vote first
-	hooks   Hooks
-	coder   *coder
-	wire    *wire
-	keeper  *keeper
-	voters  []string
-	start   time.Time
-	plant   plants
-	build   string
-	tuner   SettingsApplier
-	book    *audit.SegmentWriter // nil, with ledger: no account is kept
-	ledger  *ledger
-	tuned   tuned       // of the member's own actor
-	shut    atomic.Bool // this member may not act by what it knows of the plan
-	address string      // told to the others where it is not the listed one
-	again   int64       // µs
-	wait    int64
-
-	ctx    context.Context
-	me     atomic.Pointer[takeover.Member]
-	lease  atomic.Pointer[Lease]
-	roster atomic.Pointer[roster]
-	epochs atomic.Pointer[epochs]
-	leader atomic.Pointer[string]
-	box    chan func() // of the member's own actor: leases and the roster
-	ended  atomic.Bool
+	name                string
+	maxRequestAge       time.Duration
+	options             *options.Options
+	configuredAddresses map[string]string // addresses by the options
+	memberNames         []string
+	sortedNames         []string // the same, by name: those that vote first
+	hooks               Hooks
+	codec               *Codec
+	transport           *Transport
+	coordinator         *coordinator
+	voters              []string
+	start               time.Time
+	faults              injectedFaults
+	build               string
+	applier             SettingsApplier
+	recorder            *audit.SegmentWriter // nil, with ledger: no account is kept
+	replicator          *auditReplicator
+	settings            settingsState // of the member's own actor
+	excluded            atomic.Bool   // this member may not act by what it knows of the plan
+	listenAddress       string        // told to the others where it is not the listed one
+	resendInterval      int64         // µs
+	quorumTimeout       int64
+
+	ctx        context.Context
+	self       atomic.Pointer[takeover.Member]
+	lease      atomic.Pointer[Lease]
+	membership atomic.Pointer[Membership]
+	log        atomic.Pointer[Log]
+	leader     atomic.Pointer[string]
+	mailbox    chan func() // of the member's own actor: leases and the roster
+	leaving    atomic.Bool
 }
 
 // New makes a member. longest is the longest deadline of a class, which counts unless the options say another. Nothing is
 // listened to or sent before Run.
 func New(o *options.Options, name string, longest time.Duration, hooks Hooks, tuner SettingsApplier) (*Fleet, error) {
-	c, err := newCoder()
+	c, err := newCodec()
 	if err != nil {
 		return nil, err
 	}
@@ -102,41 +102,41 @@
 		longest = o.Takeover.MaxRequestDuration
 	}
 	f := &Fleet{
-		longest: longest, name: name, opts: o, listed: map[string]string{}, hooks: hooks, tuner: tuner, coder: c, build: build(), start: time.Now(), box: make(chan func(), 1024),
-		again: max(o.Fleet.LeaseDuration.Microseconds()/20, 5000), plant: planted(),
+		maxRequestAge: longest, name: name, options: o, configuredAddresses: map[string]string{}, hooks: hooks, applier: tuner, codec: c, build: build(), start: time.Now(), mailbox: make(chan func(), 1024),
+		resendInterval: max(o.Fleet.LeaseDuration.Microseconds()/20, 5000), faults: faultsOfBuild(),
 	}
-	f.wait = o.Fleet.LeaseDuration.Microseconds() / 2
+	f.quorumTimeout = o.Fleet.LeaseDuration.Microseconds() / 2
 	for _, m := range o.Fleet.Members {
-		f.names = append(f.names, m.Name)
-		f.listed[m.Name] = m.Address
+		f.memberNames = append(f.memberNames, m.Name)
+		f.configuredAddresses[m.Name] = m.Address
 	}
-	f.voters, f.sorted = votersOf(f.names), slices.Sorted(slices.Values(f.names))
-	f.roster.Store(&roster{})
-	if err := f.incarnate(); err != nil {
+	f.voters, f.sortedNames = Voters(f.memberNames), slices.Sorted(slices.Values(f.memberNames))
+	f.membership.Store(&Membership{})
+	if err := f.newIncarnation(); err != nil {
 		return nil, err
 	}
-	f.wire = newWire(c, f.names)
-	f.wire.me, f.wire.take, f.wire.desk = func() takeover.Member { return *f.me.Load() }, f.take, f.desk
+	f.transport = newTransport(c, f.memberNames)
+	f.transport.self, f.transport.handle, f.transport.handleAdmin = func() takeover.Member { return *f.self.Load() }, f.handleFrame, f.handleAdmin
 	if o.Audit.Enabled {
-		if f.book, err = audit.NewSegmentWriter(f.wire.id, *f.me.Load(), f.build, protocol, f.micros, f.plant.audit); err != nil {
+		if f.recorder, err = audit.NewSegmentWriter(f.transport.fleetID, *f.self.Load(), f.build, protocol, f.micros, f.faults.audit); err != nil {
 			return nil, err
 		}
-		if f.ledger, err = newLedger(f); err != nil {
+		if f.replicator, err = newAuditReplicator(f); err != nil {
 			return nil, err
 		}
 	}
-	f.wire.where = func(name string) string { return f.roster.Load().addressOf(name, f.listed[name]) }
-	f.keeper = &keeper{f: f, box: make(chan func(int64), keeperBox), flights: map[string]*flight{}}
-	f.keeper.node = takeover.New(takeover.Config{
-		Self: *f.me.Load(), MemberNames: f.names, ReplicationFactor: o.Takeover.Replicas, MaxRecords: o.Takeover.MaxRecords, MaxBytes: o.Takeover.MaxBytes,
-		Retention: o.Takeover.AnswerRetention.Microseconds(), MaxRequestAge: longest.Microseconds(), QuorumTimeout: f.wait, ResendInterval: f.again, LateRequestSlack: o.Fleet.LeaseDuration.Microseconds(),
-		TakeoverStagger: o.Fleet.LeaseDuration.Microseconds() / 2, Fault: f.plant.custody,
+	f.transport.addressOf = func(name string) string { return f.membership.Load().AddressOf(name, f.configuredAddresses[name]) }
+	f.coordinator = &coordinator{fleet: f, mailbox: make(chan func(int64), coordinatorMailboxSize), inFlight: map[string]*inFlightRequest{}}
+	f.coordinator.node = takeover.New(takeover.Config{
+		Self: *f.self.Load(), MemberNames: f.memberNames, ReplicationFactor: o.Takeover.Replicas, MaxRecords: o.Takeover.MaxRecords, MaxBytes: o.Takeover.MaxBytes,
+		Retention: o.Takeover.AnswerRetention.Microseconds(), MaxRequestAge: longest.Microseconds(), QuorumTimeout: f.quorumTimeout, ResendInterval: f.resendInterval, LateRequestSlack: o.Fleet.LeaseDuration.Microseconds(),
+		TakeoverStagger: o.Fleet.LeaseDuration.Microseconds() / 2, Fault: f.faults.takeover,
 	})
 	return f, nil
 }
 
-// incarnate draws a number by which this process is told from all others of its name, and a lease that is not valid yet.
-func (f *Fleet) incarnate() error {
+// newIncarnation draws a number by which this process is told from all others of its name, and a lease that is not valid yet.
+func (f *Fleet) newIncarnation() error {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return err
@@ -144,8 +144,8 @@
 	if old := f.lease.Load(); old != nil {
 		old.end()
 	}
-	f.me.Store(&takeover.Member{Name: f.name, Incarnation: binary.BigEndian.Uint64(b[:])})
-	f.lease.Store(&Lease{start: f.start, plant: f.plant.custody, shut: &f.shut, over: make(chan struct{})})
+	f.self.Store(&takeover.Member{Name: f.name, Incarnation: binary.BigEndian.Uint64(b[:])})
+	f.lease.Store(&Lease{start: f.start, fault: f.faults.takeover, excluded: &f.excluded, done: make(chan struct{})})
 	return nil
 }
 
@@ -154,9 +154,9 @@
 
 // Run serves the fleet until ctx ends. It returns once it listens, or with an error that names the address.
 func (f *Fleet) Run(ctx context.Context) error {
-	ln, err := net.Listen("tcp", f.opts.Fleet.Address)
+	ln, err := net.Listen("tcp", f.options.Fleet.Address)
 	if err != nil { // another process of this sidecar may have it: the others are told of another address
-		host, _, bad := net.SplitHostPort(f.opts.Fleet.Address)
+		host, _, bad := net.SplitHostPort(f.options.Fleet.Address)
 		if bad != nil {
 			return fmt.Errorf("fleet.address: %w", bad)
 		}
@@ -164,53 +164,53 @@
 		if again != nil {
 			return fmt.Errorf("fleet.address: %w", err)
 		}
-		ln, f.address = second, second.Addr().String()
-		go f.comeBack(ctx)
+		ln, f.listenAddress = second, second.Addr().String()
+		go f.listenAtConfiguredAddress(ctx)
 	}
 	f.ctx = ctx
-	go f.wire.serve(ctx, ln)
-	go f.keeper.run(ctx)
-	go f.tend(ctx)
-	if f.ledger != nil {
-		go f.ledger.run(ctx)
+	go f.transport.Serve(ctx, ln)
+	go f.coordinator.run(ctx)
+	go f.tendLease(ctx)
+	if f.replicator != nil {
+		go f.replicator.run(ctx)
 	}
 	if slices.Contains(f.voters, f.name) {
-		go f.vote(ctx)
+		go f.runVoter(ctx)
 	}
-	log.Printf("event=fleet_start name=%s incarnation=%x address=%s members=%d voters=%d lease=%s", f.name, f.me.Load().Incarnation, ln.Addr(),
-		len(f.names), len(f.voters), f.opts.Fleet.LeaseDuration)
+	log.Printf("event=fleet_start name=%s incarnation=%x address=%s members=%d voters=%d lease=%s", f.name, f.self.Load().Incarnation, ln.Addr(),
+		len(f.memberNames), len(f.voters), f.options.Fleet.LeaseDuration)
 	return nil
 }
 
-// comeBack listens at the listed address too, as soon as the process that has it ends. Guards against a voter that nobody
+// listenAtConfiguredAddress listens at the listed address too, as soon as the process that has it ends. Guards against a voter that nobody
 // finds: the others learn another address by its joining alone, which may need its vote.
-func (f *Fleet) comeBack(ctx context.Context) {
+func (f *Fleet) listenAtConfiguredAddress(ctx context.Context) {
 	for ctx.Err() == nil {
-		if ln, err := net.Listen("tcp", f.opts.Fleet.Address); err == nil {
+		if ln, err := net.Listen("tcp", f.options.Fleet.Address); err == nil {
 			log.Printf("event=fleet_listens address=%s", ln.Addr())
-			f.wire.serve(ctx, ln)
+			f.transport.Serve(ctx, ln)
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(redial):
+		case <-time.After(redialDelay):
 		}
 	}
 }
 
-// vote keeps the epoch log, as soon as no other process of this sidecar does. A member that can't keep it votes for
+// runVoter keeps the epoch log, as soon as no other process of this sidecar does. A member that can't keep it votes for
 // nothing, and says why.
-func (f *Fleet) vote(ctx context.Context) {
+func (f *Fleet) runVoter(ctx context.Context) {
 	said := ""
 	for ctx.Err() == nil {
-		e, err := newEpochs(f.opts.Fleet.StateDir, f.name, f.voters, f.opts.Fleet.LeaseDuration)
+		e, err := OpenLog(f.options.Fleet.StateDir, f.name, f.voters, f.options.Fleet.LeaseDuration)
 		if err == nil {
-			e.send, e.names, e.noFence = f.send, f.names, f.plant.noFence
-			e.driver.Guard = rollout.Guard{MaxUnleasedPermille: f.opts.Audit.MaxUnleasedPermille, OffByOne: f.plant.looseGuard}
-			e.told = func(r *roster, texts map[string][]byte) { f.learn(r, texts) }
-			f.epochs.Store(e)
-			err = e.run(ctx)
-			f.epochs.Store(nil)
+			e.send, e.memberNames, e.ignoreFence = f.send, f.memberNames, f.faults.ignoreFence
+			e.controller.Guard = rollout.Guard{MaxUnleasedPermille: f.options.Audit.MaxUnleasedPermille, OffByOne: f.faults.looseGuard}
+			e.onChange = func(r *Membership, texts map[string][]byte) { f.learnMembership(r, texts) }
+			f.log.Store(e)
+			err = e.Run(ctx)
+			f.log.Store(nil)
 		}
 		if ctx.Err() != nil {
 			return
@@ -221,7 +221,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(reopenEvery):
+		case <-time.After(reopenInterval):
 		}
 	}
 }
@@ -229,26 +229,26 @@
 // send carries a frame to a name; to this one without the wire.
 func (f *Fleet) send(name string, kind byte, payload []byte) {
 	if name == f.name {
-		go f.take(*f.me.Load(), kind, payload)
+		go f.handleFrame(*f.self.Load(), kind, payload)
 		return
 	}
-	f.wire.send(f.ctx, name, kind, payload)
+	f.transport.Send(f.ctx, name, kind, payload)
 }
 
-// tend is the actor of leases: it asks for them, and takes grants and rosters in.
-func (f *Fleet) tend(ctx context.Context) {
-	every := f.opts.Fleet.LeaseDuration / asksALease
+// tendLease is the actor of leases: it asks for them, and takes grants and rosters in.
+func (f *Fleet) tendLease(ctx context.Context) {
+	every := f.options.Fleet.LeaseDuration / leaseRequestsPerLease
 	next := time.NewTimer(0)
 	defer next.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case fn := <-f.box:
+		case fn := <-f.mailbox:
 			fn()
 		case <-next.C:
-			f.ask()
-			f.follow()
+			f.requestLease()
+			f.followPlan()
 			if f.lease.Load().Valid() {
 				next.Reset(every)
 			} else {
@@ -258,214 +258,214 @@
 	}
 }
 
-// ask asks who leads for a lease, or all who may lead while that is not known.
-func (f *Fleet) ask() {
-	if f.ended.Load() {
+// requestLease asks who leads for a lease, or all who may lead while that is not known.
+func (f *Fleet) requestLease() {
+	if f.leaving.Load() {
 		return
 	}
-	me, sent := *f.me.Load(), time.Since(f.start)
-	text, err := f.coder.out.Marshal(askLease{Member: me, Sent: int64(sent), Address: f.address, Report: f.report()})
+	me, sent := *f.self.Load(), time.Since(f.start)
+	text, err := f.codec.out.Marshal(LeaseRequest{Member: me, RequestedAt: int64(sent), Address: f.listenAddress, Report: f.rolloutReport()})
 	if err != nil {
 		return
 	}
 	leader := f.leader.Load()
-	if leader != nil && f.lease.Load().until.Load()-int64(sent) > int64(f.opts.Fleet.LeaseDuration)/2 {
-		f.send(*leader, kindAsk, text)
+	if leader != nil && f.lease.Load().validUntil.Load()-int64(sent) > int64(f.options.Fleet.LeaseDuration)/2 {
+		f.send(*leader, KindLeaseRequest, text)
 		return
 	}
 	for _, v := range f.voters {
-		f.send(v, kindAsk, text)
+		f.send(v, KindLeaseRequest, text)
 	}
 }
 
-// granted takes a grant in.
-func (f *Fleet) granted(from string, g *granted) {
-	me := *f.me.Load()
+// handleGrant takes a grant in.
+func (f *Fleet) handleGrant(from string, g *LeaseGrant) {
+	me := *f.self.Load()
 	if g.Member != me {
 		return
 	}
-	if g.Out {
-		f.putOut()
+	if g.Evicted {
+		f.onEvicted()
 		return
 	}
 	f.leader.Store(&from)
-	if g.Epoch > f.roster.Load().Epoch {
-		f.send(from, kindViewAsk, nil)
+	if g.Epoch > f.membership.Load().Epoch {
+		f.send(from, KindMembershipRequest, nil)
 	}
-	if g.Shut {
+	if g.Excluded {
 		return
 	}
 	lease := f.lease.Load()
-	was := lease.until.Load() > 0
-	lease.extend(g.Sent, f.opts.Fleet.LeaseDuration)
+	was := lease.validUntil.Load() > 0
+	lease.extend(g.RequestedAt, f.options.Fleet.LeaseDuration)
 	if !was {
 		log.Printf("event=fleet_lease name=%s incarnation=%x leader=%s epoch=%d", me.Name, me.Incarnation, from, g.Epoch)
 	}
 }
 
-// putOut makes another member of this process: the one it was is out.
-func (f *Fleet) putOut() {
-	old := *f.me.Load()
-	if err := f.incarnate(); err != nil {
+// onEvicted makes another member of this process: the one it was is out.
+func (f *Fleet) onEvicted() {
+	old := *f.self.Load()
+	if err := f.newIncarnation(); err != nil {
 		log.Printf("event=fleet_error err=%q", err)
 		return
 	}
-	me := *f.me.Load()
+	me := *f.self.Load()
 	log.Printf("event=fleet_out name=%s incarnation=%x now=%x", old.Name, old.Incarnation, me.Incarnation)
-	f.keeper.box <- func(int64) { f.keeper.node.Rejoin(me) }
-	if f.ledger != nil {
-		f.ledger.post(func() { f.ledger.next(me) })
+	f.coordinator.mailbox <- func(int64) { f.coordinator.node.Rejoin(me) }
+	if f.replicator != nil {
+		f.replicator.post(func() { f.replicator.startIncarnation(me) })
 	}
-	f.ask()
+	f.requestLease()
 }
 
-// learn takes a newer roster in, with the bytes of versions as far as they came with it. Only what is agreed comes here.
-func (f *Fleet) learn(r *roster, texts map[string][]byte) {
-	f.post(func() { f.learned(r, texts) })
+// learnMembership takes a newer roster in, with the bytes of versions as far as they came with it. Only what is agreed comes here.
+func (f *Fleet) learnMembership(r *Membership, texts map[string][]byte) {
+	f.post(func() { f.applyMembership(r, texts) })
 }
 
-func (f *Fleet) learned(r *roster, texts map[string][]byte) {
-	if r.Epoch <= f.roster.Load().Epoch {
+func (f *Fleet) applyMembership(r *Membership, texts map[string][]byte) {
+	if r.Epoch <= f.membership.Load().Epoch {
 		return
 	}
-	f.roster.Store(r)
-	f.keepTexts(texts)
-	f.follow()
-	if f.ledger != nil {
-		f.ledger.post(func() { f.ledger.see(r) })
+	f.membership.Store(r)
+	f.keepSettings(texts)
+	f.followPlan()
+	if f.replicator != nil {
+		f.replicator.post(func() { f.replicator.onMembership(r) })
 	}
-	v := r.view()
-	f.keeper.box <- func(now int64) { f.keeper.node.ApplyView(now, v) }
-	if me := *f.me.Load(); r.gone(me) && !f.ended.Load() {
-		f.putOut()
+	v := r.View()
+	f.coordinator.mailbox <- func(now int64) { f.coordinator.node.ApplyView(now, v) }
+	if me := *f.self.Load(); r.IsEvicted(me) && !f.leaving.Load() {
+		f.onEvicted()
 	}
-	for _, name := range told(f.sorted, f.name, len(f.voters)) {
-		f.tellRoster(name)
+	for _, name := range treeChildren(f.sortedNames, f.name, len(f.voters)) {
+		f.sendMembership(name)
 	}
 }
 
-// tells is how many others each member tells of a new epoch.
-const tells = 4
+// treeFanout is how many others each member tells of a new epoch.
+const treeFanout = 4
 
-// told lists whom a member tells: its children in a tree over all names, less those that vote, who have it from the log. Where a
+// treeChildren lists whom a member tells: its children in a tree over all names, less those that vote, who have it from the log. Where a
 // member is down, those below it see by their leases that there is more to know, and ask who gave them.
-func told(sorted []string, name string, voters int) []string {
+func treeChildren(sorted []string, name string, voters int) []string {
 	at := slices.Index(sorted, name)
 	if at < 0 {
 		return nil
 	}
-	from := max(tells*at+1, voters)
-	to := min(tells*at+tells+1, len(sorted))
+	from := max(treeFanout*at+1, voters)
+	to := min(treeFanout*at+treeFanout+1, len(sorted))
 	if from >= to {
 		return nil
 	}
 	return sorted[from:to]
 }
 
-func (f *Fleet) tellRoster(name string) {
-	text, err := f.coder.out.Marshal(f.roster.Load())
+func (f *Fleet) sendMembership(name string) {
+	text, err := f.codec.out.Marshal(f.membership.Load())
 	if err == nil {
-		f.send(name, kindView, text)
+		f.send(name, KindMembership, text)
 	}
 }
 
-var errKind = errors.New("a frame of a kind that this build does not know")
+var ErrUnknownKind = errors.New("a frame of a kind that this build does not know")
 
-// take takes a frame of another member, or of this one.
-func (f *Fleet) take(from takeover.Member, kind byte, payload []byte) {
+// handleFrame takes a frame of another member, or of this one.
+func (f *Fleet) handleFrame(from takeover.Member, kind byte, payload []byte) {
 	err := error(nil)
 	switch kind {
-	case kindRaft:
-		if e := f.epochs.Load(); e != nil {
-			e.post(func() { e.step(from.Name, payload) })
+	case KindRaft:
+		if e := f.log.Load(); e != nil {
+			e.post(func() { e.stepRaft(from.Name, payload) })
 		}
-	case kindAsk:
-		var a askLease
-		if err = f.coder.in.Unmarshal(payload, &a); err == nil && a.Member.Name == from.Name {
-			if e := f.epochs.Load(); e != nil {
-				e.post(func() { e.ask(a) })
+	case KindLeaseRequest:
+		var a LeaseRequest
+		if err = f.codec.in.Unmarshal(payload, &a); err == nil && a.Member.Name == from.Name {
+			if e := f.log.Load(); e != nil {
+				e.post(func() { e.handleLeaseRequest(a) })
 			}
 		}
-	case kindLeave:
+	case KindLeave:
 		var m takeover.Member
-		if err = f.coder.in.Unmarshal(payload, &m); err == nil && m.Name == from.Name {
-			if e := f.epochs.Load(); e != nil {
-				e.post(func() { e.left(m) })
+		if err = f.codec.in.Unmarshal(payload, &m); err == nil && m.Name == from.Name {
+			if e := f.log.Load(); e != nil {
+				e.post(func() { e.handleLeave(m) })
 			}
 		}
-	case kindGrant:
-		var g granted
-		if err = f.coder.in.Unmarshal(payload, &g); err == nil {
-			f.post(func() { f.granted(from.Name, &g) })
+	case KindLeaseGrant:
+		var g LeaseGrant
+		if err = f.codec.in.Unmarshal(payload, &g); err == nil {
+			f.post(func() { f.handleGrant(from.Name, &g) })
 		}
-	case kindViewAsk:
-		f.post(func() { f.tellRoster(from.Name) })
-	case kindView:
-		r := new(roster)
-		if err = f.coder.in.Unmarshal(payload, r); err == nil {
-			if err = r.check(); err == nil {
-				f.learn(r, nil)
+	case KindMembershipRequest:
+		f.post(func() { f.sendMembership(from.Name) })
+	case KindMembership:
+		r := new(Membership)
+		if err = f.codec.in.Unmarshal(payload, r); err == nil {
+			if err = r.Validate(); err == nil {
+				f.learnMembership(r, nil)
 			}
 		}
-	case kindWant:
-		f.post(func() { f.want(from, payload) })
-	case kindHave:
-		var h haveText
-		if err = f.coder.in.Unmarshal(payload, &h); err == nil {
-			f.post(func() { f.have(h.Text) })
+	case KindSettingsRequest:
+		f.post(func() { f.handleSettingsRequest(from, payload) })
+	case KindSettings:
+		var h settingsReply
+		if err = f.codec.in.Unmarshal(payload, &h); err == nil {
+			f.post(func() { f.handleSettings(h.Settings) })
 		}
-	case kindSegments:
+	case KindSegments:
 		var all []audit.SealedSegment
-		if err = f.coder.in.Unmarshal(payload, &all); err == nil && f.ledger != nil {
-			f.ledger.post(func() { f.ledger.hold(from, all) })
+		if err = f.codec.in.Unmarshal(payload, &all); err == nil && f.replicator != nil {
+			f.replicator.post(func() { f.replicator.storeSegments(from, all) })
 		}
-	case kindTaken:
-		var all []takenOf
-		if err = f.coder.in.Unmarshal(payload, &all); err == nil && f.ledger != nil {
-			f.ledger.post(func() {
+	case KindSegmentAck:
+		var all []segmentAck
+		if err = f.codec.in.Unmarshal(payload, &all); err == nil && f.replicator != nil {
+			f.replicator.post(func() {
 				for _, one := range all {
-					f.ledger.pushing.Acknowledge(from.Name, one.Of, one.Index)
+					f.replicator.replication.Acknowledge(from.Name, one.Member, one.Index)
 				}
 			})
 		}
-	case kindCustody:
+	case KindTakeover:
 		var all []takeover.Message
-		if err = f.coder.in.Unmarshal(payload, &all); err == nil {
-			f.custody(from, all)
+		if err = f.codec.in.Unmarshal(payload, &all); err == nil {
+			f.handleTakeover(from, all)
 		}
 	default:
-		err = fmt.Errorf("%w: %d", errKind, kind)
+		err = fmt.Errorf("%w: %d", ErrUnknownKind, kind)
 	}
 	if err != nil {
-		f.wire.refuse("", from.Name, err)
+		f.transport.LogRejected("", from.Name, err)
 	}
 }
 
 func (f *Fleet) post(fn func()) {
 	select {
-	case f.box <- fn:
+	case f.mailbox <- fn:
 	case <-f.ctx.Done():
 	}
 }
 
-// custody hands messages to the keeper. Whoever speaks of a later epoch is asked for it first.
-func (f *Fleet) custody(from takeover.Member, all []takeover.Message) {
+// handleTakeover hands messages to the keeper. Whoever speaks of a later epoch is asked for it first.
+func (f *Fleet) handleTakeover(from takeover.Member, all []takeover.Message) {
 	latest := uint64(0)
 	for i := range all {
 		latest = max(latest, all[i].Epoch)
 	}
-	if latest > f.roster.Load().Epoch {
-		f.send(from.Name, kindViewAsk, nil)
+	if latest > f.membership.Load().Epoch {
+		f.send(from.Name, KindMembershipRequest, nil)
 	}
 	done := make(chan struct{})
 	fn := func(now int64) {
 		defer close(done)
 		for i := range all {
-			f.keeper.node.Handle(now, from, &all[i])
+			f.coordinator.node.Handle(now, from, &all[i])
 		}
 	}
 	select {
-	case f.keeper.box <- fn:
+	case f.coordinator.mailbox <- fn:
 	case <-f.ctx.Done():
 		return
 	}
@@ -482,7 +482,7 @@
 	end := time.NewTimer(w.Timeout)
 	defer end.Stop()
 	select {
-	case f.keeper.box <- func(now int64) { f.keeper.open(now, w, wait, run) }:
+	case f.coordinator.mailbox <- func(now int64) { f.coordinator.begin(now, w, wait, run) }:
 	case <-end.C:
 		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
 	}
@@ -493,7 +493,7 @@
 		case <-gone:
 			more = false
 		case <-end.C: // one that runs has until its body has come and its time after that is up
-			if more = w.MaxDuration > w.Timeout && f.keeper.runs(w.ID, wait); more {
+			if more = w.MaxDuration > w.Timeout && f.coordinator.isExecuting(w.ID, wait); more {
 				end.Reset(w.MaxDuration - w.Timeout)
 				w.MaxDuration = 0
 			}
@@ -501,7 +501,7 @@
 			more = false
 		}
 	}
-	f.keeper.post(func(int64) { f.keeper.left(w.ID, wait) })
+	f.coordinator.post(func(int64) { f.coordinator.removeWaiter(w.ID, wait) })
 	select { // it came at the same time
 	case o := <-wait:
 		return o
@@ -512,7 +512,7 @@
 
 // ReplicationPolicy tells what becomes of a class's work.
 func (f *Fleet) ReplicationPolicy(class string, e takeover.Idempotency) options.ReplicationPolicy {
-	if c, ok := f.opts.Takeover.PolicyByClass[class]; ok {
+	if c, ok := f.options.Takeover.PolicyByClass[class]; ok {
 		return c
 	}
 	switch e {
@@ -526,7 +526,7 @@
 
 // RequiredLease is the lease without which nothing at all is taken or sent; nil: none is.
 func (f *Fleet) RequiredLease() takeover.Lease {
-	if f.ledger == nil {
+	if f.replicator == nil {
 		return nil
 	}
 	return f.lease.Load()
@@ -536,7 +536,7 @@
 func (f *Fleet) MayReject() bool {
 	back := make(chan bool, 1)
 	select {
-	case f.keeper.box <- func(now int64) { back <- f.keeper.fresh(now) }:
+	case f.coordinator.mailbox <- func(now int64) { back <- f.coordinator.readsAreFresh(now) }:
 		return <-back
 	case <-f.ctx.Done():
 		return false
@@ -545,10 +545,10 @@
 
 // Ledger is the account that this member keeps of itself; nil: none.
 func (f *Fleet) Ledger() auditevent.Recorder {
-	if f.book == nil {
+	if f.recorder == nil {
 		return nil
 	}
-	return f.book
+	return f.recorder
 }
 
 // Digest is that of settings, for the account.
@@ -571,29 +571,29 @@
 }
 
 // MaxDuration is how long a request may be in custody.
-func (f *Fleet) MaxDuration() time.Duration { return f.longest }
+func (f *Fleet) MaxDuration() time.Duration { return f.maxRequestAge }
 
 // Leave ends the membership of a process that has ended its work: others take over what is left at once.
 func (f *Fleet) Leave() {
-	f.ended.Store(true)
-	text, err := f.coder.out.Marshal(*f.me.Load())
+	f.leaving.Store(true)
+	text, err := f.codec.out.Marshal(*f.self.Load())
 	if err == nil {
-		err = f.incarnate() // what comes after belongs to nobody: guards against an account that goes on after its end
+		err = f.newIncarnation() // what comes after belongs to nobody: guards against an account that goes on after its end
 	}
 	if err != nil {
 		return
 	}
-	if f.ledger != nil {
+	if f.replicator != nil {
 		done := make(chan struct{})
-		me := *f.me.Load()
-		f.ledger.post(func() { f.ledger.next(me); close(done) })
+		me := *f.self.Load()
+		f.replicator.post(func() { f.replicator.startIncarnation(me); close(done) })
 		select {
 		case <-done:
-		case <-time.After(leaveWait):
+		case <-time.After(leaveGrace):
 		}
 	}
 	for _, v := range f.voters {
-		f.send(v, kindLeave, text)
+		f.send(v, KindLeave, text)
 	}
-	time.Sleep(leaveWait) // it is no more than a hint: where it is lost the lease's end does
+	time.Sleep(leaveGrace) // it is no more than a hint: where it is lost the lease's end does
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -29,35 +29,35 @@
 
 // The epoch counts what changed, and no late or doubled word changes anything.
 func TestRoster(t *testing.T) {
-	r, a1, a2 := &roster{}, member("a", 1), member("a", 2)
+	r, a1, a2 := &Membership{}, member("a", 1), member("a", 2)
 	for i, c := range []struct {
-		e     entry
+		e     Change
 		epoch uint64
 		lives bool // its member, after it
 	}{
-		{entry{Member: a1}, 1, true},
-		{entry{Member: a1}, 1, true},
-		{entry{Member: a2, Address: "x:1"}, 2, true},
-		{entry{Out: true, Member: a1}, 3, false},
-		{entry{Out: true, Member: a1}, 3, false},
-		{entry{Member: a1}, 3, false}, // a late word of one that is out
-		{entry{Out: true, Member: member("b", 1)}, 3, false},
+		{Change{Member: a1}, 1, true},
+		{Change{Member: a1}, 1, true},
+		{Change{Member: a2, Address: "x:1"}, 2, true},
+		{Change{Evict: true, Member: a1}, 3, false},
+		{Change{Evict: true, Member: a1}, 3, false},
+		{Change{Member: a1}, 3, false}, // a late word of one that is out
+		{Change{Evict: true, Member: member("b", 1)}, 3, false},
 	} {
 		old := *r
-		next := r.apply(&c.e, nil)
-		if next.Epoch != c.epoch || next.lives(c.e.Member) != c.lives || r.Epoch != old.Epoch || len(r.Seats) != len(old.Seats) {
+		next := r.Apply(&c.e, nil)
+		if next.Epoch != c.epoch || next.Contains(c.e.Member) != c.lives || r.Epoch != old.Epoch || len(r.Members) != len(old.Members) {
 			t.Fatalf("entry %d: %+v of %+v", i, next, old)
 		}
 		r = next
 	}
-	v := r.view()
-	if s := v.Members[a2]; len(v.Members) != 1 || s.JoinedEpoch != 2 || s.FirstIncarnation || r.addressOf("a", "listed") != "x:1" || r.addressOf("b", "listed") != "listed" {
+	v := r.View()
+	if s := v.Members[a2]; len(v.Members) != 1 || s.JoinedEpoch != 2 || s.FirstIncarnation || r.AddressOf("a", "listed") != "x:1" || r.AddressOf("b", "listed") != "listed" {
 		t.Fatalf("%+v", v)
 	}
-	for _, bad := range []*roster{
-		{Epoch: 1, Seats: []seat{{Member: a1, Joined: 2}}}, {Epoch: 1, Seats: []seat{{}}}, {Epoch: 1, Seats: []seat{{Member: a1}, {Member: a1}}},
+	for _, bad := range []*Membership{
+		{Epoch: 1, Members: []JoinedMember{{Member: a1, JoinedEpoch: 2}}}, {Epoch: 1, Members: []JoinedMember{{}}}, {Epoch: 1, Members: []JoinedMember{{Member: a1}, {Member: a1}}},
 	} {
-		if bad.check() == nil {
+		if bad.Validate() == nil {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
@@ -67,7 +67,7 @@
 func TestNobodyIsOutBeforeItsLease(t *testing.T) {
 	const lease, every = time.Second, 50 * time.Millisecond
 	a := member("a", 1)
-	r := (&roster{}).apply(&entry{Member: a}, nil)
+	r := (&Membership{}).Apply(&Change{Member: a}, nil)
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for name, c := range map[string]struct {
@@ -80,7 +80,7 @@
 		"asked":       {[]int{300, 700}, [2]int{}, 1715, 1800},
 		"the leader was stopped: asks may wait for it": {[]int{300}, [2]int{400, 5000}, 6015, 6100},
 	} {
-		g := &grants{lease: lease}
+		g := &leaseTable{duration: lease}
 		g.reset(start)
 		out := 0
 		for ms, next := 0, 0; ms <= 8000 && out == 0; ms += 5 {
@@ -88,13 +88,13 @@
 				continue
 			}
 			if ms%50 == 0 {
-				g.tick(at(ms), every)
+				g.noteTick(at(ms), every)
 			}
 			if next < len(c.granted) && ms >= c.granted[next] {
 				g.grant(at(ms), a)
 				next++
 			}
-			if ms%50 == 0 && len(g.due(at(ms), r)) > 0 {
+			if ms%50 == 0 && len(g.expired(at(ms), r)) > 0 {
 				out = ms
 			}
 		}
@@ -108,14 +108,14 @@
 }
 
 func TestLeaseEnds(t *testing.T) {
-	l := &Lease{shut: new(atomic.Bool), start: time.Now().Add(-time.Hour), over: make(chan struct{})}
+	l := &Lease{excluded: new(atomic.Bool), start: time.Now().Add(-time.Hour), done: make(chan struct{})}
 	now := int64(time.Hour)
 	if l.Valid() {
 		t.Error("valid before it was granted")
 	}
 	l.extend(now, time.Hour)
 	l.extend(now-int64(time.Minute), time.Hour) // an older grant that came late
-	if !l.Valid() || l.until.Load() != now+int64(time.Hour) {
+	if !l.Valid() || l.validUntil.Load() != now+int64(time.Hour) {
 		t.Error("not valid, or shortened")
 	}
 	l.end()
@@ -189,7 +189,7 @@
 		for i := range n {
 			names = append(names, string(rune('a'+i%26))+string(rune('a'+i/26)))
 		}
-		if got := votersOf(names); len(got) != want {
+		if got := Voters(names); len(got) != want {
 			t.Errorf("%d members: %d vote, not %d", n, len(got), want)
 		}
 	}
@@ -197,11 +197,11 @@
 
 // Whom this member does not know is refused by name before anything of it counts.
 func TestGreeting(t *testing.T) {
-	c, err := newCoder()
+	c, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := newWire(c, []string{"a", "b", "c"})
+	w := newTransport(c, []string{"a", "b", "c"})
 	greet := func(kind byte, v any) error {
 		text, _ := c.out.Marshal(v)
 		f, _ := frame.Append(nil, kind, text)
@@ -209,37 +209,37 @@
 		go func() { near.Write(f); near.Close() }()
 		kind, payload, err := frame.Read(far)
 		if err == nil {
-			_, err = w.greet(kind, payload)
+			_, err = w.acceptHello(kind, payload)
 		}
 		return err
 	}
-	good := hello{Fleet: fleetID([]string{"c", "b", "a"}), From: member("b", 1)}
+	good := hello{FleetID: FleetID([]string{"c", "b", "a"}), From: member("b", 1)}
 	other, stranger := good, good
-	other.Fleet++
+	other.FleetID++
 	stranger.From.Name = "d"
 	for name, c := range map[string]struct {
 		kind byte
 		v    any
 		ok   bool
 	}{
-		"good": {kindHello, good, true}, "another fleet": {kindHello, other, false}, "a stranger": {kindHello, stranger, false},
-		"no hello": {kindAsk, good, false}, "nonsense": {kindHello, "x", false}, "too deep": {kindHello, [][][]int{{{1}}}, false},
+		"good": {KindHello, good, true}, "another fleet": {KindHello, other, false}, "a stranger": {KindHello, stranger, false},
+		"no hello": {KindLeaseRequest, good, false}, "nonsense": {KindHello, "x", false}, "too deep": {KindHello, [][][]int{{{1}}}, false},
 	} {
 		if err := greet(c.kind, c.v); (err == nil) != c.ok {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for range connsMost {
-		greet(kindHello, good)
+	for range maxConnectionsPerName {
+		greet(KindHello, good)
 	}
-	if greet(kindHello, good) == nil {
+	if greet(KindHello, good) == nil {
 		t.Error("a flood of connections is taken")
 	}
 }
 
 // What a process says after it came back as another member goes out in that one's name, and nothing more in the old one's.
 func TestFramesGoOutInTheirOwnName(t *testing.T) {
-	c, err := newCoder()
+	c, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -253,15 +253,15 @@
 		text string
 	}
 	got := make(chan heard, 64)
-	to, from := newWire(c, []string{"a", "b"}), newWire(c, []string{"a", "b"})
-	to.take = func(from takeover.Member, _ byte, payload []byte) { got <- heard{from, string(payload)} }
-	go to.serve(ctx, ln)
+	to, from := newTransport(c, []string{"a", "b"}), newTransport(c, []string{"a", "b"})
+	to.handle = func(from takeover.Member, _ byte, payload []byte) { got <- heard{from, string(payload)} }
+	go to.Serve(ctx, ln)
 	var me atomic.Pointer[takeover.Member]
-	from.me, from.where = func() takeover.Member { return *me.Load() }, func(string) string { return ln.Addr().String() }
+	from.self, from.addressOf = func() takeover.Member { return *me.Load() }, func(string) string { return ln.Addr().String() }
 	for n := range uint64(5) {
 		now := member("b", n+1)
 		me.Store(&now)
-		from.send(ctx, "a", kindAsk, []byte(now.Name+string(rune('1'+n))))
+		from.Send(ctx, "a", KindLeaseRequest, []byte(now.Name+string(rune('1'+n))))
 		select {
 		case h := <-got:
 			if h.from != now || h.text != "b"+string(rune('1'+n)) {
@@ -280,7 +280,7 @@
 		for i := range n {
 			names = append(names, fmt.Sprintf("n%04d", i))
 		}
-		voters := votersOf(names)
+		voters := Voters(names)
 		know, round := map[string]bool{}, 0
 		for _, v := range voters {
 			know[v] = true
@@ -288,8 +288,8 @@
 		for next := slices.Clone(voters); len(know) < n; round++ {
 			var after []string
 			for _, name := range next {
-				to := told(names, name, len(voters))
-				if len(to) > tells {
+				to := treeChildren(names, name, len(voters))
+				if len(to) > treeFanout {
 					t.Fatalf("%d members: %s tells %d", n, name, len(to))
 				}
 				for _, o := range to {
@@ -305,24 +305,24 @@
 			}
 		}
 		t.Logf("%d members: %d rounds", n, round)
-		if most := 1 + int(math.Log(float64(n))/math.Log(tells)); round > most {
+		if most := 1 + int(math.Log(float64(n))/math.Log(treeFanout)); round > most {
 			t.Errorf("%d members: %d rounds, at most %d", n, round, most)
 		}
 	}
-	if told([]string{"a"}, "b", 1) != nil {
+	if treeChildren([]string{"a"}, "b", 1) != nil {
 		t.Error("a stranger tells")
 	}
 }
 
 // A file whose end was cut off is mended and said; an edited byte ends it; what was good before is kept; another process's file is left alone.
 func TestSegmentFiles(t *testing.T) {
-	coder, err := newCoder()
+	coder, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	d := &disk{dir: dir, most: 1 << 20, coder: coder}
-	if old := d.open(member("a", 1)); len(old) != 0 {
+	d := &Directory{path: dir, maxBytes: 1 << 20, codec: coder}
+	if old := d.Open(member("a", 1)); len(old) != 0 {
 		t.Fatal(old)
 	}
 	book, err := audit.NewSegmentWriter(7, member("a", 1), "build", protocol, func() int64 { return 0 }, audit.NoFault)
@@ -335,10 +335,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.append(&all[0])
+		d.Append(&all[0])
 	}
-	path := filepath.Join(dir, "a-1"+segmentsEnd)
-	if !written(path) {
+	path := filepath.Join(dir, "a-1"+Suffix)
+	if !isBeingWritten(path) {
 		t.Error("a file under way is not told from one that was left")
 	}
 	d.close()
@@ -359,31 +359,31 @@
 		if err := os.WriteFile(path, c.change(slices.Clone(text)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		again := &disk{dir: dir, most: 1 << 20, coder: coder}
-		if got := again.open(member("a", 2)); len(got) != c.kept {
+		again := &Directory{path: dir, maxBytes: 1 << 20, codec: coder}
+		if got := again.Open(member("a", 2)); len(got) != c.kept {
 			t.Errorf("%s: %d segments, not %d", name, len(got), c.kept)
 		}
-		if all, _, err := ReadSegments(path); err != nil || len(all) != c.kept {
+		if all, _, err := ReadFile(path); err != nil || len(all) != c.kept {
 			t.Errorf("%s: not mended: %d, %v", name, len(all), err)
 		}
 	}
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	small := &disk{dir: dir, most: 100, coder: coder}
-	if small.open(member("a", 3)); small.file == nil {
+	small := &Directory{path: dir, maxBytes: 100, codec: coder}
+	if small.Open(member("a", 3)); small.file == nil {
 		t.Fatal("no file")
 	}
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
 		t.Error("old files stay past what is granted")
 	}
-	nowhere := &disk{dir: filepath.Join(dir, "a-3"+segmentsEnd, "x"), most: 100, coder: coder}
-	nowhere.open(member("a", 4))
+	nowhere := &Directory{path: filepath.Join(dir, "a-3"+Suffix, "x"), maxBytes: 100, codec: coder}
+	nowhere.Open(member("a", 4))
 	all, _ := book.Cut(0)
 	for i := range all {
-		nowhere.append(&all[i])
+		nowhere.Append(&all[i])
 	}
-	if !nowhere.said {
+	if !nowhere.faultLogged {
 		t.Error("a place that can't be is not told")
 	}
 }
@@ -391,17 +391,17 @@
 // What came of a request waits while its owner's lease is just not valid, and no longer than that may last. Guards against an answer
 // that is dropped by an owner which goes on living.
 func TestAnAnswerWaitsForTheLease(t *testing.T) {
-	k := &keeper{f: &Fleet{opts: &options.Options{Fleet: options.Fleet{LeaseDuration: time.Hour}}}}
-	late := &Lease{shut: new(atomic.Bool), start: time.Now(), over: make(chan struct{})}
+	k := &coordinator{fleet: &Fleet{options: &options.Options{Fleet: options.Fleet{LeaseDuration: time.Hour}}}}
+	late := &Lease{excluded: new(atomic.Bool), start: time.Now(), done: make(chan struct{})}
 	time.AfterFunc(20*time.Millisecond, func() { late.extend(0, time.Hour) })
-	if k.await(late); !late.Valid() {
+	if k.awaitLease(late); !late.Valid() {
 		t.Error("it did not wait")
 	}
-	over := &Lease{shut: new(atomic.Bool), start: time.Now(), over: make(chan struct{})}
+	over := &Lease{excluded: new(atomic.Bool), start: time.Now(), done: make(chan struct{})}
 	time.AfterFunc(20*time.Millisecond, over.end)
-	k.await(over)
-	k.f.opts.Fleet.LeaseDuration = time.Millisecond
-	k.await(&Lease{shut: new(atomic.Bool), start: time.Now(), over: make(chan struct{})})
+	k.awaitLease(over)
+	k.fleet.options.Fleet.LeaseDuration = time.Millisecond
+	k.awaitLease(&Lease{excluded: new(atomic.Bool), start: time.Now(), done: make(chan struct{})})
 }
 
 // A version's bytes are asked of those who vote first, and of one of them at every second ask, never of the member itself; the
@@ -411,11 +411,11 @@
 	for i := range 100 {
 		names = append(names, fmt.Sprintf("n%03d", i))
 	}
-	voters := votersOf(names)
+	voters := Voters(names)
 	for _, me := range []string{"n000", "n004", "n099"} {
 		asked := map[string]int{}
 		for asks := range 20_000 {
-			name, ok := whoHas(voters, names, me, asks, rand.IntN)
+			name, ok := settingsSource(voters, names, me, asks, rand.IntN)
 			if !ok || name == me {
 				t.Fatalf("%s asks %q", me, name)
 			}
@@ -430,10 +430,10 @@
 			}
 		}
 	}
-	if name, ok := whoHas([]string{"a"}, []string{"a", "b"}, "a", 0, rand.IntN); !ok || name != "b" {
+	if name, ok := settingsSource([]string{"a"}, []string{"a", "b"}, "a", 0, rand.IntN); !ok || name != "b" {
 		t.Errorf("the only one that votes asks %q", name)
 	}
-	if name, ok := whoHas([]string{"a"}, []string{"a"}, "a", 0, rand.IntN); ok {
+	if name, ok := settingsSource([]string{"a"}, []string{"a"}, "a", 0, rand.IntN); ok {
 		t.Errorf("one alone asks %q", name)
 	}
 }
@@ -441,45 +441,45 @@
 // The asks of a tick share one round of the log, and all of them are granted by it. Guards against a round for each ask, which was
 // most of what a leader did.
 func TestAsksOfATickShareARound(t *testing.T) {
-	e, err := newEpochs(t.TempDir(), "n00", []string{"n00"}, time.Second)
+	e, err := OpenLog(t.TempDir(), "n00", []string{"n00"}, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer e.store.close()
 	granted := map[string]int{}
 	e.send = func(name string, kind byte, _ []byte) {
-		if kind == kindGrant {
+		if kind == KindLeaseGrant {
 			granted[name]++
 		}
 	}
-	e.told = func(*roster, map[string][]byte) {}
+	e.onChange = func(*Membership, map[string][]byte) {}
 	do := func(f func()) {
 		t.Helper()
 		f()
-		if err := e.ready(); err != nil {
+		if err := e.processReady(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	do(func() { e.node.Campaign() })
+	do(func() { e.raftNode.Campaign() })
 	const members = 30
 	for i := range members {
-		e.names = append(e.names, fmt.Sprintf("n%02d", i))
+		e.memberNames = append(e.memberNames, fmt.Sprintf("n%02d", i))
 	}
 	for range 3 {
 		asks := func() {
-			for i, name := range e.names {
-				do(func() { e.ask(askLease{Member: member(name, uint64(i+1)), Sent: 1}) })
+			for i, name := range e.memberNames {
+				do(func() { e.handleLeaseRequest(LeaseRequest{Member: member(name, uint64(i+1)), RequestedAt: 1}) })
 			}
 		}
 		asks()
-		if len(e.roster.living()) < members {
+		if len(e.membership.MemberNames()) < members {
 			asks() // the first was to join
 		}
-		before := e.read
+		before := e.readID
 		clear(granted)
 		asks()
-		do(func() { e.turn(time.Now()) })
-		if rounds := e.read - before; rounds != 1 || len(granted) != members {
+		do(func() { e.tick(time.Now()) })
+		if rounds := e.readID - before; rounds != 1 || len(granted) != members {
 			t.Errorf("%d rounds for the asks of %d members, of whom %d have a grant", rounds, members, len(granted))
 		}
 	}
--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -8,7 +8,7 @@
 
 // Whatever a member says, custody stays bounded and panics at nothing.
 func FuzzCustody(f *testing.F) {
-	c, err := newCoder()
+	c, err := newCodec()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 		n := takeover.New(takeover.Config{
 			Self: a, MemberNames: []string{"a", "b", "c"}, ReplicationFactor: 3, MaxRecords: 8, MaxBytes: 4096, Retention: 1000, MaxRequestAge: 1000, QuorumTimeout: 100, ResendInterval: 10, TakeoverStagger: 10,
 		})
-		n.ApplyView(0, (&roster{}).apply(&entry{Member: a}, nil).apply(&entry{Member: b}, nil).view())
+		n.ApplyView(0, (&Membership{}).Apply(&Change{Member: a}, nil).Apply(&Change{Member: b}, nil).View())
 		n.Resume(0, takeover.Record{ID: "mine", Idempotency: takeover.NotIdempotent, DeadlineAge: 1000})
 		for i := range all {
 			n.Handle(5, b, &all[i])
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -10,100 +10,102 @@
 )
 
 const (
-	keeperBox   = 4096
-	batchMost   = 256       // messages in a frame
-	batchBytes  = 1 << 20   // of them
-	pausedAfter = 100_000   // µs without a turn, after which this process was stopped
-	wakes       = 1_000_000 // µs after that within which it may read what had come meanwhile
+	coordinatorMailboxSize = 4096
+	maxBatchMessages       = 256       // messages in a frame
+	maxBatchBytes          = 1 << 20   // of them
+	stallThreshold         = 100_000   // µs without a turn, after which this process was stopped
+	staleReadWindow        = 1_000_000 // µs after that within which it may read what had come meanwhile
 )
 
-// flight is a request under custody here.
-type flight struct {
-	work    takeover.Request
-	run     func(takeover.SendPermit) takeover.Result
-	waits   []chan takeover.Outcome
-	running bool
-	lease   takeover.Lease // that it runs under
+// inFlightRequest is a request under custody here.
+type inFlightRequest struct {
+	request   takeover.Request
+	execute   func(takeover.SendPermit) takeover.Result
+	waiters   []chan takeover.Outcome
+	executing bool
+	lease     takeover.Lease // that it runs under
 }
 
-// keeper is the actor of custody: one goroutine owns the node and all flights.
-type keeper struct {
-	f       *Fleet
-	node    *takeover.Node
-	box     chan func(now int64)
-	flights map[string]*flight
-	blind   int64 // until then no quorum is to be expected: strict work is refused at once
-	turned  int64 // when it last had a turn
-	woke    int64 // when it last found that it had been stopped
-	counts  counts
+// coordinator is the actor of custody: one goroutine owns the node and all flights.
+type coordinator struct {
+	fleet         *Fleet
+	node          *takeover.Node
+	mailbox       chan func(now int64)
+	inFlight      map[string]*inFlightRequest
+	noQuorumUntil int64 // until then no quorum is to be expected: strict work is refused at once
+	lastTurnAt    int64 // when it last had a turn
+	resumedAt     int64 // when it last found that it had been stopped
+	counts        takeoverCounts
 }
 
-// counts are for the log.
-type counts struct{ taken, resumed, given, missing, lost, unasked, doubled int64 }
+// takeoverCounts are for the log.
+type takeoverCounts struct{ begun, resumed, returned, unavailable, ownershipLost, takenOver, duplicates int64 }
 
 // post hands the actor something to do, unless it has too much to do.
-func (k *keeper) post(fn func(now int64)) {
+func (k *coordinator) post(fn func(now int64)) {
 	select {
-	case k.box <- fn:
+	case k.mailbox <- fn:
 	default:
 	}
 }
 
 // run is the actor.
-func (k *keeper) run(ctx context.Context) {
-	every := max(time.Duration(k.f.again)*time.Microsecond/2, time.Millisecond)
+func (k *coordinator) run(ctx context.Context) {
+	every := max(time.Duration(k.fleet.resendInterval)*time.Microsecond/2, time.Millisecond)
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	report := time.NewTicker(10 * time.Second)
 	defer report.Stop()
-	var last counts
-	for k.turned = k.f.micros(); ; k.settle() {
+	var last takeoverCounts
+	for k.lastTurnAt = k.fleet.micros(); ; k.flush() {
 		select {
 		case <-ctx.Done():
 			return
-		case fn := <-k.box:
-			k.turn()
-			fn(k.f.micros())
+		case fn := <-k.mailbox:
+			k.noteTurn()
+			fn(k.fleet.micros())
 			for more := true; more; { // what has come meanwhile goes out in the same frames
 				select {
-				case fn := <-k.box:
-					fn(k.f.micros())
+				case fn := <-k.mailbox:
+					fn(k.fleet.micros())
 				default:
 					more = false
 				}
 			}
 		case <-tick.C:
-			k.turn()
-			k.node.Tick(k.f.micros())
+			k.noteTurn()
+			k.node.Tick(k.fleet.micros())
 		case <-report.C:
 			if k.counts != last {
 				last = k.counts
 				records, bytes := k.node.Usage()
 				log.Printf("event=custody taken=%d resumed=%d given=%d missing=%d lost=%d unasked=%d doubled=%d records=%d bytes=%d open=%d",
-					last.taken, last.resumed, last.given, last.missing, last.lost, last.unasked, last.doubled, records, bytes, len(k.flights))
+					last.begun, last.resumed, last.returned, last.unavailable, last.ownershipLost, last.takenOver, last.duplicates, records, bytes, len(k.inFlight))
 			}
 		}
 	}
 }
 
-// turn notes that this process runs, and whether it had been stopped.
-func (k *keeper) turn() {
-	now := k.f.micros()
-	if now-k.turned > pausedAfter {
-		k.woke = now
+// noteTurn notes that this process runs, and whether it had been stopped.
+func (k *coordinator) noteTurn() {
+	now := k.fleet.micros()
+	if now-k.lastTurnAt > stallThreshold {
+		k.resumedAt = now
 	}
-	k.turned = now
+	k.lastTurnAt = now
 }
 
-// fresh tells whether requests come when they are sent. Just after a stop they may have waited for it, and their clients may
+// readsAreFresh tells whether requests come when they are sent. Just after a stop they may have waited for it, and their clients may
 // have gone elsewhere: nothing is refused then. Guards against a refusal of what another member runs.
-func (k *keeper) fresh(now int64) bool { return k.woke == 0 || now-k.woke > wakes }
+func (k *coordinator) readsAreFresh(now int64) bool {
+	return k.resumedAt == 0 || now-k.resumedAt > staleReadWindow
+}
 
-// settle carries out what the node says and sends what it wants sent.
-func (k *keeper) settle() {
+// flush carries out what the node says and sends what it wants sent.
+func (k *coordinator) flush() {
 	for events := k.node.TakeEvents(); len(events) > 0; events = k.node.TakeEvents() {
 		for i := range events {
-			k.does(&events[i])
+			k.carryOut(&events[i])
 		}
 	}
 	out := k.node.TakeMessages()
@@ -115,50 +117,50 @@
 		batches[out[i].To] = append(batches[out[i].To], out[i].Message)
 	}
 	for name, all := range batches {
-		k.batch(name, all)
+		k.sendBatches(name, all)
 	}
 }
 
-// batch sends messages in as few frames as may be.
-func (k *keeper) batch(name string, all []takeover.Message) {
+// sendBatches sends messages in as few frames as may be.
+func (k *coordinator) sendBatches(name string, all []takeover.Message) {
 	for len(all) > 0 {
 		n, bytes := 0, 0
-		for n < len(all) && n < batchMost && bytes < batchBytes {
+		for n < len(all) && n < maxBatchMessages && bytes < maxBatchBytes {
 			if r := all[n].Record; r != nil {
 				bytes += len(r.Request) + len(r.Response.Body)
 			}
 			n++
 		}
-		text, err := k.f.coder.out.Marshal(all[:n])
+		text, err := k.fleet.codec.out.Marshal(all[:n])
 		if err != nil {
 			log.Printf("event=fleet_not_sent to=%s err=%q", name, err)
 		} else {
-			k.f.send(name, kindCustody, text)
+			k.fleet.send(name, KindTakeover, text)
 		}
 		all = all[n:]
 	}
 }
 
-// open takes a request.
-func (k *keeper) open(now int64, w takeover.Request, wait chan takeover.Outcome, run func(takeover.SendPermit) takeover.Result) {
-	if fl := k.flights[w.ID]; fl != nil {
+// begin takes a request.
+func (k *coordinator) begin(now int64, w takeover.Request, wait chan takeover.Outcome, run func(takeover.SendPermit) takeover.Result) {
+	if fl := k.inFlight[w.ID]; fl != nil {
 		switch {
-		case fl.work.Digest != w.Digest:
+		case fl.request.Digest != w.Digest:
 			wait <- takeover.Outcome{Kind: takeover.OutcomeIDConflict}
 		case !w.Resume:
 			wait <- takeover.Outcome{Kind: takeover.OutcomeInFlight}
 		default:
-			fl.waits = append(fl.waits, wait)
+			fl.waiters = append(fl.waiters, wait)
 		}
 		return
 	}
-	fl := &flight{work: w, run: run, waits: []chan takeover.Outcome{wait}, lease: k.f.lease.Load()}
-	k.flights[w.ID] = fl
+	fl := &inFlightRequest{request: w, execute: run, waiters: []chan takeover.Outcome{wait}, lease: k.fleet.lease.Load()}
+	k.inFlight[w.ID] = fl
 	rec := takeover.Record{
 		ID: w.ID, Class: w.Class, Idempotency: w.Idempotency, Digest: w.Digest, DeadlineAge: w.Timeout.Microseconds(),
 	}
 	if len(w.Stored.Head) > 0 {
-		text, err := k.f.coder.out.Marshal(w.Stored)
+		text, err := k.fleet.codec.out.Marshal(w.Stored)
 		if err != nil {
 			log.Printf("event=fleet_not_stored id=%s err=%q", w.ID, err) // it is sent again only when asked for
 		}
@@ -168,82 +170,82 @@
 	case w.Resume:
 		k.counts.resumed++
 		k.node.Resume(now, rec)
-	case w.Strict && now < k.blind && k.fresh(now):
-		k.does(&takeover.Event{Decision: takeover.QuorumUnavailable, ID: w.ID, Record: rec, NeverSent: true, Immediate: true})
+	case w.Strict && now < k.noQuorumUntil && k.readsAreFresh(now):
+		k.carryOut(&takeover.Event{Decision: takeover.QuorumUnavailable, ID: w.ID, Record: rec, NeverSent: true, Immediate: true})
 	default:
-		k.counts.taken++
+		k.counts.begun++
 		k.node.Begin(now, rec)
 	}
 }
 
-// left takes one who asked from the list. What was not begun is asked for no more; what was goes on.
-func (k *keeper) left(id string, wait chan takeover.Outcome) {
-	fl := k.flights[id]
+// removeWaiter takes one who asked from the list. What was not begun is asked for no more; what was goes on.
+func (k *coordinator) removeWaiter(id string, wait chan takeover.Outcome) {
+	fl := k.inFlight[id]
 	if fl == nil {
 		return
 	}
-	for i, w := range fl.waits {
+	for i, w := range fl.waiters {
 		if w == wait {
-			fl.waits = append(fl.waits[:i], fl.waits[i+1:]...)
+			fl.waiters = append(fl.waiters[:i], fl.waiters[i+1:]...)
 			break
 		}
 	}
-	if len(fl.waits) == 0 && !fl.running && k.node.IsPreparing(id) {
+	if len(fl.waiters) == 0 && !fl.executing && k.node.IsPreparing(id) {
 		k.node.Drop(id)
-		delete(k.flights, id)
+		delete(k.inFlight, id)
 	}
 }
 
-// runs tells whether a request runs here for one who asked.
-func (k *keeper) runs(id string, wait chan takeover.Outcome) bool {
+// isExecuting tells whether a request runs here for one who asked.
+func (k *coordinator) isExecuting(id string, wait chan takeover.Outcome) bool {
 	back := make(chan bool, 1)
-	k.box <- func(int64) {
-		fl := k.flights[id]
-		back <- fl != nil && fl.running && slices.Contains(fl.waits, wait)
+	k.mailbox <- func(int64) {
+		fl := k.inFlight[id]
+		back <- fl != nil && fl.executing && slices.Contains(fl.waiters, wait)
 	}
 	return <-back
 }
 
-// does carries out one word of the node.
-func (k *keeper) does(e *takeover.Event) {
-	fl := k.flights[e.ID]
+// carryOut carries out one word of the node.
+func (k *coordinator) carryOut(e *takeover.Event) {
+	fl := k.inFlight[e.ID]
 	if fl == nil && e.Decision != takeover.OwnerEvicted {
 		return
 	}
 	switch e.Decision {
 	case takeover.Execute:
-		k.blind = 0
+		k.noQuorumUntil = 0
 		var former time.Duration
 		if e.TakenOver {
-			former = since(e)
-			log.Printf("event=taken_over id=%s class=%s effect=%d age_us=%d asked=%t", e.ID, e.Record.Class, e.Record.Idempotency, e.Record.Age, len(fl.waits) > 0)
+			former = priorSendAge(e)
+			log.Printf("event=taken_over id=%s class=%s effect=%d age_us=%d asked=%t", e.ID, e.Record.Class, e.Record.Idempotency, e.Record.Age, len(fl.waiters) > 0)
 		}
-		k.start(fl, takeover.SendPermit{Lease: fl.lease, PriorSendAge: former})
+		k.execute(fl, takeover.SendPermit{Lease: fl.lease, PriorSendAge: former})
 	case takeover.ReturnStored:
-		k.counts.given++
-		k.tell(fl, takeover.Outcome{Response: e.Record.Response, Lease: k.f.lease.Load()})
+		k.counts.returned++
+		k.finish(fl, takeover.Outcome{Response: e.Record.Response, Lease: k.fleet.lease.Load()})
 	case takeover.QuorumUnavailable:
-		k.missing(fl, e)
+		k.onQuorumUnavailable(fl, e)
 	case takeover.DuplicateID:
-		k.counts.doubled++
-		k.tell(fl, takeover.Outcome{Kind: takeover.OutcomeIDConflict})
+		k.counts.duplicates++
+		k.finish(fl, takeover.Outcome{Kind: takeover.OutcomeIDConflict})
 	case takeover.OwnershipLost:
-		k.counts.lost++
-		k.tell(fl, takeover.Outcome{Kind: takeover.OutcomeCloseConnection}) // one that runs is called back by the end of its lease
+		k.counts.ownershipLost++
+		k.finish(fl, takeover.Outcome{Kind: takeover.OutcomeCloseConnection}) // one that runs is called back by the end of its lease
 	case takeover.OwnerEvicted:
-		k.orphan(e)
+		k.takeOver(e)
 	}
 }
 
-// missing goes on without a quorum, as the request's effect and class have it.
-func (k *keeper) missing(fl *flight, e *takeover.Event) {
-	k.counts.missing++
-	now := k.f.micros()
-	if !e.Immediate && k.fresh(now) {
-		k.blind = now + k.f.wait
+// onQuorumUnavailable goes on without a quorum, as the request's effect and class have it.
+func (k *coordinator) onQuorumUnavailable(fl *inFlightRequest, e *takeover.Event) {
+	k.counts.unavailable++
+	now := k.fleet.micros()
+	if !e.Immediate && k.readsAreFresh(now) {
+		k.noQuorumUntil = now + k.fleet.quorumTimeout
 	}
-	next := e.Fallback(fl.work.Strict)
-	if w := &fl.work; next == takeover.SendWithoutRecord && w.Idempotency == takeover.IdempotentByKey && w.DedupWindow < w.Timeout {
+	next := e.Fallback(fl.request.Strict)
+	if w := &fl.request; next == takeover.SendWithoutRecord && w.Idempotency == takeover.IdempotentByKey && w.DedupWindow < w.Timeout {
 		next = e.Fallback(true) // Guards against two members that send the same key, none knowing of the other, past its window
 		if next == takeover.SendWithoutRecord {
 			next = takeover.FailRequest
@@ -251,63 +253,63 @@
 	}
 	switch next {
 	case takeover.RejectRequest:
-		if !k.fresh(now) {
-			k.tell(fl, takeover.Outcome{Kind: takeover.OutcomeCloseConnection})
+		if !k.readsAreFresh(now) {
+			k.finish(fl, takeover.Outcome{Kind: takeover.OutcomeCloseConnection})
 			return
 		}
-		k.tell(fl, takeover.Outcome{Response: takeover.Response{Status: takeover.Rejected, RetryAfter: k.f.wait, Reason: "no custody"}})
+		k.finish(fl, takeover.Outcome{Response: takeover.Response{Status: takeover.Rejected, RetryAfter: k.fleet.quorumTimeout, Reason: "no custody"}})
 	case takeover.FailRequest:
 		why := "may have run: nobody can say"
 		if e.NeverSent {
 			why = "no custody"
 		}
 		k.node.Drop(e.ID)
-		k.tell(fl, takeover.Outcome{Response: takeover.Response{Status: takeover.Failed, Reason: why}, Lease: k.f.lease.Load()})
+		k.finish(fl, takeover.Outcome{Response: takeover.Response{Status: takeover.Failed, Reason: why}, Lease: k.fleet.lease.Load()})
 	default:
 		k.node.Drop(e.ID)
 		var former time.Duration
 		if !e.NeverSent {
-			former = since(e)
+			former = priorSendAge(e)
 		}
-		k.start(fl, takeover.SendPermit{PriorSendAge: former})
+		k.execute(fl, takeover.SendPermit{PriorSendAge: former})
 	}
 }
 
-// since is how long ago another member may have sent a request; never 0, which means that none has.
-func since(e *takeover.Event) time.Duration {
+// priorSendAge is how long ago another member may have sent a request; never 0, which means that none has.
+func priorSendAge(e *takeover.Event) time.Duration {
 	return max(1, time.Duration(e.Record.Age)*time.Microsecond)
 }
 
-// start runs a request that may be sent.
-func (k *keeper) start(fl *flight, l takeover.SendPermit) {
-	if fl.running {
+// execute runs a request that may be sent.
+func (k *coordinator) execute(fl *inFlightRequest, l takeover.SendPermit) {
+	if fl.executing {
 		return
 	}
-	fl.running = true
-	id := fl.work.ID
+	fl.executing = true
+	id := fl.request.ID
 	go func() {
-		r := fl.run(l)
+		r := fl.execute(l)
 		if l.Lease != nil {
-			k.await(l.Lease)
+			k.awaitLease(l.Lease)
 		}
-		k.box <- func(now int64) {
-			if k.flights[id] != fl {
-				k.unheard(r.LiveResponse)
+		k.mailbox <- func(now int64) {
+			if k.inFlight[id] != fl {
+				k.discard(r.LiveResponse)
 				return
 			}
 			if l.Lease == nil || l.Lease.Valid() {
 				k.node.Complete(now, id, r.Response)
 			}
-			k.tell(fl, takeover.Outcome{Response: r.Response, LiveResponse: r.LiveResponse, Lease: l.Lease})
+			k.finish(fl, takeover.Outcome{Response: r.Response, LiveResponse: r.LiveResponse, Lease: l.Lease})
 		}
 	}()
 }
 
-// await waits for a lease that is not valid until it is, or is over. Guards against an answer that is dropped by an owner which
+// awaitLease waits for a lease that is not valid until it is, or is over. Guards against an answer that is dropped by an owner which
 // goes on living: nobody else may take its work over, so nobody would answer.
-func (k *keeper) await(l takeover.Lease) {
+func (k *coordinator) awaitLease(l takeover.Lease) {
 	const step = 2 * time.Millisecond
-	for end := time.Now().Add(2 * k.f.opts.Fleet.LeaseDuration); !l.Valid() && time.Now().Before(end); {
+	for end := time.Now().Add(2 * k.fleet.options.Fleet.LeaseDuration); !l.Valid() && time.Now().Before(end); {
 		select {
 		case <-l.Done():
 			return
@@ -316,41 +318,41 @@
 	}
 }
 
-// tell answers all that wait for a request. What is live goes to the first.
-func (k *keeper) tell(fl *flight, o takeover.Outcome) {
-	delete(k.flights, fl.work.ID)
-	for _, w := range fl.waits {
+// finish answers all that wait for a request. What is live goes to the first.
+func (k *coordinator) finish(fl *inFlightRequest, o takeover.Outcome) {
+	delete(k.inFlight, fl.request.ID)
+	for _, w := range fl.waiters {
 		w <- o
 		o.LiveResponse = nil
 	}
-	k.unheard(o.LiveResponse)
+	k.discard(o.LiveResponse)
 }
 
-func (k *keeper) unheard(live any) {
+func (k *coordinator) discard(live any) {
 	if live != nil {
-		k.f.hooks.DiscardAnswer(live)
+		k.fleet.hooks.DiscardAnswer(live)
 	}
 }
 
-// orphan takes over unasked what a member that is out had leave to send.
-func (k *keeper) orphan(e *takeover.Event) {
+// takeOver takes over unasked what a member that is out had leave to send.
+func (k *coordinator) takeOver(e *takeover.Event) {
 	rec := e.Record
-	if k.flights[e.ID] != nil {
+	if k.inFlight[e.ID] != nil {
 		return
 	}
 	var stored takeover.StoredRequest
-	err := k.f.coder.in.Unmarshal(rec.Request, &stored)
+	err := k.fleet.codec.in.Unmarshal(rec.Request, &stored)
 	var run func(takeover.SendPermit) takeover.Result
 	if err == nil {
-		run, err = k.f.hooks.ResumeOrphan(&rec, &stored)
+		run, err = k.fleet.hooks.ResumeOrphan(&rec, &stored)
 	}
 	if err != nil {
 		log.Printf("event=not_taken_over id=%s err=%q", rec.ID, err)
 		return
 	}
-	k.counts.unasked++
-	k.flights[e.ID] = &flight{
-		work: takeover.Request{ID: rec.ID, Class: rec.Class, Idempotency: rec.Idempotency, Digest: rec.Digest, Resume: true}, run: run, lease: k.f.lease.Load(),
+	k.counts.takenOver++
+	k.inFlight[e.ID] = &inFlightRequest{
+		request: takeover.Request{ID: rec.ID, Class: rec.Class, Idempotency: rec.Idempotency, Digest: rec.Digest, Resume: true}, execute: run, lease: k.fleet.lease.Load(),
 	}
-	k.node.Resume(k.f.micros(), rec)
+	k.node.Resume(k.fleet.micros(), rec)
 }
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -11,29 +11,29 @@
 )
 
 var (
-	errNoLeader = errors.New("the fleet has changed its leader: whether this was agreed is not known here")
-	errNoLead   = errors.New("this member does not lead")
-	errLate     = errors.New("not agreed in time: too few members can be reached, or it may still be agreed; ask for the status")
-	errBusy     = errors.New("this member has too much to do")
+	ErrLeaderChanged = errors.New("the fleet has changed its leader: whether this was agreed is not known here")
+	ErrNotLeader     = errors.New("this member does not lead")
+	ErrTimeout       = errors.New("not agreed in time: too few members can be reached, or it may still be agreed; ask for the status")
+	ErrBusy          = errors.New("this member has too much to do")
 )
 
-// order puts an order into the log; reply is told what came of it, once, and may not wait.
-func (e *epochs) order(o *rollout.Command, reply func(error)) {
-	if !e.leads {
-		reply(errNoLead)
+// submit puts an order into the log; reply is told what came of it, once, and may not wait.
+func (e *Log) submit(o *rollout.Command, reply func(error)) {
+	if !e.isLeader {
+		reply(ErrNotLeader)
 		return
 	}
-	_, err := e.roster.Plan.Apply(o, e.names, e.roster.living()) // it is told at once what is wrong with it
+	_, err := e.membership.Plan.Apply(o, e.memberNames, e.membership.MemberNames()) // it is told at once what is wrong with it
 	if err == nil && o.Kind == rollout.Exclude {
-		err = e.driver.CheckExclude(o.Name, &e.roster.Plan, e.names, e.heard, time.Now())
+		err = e.controller.CheckExclude(o.Name, &e.membership.Plan, e.memberNames, e.reports, time.Now())
 	}
-	if err == nil && e.orders[o.ID] != nil {
+	if err == nil && e.pendingCommands[o.ID] != nil {
 		err = rollout.ErrAlreadyApplied
 	}
 	if err == nil {
-		e.orders[o.ID] = reply
-		if err = e.propose(&entry{Order: o}); err != nil {
-			delete(e.orders, o.ID)
+		e.pendingCommands[o.ID] = reply
+		if err = e.propose(&Change{Command: o}); err != nil {
+			delete(e.pendingCommands, o.ID)
 		}
 	}
 	if err != nil {
@@ -41,20 +41,20 @@
 	}
 }
 
-// ordered applies an order that was agreed.
-func (e *epochs) ordered(o *rollout.Command, old bool) {
-	next, err := e.roster.Plan.Apply(o, e.names, e.roster.living())
-	if reply := e.orders[o.ID]; reply != nil {
-		delete(e.orders, o.ID)
+// applyCommand applies an order that was agreed.
+func (e *Log) applyCommand(o *rollout.Command, old bool) {
+	next, err := e.membership.Plan.Apply(o, e.memberNames, e.membership.MemberNames())
+	if reply := e.pendingCommands[o.ID]; reply != nil {
+		delete(e.pendingCommands, o.ID)
 		reply(err)
 	}
 	if err != nil {
 		return
 	}
-	e.roster = e.roster.apply(&entry{Order: o}, e.names)
+	e.membership = e.membership.Apply(&Change{Command: o}, e.memberNames)
 	texts := map[string][]byte{}
 	for _, v := range next.Versions {
-		if text, ok := e.texts[string(v.Digest[:])]; ok {
+		if text, ok := e.settings[string(v.Digest[:])]; ok {
 			texts[string(v.Digest[:])] = text
 		}
 	}
@@ -62,109 +62,109 @@
 		d := rollout.DigestOf(o.Settings)
 		texts[string(d[:])] = o.Settings
 	}
-	e.texts = texts
+	e.settings = texts
 	if !old {
-		log.Printf("event=fleet_order epoch=%d order=%v target=%d fence=%d share=%d held=%q name=%q who=%q why=%q", e.roster.Epoch, o.Kind,
+		log.Printf("event=fleet_order epoch=%d order=%v target=%d fence=%d share=%d held=%q name=%q who=%q why=%q", e.membership.Epoch, o.Kind,
 			next.Target, next.Fence, next.Share, next.PauseReason, o.Name, o.Author, o.Reason)
 	}
 }
 
-// standing is what a member tells of the fleet, as the log's leader if it leads.
-func (e *epochs) standing() (heard map[string]rollout.ReceivedReport, waits string, leads bool) {
-	if !e.leads {
+// status is what a member tells of the fleet, as the log's leader if it leads.
+func (e *Log) status() (heard map[string]rollout.ReceivedReport, waits string, leads bool) {
+	if !e.isLeader {
 		return nil, "", false
 	}
-	heard = make(map[string]rollout.ReceivedReport, len(e.heard))
-	for name, h := range e.heard {
+	heard = make(map[string]rollout.ReceivedReport, len(e.reports))
+	for name, h := range e.reports {
 		heard[name] = h
 	}
-	return heard, e.driver.WaitReason, true
+	return heard, e.controller.WaitReason, true
 }
 
-// tuned is the state of what this member acts on. The member's own actor has it.
-type tuned struct {
-	acts    uint64 // number
-	digest  uint64 // of the bytes
-	before  uint64 // number that it acted on before
-	refused uint64 // that it could not adopt
-	why     string
-	since   time.Time              // when it began to act on it
-	base    *rollout.ServiceCounts // answers under it that do not count
-	texts   map[string][]byte      // of versions, by digest, as far as they are known here
-	under   bool                   // a version is being adopted
-	asked   time.Time              // when a version's bytes were last asked for
-	wanted  uint64                 // version that they are asked for
-	asks    int                    // for them
+// settingsState is the state of what this member acts on. The member's own actor has it.
+type settingsState struct {
+	active          uint64 // number
+	digest          uint64 // of the bytes
+	previous        uint64 // number that it acted on before
+	rejected        uint64 // that it could not adopt
+	rejectReason    string
+	activeSince     time.Time              // when it began to act on it
+	baseline        *rollout.ServiceCounts // answers under it that do not count
+	known           map[string][]byte      // of versions, by digest, as far as they are known here
+	applying        bool                   // a version is being adopted
+	requestedAt     time.Time              // when a version's bytes were last asked for
+	requestedNumber uint64                 // version that they are asked for
+	requests        int                    // for them
 }
 
-// haveText answers who asks for a version's bytes.
-type haveText struct {
-	_    struct{} `cbor:",toarray"`
-	Text []byte
+// settingsReply answers who asks for a version's bytes.
+type settingsReply struct {
+	_        struct{} `cbor:",toarray"`
+	Settings []byte
 }
 
-// follow adopts what the plan wants of this member, and stops it where it may not act. On the member's own actor.
-func (f *Fleet) follow() {
-	if f.ledger == nil {
+// followPlan adopts what the plan wants of this member, and stops it where it may not act. On the member's own actor.
+func (f *Fleet) followPlan() {
+	if f.replicator == nil {
 		return
 	}
-	plan := &f.roster.Load().Plan
-	f.shutOut(!plan.MayLease(f.name, f.tuned.acts) && !f.plant.noFence)
+	plan := &f.membership.Load().Plan
+	f.setExcluded(!plan.MayLease(f.name, f.settings.active) && !f.faults.ignoreFence)
 	want := plan.TargetFor(f.name)
-	if want <= f.tuned.acts || want == f.tuned.refused || f.tuned.under {
+	if want <= f.settings.active || want == f.settings.rejected || f.settings.applying {
 		return // a number only grows: the lease was asked for under it
 	}
 	v, ok := plan.Find(want)
 	if !ok {
 		return
 	}
-	text, ok := f.tuned.texts[string(v.Digest[:])]
+	text, ok := f.settings.known[string(v.Digest[:])]
 	if !ok {
-		f.fetch(v)
+		f.requestSettings(v)
 		return
 	}
-	f.tuned.under = true
+	f.settings.applying = true
 	go func() {
-		err := f.tuner.ApplySettings(v.Number, text)
-		f.post(func() { f.adopted(v, err) })
+		err := f.applier.ApplySettings(v.Number, text)
+		f.post(func() { f.onApplied(v, err) })
 	}()
 }
 
-func (f *Fleet) adopted(v rollout.Version, err error) {
-	t := &f.tuned
-	if t.under = false; err != nil {
-		t.refused, t.why = v.Number, err.Error()
+func (f *Fleet) onApplied(v rollout.Version, err error) {
+	t := &f.settings
+	if t.applying = false; err != nil {
+		t.rejected, t.rejectReason = v.Number, err.Error()
 		log.Printf("event=fleet_version_refused number=%d err=%q", v.Number, err)
 	} else {
-		t.before, t.acts, t.digest = t.acts, v.Number, digest64(v.Digest)
-		t.since, t.base = time.Now(), nil
+		t.previous, t.active, t.digest = t.active, v.Number, digest64(v.Digest)
+		t.activeSince, t.baseline = time.Now(), nil
 	}
-	f.follow()
-	f.ask() // whoever leads should hear it soon
+	f.followPlan()
+	f.requestLease() // whoever leads should hear it soon
 }
 
-// fetch asks for the bytes of a version.
-func (f *Fleet) fetch(v rollout.Version) {
-	t := &f.tuned
-	if t.wanted != v.Number {
-		t.wanted, t.asks = v.Number, 0
+// requestSettings asks for the bytes of a version.
+func (f *Fleet) requestSettings(v rollout.Version) {
+	t := &f.settings
+	if t.requestedNumber != v.Number {
+		t.requestedNumber, t.requests = v.Number, 0
 	}
-	if t.asks > 0 && time.Since(t.asked) < f.opts.Fleet.LeaseDuration/asksALease/2 {
+	if t.requests > 0 && time.Since(t.requestedAt) < f.options.Fleet.LeaseDuration/leaseRequestsPerLease/2 {
 		return
 	}
-	name, ok := whoHas(f.voters, f.names, f.name, t.asks, rand.IntN)
+	name, ok := settingsSource(f.voters, f.memberNames, f.name, t.requests, rand.IntN)
 	if !ok {
 		return
 	}
-	t.asked = time.Now()
-	t.asks++
-	f.send(name, kindWant, v.Digest[:])
+	t.requestedAt = time.Now()
+	t.requests++
+	f.send(name, KindSettingsRequest, v.Digest[:])
 }
 
-// whoHas is whom a member asks for the bytes of a version, after so many asks in vain: by turns one of those who vote, who have
+// settingsSource is whom a member asks for the bytes of a version, after so many asks in vain: by turns one of those who vote, who have
 // them with the log, and one of all, who may be reached where those are not. Guards against members that ask all names in
 // order, most of whom have nothing yet: a version then took a turn through the fleet.
-func whoHas(voters, names []string, me string, asks int, draw func(int) int) (name string, ok bool) {
+func settingsSource(voters, names []string, me string, asks int, draw func(int) int) (name string, ok bool) {
 	for _, among := range [][]string{voters, names} {
 		if asks%2 == 1 {
 			among = names
@@ -179,87 +179,87 @@
 	return "", false
 }
 
-// want answers who asks for bytes that are known here.
-func (f *Fleet) want(from takeover.Member, digest []byte) {
-	text, ok := f.tuned.texts[string(digest)]
+// handleSettingsRequest answers who asks for bytes that are known here.
+func (f *Fleet) handleSettingsRequest(from takeover.Member, digest []byte) {
+	text, ok := f.settings.known[string(digest)]
 	if !ok {
 		return
 	}
-	if out, err := f.coder.out.Marshal(haveText{Text: text}); err == nil {
-		f.send(from.Name, kindHave, out)
+	if out, err := f.codec.out.Marshal(settingsReply{Settings: text}); err == nil {
+		f.send(from.Name, KindSettings, out)
 	}
 }
 
-// have takes bytes that the plan names; others are nothing to it.
-func (f *Fleet) have(text []byte) {
+// handleSettings takes bytes that the plan names; others are nothing to it.
+func (f *Fleet) handleSettings(text []byte) {
 	d := rollout.DigestOf(text)
-	for _, v := range f.roster.Load().Plan.Versions {
+	for _, v := range f.membership.Load().Plan.Versions {
 		if v.Digest == d {
-			f.keepTexts(map[string][]byte{string(d[:]): text})
-			f.follow()
+			f.keepSettings(map[string][]byte{string(d[:]): text})
+			f.followPlan()
 			return
 		}
 	}
 }
 
-// keepTexts takes bytes in, and drops those that the plan no longer names.
-func (f *Fleet) keepTexts(more map[string][]byte) {
+// keepSettings takes bytes in, and drops those that the plan no longer names.
+func (f *Fleet) keepSettings(more map[string][]byte) {
 	all := map[string][]byte{}
-	for _, v := range f.roster.Load().Plan.Versions {
+	for _, v := range f.membership.Load().Plan.Versions {
 		k := string(v.Digest[:])
 		if text, ok := more[k]; ok {
 			all[k] = text
-		} else if text, ok := f.tuned.texts[k]; ok {
+		} else if text, ok := f.settings.known[k]; ok {
 			all[k] = text
 		}
 	}
-	f.tuned.texts = all
+	f.settings.known = all
 }
 
-// shutOut stops this member, or lets it act again.
-func (f *Fleet) shutOut(shut bool) {
-	if f.shut.Swap(shut) == shut {
+// setExcluded stops this member, or lets it act again.
+func (f *Fleet) setExcluded(shut bool) {
+	if f.excluded.Swap(shut) == shut {
 		return
 	}
-	plan := &f.roster.Load().Plan
-	log.Printf("event=fleet_shut name=%s shut=%t acts=%d fence=%d refused=%d why=%q", f.name, shut, f.tuned.acts, plan.Fence, f.tuned.refused, f.tuned.why)
+	plan := &f.membership.Load().Plan
+	log.Printf("event=fleet_shut name=%s shut=%t acts=%d fence=%d refused=%d why=%q", f.name, shut, f.settings.active, plan.Fence, f.settings.rejected, f.settings.rejectReason)
 	if shut {
-		f.tuner.CloseIdleConnections()
+		f.applier.CloseIdleConnections()
 	}
 }
 
-// report is what this member tells who leads.
-func (f *Fleet) report() (r rollout.Report) {
-	t := &f.tuned
-	if f.ledger == nil {
+// rolloutReport is what this member tells who leads.
+func (f *Fleet) rolloutReport() (r rollout.Report) {
+	t := &f.settings
+	if f.replicator == nil {
 		return r
 	}
-	r = rollout.Report{Active: t.acts, Rejected: t.refused, RejectReason: t.why, Digest: t.digest, Build: f.build}
-	if len(r.RejectReason) > mostWhy {
-		r.RejectReason = r.RejectReason[:mostWhy]
+	r = rollout.Report{Active: t.active, Rejected: t.rejected, RejectReason: t.rejectReason, Digest: t.digest, Build: f.build}
+	if len(r.RejectReason) > maxReasonBytes {
+		r.RejectReason = r.RejectReason[:maxReasonBytes]
 	}
-	r.Current.Answered, r.Current.Served = f.book.AnswerCounts(t.acts)
-	if t.base != nil && r.Current.Served < t.base.Served || t.base != nil && r.Current.Answered < t.base.Answered {
-		t.base = nil // the account of another incarnation
+	r.Current.Answered, r.Current.Served = f.recorder.AnswerCounts(t.active)
+	if t.baseline != nil && r.Current.Served < t.baseline.Served || t.baseline != nil && r.Current.Answered < t.baseline.Answered {
+		t.baseline = nil // the account of another incarnation
 	}
-	if t.base == nil && (t.acts == 0 || time.Since(t.since) >= afterAdopting) {
+	if t.baseline == nil && (t.active == 0 || time.Since(t.activeSince) >= ignoreAfterApply) {
 		now := r.Current
-		t.base = &now
+		t.baseline = &now
 	}
-	if t.base == nil {
+	if t.baseline == nil {
 		r.Current = rollout.ServiceCounts{}
-	} else if t.acts > 0 {
-		r.Current = rollout.ServiceCounts{Answered: r.Current.Answered - t.base.Answered, Served: r.Current.Served - t.base.Served}
+	} else if t.active > 0 {
+		r.Current = rollout.ServiceCounts{Answered: r.Current.Answered - t.baseline.Answered, Served: r.Current.Served - t.baseline.Served}
 	}
-	r.Previous.Answered, r.Previous.Served = f.book.AnswerCounts(t.before)
-	if t.before == t.acts {
+	r.Previous.Answered, r.Previous.Served = f.recorder.AnswerCounts(t.previous)
+	if t.previous == t.active {
 		r.Previous = rollout.ServiceCounts{}
 	}
 	return r
 }
 
-// afterAdopting is for how long answers say nothing of a version that was just adopted: what a member does then had come
+// ignoreAfterApply is for how long answers say nothing of a version that was just adopted: what a member does then had come
 // before. Guards against a version that is held since a member that was stopped adopts it with all that had waited.
-const afterAdopting = time.Second
+const ignoreAfterApply = time.Second
 
-const mostWhy = 300 // bytes of a reason that a member tells
+const maxReasonBytes = 300 // bytes of a reason that a member tells
--- a/internal/fleet/roster.go
+++ b/internal/fleet/roster.go
@@ -12,98 +12,100 @@
 	"damsonscale/internal/takeover"
 )
 
-const goneKept = 16 // incarnations of a name that are known to be out
+const maxEvictedPerName = 16 // incarnations of a name that are known to be out
 
-// entry is one of the epoch log.
-type entry struct {
+// Change is one of the epoch log.
+type Change struct {
 	_       struct{} `cbor:",toarray"`
-	Out     bool
+	Evict   bool
 	Member  takeover.Member
 	Address string           // where it listens, if not where the options say
-	Order   *rollout.Command // instead of all that
+	Command *rollout.Command // instead of all that
 }
 
-// seat is a living member's.
-type seat struct {
-	_       struct{} `cbor:",toarray"`
-	Member  takeover.Member
-	Joined  uint64
-	First   bool
-	Address string
+// JoinedMember is a living member's.
+type JoinedMember struct {
+	_                struct{} `cbor:",toarray"`
+	Member           takeover.Member
+	JoinedEpoch      uint64
+	FirstIncarnation bool
+	Address          string
 }
 
-// roster is what the log says up to an epoch. One that was handed on is never changed.
-type roster struct {
-	_     struct{} `cbor:",toarray"`
-	Epoch uint64
-	Seats []seat              // of the living, in the order of their joining
-	Gone  map[string][]uint64 // incarnations that are out, the latest of each name
-	Plan  rollout.Plan        // of the versions that members are to act on
+// Membership is what the log says up to an epoch. One that was handed on is never changed.
+type Membership struct {
+	_       struct{} `cbor:",toarray"`
+	Epoch   uint64
+	Members []JoinedMember      // of the living, in the order of their joining
+	Evicted map[string][]uint64 // incarnations that are out, the latest of each name
+	Plan    rollout.Plan        // of the versions that members are to act on
 }
 
-func (r *roster) find(m takeover.Member) int {
-	return slices.IndexFunc(r.Seats, func(s seat) bool { return s.Member == m })
+func (r *Membership) indexOf(m takeover.Member) int {
+	return slices.IndexFunc(r.Members, func(s JoinedMember) bool { return s.Member == m })
 }
 
-func (r *roster) lives(m takeover.Member) bool { return r.find(m) >= 0 }
+func (r *Membership) Contains(m takeover.Member) bool { return r.indexOf(m) >= 0 }
 
-func (r *roster) gone(m takeover.Member) bool { return slices.Contains(r.Gone[m.Name], m.Incarnation) }
+func (r *Membership) IsEvicted(m takeover.Member) bool {
+	return slices.Contains(r.Evicted[m.Name], m.Incarnation)
+}
 
-// living are the names that have a member.
-func (r *roster) living() (out []string) {
-	for _, s := range r.Seats {
+// MemberNames are the names that have a member.
+func (r *Membership) MemberNames() (out []string) {
+	for _, s := range r.Members {
 		out = append(out, s.Member.Name)
 	}
 	return out
 }
 
-// met tells whether any process of a name was ever a member.
-func (r *roster) met(name string) bool {
-	return len(r.Gone[name]) > 0 || slices.ContainsFunc(r.Seats, func(s seat) bool { return s.Member.Name == name })
+// knowsName tells whether any process of a name was ever a member.
+func (r *Membership) knowsName(name string) bool {
+	return len(r.Evicted[name]) > 0 || slices.ContainsFunc(r.Members, func(s JoinedMember) bool { return s.Member.Name == name })
 }
 
-// apply returns the roster after an entry; the same one where that changes nothing.
-func (r *roster) apply(e *entry, names []string) *roster {
-	if e.Order != nil {
-		plan, err := r.Plan.Apply(e.Order, names, r.living())
+// Apply returns the roster after an entry; the same one where that changes nothing.
+func (r *Membership) Apply(e *Change, names []string) *Membership {
+	if e.Command != nil {
+		plan, err := r.Plan.Apply(e.Command, names, r.MemberNames())
 		if err != nil {
 			return r
 		}
-		return &roster{Epoch: r.Epoch + 1, Seats: r.Seats, Gone: r.Gone, Plan: *plan}
+		return &Membership{Epoch: r.Epoch + 1, Members: r.Members, Evicted: r.Evicted, Plan: *plan}
 	}
-	at := r.find(e.Member)
-	if e.Out != (at >= 0) || !e.Out && r.gone(e.Member) {
+	at := r.indexOf(e.Member)
+	if e.Evict != (at >= 0) || !e.Evict && r.IsEvicted(e.Member) {
 		return r // doubled, or a late word of one that is out
 	}
-	next := &roster{Epoch: r.Epoch + 1, Seats: slices.Clone(r.Seats), Gone: maps.Clone(r.Gone), Plan: r.Plan}
-	if !e.Out {
-		next.Seats = append(next.Seats, seat{Member: e.Member, Joined: next.Epoch, First: !r.met(e.Member.Name), Address: e.Address})
+	next := &Membership{Epoch: r.Epoch + 1, Members: slices.Clone(r.Members), Evicted: maps.Clone(r.Evicted), Plan: r.Plan}
+	if !e.Evict {
+		next.Members = append(next.Members, JoinedMember{Member: e.Member, JoinedEpoch: next.Epoch, FirstIncarnation: !r.knowsName(e.Member.Name), Address: e.Address})
 		return next
 	}
-	next.Seats = slices.Delete(next.Seats, at, at+1)
-	if next.Gone == nil {
-		next.Gone = map[string][]uint64{}
+	next.Members = slices.Delete(next.Members, at, at+1)
+	if next.Evicted == nil {
+		next.Evicted = map[string][]uint64{}
 	}
-	old := slices.Clone(next.Gone[e.Member.Name])
-	if old = append(old, e.Member.Incarnation); len(old) > goneKept {
-		old = old[len(old)-goneKept:]
+	old := slices.Clone(next.Evicted[e.Member.Name])
+	if old = append(old, e.Member.Incarnation); len(old) > maxEvictedPerName {
+		old = old[len(old)-maxEvictedPerName:]
 	}
-	next.Gone[e.Member.Name] = old
+	next.Evicted[e.Member.Name] = old
 	return next
 }
 
-// view is the roster in custody's terms.
-func (r *roster) view() *takeover.View {
-	v := &takeover.View{Epoch: r.Epoch, Members: make(map[takeover.Member]takeover.MemberInfo, len(r.Seats))}
-	for _, s := range r.Seats {
-		v.Members[s.Member] = takeover.MemberInfo{JoinedEpoch: s.Joined, FirstIncarnation: s.First}
+// View is the roster in custody's terms.
+func (r *Membership) View() *takeover.View {
+	v := &takeover.View{Epoch: r.Epoch, Members: make(map[takeover.Member]takeover.MemberInfo, len(r.Members))}
+	for _, s := range r.Members {
+		v.Members[s.Member] = takeover.MemberInfo{JoinedEpoch: s.JoinedEpoch, FirstIncarnation: s.FirstIncarnation}
 	}
 	return v
 }
 
-// addressOf finds where a name listens: where its longest member does, else where the options say.
-func (r *roster) addressOf(name, listed string) string {
-	for _, s := range r.Seats {
+// AddressOf finds where a name listens: where its longest member does, else where the options say.
+func (r *Membership) AddressOf(name, listed string) string {
+	for _, s := range r.Members {
 		if s.Member.Name == name {
 			if s.Address != "" {
 				return s.Address
@@ -114,30 +116,30 @@
 	return listed
 }
 
-var errRoster = errors.New("a roster that makes no sense")
+var ErrInvalid = errors.New("a roster that makes no sense")
 
-// check refuses a roster that nobody can have written.
-func (r *roster) check() error {
+// Validate refuses a roster that nobody can have written.
+func (r *Membership) Validate() error {
 	met := map[takeover.Member]bool{}
-	for _, s := range r.Seats {
-		if s.Member.Name == "" || s.Joined > r.Epoch || met[s.Member] {
-			return errRoster
+	for _, s := range r.Members {
+		if s.Member.Name == "" || s.JoinedEpoch > r.Epoch || met[s.Member] {
+			return ErrInvalid
 		}
 		met[s.Member] = true
 	}
 	if err := r.Plan.Validate(); err != nil {
-		return fmt.Errorf("%w: %w", errRoster, err)
+		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	return nil
 }
 
-// coder reads and writes what members tell each other; what is too long or too deep is an error.
-type coder struct {
+// Codec reads and writes what members tell each other; what is too long or too deep is an error.
+type Codec struct {
 	in  cbor.DecMode
 	out cbor.EncMode
 }
 
-func newCoder() (*coder, error) {
+func newCodec() (*Codec, error) {
 	in, err := cbor.DecOptions{
 		MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 12, MaxNestedLevels: 12, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
@@ -146,5 +148,5 @@
 		return nil, err
 	}
 	out, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
-	return &coder{in, out}, err
+	return &Codec{in, out}, err
 }
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	storeFile = "fleet.db"
-	storeLock = 20 * time.Millisecond // waited for another process of this sidecar to let go of it
+	storeFile   = "fleet.db"
+	lockTimeout = 20 * time.Millisecond // waited for another process of this sidecar to let go of it
 
-	persistAgain = 50 * time.Millisecond // after a write that the system refused
+	persistRetryDelay = 50 * time.Millisecond // after a write that the system refused
 )
 
 // ErrLogLocked tells that another process of this sidecar keeps the log.
@@ -48,7 +48,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	db, err := bbolt.Open(filepath.Join(dir, storeFile), 0o600, &bbolt.Options{Timeout: storeLock})
+	db, err := bbolt.Open(filepath.Join(dir, storeFile), 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, berrors.ErrTimeout) {
 		return nil, ErrLogLocked
 	}
@@ -136,7 +136,7 @@
 		select {
 		case <-s.stop:
 			return err
-		case <-time.After(persistAgain):
+		case <-time.After(persistRetryDelay):
 		}
 	}
 }
@@ -151,25 +151,25 @@
 	err := s.persist(func(tx *bbolt.Tx) error {
 		entries, state := tx.Bucket(entriesBucket), tx.Bucket(stateBucket)
 		if !raft.IsEmptyHardState(hard) {
-			if err := put(state, hardKey, hard); err != nil {
+			if err := putMessage(state, hardKey, hard); err != nil {
 				return err
 			}
 		}
 		if !none {
-			if err := put(state, snapshotKey, snapshot); err != nil {
+			if err := putMessage(state, snapshotKey, snapshot); err != nil {
 				return err
 			}
-			if err := drop(entries, 0, snapshot.GetMetadata().GetIndex()); err != nil {
+			if err := deleteEntries(entries, 0, snapshot.GetMetadata().GetIndex()); err != nil {
 				return err
 			}
 		}
 		if len(rd.Entries) > 0 { // they replace whatever followed
-			if err := drop(entries, rd.Entries[0].GetIndex(), 1<<63); err != nil {
+			if err := deleteEntries(entries, rd.Entries[0].GetIndex(), 1<<63); err != nil {
 				return err
 			}
 		}
 		for _, e := range rd.Entries {
-			if err := put(entries, key(e.GetIndex()), e); err != nil {
+			if err := putMessage(entries, indexKey(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
@@ -196,10 +196,10 @@
 		return err
 	}
 	err = s.persist(func(tx *bbolt.Tx) error {
-		if err := put(tx.Bucket(stateBucket), snapshotKey, snapshot); err != nil {
+		if err := putMessage(tx.Bucket(stateBucket), snapshotKey, snapshot); err != nil {
 			return err
 		}
-		return drop(tx.Bucket(entriesBucket), 0, index)
+		return deleteEntries(tx.Bucket(entriesBucket), 0, index)
 	})
 	if err != nil {
 		return err
@@ -209,9 +209,9 @@
 
 func (s *store) close() error { return s.db.Close() }
 
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-func put(b *bbolt.Bucket, k []byte, m proto.Message) error {
+func putMessage(b *bbolt.Bucket, k []byte, m proto.Message) error {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		return err
@@ -219,11 +219,11 @@
 	return b.Put(k, text)
 }
 
-// drop deletes entries from one index to another, both included.
-func drop(b *bbolt.Bucket, from, to uint64) error {
+// deleteEntries deletes entries from one index to another, both included.
+func deleteEntries(b *bbolt.Bucket, from, to uint64) error {
 	var old [][]byte
 	c := b.Cursor()
-	for k, _ := c.Seek(key(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
+	for k, _ := c.Seek(indexKey(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
 		old = append(old, append([]byte(nil), k...))
 	}
 	for _, k := range old {
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -13,7 +13,7 @@
 )
 
 // openStored opens a copy of a log in testdata.
-func openStored(t *testing.T, file string) (*epochs, error) {
+func openStored(t *testing.T, file string) (*Log, error) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
@@ -23,39 +23,39 @@
 	if err := os.WriteFile(filepath.Join(dir, storeFile), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return newEpochs(dir, "n00", []string{"n00"}, time.Second)
+	return OpenLog(dir, "n00", []string{"n00"}, time.Second)
 }
 
 // expectStored checks what a log of testdata says: by its snapshot, which has entries up to the seventh, and by the entries behind it.
-func expectStored(t *testing.T, e *epochs, first uint64, snapshot *roster, texts map[string][]byte) {
+func expectStored(t *testing.T, e *Log, first uint64, snapshot *Membership, texts map[string][]byte) {
 	t.Helper()
 	from, _ := e.store.FirstIndex()
 	last, _ := e.store.LastIndex()
 	hard, _, err := e.store.InitialState()
-	if err != nil || from != first || last != 11 || hard.GetTerm() != 2 || hard.GetVote() != 1 || hard.GetCommit() != 11 || e.old != 11 {
-		t.Errorf("entries %d to %d, state %v, agreed before up to %d: %v", from, last, hard, e.old, err)
+	if err != nil || from != first || last != 11 || hard.GetTerm() != 2 || hard.GetVote() != 1 || hard.GetCommit() != 11 || e.recoveredIndex != 11 {
+		t.Errorf("entries %d to %d, state %v, agreed before up to %d: %v", from, last, hard, e.recoveredIndex, err)
 	}
-	if e.applied != first-1 || !sameJSON(t, e.roster, snapshot) || !reflect.DeepEqual(e.texts, texts) {
-		t.Errorf("snapshot at %d: %+v %q", e.applied, e.roster, e.texts)
+	if e.appliedIndex != first-1 || !sameJSON(t, e.membership, snapshot) || !reflect.DeepEqual(e.settings, texts) {
+		t.Errorf("snapshot at %d: %+v %q", e.appliedIndex, e.membership, e.settings)
 	}
-	e.names = []string{"n00", "n01", "n02"}
+	e.memberNames = []string{"n00", "n01", "n02"}
 	told := 0
 	e.send = func(string, byte, []byte) {}
-	e.told = func(*roster, map[string][]byte) { told++ }
-	if err := e.ready(); err != nil {
+	e.onChange = func(*Membership, map[string][]byte) { told++ }
+	if err := e.processReady(); err != nil {
 		t.Fatal(err)
 	}
-	final := &roster{
-		Epoch: 9,
-		Seats: []seat{{Member: member("n00", 100), Joined: 1, First: true}, {Member: member("n01", 201), Joined: 6, Address: "127.0.0.1:7201"}},
-		Gone:  map[string][]uint64{"n01": {101}, "n02": {102}},
+	final := &Membership{
+		Epoch:   9,
+		Members: []JoinedMember{{Member: member("n00", 100), JoinedEpoch: 1, FirstIncarnation: true}, {Member: member("n01", 201), JoinedEpoch: 6, Address: "127.0.0.1:7201"}},
+		Evicted: map[string][]uint64{"n01": {101}, "n02": {102}},
 		Plan: rollout.Plan{
 			LastNumber: 1, Target: 1, Share: 400, Canaries: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, PauseReason: "seen enough",
 			Versions: []rollout.Version{storedVersion}, Excluded: []string{"n02"}, AppliedIDs: []uint64{7, 8, 9},
 		},
 	}
-	if e.applied != 11 || told == 0 || !sameJSON(t, e.roster, final) || !reflect.DeepEqual(e.texts, storedTexts) {
-		t.Errorf("entries up to %d, told %d times: %+v %q", e.applied, told, e.roster, e.texts)
+	if e.appliedIndex != 11 || told == 0 || !sameJSON(t, e.membership, final) || !reflect.DeepEqual(e.settings, storedTexts) {
+		t.Errorf("entries up to %d, told %d times: %+v %q", e.appliedIndex, told, e.membership, e.settings)
 	}
 }
 
@@ -68,11 +68,11 @@
 )
 
 // storedSnapshot is the membership in the snapshots of testdata, but for the version.
-func storedSnapshot() *roster {
-	return &roster{
-		Epoch: 4,
-		Seats: []seat{{Member: member("n00", 100), Joined: 1, First: true}, {Member: member("n02", 102), Joined: 3, First: true}},
-		Gone:  map[string][]uint64{"n01": {101}},
+func storedSnapshot() *Membership {
+	return &Membership{
+		Epoch:   4,
+		Members: []JoinedMember{{Member: member("n00", 100), JoinedEpoch: 1, FirstIncarnation: true}, {Member: member("n02", 102), JoinedEpoch: 3, FirstIncarnation: true}},
+		Evicted: map[string][]uint64{"n01": {101}},
 	}
 }
 
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -20,39 +20,39 @@
 
 // Kinds of frames.
 const (
-	kindHello   byte = iota // the first of a connection
-	kindRaft                // of those who vote
-	kindCustody             // messages of custody
-	kindAsk                 // for a lease
-	kindGrant
-	kindViewAsk
-	kindView
-	kindLeave
-	kindDesk // an operator's ask, the first of its connection, and what answers it
-	kindWant // a version's bytes, by digest
-	kindHave
-	kindSegments // of an account, to be held
-	kindTaken
+	KindHello        byte = iota // the first of a connection
+	KindRaft                     // of those who vote
+	KindTakeover                 // messages of custody
+	KindLeaseRequest             // for a lease
+	KindLeaseGrant
+	KindMembershipRequest
+	KindMembership
+	KindLeave
+	KindAdmin           // an operator's ask, the first of its connection, and what answers it
+	KindSettingsRequest // a version's bytes, by digest
+	KindSettings
+	KindSegments // of an account, to be held
+	KindSegmentAck
 )
 
 const (
-	queueMost   = 1024 // frames that wait for one member; past it the newest is dropped
-	dialTimeout = 300 * time.Millisecond
-	writeStall  = time.Second
-	helloWithin = 2 * time.Second
-	redial      = 50 * time.Millisecond
-	connsMost   = 4 // connections that a name may have open to this member
+	peerQueueSize         = 1024 // frames that wait for one member; past it the newest is dropped
+	dialTimeout           = 300 * time.Millisecond
+	writeTimeout          = time.Second
+	helloTimeout          = 2 * time.Second
+	redialDelay           = 50 * time.Millisecond
+	maxConnectionsPerName = 4 // connections that a name may have open to this member
 )
 
 // hello says who dials.
 type hello struct {
-	_     struct{} `cbor:",toarray"`
-	Fleet uint64   // of the members' names
-	From  takeover.Member
+	_       struct{} `cbor:",toarray"`
+	FleetID uint64   // of the members' names
+	From    takeover.Member
 }
 
-// fleetID tells fleets apart: it is that of the members' names.
-func fleetID(names []string) uint64 {
+// FleetID tells fleets apart: it is that of the members' names.
+func FleetID(names []string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, n := range slices.Sorted(slices.Values(names)) {
@@ -62,70 +62,70 @@
 	return d.Sum64()
 }
 
-// wire carries frames between members. Each connection carries one way: answers come over the other member's own.
-type wire struct {
-	coder *coder
-	id    uint64
-	names map[string]bool
-	me    func() takeover.Member
-	where func(name string) string // a member's address now
-	take  func(from takeover.Member, kind byte, payload []byte)
-	desk  func(conn net.Conn, payload []byte)
+// Transport carries frames between members. Each connection carries one way: answers come over the other member's own.
+type Transport struct {
+	codec       *Codec
+	fleetID     uint64
+	names       map[string]bool
+	self        func() takeover.Member
+	addressOf   func(name string) string // a member's address now
+	handle      func(from takeover.Member, kind byte, payload []byte)
+	handleAdmin func(conn net.Conn, payload []byte)
 
-	mu     sync.Mutex
-	lines  map[string]*line
-	conns  map[string]int
-	atDesk int
-	told   map[string]time.Time // refusals, told once in a while
+	mu               sync.Mutex
+	peers            map[string]*peer
+	connections      map[string]int
+	adminConnections int
+	loggedAt         map[string]time.Time // refusals, told once in a while
 }
 
-// line is the way to one name: an actor with a bounded queue.
-type line struct {
-	w     *wire
+// peer is the way to one name: an actor with a bounded queue.
+type peer struct {
+	w     *Transport
 	name  string
-	queue chan queued
+	queue chan outgoing
 }
 
-// queued is a frame with the member that it speaks for.
-type queued struct {
-	as    takeover.Member
-	frame []byte
+// outgoing is a frame with the member that it speaks for.
+type outgoing struct {
+	sender takeover.Member
+	frame  []byte
 }
 
-func newWire(c *coder, names []string) *wire {
-	w := &wire{coder: c, id: fleetID(names), names: map[string]bool{}, lines: map[string]*line{}, conns: map[string]int{}, told: map[string]time.Time{}}
+func newTransport(c *Codec, names []string) *Transport {
+	w := &Transport{codec: c, fleetID: FleetID(names), names: map[string]bool{}, peers: map[string]*peer{}, connections: map[string]int{}, loggedAt: map[string]time.Time{}}
 	for _, n := range names {
 		w.names[n] = true
 	}
 	return w
 }
 
-// send puts a frame into a member's queue, or drops it: what counts is sent again by those who need it.
-func (w *wire) send(ctx context.Context, name string, kind byte, payload []byte) {
+// Send puts a frame into a member's queue, or drops it: what counts is sent again by those who need it.
+func (w *Transport) Send(ctx context.Context, name string, kind byte, payload []byte) {
 	f, err := frame.Append(nil, kind, payload)
 	if err != nil {
 		log.Printf("event=fleet_not_sent to=%s err=%q", name, err)
 		return
 	}
 	w.mu.Lock()
-	l := w.lines[name]
+	l := w.peers[name]
 	if l == nil {
-		l = &line{w: w, name: name, queue: make(chan queued, queueMost)}
-		w.lines[name] = l
+		l = &peer{w: w, name: name, queue: make(chan outgoing, peerQueueSize)}
+		w.peers[name] = l
 		go l.run(ctx)
 	}
 	w.mu.Unlock()
 	select {
-	case l.queue <- queued{w.me(), f}:
+	case l.queue <- outgoing{w.self(), f}:
 	default:
 	}
 }
 
-var errMoved = errors.New("moved")
+var errReconnect = errors.New("moved")
 
 // run sends what is queued, over a connection that is dialled anew when it breaks.
-func (l *line) run(ctx context.Context) {
-	var first *queued
+func (l *peer) run(ctx context.Context) {
+	var first *outgoing
 	for ctx.Err() == nil {
 		if first == nil {
 			select {
@@ -136,7 +136,7 @@
 			}
 		}
 		var err error
-		if first, err = l.connected(ctx, first); err == nil || errors.Is(err, errMoved) {
+		if first, err = l.sendOver(ctx, first); err == nil || errors.Is(err, errReconnect) {
 			continue
 		}
 		first = nil
@@ -148,17 +148,17 @@
 			}
 		}
 		select {
-		case <-time.After(redial):
+		case <-time.After(redialDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// connected sends next and what is queued, as one member to one address. It returns a frame that another connection has to
+// sendOver sends next and what is queued, as one member to one address. It returns a frame that another connection has to
 // send; one of a member that this process was before is dropped. Guards against frames that go out in another's name.
-func (l *line) connected(ctx context.Context, next *queued) (*queued, error) {
+func (l *peer) sendOver(ctx context.Context, next *outgoing) (*outgoing, error) {
 	d := net.Dialer{Timeout: dialTimeout}
-	addr := l.w.where(l.name)
+	addr := l.w.addressOf(l.name)
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
@@ -171,12 +171,12 @@
 		close(gone)
 	}()
 	out := bufio.NewWriterSize(conn, 64<<10)
-	me := l.w.me()
-	text, err := l.w.coder.out.Marshal(hello{Fleet: l.w.id, From: me})
+	me := l.w.self()
+	text, err := l.w.codec.out.Marshal(hello{FleetID: l.w.fleetID, From: me})
 	if err != nil {
 		return nil, err
 	}
-	first, err := frame.Append(nil, kindHello, text)
+	first, err := frame.Append(nil, KindHello, text)
 	if err != nil {
 		return nil, err
 	}
@@ -184,18 +184,18 @@
 		return nil, err
 	}
 	for {
-		if l.w.me() != me || l.w.where(l.name) != addr { // as another member, or to another process
-			return next, errMoved
+		if l.w.self() != me || l.w.addressOf(l.name) != addr { // as another member, or to another process
+			return next, errReconnect
 		}
-		conn.SetWriteDeadline(time.Now().Add(writeStall))
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		for next != nil {
 			switch {
-			case next.as == me:
+			case next.sender == me:
 				if _, err := out.Write(next.frame); err != nil {
 					return nil, err
 				}
-			case next.as == l.w.me():
-				return next, errMoved
+			case next.sender == l.w.self():
+				return next, errReconnect
 			}
 			select {
 			case q := <-l.queue:
@@ -218,8 +218,8 @@
 	}
 }
 
-// serve takes connections until ctx ends.
-func (w *wire) serve(ctx context.Context, ln net.Listener) {
+// Serve takes connections until ctx ends.
+func (w *Transport) Serve(ctx context.Context, ln net.Listener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	for {
 		conn, err := ln.Accept()
@@ -227,107 +227,107 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(redial)
+			time.Sleep(redialDelay)
 			continue
 		}
-		go w.read(ctx, conn)
+		go w.serveConnection(ctx, conn)
 	}
 }
 
-// read takes frames of one connection, one after the other: a flood of one member waits for itself.
-func (w *wire) read(ctx context.Context, conn net.Conn) {
+// serveConnection takes frames of one connection, one after the other: a flood of one member waits for itself.
+func (w *Transport) serveConnection(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	conn.SetReadDeadline(time.Now().Add(helloWithin))
+	conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	in := bufio.NewReaderSize(conn, 64<<10)
 	kind, payload, err := frame.Read(in)
-	if err == nil && kind == kindDesk {
-		w.operator(conn, payload)
+	if err == nil && kind == KindAdmin {
+		w.serveAdmin(conn, payload)
 		return
 	}
 	var from takeover.Member
 	if err == nil {
-		from, err = w.greet(kind, payload)
+		from, err = w.acceptHello(kind, payload)
 	}
 	if err != nil {
-		w.refuse(conn.RemoteAddr().String(), from.Name, err)
+		w.LogRejected(conn.RemoteAddr().String(), from.Name, err)
 		return
 	}
-	defer w.leave(from.Name)
+	defer w.releaseConnection(from.Name)
 	conn.SetReadDeadline(time.Time{})
 	for {
 		kind, payload, err := frame.Read(in)
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) && !errors.Is(err, io.ErrUnexpectedEOF) {
-				w.refuse(conn.RemoteAddr().String(), from.Name, err)
+				w.LogRejected(conn.RemoteAddr().String(), from.Name, err)
 			}
 			return
 		}
-		if kind != kindHello {
-			w.take(from, kind, payload)
+		if kind != KindHello {
+			w.handle(from, kind, payload)
 		}
 	}
 }
 
-// operator answers an operator, some at a time.
-func (w *wire) operator(conn net.Conn, payload []byte) {
+// serveAdmin answers an operator, some at a time.
+func (w *Transport) serveAdmin(conn net.Conn, payload []byte) {
 	w.mu.Lock()
-	room := w.atDesk < deskMost
+	room := w.adminConnections < maxAdminConnections
 	if room {
-		w.atDesk++
+		w.adminConnections++
 	}
 	w.mu.Unlock()
 	if !room {
-		w.refuse(conn.RemoteAddr().String(), "", errBusy)
+		w.LogRejected(conn.RemoteAddr().String(), "", ErrBusy)
 		return
 	}
 	defer func() {
 		w.mu.Lock()
-		w.atDesk--
+		w.adminConnections--
 		w.mu.Unlock()
 	}()
-	w.desk(conn, payload)
+	w.handleAdmin(conn, payload)
 }
 
-// greet reads who dials, and refuses whom this member does not know.
-func (w *wire) greet(kind byte, payload []byte) (from takeover.Member, err error) {
+// acceptHello reads who dials, and refuses whom this member does not know.
+func (w *Transport) acceptHello(kind byte, payload []byte) (from takeover.Member, err error) {
 	var h hello
-	switch err := w.coder.in.Unmarshal(payload, &h); {
-	case kind != kindHello:
+	switch err := w.codec.in.Unmarshal(payload, &h); {
+	case kind != KindHello:
 		return from, fmt.Errorf("frame of kind %d before a hello", kind)
 	case err != nil:
 		return from, fmt.Errorf("hello: %w", err)
-	case h.Fleet != w.id:
+	case h.FleetID != w.fleetID:
 		return h.From, errors.New("of another fleet: its members have other names")
 	case !w.names[h.From.Name]:
 		return h.From, errors.New("no member of this fleet")
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.conns[h.From.Name] >= connsMost {
+	if w.connections[h.From.Name] >= maxConnectionsPerName {
 		return h.From, errors.New("too many connections")
 	}
-	w.conns[h.From.Name]++
+	w.connections[h.From.Name]++
 	return h.From, nil
 }
 
-func (w *wire) leave(name string) {
+func (w *Transport) releaseConnection(name string) {
 	w.mu.Lock()
-	w.conns[name]--
+	w.connections[name]--
 	w.mu.Unlock()
 }
 
-// refuse logs why a connection was ended, for each reason once in a while.
-func (w *wire) refuse(addr, name string, err error) {
+// LogRejected logs why a connection was ended, for each reason once in a while.
+func (w *Transport) LogRejected(addr, name string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	key := name + err.Error()
-	if len(w.told) > 1000 {
-		clear(w.told)
+	if len(w.loggedAt) > 1000 {
+		clear(w.loggedAt)
 	}
-	if time.Since(w.told[key]) < 10*time.Second {
+	if time.Since(w.loggedAt[key]) < 10*time.Second {
 		return
 	}
-	w.told[key] = time.Now()
+	w.loggedAt[key] = time.Now()
 	log.Printf("event=fleet_refused peer=%s from=%q err=%q", addr, name, err)
 }
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -64,10 +64,10 @@
 	}
 }
 
-func sampleRoster() *roster {
-	return &roster{
-		Epoch: 71, Seats: []seat{{Member: member("m", 72), Joined: 73, First: true, Address: "x:1"}},
-		Gone: map[string][]uint64{"gone": {74, 75}}, Plan: samplePlan(),
+func sampleRoster() *Membership {
+	return &Membership{
+		Epoch: 71, Members: []JoinedMember{{Member: member("m", 72), JoinedEpoch: 73, FirstIncarnation: true, Address: "x:1"}},
+		Evicted: map[string][]uint64{"gone": {74, 75}}, Plan: samplePlan(),
 	}
 }
 
@@ -82,19 +82,19 @@
 // set in one of them, and no two fields of a type have the same value in all of them.
 func wireSamples() map[string]any {
 	return map[string]any{
-		"hello":              hello{Fleet: 1, From: member("from", 2)},
+		"hello":              hello{FleetID: 1, From: member("from", 2)},
 		"leave":              member("leaver", 3),
-		"askLease":           askLease{Member: member("asker", 4), Sent: 5, Address: "a:6", Report: sampleReport()},
-		"granted":            granted{Member: member("asker", 4), Sent: 5, Epoch: 6},
-		"granted-out":        granted{Member: member("asker", 4), Sent: 5, Epoch: 6, Out: true},
-		"granted-shut":       granted{Member: member("asker", 4), Sent: 5, Epoch: 6, Shut: true},
-		"entry-join":         entry{Member: member("joins", 7), Address: "b:8"},
-		"entry-out":          entry{Out: true, Member: member("out", 9)},
-		"entry-order":        entry{Order: sampleOrder()},
+		"askLease":           LeaseRequest{Member: member("asker", 4), RequestedAt: 5, Address: "a:6", Report: sampleReport()},
+		"granted":            LeaseGrant{Member: member("asker", 4), RequestedAt: 5, Epoch: 6},
+		"granted-out":        LeaseGrant{Member: member("asker", 4), RequestedAt: 5, Epoch: 6, Evicted: true},
+		"granted-shut":       LeaseGrant{Member: member("asker", 4), RequestedAt: 5, Epoch: 6, Excluded: true},
+		"entry-join":         Change{Member: member("joins", 7), Address: "b:8"},
+		"entry-out":          Change{Evict: true, Member: member("out", 9)},
+		"entry-order":        Change{Command: sampleOrder()},
 		"roster":             sampleRoster(),
-		"kept":               kept{Roster: sampleRoster(), Texts: map[string][]byte{"digest": []byte("text")}},
-		"haveText":           haveText{Text: []byte("version text")},
-		"takenOf":            []takenOf{{Of: member("of", 10), Index: 11}},
+		"kept":               snapshot{Membership: sampleRoster(), Settings: map[string][]byte{"digest": []byte("text")}},
+		"haveText":           settingsReply{Settings: []byte("version text")},
+		"takenOf":            []segmentAck{{Member: member("of", 10), Index: 11}},
 		"segments":           []audit.SealedSegment{{Encoded: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}},
 		"ask":                AdminRequest{FleetID: 91, Command: CommandOrder, Order: sampleOrder(), Member: "of member"},
 		"ask-status":         AdminRequest{FleetID: 91, Command: CommandStatus},
@@ -111,7 +111,7 @@
 		"record":             sampleRecord(),
 		"ballot":             takeover.Ballot{Round: 92, Proposer: member("by", 93)},
 		"answer":             sampleAnswer(),
-		"seat":               seat{Member: member("s", 94), Joined: 95, First: true, Address: "c:96"},
+		"seat":               JoinedMember{Member: member("s", 94), JoinedEpoch: 95, FirstIncarnation: true, Address: "c:96"},
 		"standing":           sampleStanding(),
 		"standing-no-leader": &ClusterStatus{Name: "name", Self: member("me", 81), Leader: "leader"},
 		"told":               MemberStatus{Report: sampleReport(), AgeMs: 97},
@@ -120,7 +120,7 @@
 
 // Every type has the bytes on the wire and in the log that commit 2029d41 gave it, and those bytes are read as the same value.
 func TestWireBytesStayAsTheyWere(t *testing.T) {
-	c, err := newCoder()
+	c, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,8 +164,8 @@
 	for name, c := range map[string]struct{ got, want []int }{
 		"frames": {
 			[]int{
-				int(kindHello), int(kindRaft), int(kindCustody), int(kindAsk), int(kindGrant), int(kindViewAsk), int(kindView), int(kindLeave),
-				int(kindDesk), int(kindWant), int(kindHave), int(kindSegments), int(kindTaken),
+				int(KindHello), int(KindRaft), int(KindTakeover), int(KindLeaseRequest), int(KindLeaseGrant), int(KindMembershipRequest), int(KindMembership), int(KindLeave),
+				int(KindAdmin), int(KindSettingsRequest), int(KindSettings), int(KindSegments), int(KindSegmentAck),
 			},
 			[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12},
 		},
@@ -195,7 +195,7 @@
 	if CommandStatus != "status" || CommandOrder != "order" || CommandSegments != "segments" {
 		t.Error("an operator's request has another word")
 	}
-	if got := fleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
+	if got := FleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
 		t.Errorf("the fleet of a, b and c is %#x", got)
 	}
 }
--- a/internal/operator/tell.go
+++ b/internal/operator/tell.go
@@ -216,7 +216,7 @@
 	var all []audit.SealedSegment
 	cutOff := 0
 	for _, path := range files {
-		part, good, err := fleet.ReadSegments(path)
+		part, good, err := fleet.ReadFile(path)
 		if err != nil {
 			size := int64(0)
 			if info, bad := os.Stat(path); bad == nil {
