--- a/internal/frontend/recorded_test.go
+++ b/internal/frontend/recorded_test.go
@@ -15,7 +15,8 @@
 	for name, want := range map[string]handed{
 		"stream.json": {
 			Answer: upstream.StreamState{
-				Framing: "chunks", Remaining: 1536, AtChunkEnd: true, InTrailers: true, TrailerLines: 2, Complete: true, Forwarded: 70_000, ReadAhead: []byte("ab\r\n"), BufferedBody: 2,
+				Framing: "chunks", Remaining: 1536, AtChunkEnd: true, InTrailers: true, TrailerLines: 2, Complete: true, Forwarded: 70_000,
+				ReadAhead: []byte("ab\r\n"), BufferedBody: 2,
 			},
 			Chunks: true,
 		},
