--- /dev/null
+++ b/internal/fleet/admin_server.go
@@ -0,0 +1,159 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"time"
+
+	"damsonscale/internal/audit"
+	"damsonscale/internal/fleet/membership"
+	"damsonscale/internal/fleet/protocol"
+	"damsonscale/internal/frame"
+	"damsonscale/internal/rollout"
+)
+
+// handleAdmin answers an operator's request on its connection. The transport calls it.
+func (f *Fleet) handleAdmin(conn net.Conn, payload []byte) {
+	var request AdminRequest
+	response := AdminResponse{}
+	switch err := f.codec.Unmarshal(payload, &request); {
+	case err != nil:
+		response.Err = fmt.Sprintf("not readable: %v", err)
+	case request.FleetID != f.transport.FleetID():
+		response.Err = "this member is of another fleet: its members have other names"
+	case f.replicator == nil:
+		response.Err = "this member keeps no account: audit.enabled is false in its options"
+	default:
+		response = f.answerAdmin(conn, &request)
+	}
+	f.sendAdminResponse(conn, &response)
+}
+
+func (f *Fleet) sendAdminResponse(conn net.Conn, r *AdminResponse) error {
+	payload, err := f.codec.Marshal(r)
+	if err != nil {
+		return err
+	}
+	encoded, err := frame.Append(nil, byte(protocol.KindAdmin), payload)
+	if err != nil {
+		return err
+	}
+	conn.SetWriteDeadline(time.Now().Add(adminWriteTimeout))
+	_, err = conn.Write(encoded)
+	return err
+}
+
+// answerAdmin carries out a request and returns the last response to it.
+func (f *Fleet) answerAdmin(conn net.Conn, r *AdminRequest) AdminResponse {
+	ctx, cancel := context.WithTimeout(f.ctx, adminTimeout)
+	defer cancel()
+	switch r.Command {
+	case CommandStatus:
+		return AdminResponse{Status: f.clusterStatus(ctx)}
+	case CommandSegments:
+		return f.sendSegments(ctx, conn, r.Member)
+	case CommandOrder:
+		return f.answerOrder(ctx, r.Order)
+	}
+	return AdminResponse{Err: fmt.Sprintf("%q is nothing that can be asked", r.Command)}
+}
+
+// answerOrder has an operator's command agreed. Commands of the leader alone are refused.
+func (f *Fleet) answerOrder(ctx context.Context, c *rollout.Command) AdminResponse {
+	if c == nil || c.Kind > rollout.Readmit {
+		return AdminResponse{Err: "no order of an operator's"}
+	}
+	err := f.submitCommand(ctx, c)
+	switch {
+	case err == nil:
+		return AdminResponse{Status: f.clusterStatus(ctx)}
+	case errors.Is(err, membership.ErrNotLeader):
+		return AdminResponse{Err: err.Error(), NotLeader: true, Leader: f.leaderName()}
+	case errors.Is(err, membership.ErrLeaderChanged), errors.Is(err, membership.ErrTimeout):
+		return AdminResponse{Err: err.Error(), OutcomeUnknown: true}
+	}
+	return AdminResponse{Err: err.Error()}
+}
+
+// leaderName is the name of who granted the latest lease; empty: nobody has.
+func (f *Fleet) leaderName() string {
+	if leader := f.leader.Load(); leader != nil {
+		return *leader
+	}
+	return ""
+}
+
+// submitCommand checks a command and has it agreed. Settings are validated here, before any other member gets them.
+func (f *Fleet) submitCommand(ctx context.Context, c *rollout.Command) error {
+	if err := c.Check(); err != nil {
+		return err
+	}
+	log := f.log.Load()
+	if log == nil {
+		return membership.ErrNotLeader
+	}
+	if c.Kind == rollout.RollOut {
+		if err := f.applier.ValidateSettings(c.Settings); err != nil {
+			return err
+		}
+	}
+	if c.Name != "" && !slices.Contains(f.memberNames, c.Name) {
+		return fmt.Errorf("%q is no member of this fleet", c.Name)
+	}
+	return log.Submit(ctx, c)
+}
+
+// clusterStatus is what this member knows, and the reports of all members if it leads.
+func (f *Fleet) clusterStatus(ctx context.Context) *ClusterStatus {
+	m := f.membership.Load()
+	s := &ClusterStatus{Name: f.name, Self: *f.self.Load(), Leader: f.leaderName(), Epoch: m.Epoch, Plan: m.Plan, MemberNames: f.memberNames}
+	for _, j := range m.Members {
+		s.Members = append(s.Members, j.Member)
+	}
+	log := f.log.Load()
+	if log == nil {
+		return s
+	}
+	status, ok := log.Status(ctx)
+	if !ok || !status.IsLeader {
+		return s
+	}
+	s.IsLeader, s.WaitingFor, s.Leader, s.Reports = true, status.WaitingFor, f.name, map[string]MemberStatus{}
+	for name, received := range status.Reports {
+		s.Reports[name] = MemberStatus{Report: received.Report, AgeMs: time.Since(received.ReceivedAt).Milliseconds()}
+	}
+	return s
+}
+
+// sendSegments sends the segments that this member stores, its own up to now included, and returns the last response.
+func (f *Fleet) sendSegments(ctx context.Context, conn net.Conn, name string) AdminResponse {
+	stored := make(chan []audit.SealedSegment, 1)
+	select {
+	case f.replicator.mailbox <- func() {
+		f.replicator.addSegments(f.recorder.Cut(time.Now().UnixMilli()))
+		stored <- f.replicator.store.Segments(name)
+	}:
+	case <-ctx.Done():
+		return AdminResponse{Err: membership.ErrBusy.Error()}
+	}
+	var segments []audit.SealedSegment
+	select {
+	case segments = <-stored:
+	case <-ctx.Done():
+		return AdminResponse{Err: membership.ErrBusy.Error()}
+	}
+	part, bytes := []audit.SealedSegment(nil), 0
+	for _, s := range segments {
+		if bytes += len(s.Encoded); bytes > adminSegmentBytes && len(part) > 0 {
+			if err := f.sendAdminResponse(conn, &AdminResponse{Segments: part, More: true}); err != nil {
+				return AdminResponse{Err: err.Error()}
+			}
+			part, bytes = nil, len(s.Encoded)
+		}
+		part = append(part, s)
+	}
+	return AdminResponse{Segments: part}
+}
--- /dev/null
+++ b/internal/fleet/audit_replicator.go
@@ -0,0 +1,195 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"time"
+
+	"damsonscale/internal/audit"
+	"damsonscale/internal/eventlog"
+	"damsonscale/internal/fleet/membership"
+	"damsonscale/internal/fleet/protocol"
+	"damsonscale/internal/fleet/segmentfile"
+	"damsonscale/internal/takeover"
+)
+
+const (
+	cutsPerLease           = 6         // segments that are cut while one lease lasts
+	segmentBatchBytes      = 512 << 10 // of segments sent to a member at a time
+	maxUnacknowledgedBytes = 8 << 20   // of segments that no replica has acknowledged yet
+)
+
+// segmentAck says that a replica has stored a segment.
+type segmentAck struct {
+	_      struct{}        `cbor:",toarray"`
+	Member takeover.Member // whose segment it is
+	Index  uint64
+}
+
+// auditReplicator cuts this member's audit events into segments, replicates them to other members, and stores theirs. One
+// goroutine, run, owns all its state.
+type auditReplicator struct {
+	fleet            *Fleet
+	codec            *audit.Codec
+	mailbox          chan func() // work for run's goroutine
+	store            *audit.SegmentStore
+	directory        *segmentfile.Directory // nil: segments are kept in memory alone
+	replication      *audit.Replication
+	replicas         []string          // names that store this incarnation's segments
+	seenIncarnations map[string]uint64 // of the replicas, to which all segments were sent
+	droppedLogged    int               // segments whose loss was logged
+}
+
+// newAuditReplicator makes a replicator, with the segments that the directory has from earlier processes.
+func newAuditReplicator(f *Fleet) (*auditReplicator, error) {
+	codec, err := audit.NewCodec()
+	if err != nil {
+		return nil, err
+	}
+	r := &auditReplicator{
+		fleet: f, codec: codec, mailbox: make(chan func(), mailboxSize),
+		store:       audit.NewSegmentStore(codec, f.transport.FleetID(), f.options.Audit.MaxMemoryBytes),
+		replication: audit.NewReplication(maxUnacknowledgedBytes),
+	}
+	self := *f.self.Load()
+	r.chooseReplicas(self)
+	if dir := f.options.Audit.SegmentDir; dir != "" {
+		r.directory = segmentfile.New(dir, f.options.Audit.MaxDiskBytes, f.codec)
+		for _, segment := range r.directory.Open(self) {
+			r.store.Put(segment) // segments of another fleet are refused, and stay in their file
+		}
+	}
+	return r, nil
+}
+
+// chooseReplicas chooses by rendezvous hashing which names store the segments of an incarnation.
+func (r *auditReplicator) chooseReplicas(self takeover.Member) {
+	others := slices.DeleteFunc(slices.Clone(r.fleet.memberNames), func(name string) bool { return name == self.Name })
+	id := fmt.Sprintf("%s/%x", self.Name, self.Incarnation)
+	r.replicas = takeover.Replicas(others, id, r.fleet.options.Audit.SegmentReplicas)
+	r.seenIncarnations = map[string]uint64{}
+}
+
+// run replicates until ctx ends.
+func (r *auditReplicator) run(ctx context.Context) {
+	ticker := time.NewTicker(r.fleet.options.Fleet.LeaseDuration / cutsPerLease)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case work := <-r.mailbox:
+			work()
+		case <-ticker.C:
+			r.addSegments(r.fleet.recorder.Cut(time.Now().UnixMilli()))
+			r.sendDue()
+		}
+	}
+}
+
+// post hands work to run's goroutine, or drops it where the mailbox is full: what is not acknowledged is sent again.
+func (r *auditReplicator) post(work func()) {
+	select {
+	case r.mailbox <- work:
+	default:
+	}
+}
+
+// onMembership sends all segments of this incarnation to a replica whose process has restarted, since it has lost them.
+func (r *auditReplicator) onMembership(m *membership.Membership) {
+	self := *r.fleet.self.Load()
+	latest := map[string]uint64{}
+	for _, j := range m.Members { // in the order of joining
+		latest[j.Member.Name] = j.Member.Incarnation
+	}
+	for _, name := range r.replicas {
+		incarnation, isMember := latest[name]
+		seen, seenBefore := r.seenIncarnations[name]
+		if !isMember || incarnation == seen {
+			continue
+		}
+		r.seenIncarnations[name] = incarnation
+		if seenBefore {
+			r.replicateAll(self, name)
+		}
+	}
+}
+
+// replicateAll queues all segments of an incarnation for a replica.
+func (r *auditReplicator) replicateAll(self takeover.Member, replica string) {
+	for _, sealed := range r.store.Segments(self.Name) {
+		if segment, err := r.codec.Open(r.fleet.transport.FleetID(), &sealed); err == nil && segment.Member == self {
+			r.replication.Add(sealed, segment, []string{replica})
+		}
+	}
+}
+
+// addSegments stores segments of this member and queues them for the replicas. err is why there may be fewer than events.
+func (r *auditReplicator) addSegments(segments []audit.SealedSegment, err error) {
+	if err != nil {
+		eventlog.Error(eventSegmentLost, err)
+	}
+	for _, sealed := range segments {
+		segment, err := r.store.Put(sealed)
+		if err != nil {
+			eventlog.Error(eventSegmentLost, err)
+			continue
+		}
+		if r.directory != nil {
+			r.directory.Append(&sealed)
+		}
+		r.replication.Add(sealed, segment, r.replicas)
+	}
+	if r.directory != nil {
+		r.directory.Flush()
+	}
+	if r.replication.Dropped > r.droppedLogged {
+		eventlog.Warn(eventSegmentsUnreplicated, nil, "segments", r.replication.Dropped-r.droppedLogged)
+		r.droppedLogged = r.replication.Dropped
+	}
+}
+
+// sendDue sends the segments that are to be sent to each replica now, for the first time or again.
+func (r *auditReplicator) sendDue() {
+	now, resend := r.fleet.micros(), r.fleet.options.Fleet.LeaseDuration.Microseconds()
+	for _, name := range r.fleet.memberNames {
+		if due := r.replication.Due(now, name, resend, segmentBatchBytes); len(due) > 0 {
+			r.fleet.sendMessage(name, protocol.KindSegments, due)
+		}
+	}
+}
+
+// storeSegments stores segments of other members, and acknowledges those that are the sender's own.
+func (r *auditReplicator) storeSegments(from takeover.Member, segments []audit.SealedSegment) {
+	var acks []segmentAck
+	for _, sealed := range segments {
+		segment, err := r.store.Put(sealed)
+		switch {
+		case err == nil && segment.Member.Name == from.Name:
+			acks = append(acks, segmentAck{Member: segment.Member, Index: segment.Index})
+		case err != nil:
+			r.fleet.transport.LogRejected("", from.Name, fmt.Errorf("a segment: %w", err))
+		}
+	}
+	if len(acks) > 0 {
+		r.fleet.sendMessage(from.Name, protocol.KindSegmentAck, acks)
+	}
+}
+
+// acknowledge notes what a replica has stored.
+func (r *auditReplicator) acknowledge(from takeover.Member, acks []segmentAck) {
+	for _, ack := range acks {
+		r.replication.Acknowledge(from.Name, ack.Member, ack.Index)
+	}
+}
+
+// startIncarnation closes the records of the previous incarnation, and starts those of the next.
+func (r *auditReplicator) startIncarnation(self takeover.Member) {
+	r.addSegments(r.fleet.recorder.EndIncarnation(time.Now().UnixMilli(), self))
+	r.sendDue()
+	r.chooseReplicas(self)
+	if r.directory != nil {
+		r.directory.StartFile(self)
+	}
+}
--- /dev/null
+++ b/internal/fleet/coordinator.go
@@ -0,0 +1,212 @@
+package fleet
+
+import (
+	"context"
+	"time"
+
+	"damsonscale/internal/eventlog"
+	"damsonscale/internal/fleet/protocol"
+	"damsonscale/internal/takeover"
+)
+
+const (
+	coordinatorMailboxSize = 4096
+	countsInterval         = 10 * time.Second // between log lines of the counts
+	minTick                = time.Millisecond
+	maxBatchMessages       = 256     // in a frame
+	maxBatchBytes          = 1 << 20 // of messages in a frame
+
+	// stallMicros without a turn of the coordinator mean that this process was stopped.
+	stallMicros = 100_000
+	// staleReadMicros after a stall, requests that are read may still have waited for it.
+	staleReadMicros = 1_000_000
+)
+
+// coordinator runs the takeover protocol of this member. One goroutine, run, owns the node and all requests in flight; times
+// are µs since the start of the process.
+type coordinator struct {
+	fleet    *Fleet
+	mailbox  chan func(now int64) // work for run's goroutine
+	node     *takeover.Node
+	inFlight map[string]*inFlightRequest // by request id
+
+	noQuorumUntil int64 // until then strict requests are rejected without asking the replicas
+	lastTurnAt    int64
+	resumedAt     int64 // when the coordinator last found that the process had been stopped; 0: never
+	counts        takeoverCounts
+}
+
+// takeoverCounts count since the start of the process, for the log.
+type takeoverCounts struct{ begun, resumed, returned, unavailable, ownershipLost, takenOver, duplicates int64 }
+
+func newCoordinator(f *Fleet) *coordinator {
+	return &coordinator{
+		fleet: f, mailbox: make(chan func(int64), coordinatorMailboxSize), node: takeover.New(f.takeoverConfig()),
+		inFlight: map[string]*inFlightRequest{},
+	}
+}
+
+// post hands work to run's goroutine, or drops it where the mailbox is full.
+func (c *coordinator) post(work func(now int64)) {
+	select {
+	case c.mailbox <- work:
+	default:
+	}
+}
+
+// run coordinates until ctx ends.
+func (c *coordinator) run(ctx context.Context) {
+	ticker := time.NewTicker(max(time.Duration(c.fleet.resendInterval)*time.Microsecond/2, minTick))
+	defer ticker.Stop()
+	countsTicker := time.NewTicker(countsInterval)
+	defer countsTicker.Stop()
+	var logged takeoverCounts
+	for c.lastTurnAt = c.fleet.micros(); ; c.flush() {
+		select {
+		case <-ctx.Done():
+			return
+		case work := <-c.mailbox:
+			c.noteTurn()
+			work(c.fleet.micros())
+			c.drainMailbox()
+		case <-ticker.C:
+			c.noteTurn()
+			c.node.Tick(c.fleet.micros())
+		case <-countsTicker.C:
+			if c.counts != logged {
+				logged = c.counts
+				c.logCounts()
+			}
+		}
+	}
+}
+
+// drainMailbox does the work that has come meanwhile, so that its messages go out in the same frames.
+func (c *coordinator) drainMailbox() {
+	for {
+		select {
+		case work := <-c.mailbox:
+			work(c.fleet.micros())
+		default:
+			return
+		}
+	}
+}
+
+func (c *coordinator) logCounts() {
+	records, bytes := c.node.Usage()
+	eventlog.Info(eventTakeoverCounts, "begun", c.counts.begun, "resumed", c.counts.resumed, "returned", c.counts.returned,
+		"unavailable", c.counts.unavailable, "ownership_lost", c.counts.ownershipLost, "taken_over", c.counts.takenOver,
+		"duplicates", c.counts.duplicates, "records", records, "bytes", bytes, "in_flight", len(c.inFlight))
+}
+
+// noteTurn notes that this process runs, and whether it had been stopped.
+func (c *coordinator) noteTurn() {
+	now := c.fleet.micros()
+	if now-c.lastTurnAt > stallMicros {
+		c.resumedAt = now
+	}
+	c.lastTurnAt = now
+}
+
+// readsAreFresh reports whether requests are read when they come. Just after a stall they may have waited unread and been resumed
+// elsewhere by their clients: none of them may be rejected.
+func (c *coordinator) readsAreFresh(now int64) bool {
+	return c.resumedAt == 0 || now-c.resumedAt > staleReadMicros
+}
+
+// flush carries out the node's decisions and sends its messages.
+func (c *coordinator) flush() {
+	for events := c.node.TakeEvents(); len(events) > 0; events = c.node.TakeEvents() {
+		for i := range events {
+			c.carryOut(&events[i])
+		}
+	}
+	messages := c.node.TakeMessages()
+	if len(messages) == 0 {
+		return
+	}
+	batches := map[string][]takeover.Message{}
+	for i := range messages {
+		batches[messages[i].To] = append(batches[messages[i].To], messages[i].Message)
+	}
+	for name, batch := range batches {
+		c.sendBatch(name, batch)
+	}
+}
+
+// sendBatch sends messages to a member in as few frames as their bounds allow.
+func (c *coordinator) sendBatch(name string, messages []takeover.Message) {
+	for len(messages) > 0 {
+		n, bytes := 0, 0
+		for n < len(messages) && n < maxBatchMessages && bytes < maxBatchBytes {
+			if rec := messages[n].Record; rec != nil {
+				bytes += len(rec.Request) + len(rec.Response.Body)
+			}
+			n++
+		}
+		payload, err := c.fleet.codec.Marshal(messages[:n])
+		if err != nil {
+			eventlog.Warn(eventSendFailed, err, "to", name)
+		} else {
+			c.fleet.send(name, protocol.KindTakeover, payload)
+		}
+		messages = messages[n:]
+	}
+}
+
+// begin takes a request of a client. waiter gets its outcome.
+func (c *coordinator) begin(now int64, r takeover.Request, waiter chan takeover.Outcome, execute func(takeover.SendPermit) takeover.Result) {
+	if known := c.inFlight[r.ID]; known != nil {
+		switch {
+		case known.request.Digest != r.Digest:
+			waiter <- takeover.Outcome{Kind: takeover.OutcomeIDConflict}
+		case !r.Resume:
+			waiter <- takeover.Outcome{Kind: takeover.OutcomeInFlight}
+		default:
+			known.waiters = append(known.waiters, waiter)
+		}
+		return
+	}
+	c.inFlight[r.ID] = &inFlightRequest{request: r, execute: execute, waiters: []chan takeover.Outcome{waiter}, lease: c.fleet.lease.Load()}
+	rec := takeover.Record{ID: r.ID, Class: r.Class, Idempotency: r.Idempotency, Digest: r.Digest, DeadlineAge: r.Timeout.Microseconds()}
+	if len(r.Stored.Head) > 0 {
+		encoded, err := c.fleet.codec.Marshal(r.Stored)
+		if err != nil { // only its client can have it sent again
+			eventlog.Warn(eventRequestNotStored, err, "id", r.ID)
+		}
+		rec.Request = encoded
+	}
+	switch {
+	case r.Resume:
+		c.counts.resumed++
+		c.node.Resume(now, rec)
+	case r.Strict && now < c.noQuorumUntil && c.readsAreFresh(now):
+		c.carryOut(&takeover.Event{Decision: takeover.QuorumUnavailable, ID: r.ID, Record: rec, NeverSent: true, Immediate: true})
+	default:
+		c.counts.begun++
+		c.node.Begin(now, rec)
+	}
+}
+
+// removeWaiter removes a client that has left. A request that only it wanted is given up unless it is executing.
+func (c *coordinator) removeWaiter(id string, waiter chan takeover.Outcome) {
+	r := c.inFlight[id]
+	if r == nil {
+		return
+	}
+	if r.removeWaiter(waiter) && !r.executing && c.node.IsPreparing(id) {
+		c.node.Drop(id)
+		delete(c.inFlight, id)
+	}
+}
+
+// isExecuting reports whether a request is executing here for a waiter. It asks run's goroutine.
+func (c *coordinator) isExecuting(id string, waiter chan takeover.Outcome) bool {
+	answer := make(chan bool, 1)
+	c.mailbox <- func(int64) {
+		r := c.inFlight[id]
+		answer <- r != nil && r.executing && r.hasWaiter(waiter)
+	}
+	return <-answer
+}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -1,112 +1,24 @@
 package fleet
 
 import (
-	"errors"
 	"fmt"
-	"math"
 	"math/rand/v2"
-	"net"
-	"os"
-	"path/filepath"
 	"slices"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"go.etcd.io/raft/v3"
-	"go.etcd.io/raft/v3/raftpb"
-
-	"damsonscale/internal/audit"
-	"damsonscale/internal/auditevent"
-	"damsonscale/internal/frame"
+	"damsonscale/internal/fleet/membership"
 	"damsonscale/internal/options"
 	"damsonscale/internal/takeover"
 )
 
+// member is a member of that name and incarnation.
 func member(name string, n uint64) takeover.Member {
 	return takeover.Member{Name: name, Incarnation: n}
 }
 
-// The epoch counts what changed, and no late or doubled word changes anything.
-func TestRoster(t *testing.T) {
-	r, a1, a2 := &Membership{}, member("a", 1), member("a", 2)
-	for i, c := range []struct {
-		e     Change
-		epoch uint64
-		lives bool // its member, after it
-	}{
-		{Change{Member: a1}, 1, true},
-		{Change{Member: a1}, 1, true},
-		{Change{Member: a2, Address: "x:1"}, 2, true},
-		{Change{Evict: true, Member: a1}, 3, false},
-		{Change{Evict: true, Member: a1}, 3, false},
-		{Change{Member: a1}, 3, false}, // a late word of one that is out
-		{Change{Evict: true, Member: member("b", 1)}, 3, false},
-	} {
-		old := *r
-		next := r.Apply(&c.e, nil)
-		if next.Epoch != c.epoch || next.Contains(c.e.Member) != c.lives || r.Epoch != old.Epoch || len(r.Members) != len(old.Members) {
-			t.Fatalf("entry %d: %+v of %+v", i, next, old)
-		}
-		r = next
-	}
-	v := r.View()
-	if s := v.Members[a2]; len(v.Members) != 1 || s.JoinedEpoch != 2 || s.FirstIncarnation || r.AddressOf("a", "listed") != "x:1" || r.AddressOf("b", "listed") != "listed" {
-		t.Fatalf("%+v", v)
-	}
-	for _, bad := range []*Membership{
-		{Epoch: 1, Members: []JoinedMember{{Member: a1, JoinedEpoch: 2}}}, {Epoch: 1, Members: []JoinedMember{{}}}, {Epoch: 1, Members: []JoinedMember{{Member: a1}, {Member: a1}}},
-	} {
-		if bad.Validate() == nil {
-			t.Errorf("taken: %+v", bad)
-		}
-	}
-}
-
-// Nobody is out whose lease may still be valid by its own clock, whoever granted it and whatever stopped meanwhile.
-func TestNobodyIsOutBeforeItsLease(t *testing.T) {
-	const lease, every = time.Second, 50 * time.Millisecond
-	a := member("a", 1)
-	r := (&Membership{}).Apply(&Change{Member: a}, nil)
-	start := time.Unix(1000, 0)
-	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	for name, c := range map[string]struct {
-		granted []int // ms after this member began to lead
-		stopped [2]int
-		until   int // last ms at which it must live
-		from    int // first ms at which it must be out
-	}{
-		"never asked": {nil, [2]int{}, 1015, 1100},
-		"asked":       {[]int{300, 700}, [2]int{}, 1715, 1800},
-		"the leader was stopped: asks may wait for it": {[]int{300}, [2]int{400, 5000}, 6015, 6100},
-	} {
-		g := &leaseTable{duration: lease}
-		g.reset(start)
-		out := 0
-		for ms, next := 0, 0; ms <= 8000 && out == 0; ms += 5 {
-			if ms > c.stopped[0] && ms < c.stopped[1] {
-				continue
-			}
-			if ms%50 == 0 {
-				g.noteTick(at(ms), every)
-			}
-			if next < len(c.granted) && ms >= c.granted[next] {
-				g.grant(at(ms), a)
-				next++
-			}
-			if ms%50 == 0 && len(g.expired(at(ms), r)) > 0 {
-				out = ms
-			}
-		}
-		if out <= c.until || out > c.from {
-			t.Errorf("%s: out after %d ms, not within %d to %d", name, out, c.until, c.from)
-		}
-		if g.grant(at(9000), a) {
-			t.Errorf("%s: a lease for one that is being put out", name)
-		}
-	}
-}
-
+// A lease is valid only while its last grant is, and never after its end.
 func TestLeaseEnds(t *testing.T) {
 	l := &Lease{excluded: new(atomic.Bool), start: time.Now().Add(-time.Hour), done: make(chan struct{})}
 	now := int64(time.Hour)
@@ -124,363 +36,58 @@
 	select {
 	case <-l.Done():
 	default:
-		t.Error("not over")
+		t.Error("not done")
 	}
 	if l.Valid() {
-		t.Error("valid though it is over")
-	}
-}
-
-// What was saved is there after a restart, and a disk that can't be written is told.
-func TestStore(t *testing.T) {
-	dir := t.TempDir()
-	s, err := openStore(dir, []uint64{1, 2, 3})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := openStore(dir, nil); !errors.Is(err, ErrLogLocked) {
-		t.Fatalf("opened twice: %v", err)
-	}
-	one := func(index, term uint64, data string) *raftpb.Entry {
-		return &raftpb.Entry{Index: new(index), Term: new(term), Data: []byte(data)}
-	}
-	hard := &raftpb.HardState{Term: new(uint64(5)), Vote: new(uint64(2)), Commit: new(uint64(3))}
-	for _, rd := range []raft.Ready{
-		{HardState: hard, Entries: []*raftpb.Entry{one(2, 4, "a"), one(3, 4, "b"), one(4, 4, "lost")}},
-		{Entries: []*raftpb.Entry{one(4, 5, "c"), one(5, 5, "d")}}, // in place of what another leader had sent
-	} {
-		if err := s.save(&rd); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := s.compact(3, &raftpb.ConfState{Voters: []uint64{1, 2, 3}}, []byte("roster")); err != nil {
-		t.Fatal(err)
-	}
-	s.close()
-	if s, err = openStore(dir, []uint64{9}); err != nil {
-		t.Fatal(err)
-	}
-	defer s.close()
-	got, conf, err := s.InitialState()
-	last, _ := s.LastIndex()
-	entries, err2 := s.Entries(4, 6, 1<<20)
-	snapshot, _ := s.Snapshot()
-	if err != nil || err2 != nil || got.GetVote() != 2 || got.GetTerm() != 5 || len(conf.GetVoters()) != 3 || last != 5 || len(entries) != 2 ||
-		string(entries[0].GetData()) != "c" || string(snapshot.GetData()) != "roster" {
-		t.Fatalf("%v %v %v %v: %v %v last %d", err, err2, got, conf, entries, snapshot, last)
-	}
-	full := t.TempDir()
-	if err := os.Symlink("/dev/full", filepath.Join(full, storeFile)); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := openStore(full, nil); err == nil {
-		t.Error("a full disk is not told")
-	}
-	file := filepath.Join(full, "file")
-	os.WriteFile(file, nil, 0o600)
-	if _, err := openStore(filepath.Join(file, "state"), nil); err == nil {
-		t.Error("a place that can't be is not told")
-	}
-}
-
-func TestVoters(t *testing.T) {
-	for n, want := range map[int]int{1: 1, 2: 1, 3: 3, 4: 3, 5: 5, 9: 5, 300: 5} {
-		var names []string
-		for i := range n {
-			names = append(names, string(rune('a'+i%26))+string(rune('a'+i/26)))
-		}
-		if got := Voters(names); len(got) != want {
-			t.Errorf("%d members: %d vote, not %d", n, len(got), want)
-		}
-	}
-}
-
-// Whom this member does not know is refused by name before anything of it counts.
-func TestGreeting(t *testing.T) {
-	c, err := newCodec()
-	if err != nil {
-		t.Fatal(err)
-	}
-	w := newTransport(c, []string{"a", "b", "c"})
-	greet := func(kind byte, v any) error {
-		text, _ := c.out.Marshal(v)
-		f, _ := frame.Append(nil, kind, text)
-		near, far := net.Pipe()
-		go func() { near.Write(f); near.Close() }()
-		kind, payload, err := frame.Read(far)
-		if err == nil {
-			_, err = w.acceptHello(kind, payload)
-		}
-		return err
-	}
-	good := hello{FleetID: FleetID([]string{"c", "b", "a"}), From: member("b", 1)}
-	other, stranger := good, good
-	other.FleetID++
-	stranger.From.Name = "d"
-	for name, c := range map[string]struct {
-		kind byte
-		v    any
-		ok   bool
-	}{
-		"good": {KindHello, good, true}, "another fleet": {KindHello, other, false}, "a stranger": {KindHello, stranger, false},
-		"no hello": {KindLeaseRequest, good, false}, "nonsense": {KindHello, "x", false}, "too deep": {KindHello, [][][]int{{{1}}}, false},
-	} {
-		if err := greet(c.kind, c.v); (err == nil) != c.ok {
-			t.Errorf("%s: %v", name, err)
-		}
-	}
-	for range maxConnectionsPerName {
-		greet(KindHello, good)
-	}
-	if greet(KindHello, good) == nil {
-		t.Error("a flood of connections is taken")
-	}
-}
-
-// What a process says after it came back as another member goes out in that one's name, and nothing more in the old one's.
-func TestFramesGoOutInTheirOwnName(t *testing.T) {
-	c, err := newCodec()
-	if err != nil {
-		t.Fatal(err)
-	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx := t.Context()
-	type heard struct {
-		from takeover.Member
-		text string
-	}
-	got := make(chan heard, 64)
-	to, from := newTransport(c, []string{"a", "b"}), newTransport(c, []string{"a", "b"})
-	to.handle = func(from takeover.Member, _ byte, payload []byte) { got <- heard{from, string(payload)} }
-	go to.Serve(ctx, ln)
-	var me atomic.Pointer[takeover.Member]
-	from.self, from.addressOf = func() takeover.Member { return *me.Load() }, func(string) string { return ln.Addr().String() }
-	for n := range uint64(5) {
-		now := member("b", n+1)
-		me.Store(&now)
-		from.Send(ctx, "a", KindLeaseRequest, []byte(now.Name+string(rune('1'+n))))
-		select {
-		case h := <-got:
-			if h.from != now || h.text != "b"+string(rune('1'+n)) {
-				t.Fatalf("%+v after %+v", h, now)
-			}
-		case <-time.After(10 * time.Second):
-			t.Fatalf("what %+v said has not come", now)
-		}
-	}
-}
-
-// A new epoch comes to all in a number of rounds that grows with the logarithm of the members, and each tells a few.
-func TestTellingGrowsWithTheLogarithm(t *testing.T) {
-	for _, n := range []int{1, 2, 3, 9, 300, 1000} {
-		var names []string
-		for i := range n {
-			names = append(names, fmt.Sprintf("n%04d", i))
-		}
-		voters := Voters(names)
-		know, round := map[string]bool{}, 0
-		for _, v := range voters {
-			know[v] = true
-		}
-		for next := slices.Clone(voters); len(know) < n; round++ {
-			var after []string
-			for _, name := range next {
-				to := treeChildren(names, name, len(voters))
-				if len(to) > treeFanout {
-					t.Fatalf("%d members: %s tells %d", n, name, len(to))
-				}
-				for _, o := range to {
-					if know[o] {
-						t.Fatalf("%d members: %s is told twice", n, o)
-					}
-					know[o] = true
-					after = append(after, o)
-				}
-			}
-			if next = after; len(next) == 0 {
-				t.Fatalf("%d members: %d know after %d rounds", n, len(know), round)
-			}
-		}
-		t.Logf("%d members: %d rounds", n, round)
-		if most := 1 + int(math.Log(float64(n))/math.Log(treeFanout)); round > most {
-			t.Errorf("%d members: %d rounds, at most %d", n, round, most)
-		}
-	}
-	if treeChildren([]string{"a"}, "b", 1) != nil {
-		t.Error("a stranger tells")
+		t.Error("valid after its end")
 	}
 }
 
-// A file whose end was cut off is mended and said; an edited byte ends it; what was good before is kept; another process's file is left alone.
-func TestSegmentFiles(t *testing.T) {
-	coder, err := newCodec()
-	if err != nil {
-		t.Fatal(err)
-	}
-	dir := t.TempDir()
-	d := &Directory{path: dir, maxBytes: 1 << 20, codec: coder}
-	if old := d.Open(member("a", 1)); len(old) != 0 {
-		t.Fatal(old)
-	}
-	book, err := audit.NewSegmentWriter(7, member("a", 1), "build", protocol, func() int64 { return 0 }, audit.NoFault)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for range 5 {
-		book.Record(auditevent.Accepted, 0, "id", "look")
-		all, err := book.Cut(0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		d.Append(&all[0])
-	}
-	path := filepath.Join(dir, "a-1"+Suffix)
-	if !isBeingWritten(path) {
-		t.Error("a file under way is not told from one that was left")
-	}
-	d.close()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for name, c := range map[string]struct {
-		change func([]byte) []byte
-		kept   int
-	}{
-		"whole":       {func(b []byte) []byte { return b }, 5},
-		"cut off":     {func(b []byte) []byte { return b[:len(b)-3] }, 4},
-		"edited":      {func(b []byte) []byte { b[len(b)/2] ^= 1; return b }, 2},
-		"only a head": {func(b []byte) []byte { return b[:10] }, 0},
-		"a tail":      {func(b []byte) []byte { return append(b, "nonsense"...) }, 5},
-	} {
-		if err := os.WriteFile(path, c.change(slices.Clone(text)), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		again := &Directory{path: dir, maxBytes: 1 << 20, codec: coder}
-		if got := again.Open(member("a", 2)); len(got) != c.kept {
-			t.Errorf("%s: %d segments, not %d", name, len(got), c.kept)
-		}
-		if all, _, err := ReadFile(path); err != nil || len(all) != c.kept {
-			t.Errorf("%s: not mended: %d, %v", name, len(all), err)
-		}
-	}
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	small := &Directory{path: dir, maxBytes: 100, codec: coder}
-	if small.Open(member("a", 3)); small.file == nil {
-		t.Fatal("no file")
-	}
-	if _, err := os.Stat(path); !os.IsNotExist(err) {
-		t.Error("old files stay past what is granted")
-	}
-	nowhere := &Directory{path: filepath.Join(dir, "a-3"+Suffix, "x"), maxBytes: 100, codec: coder}
-	nowhere.Open(member("a", 4))
-	all, _ := book.Cut(0)
-	for i := range all {
-		nowhere.Append(&all[i])
-	}
-	if !nowhere.faultLogged {
-		t.Error("a place that can't be is not told")
-	}
-}
-
-// What came of a request waits while its owner's lease is just not valid, and no longer than that may last. Guards against an answer
-// that is dropped by an owner which goes on living.
-func TestAnAnswerWaitsForTheLease(t *testing.T) {
-	k := &coordinator{fleet: &Fleet{options: &options.Options{Fleet: options.Fleet{LeaseDuration: time.Hour}}}}
+// The response of an execution waits while its owner's lease is not valid for the moment, and no longer than that may last.
+func TestResponseWaitsForTheLease(t *testing.T) {
+	c := &coordinator{fleet: &Fleet{options: &options.Options{Fleet: options.Fleet{LeaseDuration: time.Hour}}}}
 	late := &Lease{excluded: new(atomic.Bool), start: time.Now(), done: make(chan struct{})}
 	time.AfterFunc(20*time.Millisecond, func() { late.extend(0, time.Hour) })
-	if k.awaitLease(late); !late.Valid() {
+	if c.awaitLease(late); !late.Valid() {
 		t.Error("it did not wait")
 	}
-	over := &Lease{excluded: new(atomic.Bool), start: time.Now(), done: make(chan struct{})}
-	time.AfterFunc(20*time.Millisecond, over.end)
-	k.awaitLease(over)
-	k.fleet.options.Fleet.LeaseDuration = time.Millisecond
-	k.awaitLease(&Lease{excluded: new(atomic.Bool), start: time.Now(), done: make(chan struct{})})
+	ended := &Lease{excluded: new(atomic.Bool), start: time.Now(), done: make(chan struct{})}
+	time.AfterFunc(20*time.Millisecond, ended.end)
+	c.awaitLease(ended)
+	c.fleet.options.Fleet.LeaseDuration = time.Millisecond
+	c.awaitLease(&Lease{excluded: new(atomic.Bool), start: time.Now(), done: make(chan struct{})})
 }
 
-// A version's bytes are asked of those who vote first, and of one of them at every second ask, never of the member itself; the
-// others come in as well. Guards against a version that is in force only after a turn through all names.
-func TestBytesOfAVersionAreAskedOfThoseWhoVote(t *testing.T) {
+// A version's settings are requested from a voter first and at every second request, never from the member itself; all other
+// members are asked as well.
+func TestSettingsAreRequestedFromVoters(t *testing.T) {
 	var names []string
 	for i := range 100 {
 		names = append(names, fmt.Sprintf("n%03d", i))
 	}
-	voters := Voters(names)
-	for _, me := range []string{"n000", "n004", "n099"} {
+	voters := membership.Voters(names)
+	for _, self := range []string{"n000", "n004", "n099"} {
 		asked := map[string]int{}
 		for asks := range 20_000 {
-			name, ok := settingsSource(voters, names, me, asks, rand.IntN)
-			if !ok || name == me {
-				t.Fatalf("%s asks %q", me, name)
+			name, ok := settingsSource(voters, names, self, asks, rand.IntN)
+			if !ok || name == self {
+				t.Fatalf("%s asks %q", self, name)
 			}
 			if asks%2 == 0 && !slices.Contains(voters, name) {
-				t.Fatalf("%s: ask %d goes to %s", me, asks, name)
+				t.Fatalf("%s: request %d goes to %s", self, asks, name)
 			}
 			asked[name]++
 		}
 		for _, name := range names {
-			if want := name != me; (asked[name] > 0) != want {
-				t.Errorf("%s asks %s %d times", me, name, asked[name])
+			if want := name != self; (asked[name] > 0) != want {
+				t.Errorf("%s asks %s %d times", self, name, asked[name])
 			}
 		}
 	}
 	if name, ok := settingsSource([]string{"a"}, []string{"a", "b"}, "a", 0, rand.IntN); !ok || name != "b" {
-		t.Errorf("the only one that votes asks %q", name)
+		t.Errorf("the only voter asks %q", name)
 	}
 	if name, ok := settingsSource([]string{"a"}, []string{"a"}, "a", 0, rand.IntN); ok {
-		t.Errorf("one alone asks %q", name)
-	}
-}
-
-// The asks of a tick share one round of the log, and all of them are granted by it. Guards against a round for each ask, which was
-// most of what a leader did.
-func TestAsksOfATickShareARound(t *testing.T) {
-	e, err := OpenLog(t.TempDir(), "n00", []string{"n00"}, time.Second)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer e.store.close()
-	granted := map[string]int{}
-	e.send = func(name string, kind byte, _ []byte) {
-		if kind == KindLeaseGrant {
-			granted[name]++
-		}
-	}
-	e.onChange = func(*Membership, map[string][]byte) {}
-	do := func(f func()) {
-		t.Helper()
-		f()
-		if err := e.processReady(); err != nil {
-			t.Fatal(err)
-		}
-	}
-	do(func() { e.raftNode.Campaign() })
-	const members = 30
-	for i := range members {
-		e.memberNames = append(e.memberNames, fmt.Sprintf("n%02d", i))
-	}
-	for range 3 {
-		asks := func() {
-			for i, name := range e.memberNames {
-				do(func() { e.handleLeaseRequest(LeaseRequest{Member: member(name, uint64(i+1)), RequestedAt: 1}) })
-			}
-		}
-		asks()
-		if len(e.membership.MemberNames()) < members {
-			asks() // the first was to join
-		}
-		before := e.readID
-		clear(granted)
-		asks()
-		do(func() { e.tick(time.Now()) })
-		if rounds := e.readID - before; rounds != 1 || len(granted) != members {
-			t.Errorf("%d rounds for the asks of %d members, of whom %d have a grant", rounds, members, len(granted))
-		}
+		t.Errorf("a single member asks %q", name)
 	}
 }
--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -3,18 +3,20 @@
 import (
 	"testing"
 
+	"damsonscale/internal/fleet/membership"
+	"damsonscale/internal/fleet/protocol"
 	"damsonscale/internal/takeover"
 )
 
-// Whatever a member says, custody stays bounded and panics at nothing.
-func FuzzCustody(f *testing.F) {
-	c, err := newCodec()
+// Whatever messages a member sends, the memory of a replica stays bounded and nothing panics.
+func FuzzTakeoverMessages(f *testing.F) {
+	c, err := protocol.NewCodec()
 	if err != nil {
 		f.Fatal(err)
 	}
 	a, b := member("a", 1), member("b", 1)
 	rec := takeover.Record{ID: "x", Idempotency: takeover.IdempotentByKey, Owner: b, Epoch: 9, DeadlineAge: 1 << 62, Age: -5, Request: []byte("r")}
-	good, err := c.out.Marshal([]takeover.Message{
+	good, err := c.Marshal([]takeover.Message{
 		{Kind: takeover.Write, ID: "x", Ballot: takeover.Ballot{Proposer: b}, Epoch: 2, Record: &rec}, {Kind: takeover.Prepare, ID: "x", Ballot: takeover.Ballot{Round: 2, Proposer: b}},
 		{Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "mine", HasRecord: true, Ballot: takeover.Ballot{Round: 1, Proposer: a}},
 	})
@@ -24,13 +26,13 @@
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var all []takeover.Message
-		if c.in.Unmarshal(in, &all) != nil {
+		if c.Unmarshal(in, &all) != nil {
 			return
 		}
 		n := takeover.New(takeover.Config{
 			Self: a, MemberNames: []string{"a", "b", "c"}, ReplicationFactor: 3, MaxRecords: 8, MaxBytes: 4096, Retention: 1000, MaxRequestAge: 1000, QuorumTimeout: 100, ResendInterval: 10, TakeoverStagger: 10,
 		})
-		n.ApplyView(0, (&Membership{}).Apply(&Change{Member: a}, nil).Apply(&Change{Member: b}, nil).View())
+		n.ApplyView(0, (&membership.Membership{}).Apply(&membership.Change{Member: a}, nil).Apply(&membership.Change{Member: b}, nil).View())
 		n.Resume(0, takeover.Record{ID: "mine", Idempotency: takeover.NotIdempotent, DeadlineAge: 1000})
 		for i := range all {
 			n.Handle(5, b, &all[i])
@@ -44,7 +46,7 @@
 			n.TakeEvents()
 		}
 		if records, bytes := n.Usage(); records != 0 || bytes != 0 {
-			t.Fatalf("%d records of %d bytes are held for good", records, bytes)
+			t.Fatalf("%d records of %d bytes are stored forever", records, bytes)
 		}
 	})
 }
--- /dev/null
+++ b/internal/fleet/incarnation.go
@@ -0,0 +1,74 @@
+package fleet
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"time"
+
+	"damsonscale/internal/eventlog"
+	"damsonscale/internal/fleet/protocol"
+	"damsonscale/internal/takeover"
+)
+
+// leaveGrace is how long Leave waits for its audit records to be closed, and for its frames to be sent.
+const leaveGrace = 100 * time.Millisecond
+
+// newIncarnation draws a number that distinguishes this process from all others of its name, and ends the lease of the previous
+// incarnation. The new lease is not valid yet.
+func (f *Fleet) newIncarnation() error {
+	var b [8]byte
+	if _, err := rand.Read(b[:]); err != nil {
+		return err
+	}
+	if old := f.lease.Load(); old != nil {
+		old.end()
+	}
+	f.self.Store(&takeover.Member{Name: f.name, Incarnation: binary.BigEndian.Uint64(b[:])})
+	f.lease.Store(&Lease{start: f.start, fault: f.faults.takeover, excluded: &f.excluded, done: make(chan struct{})})
+	return nil
+}
+
+// onEvicted rejoins with a new incarnation after this one was evicted. On tendLease's goroutine.
+func (f *Fleet) onEvicted() {
+	old := *f.self.Load()
+	if err := f.newIncarnation(); err != nil {
+		eventlog.Error(eventRejoinFailed, err)
+		return
+	}
+	self := *f.self.Load()
+	eventlog.Warn(eventEvicted, nil, "member", old.Name, "incarnation", old.IncarnationHex(), "new_incarnation", self.IncarnationHex())
+	f.coordinator.mailbox <- func(int64) { f.coordinator.node.Rejoin(self) }
+	if f.replicator != nil {
+		f.replicator.post(func() { f.replicator.startIncarnation(self) })
+	}
+	f.requestLease()
+}
+
+// Leave ends the membership of a process that has ended its work, so that the others take over what is left at once. It may be
+// lost: the lease's end has the same effect later.
+func (f *Fleet) Leave() {
+	f.leaving.Store(true)
+	payload, err := f.codec.Marshal(*f.self.Load())
+	if err == nil {
+		err = f.newIncarnation() // what follows belongs to no member: the audit records of the old one end here
+	}
+	if err != nil {
+		return
+	}
+	if f.replicator != nil {
+		done := make(chan struct{})
+		self := *f.self.Load()
+		f.replicator.post(func() {
+			f.replicator.startIncarnation(self)
+			close(done)
+		})
+		select {
+		case <-done:
+		case <-time.After(leaveGrace):
+		}
+	}
+	for _, voter := range f.voters {
+		f.send(voter, protocol.KindLeave, payload)
+	}
+	time.Sleep(leaveGrace)
+}
--- /dev/null
+++ b/internal/fleet/membership/log.go
@@ -0,0 +1,335 @@
+package membership
+
+import (
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"damsonscale/internal/eventlog"
+	"damsonscale/internal/fleet/protocol"
+	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
+)
+
+const (
+	compactAfterEntries = 1000 // entries behind a snapshot before the next one is taken
+	mailboxSize         = 256
+	electionTicks       = 10
+	heartbeatTicks      = 2
+	ticksPerLease       = 20
+	minTickInterval     = 5 * time.Millisecond
+	maxMessageBytes     = 64 << 10 // of entries in a raft message
+	maxInflightMessages = 64       // raft messages to a voter that it has not acknowledged
+)
+
+// Config is what a log is opened with.
+type Config struct {
+	Directory     string // of the stored log
+	Name          string // of this member, one of Voters
+	Voters        []string
+	MemberNames   []string // all configured ones
+	LeaseDuration time.Duration
+	Guard         rollout.Guard
+	IgnoreFence   bool // an injected fault: leases are granted to members that the plan excludes
+
+	// Send sends a frame to a member, or drops it. It must not block.
+	Send func(name string, kind protocol.Kind, payload []byte)
+	// OnChange is told each new membership with the settings of its plan, by digest. Neither may be modified.
+	OnChange func(m *Membership, settings map[string][]byte)
+}
+
+// Log is the replicated log at one voter.
+type Log struct {
+	config       Config
+	codec        *protocol.Codec
+	tickInterval time.Duration
+	mailbox      chan func() // work for Run's goroutine, which owns all below
+
+	store          *store
+	raftNode       *raft.RawNode
+	confState      *raftpb.ConfState
+	membership     *Membership
+	settings       map[string][]byte // of the plan's versions, by digest; replaced, never modified
+	appliedIndex   uint64
+	recoveredIndex uint64 // entries up to this one were committed before this process started
+	isLeader       bool
+
+	// Of a leader, from the beginning of its term.
+	leases             leaseTable
+	joining            map[takeover.Member]time.Time // when a join was last proposed
+	waitingRequests    []LeaseRequest                // for the next confirmation of leadership
+	confirmingRequests []LeaseRequest                // for the one in flight
+	readID             uint64                        // of the confirmation in flight
+	readIndex          uint64                        // index that has to be applied before it counts; 0: not known yet
+	controller         rollout.Controller
+	reports            map[string]rollout.ReceivedReport // by member name
+	pendingCommands    map[uint64]func(error)            // replies to submitted commands, by command id
+}
+
+// OpenLog opens the stored log, which it creates if there is none. It returns ErrLogLocked while another process has it open.
+func OpenLog(config Config) (*Log, error) {
+	var ids []uint64
+	for i := range config.Voters {
+		ids = append(ids, uint64(i+1))
+	}
+	s, err := openStore(config.Directory, ids)
+	if err != nil {
+		return nil, err
+	}
+	l := &Log{
+		config: config, tickInterval: max(config.LeaseDuration/ticksPerLease, minTickInterval), mailbox: make(chan func(), mailboxSize),
+		store: s, membership: &Membership{}, settings: map[string][]byte{}, leases: leaseTable{duration: config.LeaseDuration},
+		joining: map[takeover.Member]time.Time{}, controller: rollout.Controller{Leader: config.Name, Guard: config.Guard},
+		reports: map[string]rollout.ReceivedReport{}, pendingCommands: map[uint64]func(error){},
+	}
+	l.leases.reset(time.Now())
+	if l.codec, err = protocol.NewCodec(); err != nil {
+		s.close()
+		return nil, err
+	}
+	if err := l.recover(); err != nil {
+		s.close()
+		return nil, fmt.Errorf("the fleet's log: %w", err)
+	}
+	return l, nil
+}
+
+// recover restores what is stored, and starts the raft node from it.
+func (l *Log) recover() error {
+	if hard, _, err := l.store.InitialState(); err == nil {
+		l.recoveredIndex = hard.GetCommit()
+	}
+	stored, err := l.store.Snapshot()
+	if err != nil {
+		return err
+	}
+	l.confState, l.appliedIndex = stored.GetMetadata().GetConfState(), stored.GetMetadata().GetIndex()
+	if err := l.restore(stored.GetData()); err != nil {
+		return err
+	}
+	l.raftNode, err = raft.NewRawNode(&raft.Config{
+		ID: uint64(slices.Index(l.config.Voters, l.config.Name) + 1), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
+		Storage: l.store, Applied: l.appliedIndex, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, CheckQuorum: true,
+		PreVote: true, DisableProposalForwarding: true, Logger: raftLogger{},
+	})
+	return err
+}
+
+// restore adopts the data of a snapshot.
+func (l *Log) restore(data []byte) error {
+	if len(data) == 0 {
+		return nil
+	}
+	var s snapshot
+	if err := l.codec.Unmarshal(data, &s); err != nil || s.Membership == nil {
+		return fmt.Errorf("snapshot: %w", errors.Join(err, ErrInvalid))
+	}
+	l.membership, l.settings = s.Membership, s.Settings
+	return nil
+}
+
+// post hands work to Run's goroutine, or drops it where the mailbox is full: whoever needs it sends it again.
+func (l *Log) post(work func()) {
+	select {
+	case l.mailbox <- work:
+	default:
+	}
+}
+
+// Run keeps the log until ctx ends, and closes its store. It returns an error where the log can't be kept any longer.
+func (l *Log) Run(ctx context.Context) (err error) {
+	l.store.stop = ctx.Done()
+	defer l.store.close()
+	defer func() {
+		if p := recover(); p != nil { // raft panics on a broken invariant; this member then stops voting
+			err = fmt.Errorf("the fleet's log: %v", p)
+		}
+	}()
+	ticker := time.NewTicker(l.tickInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case work := <-l.mailbox:
+			work()
+		case now := <-ticker.C:
+			l.raftNode.Tick()
+			l.tick(now)
+		}
+		if err := l.processReady(); err != nil {
+			return err
+		}
+	}
+}
+
+// tick does what is due by time, where this member leads.
+func (l *Log) tick(now time.Time) {
+	l.leases.noteTick(now, l.tickInterval)
+	if !l.isLeader {
+		return
+	}
+	for _, m := range l.leases.expired(now, l.membership) {
+		eventlog.Info(eventEvicting, "member", m.Name, "incarnation", m.IncarnationHex())
+		l.propose(&Change{Evict: true, Member: m})
+	}
+	if c := l.controller.Step(now, &l.membership.Plan, l.config.MemberNames, l.membership.Names(), l.reports); c != nil {
+		eventlog.Info(eventCommandProposed, "command", c.Kind, "number", c.Number, "reason", c.Reason)
+		l.propose(&Change{Command: c})
+	}
+	l.confirmLeadership()
+}
+
+// propose appends a change to the log, where this member leads.
+func (l *Log) propose(c *Change) error {
+	data, err := l.codec.Marshal(c)
+	if err == nil {
+		err = l.raftNode.Propose(data)
+	}
+	if err != nil && c.Command == nil {
+		delete(l.leases.evicting, c.Member)
+		delete(l.joining, c.Member)
+	}
+	return err
+}
+
+// processReady carries out what raft has ready, in its order: store first, then send, then apply what is committed.
+func (l *Log) processReady() error {
+	for l.raftNode.HasReady() {
+		ready := l.raftNode.Ready()
+		if err := l.store.save(&ready); err != nil {
+			return err
+		}
+		if ready.SoftState != nil {
+			l.setLeader(ready.SoftState.RaftState == raft.StateLeader)
+		}
+		for _, m := range ready.Messages {
+			l.sendRaft(m)
+		}
+		if !raft.IsEmptySnap(ready.Snapshot) {
+			if err := l.restore(ready.Snapshot.GetData()); err != nil {
+				return err
+			}
+			l.appliedIndex = ready.Snapshot.GetMetadata().GetIndex()
+			l.config.OnChange(l.membership, l.settings)
+		}
+		before := l.membership
+		for _, e := range ready.CommittedEntries {
+			l.applyEntry(e)
+		}
+		if l.membership != before {
+			l.config.OnChange(l.membership, l.settings)
+		}
+		l.noteReadStates(ready.ReadStates)
+		l.raftNode.Advance(ready)
+		l.answerLeaseRequests()
+	}
+	return l.compact()
+}
+
+// setLeader begins or ends this member's term as the leader.
+func (l *Log) setLeader(leads bool) {
+	if leads == l.isLeader {
+		return
+	}
+	l.isLeader, l.waitingRequests, l.confirmingRequests = leads, nil, nil
+	l.joining = map[takeover.Member]time.Time{}
+	l.reports = map[string]rollout.ReceivedReport{}
+	l.controller.Reset()
+	for id, reply := range l.pendingCommands {
+		delete(l.pendingCommands, id)
+		reply(ErrLeaderChanged)
+	}
+	l.leases.reset(time.Now())
+	if leads {
+		eventlog.Info(eventLeaderElected)
+	}
+}
+
+// applyEntry applies a committed entry. Entries that were committed before this process started are not logged again.
+func (l *Log) applyEntry(e *raftpb.Entry) {
+	l.appliedIndex = e.GetIndex()
+	if len(e.GetData()) == 0 || e.GetType() != raftpb.EntryNormal {
+		return
+	}
+	recovered := e.GetIndex() <= l.recoveredIndex
+	var c Change
+	if err := l.codec.Unmarshal(e.GetData(), &c); err != nil { // of a newer build: it changes nothing here
+		eventlog.Error(eventEntryUnreadable, err, "index", e.GetIndex())
+		return
+	}
+	if c.Command != nil {
+		l.applyCommand(c.Command, recovered)
+		return
+	}
+	delete(l.joining, c.Member)
+	next := l.membership.Apply(&c, l.config.MemberNames)
+	if next == l.membership {
+		return
+	}
+	l.membership = next
+	if !recovered {
+		eventlog.Info(eventMembershipChanged, "epoch", next.Epoch, "member", c.Member.Name, "incarnation", c.Member.IncarnationHex(), "evicted", c.Evict)
+	}
+}
+
+// sendRaft sends a raft message to the voter that it is for.
+func (l *Log) sendRaft(m *raftpb.Message) {
+	if m.GetTo() == 0 || m.GetTo() > uint64(len(l.config.Voters)) {
+		return
+	}
+	payload, err := proto.Marshal(m)
+	if err != nil {
+		return
+	}
+	l.config.Send(l.config.Voters[m.GetTo()-1], protocol.KindRaft, payload)
+	if m.GetType() == raftpb.MsgSnap { // raft sends it again where it is lost
+		l.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+	}
+}
+
+// HandleRaft takes a raft message of another voter.
+func (l *Log) HandleRaft(from string, payload []byte) {
+	l.post(func() { l.stepRaft(from, payload) })
+}
+
+func (l *Log) stepRaft(from string, payload []byte) {
+	m := new(raftpb.Message)
+	if err := proto.Unmarshal(payload, m); err != nil {
+		eventlog.Warn(eventRaftMessageRejected, err, "from", from)
+		return
+	}
+	if id := m.GetFrom(); id == 0 || id > uint64(len(l.config.Voters)) || l.config.Voters[id-1] != from || raft.IsLocalMsg(m.GetType()) {
+		return
+	}
+	l.raftNode.Step(m) // an error means that the message has no effect
+}
+
+// noteReadStates learns at which index the leadership in question is confirmed.
+func (l *Log) noteReadStates(states []raft.ReadState) {
+	for _, s := range states {
+		if len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) == l.readID && len(l.confirmingRequests) > 0 {
+			l.readIndex = s.Index
+		}
+	}
+}
+
+// compact replaces the applied entries by a snapshot once there are many, to bound the log.
+func (l *Log) compact() error {
+	first, err := l.store.FirstIndex()
+	if err != nil || l.appliedIndex < first+compactAfterEntries {
+		return err
+	}
+	data, err := l.codec.Marshal(snapshot{Membership: l.membership, Settings: l.settings})
+	if err != nil {
+		return err
+	}
+	return l.store.compact(l.appliedIndex, l.confState, data)
+}
--- /dev/null
+++ b/internal/fleet/membership/raft_logger.go
@@ -0,0 +1,50 @@
+package membership
+
+import (
+	"errors"
+	"fmt"
+
+	"damsonscale/internal/eventlog"
+)
+
+// raftLogger is raft's logger: errors go into the program's log, and what raft panics with is recovered in Log.Run. What it
+// says of normal operation is left out, since the log has events of its own for it.
+type raftLogger struct{}
+
+// Debug is dropped.
+func (raftLogger) Debug(...any) {}
+
+// Debugf is dropped.
+func (raftLogger) Debugf(string, ...any) {}
+
+// Info is dropped.
+func (raftLogger) Info(...any) {}
+
+// Infof is dropped.
+func (raftLogger) Infof(string, ...any) {}
+
+// Warning is dropped.
+func (raftLogger) Warning(...any) {}
+
+// Warningf is dropped.
+func (raftLogger) Warningf(string, ...any) {}
+
+// Error logs an error.
+func (raftLogger) Error(v ...any) { eventlog.Error(eventRaftError, errors.New(fmt.Sprint(v...))) }
+
+// Errorf logs an error.
+func (raftLogger) Errorf(format string, v ...any) {
+	eventlog.Error(eventRaftError, fmt.Errorf(format, v...))
+}
+
+// Fatal panics.
+func (raftLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
+
+// Fatalf panics.
+func (raftLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+
+// Panic panics.
+func (raftLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+
+// Panicf panics.
+func (raftLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- /dev/null
+++ b/internal/fleet/membership_updates.go
@@ -0,0 +1,84 @@
+package fleet
+
+import (
+	"context"
+	"time"
+
+	"damsonscale/internal/eventlog"
+	"damsonscale/internal/fleet/membership"
+	"damsonscale/internal/fleet/protocol"
+	"damsonscale/internal/rollout"
+)
+
+// reopenInterval is between attempts to open the log.
+const reopenInterval = time.Second
+
+// vote keeps the replicated log, as soon as no other process of this sidecar does. A member that can't keep it is a member all
+// the same, but does not vote; the reason is logged whenever it changes.
+func (f *Fleet) vote(ctx context.Context) {
+	logged := ""
+	for ctx.Err() == nil {
+		err := f.runLog(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		if err != nil && err.Error() != logged {
+			logged = err.Error()
+			eventlog.Warn(eventVotingUnavailable, err)
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(reopenInterval):
+		}
+	}
+}
+
+// runLog opens the log and keeps it until ctx ends or it fails.
+func (f *Fleet) runLog(ctx context.Context) error {
+	log, err := membership.OpenLog(membership.Config{
+		Directory: f.options.Fleet.StateDir, Name: f.name, Voters: f.voters, MemberNames: f.memberNames,
+		LeaseDuration: f.options.Fleet.LeaseDuration,
+		Guard:         rollout.Guard{MaxUnleasedPermille: f.options.Audit.MaxUnleasedPermille, OffByOne: f.faults.looseGuard},
+		IgnoreFence:   f.faults.ignoreFence,
+		Send:          f.send,
+		OnChange:      f.learnMembership,
+	})
+	if err != nil {
+		return err
+	}
+	f.log.Store(log)
+	err = log.Run(ctx)
+	f.log.Store(nil)
+	return err
+}
+
+// learnMembership adopts a membership if it is newer, with the settings of its plan as far as they came with it.
+func (f *Fleet) learnMembership(m *membership.Membership, settings map[string][]byte) {
+	f.post(func() { f.adoptMembership(m, settings) })
+}
+
+// adoptMembership hands a newer membership to all that depend on it, and to this member's children in the tree of members. On
+// tendLease's goroutine.
+func (f *Fleet) adoptMembership(m *membership.Membership, settings map[string][]byte) {
+	if m.Epoch <= f.membership.Load().Epoch {
+		return
+	}
+	f.membership.Store(m)
+	f.keepSettings(settings)
+	f.followPlan()
+	if f.replicator != nil {
+		f.replicator.post(func() { f.replicator.onMembership(m) })
+	}
+	view := m.View()
+	f.coordinator.mailbox <- func(now int64) { f.coordinator.node.ApplyView(now, view) }
+	if m.IsEvicted(*f.self.Load()) && !f.leaving.Load() {
+		f.onEvicted()
+	}
+	for _, name := range membership.TreeChildren(f.sortedNames, f.name, len(f.voters)) {
+		f.sendMembership(name)
+	}
+}
+
+func (f *Fleet) sendMembership(name string) {
+	f.sendMessage(name, protocol.KindMembership, f.membership.Load())
+}
--- /dev/null
+++ b/internal/fleet/protocol/codec.go
@@ -0,0 +1,35 @@
+package protocol
+
+import "github.com/fxamacker/cbor/v2"
+
+// Bounds of what is decoded.
+const (
+	maxArrayElements = 1 << 16
+	maxMapPairs      = 1 << 12
+	maxNestedLevels  = 12
+)
+
+// Codec encodes payloads as canonical CBOR and decodes them within bounds. It may be used from any goroutine.
+type Codec struct {
+	decode cbor.DecMode
+	encode cbor.EncMode
+}
+
+// NewCodec makes a codec.
+func NewCodec() (*Codec, error) {
+	decode, err := cbor.DecOptions{
+		MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNestedLevels,
+		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
+	}.DecMode()
+	if err != nil {
+		return nil, err
+	}
+	encode, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
+	return &Codec{decode, encode}, err
+}
+
+// Marshal encodes a value.
+func (c *Codec) Marshal(v any) ([]byte, error) { return c.encode.Marshal(v) }
+
+// Unmarshal decodes data into v. Data that exceeds the bounds, has unknown fields or bytes behind its end is an error.
+func (c *Codec) Unmarshal(data []byte, v any) error { return c.decode.Unmarshal(data, v) }
--- /dev/null
+++ b/internal/fleet/requests.go
@@ -0,0 +1,81 @@
+package fleet
+
+import (
+	"time"
+
+	"damsonscale/internal/options"
+	"damsonscale/internal/takeover"
+)
+
+// Execute replicates a request, executes it with execute if this member is its owner, and returns what its client is to be
+// told. clientGone is closed when the client leaves. It blocks until the outcome is there or the request's timeout is over.
+func (f *Fleet) Execute(r takeover.Request, clientGone <-chan struct{}, execute func(takeover.SendPermit) takeover.Result) takeover.Outcome {
+	waiter := make(chan takeover.Outcome, 1)
+	timeout := time.NewTimer(r.Timeout)
+	defer timeout.Stop()
+	select {
+	case f.coordinator.mailbox <- func(now int64) { f.coordinator.begin(now, r, waiter, execute) }:
+	case <-timeout.C:
+		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
+	}
+	for waiting := true; waiting; {
+		select {
+		case o := <-waiter:
+			return o
+		case <-clientGone:
+			waiting = false
+		case <-timeout.C: // a request that is executing has until its body has come, and its timeout after that
+			if waiting = r.MaxDuration > r.Timeout && f.coordinator.isExecuting(r.ID, waiter); waiting {
+				timeout.Reset(r.MaxDuration - r.Timeout)
+				r.MaxDuration = 0
+			}
+		case <-f.ctx.Done():
+			waiting = false
+		}
+	}
+	f.coordinator.post(func(int64) { f.coordinator.removeWaiter(r.ID, waiter) })
+	select { // the outcome may have come at the same time
+	case o := <-waiter:
+		return o
+	default:
+		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
+	}
+}
+
+// ReplicationPolicy is whether requests of a class are replicated before they are sent: as the options have it, else by their
+// idempotency.
+func (f *Fleet) ReplicationPolicy(class string, i takeover.Idempotency) options.ReplicationPolicy {
+	if policy, ok := f.options.Takeover.PolicyByClass[class]; ok {
+		return policy
+	}
+	switch i {
+	case takeover.NotIdempotent:
+		return options.StrictReplication
+	case takeover.IdempotentByKey:
+		return options.BestEffortReplication
+	}
+	return options.NoReplication
+}
+
+// RequiredLease is the lease without which no request at all is accepted or sent; nil: none is required.
+func (f *Fleet) RequiredLease() takeover.Lease {
+	if f.replicator == nil {
+		return nil
+	}
+	return f.lease.Load()
+}
+
+// MayReject reports whether a request that was read just now had not waited unread: the client of one that had may have
+// resumed it elsewhere, so that a rejection would be wrong.
+func (f *Fleet) MayReject() bool {
+	answer := make(chan bool, 1)
+	select {
+	case f.coordinator.mailbox <- func(now int64) { answer <- f.coordinator.readsAreFresh(now) }:
+		return <-answer
+	case <-f.ctx.Done():
+		return false
+	}
+}
+
+// MaxDuration is how long a request's record may be needed: the longest deadline of a class.
+func (f *Fleet) MaxDuration() time.Duration { return f.maxRequestAge }
--- /dev/null
+++ b/internal/fleet/settings.go
@@ -0,0 +1,203 @@
+package fleet
+
+import (
+	"encoding/binary"
+	"math/rand/v2"
+	"time"
+
+	"damsonscale/internal/eventlog"
+	"damsonscale/internal/fleet/protocol"
+	"damsonscale/internal/rollout"
+	"damsonscale/internal/takeover"
+)
+
+const (
+	// maxReasonBytes bounds the reason that a report has.
+	maxReasonBytes = 300
+	// countsDelay is how long answers after the adoption of a version are not counted for it: they belong to requests that had
+	// waited before, as in a member that was stopped for a while.
+	countsDelay = time.Second
+)
+
+// settingsState is what this member knows of the rollout plan's settings. tendLease's goroutine owns it.
+type settingsState struct {
+	active       uint64 // number of the version in force; 0: this member's own file
+	digest       uint64 // of that version
+	activeSince  time.Time
+	previous     uint64                 // number of the version in force before
+	baseline     *rollout.ServiceCounts // answers under the active version that are not counted; nil: not known yet
+	applying     bool                   // a version is being applied
+	rejected     uint64                 // number of the latest version that could not be applied
+	rejectReason string
+
+	known           map[string][]byte // settings of the plan's versions, by digest
+	requestedNumber uint64            // version whose settings are requested
+	requestedAt     time.Time         // of the latest request
+	requests        int               // for that version
+}
+
+// settingsReply answers a request for a version's settings.
+type settingsReply struct {
+	_        struct{} `cbor:",toarray"`
+	Settings []byte
+}
+
+// followPlan applies the version that the plan has for this member, and suspends the lease while the plan does not let this
+// member act. Version numbers only grow, since leases are granted for the reported one. On tendLease's goroutine.
+func (f *Fleet) followPlan() {
+	if f.replicator == nil {
+		return
+	}
+	plan := &f.membership.Load().Plan
+	f.setExcluded(!plan.MayLease(f.name, f.settings.active) && !f.faults.ignoreFence)
+	target := plan.TargetFor(f.name)
+	if target <= f.settings.active || target == f.settings.rejected || f.settings.applying {
+		return
+	}
+	v, ok := plan.Find(target)
+	if !ok {
+		return
+	}
+	text, ok := f.settings.known[string(v.Digest[:])]
+	if !ok {
+		f.requestSettings(v)
+		return
+	}
+	f.settings.applying = true
+	go func() {
+		err := f.applier.ApplySettings(v.Number, text)
+		f.post(func() { f.onApplied(v, err) })
+	}()
+}
+
+// onApplied notes the outcome of ApplySettings, and reports it to the leader with a lease request at once.
+func (f *Fleet) onApplied(v rollout.Version, err error) {
+	s := &f.settings
+	s.applying = false
+	if err != nil {
+		s.rejected, s.rejectReason = v.Number, err.Error()
+		eventlog.Warn(eventSettingsRejected, err, "number", v.Number)
+	} else {
+		s.previous, s.active, s.digest = s.active, v.Number, binary.BigEndian.Uint64(v.Digest[:])
+		s.activeSince, s.baseline = time.Now(), nil
+	}
+	f.followPlan()
+	f.requestLease()
+}
+
+// requestSettings asks another member for the settings of a version, at most twice per interval of lease requests.
+func (f *Fleet) requestSettings(v rollout.Version) {
+	s := &f.settings
+	if s.requestedNumber != v.Number {
+		s.requestedNumber, s.requests = v.Number, 0
+	}
+	if s.requests > 0 && time.Since(s.requestedAt) < f.options.Fleet.LeaseDuration/leaseRequestsPerLease/2 {
+		return
+	}
+	name, ok := settingsSource(f.voters, f.memberNames, f.name, s.requests, rand.IntN)
+	if !ok {
+		return
+	}
+	s.requestedAt = time.Now()
+	s.requests++
+	f.send(name, protocol.KindSettingsRequest, v.Digest[:])
+}
+
+// settingsSource chooses whom a member asks for settings after so many requests in vain: in turn one of the voters, who have
+// them with the log, and one of all members, who may be reachable where the voters are not. draw returns a random number
+// below its argument. It is false where there is no other member.
+func settingsSource(voters, memberNames []string, self string, requests int, draw func(int) int) (name string, ok bool) {
+	for _, candidates := range [][]string{voters, memberNames} {
+		if requests%2 == 1 {
+			candidates = memberNames
+		}
+		first := draw(len(candidates))
+		for i := range candidates {
+			if name := candidates[(first+i)%len(candidates)]; name != self {
+				return name, true
+			}
+		}
+	}
+	return "", false
+}
+
+// handleSettingsRequest answers a request for settings that are known here.
+func (f *Fleet) handleSettingsRequest(from takeover.Member, digest []byte) {
+	if text, ok := f.settings.known[string(digest)]; ok {
+		f.sendMessage(from.Name, protocol.KindSettings, settingsReply{Settings: text})
+	}
+}
+
+// handleSettings takes settings that the plan names, and ignores others.
+func (f *Fleet) handleSettings(text []byte) {
+	digest := rollout.DigestOf(text)
+	for _, v := range f.membership.Load().Plan.Versions {
+		if v.Digest == digest {
+			f.keepSettings(map[string][]byte{string(digest[:]): text})
+			f.followPlan()
+			return
+		}
+	}
+}
+
+// keepSettings adds settings to those that are known, and drops those that the plan does not name any more.
+func (f *Fleet) keepSettings(added map[string][]byte) {
+	known := map[string][]byte{}
+	for _, v := range f.membership.Load().Plan.Versions {
+		digest := string(v.Digest[:])
+		if text, ok := added[digest]; ok {
+			known[digest] = text
+		} else if text, ok := f.settings.known[digest]; ok {
+			known[digest] = text
+		}
+	}
+	f.settings.known = known
+}
+
+// setExcluded suspends this member's lease, or lets it be valid again.
+func (f *Fleet) setExcluded(excluded bool) {
+	if f.excluded.Swap(excluded) == excluded {
+		return
+	}
+	plan := &f.membership.Load().Plan
+	eventlog.Warn(eventExclusionChanged, nil, "member", f.name, "excluded", excluded, "active", f.settings.active, "fence", plan.Fence,
+		"rejected", f.settings.rejected, "reason", f.settings.rejectReason)
+	if excluded {
+		f.applier.CloseIdleConnections()
+	}
+}
+
+// rolloutReport is what this member reports to the leader with each lease request.
+func (f *Fleet) rolloutReport() (r rollout.Report) {
+	s := &f.settings
+	if f.replicator == nil {
+		return r
+	}
+	r = rollout.Report{Active: s.active, Rejected: s.rejected, RejectReason: s.rejectReason, Digest: s.digest, Build: f.build}
+	if len(r.RejectReason) > maxReasonBytes {
+		r.RejectReason = r.RejectReason[:maxReasonBytes]
+	}
+	r.Current.Answered, r.Current.Served = f.recorder.AnswerCounts(s.active)
+	s.updateBaseline(r.Current)
+	if s.baseline == nil {
+		r.Current = rollout.ServiceCounts{}
+	} else if s.active > 0 {
+		r.Current = rollout.ServiceCounts{Answered: r.Current.Answered - s.baseline.Answered, Served: r.Current.Served - s.baseline.Served}
+	}
+	r.Previous.Answered, r.Previous.Served = f.recorder.AnswerCounts(s.previous)
+	if s.previous == s.active {
+		r.Previous = rollout.ServiceCounts{}
+	}
+	return r
+}
+
+// updateBaseline sets from which counts on the answers under the active version are reported. Counts below the baseline are
+// those of a new incarnation, which starts from 0.
+func (s *settingsState) updateBaseline(current rollout.ServiceCounts) {
+	if s.baseline != nil && (current.Served < s.baseline.Served || current.Answered < s.baseline.Answered) {
+		s.baseline = nil
+	}
+	if s.baseline == nil && (s.active == 0 || time.Since(s.activeSince) >= countsDelay) {
+		s.baseline = &current
+	}
+}
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -2,13 +2,17 @@
 
 import (
 	"bufio"
+	"bytes"
 	"encoding/hex"
+	"encoding/json"
 	"os"
 	"reflect"
 	"strings"
 	"testing"
 
 	"damsonscale/internal/audit"
+	"damsonscale/internal/fleet/membership"
+	"damsonscale/internal/fleet/protocol"
 	"damsonscale/internal/frame"
 	"damsonscale/internal/rollout"
 	"damsonscale/internal/takeover"
@@ -50,7 +54,7 @@
 	}
 }
 
-func sampleOrder() *rollout.Command {
+func sampleCommand() *rollout.Command {
 	return &rollout.Command{
 		Kind: rollout.Exclude, ID: 41, Author: "who", Reason: "order why", Settings: []byte("text"), Number: 42, Name: "name", Share: 43, SettleMs: 44, GraceMs: 45,
 	}
@@ -64,14 +68,14 @@
 	}
 }
 
-func sampleRoster() *Membership {
-	return &Membership{
-		Epoch: 71, Members: []JoinedMember{{Member: member("m", 72), JoinedEpoch: 73, FirstIncarnation: true, Address: "x:1"}},
+func sampleMembership() *membership.Membership {
+	return &membership.Membership{
+		Epoch: 71, Members: []membership.JoinedMember{{Member: member("m", 72), JoinedEpoch: 73, FirstIncarnation: true, Address: "x:1"}},
 		Evicted: map[string][]uint64{"gone": {74, 75}}, Plan: samplePlan(),
 	}
 }
 
-func sampleStanding() *ClusterStatus {
+func sampleStatus() *ClusterStatus {
 	return &ClusterStatus{
 		Name: "name", Self: member("me", 81), IsLeader: true, Leader: "leader", Epoch: 82, Plan: samplePlan(), MemberNames: []string{"n1", "n2"},
 		Members: []takeover.Member{member("l", 83)}, Reports: map[string]MemberStatus{"rep": {Report: sampleReport(), AgeMs: 84}}, WaitingFor: "waits",
@@ -82,26 +86,24 @@
 // set in one of them, and no two fields of a type have the same value in all of them.
 func wireSamples() map[string]any {
 	return map[string]any{
-		"hello":              hello{FleetID: 1, From: member("from", 2)},
 		"leave":              member("leaver", 3),
-		"askLease":           LeaseRequest{Member: member("asker", 4), RequestedAt: 5, Address: "a:6", Report: sampleReport()},
-		"granted":            LeaseGrant{Member: member("asker", 4), RequestedAt: 5, Epoch: 6},
-		"granted-out":        LeaseGrant{Member: member("asker", 4), RequestedAt: 5, Epoch: 6, Evicted: true},
-		"granted-shut":       LeaseGrant{Member: member("asker", 4), RequestedAt: 5, Epoch: 6, Excluded: true},
-		"entry-join":         Change{Member: member("joins", 7), Address: "b:8"},
-		"entry-out":          Change{Evict: true, Member: member("out", 9)},
-		"entry-order":        Change{Command: sampleOrder()},
-		"roster":             sampleRoster(),
-		"kept":               snapshot{Membership: sampleRoster(), Settings: map[string][]byte{"digest": []byte("text")}},
+		"askLease":           membership.LeaseRequest{Member: member("asker", 4), RequestedAt: 5, Address: "a:6", Report: sampleReport()},
+		"granted":            membership.LeaseGrant{Member: member("asker", 4), RequestedAt: 5, Epoch: 6},
+		"granted-out":        membership.LeaseGrant{Member: member("asker", 4), RequestedAt: 5, Epoch: 6, Evicted: true},
+		"granted-shut":       membership.LeaseGrant{Member: member("asker", 4), RequestedAt: 5, Epoch: 6, Excluded: true},
+		"entry-join":         membership.Change{Member: member("joins", 7), Address: "b:8"},
+		"entry-out":          membership.Change{Evict: true, Member: member("out", 9)},
+		"entry-order":        membership.Change{Command: sampleCommand()},
+		"roster":             sampleMembership(),
 		"haveText":           settingsReply{Settings: []byte("version text")},
 		"takenOf":            []segmentAck{{Member: member("of", 10), Index: 11}},
 		"segments":           []audit.SealedSegment{{Encoded: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}},
-		"ask":                AdminRequest{FleetID: 91, Command: CommandOrder, Order: sampleOrder(), Member: "of member"},
+		"ask":                AdminRequest{FleetID: 91, Command: CommandOrder, Order: sampleCommand(), Member: "of member"},
 		"ask-status":         AdminRequest{FleetID: 91, Command: CommandStatus},
 		"ask-segments":       AdminRequest{FleetID: 91, Command: CommandSegments, Member: "m"},
 		"reply-not-leading":  AdminResponse{Err: "no", NotLeader: true, Leader: "l"},
 		"reply-unknown":      AdminResponse{Err: "no", OutcomeUnknown: true},
-		"reply-standing":     AdminResponse{Status: sampleStanding()},
+		"reply-standing":     AdminResponse{Status: sampleStatus()},
 		"reply-segments":     AdminResponse{Segments: []audit.SealedSegment{{Encoded: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}}, More: true},
 		"messages":           []takeover.Message{sampleMessage()},
 		"message-write":      takeover.Message{Kind: takeover.Write, ID: "w", Record: &takeover.Record{ID: "w", Idempotency: takeover.IdempotentByKey}},
@@ -111,8 +113,8 @@
 		"record":             sampleRecord(),
 		"ballot":             takeover.Ballot{Round: 92, Proposer: member("by", 93)},
 		"answer":             sampleAnswer(),
-		"seat":               JoinedMember{Member: member("s", 94), JoinedEpoch: 95, FirstIncarnation: true, Address: "c:96"},
-		"standing":           sampleStanding(),
+		"seat":               membership.JoinedMember{Member: member("s", 94), JoinedEpoch: 95, FirstIncarnation: true, Address: "c:96"},
+		"standing":           sampleStatus(),
 		"standing-no-leader": &ClusterStatus{Name: "name", Self: member("me", 81), Leader: "leader"},
 		"told":               MemberStatus{Report: sampleReport(), AgeMs: 97},
 	}
@@ -120,7 +122,7 @@
 
 // Every type has the bytes on the wire and in the log that commit 2029d41 gave it, and those bytes are read as the same value.
 func TestWireBytesStayAsTheyWere(t *testing.T) {
-	c, err := newCodec()
+	c, err := protocol.NewCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +141,7 @@
 		t.Errorf("%d samples, and bytes of %d", len(samples), len(golden))
 	}
 	for name, sample := range samples {
-		text, err := c.out.Marshal(sample)
+		text, err := c.Marshal(sample)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -151,7 +153,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		read := reflect.New(reflect.TypeOf(sample))
-		if err := c.in.Unmarshal(old, read.Interface()); err != nil {
+		if err := c.Unmarshal(old, read.Interface()); err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if !reflect.DeepEqual(read.Elem().Interface(), sample) {
 			t.Errorf("%s: reads\n%+v, not\n%+v", name, read.Elem().Interface(), sample)
@@ -164,8 +166,8 @@
 	for name, c := range map[string]struct{ got, want []int }{
 		"frames": {
 			[]int{
-				int(KindHello), int(KindRaft), int(KindTakeover), int(KindLeaseRequest), int(KindLeaseGrant), int(KindMembershipRequest), int(KindMembership), int(KindLeave),
-				int(KindAdmin), int(KindSettingsRequest), int(KindSettings), int(KindSegments), int(KindSegmentAck),
+				int(protocol.KindHello), int(protocol.KindRaft), int(protocol.KindTakeover), int(protocol.KindLeaseRequest), int(protocol.KindLeaseGrant), int(protocol.KindMembershipRequest), int(protocol.KindMembership), int(protocol.KindLeave),
+				int(protocol.KindAdmin), int(protocol.KindSettingsRequest), int(protocol.KindSettings), int(protocol.KindSegments), int(protocol.KindSegmentAck),
 			},
 			[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12},
 		},
@@ -186,7 +188,7 @@
 			},
 			[]int{0, 1, 2, 3, 4},
 		},
-		"protocol": {[]int{protocol, frame.Version}, []int{2, 2}},
+		"protocol": {[]int{protocol.Version, frame.Version}, []int{2, 2}},
 	} {
 		if !reflect.DeepEqual(c.got, c.want) {
 			t.Errorf("%s: %v, not %v", name, c.got, c.want)
@@ -195,7 +197,24 @@
 	if CommandStatus != "status" || CommandOrder != "order" || CommandSegments != "segments" {
 		t.Error("an operator's request has another word")
 	}
-	if got := FleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
+	if got := protocol.FleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
 		t.Errorf("the fleet of a, b and c is %#x", got)
 	}
 }
+
+// What `fleet status --json` prints keeps its keys, their order and its form: operators' scripts read it.
+func TestStatusKeepsItsKeysAsJSON(t *testing.T) {
+	want, err := os.ReadFile("testdata/status-2029d41.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got bytes.Buffer
+	out := json.NewEncoder(&got)
+	out.SetIndent("", " ")
+	if err := out.Encode(sampleStatus()); err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("prints\n%s, not\n%s", got.String(), want)
+	}
+}
--- a/internal/lab/fleetscale/worker.go
+++ b/internal/lab/fleetscale/worker.go
@@ -152,14 +152,15 @@
 	return len(p), nil
 }
 
-// logKinds are the lines of the program's log that tell an event.
+// logKinds are the events of the program's log that are handed on.
 var logKinds = map[string]EventKind{
-	"event=fleet_lease": Leased, "event=fleet_leads": Leads, "event=fleet_epoch": Evicted, "event=adopted": Adopted,
+	"event=fleet_lease_granted": Leased, "event=fleet_leader_elected": Leads, "event=fleet_membership_changed": Evicted, "event=adopted": Adopted,
 }
 
+// logTime is how the standard logger writes times; package eventlog writes them as RFC 3339.
 const logTime = "2006/01/02 15:04:05.000000"
 
-// eventOf reads a line of the program's log.
+// eventOf reads a line of the program's log: of package eventlog, or of the standard logger.
 func eventOf(line string) (e Event, ok bool) {
 	f := strings.Fields(line)
 	if len(f) < 3 {
@@ -169,24 +170,27 @@
 		return e, false
 	}
 	at, err := time.Parse(logTime, f[0]+" "+f[1])
+	if structured, found := strings.CutPrefix(f[0], "time="); found {
+		at, err = time.Parse(time.RFC3339Nano, structured)
+	}
 	if err != nil {
 		return e, false
 	}
 	e.At = at
-	out := false
+	evicted := false
 	for _, field := range f[3:] {
 		switch key, value, _ := strings.Cut(field, "="); key {
-		case "name", "member":
+		case "member":
 			e.Member = value
 		case "incarnation":
 			e.Which = value
-		case "out":
-			out = value == "true"
+		case "evicted":
+			evicted = value == "true"
 		case "number":
 			e.Number, _ = strconv.ParseInt(value, 10, 64)
 		}
 	}
-	return e, e.Kind != Evicted || out
+	return e, e.Kind != Evicted || evicted
 }
 
 // WorkerMain is Worker over the process's own streams.
--- a/internal/operator/tell.go
+++ b/internal/operator/tell.go
@@ -12,6 +12,7 @@
 
 	"damsonscale/internal/audit"
 	"damsonscale/internal/fleet"
+	"damsonscale/internal/fleet/segmentfile"
 )
 
 func (s *session) table(head ...any) table.Writer {
@@ -216,7 +217,7 @@
 	var all []audit.SealedSegment
 	cutOff := 0
 	for _, path := range files {
-		part, good, err := fleet.ReadFile(path)
+		part, good, err := segmentfile.ReadFile(path)
 		if err != nil {
 			size := int64(0)
 			if info, bad := os.Stat(path); bad == nil {
--- a/internal/takeover/membership.go
+++ b/internal/takeover/membership.go
@@ -1,5 +1,7 @@
 package takeover
 
+import "strconv"
+
 // Member is one process of the fleet: a configured name, and a random number drawn when the process starts or rejoins.
 type Member struct {
 	_           struct{} `cbor:",toarray"`
@@ -7,6 +9,9 @@
 	Incarnation uint64   `json:"Incarnation"`
 }
 
+// IncarnationHex is the incarnation as log lines have it.
+func (m Member) IncarnationHex() string { return strconv.FormatUint(m.Incarnation, 16) }
+
 // MemberInfo is what a view tells of a member.
 type MemberInfo struct {
 	JoinedEpoch      uint64
