--- a/internal/fleet/admin_server.go
+++ b/internal/fleet/admin_server.go
@@ -132,10 +132,7 @@
 func (f *Fleet) sendSegments(ctx context.Context, conn net.Conn, name string) AdminResponse {
 	stored := make(chan []audit.SealedSegment, 1)
 	select {
-	case f.replicator.mailbox <- func() {
-		f.replicator.addSegments(f.recorder.Cut(time.Now().UnixMilli()))
-		stored <- f.replicator.store.Segments(name)
-	}:
+	case f.replicator.mailbox <- segmentsQuery{name, stored}:
 	case <-ctx.Done():
 		return AdminResponse{Err: membership.ErrBusy.Error()}
 	}
--- a/internal/fleet/audit_replicator.go
+++ b/internal/fleet/audit_replicator.go
@@ -32,7 +32,7 @@
 type auditReplicator struct {
 	fleet            *Fleet
 	codec            *audit.Codec
-	mailbox          chan func() // work for run's goroutine
+	mailbox          chan replicatorMessage
 	store            *audit.SegmentStore
 	directory        *segmentfile.Directory // nil: segments are kept in memory alone
 	replication      *audit.Replication
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	r := &auditReplicator{
-		fleet: f, codec: codec, mailbox: make(chan func(), mailboxSize),
+		fleet: f, codec: codec, mailbox: make(chan replicatorMessage, mailboxSize),
 		store:       audit.NewSegmentStore(codec, f.transport.FleetID(), f.options.Audit.MaxMemoryBytes),
 		replication: audit.NewReplication(maxUnacknowledgedBytes),
 	}
@@ -79,8 +79,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case work := <-r.mailbox:
-			work()
+		case m := <-r.mailbox:
+			m.handle(r)
 		case <-ticker.C:
 			r.addSegments(r.fleet.recorder.Cut(time.Now().UnixMilli()))
 			r.sendDue()
@@ -88,10 +88,10 @@
 	}
 }
 
-// post hands work to run's goroutine, or drops it where the mailbox is full: what is not acknowledged is sent again.
-func (r *auditReplicator) post(work func()) {
+// post hands a message to run's goroutine, or drops it where the mailbox is full: what is not acknowledged is sent again.
+func (r *auditReplicator) post(m replicatorMessage) {
 	select {
-	case r.mailbox <- work:
+	case r.mailbox <- m:
 	default:
 	}
 }
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -26,7 +26,7 @@
 // are µs since the start of the process.
 type coordinator struct {
 	fleet    *Fleet
-	mailbox  chan func(now int64) // work for run's goroutine
+	mailbox  chan coordinatorMessage
 	node     *takeover.Node
 	inFlight map[string]*inFlightRequest // by request id
 
@@ -41,15 +41,15 @@
 
 func newCoordinator(f *Fleet) *coordinator {
 	return &coordinator{
-		fleet: f, mailbox: make(chan func(int64), coordinatorMailboxSize), node: takeover.New(f.takeoverConfig()),
+		fleet: f, mailbox: make(chan coordinatorMessage, coordinatorMailboxSize), node: takeover.New(f.takeoverConfig()),
 		inFlight: map[string]*inFlightRequest{},
 	}
 }
 
-// post hands work to run's goroutine, or drops it where the mailbox is full.
-func (c *coordinator) post(work func(now int64)) {
+// post hands a message to run's goroutine, or drops it where the mailbox is full.
+func (c *coordinator) post(m coordinatorMessage) {
 	select {
-	case c.mailbox <- work:
+	case c.mailbox <- m:
 	default:
 	}
 }
@@ -65,9 +65,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case work := <-c.mailbox:
+		case m := <-c.mailbox:
 			c.noteTurn()
-			work(c.fleet.micros())
+			m.handle(c, c.fleet.micros())
 			c.drainMailbox()
 		case <-ticker.C:
 			c.noteTurn()
@@ -81,12 +81,12 @@
 	}
 }
 
-// drainMailbox does the work that has come meanwhile, so that its messages go out in the same frames.
+// drainMailbox handles what has come meanwhile, so that what it sends goes out in the same frames.
 func (c *coordinator) drainMailbox() {
 	for {
 		select {
-		case work := <-c.mailbox:
-			work(c.fleet.micros())
+		case m := <-c.mailbox:
+			m.handle(c, c.fleet.micros())
 		default:
 			return
 		}
@@ -204,9 +204,6 @@
 // isExecuting reports whether a request is executing here for a waiter. It asks run's goroutine.
 func (c *coordinator) isExecuting(id string, waiter chan takeover.Outcome) bool {
 	answer := make(chan bool, 1)
-	c.mailbox <- func(int64) {
-		r := c.inFlight[id]
-		answer <- r != nil && r.executing && r.hasWaiter(waiter)
-	}
+	c.mailbox <- executingQuery{id, waiter, answer}
 	return <-answer
 }
--- a/internal/fleet/decisions.go
+++ b/internal/fleet/decisions.go
@@ -110,7 +110,7 @@
 		if permit.Lease != nil {
 			c.awaitLease(permit.Lease)
 		}
-		c.mailbox <- func(now int64) { c.onExecuted(now, r, permit.Lease, result) }
+		c.mailbox <- executionEnded{r, permit.Lease, result}
 	}()
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -74,10 +74,10 @@
 	recorder    *audit.SegmentWriter // nil, like replicator, without audit records
 	replicator  *auditReplicator
 
-	ctx           context.Context // of Run
-	mailbox       chan func()     // work for tendLease's goroutine
-	settings      settingsState   // of tendLease's goroutine
-	listenAddress string          // told to the other members where it is not the configured one
+	ctx           context.Context    // of Run
+	mailbox       chan memberMessage // of tendLease's goroutine
+	settings      settingsState      // of tendLease's goroutine
+	listenAddress string             // told to the other members where it is not the configured one
 
 	self       atomic.Pointer[takeover.Member]
 	lease      atomic.Pointer[Lease]
@@ -102,7 +102,7 @@
 	f := &Fleet{
 		name: name, options: opts, configuredAddresses: map[string]string{}, build: buildRevision(), start: time.Now(),
 		maxRequestAge: maxRequestAge, resendInterval: max(lease/resendsPerLease, minResendMicros), quorumTimeout: lease / quorumTimeoutsInLease,
-		faults: faultsOfBuild(), hooks: hooks, applier: applier, codec: codec, mailbox: make(chan func(), mailboxSize),
+		faults: faultsOfBuild(), hooks: hooks, applier: applier, codec: codec, mailbox: make(chan memberMessage, mailboxSize),
 	}
 	for _, m := range opts.Fleet.Members {
 		f.memberNames = append(f.memberNames, m.Name)
@@ -190,10 +190,10 @@
 	}
 }
 
-// post hands work to tendLease's goroutine. It blocks while the mailbox is full.
-func (f *Fleet) post(work func()) {
+// post hands a message to tendLease's goroutine. It blocks while the mailbox is full.
+func (f *Fleet) post(m memberMessage) {
 	select {
-	case f.mailbox <- work:
+	case f.mailbox <- m:
 	case <-f.ctx.Done():
 	}
 }
--- a/internal/fleet/frames.go
+++ b/internal/fleet/frames.go
@@ -19,10 +19,10 @@
 	case protocol.KindLeaseGrant:
 		var g membership.LeaseGrant
 		if err = f.codec.Unmarshal(payload, &g); err == nil {
-			f.post(func() { f.handleGrant(from.Name, &g) })
+			f.post(grantReceived{from.Name, g})
 		}
 	case protocol.KindMembershipRequest:
-		f.post(func() { f.sendMembership(from.Name) })
+		f.post(membershipRequested{from.Name})
 	case protocol.KindMembership:
 		m := new(membership.Membership)
 		if err = f.codec.Unmarshal(payload, m); err == nil {
@@ -31,11 +31,11 @@
 			}
 		}
 	case protocol.KindSettingsRequest:
-		f.post(func() { f.handleSettingsRequest(from, payload) })
+		f.post(settingsRequested{from, payload})
 	case protocol.KindSettings:
 		var reply settingsReply
 		if err = f.codec.Unmarshal(payload, &reply); err == nil {
-			f.post(func() { f.handleSettings(reply.Settings) })
+			f.post(settingsReceived{reply.Settings})
 		}
 	case protocol.KindSegments, protocol.KindSegmentAck:
 		err = f.handleAuditFrame(from, kind, payload)
@@ -88,7 +88,7 @@
 			return err
 		}
 		if f.replicator != nil {
-			f.replicator.post(func() { f.replicator.storeSegments(from, segments) })
+			f.replicator.post(segmentsReceived{from, segments})
 		}
 		return nil
 	}
@@ -97,7 +97,7 @@
 		return err
 	}
 	if f.replicator != nil {
-		f.replicator.post(func() { f.replicator.acknowledge(from, acks) })
+		f.replicator.post(acksReceived{from, acks})
 	}
 	return nil
 }
@@ -113,14 +113,8 @@
 		f.send(from.Name, protocol.KindMembershipRequest, nil)
 	}
 	done := make(chan struct{})
-	work := func(now int64) {
-		defer close(done)
-		for i := range messages {
-			f.coordinator.node.Handle(now, from, &messages[i])
-		}
-	}
 	select {
-	case f.coordinator.mailbox <- work:
+	case f.coordinator.mailbox <- messagesReceived{from, messages, done}:
 	case <-f.ctx.Done():
 		return
 	}
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -37,9 +37,9 @@
 	}
 	self := *f.self.Load()
 	eventlog.Warn(eventEvicted, nil, "member", old.Name, "incarnation", old.IncarnationHex(), "new_incarnation", self.IncarnationHex())
-	f.coordinator.mailbox <- func(int64) { f.coordinator.node.Rejoin(self) }
+	f.coordinator.mailbox <- rejoined{self}
 	if f.replicator != nil {
-		f.replicator.post(func() { f.replicator.startIncarnation(self) })
+		f.replicator.post(incarnationStarted{self: self})
 	}
 	f.requestLease()
 }
@@ -57,11 +57,7 @@
 	}
 	if f.replicator != nil {
 		done := make(chan struct{})
-		self := *f.self.Load()
-		f.replicator.post(func() {
-			f.replicator.startIncarnation(self)
-			close(done)
-		})
+		f.replicator.post(incarnationStarted{*f.self.Load(), done})
 		select {
 		case <-done:
 		case <-time.After(leaveGrace):
--- a/internal/fleet/lease_renewal.go
+++ b/internal/fleet/lease_renewal.go
@@ -12,7 +12,7 @@
 // hurryFactor is how much more often a member without a valid lease requests one.
 const hurryFactor = 4
 
-// tendLease requests leases and does the work that is posted, until ctx ends.
+// tendLease requests leases and handles what is posted, until ctx ends.
 func (f *Fleet) tendLease(ctx context.Context) {
 	interval := f.options.Fleet.LeaseDuration / leaseRequestsPerLease
 	next := time.NewTimer(0)
@@ -21,8 +21,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case work := <-f.mailbox:
-			work()
+		case m := <-f.mailbox:
+			m.handle(f)
 		case <-next.C:
 			f.requestLease()
 			f.followPlan()
--- a/internal/fleet/membership/log.go
+++ b/internal/fleet/membership/log.go
@@ -50,7 +50,7 @@
 	config       Config
 	codec        *protocol.Codec
 	tickInterval time.Duration
-	mailbox      chan func() // work for Run's goroutine, which owns all below
+	mailbox      chan logMessage // of Run's goroutine, which owns all below
 
 	store          *store
 	raftNode       *raft.RawNode
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	l := &Log{
-		config: config, tickInterval: max(config.LeaseDuration/ticksPerLease, minTickInterval), mailbox: make(chan func(), mailboxSize),
+		config: config, tickInterval: max(config.LeaseDuration/ticksPerLease, minTickInterval), mailbox: make(chan logMessage, mailboxSize),
 		store: s, membership: &Membership{}, settings: map[string][]byte{}, leases: leaseTable{duration: config.LeaseDuration},
 		joining: map[takeover.Member]time.Time{}, controller: rollout.Controller{Leader: config.Name, Guard: config.Guard},
 		reports: map[string]rollout.ReceivedReport{}, pendingCommands: map[uint64]func(error){},
@@ -135,10 +135,10 @@
 	return nil
 }
 
-// post hands work to Run's goroutine, or drops it where the mailbox is full: whoever needs it sends it again.
-func (l *Log) post(work func()) {
+// post hands a message to Run's goroutine, or drops it where the mailbox is full: whoever needs it sends it again.
+func (l *Log) post(m logMessage) {
 	select {
-	case l.mailbox <- work:
+	case l.mailbox <- m:
 	default:
 	}
 }
@@ -158,8 +158,8 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case work := <-l.mailbox:
-			work()
+		case m := <-l.mailbox:
+			m.handle(l)
 		case now := <-ticker.C:
 			l.raftNode.Tick()
 			l.tick(now)
@@ -297,7 +297,7 @@
 
 // HandleRaft takes a raft message of another voter.
 func (l *Log) HandleRaft(from string, payload []byte) {
-	l.post(func() { l.stepRaft(from, payload) })
+	l.post(raftMessage{from, payload})
 }
 
 func (l *Log) stepRaft(from string, payload []byte) {
--- a/internal/fleet/membership/log_commands.go
+++ b/internal/fleet/membership/log_commands.go
@@ -27,7 +27,7 @@
 func (l *Log) Submit(ctx context.Context, c *rollout.Command) error {
 	done := make(chan error, 1)
 	select {
-	case l.mailbox <- func() { l.submit(c, func(err error) { done <- err }) }:
+	case l.mailbox <- commandSubmitted{c, done}:
 	case <-ctx.Done():
 		return ErrBusy
 	}
@@ -117,7 +117,7 @@
 func (l *Log) Status(ctx context.Context) (Status, bool) {
 	answer := make(chan Status, 1)
 	select {
-	case l.mailbox <- func() { answer <- l.status() }:
+	case l.mailbox <- statusQuery{answer}:
 	case <-ctx.Done():
 		return Status{}, false
 	}
--- a/internal/fleet/membership/log_leases.go
+++ b/internal/fleet/membership/log_leases.go
@@ -15,7 +15,7 @@
 // HandleLeaseRequest takes a member's request for a lease. Only the leader replies. A member whose process has not joined yet
 // joins first, and gets its lease by a later request.
 func (l *Log) HandleLeaseRequest(r LeaseRequest) {
-	l.post(func() { l.handleLeaseRequest(r) })
+	l.post(leaseRequested{r})
 }
 
 func (l *Log) handleLeaseRequest(r LeaseRequest) {
@@ -86,7 +86,7 @@
 
 // HandleLeave evicts a member at its own word that it has ended its work.
 func (l *Log) HandleLeave(m takeover.Member) {
-	l.post(func() { l.handleLeave(m) })
+	l.post(memberLeft{m})
 }
 
 func (l *Log) handleLeave(m takeover.Member) {
--- a/internal/fleet/membership_updates.go
+++ b/internal/fleet/membership_updates.go
@@ -54,7 +54,7 @@
 
 // learnMembership adopts a membership if it is newer, with the settings of its plan as far as they came with it.
 func (f *Fleet) learnMembership(m *membership.Membership, settings map[string][]byte) {
-	f.post(func() { f.adoptMembership(m, settings) })
+	f.post(membershipLearned{m, settings})
 }
 
 // adoptMembership hands a newer membership to all that depend on it, and to this member's children in the tree of members. On
@@ -67,10 +67,9 @@
 	f.keepSettings(settings)
 	f.followPlan()
 	if f.replicator != nil {
-		f.replicator.post(func() { f.replicator.onMembership(m) })
+		f.replicator.post(membershipChanged{m})
 	}
-	view := m.View()
-	f.coordinator.mailbox <- func(now int64) { f.coordinator.node.ApplyView(now, view) }
+	f.coordinator.mailbox <- viewChanged{m.View()}
 	if m.IsEvicted(*f.self.Load()) && !f.leaving.Load() {
 		f.onEvicted()
 	}
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -14,7 +14,7 @@
 	timeout := time.NewTimer(r.Timeout)
 	defer timeout.Stop()
 	select {
-	case f.coordinator.mailbox <- func(now int64) { f.coordinator.begin(now, r, waiter, execute) }:
+	case f.coordinator.mailbox <- beginRequest{r, waiter, execute}:
 	case <-timeout.C:
 		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
 	}
@@ -33,7 +33,7 @@
 			waiting = false
 		}
 	}
-	f.coordinator.post(func(int64) { f.coordinator.removeWaiter(r.ID, waiter) })
+	f.coordinator.post(waiterLeft{r.ID, waiter})
 	select { // the outcome may have come at the same time
 	case o := <-waiter:
 		return o
@@ -70,7 +70,7 @@
 func (f *Fleet) MayReject() bool {
 	answer := make(chan bool, 1)
 	select {
-	case f.coordinator.mailbox <- func(now int64) { answer <- f.coordinator.readsAreFresh(now) }:
+	case f.coordinator.mailbox <- freshReadsQuery{answer}:
 		return <-answer
 	case <-f.ctx.Done():
 		return false
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -66,7 +66,7 @@
 	f.settings.applying = true
 	go func() {
 		err := f.applier.ApplySettings(v.Number, text)
-		f.post(func() { f.onApplied(v, err) })
+		f.post(settingsApplied{v, err})
 	}()
 }
 
