--- a/cmd/damsonscale-lab/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -68,7 +68,9 @@
 	Fleet bool   `help:"The processes take work over from each other." default:"true" negatable:""`
 }
 
-func (c *lostCmd) Run(p *player) error { return p.one(faultinjection.KillsAndPause(c.Seed, c.Fleet), p.dir) }
+func (c *lostCmd) Run(p *player) error {
+	return p.one(faultinjection.KillsAndPause(c.Seed, c.Fleet), p.dir)
+}
 
 type rolloutsCmd struct {
 	Seed uint64 `help:"Of the requests and the servers' times." default:"1"`
