--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -27,10 +27,10 @@
 	number := uint64(5)
 	stored(t, "testdata/messages.json", map[string]any{
 		"count":   goldenCount,
-		"stamped": stamped{Stamp: 9, Version: goldenVersion},
+		"stamped": numberedVersion{ID: 9, Version: goldenVersion},
 		"segment": Segment{
 			Format: 1, Fleet: 77, Member: takeover.Member{Name: "a", Incarnation: 31}, Index: 4, First: 100, Last: 109, StartMicros: 123456, CutUnixMillis: 1764756000000,
-			Final: true, PreviousHash: Hash{1, 2, 3}, Counts: []Count{goldenCount}, Versions: []stamped{{Stamp: 9, Version: goldenVersion}}, Body: []byte{7, 8, 9},
+			Final: true, PreviousHash: Hash{1, 2, 3}, Counts: []Count{goldenCount}, Versions: []numberedVersion{{ID: 9, Version: goldenVersion}}, Body: []byte{7, 8, 9},
 		},
 		"sealed":       SealedSegment{Encoded: []byte("text"), Hash: Hash{4, 5, 6}},
 		"sealed list":  []SealedSegment{{Encoded: []byte("text"), Hash: Hash{4, 5, 6}}},
