--- /dev/null
+++ b/internal/operator/rollout.go
@@ -0,0 +1,109 @@
+package operator
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"os"
+	"os/user"
+	"time"
+
+	"damsonscale/internal/fleet"
+	"damsonscale/internal/rollout"
+)
+
+// send sends a command to the leader and prints the status after it.
+func (s *session) send(c rollout.Command) error {
+	id, err := newCommandID()
+	if err != nil {
+		return err
+	}
+	c.ID, c.Author = id, s.flags.Who
+	if u, err := user.Current(); c.Author == "" && err == nil {
+		c.Author = u.Username
+	}
+	if err := c.Check(); err != nil {
+		return exitError{ExitUsage, err}
+	}
+	r, err := s.askLeader(fleet.AdminRequest{Command: fleet.CommandOrder, Order: &c})
+	if err != nil {
+		return err
+	}
+	return s.printStatus(r.Status)
+}
+
+// newCommandID returns a random id that is not 0. Its highest bit is clear: ids with that bit are the leader's own.
+func newCommandID() (uint64, error) {
+	var b [8]byte
+	if _, err := rand.Read(b[:]); err != nil {
+		return 0, err
+	}
+	return binary.BigEndian.Uint64(b[:])>>1 | 1, nil
+}
+
+// rolloutCommand rolls out settings.
+type rolloutCommand struct {
+	File   string        `arg:"" type:"existingfile" help:"Settings: a platform's file, or {\"settings\": {...}}; Me and Zone stay each member's own."`
+	Share  float64       `help:"Share of the members that adopt it first, up to 1." default:"0.1"`
+	Settle time.Duration `help:"How long all of these must have acted on it before the others follow." default:"30s"`
+	Grace  time.Duration `help:"From then on, after which members that have not adopted it lose their lease." default:"30s"`
+	Why    string        `help:"The reason, for the log."`
+}
+
+// Run runs the command.
+func (c *rolloutCommand) Run(s *session) error {
+	settings, err := os.ReadFile(c.File)
+	if err != nil {
+		return exitError{ExitUsage, err}
+	}
+	if !(c.Share > 0 && c.Share <= 1) { // also false for NaN
+		return usageError("--share: %v is not within 0 to 1", c.Share)
+	}
+	return s.send(rollout.Command{
+		Kind: rollout.RollOut, Settings: settings, Share: max(1, int(c.Share*rollout.FullShare)), SettleMs: c.Settle.Milliseconds(),
+		GraceMs: c.Grace.Milliseconds(), Reason: c.Why,
+	})
+}
+
+// holdCommand pauses the rollout.
+type holdCommand struct {
+	Why string `help:"The reason, for the log."`
+}
+
+// Run runs the command.
+func (c *holdCommand) Run(s *session) error {
+	return s.send(rollout.Command{Kind: rollout.Pause, Reason: c.Why})
+}
+
+// backCommand rolls back to an earlier version.
+type backCommand struct {
+	Number uint64        `arg:"" help:"Number of the version to roll back to."`
+	Grace  time.Duration `help:"After which members that have not adopted it lose their lease." default:"30s"`
+	Why    string        `help:"The reason, for the log."`
+}
+
+// Run runs the command.
+func (c *backCommand) Run(s *session) error {
+	return s.send(rollout.Command{Kind: rollout.Rollback, Number: c.Number, GraceMs: c.Grace.Milliseconds(), Reason: c.Why})
+}
+
+// outCommand excludes a member.
+type outCommand struct {
+	Name string `arg:""`
+	Why  string `help:"The reason, for the log."`
+}
+
+// Run runs the command.
+func (c *outCommand) Run(s *session) error {
+	return s.send(rollout.Command{Kind: rollout.Exclude, Name: c.Name, Reason: c.Why})
+}
+
+// readmitCommand readmits an excluded member.
+type readmitCommand struct {
+	Name string `arg:""`
+	Why  string `help:"The reason, for the log."`
+}
+
+// Run runs the command.
+func (c *readmitCommand) Run(s *session) error {
+	return s.send(rollout.Command{Kind: rollout.Readmit, Name: c.Name, Reason: c.Why})
+}
--- /dev/null
+++ b/internal/operator/verify.go
@@ -0,0 +1,63 @@
+package operator
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"damsonscale/internal/audit"
+	"damsonscale/internal/fleet"
+)
+
+// impossibleID is the id of no request: a query for it selects no events, and checks all segments.
+const impossibleID = "\x00"
+
+// verifyCommand checks the audit segments in a directory.
+type verifyCommand struct {
+	Dir string `arg:"" type:"existingdir"`
+}
+
+// Run runs the command.
+func (c *verifyCommand) Run(s *session) error {
+	if err := s.load(); err != nil {
+		return err
+	}
+	files, err := filepath.Glob(filepath.Join(c.Dir, "*.segments"))
+	if err != nil {
+		return exitError{ExitUsage, err}
+	}
+	if len(files) == 0 {
+		return usageError("%s: no segments", c.Dir)
+	}
+	codec, err := audit.NewCodec()
+	if err != nil {
+		return err
+	}
+	var segments []audit.SealedSegment
+	truncated := 0
+	for _, path := range files {
+		read, goodBytes, err := fleet.ReadSegments(path)
+		if err != nil {
+			fmt.Fprintf(s.out, "fault: %s: %d of %d bytes are good: %v\n", path, goodBytes, sizeOf(path), err)
+			truncated++
+		}
+		segments = append(segments, read...)
+	}
+	trails := codec.AssembleTrails(fleet.ID(s.names()), segments, &audit.Query{ID: impossibleID})
+	if err := s.printTrails(trails, nil); err != nil {
+		return err
+	}
+	if truncated > 0 {
+		return exitError{ExitAuditFault, fmt.Errorf("%d files are incomplete", truncated)}
+	}
+	return nil
+}
+
+// sizeOf returns a file's size in bytes; 0: it can't be read.
+func sizeOf(path string) int64 {
+	info, err := os.Stat(path)
+	if err != nil {
+		return 0
+	}
+	return info.Size()
+}
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -12,7 +12,7 @@
 	ErrAlreadyApplied = errors.New("this command was applied before")
 	ErrUnknownVersion = errors.New("no such version is kept")
 	ErrStaleTarget    = errors.New("the target has changed or is paused")
-	ErrNoChange       = errors.New("nothing to change")
+	ErrNoChange       = errors.New("nothing to do")
 )
 
 // Apply returns the plan after a command, or the same plan and an error if the command changes nothing. names are all members, living those
