--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -13,7 +13,7 @@
 
 const lease = 600_000 // µs
 
-func seatsOf(region string, from, n, zones int) (out []MemberSlot) {
+func slotsOf(region string, from, n, zones int) (out []MemberSlot) {
 	for i := from; i < from+n; i++ {
 		name := fmt.Sprintf("%s-n%05d", region, i)
 		out = append(out, MemberSlot{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:7101", i>>16, i>>8&255, i&255), Zone: fmt.Sprintf("%s-z%d", region, i%zones)})
@@ -21,7 +21,7 @@
 	return out
 }
 
-// journal gives commands their versions, as the directory's log does.
+// journal numbers commands as the directory's log does.
 type journal struct {
 	t     testing.TB
 	d     *Directory
@@ -43,15 +43,15 @@
 	}
 }
 
-func names(seats []MemberSlot) (out []string) {
-	for _, s := range seats {
+func names(slots []MemberSlot) (out []string) {
+	for _, s := range slots {
 		out = append(out, s.Name)
 	}
 	return out
 }
 
-// told is the directory's word to a cell, unless nothing is new to it.
-func (j *journal) told(l *Log) *Entry {
+// update returns the directory's update for a cell; nil: nothing has changed for it.
+func (j *journal) update(l *Log) *Entry {
 	return &Entry{Kind: UpdateDirectory, Update: &DirectoryUpdate{Version: j.d.Version(), Global: j.d.Global(), Record: j.d.Record(l.ID)}}
 }
 
@@ -68,16 +68,16 @@
 	}
 }
 
-// A member's move: the new cell expects it, the old one lets it go once its lease is over, the new one takes another incarnation
+// A member's move: the new cell expects it, the old one lets it depart once its lease has expired, the new one accepts another incarnation
 // with the old one's certificate, once.
 func TestMove(t *testing.T) {
 	j := newJournal(t)
-	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 3, 3)})
-	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 3, 3, 3)})
+	j.do(Command{Kind: Open, Region: "r", Slots: slotsOf("r", 0, 3, 3)})
+	j.do(Command{Kind: Open, Region: "r", Slots: slotsOf("r", 3, 3, 3)})
 	a, b := NewLog(1, NoFault), NewLog(2, NoFault)
 	one, two := member("r-n00000", 1), member("r-n00000", 2)
-	apply(t, a, j.told(a), &Entry{Kind: Join, Member: one})
-	apply(t, b, j.told(b))
+	apply(t, a, j.update(a), &Entry{Kind: Join, Member: one})
+	apply(t, b, j.update(b))
 	g := NewLeaseTable(lease, NoFault)
 	if !g.Grant(0, a, one, 0) || b.Apply(&Entry{Kind: Join, Member: two}) {
 		t.Fatal("no lease, or a name that joins a cell which is not its own")
@@ -90,21 +90,21 @@
 	}
 	j.do(Command{Kind: Move, Names: []string{one.Name}, Cell: 2})
 	if err := j.try(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version}); !errors.Is(err, ErrNoChange) {
-		t.Errorf("ready by a word from before the move: %v", err)
+		t.Errorf("ready by an update from before the move: %v", err)
 	}
 	if s := j.d.Record(1).Slot(one.Name); s.To != 0 {
 		t.Fatal("it is to leave before the new cell expects it")
 	}
-	apply(t, b, j.told(b))
+	apply(t, b, j.update(b))
 	j.do(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
-	apply(t, a, j.told(a))
+	apply(t, a, j.update(a))
 	if g.Grant(1, a, one, 0) || len(g.DueEntries(lease, a)) > 0 {
 		t.Error("a lease to one that is to leave, or it leaves while its lease may run")
 	}
 	if at, ok := b.LookupStart(one.Name); !ok || at != 1 {
-		t.Errorf("before it has arrived its requests are asked for at %d", at)
+		t.Errorf("before it has arrived its requests are looked up at %d", at)
 	}
-	due := g.DueEntries(skewed(lease), a)
+	due := g.DueEntries(maxLeaseSpan(lease), a)
 	if len(due) != 1 || due[0].Kind != Depart {
 		t.Fatalf("%+v", due)
 	}
@@ -145,14 +145,14 @@
 	}
 	for _, l := range []*Log{a, b} {
 		if at, ok := l.LookupStart(one.Name); !ok || at != 1 {
-			t.Errorf("an inquiry at %d begins at %d", l.ID, at)
+			t.Errorf("a lookup at %d begins at %d", l.ID, at)
 		}
 		q := NewLookup(one.Name, l.ID)
 		for n := 0; q.Next(l) == Forward && n < 3; n++ {
 			l = a
 		}
-		if s, give := q.NotFound(a); s != Forward || !give || q.At != 2 {
-			t.Errorf("what the first cell does not know is not given to the second: %v %v %+v", s, give, q)
+		if s, assign := q.NotFound(a); s != Forward || !assign || q.At != 2 {
+			t.Errorf("a request unknown to the first cell is not assigned to the second: %v %v %+v", s, assign, q)
 		}
 		if s, _ := q.NotFound(b); q.Next(b) != SearchHere || s != SearchHere {
 			t.Error("nor begun there")
@@ -165,26 +165,26 @@
 	if err := j.try(Command{Kind: Move, Names: []string{one.Name}, Cell: 1}); !errors.Is(err, ErrRecentMember) {
 		t.Errorf("back at once: %v", err)
 	}
-	apply(t, a, j.told(a), &Entry{Kind: ForgetDeparture, Member: one})
-	apply(t, b, j.told(b), &Entry{Kind: ForgetDeparture, Member: one}, &Entry{Kind: Evict, Member: two}, &Entry{Kind: Join, Member: member(one.Name, 3)})
+	apply(t, a, j.update(a), &Entry{Kind: ForgetDeparture, Member: one})
+	apply(t, b, j.update(b), &Entry{Kind: ForgetDeparture, Member: one}, &Entry{Kind: Evict, Member: two}, &Entry{Kind: Join, Member: member(one.Name, 3)})
 	j.do(Command{Kind: Forget, Names: []string{one.Name}})
 	if _, ok := a.LookupStart(one.Name); ok || len(a.Departures)+len(b.FormerCells) > 0 {
 		t.Error("what is over is not forgotten")
 	}
 	j.do(Command{Kind: Move, Names: []string{one.Name}, Cell: 1})
-	apply(t, a, j.told(a))
+	apply(t, a, j.update(a))
 	if a.Apply(&Entry{Kind: Join, Member: member(one.Name, 4), Certificate: cert}) {
 		t.Error("the certificate of the first move does for the second")
 	}
 }
 
-// A split ends a log once no lease of it can run; all its members join the successors; a merge makes one of two.
+// A split ends a log once no lease of it can be valid; all its members join the successors; a merge makes one cell of two.
 func TestSplitAndMerge(t *testing.T) {
 	j := newJournal(t)
-	all := seatsOf("r", 0, 6, 3)
+	all := slotsOf("r", 0, 6, 3)
 	j.do(Command{Kind: Open, Region: "r", Slots: all})
 	a := NewLog(1, NoFault)
-	apply(t, a, j.told(a))
+	apply(t, a, j.update(a))
 	g := NewLeaseTable(lease, NoFault)
 	for _, s := range all[:5] {
 		apply(t, a, &Entry{Kind: Join, Member: member(s.Name, 1)})
@@ -199,37 +199,37 @@
 		t.Errorf("merge of what is split: %v", err)
 	}
 	b, c := NewLog(2, NoFault), NewLog(3, NoFault)
-	apply(t, b, j.told(b))
-	apply(t, c, j.told(c))
+	apply(t, b, j.update(b))
+	apply(t, c, j.update(c))
 	j.do(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
 	if len(j.d.Record(1).Successors) > 0 {
 		t.Fatal("to be sealed before both successors expect its members")
 	}
-	apply(t, a, j.told(a))
+	apply(t, a, j.update(a))
 	if !g.Grant(10, a, member(all[0].Name, 1), 0) {
 		t.Error("no lease, while one of the successors does not expect its members")
 	}
 	if due := g.DueEntries(10+2*lease, a); len(due) != 5 || slices.ContainsFunc(due, func(e Entry) bool { return e.Kind != Evict }) {
-		t.Fatalf("all silent: out as ever, and none leaves one by one: %+v", due)
+		t.Fatalf("without lease requests: evicted as ever, and no departure one by one: %+v", due)
 	}
 	g = NewLeaseTable(lease, NoFault)
-	for _, m := range a.living("") {
-		g.last[m] = 10
+	for _, m := range a.membersOf("") {
+		g.lastGrant[m] = 10
 	}
 	j.do(Command{Kind: Ready, Cell: 3, At: c.LastUpdate.Version})
-	apply(t, a, j.told(a))
+	apply(t, a, j.update(a))
 	if len(j.d.Record(1).Successors) != 2 || g.Grant(11, a, member(all[0].Name, 1), 0) || len(g.DueEntries(10+lease, a)) > 0 {
 		t.Fatal("not to be sealed, or leases go on, or sealed while one may run")
 	}
-	due := g.DueEntries(10+skewed(lease), a)
+	due := g.DueEntries(10+maxLeaseSpan(lease), a)
 	if len(due) != 1 || due[0].Kind != Seal {
 		t.Fatalf("%+v", due)
 	}
 	apply(t, a, &due[0])
-	if a.Apply(j.told(a)) || a.Apply(&due[0]) || len(a.Members) > 0 || g.Grant(2*lease, a, member(all[0].Name, 1), 0) {
+	if a.Apply(j.update(a)) || a.Apply(&due[0]) || len(a.Members) > 0 || g.Grant(2*lease, a, member(all[0].Name, 1), 0) {
 		t.Error("a sealed log goes on")
 	}
-	for i, s := range all { // the last one was never a member: it comes as any other
+	for i, s := range all { // the last one never joined: it arrives as any other
 		l := b
 		if i >= 3 {
 			l = c
@@ -238,19 +238,19 @@
 		j.do(Command{Kind: Arrived, Cell: l.ID, Names: []string{s.Name}, Number: l.ArrivedMoves[s.Name]})
 	}
 	if err := j.try(Command{Kind: Forget, Cell: 1}); !errors.Is(err, ErrNoChange) {
-		t.Errorf("forgotten before it is told that it is sealed: %v", err)
+		t.Errorf("forgotten before it is sealed: %v", err)
 	}
 	j.do(Command{Kind: Sealed, Cell: 1, Epoch: a.Epoch})
 	j.do(Command{Kind: Forget, Cell: 1})
-	apply(t, b, j.told(b))
-	apply(t, c, j.told(c))
+	apply(t, b, j.update(b))
+	apply(t, c, j.update(c))
 
 	j.do(Command{Kind: Merge, Cells: []ID{2, 3}})
 	m := NewLog(4, NoFault)
-	apply(t, m, j.told(m))
+	apply(t, m, j.update(m))
 	j.do(Command{Kind: Ready, Cell: 4, At: m.LastUpdate.Version})
 	for _, l := range []*Log{b, c} {
-		apply(t, l, j.told(l), &Entry{Kind: Seal})
+		apply(t, l, j.update(l), &Entry{Kind: Seal})
 	}
 	for i, s := range all {
 		l := b
@@ -260,22 +260,22 @@
 		cert := l.Certificate(s.Name)
 		apply(t, m, &Entry{Kind: Join, Member: member(s.Name, 3), Certificate: cert})
 		if at, _ := m.LookupStart(s.Name); len(cert.Earlier) != 1 || at != 1 {
-			t.Errorf("%s: an inquiry begins at %d, %+v", s.Name, at, cert)
+			t.Errorf("%s: a lookup begins at %d, %+v", s.Name, at, cert)
 		}
 	}
 }
 
-// Removed for good: its name gets no place elsewhere before its cell has let it go.
+// A member that is removed for good is not assigned elsewhere before its cell has let it go.
 func TestRemove(t *testing.T) {
 	j := newJournal(t)
-	all := seatsOf("r", 0, 4, 3)
+	all := slotsOf("r", 0, 4, 3)
 	j.do(Command{Kind: Open, Region: "r", Slots: all})
 	j.do(Command{Kind: Remove, Names: []string{all[0].Name}})
 	if err := j.try(Command{Kind: Open, Region: "r", Slots: all[:1]}); !errors.Is(err, ErrAlreadyAssigned) {
 		t.Errorf("a second place: %v", err)
 	}
 	a, m := NewLog(1, NoFault), member(all[0].Name, 1)
-	apply(t, a, j.told(a))
+	apply(t, a, j.update(a))
 	apply(t, a, &Entry{Kind: Join, Member: m})
 	g := NewLeaseTable(lease, NoFault)
 	if g.Grant(0, a, m, 0) {
@@ -288,17 +288,17 @@
 	}
 	apply(t, a, &due[0])
 	if err := j.try(Command{Kind: Removed, Names: []string{m.Name}, Number: a.Departures[m.Name].MoveIndex - 1}); !errors.Is(err, ErrNoChange) {
-		t.Errorf("gone by an earlier word: %v", err)
+		t.Errorf("removed by an earlier move: %v", err)
 	}
 	j.do(Command{Kind: Removed, Names: []string{m.Name}, Number: a.Departures[m.Name].MoveIndex})
 	for _, c := range []Command{{Kind: Open, Region: "r", Slots: all[:1]}, {Kind: Assign, Cell: 1, Slots: all[:1]}} {
 		if err := j.try(c); !errors.Is(err, ErrAlreadyAssigned) {
-			t.Errorf("a place while its requests may be asked for: %v", err)
+			t.Errorf("assigned while its requests may be looked up: %v", err)
 		}
 	}
-	apply(t, a, j.told(a))
+	apply(t, a, j.update(a))
 	if q := NewLookup(m.Name, 1); q.Next(a) != SearchHere {
-		t.Error("its requests can't be asked for")
+		t.Error("its requests can't be looked up")
 	} else if s, _ := q.NotFound(a); s != SearchHere {
 		t.Errorf("%v: what it never began is begun by nobody", s)
 	}
@@ -306,15 +306,15 @@
 	j.do(Command{Kind: Open, Region: "r", Slots: all[:1]})
 }
 
-// Fence and target only grow, and a cell hears nothing older than what it has heard: the newer side of a cut wins.
+// Fence and target only grow, and a cell applies no older update: the newer side of a partition wins.
 func TestNewerVersionWins(t *testing.T) {
 	j := newJournal(t)
-	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 3, 3)})
+	j.do(Command{Kind: Open, Region: "r", Slots: slotsOf("r", 0, 3, 3)})
 	j.do(Command{Kind: SetTarget, Number: 3})
 	a, m := NewLog(1, NoFault), member("r-n00000", 1)
-	before := j.told(a)
+	before := j.update(a)
 	j.do(Command{Kind: SetFence, Number: 3})
-	if err := j.try(Command{Kind: Open, Region: "r", Slots: append(seatsOf("r", 5, 1, 3), seatsOf("r", 5, 1, 3)...)}); !errors.Is(err, ErrAlreadyAssigned) {
+	if err := j.try(Command{Kind: Open, Region: "r", Slots: append(slotsOf("r", 5, 1, 3), slotsOf("r", 5, 1, 3)...)}); !errors.Is(err, ErrAlreadyAssigned) {
 		t.Errorf("a name twice in one cell: %v", err)
 	}
 	for _, c := range []Command{{Kind: SetTarget, Number: 2}, {Kind: SetFence, Number: 2}, {Kind: SetFence, Number: 4}, {Kind: SetFence, Number: 3}} {
@@ -322,9 +322,9 @@
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
-	apply(t, a, j.told(a), &Entry{Kind: Join, Member: m})
+	apply(t, a, j.update(a), &Entry{Kind: Join, Member: m})
 	if a.Apply(before) {
-		t.Error("the older word is taken")
+		t.Error("an older update is applied")
 	}
 	g := NewLeaseTable(lease, NoFault)
 	if g.Grant(0, a, m, 2) || !g.Grant(0, a, m, 3) {
@@ -337,11 +337,11 @@
 	if err := j.d.Apply(Version{Term: 1, Index: j.index + 2}, &Command{Kind: SetTarget, Number: 10}); !errors.Is(err, ErrStale) || j.d.Global().Settings != 9 {
 		t.Errorf("a command of an earlier term: %v", err)
 	}
-	// A relay that heard the newer directory hears nothing of one that is behind.
+	// A relay that has the newer directory applies nothing of one that is behind.
 	r := NewRelay("r", NoFault)
 	r.ApplyDelta(j.d.Delta("r", Version{}, Version{}, true, 1<<20))
 	if d := old.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20); len(d.Records) > 0 || r.ApplyDelta(d) {
-		t.Errorf("one that is behind answers with %d parts, or is asked again at once", len(d.Records))
+		t.Errorf("one that is behind answers with %d records, or is asked again at once", len(d.Records))
 	}
 	r.ApplyDelta(old.Delta("r", Version{}, Version{}, true, 1<<20))
 	if r.version != j.d.Version() || r.global.Settings != 9 {
@@ -349,10 +349,10 @@
 	}
 }
 
-// The last of a cell can't leave it: nobody would be left for what is in hand there.
-func TestLastStays(t *testing.T) {
+// The last member of a cell can't leave it: nobody would be left for the requests in flight there.
+func TestLastMemberStays(t *testing.T) {
 	j := newJournal(t)
-	all := seatsOf("r", 0, 4, 3)
+	all := slotsOf("r", 0, 4, 3)
 	j.do(Command{Kind: Open, Region: "r", Slots: all[:2]})
 	j.do(Command{Kind: Open, Region: "r", Slots: all[2:]})
 	j.do(Command{Kind: Move, Names: []string{all[0].Name}, Cell: 2})
@@ -361,12 +361,12 @@
 	}
 }
 
-// One that has said that it acts no more gets no lease, and need not be waited for.
-func TestYield(t *testing.T) {
+// A member that has relinquished its leases gets no other, and need not be waited for.
+func TestRelinquish(t *testing.T) {
 	j := newJournal(t)
-	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 3, 3)})
+	j.do(Command{Kind: Open, Region: "r", Slots: slotsOf("r", 0, 3, 3)})
 	a, m := NewLog(1, NoFault), member("r-n00000", 1)
-	apply(t, a, j.told(a), &Entry{Kind: Join, Member: m})
+	apply(t, a, j.update(a), &Entry{Kind: Join, Member: m})
 	g := NewLeaseTable(lease, NoFault)
 	g.Grant(5, a, m, 0)
 	g.Relinquished(m)
@@ -375,20 +375,20 @@
 	}
 }
 
-// Where the first cell has forgotten that a name left it, an inquiry passes it by: what it had is older than any request lives.
-func TestInquiryPassesWhatIsForgotten(t *testing.T) {
+// Where the first cell has forgotten that a member left it, a lookup passes it by: its records are older than the longest deadline.
+func TestLookupPassesForgottenCells(t *testing.T) {
 	j := newJournal(t)
-	all := seatsOf("r", 0, 5, 3)
+	all := slotsOf("r", 0, 5, 3)
 	j.do(Command{Kind: Open, Region: "r", Slots: all[:3]})
 	j.do(Command{Kind: Open, Region: "r", Slots: all[3:]})
 	a, b, name := NewLog(1, NoFault), NewLog(2, NoFault), all[0].Name
 	j.do(Command{Kind: Move, Names: []string{name}, Cell: 2})
-	apply(t, b, j.told(b))
+	apply(t, b, j.update(b))
 	j.do(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
-	apply(t, a, j.told(a), &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.d.Record(1).Slot(name).ToMoveIndex})
+	apply(t, a, j.update(a), &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.d.Record(1).Slot(name).ToMoveIndex})
 	apply(t, b, &Entry{Kind: Join, Member: member(name, 1), Certificate: a.Certificate(name)})
 	j.do(Command{Kind: Arrived, Cell: 2, Names: []string{name}, Number: b.ArrivedMoves[name]})
-	apply(t, a, j.told(a), &Entry{Kind: ForgetDeparture, Member: member(name, 0)})
+	apply(t, a, j.update(a), &Entry{Kind: ForgetDeparture, Member: member(name, 0)})
 	q := NewLookup(name, 2)
 	if s := q.Next(b); s != Forward || q.At != 1 || q.Next(a) != SearchHere {
 		t.Fatalf("it does not look at the first cell: %v %+v", s, q)
@@ -396,26 +396,26 @@
 	if p := *q; p.CellForgotten() != Forward || p.At != 2 || p.CellForgotten() != Unknown {
 		t.Errorf("a forgotten cell is not passed: %+v", p)
 	}
-	if s, give := q.NotFound(a); s != Forward || give || q.At != 2 || q.Next(b) != SearchHere {
-		t.Errorf("%v %v %+v", s, give, q)
+	if s, assign := q.NotFound(a); s != Forward || assign || q.At != 2 || q.Next(b) != SearchHere {
+		t.Errorf("%v %v %+v", s, assign, q)
 	}
 }
 
-// A name whose process is down for good still arrives, by its certificate: the move ends, and it can be removed. What its old cell had
-// heard counts in the new one, against an older word of a relay too; its old incarnation gets no place there.
-func TestArrivesWithoutAProcess(t *testing.T) {
+// A member whose process is down for good still arrives, by its certificate: the move ends, and it can be removed. The global state of its old
+// cell counts in the new one, against an older update of a relay too; its old incarnation can't join there.
+func TestArrivalWithoutAProcess(t *testing.T) {
 	j := newJournal(t)
-	all := seatsOf("r", 0, 5, 3)
+	all := slotsOf("r", 0, 5, 3)
 	j.do(Command{Kind: Open, Region: "r", Slots: all[:3]})
 	j.do(Command{Kind: Open, Region: "r", Slots: all[3:]})
 	a, b, name := NewLog(1, NoFault), NewLog(2, NoFault), all[0].Name
 	j.do(Command{Kind: Move, Names: []string{name}, Cell: 2})
-	apply(t, b, j.told(b))
+	apply(t, b, j.update(b))
 	j.do(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
-	late := j.told(b)
+	late := j.update(b)
 	j.do(Command{Kind: SetTarget, Number: 4})
 	j.do(Command{Kind: SetFence, Number: 4})
-	apply(t, a, j.told(a), &Entry{Kind: Join, Member: member(name, 1)}, &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.d.Record(1).Slot(name).ToMoveIndex})
+	apply(t, a, j.update(a), &Entry{Kind: Join, Member: member(name, 1)}, &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.d.Record(1).Slot(name).ToMoveIndex})
 	if b.Apply(&Entry{Kind: ExpectMember, Member: member(name, 0)}) || b.Apply(&Entry{Kind: ExpectMember, Member: member(all[1].Name, 0), Certificate: a.Certificate(name)}) {
 		t.Error("a place without its certificate")
 	}
@@ -429,7 +429,7 @@
 		t.Errorf("%+v: the fence of the cell that it has left is lost", b.LastUpdate.Global)
 	}
 	if at, ok := b.LookupStart(name); !ok || at != 1 {
-		t.Errorf("an inquiry begins at %d", at)
+		t.Errorf("a lookup begins at %d", at)
 	}
 	if b.MayJoin(member(name, 1), nil) || !b.MayJoin(member(name, 2), nil) {
 		t.Error("the old incarnation may join, or a new one may not")
@@ -441,16 +441,16 @@
 	j.do(Command{Kind: Remove, Names: []string{name}})
 }
 
-// What a cell before gave away is decided here, whatever this cell knows of the member; a cell that has lost all its names is merged
+// A request that a cell before has assigned is decided here, whatever this cell knows of the member; a cell without members is merged
 // without waiting for anybody.
-func TestGivenAndEmpty(t *testing.T) {
+func TestAssignedRequestAndEmptyCell(t *testing.T) {
 	j := newJournal(t)
-	all := seatsOf("r", 0, 3, 3)
+	all := slotsOf("r", 0, 3, 3)
 	j.do(Command{Kind: Open, Region: "r", Slots: all[:1]})
 	a := NewLog(1, NoFault)
-	apply(t, a, j.told(a))
+	apply(t, a, j.update(a))
 	if s, _ := NewLocalLookup("elsewhere", 1).NotFound(a); s != SearchHere {
-		t.Errorf("of what was given to this cell: %v", s)
+		t.Errorf("of a request assigned to this cell: %v", s)
 	}
 	if q := NewLookup("elsewhere", 1); q.Next(a) != Unknown {
 		t.Error("it takes itself for the home of an unknown member's requests")
@@ -463,16 +463,16 @@
 	if p := j.d.Record(1); len(p.Successors) != 1 || len(p.PendingSuccessors) > 0 {
 		t.Errorf("an empty cell waits: %+v", p)
 	}
-	apply(t, a, j.told(a))
+	apply(t, a, j.update(a))
 	if due := NewLeaseTable(lease, NoFault).DueEntries(0, a); len(due) != 1 || due[0].Kind != Seal {
 		t.Errorf("%+v", due)
 	}
 }
 
-// A cell that is forgotten goes with a delta, without a whole transfer.
-func TestForgottenCellsGoWithADelta(t *testing.T) {
+// A forgotten cell is deleted by a tombstone in a delta, without a complete transfer.
+func TestTombstonesInADelta(t *testing.T) {
 	j := newJournal(t)
-	all := seatsOf("r", 0, 4, 3)
+	all := slotsOf("r", 0, 4, 3)
 	j.do(Command{Kind: Open, Region: "r", Slots: all})
 	j.do(Command{Kind: Split, Cell: 1, Names: names(all[:2])})
 	r := NewRelay("r", NoFault)
@@ -486,12 +486,12 @@
 	}
 	j.do(Command{Kind: Forget, Cell: 1})
 	d := j.d.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20)
-	if again := r.ApplyDelta(d); d.Complete || again || len(r.parts) != 2 || r.Version() != j.d.Version() {
-		t.Errorf("whole %t, again %t, %d parts", d.Complete, again, len(r.parts))
+	if again := r.ApplyDelta(d); d.Complete || again || len(r.records) != 2 || r.Version() != j.d.Version() {
+		t.Errorf("complete %t, again %t, %d records", d.Complete, again, len(r.records))
 	}
 }
 
-// Nobody but a member's own cell and own incarnation gives it leave to act, and that ends before it goes.
+// Only its own cell grants a member leases, for its own incarnation, and they end before it departs.
 func TestMemberActsForOneCell(t *testing.T) {
 	n := NewNode(member("x", 1), 1)
 	ask := n.LeaseRequest(100, 0)
@@ -502,27 +502,27 @@
 	}
 	n.HandleGrant(LeaseGrant{Cell: 1, Member: ask.Member, RequestSentMicros: ask.SentMicros}, lease)
 	if !n.LeaseValid(100+lease-1) || n.LeaseValid(100+lease) {
-		t.Fatal("a lease counts from when it was asked for")
+		t.Fatal("a lease counts from when it was requested")
 	}
-	cert := &Certificate{Departure: Departure{Cell: 1, To: 2, Member: n.Me, MoveIndex: 5}}
-	if n.Depart(cert, 1) || n.Depart(&Certificate{Departure: Departure{Cell: 3, To: 2, Member: n.Me}}, 2) || !n.Depart(cert, 2) {
-		t.Fatal("it goes as the same incarnation, or by the word of another cell")
+	cert := &Certificate{Departure: Departure{Cell: 1, To: 2, Member: n.Self, MoveIndex: 5}}
+	if n.Depart(cert, 1) || n.Depart(&Certificate{Departure: Departure{Cell: 3, To: 2, Member: n.Self}}, 2) || !n.Depart(cert, 2) {
+		t.Fatal("it departs as the same incarnation, or by the certificate of another cell")
 	}
 	n.HandleGrant(LeaseGrant{Cell: 1, Member: member("x", 1), RequestSentMicros: 200}, lease)
 	if n.LeaseValid(201) || n.Cell != 2 {
 		t.Error("a late grant of the cell that it left")
 	}
 	n.Relinquish()
-	n.HandleGrant(LeaseGrant{Cell: 2, Member: n.Me, RequestSentMicros: 300}, lease)
+	n.HandleGrant(LeaseGrant{Cell: 2, Member: n.Self, RequestSentMicros: 300}, lease)
 	if n.LeaseValid(301) {
 		t.Error("it acts after it has said that it does not")
 	}
 }
 
-// A word without its part is taken where what the cell has is what the directory has; else the part is asked for.
-func TestWordWithoutItsPart(t *testing.T) {
+// An update without its record is applied where the cell's record is the directory's; else the record is requested.
+func TestUpdateWithoutItsRecord(t *testing.T) {
 	j := newJournal(t)
-	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 3, 3)})
+	j.do(Command{Kind: Open, Region: "r", Slots: slotsOf("r", 0, 3, 3)})
 	r := NewRelay("r", NoFault)
 	pull := func() { r.ApplyDelta(j.d.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20)) }
 	a := NewLog(1, NoFault)
@@ -530,20 +530,20 @@
 	first := r.UpdateFor(1, a.LastUpdate.Version, false)
 	apply(t, a, &Entry{Kind: UpdateDirectory, Update: first})
 	if r.UpdateFor(1, a.LastUpdate.Version, false) != nil {
-		t.Error("told what it has")
+		t.Error("sent what it has")
 	}
-	j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 3, 3, 3)})
+	j.do(Command{Kind: Open, Region: "r", Slots: slotsOf("r", 3, 3, 3)})
 	if pull(); r.UpdateFor(1, a.LastUpdate.Version, false) != nil {
-		t.Error("told of another cell")
+		t.Error("sent a change of another cell")
 	}
 	j.do(Command{Kind: SetTarget, Number: 1})
 	pull()
 	second := r.UpdateFor(1, a.LastUpdate.Version, false)
 	if second.Record != nil || len(Encode(second)) > 60 {
-		t.Errorf("the part goes with a change of the settings: %d bytes", len(Encode(second)))
+		t.Errorf("the record is sent with a change of the settings: %d bytes", len(Encode(second)))
 	}
 	if NewLog(1, NoFault).Apply(&Entry{Kind: UpdateDirectory, Update: second}) {
-		t.Error("taken by one that has another part")
+		t.Error("applied by one that has another record")
 	}
 	apply(t, a, &Entry{Kind: UpdateDirectory, Update: second})
 	if a.LastUpdate.Record != first.Record || a.LastUpdate.Global.Settings != 1 {
@@ -553,13 +553,13 @@
 	apply(t, b, &Entry{Kind: UpdateDirectory, Update: r.UpdateFor(1, Version{}, true)})
 }
 
-// Relays end with the directory's parts, whatever is lost, spoilt or doubled, and a digest that does not fit costs one whole transfer
+// Relays end with the directory's records, whatever is lost, corrupt or duplicated, and a digest that differs costs one complete transfer
 // in pages of a bounded size.
 func TestRelaysFollowTheDirectory(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		j := newJournal(t)
 		for i := range 8 {
-			j.do(Command{Kind: Open, Region: []string{"r", "q"}[i%2], Slots: seatsOf([]string{"r", "q"}[i%2], 6*i, 6, 3)})
+			j.do(Command{Kind: Open, Region: []string{"r", "q"}[i%2], Slots: slotsOf([]string{"r", "q"}[i%2], 6*i, 6, 3)})
 		}
 		relay, next := NewRelay("r", NoFault), 100
 		pull := func(spoil int) bool {
@@ -582,7 +582,7 @@
 		for range rapid.IntRange(1, 40).Draw(r, "steps") {
 			switch rapid.IntRange(0, 5).Draw(r, "what") {
 			case 0:
-				j.try(Command{Kind: Assign, Cell: ID(rapid.IntRange(1, 9).Draw(r, "cell")), Slots: seatsOf("x", next, 1, 3)})
+				j.try(Command{Kind: Assign, Cell: ID(rapid.IntRange(1, 9).Draw(r, "cell")), Slots: slotsOf("x", next, 1, 3)})
 				next++
 			case 1:
 				j.try(Command{Kind: SetTarget, Number: uint64(next)})
@@ -591,7 +591,7 @@
 				if p := j.d.Record(ID(rapid.IntRange(1, 8).Draw(r, "cell"))); p != nil && len(p.Slots) > 1 {
 					j.try(Command{Kind: Split, Cell: p.ID, Names: names(p.Slots[:len(p.Slots)/2])})
 				}
-			case 3: // a split goes through: the old cell is forgotten
+			case 3: // a split is carried out: the old cell is forgotten
 				for _, id := range j.d.CellIDs() {
 					j.try(Command{Kind: Ready, Cell: id, At: j.d.Version()})
 				}
@@ -617,11 +617,11 @@
 			r.Fatalf("%v after %d calls, the directory is at %v", relay.Version(), calls, j.d.Version())
 		}
 		for _, id := range j.d.CellIDs() {
-			if p := j.d.Record(id); p.Region == "r" && relay.parts[id].CellRecord != p {
+			if p := j.d.Record(id); p.Region == "r" && relay.records[id].CellRecord != p {
 				r.Fatalf("cell %d differs", id)
 			}
 		}
-		for id := range relay.parts {
+		for id := range relay.records {
 			if j.d.Record(id) == nil {
 				r.Fatalf("cell %d is no more", id)
 			}
@@ -629,23 +629,23 @@
 	})
 }
 
-// Drawn commands never give a name two places, but an old and a new one of a single move, and the same ones give the same state.
-func TestDirectoryOrders(t *testing.T) {
+// Random commands never assign a member two slots, but the old and the new one of a single move, and the same commands assign the same state.
+func TestDirectoryCommands(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		j, twin := newJournal(t), NewDirectory(NoFault)
-		j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 4, 3)})
-		j.do(Command{Kind: Open, Region: "r", Slots: seatsOf("r", 4, 4, 3)})
-		twin.Apply(Version{Term: 1, Index: 1}, &Command{Kind: Open, Region: "r", Slots: seatsOf("r", 0, 4, 3)})
-		twin.Apply(Version{Term: 1, Index: 2}, &Command{Kind: Open, Region: "r", Slots: seatsOf("r", 4, 4, 3)})
+		j.do(Command{Kind: Open, Region: "r", Slots: slotsOf("r", 0, 4, 3)})
+		j.do(Command{Kind: Open, Region: "r", Slots: slotsOf("r", 4, 4, 3)})
+		twin.Apply(Version{Term: 1, Index: 1}, &Command{Kind: Open, Region: "r", Slots: slotsOf("r", 0, 4, 3)})
+		twin.Apply(Version{Term: 1, Index: 2}, &Command{Kind: Open, Region: "r", Slots: slotsOf("r", 4, 4, 3)})
 		for range rapid.IntRange(1, 60).Draw(r, "n") {
-			name := names(seatsOf("r", rapid.IntRange(0, 8).Draw(r, "name"), 1, 3))
-			cell := ID(rapid.IntRange(0, int(j.d.last)+1).Draw(r, "cell"))
+			name := names(slotsOf("r", rapid.IntRange(0, 8).Draw(r, "name"), 1, 3))
+			cell := ID(rapid.IntRange(0, int(j.d.lastID)+1).Draw(r, "cell"))
 			c := Command{Kind: CommandKind(rapid.IntRange(int(Open), int(Forget)).Draw(r, "kind")), Region: "r", Cell: cell, Names: name, At: j.d.Version()}
 			switch c.Kind {
 			case Open, Assign:
-				c.Slots = seatsOf("r", rapid.IntRange(0, 8).Draw(r, "name"), 1, 3)
+				c.Slots = slotsOf("r", rapid.IntRange(0, 8).Draw(r, "name"), 1, 3)
 			case Merge:
-				c.Cells = []ID{cell, ID(rapid.IntRange(0, int(j.d.last)+1).Draw(r, "other"))}
+				c.Cells = []ID{cell, ID(rapid.IntRange(0, int(j.d.lastID)+1).Draw(r, "other"))}
 			case Arrived:
 				if p := j.d.Record(cell); p != nil && p.Slot(name[0]) != nil {
 					c.Number = p.Slot(name[0]).MoveIndex
@@ -659,15 +659,15 @@
 					c.Names = nil
 				}
 			}
-			print := func() string {
-				return string(Encode([]any{j.d.parts, j.d.where, j.d.last, j.d.global, j.d.sums, len(j.d.drops)}))
+			state := func() string {
+				return string(Encode([]any{j.d.records, j.d.cellOf, j.d.lastID, j.d.global, j.d.sums, len(j.d.tombstones)}))
 			}
-			before := print()
+			before := state()
 			err := j.try(c)
-			if err != nil && print() != before {
+			if err != nil && state() != before {
 				r.Fatalf("%+v is refused, %v, and changes something", c, err)
 			}
-			if twice := twin.Apply(j.d.Version(), &c); (err == nil) != (twice == nil) || string(Encode(twin.parts)) != string(Encode(j.d.parts)) {
+			if twice := twin.Apply(j.d.Version(), &c); (err == nil) != (twice == nil) || string(Encode(twin.records)) != string(Encode(j.d.records)) {
 				r.Fatalf("%+v gives two states: %v, %v", c, err, twice)
 			}
 			met := map[string][]MemberSlot{}
--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -5,13 +5,16 @@
 	"slices"
 )
 
-// SizeLimits bound a cell's size.
+// SizeLimits bound a cell's members.
 type SizeLimits struct{ Min, Target, Max int }
 
 // DefaultSizeLimits keep a leader under 3.7% of a core: docs/cells.md.
 var DefaultSizeLimits = SizeLimits{Min: 10, Target: 24, Max: 30}
 
-// Group is a cell as a plan sees it: its names by zone.
+// minZonesToSpread is how many zones a region must have for its cells to be spread over them.
+const minZonesToSpread = 3
+
+// Group is a cell as a plan sees it: its members by zone.
 type Group struct {
 	ID    ID
 	Slots []MemberSlot
@@ -21,181 +24,153 @@
 type Action struct {
 	Kind     CommandKind
 	Name     string // with Move
-	SwapName string // with Move: goes the other way, since the sizes allow no more; empty: none does
+	SwapName string // with Move: the member that goes the other way, since sizes allow no more; empty: none
 	From     ID
 	To       ID       // with Move and Merge
 	Names    []string // with Split: those of the first half
 }
 
-func (g *Group) in(zone string) (n int) {
-	for _, s := range g.Slots {
-		if s.Zone == zone {
-			n++
-		}
-	}
-	return n
-}
-
-// zonesOf lists the zones of some groups.
-func zonesOf(all []Group) (out []string) {
-	for _, g := range all {
-		for _, s := range g.Slots {
-			out = append(out, s.Zone)
-		}
-	}
-	slices.Sort(out)
-	return slices.Compact(out)
-}
-
-// PlaceMember finds the cell for a new name of a zone: the one with the fewest of that zone, of these the smallest. 0: none has room.
-func PlaceMember(all []Group, zone string, l SizeLimits) ID {
+// PlaceMember returns the cell for a new member of a zone: the one with the fewest of that zone, and of these the smallest. 0: none has room.
+func PlaceMember(groups []Group, zone string, l SizeLimits) ID {
 	best := -1
-	for i := range all {
-		if len(all[i].Slots) >= l.Max {
+	for i := range groups {
+		if len(groups[i].Slots) >= l.Max {
 			continue
 		}
-		if best < 0 || cmp.Or(cmp.Compare(all[i].in(zone), all[best].in(zone)), cmp.Compare(len(all[i].Slots), len(all[best].Slots)),
-			cmp.Compare(all[i].ID, all[best].ID)) < 0 {
+		if best < 0 || cmp.Or(cmp.Compare(groups[i].countIn(zone), groups[best].countIn(zone)),
+			cmp.Compare(len(groups[i].Slots), len(groups[best].Slots)), cmp.Compare(groups[i].ID, groups[best].ID)) < 0 {
 			best = i
 		}
 	}
 	if best < 0 {
 		return 0
 	}
-	return all[best].ID
+	return groups[best].ID
 }
 
-// NextAction is the first thing to do to bring a region's cells within the limits and over its zones; false: nothing is. It changes as
-// few assignments as it can: what fits stays where it is.
-func NextAction(all []Group, l SizeLimits) (Action, bool) {
-	if len(all) == 0 {
+// NextAction returns the first thing to do to bring a region's cells within the limits and spread them over its zones; false: there is none. It
+// changes as few assignments as it can.
+func NextAction(groups []Group, l SizeLimits) (Action, bool) {
+	if len(groups) == 0 {
 		return Action{}, false
 	}
-	sorted := slices.Clone(all)
+	sorted := slices.Clone(groups)
 	slices.SortFunc(sorted, func(a, b Group) int { return cmp.Or(cmp.Compare(len(a.Slots), len(b.Slots)), cmp.Compare(a.ID, b.ID)) })
 	small, large := &sorted[0], &sorted[len(sorted)-1]
 	switch {
 	case len(large.Slots) >= l.Max && len(large.Slots) >= 2*l.Min:
-		return Action{Kind: Split, From: large.ID, Names: half(large)}, true
+		return Action{Kind: Split, From: large.ID, Names: splitHalf(large)}, true
 	case len(small.Slots) == 0 || len(small.Slots) >= l.Min || len(sorted) < 2:
 	case len(small.Slots)+len(sorted[1].Slots) < l.Max:
 		return Action{Kind: Merge, From: small.ID, To: sorted[1].ID}, true
 	case len(large.Slots) > l.Min:
-		return Action{Kind: Move, Name: spare(large, small), From: large.ID, To: small.ID}, true
-	}
-	return spread(sorted, l)
-}
-
-// half are the names of one of two halves that have the same share of each zone.
-func half(g *Group) (out []string) {
-	seats := slices.Clone(g.Slots)
-	slices.SortFunc(seats, func(a, b MemberSlot) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
-	for i := 0; i < len(seats); i += 2 {
-		out = append(out, seats[i].Name)
+		return Action{Kind: Move, Name: memberToGive(large, small), From: large.ID, To: small.ID}, true
 	}
-	return out
+	return spreadZones(sorted, l)
 }
 
-// spare is the name that a cell can best give to another: of the zone where it has most more than that one.
-func spare(from, to *Group) string {
-	best, most := "", 0
-	for _, z := range zonesOf([]Group{*from}) {
-		if n := 2*from.in(z) - to.in(z); from.in(z) > 0 && n > most {
-			best, most = z, n
-		}
+// splitHalf returns the names of one of two halves that have the same share of each zone.
+func splitHalf(g *Group) (names []string) {
+	slots := slices.Clone(g.Slots)
+	slices.SortFunc(slots, func(a, b MemberSlot) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
+	for i := 0; i < len(slots); i += 2 {
+		names = append(names, slots[i].Name)
 	}
-	return first(from, best)
+	return names
 }
 
-func first(g *Group, zone string) string {
-	name := ""
-	for _, s := range g.Slots {
-		if s.Zone == zone && (name == "" || s.Name < name) {
-			name = s.Name
+// memberToGive returns the member that a cell gives to another: of the zone of which it has most more.
+func memberToGive(from, to *Group) string {
+	bestZone, most := "", 0
+	for _, zone := range zonesOf([]Group{*from}) {
+		if n := 2*from.countIn(zone) - to.countIn(zone); from.countIn(zone) > 0 && n > most {
+			bestZone, most = zone, n
 		}
 	}
-	return name
+	return firstOfZone(from, bestZone)
 }
 
-// spread gives a cell that lacks a zone one of it, from the cell that has most of them.
-func spread(all []Group, l SizeLimits) (Action, bool) {
-	zones := zonesOf(all)
-	if len(zones) < 3 {
+// spreadZones gives a cell that lacks a zone a member of it, from the cell that has most of them. Where sizes allow no more, another member goes
+// the other way.
+func spreadZones(groups []Group, l SizeLimits) (Action, bool) {
+	zones := zonesOf(groups)
+	if len(zones) < minZonesToSpread {
 		return Action{}, false
 	}
-	for i := range all {
-		g := &all[i]
+	for i := range groups {
+		g := &groups[i]
 		if len(g.Slots) == 0 {
 			continue
 		}
-		for _, z := range zones {
-			if g.in(z) > 0 {
+		for _, zone := range zones {
+			if g.countIn(zone) > 0 {
 				continue
 			}
-			var rich *Group
-			for j := range all {
-				if n := all[j].in(z); n > 1 && (rich == nil || n > rich.in(z)) {
-					rich = &all[j]
-				}
-			}
-			if rich == nil {
+			donor := richestIn(groups, zone)
+			if donor == nil {
 				continue
 			}
-			do := Action{Kind: Move, Name: first(rich, z), From: rich.ID, To: g.ID}
-			if len(rich.Slots) > l.Min && len(g.Slots)+1 < l.Max {
-				return do, true
+			move := Action{Kind: Move, Name: firstOfZone(donor, zone), From: donor.ID, To: g.ID}
+			if len(donor.Slots) > l.Min && len(g.Slots)+1 < l.Max {
+				return move, true
 			}
-			for _, other := range zones {
-				if n := g.in(other); n > 1 && (do.SwapName == "" || n > g.in(zoneOf(g, do.SwapName))) {
-					do.SwapName = first(g, other)
-				}
-			}
-			if do.SwapName != "" {
-				return do, true
+			if move.SwapName = memberToSwap(g, zones); move.SwapName != "" {
+				return move, true
 			}
 		}
 	}
 	return Action{}, false
 }
 
-func zoneOf(g *Group, name string) string {
-	for _, s := range g.Slots {
-		if s.Name == name {
-			return s.Zone
+// richestIn returns the group with most members of a zone, if it has two or more.
+func richestIn(groups []Group, zone string) (richest *Group) {
+	for i := range groups {
+		if n := groups[i].countIn(zone); n > 1 && (richest == nil || n > richest.countIn(zone)) {
+			richest = &groups[i]
 		}
 	}
-	return ""
+	return richest
 }
 
-// Voters are the names that carry a cell's log: an odd number, five at most. Where the cell has three zones or more no zone has
-// a quorum of them, so that the loss of one leaves a quorum.
-func Voters(seats []MemberSlot) (out []string) {
-	sorted := slices.Clone(seats)
-	slices.SortFunc(sorted, func(a, b MemberSlot) int { return cmp.Compare(a.Name, b.Name) })
-	zones := zonesOf([]Group{{Slots: sorted}})
-	for n := min(voters, len(seats)-(len(seats)+1)%2); n > 0; n -= 2 {
-		each := n
-		if len(zones) >= 3 {
-			each = max(1, n/2)
+// memberToSwap returns a member of the zone of which a group has most, if it has two or more; empty: there is none.
+func memberToSwap(g *Group, zones []string) string {
+	name, most := "", 1
+	for _, zone := range zones {
+		if n := g.countIn(zone); n > most {
+			name, most = firstOfZone(g, zone), n
 		}
-		out = nil
-		for round := range each {
-			for _, z := range zones {
-				k := 0
-				for _, s := range sorted {
-					if s.Zone != z {
-						continue
-					}
-					if k++; k == round+1 && len(out) < n {
-						out = append(out, s.Name)
-					}
-				}
-			}
+	}
+	return name
+}
+
+// countIn returns the number of members of a zone.
+func (g *Group) countIn(zone string) (n int) {
+	for _, s := range g.Slots {
+		if s.Zone == zone {
+			n++
+		}
+	}
+	return n
+}
+
+// zonesOf returns the zones of some groups, sorted.
+func zonesOf(groups []Group) (zones []string) {
+	for _, g := range groups {
+		for _, s := range g.Slots {
+			zones = append(zones, s.Zone)
 		}
-		if len(out) == n {
-			break
+	}
+	slices.Sort(zones)
+	return slices.Compact(zones)
+}
+
+// firstOfZone returns the first member of a zone by name; empty: there is none.
+func firstOfZone(g *Group, zone string) string {
+	name := ""
+	for _, s := range g.Slots {
+		if s.Zone == zone && (name == "" || s.Name < name) {
+			name = s.Name
 		}
 	}
-	slices.Sort(out)
-	return out
+	return name
 }
--- a/internal/cells/plan_test.go
+++ b/internal/cells/plan_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// region plays a region's joins and leaves by the plan.
+// region simulates a region's joins and leaves by the plan.
 type region struct {
 	groups []Group
 	last   ID
@@ -41,7 +41,7 @@
 	g.moves++
 }
 
-// settle does what the plan says until nothing is left.
+// settle carries out the plan until nothing is left to do.
 func (g *region) settle() error {
 	for range 200 {
 		a, ok := NextAction(g.groups, g.limits)
@@ -77,8 +77,8 @@
 	return fmt.Errorf("no end: %+v", g.groups)
 }
 
-// Joins and leaves, drawn: sizes stay within the limits, a cell has all of the region's three zones where there are enough of each,
-// no zone has a quorum of its voters, and one change moves few names.
+// Random joins and leaves: sizes stay within the limits, a cell has all of the region's three zones where there are enough of each,
+// no zone has a quorum of its voters, and one change moves few members.
 func TestPlanKeepsSizesAndZones(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(r, "zones")
@@ -118,7 +118,7 @@
 					r.Fatalf("a cell of %d, of %d in all: %+v", n, total, g.groups)
 				}
 				for z, n := range by {
-					if len(by) >= 3 && n >= len(g.groups) && c.in(z) == 0 && len(c.Slots) > 0 {
+					if len(by) >= 3 && n >= len(g.groups) && c.countIn(z) == 0 && len(c.Slots) > 0 {
 						r.Fatalf("cell %d has nobody of %s, of which there are %d in %d cells", c.ID, z, n, len(g.groups))
 					}
 				}
@@ -145,7 +145,7 @@
 // A region of even zones, as large as the largest of eleven: every cell has three zones and five voters, and survives the loss of any.
 func TestPlanOfARegion(t *testing.T) {
 	g := &region{limits: DefaultSizeLimits}
-	for _, s := range seatsOf("r", 0, 1800, 3) {
+	for _, s := range slotsOf("r", 0, 1800, 3) {
 		g.join(s)
 		if err := g.settle(); err != nil {
 			t.Fatal(err)
@@ -154,7 +154,7 @@
 	least, most := 1800, 0
 	for _, c := range g.groups {
 		least, most = min(least, len(c.Slots)), max(most, len(c.Slots))
-		if v := Voters(c.Slots); len(v) != voters || len(zonesOf([]Group{c})) != 3 {
+		if v := Voters(c.Slots); len(v) != maxVoters || len(zonesOf([]Group{c})) != 3 {
 			t.Errorf("cell %d: voters %v", c.ID, v)
 		}
 	}
--- a/internal/cells/relay.go
+++ b/internal/cells/relay.go
@@ -3,178 +3,149 @@
 import (
 	"maps"
 	"slices"
-
-	"github.com/cespare/xxhash/v2"
 )
 
-// Relay holds one region's part of the directory, and tells its cells. What it tells has the directory's digest.
+// Relay caches the directory's records of one region, and passes updates on to its cells. What it passes on has the directory's digest.
 type Relay struct {
-	region  string
-	version Version
-	global  GlobalState
-	parts   map[ID]held
-	staged  map[ID]held // while pages come
-	until   Version     // of the pages that have come
-	filling bool        // all there is, in pages
-	whole   bool        // the digest did not fit: all there is, please
-	plant   InjectedFault
+	region          string
+	version         Version
+	global          GlobalState
+	records         map[ID]summedRecord
+	staged          map[ID]summedRecord // while pages come; nil: none has come
+	stagedTo        Version             // of the pages that have come
+	stagingComplete bool                // the pages are of a complete delta
+	wantComplete    bool                // the digest differed
+	fault           InjectedFault
 }
 
-// held is a part with its sum.
-type held struct {
+// summedRecord is a record with its checksum.
+type summedRecord struct {
 	*CellRecord
 	sum uint64
 }
 
-// NewRelay makes one that knows nothing.
-func NewRelay(region string, p InjectedFault) *Relay {
-	return &Relay{region: region, parts: map[ID]held{}, plant: p}
+// NewRelay returns a relay that knows no cell.
+func NewRelay(region string, f InjectedFault) *Relay {
+	return &Relay{region: region, records: map[ID]summedRecord{}, fault: f}
 }
 
-// Clone copies it.
+// Clone returns a copy. Records are shared, since they are never changed.
 func (r *Relay) Clone() *Relay {
 	c := *r
-	c.parts, c.staged = maps.Clone(r.parts), maps.Clone(r.staged)
+	c.records, c.staged = maps.Clone(r.records), maps.Clone(r.staged)
 	return &c
 }
 
-// DeltaRequest is a relay's ask.
-type DeltaRequest struct {
-	_           struct{} `cbor:",toarray"`
-	Region      string
-	Since, From Version
-	Complete    bool
-}
-
-// Version is what its cells are told.
+// Version returns the version that cells are sent.
 func (r *Relay) Version() Version { return r.version }
 
-// NextRequest is what to ask the directory for next.
+// NextRequest returns what to ask the directory for next.
 func (r *Relay) NextRequest() DeltaRequest {
-	p := DeltaRequest{Region: r.region, Since: r.version, Complete: r.whole || r.filling}
+	request := DeltaRequest{Region: r.region, Since: r.version, Complete: r.wantComplete || r.stagingComplete}
 	switch {
-	case r.staged != nil && r.filling:
-		p.From = r.until
+	case r.staged != nil && r.stagingComplete:
+		request.From = r.stagedTo
 	case r.staged != nil:
-		p.Since = r.until
+		request.Since = r.stagedTo
 	}
-	return p
+	return request
 }
 
-// ApplyDelta takes an answer to the last Pull, and tells whether more is wanted at once.
-func (r *Relay) ApplyDelta(d Delta) bool {
-	expected := r.version
-	if r.staged != nil && !r.filling {
-		expected = r.until
-	}
-	if d.Region != r.region || !d.Complete && d.Since != expected || r.version.Newer(d.To) && !d.More && r.plant != StaleUpdateAccepted {
-		return false // of another pull, or of a directory that is behind
+// ApplyDelta applies the answer to the last request, and reports whether to ask again at once. A delta that answers another request, or of a
+// directory that is behind, is ignored.
+func (r *Relay) ApplyDelta(d Delta) (again bool) {
+	if !r.expects(&d) {
+		return false
 	}
-	if r.staged == nil || d.Complete != r.filling {
-		r.staged, r.filling = maps.Clone(r.parts), d.Complete
+	if r.staged == nil || d.Complete != r.stagingComplete {
+		r.staged, r.stagingComplete = maps.Clone(r.records), d.Complete
 		if d.Complete {
-			r.staged = map[ID]held{}
+			r.staged = map[ID]summedRecord{}
 		}
 	}
 	for _, p := range d.Records {
-		r.staged[p.ID] = held{p, sum(p)}
+		r.staged[p.ID] = summedRecord{p, sumOf(p)}
 	}
 	if d.More {
-		r.until = d.To
+		r.stagedTo = d.To
 		return true
 	}
 	for _, id := range d.Tombstones {
 		delete(r.staged, id)
 	}
-	parts := r.staged
-	r.staged, r.filling, r.until = nil, false, Version{}
-	if digest(parts) != d.Digest && r.plant != DigestIgnored {
-		r.whole = true // anti-entropy. Guards against a part that was missed, and would be for good
+	records := r.staged
+	r.staged, r.stagingComplete, r.stagedTo = nil, false, Version{}
+	if digestOf(records) != d.Digest && r.fault != DigestIgnored {
+		r.wantComplete = true // a record was missed, and would be for good
 		return true
 	}
-	r.parts, r.version, r.global, r.whole = parts, d.To, d.Global, false
+	r.records, r.version, r.global, r.wantComplete = records, d.To, d.Global, false
 	return false
 }
 
-func digest(parts map[ID]held) (out uint64) {
-	for _, p := range parts {
-		out ^= p.sum
+// expects reports whether a delta answers the last request.
+func (r *Relay) expects(d *Delta) bool {
+	since := r.version
+	if r.staged != nil && !r.stagingComplete {
+		since = r.stagedTo
+	}
+	switch {
+	case d.Region != r.region || !d.Complete && d.Since != since:
+		return false
+	case r.version.Newer(d.To) && !d.More:
+		return r.fault == StaleUpdateAccepted // of a directory that is behind
+	}
+	return true
+}
+
+// digestOf returns the digest of some records, in any order.
+func digestOf(records map[ID]summedRecord) (digest uint64) {
+	for _, p := range records {
+		digest ^= p.sum
 	}
-	return out
+	return digest
 }
 
-// UpdateFor is the directory's word to a cell that has heard it up to a version; nil: nothing new. whole: with its part in any case,
-// since what it has does not fit the sum it was told.
-func (r *Relay) UpdateFor(id ID, has Version, whole bool) *DirectoryUpdate {
-	p, ok := r.parts[id]
-	if !ok || !whole && !p.ChangedAt.Newer(has) && !r.global.ChangedAt.Newer(has) {
-		return nil // most commands change other cells
+// UpdateFor returns the update for a cell that has the directory's state up to a version; nil: nothing has changed for it. withRecord: its record
+// is sent in any case, since the one it has does not match the sum it was sent.
+func (r *Relay) UpdateFor(id ID, has Version, withRecord bool) *DirectoryUpdate {
+	p, ok := r.records[id]
+	if !ok || !withRecord && !p.ChangedAt.Newer(has) && !r.global.ChangedAt.Newer(has) {
+		return nil
 	}
-	t := &DirectoryUpdate{Version: r.version, Global: r.global, RecordSum: p.sum}
-	if whole || p.ChangedAt.Newer(has) {
-		t.Record = p.CellRecord
+	u := &DirectoryUpdate{Version: r.version, Global: r.global, RecordSum: p.sum}
+	if withRecord || p.ChangedAt.Newer(has) {
+		u.Record = p.CellRecord
 	}
-	return t
+	return u
 }
 
-// CurrentCell finds the cell of a name in this region, the old one while it moves: that one knows whether it has left.
+// CurrentCell returns the cell of a member in this region, the former one while it moves: that one knows whether it has left. 0: none.
 func (r *Relay) CurrentCell(name string) ID {
-	found, least := ID(0), uint64(0)
-	for _, id := range slices.Sorted(maps.Keys(r.parts)) {
-		if s := r.parts[id].Slot(name); s != nil && (found == 0 || s.MoveIndex < least) {
-			found, least = id, s.MoveIndex
+	found, oldest := ID(0), uint64(0)
+	for _, id := range slices.Sorted(maps.Keys(r.records)) {
+		if s := r.records[id].Slot(name); s != nil && (found == 0 || s.MoveIndex < oldest) {
+			found, oldest = id, s.MoveIndex
 		}
 	}
 	return found
 }
 
-// AssignedCell finds the cell of a name in this region, the new one while it moves: where a process that starts asks.
+// AssignedCell returns the cell of a member in this region, the new one while it moves: there a process that starts asks. 0: none.
 func (r *Relay) AssignedCell(name string) ID {
-	found, most := ID(0), uint64(0)
-	for _, id := range slices.Sorted(maps.Keys(r.parts)) {
-		if s := r.parts[id].Slot(name); s != nil && s.MoveIndex > most {
-			found, most = id, s.MoveIndex
+	found, newest := ID(0), uint64(0)
+	for _, id := range slices.Sorted(maps.Keys(r.records)) {
+		if s := r.records[id].Slot(name); s != nil && s.MoveIndex > newest {
+			found, newest = id, s.MoveIndex
 		}
 	}
 	return found
 }
 
-// EncodedBytes is the length of all that it holds, encoded.
+// EncodedBytes returns the length of all records, encoded.
 func (r *Relay) EncodedBytes() (n int) {
-	for _, p := range r.parts {
+	for _, p := range r.records {
 		n += len(Encode(p.CellRecord)) + 8
 	}
 	return n
 }
-
-// RateLimiter bounds the calls that are served in a second: the rest is told to come again.
-type RateLimiter struct {
-	PerSecond int64 // calls a second
-	Burst     int64
-	at        int64 // µs, until which calls are spoken for
-}
-
-// Allow tells whether a call is served now.
-func (a *RateLimiter) Allow(now int64) bool {
-	each := 1_000_000 / a.PerSecond
-	a.at = max(a.at, now-a.Burst*each)
-	if a.at+each > now+each {
-		return false
-	}
-	a.at += each
-	return true
-}
-
-// Backoff is how long a caller waits before its next attempt, from 1: twice as long each time, up to most, and of that a part
-// by its name, so that those that lost the same peer in the same moment do not return in the same one.
-func Backoff(name string, attempt int, first, most int64) int64 {
-	span := most
-	if attempt < 32 && first<<(attempt-1) < most {
-		span = first << (attempt - 1)
-	}
-	var d xxhash.Digest
-	d.Reset()
-	d.WriteString(name)
-	d.Write([]byte{byte(attempt)})
-	return span/2 + int64(d.Sum64()%uint64(span/2+1))
-}
--- a/internal/cells/scale_test.go
+++ b/internal/cells/scale_test.go
@@ -11,10 +11,10 @@
 	second    = int64(1_000_000)
 	relaysOf  = 2 // of a region
 	relayPage = 64 << 10
-	settings  = 4 << 10 // bytes of a change of the settings, taken for the reckoning
+	settings  = 4 << 10 // bytes of a change of the settings, assumed
 )
 
-// fleet is a whole one, reckoned: a directory, two relays a region, the logs of all cells.
+// fleet is a simulated fleet: a directory, two relays a region, the logs of all cells.
 type fleet struct {
 	j      *journal
 	relays []*Relay
@@ -23,7 +23,7 @@
 	sizes  []int
 }
 
-// newFleet makes one of so many members, in regions and zones as the target has them: eight regions of three zones, three of two.
+// newFleet returns a fleet of so many members: eight regions of three zones, three of two.
 func newFleet(t testing.TB, members int) *fleet {
 	t.Helper()
 	f := &fleet{j: newJournal(t)}
@@ -37,7 +37,7 @@
 		if r < members%regions {
 			n++
 		}
-		all := seatsOf(region, 0, n, zones)
+		all := slotsOf(region, 0, n, zones)
 		count := (n + DefaultSizeLimits.Target - 1) / DefaultSizeLimits.Target
 		for c := range count {
 			var mine []MemberSlot
@@ -53,7 +53,7 @@
 	}
 	for _, id := range f.j.d.CellIDs() {
 		l := NewLog(id, NoFault)
-		apply(t, l, f.j.told(l))
+		apply(t, l, f.j.update(l))
 		for _, s := range f.j.d.Record(id).Slots {
 			apply(t, l, &Entry{Kind: Join, Member: member(s.Name, 1)})
 		}
@@ -73,7 +73,7 @@
 
 func (t *traffic) add(bytes int) { t.calls, t.bytes = t.calls+1, t.bytes+bytes }
 
-// pull has a relay ask until it has all there is, and counts what it asked for.
+// pull has a relay ask until it is up to date, and counts its calls.
 func (f *fleet) pull(r *Relay, t *traffic) {
 	for range 1000 {
 		p := r.NextRequest()
@@ -86,7 +86,7 @@
 	}
 }
 
-// State a member and a leader is the same in a fleet of 300 and of 18,000: that of their cell. A relay's grows with its region, the
+// The state of a member and of a leader is the same in a fleet of 300 and of 18,000: that of their cell. A relay's grows with its region, the
 // directory's with the fleet, and both stay far below their bounds.
 func TestStateByRole(t *testing.T) {
 	var first [2]int // bytes for each member of the cell
@@ -96,7 +96,7 @@
 			f.pull(r, &traffic{})
 		}
 		g := NewLeaseTable(lease, NoFault)
-		for _, m := range f.member.living("") {
+		for _, m := range f.member.membersOf("") {
 			g.Grant(1, f.member, m, 0)
 		}
 		own, lead, size := f.member.EncodedBytes(), f.member.EncodedBytes()+g.EncodedBytes(), len(f.member.Members)
@@ -110,16 +110,16 @@
 			first = [2]int{own / size, lead / size}
 		}
 		if own/size > first[0]*11/10 || lead/size > first[1]*11/10 || own/size > 120 || lead/size > 160 || size > DefaultSizeLimits.Max {
-			t.Errorf("%d members, a cell of %d: a member holds %d bytes, a leader %d; of 300, for each of the cell: %v", n, size, own, lead, first)
+			t.Errorf("%d members, a cell of %d: a member has %d bytes, a leader %d; of 300, for each of the cell: %v", n, size, own, lead, first)
 		}
 		if f.j.d.EncodedBytes() > 200*n || relay > f.j.d.EncodedBytes() {
-			t.Errorf("%d members: the directory holds %d bytes, a relay %d", n, f.j.d.EncodedBytes(), relay)
+			t.Errorf("%d members: the directory has %d bytes, a relay %d", n, f.j.d.EncodedBytes(), relay)
 		}
 	}
 }
 
-// A burst of 100 changes in a minute, each hop asking once a second for what is new: calls and bytes of each hop, and how late the last
-// cell hears. A member is told on its lease's answer, which comes five times a lease anyway.
+// A burst of 100 changes in a minute, each hop polling once a second: calls and bytes of each hop, and how late the last cell is updated. A
+// member is updated with its lease grants, five times a lease.
 func TestBurstOfChanges(t *testing.T) {
 	for _, n := range []int{300, 18_000} {
 		f := newFleet(t, n)
@@ -145,12 +145,12 @@
 					continue
 				}
 				for _, r := range f.relays { // one of its region
-					if told := r.UpdateFor(l.ID, l.LastUpdate.Version, false); told != nil {
+					if update := r.UpdateFor(l.ID, l.LastUpdate.Version, false); update != nil {
 						before := l.LastUpdate.Version
-						apply(t, l, &Entry{Kind: UpdateDirectory, Update: told})
-						down.add(len(Encode(told)))
+						apply(t, l, &Entry{Kind: UpdateDirectory, Update: update})
+						down.add(len(Encode(update)))
 						for v, at := range given {
-							if v.Newer(before) && !v.Newer(told.Version) {
+							if v.Newer(before) && !v.Newer(update.Version) {
 								lag = max(lag, now-at)
 							}
 						}
@@ -174,7 +174,7 @@
 }
 
 // All control machines have restarted, or a region has returned: relays and cells come back paced, no callee serves more calls a second
-// than it admits, and all have heard the newest word within 10 s.
+// than it admits, and all have the newest update within 10 s.
 func TestReturnIsPaced(t *testing.T) {
 	for _, n := range []int{3_000, 18_000} {
 		f := newFleet(t, n)
@@ -235,14 +235,14 @@
 						break
 					}
 					serve(fmt.Sprint("relay", k))
-					if told := r.UpdateFor(l.ID, l.LastUpdate.Version, false); told != nil {
-						apply(t, l, &Entry{Kind: UpdateDirectory, Update: told})
+					if update := r.UpdateFor(l.ID, l.LastUpdate.Version, false); update != nil {
+						apply(t, l, &Entry{Kind: UpdateDirectory, Update: update})
 						done, last = done+1, now
 					}
 				}
 			}
 		}
-		t.Logf("%d members: %d of %d cells have heard within %.1f s; %d calls to the directory of %d bytes in all, at most %d calls a second at one callee, %d told to come again",
+		t.Logf("%d members: %d of %d cells are updated within %.1f s; %d calls to the directory of %d bytes in all, at most %d calls a second at one callee, %d update to come again",
 			n, done, len(f.logs), float64(last)/1e6, up.calls, up.bytes, worst, refused)
 		if done < len(f.logs) || last > 10*second || worst > 120 {
 			t.Errorf("%d members: %d cells, %d µs, %d calls a second", n, done, last, worst)
@@ -250,8 +250,8 @@
 	}
 }
 
-// What is asked too often in one moment is told to come again, and callers that begin together do not come back together.
-func TestAdmissionAndPace(t *testing.T) {
+// Calls over the rate are update to come again, and callers that begin together do not come back together.
+func TestRateLimiterAndBackoff(t *testing.T) {
 	a := RateLimiter{PerSecond: 10, Burst: 3}
 	served := 0
 	for now := int64(0); now < 2*second; now += 1000 {
@@ -280,8 +280,7 @@
 	}
 }
 
-// What a command costs a control machine, what a pull costs the one that answers it, what a word costs a relay, and what a turn costs a
-// cell's leader, in a fleet of 18,000.
+// What a command costs a control machine, a delta the one that answers, an update a relay, and a round a cell's leader, in a fleet of 18,000.
 func BenchmarkRoles(b *testing.B) {
 	f := newFleet(b, 18_000)
 	for _, r := range f.relays {
@@ -299,12 +298,12 @@
 			f.j.d.Delta("region00", since, Version{}, false, relayPage)
 		}
 	})
-	b.Run("whole", func(b *testing.B) {
+	b.Run("complete", func(b *testing.B) {
 		for range b.N {
 			f.j.d.Delta("region00", Version{}, Version{}, true, 1<<20)
 		}
 	})
-	b.Run("word", func(b *testing.B) {
+	b.Run("update", func(b *testing.B) {
 		for range b.N {
 			f.relays[0].UpdateFor(1, Version{}, false)
 		}
--- a/internal/lab/modelcheck/cells.go
+++ b/internal/lab/modelcheck/cells.go
@@ -371,11 +371,11 @@
 		return
 	}
 	l := c.now()
-	if l.IsMember(p.node.Me) {
+	if l.IsMember(p.node.Self) {
 		p.view = len(c.log) - 1
 		return
 	}
-	if slices.Contains(l.Evicted[p.name], p.node.Me.Incarnation) {
+	if slices.Contains(l.Evicted[p.name], p.node.Self.Incarnation) {
 		w.ids++
 		if cert := l.Certificate(p.name); cert != nil && p.node.Depart(cert, w.ids) {
 			p.view = 0
@@ -384,8 +384,8 @@
 		}
 		p.node.Rejoin(w.ids)
 	}
-	if l.MayJoin(p.node.Me, p.node.Certificate) {
-		if w.agree(c, cells.Entry{Kind: cells.Join, Member: p.node.Me, Certificate: p.node.Certificate}) {
+	if l.MayJoin(p.node.Self, p.node.Certificate) {
+		if w.agree(c, cells.Entry{Kind: cells.Join, Member: p.node.Self, Certificate: p.node.Certificate}) {
 			p.view, p.node.Certificate = len(c.log)-1, nil
 		}
 		return
@@ -540,7 +540,7 @@
 // learn has a process hear its cell's log, and act on the settings that it names.
 func (w *cellsWorld) learn(n int) {
 	p := w.procs[n]
-	if c := w.cell(p.node.Cell); c != nil && c.now().IsMember(p.node.Me) {
+	if c := w.cell(p.node.Cell); c != nil && c.now().IsMember(p.node.Self) {
 		p.view = len(c.log) - 1
 		p.node.Adopt(c.now().LastUpdate.Global.Settings)
 	}
@@ -553,7 +553,7 @@
 	p.inbox = p.inbox[1:]
 	c := w.cell(p.node.Cell)
 	q := w.requests[r]
-	if c == nil || !p.node.LeaseValid(w.now) || !c.now().IsMember(p.node.Me) || q.over || w.late(q) {
+	if c == nil || !p.node.LeaseValid(w.now) || !c.now().IsMember(p.node.Self) || q.over || w.late(q) {
 		return // no leave, no word: its client asks another
 	}
 	w.say("%s reads r%d", p.name, r)
@@ -571,10 +571,10 @@
 
 // begin has a member of a cell own a request.
 func (w *cellsWorld) begin(c *oneCell, p *cellProc, r int) {
-	c.records[r] = &cellRecord{owner: p.node.Me}
+	c.records[r] = &cellRecord{owner: p.node.Self}
 	w.requests[r].begun = true
-	p.work = append(p.work, &cellWork{request: r, cell: c.id, as: p.node.Me})
-	w.say("%s#%d begins r%d in cell %d", p.name, p.node.Me.Incarnation, r, c.id)
+	p.work = append(p.work, &cellWork{request: r, cell: c.id, as: p.node.Self})
+	w.say("%s#%d begins r%d in cell %d", p.name, p.node.Self.Incarnation, r, c.id)
 }
 
 func (w *cellsWorld) late(q *cellRequest) bool { return w.now-q.asked >= cellLongest }
@@ -582,7 +582,7 @@
 // taker is a member of a cell that may act: the one that asks, if it is one.
 func (w *cellsWorld) taker(c *oneCell, asks *cellProc) *cellProc {
 	fit := func(p *cellProc) bool {
-		return p.up && p.node.Cell == c.id && c.now().IsMember(p.node.Me) && p.node.LeaseValid(w.now)
+		return p.up && p.node.Cell == c.id && c.now().IsMember(p.node.Self) && p.node.LeaseValid(w.now)
 	}
 	if fit(asks) {
 		return asks
@@ -605,7 +605,7 @@
 	q := w.requests[i.request]
 	end := func() { p.asked = slices.DeleteFunc(p.asked, func(o *inquiry) bool { return o == i }) }
 	home := w.cell(p.node.Cell)
-	if q.over || w.late(q) || home == nil || !home.now().IsMember(p.node.Me) {
+	if q.over || w.late(q) || home == nil || !home.now().IsMember(p.node.Self) {
 		end()
 		return
 	}
@@ -616,7 +616,7 @@
 			w.breaks("nobody can say what became of r%d, though all can be reached", i.request)
 		}
 		if q.effect == takeover.IdempotentByKey { // within its key's window it goes again, without custody
-			p.work = append(p.work, &cellWork{request: i.request, as: p.node.Me})
+			p.work = append(p.work, &cellWork{request: i.request, as: p.node.Self})
 			return
 		}
 		w.tell(i.request, 0)
@@ -738,7 +738,7 @@
 	drop := func() { p.work = slices.Delete(p.work, k, k+1) }
 	switch {
 	case !o.checked:
-		if o.cell != 0 && o.as != p.node.Me || q.over && o.cell == 0 {
+		if o.cell != 0 && o.as != p.node.Self || q.over && o.cell == 0 {
 			drop()
 			return
 		}
@@ -758,11 +758,11 @@
 		}
 	default:
 		c := w.cell(o.cell)
-		if o.cell != 0 && o.as == p.node.Me && c != nil && !p.node.LeaseValid(w.now) {
+		if o.cell != 0 && o.as == p.node.Self && c != nil && !p.node.LeaseValid(w.now) {
 			return
 		}
 		drop()
-		if o.cell != 0 && (o.as != p.node.Me || c == nil) {
+		if o.cell != 0 && (o.as != p.node.Self || c == nil) {
 			return
 		}
 		if c != nil {
@@ -797,8 +797,8 @@
 			continue
 		}
 		w.acts(p)
-		if c := w.cell(p.node.Cell); c == nil || !c.now().IsMember(p.node.Me) {
-			w.breaks("%s#%d may act, and its cell %d says that it is out", p.name, p.node.Me.Incarnation, p.node.Cell)
+		if c := w.cell(p.node.Cell); c == nil || !c.now().IsMember(p.node.Self) {
+			w.breaks("%s#%d may act, and its cell %d says that it is out", p.name, p.node.Self.Incarnation, p.node.Cell)
 		}
 		for _, o := range w.procs[:i] {
 			if o.up && o.name == p.name && o.node.Cell != p.node.Cell && o.node.LeaseValid(w.now) {
@@ -926,7 +926,7 @@
 func (w *cellsWorld) again(n, r int) {
 	p, q := w.procs[n], w.requests[r]
 	c := w.cell(p.node.Cell)
-	if c == nil || !c.now().IsMember(p.node.Me) || slices.ContainsFunc(p.asked, func(i *inquiry) bool { return i.request == r }) {
+	if c == nil || !c.now().IsMember(p.node.Self) || slices.ContainsFunc(p.asked, func(i *inquiry) bool { return i.request == r }) {
 		return
 	}
 	q.asks++
