--- a/cmd/damsonscale-lab/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -232,13 +232,13 @@
 
 // cells goes ways at random through a world of cells.
 func (c *exploreCmd) cells(p *player) error {
-	steps, met := 0, modelcheck.Met{}
+	steps, met := 0, modelcheck.Coverage{}
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
-		f := modelcheck.WalkCells(modelcheck.CellsOf(seed), seed, c.Steps)
-		steps, met = steps+f.States, met.Add(f.Met)
-		if f.Broken != "" {
-			fmt.Printf("%s\n%s\nseed=%d\n", f.Broken, strings.Join(f.Trace, "\n"), seed)
+		f := modelcheck.WalkCells(modelcheck.CellsConfigFor(seed), seed, c.Steps)
+		steps, met = steps+f.States, met.Add(f.Coverage)
+		if f.Violation != "" {
+			fmt.Printf("%s\n%s\nseed=%d\n", f.Violation, strings.Join(f.Trace, "\n"), seed)
 			return errBroken
 		}
 	}
@@ -249,15 +249,15 @@
 // fences looks at every order of events of leases and versions.
 func (c *exploreCmd) fences(p *player) error {
 	conf := modelcheck.FenceConfig{
-		Members: 1, Orders: []rollout.Kind{rollout.RollOut, rollout.Fence}, Turns: 1, Starts: 1, Ticks: 4, Asks: 2,
+		Members: 1, Commands: []rollout.Kind{rollout.RollOut, rollout.Fence}, LeaderChanges: 1, Restarts: 1, Ticks: 4, LeaseRequests: 2,
 	}
 	f, err := modelcheck.ExhaustFence(p.ctx, conf)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%v states=%d\n", conf, f.States)
-	if f.Broken != "" {
-		fmt.Printf("%s\n%s\n", f.Broken, strings.Join(f.Trace, "\n"))
+	if f.Violation != "" {
+		fmt.Printf("%s\n%s\n", f.Violation, strings.Join(f.Trace, "\n"))
 		return errBroken
 	}
 	return nil
@@ -272,15 +272,15 @@
 	case c.Cells:
 		return c.cells(p)
 	}
-	broken := func(f modelcheck.Found) bool {
-		if f.Broken == "" {
+	broken := func(f modelcheck.Result) bool {
+		if f.Violation == "" {
 			return false
 		}
-		fmt.Printf("%s\n%s\n", f.Broken, strings.Join(f.Trace, "\n"))
+		fmt.Printf("%s\n%s\n", f.Violation, strings.Join(f.Trace, "\n"))
 		return true
 	}
 	for _, strict := range []bool{false, true} {
-		conf := modelcheck.Config{Effects: []takeover.Idempotency{takeover.NotIdempotent}, Strict: strict, Budget: modelcheck.Little}
+		conf := modelcheck.Config{Idempotency: []takeover.Idempotency{takeover.NotIdempotent}, Strict: strict, Budget: modelcheck.SmallBudget}
 		f, err := modelcheck.Exhaust(p.ctx, conf, c.Depth)
 		if err != nil {
 			return err
@@ -294,7 +294,7 @@
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
 		f := modelcheck.Walk(modelcheck.Config{
-			Effects: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}, Strict: seed%2 == 0, Budget: modelcheck.Much,
+			Idempotency: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}, Strict: seed%2 == 0, Budget: modelcheck.LargeBudget,
 		}, seed, c.Steps)
 		steps += f.States
 		if broken(f) {
--- /dev/null
+++ b/internal/lab/modelcheck/cells_leases.go
@@ -0,0 +1,75 @@
+package modelcheck
+
+import (
+	"slices"
+
+	"damsonscale/internal/cells"
+)
+
+// renewLeases has most processes renew their leases.
+func (w *cellsWorld) renewLeases() {
+	for n, p := range w.processes {
+		if p.up && w.random.IntN(8) > 0 {
+			w.renewLease(n)
+		}
+	}
+}
+
+// renewLease takes a lease request of a process through all its steps.
+func (w *cellsWorld) renewLease(n int) {
+	c := w.cell(w.processes[n].node.Cell)
+	if c == nil {
+		return
+	}
+	w.requestLease(n, c.leader)
+	i := len(w.leaseRequests) - 1
+	w.confirmLeader(i)
+	w.answerLease(i)
+	w.deliverLease(i)
+}
+
+// requestLease has a process request a lease of one leader of its cell.
+func (w *cellsWorld) requestLease(n, leader int) {
+	p := w.processes[n]
+	if w.cell(p.node.Cell) == nil {
+		return
+	}
+	request := p.node.LeaseRequest(w.now, uint64(p.appliedIndex))
+	w.leaseRequests = append(w.leaseRequests, cellLeaseRequest{process: n, request: request, leader: leader, confirmedIndex: -1})
+}
+
+// confirmLeader has a quorum confirm the leader of a request, if it leads.
+func (w *cellsWorld) confirmLeader(i int) {
+	r := &w.leaseRequests[i]
+	if c := w.cell(r.request.Cell); c != nil && r.confirmedIndex < 0 && c.leader == r.leader {
+		r.confirmedIndex = len(c.log) - 1
+	}
+}
+
+// answerLease has a confirmed leader grant or reject a request, once it has applied the log up to the confirmation.
+func (w *cellsWorld) answerLease(i int) {
+	r := &w.leaseRequests[i]
+	c := w.cell(r.request.Cell)
+	if c == nil || r.confirmedIndex < 0 || r.granted {
+		return
+	}
+	c.applied[r.leader] = max(c.applied[r.leader], r.confirmedIndex)
+	r.granted = c.leaseTables[r.leader].Grant(w.now, c.log[c.applied[r.leader]], r.request.Member, r.request.ActiveSettings)
+}
+
+// deliverLease ends a request, with its grant if it has one.
+func (w *cellsWorld) deliverLease(i int) {
+	r := w.leaseRequests[i]
+	w.leaseRequests = slices.Delete(w.leaseRequests, i, i+1)
+	if p := w.processes[r.process]; r.granted && p.up {
+		grant := cells.LeaseGrant{Cell: r.request.Cell, Member: r.request.Member, RequestSentMicros: r.request.SentMicros}
+		p.node.HandleGrant(grant, cellLeaseMicros)
+	}
+}
+
+// proposeDue has a cell's leader propose the entries that are due by its lease table.
+func (w *cellsWorld) proposeDue(c *cellState) {
+	for _, e := range c.leaseTables[c.leader].DueEntries(w.now, c.log[c.applied[c.leader]]) {
+		w.agree(c, e)
+	}
+}
--- /dev/null
+++ b/internal/lab/modelcheck/cells_requests.go
@@ -0,0 +1,303 @@
+package modelcheck
+
+import (
+	"slices"
+
+	"damsonscale/internal/cells"
+	"damsonscale/internal/takeover"
+)
+
+// readAttempt has a process read a first attempt that has waited in a socket for any time.
+func (w *cellsWorld) readAttempt(n int) {
+	p := w.processes[n]
+	r := p.unread[0]
+	p.unread = p.unread[1:]
+	c := w.cell(p.node.Cell)
+	q := w.requests[r]
+	if c == nil || !p.node.LeaseValid(w.now) || !c.state().IsMember(p.node.Self) || q.answered || w.expired(q) {
+		return // without a lease it does not answer: its client asks another
+	}
+	w.log("%s reads r%d", p.name, r)
+	switch {
+	case len(c.state().FormerCells[p.name]) > 0 && w.conf.Fault != cells.FirstAttemptUnchecked:
+		p.lookups = append(p.lookups, &cellLookup{request: r}) // its client may have asked the former cell meanwhile
+	case c.records[r] != nil:
+		p.lookups = append(p.lookups, &cellLookup{request: r, route: cells.NewLocalLookup(p.name, c.id)})
+	default:
+		w.begin(c, p, r)
+	}
+}
+
+// retryAttempt has a client ask a process again, naming the member that it asked first.
+func (w *cellsWorld) retryAttempt(n, r int) {
+	p := w.processes[n]
+	c := w.cell(p.node.Cell)
+	underway := slices.ContainsFunc(p.lookups, func(l *cellLookup) bool { return l.request == r })
+	if c == nil || !c.state().IsMember(p.node.Self) || underway {
+		return
+	}
+	p.lookups = append(p.lookups, &cellLookup{request: r})
+}
+
+// begin has a member of a cell own a request.
+func (w *cellsWorld) begin(c *cellState, p *cellProcess, r int) {
+	c.records[r] = &requestRecord{owner: p.node.Self}
+	w.requests[r].everBegun = true
+	p.attempts = append(p.attempts, &cellAttempt{request: r, cell: c.id, owner: p.node.Self})
+	w.log("%s#%d begins r%d in cell %d", p.name, p.node.Self.Incarnation, r, c.id)
+}
+
+// expired reports whether a request's deadline has passed.
+func (w *cellsWorld) expired(q *cellRequest) bool { return w.now-q.askedAt >= cellDeadlineMicros }
+
+// actingMember returns a process of a cell that may act: the one that asks, if it is one; nil: none can be reached.
+func (w *cellsWorld) actingMember(c *cellState, asking *cellProcess) *cellProcess {
+	mayAct := func(p *cellProcess) bool {
+		return p.up && p.node.Cell == c.id && c.state().IsMember(p.node.Self) && p.node.LeaseValid(w.now)
+	}
+	if mayAct(asking) {
+		return asking
+	}
+	if own := w.cell(asking.node.Cell); c.partitioned || own != nil && own.partitioned {
+		return nil
+	}
+	for _, p := range w.processes {
+		if mayAct(p) {
+			return p
+		}
+	}
+	return nil
+}
+
+// stepLookup takes a lookup of a process one step on.
+func (w *cellsWorld) stepLookup(n, k int) {
+	p := w.processes[n]
+	l := p.lookups[k]
+	q := w.requests[l.request]
+	own := w.cell(p.node.Cell)
+	if q.answered || w.expired(q) || own == nil || !own.state().IsMember(p.node.Self) {
+		p.endLookup(l)
+		return
+	}
+	if l.route == nil {
+		w.beginLookup(p, l, own)
+	}
+	c := w.cell(l.route.At)
+	if c == nil && l.route.CellForgotten() == cells.Forward {
+		return
+	}
+	if l.hops++; c == nil || l.hops > cellMaxHops || c != own && (c.partitioned || own.partitioned) {
+		w.lookupFailed(p, l)
+		return
+	}
+	switch l.route.Next(c.state()) {
+	case cells.SearchHere:
+		w.searchRecords(c, p, l)
+	case cells.Unknown:
+		w.lookupFailed(p, l)
+	}
+}
+
+// endLookup removes a lookup.
+func (p *cellProcess) endLookup(l *cellLookup) {
+	p.lookups = slices.DeleteFunc(p.lookups, func(o *cellLookup) bool { return o == l })
+}
+
+// beginLookup begins a lookup at the process's own cell or, if that can't tell, at the one that a relay names.
+func (w *cellsWorld) beginLookup(p *cellProcess, l *cellLookup, own *cellState) {
+	firstAsked := w.requests[l.request].firstAsked
+	l.route = cells.NewLookup(firstAsked, own.id)
+	if _, ok := own.log[p.appliedIndex].LookupStart(firstAsked); ok {
+		return
+	}
+	p.appliedIndex = len(own.log) - 1
+	if _, ok := own.state().LookupStart(firstAsked); !ok && !own.partitioned {
+		l.route.At = w.relays[w.random.IntN(2)].CurrentCell(firstAsked)
+	}
+}
+
+// lookupFailed ends a lookup that no cell can answer: an idempotent request runs again, within its key's window, any other fails.
+func (w *cellsWorld) lookupFailed(p *cellProcess, l *cellLookup) {
+	q := w.requests[l.request]
+	w.coverage.Unknown++
+	p.endLookup(l)
+	if !w.mayBeUnreachable() && !w.firstAskedRemoved(q) {
+		w.violate("nobody can say what became of r%d, though all can be reached", l.request)
+	}
+	if q.idempotency == takeover.IdempotentByKey {
+		p.attempts = append(p.attempts, &cellAttempt{request: l.request, owner: p.node.Self})
+		return
+	}
+	w.answerClient(l.request, 0)
+}
+
+// searchRecords goes by the record that a cell has of a request.
+func (w *cellsWorld) searchRecords(c *cellState, p *cellProcess, l *cellLookup) {
+	record, state := c.records[l.request], c.state()
+	switch {
+	case record == nil:
+		w.noRecord(c, p, l)
+	case record.assignedTo != 0:
+		l.route, l.transferred = cells.NewLocalLookup(w.requests[l.request].firstAsked, record.assignedTo), record.transferred
+	case record.answer != 0:
+		p.endLookup(l)
+		w.answerClient(l.request, record.answer)
+	case record.failed:
+		p.endLookup(l)
+		w.answerClient(l.request, 0)
+	case state.Sealed:
+		w.coverage.Transferred++
+		record.transferred = &requestRecord{owner: record.owner}
+		record.assignedTo = state.Successor(record.owner.Name)
+		w.log("r%d of %s is transferred from cell %d to %d", l.request, record.owner.Name, c.id, record.assignedTo)
+	case state.IsMember(record.owner):
+		l.hops-- // it waits for the owner
+	default:
+		w.takeOver(c, p, l)
+	}
+}
+
+// noRecord decides where a cell has no record of a request.
+func (w *cellsWorld) noRecord(c *cellState, p *cellProcess, l *cellLookup) {
+	switch {
+	case l.transferred == nil:
+		w.neverBegun(c, p, l)
+	case c.state().Sealed:
+		c.records[l.request] = &requestRecord{assignedTo: c.state().Successor(l.transferred.owner.Name), transferred: l.transferred}
+	default:
+		w.takeOver(c, p, l)
+	}
+}
+
+// neverBegun decides about a request that a cell has no record of, and that no other has transferred.
+func (w *cellsWorld) neverBegun(c *cellState, p *cellProcess, l *cellLookup) {
+	switch step, assign := l.route.NotFound(c.state()); {
+	case step == cells.Unknown:
+		w.lookupFailed(p, l)
+	case step == cells.Forward && assign:
+		w.coverage.Assigned++
+		c.records[l.request] = &requestRecord{assignedTo: l.route.At}
+		w.log("r%d was never begun in cell %d: it is assigned to %d", l.request, c.id, l.route.At)
+	case step == cells.SearchHere:
+		w.takeOver(c, p, l)
+	}
+}
+
+// takeOver has a member of a cell take a request: it begins what nobody has begun, and goes on with what another may have sent, but fails that if
+// it is not idempotent.
+func (w *cellsWorld) takeOver(c *cellState, p *cellProcess, l *cellLookup) {
+	member := w.actingMember(c, p)
+	if member == nil {
+		l.hops--
+		return
+	}
+	mayHaveRun := c.records[l.request] != nil || l.transferred != nil
+	if mayHaveRun && w.requests[l.request].idempotency == takeover.NotIdempotent {
+		c.records[l.request] = &requestRecord{failed: true}
+		w.log("%s decides that r%d may have run", member.name, l.request)
+		return
+	}
+	w.begin(c, member, l.request)
+}
+
+// mayBeUnreachable reports whether anything is partitioned or down, so that a lookup may fail.
+func (w *cellsWorld) mayBeUnreachable() bool {
+	return !w.settling || slices.ContainsFunc(w.cells, func(c *cellState) bool { return c.partitioned })
+}
+
+// firstAskedRemoved reports whether the member that a request's client asked first was removed meanwhile: then its cell need not be known.
+func (w *cellsWorld) firstAskedRemoved(q *cellRequest) bool {
+	if at, ok := w.reassignedAt[q.firstAsked]; ok && at >= q.askedAt {
+		return true
+	}
+	d := w.directories[w.leader]
+	p := d.Record(d.CellOf(q.firstAsked))
+	return p == nil || p.Slot(q.firstAsked).Removed
+}
+
+// stepAttempt takes an attempt of a process one step on: check the lease, send, answer.
+func (w *cellsWorld) stepAttempt(n, k int) {
+	p := w.processes[n]
+	switch a := p.attempts[k]; {
+	case !a.leaseChecked:
+		w.checkLease(p, k)
+	case !a.sent:
+		w.send(p, a)
+	default:
+		w.finish(p, k)
+	}
+}
+
+// removeAttempt removes an attempt.
+func (p *cellProcess) removeAttempt(k int) { p.attempts = slices.Delete(p.attempts, k, k+1) }
+
+// checkLease lets an attempt be sent if its process holds a lease, or if it needs none.
+func (w *cellsWorld) checkLease(p *cellProcess, k int) {
+	a := p.attempts[k]
+	owned := a.cell != 0
+	switch {
+	case owned && a.owner != p.node.Self || !owned && w.requests[a.request].answered:
+		p.removeAttempt(k)
+	case owned && !p.node.LeaseValid(w.now): // it may get a lease again
+	default:
+		a.leaseChecked = true
+	}
+}
+
+// send has a server run a request; a known key has no second effect.
+func (w *cellsWorld) send(p *cellProcess, a *cellAttempt) {
+	q := w.requests[a.request]
+	a.sent = true
+	if q.idempotency != takeover.IdempotentByKey || q.runs == 0 {
+		q.runs++
+	}
+	a.run = q.runs
+	w.log("%s sends r%d", p.name, a.request)
+	if q.idempotency == takeover.NotIdempotent && q.runs > 1 {
+		w.violate("r%d runs twice", a.request)
+	}
+}
+
+// finish records a server's answer, if its process still owns the request, and gives it to the client.
+func (w *cellsWorld) finish(p *cellProcess, k int) {
+	a := p.attempts[k]
+	if a.cell == 0 {
+		p.removeAttempt(k)
+		w.answerClient(a.request, a.run)
+		return
+	}
+	c := w.cell(a.cell)
+	owner := a.owner == p.node.Self && c != nil
+	if owner && !p.node.LeaseValid(w.now) {
+		return
+	}
+	p.removeAttempt(k)
+	if !owner {
+		return
+	}
+	record := c.records[a.request]
+	if record == nil || record.owner != a.owner || record.assignedTo != 0 || record.failed || !c.state().IsMember(a.owner) {
+		return
+	}
+	record.answer = a.run
+	w.answerClient(a.request, a.run)
+}
+
+// answerClient gives a client the answer of a run; 0: that it may have run.
+func (w *cellsWorld) answerClient(r, run int) {
+	q := w.requests[r]
+	w.log("client of r%d gets %d", r, run)
+	if run == 0 && !q.everBegun && w.settling && !w.firstAskedRemoved(q) {
+		w.violate("r%d fails though nobody ever began it", r)
+	}
+	if run != 0 && q.servedRun != 0 && q.servedRun != run {
+		w.violate("two answers to r%d", r)
+	}
+	if run != 0 {
+		q.servedRun = run
+		w.coverage.Answers++
+	} else {
+		w.coverage.Failed++
+	}
+	q.answered = true
+}
--- a/internal/lab/modelcheck/cells_test.go
+++ b/internal/lab/modelcheck/cells_test.go
@@ -8,17 +8,17 @@
 )
 
 // No way through moves, splits, merges, late and cut directories, two leaders, kills and stops breaks a promise.
-func TestCellsKeepTheirPromises(t *testing.T) {
-	steps, met := 0, Met{}
+func TestCellsKeepInvariants(t *testing.T) {
+	steps, met := 0, Coverage{}
 	for seed := range uint64(1000) {
-		f := WalkCells(CellsOf(seed), seed, 300)
-		if steps += f.States; f.Broken != "" {
-			t.Fatalf("seed %d: %s\n%s", seed, f.Broken, strings.Join(f.Trace, "\n"))
+		f := WalkCells(CellsConfigFor(seed), seed, 300)
+		if steps += f.States; f.Violation != "" {
+			t.Fatalf("seed %d: %s\n%s", seed, f.Violation, strings.Join(f.Trace, "\n"))
 		}
-		met = met.Add(f.Met)
+		met = met.Add(f.Coverage)
 	}
 	t.Logf("%d steps, %+v", steps, met)
-	for _, n := range []int{met.Moves, met.Seals, met.Fences, met.Drops, met.Forgotten, met.Given, met.HandedOn, met.Answers, met.Failed, met.Unknown, met.Wholes} {
+	for _, n := range []int{met.Moves, met.Seals, met.Fences, met.ForgottenDepartures, met.ForgottenCells, met.Assigned, met.Transferred, met.Answers, met.Failed, met.Unknown, met.CompleteDeltas} {
 		if n < 20 {
 			t.Errorf("hardly met: %+v", met)
 		}
@@ -26,7 +26,7 @@
 }
 
 // Each planted fault is found, by the promise that it breaks. Guards against an explorer that can find nothing.
-func TestPlantedFaultsOfCellsAreFound(t *testing.T) {
+func TestInjectedFaultsOfCellsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		plant      cells.InjectedFault
 		name, want string
@@ -43,10 +43,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(6_000) {
-				conf := CellsOf(seed)
-				conf.Plant = c.plant
-				if f := WalkCells(conf, seed, 300); strings.Contains(f.Broken, c.want) {
-					t.Logf("seed %d: %s", seed, f.Broken)
+				conf := CellsConfigFor(seed)
+				conf.Fault = c.plant
+				if f := WalkCells(conf, seed, 300); strings.Contains(f.Violation, c.want) {
+					t.Logf("seed %d: %s", seed, f.Violation)
 					return
 				}
 			}
--- a/internal/lab/modelcheck/explore_test.go
+++ b/internal/lab/modelcheck/explore_test.go
@@ -16,19 +16,19 @@
 )
 
 // No order of events breaks a promise: all short ones, and many long ones.
-func TestNoOrderBreaksAPromise(t *testing.T) {
+func TestNoOrderBreaksAnInvariant(t *testing.T) {
 	for _, strict := range []bool{false, true} {
-		f, err := Exhaust(context.Background(), Config{Effects: one, Strict: strict, Budget: Little}, 4)
-		if err != nil || f.Broken != "" {
-			t.Fatalf("strict %t: %v %s\n%s", strict, err, f.Broken, strings.Join(f.Trace, "\n"))
+		f, err := Exhaust(context.Background(), Config{Idempotency: one, Strict: strict, Budget: SmallBudget}, 4)
+		if err != nil || f.Violation != "" {
+			t.Fatalf("strict %t: %v %s\n%s", strict, err, f.Violation, strings.Join(f.Trace, "\n"))
 		}
 		t.Logf("strict %t: %d states", strict, f.States)
 	}
 	steps := 0
 	for seed := range uint64(400) {
-		f := Walk(Config{Effects: both, Strict: seed%2 == 0, Budget: Much}, seed, 200)
-		if steps += f.States; f.Broken != "" {
-			t.Fatalf("seed %d: %s\n%s", seed, f.Broken, strings.Join(f.Trace, "\n"))
+		f := Walk(Config{Idempotency: both, Strict: seed%2 == 0, Budget: LargeBudget}, seed, 200)
+		if steps += f.States; f.Violation != "" {
+			t.Fatalf("seed %d: %s\n%s", seed, f.Violation, strings.Join(f.Trace, "\n"))
 		}
 	}
 	t.Logf("%d steps at random", steps)
@@ -48,7 +48,7 @@
 		Step: func(state, _, output any) (bool, any) { return state == "" || state == output, output },
 	}
 	heard := 0
-	check := func(all []Heard) bool {
+	check := func(all []Response) bool {
 		var ops []porcupine.Operation
 		for _, h := range all {
 			if !h.Undecided {
@@ -59,30 +59,30 @@
 		return porcupine.CheckOperations(model, ops)
 	}
 	for seed := range uint64(1000) {
-		if f := Walk(Config{Effects: both, Strict: true, Budget: Much}, 1_000_000+seed, 150); !check(f.Heard) {
-			t.Fatalf("seed %d: %+v\n%s", seed, f.Heard, strings.Join(f.Trace, "\n"))
+		if f := Walk(Config{Idempotency: both, Strict: true, Budget: LargeBudget}, 1_000_000+seed, 150); !check(f.Responses) {
+			t.Fatalf("seed %d: %+v\n%s", seed, f.Responses, strings.Join(f.Trace, "\n"))
 		}
 	}
-	if two := []Heard{{0, 1, 2, "a", false}, {0, 3, 4, "b", false}}; heard < 200 || check(two) {
+	if two := []Response{{0, 1, 2, "a", false}, {0, 3, 4, "b", false}}; heard < 200 || check(two) {
 		t.Errorf("%d answers heard, or two that differ pass", heard)
 	}
 }
 
 // Each planted fault is found. Guards against an explorer that can find nothing.
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestInjectedFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		plant takeover.InjectedFault
 		name  string
 		with  Budget
 	}{
-		{takeover.IgnoreLease, "lease not checked", Much},
-		{takeover.SendBeforeQuorum, "sent before the holders have it", Budget{Asks: 2, Losses: 4}},
-		{takeover.InvertMembership, "epoch compared the wrong way", Much},
-		{takeover.ForgetResponse, "answer forgotten", Budget{Asks: 2, Crashes: 1, Fences: 1, Ticks: 2}},
+		{takeover.IgnoreLease, "lease not checked", LargeBudget},
+		{takeover.SendBeforeQuorum, "sent before the holders have it", Budget{Attempts: 2, Losses: 4}},
+		{takeover.InvertMembership, "epoch compared the wrong way", LargeBudget},
+		{takeover.ForgetResponse, "answer forgotten", Budget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
 	} {
 		found, seed := "", uint64(0)
 		for ; seed < 5_000 && found == ""; seed++ {
-			found = Walk(Config{Effects: both, Strict: true, Plant: c.plant, Budget: c.with}, seed, 200).Broken
+			found = Walk(Config{Idempotency: both, Strict: true, Fault: c.plant, Budget: c.with}, seed, 200).Violation
 		}
 		if found == "" {
 			t.Errorf("%s: not found", c.name)
