--- a/internal/lab/modelcheck/cells_test.go
+++ b/internal/lab/modelcheck/cells_test.go
@@ -7,44 +7,44 @@
 	"damsonscale/internal/cells"
 )
 
-// No way through moves, splits, merges, late and cut directories, two leaders, kills and stops breaks a promise.
+// No random run of moves, splits, merges, late and partitioned directories, two leaders, kills and stops violates an invariant.
 func TestCellsKeepInvariants(t *testing.T) {
-	steps, met := 0, Coverage{}
+	steps, coverage := 0, Coverage{}
 	for seed := range uint64(1000) {
 		f := WalkCells(CellsConfigFor(seed), seed, 300)
 		if steps += f.States; f.Violation != "" {
 			t.Fatalf("seed %d: %s\n%s", seed, f.Violation, strings.Join(f.Trace, "\n"))
 		}
-		met = met.Add(f.Coverage)
+		coverage = coverage.Add(f.Coverage)
 	}
-	t.Logf("%d steps, %+v", steps, met)
-	for _, n := range []int{met.Moves, met.Seals, met.Fences, met.ForgottenDepartures, met.ForgottenCells, met.Assigned, met.Transferred, met.Answers, met.Failed, met.Unknown, met.CompleteDeltas} {
+	t.Logf("%d steps, %+v", steps, coverage)
+	for _, n := range []int{coverage.Moves, coverage.Seals, coverage.Fences, coverage.ForgottenDepartures, coverage.ForgottenCells, coverage.Assigned, coverage.Transferred, coverage.Answers, coverage.Failed, coverage.Unknown, coverage.CompleteDeltas} {
 		if n < 20 {
-			t.Errorf("hardly met: %+v", met)
+			t.Errorf("too rare: %+v", coverage)
 		}
 	}
 }
 
-// Each planted fault is found, by the promise that it breaks. Guards against an explorer that can find nothing.
+// Each injected fault is found, by the invariant that it violates: else the search might find nothing at all.
 func TestInjectedFaultsOfCellsAreFound(t *testing.T) {
 	for _, c := range []struct {
-		plant      cells.InjectedFault
+		fault      cells.InjectedFault
 		name, want string
 	}{
-		{cells.EarlyDeparture, "certified as departed while its lease may run", "says that it is out"},
-		{cells.LeaseWhileSealing, "a cell that is sealed grants on", "says that it is out"},
+		{cells.EarlyDeparture, "departure certified while its lease may be valid", "says that it is out"},
+		{cells.LeaseWhileSealing, "a cell that is to be sealed grants leases", "says that it is out"},
 		{cells.FormerCellsDropped, "former cells forgotten", "runs twice"},
-		{cells.FirstAttemptUnchecked, "a first ask after a move does not look back", "runs twice"},
-		{cells.StaleUpdateAccepted, "the older word is taken", "agreed on fence"},
-		{cells.DigestIgnored, "digests not compared", "after all was mended"},
-		{cells.TermIgnored, "two directories assign", "after all was mended"},
+		{cells.FirstAttemptUnchecked, "first attempt after a move unchecked", "runs twice"},
+		{cells.StaleUpdateAccepted, "stale update accepted", "agreed on fence"},
+		{cells.DigestIgnored, "digests ignored", "after all was mended"},
+		{cells.TermIgnored, "two directories assign members", "after all was mended"},
 		{cells.CertificateIgnored, "joined without a certificate", "may act in cells"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(6_000) {
 				conf := CellsConfigFor(seed)
-				conf.Fault = c.plant
+				conf.Fault = c.fault
 				if f := WalkCells(conf, seed, 300); strings.Contains(f.Violation, c.want) {
 					t.Logf("seed %d: %s", seed, f.Violation)
 					return
--- a/internal/lab/modelcheck/fence.go
+++ b/internal/lab/modelcheck/fence.go
@@ -9,65 +9,78 @@
 	"damsonscale/internal/rollout"
 )
 
-// LeaseFault is a mistake in how leases follow the fence, to show that the search finds it.
+// LeaseFault is a fault in how leases follow the fence, which the search must find.
 type LeaseFault uint8
 
+// Faults of leases.
 const (
 	NoLeaseFault     LeaseFault = iota
 	FenceIgnored                // the leader does not look at the fence
-	StaleLog                    // it goes by the log as it has it when the ask comes, unconfirmed
-	CountedFromGrant            // a lease counts from when its grant comes, not from when it was asked for
+	StaleLog                    // the leader grants by its log as it is when the request comes, unconfirmed
+	CountedFromGrant            // a lease counts from when its grant arrives, not from when it was requested
 	VersionForgotten            // a member goes back to its own file and keeps its lease
 )
 
-// FenceConfig is a small world of leases and versions: members ask leaders, of whom one is the real one, and act.
+// FenceConfig configures a world in which members request leases of two leaders, of whom one is the real one, and act.
 type FenceConfig struct {
 	Members       int
-	Commands      []rollout.Kind // that are agreed, in this order; a target that is not whole first is widened by Widen
-	LeaderChanges int            // changes of the leader
-	Restarts      int            // restarts of members, which forget all
-	Ticks         int            // of time
-	LeaseRequests int            // for a lease, of all members together
+	Commands      []rollout.Kind // that are agreed, in this order
+	LeaderChanges int
+	Restarts      int // of members, which forget everything
+	Ticks         int
+	LeaseRequests int // of all members together
 	Fault         LeaseFault
 }
 
+// String describes a configuration in a line.
+func (c FenceConfig) String() string {
+	var commands []string
+	for _, k := range c.Commands {
+		commands = append(commands, k.String())
+	}
+	return fmt.Sprintf("members=%d commands=%s leader_changes=%d restarts=%d ticks=%d lease_requests=%d", c.Members, strings.Join(commands, ","),
+		c.LeaderChanges, c.Restarts, c.Ticks, c.LeaseRequests)
+}
+
 const (
 	fenceLease   = 2 // ticks
 	fenceLeaders = 2
 )
 
-// fenceRequest is an ask for a lease on its way through one leader.
+// fenceRequest is a lease request in flight.
 type fenceRequest struct {
 	member, leader, incarnation int
-	sent                        int
+	sent                        int // tick
 	active                      uint64
-	index                       int // of the log at the confirmation; -1: not confirmed
+	index                       int // of the log when the leader was confirmed; -1: not yet
 	granted                     bool
 }
 
+// fenceMember is a member.
 type fenceMember struct {
-	incarnation int // restarts
-	active      uint64
-	leaseEnd    int // of its lease, in ticks; 0: none
-	applied     int // of the log
+	incarnation int
+	active      uint64 // number of the settings that it acts on
+	leaseEnd    int    // tick; 0: no lease
+	applied     int    // entries of the log
 }
 
 // fenceWorld is one state.
 type fenceWorld struct {
 	conf          *FenceConfig
-	now           int
+	now           int             // ticks
 	log           []*rollout.Plan // after each entry
-	agreedAt      []int           // when each was agreed
+	agreedAt      []int           // tick, by entry
 	leader        int             // the real one
 	leaderChanges int
 	restarts      int
-	requested     int
-	applied       [fenceLeaders]int
+	requested     int               // leases
+	applied       [fenceLeaders]int // entries of the log
 	members       []fenceMember
 	requests      []fenceRequest
-	violation     string
+	violation     string // empty: none
 }
 
+// clone returns a copy that shares nothing that changes.
 func (w *fenceWorld) clone() *fenceWorld {
 	c := *w
 	c.log, c.agreedAt = slices.Clone(w.log), slices.Clone(w.agreedAt)
@@ -75,18 +88,23 @@
 	return &c
 }
 
+// key returns a text of a state: states with the same one have the same future.
 func (w *fenceWorld) key() string {
 	return fmt.Sprint(w.now, len(w.log), w.agreedAt, w.leader, w.leaderChanges, w.restarts, w.requested, w.applied, w.members, w.requests)
 }
 
-func (w *fenceWorld) plan(n int) *rollout.Plan {
-	if n == 0 {
+// plan returns the plan after so many entries of the log.
+func (w *fenceWorld) plan(entries int) *rollout.Plan {
+	if entries == 0 {
 		return &rollout.Plan{}
 	}
-	return w.log[n-1]
+	return w.log[entries-1]
 }
 
-// checkFence has a member act, and tells whether it may still.
+// memberName returns the name of a member.
+func memberName(i int) string { return fmt.Sprint("m", i) }
+
+// checkFence has a member act, and checks that no fence above its version was agreed longer than a lease ago.
 func (w *fenceWorld) checkFence(m *fenceMember) {
 	for i, p := range w.log {
 		if p.Fence > m.active && w.now > w.agreedAt[i]+fenceLease {
@@ -96,61 +114,73 @@
 	}
 }
 
+// agree appends the next command to the log. The leader has applied it.
+func (w *fenceWorld) agree() {
+	names := make([]string, len(w.members))
+	for i := range names {
+		names[i] = memberName(i)
+	}
+	n := len(w.log)
+	p := w.plan(n)
+	c := &rollout.Command{Kind: w.conf.Commands[n], ID: uint64(n + 1), Author: "x", Number: p.Target}
+	if c.Kind == rollout.RollOut {
+		c.Settings, c.Share = []byte{byte(n)}, rollout.FullShare
+	}
+	next, err := p.Apply(c, names, names)
+	if err != nil {
+		w.violation = err.Error()
+	}
+	w.log, w.agreedAt = append(w.log, next), append(w.agreedAt, w.now)
+	w.applied[w.leader] = len(w.log)
+}
+
+// fenceStep is one thing that may happen next.
 type fenceStep struct {
 	name string
 	do   func(*fenceWorld)
 }
 
-// steps lists what may happen next.
-func (w *fenceWorld) steps() (out []fenceStep) {
-	add := func(name string, do func(*fenceWorld)) { out = append(out, fenceStep{name, do}) }
-	names := make([]string, len(w.members))
-	for i := range names {
-		names[i] = fmt.Sprint("m", i)
-	}
+// fenceSteps collects what may happen next.
+type fenceSteps struct{ steps []fenceStep }
+
+// add adds a step.
+func (s *fenceSteps) add(name string, do func(*fenceWorld)) {
+	s.steps = append(s.steps, fenceStep{name, do})
+}
+
+// steps returns what may happen next, in a fixed order.
+func (w *fenceWorld) steps() []fenceStep {
+	s := &fenceSteps{}
 	if w.now < w.conf.Ticks {
-		add("tick", func(w *fenceWorld) { w.now++ })
-	}
-	if n := len(w.log); n < len(w.conf.Commands) {
-		add("agree", func(w *fenceWorld) {
-			p := w.plan(n)
-			o := &rollout.Command{Kind: w.conf.Commands[n], ID: uint64(n + 1), Author: "x", Number: p.Target}
-			if o.Kind == rollout.RollOut {
-				o.Settings, o.Share = []byte{byte(n)}, rollout.FullShare
-			}
-			next, err := p.Apply(o, names, names)
-			if err != nil {
-				w.violation = err.Error()
-			}
-			w.log, w.agreedAt = append(w.log, next), append(w.agreedAt, w.now)
-			w.applied[w.leader] = len(w.log) // a leader has what it had agreed
-		})
+		s.add("tick", func(w *fenceWorld) { w.now++ })
+	}
+	if len(w.log) < len(w.conf.Commands) {
+		s.add("agree", (*fenceWorld).agree)
 	}
 	if w.leaderChanges < w.conf.LeaderChanges {
-		add("turn", func(w *fenceWorld) { w.leader, w.leaderChanges = 1-w.leader, w.leaderChanges+1 })
+		s.add("change the leader", func(w *fenceWorld) { w.leader, w.leaderChanges = 1-w.leader, w.leaderChanges+1 })
 	}
 	for l := range w.applied {
 		if w.applied[l] < len(w.log) {
-			add(fmt.Sprintf("apply at %d", l), func(w *fenceWorld) { w.applied[l]++ })
+			s.add(fmt.Sprintf("apply at leader %d", l), func(w *fenceWorld) { w.applied[l]++ })
 		}
 	}
 	for i := range w.members {
-		out = append(out, w.memberSteps(i)...)
+		w.memberSteps(s, i)
 	}
 	for i := range w.requests {
-		out = append(out, w.requestSteps(i)...)
+		w.requestSteps(s, i)
 	}
-	return out
+	return s.steps
 }
 
-func (w *fenceWorld) memberSteps(i int) (out []fenceStep) {
-	add := func(name string, do func(*fenceWorld)) {
-		out = append(out, fenceStep{fmt.Sprintf("m%d %s", i, name), do})
-	}
+// memberSteps adds what a member may do.
+func (w *fenceWorld) memberSteps(s *fenceSteps, i int) {
+	add := func(what string, do func(*fenceWorld)) { s.add(memberName(i)+" "+what, do) }
 	m := w.members[i]
 	if w.requested < w.conf.LeaseRequests {
 		for l := range w.applied {
-			add(fmt.Sprintf("asks %d", l), func(w *fenceWorld) {
+			add(fmt.Sprintf("requests a lease of leader %d", l), func(w *fenceWorld) {
 				w.requested++
 				w.requests = append(w.requests, fenceRequest{member: i, leader: l, incarnation: m.incarnation, sent: w.now, active: m.active, index: -1})
 			})
@@ -160,10 +190,10 @@
 		add("acts", func(w *fenceWorld) { w.checkFence(&w.members[i]) })
 	}
 	if m.applied < len(w.log) {
-		add("learns", func(w *fenceWorld) { w.members[i].applied++ })
+		add("applies an entry", func(w *fenceWorld) { w.members[i].applied++ })
 	}
-	if want := w.plan(m.applied).TargetFor(fmt.Sprint("m", i)); want > m.active {
-		add("adopts", func(w *fenceWorld) { w.members[i].active = want })
+	if target := w.plan(m.applied).TargetFor(memberName(i)); target > m.active {
+		add("adopts the target", func(w *fenceWorld) { w.members[i].active = target })
 	}
 	if w.restarts < w.conf.Restarts {
 		add("restarts", func(w *fenceWorld) {
@@ -172,81 +202,81 @@
 		})
 	}
 	if w.conf.Fault == VersionForgotten && m.active > 0 {
-		add("forgets", func(w *fenceWorld) { w.members[i].active = 0 })
+		add("forgets its version", func(w *fenceWorld) { w.members[i].active = 0 })
 	}
-	return out
 }
 
-func (w *fenceWorld) requestSteps(i int) (out []fenceStep) {
-	a := w.requests[i]
-	switch {
-	case a.granted:
-		out = append(out, fenceStep{fmt.Sprintf("grant %d comes", i), func(w *fenceWorld) {
-			m := &w.members[a.member]
-			w.requests = slices.Delete(w.requests, i, i+1)
-			if m.incarnation != a.incarnation {
-				return // of another incarnation
-			}
-			from := a.sent
-			if w.conf.Fault == CountedFromGrant {
-				from = w.now
-			}
-			m.leaseEnd = max(m.leaseEnd, from+fenceLease)
-		}})
-	case a.index < 0 && w.leader == a.leader:
-		out = append(out, fenceStep{fmt.Sprintf("ask %d is confirmed", i), func(w *fenceWorld) { w.requests[i].index = len(w.log) }})
-	}
-	if a.index >= 0 && !a.granted && w.applied[a.leader] >= a.index || w.conf.Fault == StaleLog && !a.granted {
-		out = append(out, fenceStep{fmt.Sprintf("ask %d is answered", i), func(w *fenceWorld) {
-			if w.conf.Fault == FenceIgnored || w.plan(w.applied[a.leader]).MayLease(fmt.Sprint("m", a.member), a.active) {
-				w.requests[i].granted = true
-				return
-			}
-			w.requests = slices.Delete(w.requests, i, i+1)
-		}})
+// requestSteps adds the next step of a lease request.
+func (w *fenceWorld) requestSteps(s *fenceSteps, i int) {
+	r := w.requests[i]
+	if r.granted {
+		s.add(fmt.Sprintf("grant %d arrives", i), func(w *fenceWorld) { w.deliverGrant(i) })
+		return
+	}
+	if r.index < 0 && w.leader == r.leader {
+		s.add(fmt.Sprintf("request %d is confirmed", i), func(w *fenceWorld) { w.requests[i].index = len(w.log) })
+	}
+	confirmed := r.index >= 0 && w.applied[r.leader] >= r.index
+	if confirmed || w.conf.Fault == StaleLog {
+		s.add(fmt.Sprintf("request %d is answered", i), func(w *fenceWorld) { w.answerRequest(i) })
+	}
+}
+
+// deliverGrant extends the lease of a member, unless it has restarted since.
+func (w *fenceWorld) deliverGrant(i int) {
+	r := w.requests[i]
+	w.requests = slices.Delete(w.requests, i, i+1)
+	m := &w.members[r.member]
+	if m.incarnation != r.incarnation {
+		return
 	}
-	return out
+	from := r.sent
+	if w.conf.Fault == CountedFromGrant {
+		from = w.now
+	}
+	m.leaseEnd = max(m.leaseEnd, from+fenceLease)
 }
 
-// ExhaustFence looks at every order of events of a world of leases and versions, and tells the first in which a member acts
-// below the fence later than a lease after it was agreed.
+// answerRequest has a leader grant or drop a request.
+func (w *fenceWorld) answerRequest(i int) {
+	r := w.requests[i]
+	if w.conf.Fault == FenceIgnored || w.plan(w.applied[r.leader]).MayLease(memberName(r.member), r.active) {
+		w.requests[i].granted = true
+		return
+	}
+	w.requests = slices.Delete(w.requests, i, i+1)
+}
+
+// ExhaustFence explores all orders of events, each state once, up to the first in which a member acts below the fence later than a lease after it was
+// agreed. Its error is that of ctx.
 func ExhaustFence(ctx context.Context, conf FenceConfig) (Result, error) {
-	start := &fenceWorld{conf: &conf, members: make([]fenceMember, conf.Members)}
-	met := map[string]bool{start.key(): true}
 	type node struct {
-		w     *fenceWorld
+		world *fenceWorld
 		trace []string
 	}
-	f := Result{}
-	for todo := []node{{w: start}}; len(todo) > 0; {
+	start := &fenceWorld{conf: &conf, members: make([]fenceMember, conf.Members)}
+	seen := map[string]bool{start.key(): true}
+	result := Result{}
+	for open := []node{{world: start}}; len(open) > 0; {
 		if err := ctx.Err(); err != nil {
-			return f, err
+			return result, err
 		}
-		n := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		f.States++
-		for _, s := range n.w.steps() {
-			next := n.w.clone()
+		at := open[len(open)-1]
+		open = open[:len(open)-1]
+		result.States++
+		for _, s := range at.world.steps() {
+			next := at.world.clone()
 			s.do(next)
-			trace := append(slices.Clip(n.trace), s.name)
+			trace := append(slices.Clip(at.trace), s.name)
 			if next.violation != "" {
-				f.Violation, f.Trace = next.violation, trace
-				return f, nil
+				result.Violation, result.Trace = next.violation, trace
+				return result, nil
 			}
-			if k := next.key(); !met[k] {
-				met[k] = true
-				todo = append(todo, node{next, trace})
+			if k := next.key(); !seen[k] {
+				seen[k] = true
+				open = append(open, node{next, trace})
 			}
 		}
 	}
-	return f, nil
-}
-
-// String tells a world of fences in a line.
-func (c FenceConfig) String() string {
-	var orders []string
-	for _, o := range c.Commands {
-		orders = append(orders, o.String())
-	}
-	return fmt.Sprintf("members=%d orders=%s turns=%d starts=%d ticks=%d asks=%d", c.Members, strings.Join(orders, ","), c.LeaderChanges, c.Restarts, c.Ticks, c.LeaseRequests)
+	return result, nil
 }
--- a/internal/lab/modelcheck/fence_test.go
+++ b/internal/lab/modelcheck/fence_test.go
@@ -18,14 +18,14 @@
 	t.Logf("%v: %d states", small, f.States)
 }
 
-// Each mistake is found. Guards against a search that can find nothing.
+// Each injected fault is found: else the search might find nothing at all.
 func TestFaultsOfLeasesAreFound(t *testing.T) {
-	for _, s := range []LeaseFault{FenceIgnored, StaleLog, CountedFromGrant, VersionForgotten} {
+	for _, fault := range []LeaseFault{FenceIgnored, StaleLog, CountedFromGrant, VersionForgotten} {
 		c := small
-		c.Fault = s
+		c.Fault = fault
 		f, err := ExhaustFence(context.Background(), c)
 		if err != nil || f.Violation == "" {
-			t.Errorf("slip %d is not found in %d states: %v", s, f.States, err)
+			t.Errorf("fault %d is not found in %d states: %v", fault, f.States, err)
 		}
 	}
 }
--- /dev/null
+++ b/internal/lab/modelcheck/takeover_moves.go
@@ -0,0 +1,170 @@
+package modelcheck
+
+import (
+	"fmt"
+	"reflect"
+	"slices"
+	"strings"
+
+	"damsonscale/internal/takeover"
+)
+
+// move is one thing that may happen next.
+type move struct {
+	name string
+	do   func(*world)
+}
+
+// moveList collects the moves that may be made next, in a fixed order.
+type moveList struct{ moves []move }
+
+// add adds a move.
+func (l *moveList) add(name string, do func(*world)) { l.moves = append(l.moves, move{name, do}) }
+
+// addIf adds a move if its budget has any left. The move itself takes it from the budget of its world.
+func (l *moveList) addIf(left int, name string, do func(*world)) {
+	if left > 0 {
+		l.add(name, do)
+	}
+}
+
+// moves returns what may happen next, in a fixed order.
+func (w *world) moves() []move {
+	l := &moveList{}
+	w.networkMoves(l)
+	for n, p := range w.processes {
+		if p.up {
+			w.requestMoves(l, n)
+			w.processMoves(l, n)
+		} else {
+			l.addIf(w.budget.Restarts, "restart "+p.self.Name, func(w *world) { w.budget.Restarts--; w.restart(n) })
+		}
+		w.leaseMoves(l, n)
+	}
+	return l.moves
+}
+
+// networkMoves adds the delivery, duplication and loss of each message.
+func (w *world) networkMoves(l *moveList) {
+	for i, m := range w.net {
+		if slices.ContainsFunc(w.net[:i], func(o message) bool { return sameMessage(o, m) }) {
+			continue
+		}
+		what := fmt.Sprintf("%s%d to %s: %s of %s at %d seq %d", m.from.Name, m.from.Incarnation, m.to, messageKindNames[m.body.Kind], m.body.ID,
+			m.body.Ballot.Round, m.body.Seq)
+		l.add("deliver "+what, func(w *world) { w.deliver(i, true) })
+		l.addIf(w.budget.Duplicates, "deliver and keep "+what, func(w *world) { w.budget.Duplicates--; w.deliver(i, false) })
+		l.addIf(w.budget.Losses, "lose "+what, func(w *world) { w.budget.Losses--; w.net = slices.Delete(w.net, i, i+1) })
+	}
+}
+
+// messageKindNames name kinds of messages in traces, by number.
+var messageKindNames = [...]string{
+	takeover.Write: "write", takeover.Prepare: "prepare", takeover.Accepted: "accepted", takeover.Promised: "promised", takeover.OwnerAlive: "owner alive",
+	takeover.HigherBallot: "higher ballot", takeover.Evicted: "evicted", takeover.StaleEpoch: "stale epoch", takeover.NotYetMember: "not yet a member",
+	takeover.OutOfCapacity: "out of capacity", takeover.IDInUse: "id in use", takeover.RecordExpired: "record expired",
+}
+
+// sameMessage reports whether two messages have the same effect.
+func sameMessage(a, b message) bool {
+	return a.from == b.from && a.to == b.to && a.body.Kind == b.body.Kind && a.body.ID == b.body.ID && a.body.Ballot == b.body.Ballot &&
+		reflect.DeepEqual(a.body, b.body)
+}
+
+// requestMoves adds attempts of clients at a process, and the next step of each of its own attempts.
+func (w *world) requestMoves(l *moveList, n int) {
+	p := w.processes[n]
+	for i, r := range w.requests {
+		if r.attempts == 0 {
+			l.addIf(w.budget.Attempts, "ask "+p.self.Name+" for "+requestID(i), func(w *world) { w.sendAttempt(n, i, false) })
+		} else if !p.waitingClients[i] && len(r.answers) == 0 {
+			l.addIf(w.budget.Attempts, "ask "+p.self.Name+" again for "+requestID(i), func(w *world) { w.sendAttempt(n, i, true) })
+		}
+		a := p.attempts[i]
+		if a == nil {
+			continue
+		}
+		name := p.self.Name + " " + requestID(i)
+		switch {
+		case !a.leaseChecked:
+			l.add("check "+name, func(w *world) { w.checkLease(n, i) })
+		case !a.sent:
+			l.add("write "+name, func(w *world) { w.writeAttempt(n, i) })
+		default:
+			l.add("answer "+name, func(w *world) { w.finishAttempt(n, i) })
+		}
+	}
+}
+
+// processMoves adds crashes, ticks, and entries of the log that a process has not learned.
+func (w *world) processMoves(l *moveList, n int) {
+	p := w.processes[n]
+	name := p.self.Name
+	l.addIf(w.budget.Crashes, "crash "+name, func(w *world) { w.budget.Crashes--; w.processes[n].up = false; w.processes[n].node = nil })
+	l.addIf(w.budget.Ticks, "tick of "+name, func(w *world) { w.budget.Ticks--; w.tick(n, resendInterval) })
+	l.addIf(w.budget.QuorumTimeouts, "quorum timeout of "+name, func(w *world) { w.budget.QuorumTimeouts--; w.tick(n, quorumTimeout) })
+	if p.epoch < len(w.log) {
+		l.add("log to "+name, func(w *world) { w.learn(w.processes[n]) })
+	}
+}
+
+// leaseMoves adds the expiry of a process's lease, and its eviction after that.
+func (w *world) leaseMoves(l *moveList, n int) {
+	p := w.processes[n]
+	if p.lease {
+		l.addIf(w.budget.LeaseExpiries, "lease of "+p.self.Name+" expires", func(w *world) { w.budget.LeaseExpiries--; w.processes[n].lease = false })
+	} else if w.view(len(w.log)).Contains(p.self) {
+		l.add("evict "+p.self.Name, func(w *world) { w.log = append(w.log, logEntry{w.processes[n].self, true}) })
+	}
+}
+
+// checkLease lets an attempt be sent if its process holds a lease, or if it needs none. The process may pause between this and the write.
+func (w *world) checkLease(n, i int) {
+	p := w.processes[n]
+	a := p.attempts[i]
+	if a.owned && !p.lease && w.conf.Fault != takeover.IgnoreLease {
+		delete(p.attempts, i)
+		delete(p.waitingClients, i)
+		return
+	}
+	a.leaseChecked = true
+	if a.owned && !p.lease {
+		w.violate("%s sends %s after its lease", p.self.Name, requestID(i))
+	}
+}
+
+// writeAttempt has a server run a request; a known key has no second effect.
+func (w *world) writeAttempt(n, i int) {
+	a, r := w.processes[n].attempts[i], w.requests[i]
+	a.sent = true
+	if r.idempotency != takeover.IdempotentByKey || r.runs == 0 {
+		r.runs++
+	}
+	a.run = r.runs
+	if a.owned {
+		r.ownedRuns++
+	}
+	if r.idempotency == takeover.NotIdempotent && r.runs > 1 {
+		w.violate("%s runs twice", requestID(i))
+	}
+	if a.owned && slices.ContainsFunc(r.answers, func(answer string) bool { return strings.HasPrefix(answer, fmt.Sprint(takeover.Rejected)) }) {
+		w.violate("%s runs though it was refused", requestID(i))
+	}
+}
+
+// finishAttempt gives a client the answer of a server. Without a lease the process says nothing.
+func (w *world) finishAttempt(n, i int) {
+	p := w.processes[n]
+	a := p.attempts[i]
+	delete(p.attempts, i)
+	if a.owned && !p.lease {
+		delete(p.waitingClients, i)
+		return
+	}
+	response := takeover.Response{Status: takeover.Served, Body: []byte{byte(a.run)}}
+	if a.owned {
+		p.node.Complete(p.now, requestID(i), response)
+	}
+	w.answerClient(p, i, response)
+	w.carryOut(p)
+}
--- /dev/null
+++ b/internal/lab/modelcheck/takeover_requests.go
@@ -0,0 +1,123 @@
+package modelcheck
+
+import (
+	"fmt"
+
+	"damsonscale/internal/takeover"
+)
+
+// requestID returns the id of a request.
+func requestID(i int) string { return fmt.Sprint("r", i) }
+
+// requestIndex returns the request of an id.
+func requestIndex(id string) (i int) {
+	fmt.Sscanf(id, "r%d", &i)
+	return i
+}
+
+// record returns the record of a request that a process has received.
+func (w *world) record(i int) takeover.Record {
+	r := takeover.Record{ID: requestID(i), Digest: 1, Idempotency: w.requests[i].idempotency, DeadlineAge: maxAge}
+	if r.Idempotency == takeover.IdempotentByKey {
+		r.Request = []byte("x")
+	}
+	return r
+}
+
+// sendAttempt has a client send a request to a process, or ask again.
+func (w *world) sendAttempt(n, i int, resume bool) {
+	p := w.processes[n]
+	w.budget.Attempts--
+	w.requests[i].attempts++
+	p.waitingClients[i], p.askedAt[i] = true, w.step
+	if p.attempts[i] != nil {
+		return // it waits for the attempt under way
+	}
+	if resume {
+		p.node.Resume(p.now, w.record(i))
+	} else {
+		p.node.Begin(p.now, w.record(i))
+	}
+	w.carryOut(p)
+}
+
+// handleEvent does what the program does on a node's event.
+func (w *world) handleEvent(p *process, e takeover.Event) {
+	i := requestIndex(e.ID)
+	concluded := e.Decision == takeover.Execute || e.Decision == takeover.ReturnStored && e.ConcludedHere
+	if e.TakenOver && concluded && e.PreviousOwner != p.self && w.view(len(w.log)).Contains(e.PreviousOwner) {
+		w.violate("%s takes %s from %s, which lives", p.self.Name, e.ID, e.PreviousOwner.Name)
+	}
+	switch e.Decision {
+	case takeover.Execute:
+		p.attempts[i] = &attempt{owned: true}
+	case takeover.ReturnStored:
+		w.answerClient(p, i, e.Record.Response)
+	case takeover.QuorumUnavailable:
+		w.handleNoQuorum(p, i, e)
+	case takeover.DuplicateID, takeover.OwnershipLost:
+		delete(p.waitingClients, i)
+		delete(p.attempts, i)
+	case takeover.OwnerEvicted:
+		if p.attempts[i] == nil {
+			p.node.Resume(p.now, e.Record)
+		}
+	case takeover.Replicated:
+		w.requests[i].replicated = w.requests[i].replicated || w.requests[i].servedRun != 0
+	}
+}
+
+// handleNoQuorum rejects or fails a request whose record no quorum has, or sends it without one.
+func (w *world) handleNoQuorum(p *process, i int, e takeover.Event) {
+	strict := w.conf.Strict || w.requests[i].idempotency == takeover.NotIdempotent // without a record it may run twice
+	switch e.Fallback(strict) {
+	case takeover.RejectRequest:
+		w.answerClient(p, i, takeover.Response{Status: takeover.Rejected})
+	case takeover.FailRequest:
+		p.node.Drop(e.ID)
+		w.answerClient(p, i, takeover.Response{Status: takeover.Failed, Reason: outcomeUnknown})
+	default:
+		p.node.Drop(e.ID)
+		p.attempts[i] = &attempt{}
+	}
+}
+
+// answerClient gives a client that waits at a process its answer, and checks it against earlier answers and runs.
+func (w *world) answerClient(p *process, i int, a takeover.Response) {
+	if !p.waitingClients[i] {
+		return
+	}
+	delete(p.waitingClients, i)
+	r := w.requests[i]
+	w.responses = append(w.responses, Response{
+		Request: i, From: p.askedAt[i], To: w.step, Answer: fmt.Sprint(a.Status, a.Body),
+		Undecided: a.Status == takeover.Rejected || a.Reason == outcomeUnknown || r.idempotency == takeover.Idempotent,
+	})
+	r.answers = append(r.answers, fmt.Sprint(a.Status, string(a.Body)))
+	switch a.Status {
+	case takeover.Served:
+		run := int(a.Body[0])
+		if r.idempotency != takeover.Idempotent && r.servedRun != 0 && r.servedRun != run {
+			w.violate("two answers to %s", requestID(i))
+		}
+		r.servedRun = run
+	case takeover.Rejected:
+		if r.ownedRuns > 0 {
+			w.violate("%s is refused though it ran", requestID(i))
+		}
+		w.endOtherAttempts(i)
+	case takeover.Failed:
+		if r.replicated && a.Reason != outcomeUnknown {
+			w.violate("%s fails though a quorum had its answer", requestID(i))
+		}
+	}
+}
+
+// endOtherAttempts has a client whose request was rejected end its attempts at all processes.
+func (w *world) endOtherAttempts(i int) {
+	for _, p := range w.processes {
+		if delete(p.waitingClients, i); p.up && p.node.IsPreparing(requestID(i)) {
+			p.node.Drop(requestID(i))
+		}
+	}
+}
--- a/internal/lab/modelcheck/explore_test.go
+++ b/internal/lab/modelcheck/takeover_test.go
@@ -15,7 +15,7 @@
 	both = []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}
 )
 
-// No order of events breaks a promise: all short ones, and many long ones.
+// No order of events violates an invariant: all short ones, and many long ones.
 func TestNoOrderBreaksAnInvariant(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		f, err := Exhaust(context.Background(), Config{Idempotency: one, Strict: strict, Budget: SmallBudget}, 4)
@@ -34,7 +34,7 @@
 	t.Logf("%d steps at random", steps)
 }
 
-// What clients hear of a request is what one place would tell that answers it once: each history at random is linearizable.
+// What clients are answered is what a single server would answer that runs each request once: each random history is linearizable.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	model := porcupine.Model{
 		Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
@@ -47,7 +47,7 @@
 		Init: func() any { return "" },
 		Step: func(state, _, output any) (bool, any) { return state == "" || state == output, output },
 	}
-	heard := 0
+	decided := 0
 	check := func(all []Response) bool {
 		var ops []porcupine.Operation
 		for _, h := range all {
@@ -55,7 +55,7 @@
 				ops = append(ops, porcupine.Operation{Input: h.Request, Output: h.Answer, Call: int64(h.From), Return: int64(h.To)})
 			}
 		}
-		heard += len(ops)
+		decided += len(ops)
 		return porcupine.CheckOperations(model, ops)
 	}
 	for seed := range uint64(1000) {
@@ -63,26 +63,26 @@
 			t.Fatalf("seed %d: %+v\n%s", seed, f.Responses, strings.Join(f.Trace, "\n"))
 		}
 	}
-	if two := []Response{{0, 1, 2, "a", false}, {0, 3, 4, "b", false}}; heard < 200 || check(two) {
-		t.Errorf("%d answers heard, or two that differ pass", heard)
+	if two := []Response{{0, 1, 2, "a", false}, {0, 3, 4, "b", false}}; decided < 200 || check(two) {
+		t.Errorf("%d answers, or two that differ pass", decided)
 	}
 }
 
-// Each planted fault is found. Guards against an explorer that can find nothing.
+// Each injected fault is found: else the search might find nothing at all.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
-		plant takeover.InjectedFault
+		fault takeover.InjectedFault
 		name  string
 		with  Budget
 	}{
 		{takeover.IgnoreLease, "lease not checked", LargeBudget},
-		{takeover.SendBeforeQuorum, "sent before the holders have it", Budget{Attempts: 2, Losses: 4}},
+		{takeover.SendBeforeQuorum, "sent before a quorum has it", Budget{Attempts: 2, Losses: 4}},
 		{takeover.InvertMembership, "epoch compared the wrong way", LargeBudget},
 		{takeover.ForgetResponse, "answer forgotten", Budget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
 	} {
 		found, seed := "", uint64(0)
 		for ; seed < 5_000 && found == ""; seed++ {
-			found = Walk(Config{Idempotency: both, Strict: true, Fault: c.plant, Budget: c.with}, seed, 200).Violation
+			found = Walk(Config{Idempotency: both, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
 		}
 		if found == "" {
 			t.Errorf("%s: not found", c.name)
