--- /dev/null
+++ b/internal/lab/modelcheck/takeover_test.go
@@ -0,0 +1,92 @@
+package modelcheck
+
+import (
+	"context"
+	"strings"
+	"testing"
+
+	"github.com/anishathalye/porcupine"
+
+	"damsonscale/internal/takeover"
+)
+
+var (
+	one  = []takeover.Idempotency{takeover.NotIdempotent}
+	both = []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}
+)
+
+// No order of events violates an invariant: all short ones, and many long ones.
+func TestNoOrderBreaksAnInvariant(t *testing.T) {
+	for _, strict := range []bool{false, true} {
+		f, err := Exhaust(context.Background(), Config{Idempotency: one, Strict: strict, Budget: SmallBudget}, 4)
+		if err != nil || f.Violation != "" {
+			t.Fatalf("strict %t: %v %s\n%s", strict, err, f.Violation, strings.Join(f.Trace, "\n"))
+		}
+		t.Logf("strict %t: %d states", strict, f.States)
+	}
+	steps := 0
+	for seed := range uint64(400) {
+		f := Walk(Config{Idempotency: both, Strict: seed%2 == 0, Budget: LargeBudget}, seed, 200)
+		if steps += f.States; f.Violation != "" {
+			t.Fatalf("seed %d: %s\n%s", seed, f.Violation, strings.Join(f.Trace, "\n"))
+		}
+	}
+	t.Logf("%d steps at random", steps)
+}
+
+// What clients are answered is what a single server would answer that runs each request once: each random history is linearizable.
+func TestHistoriesAreLinearizable(t *testing.T) {
+	model := porcupine.Model{
+		Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
+			parts := make([][]porcupine.Operation, len(both))
+			for _, o := range all {
+				parts[o.Input.(int)] = append(parts[o.Input.(int)], o)
+			}
+			return parts
+		},
+		Init: func() any { return "" },
+		Step: func(state, _, output any) (bool, any) { return state == "" || state == output, output },
+	}
+	decided := 0
+	check := func(all []Response) bool {
+		var ops []porcupine.Operation
+		for _, h := range all {
+			if !h.Undecided {
+				ops = append(ops, porcupine.Operation{Input: h.Request, Output: h.Answer, Call: int64(h.From), Return: int64(h.To)})
+			}
+		}
+		decided += len(ops)
+		return porcupine.CheckOperations(model, ops)
+	}
+	for seed := range uint64(1000) {
+		if f := Walk(Config{Idempotency: both, Strict: true, Budget: LargeBudget}, 1_000_000+seed, 150); !check(f.Responses) {
+			t.Fatalf("seed %d: %+v\n%s", seed, f.Responses, strings.Join(f.Trace, "\n"))
+		}
+	}
+	if two := []Response{{0, 1, 2, "a", false}, {0, 3, 4, "b", false}}; decided < 200 || check(two) {
+		t.Errorf("%d answers, or two that differ pass", decided)
+	}
+}
+
+// Each injected fault is found: else the search might find nothing at all.
+func TestInjectedFaultsAreFound(t *testing.T) {
+	for _, c := range []struct {
+		fault takeover.InjectedFault
+		name  string
+		with  Budget
+	}{
+		{takeover.IgnoreLease, "lease not checked", LargeBudget},
+		{takeover.SendBeforeQuorum, "sent before a quorum has it", Budget{Attempts: 2, Losses: 4}},
+		{takeover.InvertMembership, "epoch compared the wrong way", LargeBudget},
+		{takeover.ForgetResponse, "answer forgotten", Budget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
+	} {
+		found, seed := "", uint64(0)
+		for ; seed < 5_000 && found == ""; seed++ {
+			found = Walk(Config{Idempotency: both, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
+		}
+		if found == "" {
+			t.Errorf("%s: not found", c.name)
+		}
+		t.Logf("%s: seed %d: %s", c.name, seed-1, found)
+	}
+}
