--- a/cmd/damsonscale/fleet_test.go
+++ b/cmd/damsonscale/fleet_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	p.expect(t, "event=suspend")
-	p.expect(t, "event=watch_ended")
+	p.expect(t, "event=endpoint_watch_ended")
 }
 
 // An empty list known is as none: the sidecar is not ready and asks at once; what comes later counts.
@@ -92,7 +92,7 @@
 		}
 		return body == "new"
 	})
-	if n := strings.Count(p.log.String(), "event=watch_ended"); n != 3 {
+	if n := strings.Count(p.log.String(), "event=endpoint_watch_ended"); n != 3 {
 		t.Errorf("%d ends of a watch logged, want 3", n)
 	}
 	if s, body := p.look(t); s != 200 || body != "new" {
@@ -184,7 +184,7 @@
 			}
 		}()
 	}
-	p.expect(t, "event=watch_ended")
+	p.expect(t, "event=endpoint_watch_ended")
 	p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.done
 	again := start(t, overbooked, known, func(conf map[string]any) { conf["listen"] = p.addr })
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -19,6 +19,11 @@
 	go c.Run(ctx)
 }
 
+// onActor is a message that runs a function on the client's goroutine.
+type onActor func()
+
+func (f onActor) handle(*Client) { f() }
+
 func next(t *testing.T, to told) string {
 	t.Helper()
 	select {
@@ -109,7 +114,7 @@
 			t.Fatal(word)
 		}
 		held := make(chan *subscription, 2)
-		look := func() { held <- c.active }
+		look := onActor(func() { held <- c.active })
 		c.mailbox <- look
 		c.SetSource(Source{Pushed: pushed, BalancerCount: 1})
 		c.mailbox <- look
@@ -233,7 +238,7 @@
 			d.resumeSeq = 3
 			s := watching(d)
 			running(t, d)
-			d.mailbox <- func() { d.onEnded(s, c.err) }
+			d.mailbox <- watchEnded{s, c.err}
 			if word := next(t, to); word != c.want {
 				t.Fatal(word)
 			}
@@ -276,7 +281,7 @@
 		if move {
 			d.SetAddress(hangsUp)
 		} else {
-			d.mailbox <- func() { d.onEnded(old, errSilent) }
+			d.mailbox <- watchEnded{old, errSilent}
 		}
 		for range 2 {
 			if word := next(t, to); word != "asked" {
@@ -284,7 +289,7 @@
 			}
 		}
 		if move {
-			d.mailbox <- func() { d.onUpdate(old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}) }
+			d.mailbox <- updateReceived{old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}}
 			for word := next(t, to); word != "listed"; word = next(t, to) {
 				if word != "asked" {
 					t.Fatalf("the old watch: %s", word)
@@ -340,7 +345,7 @@
 // ask has the next call made.
 func (q *queue) ask(t *testing.T, c *Client, n int) {
 	t.Helper()
-	c.mailbox <- func() { c.startPoll(time.Now()) }
+	c.mailbox <- onActor(func() { c.startPoll(time.Now()) })
 	if number(t, q.asked) != n {
 		t.Fatal("asked out of order")
 	}
@@ -376,10 +381,10 @@
 			}
 		}
 		done := make(chan bool)
-		c.mailbox <- func() {
+		c.mailbox <- onActor(func() {
 			c.startPoll(time.Now()) // one is held
 			close(done)
-		}
+		})
 		<-done
 		if len(q.asked) > 0 {
 			t.Error("asked again")
@@ -393,10 +398,10 @@
 	}
 	waiting := make(chan int)
 	another := func(now time.Time) int {
-		c.mailbox <- func() {
+		c.mailbox <- onActor(func() {
 			c.startPoll(now)
 			waiting <- c.polls
-		}
+		})
 		return <-waiting
 	}
 	if n := another(time.Now()); n != maxPendingPolls {
@@ -413,8 +418,8 @@
 		select {
 		case <-t.Context().Done():
 			return
-		case f := <-c.mailbox:
-			f()
+		case m := <-c.mailbox:
+			m.handle(c)
 			c.pollTimer.Stop()
 		}
 	}
@@ -428,7 +433,7 @@
 		c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 		go quietly(t, c)
 		var old *subscription
-		c.mailbox <- func() {
+		c.mailbox <- onActor(func() {
 			old = watching(c)
 			c.onQuiet(old)
 			if speaks {
@@ -438,7 +443,7 @@
 			if speaks {
 				to <- fmt.Sprint(c.active == old, len(c.pending))
 			}
-		}
+		})
 		if speaks {
 			if word := next(t, to); word != "true 0" {
 				t.Errorf("opened anew although it spoke: %s", word)
@@ -448,7 +453,7 @@
 		if n := number(t, q.asked); n != 0 {
 			t.Fatal(n)
 		}
-		c.mailbox <- func() { c.onQuiet(old) } // again: nothing more is planned for it
+		c.mailbox <- watchQuiet{old} // again: nothing more is planned for it
 		q.reply(t, 0)
 		if word := next(t, to); word != "listed" || old.ctx.Err() == nil {
 			t.Fatalf("the new watch: %s; the old one ended: %v", word, old.ctx.Err())
@@ -462,15 +467,15 @@
 	c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 	go quietly(t, c)
 	var old *subscription
-	c.mailbox <- func() {
+	c.mailbox <- onActor(func() {
 		old = watching(c)
 		c.onQuiet(old)
 		c.startPoll(time.Now())
-	}
+	})
 	if n := number(t, q.asked); n != 0 {
 		t.Fatal(n)
 	}
-	c.mailbox <- func() { c.onUpdate(old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}) }
+	c.mailbox <- updateReceived{old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}}
 	if word := next(t, to); word != "listed" {
 		t.Fatalf("the suspect watch: %s", word)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -168,7 +168,7 @@
 // told records what the list's actor tells.
 type told chan string
 
-func (c told) OnEndpoints(l *Update) { c <- "listed" }
+func (c told) OnEndpoints(*Update) { c <- "listed" }
 
 // The list is asked for without being told to, from the version known, and again after a call that hung up. Nothing of it may wait
 // for the one who is told.
@@ -233,7 +233,7 @@
 func FuzzList(f *testing.F) {
 	f.Add([]byte(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"b","block":null,"share":1e309}]}`))
 	f.Add([]byte(`{"hosts":[{"host":"a","dial":"b","block":-1,"born_ms":99999999999}]}`))
-	f.Fuzz(func(t *testing.T, in []byte) {
+	f.Fuzz(func(_ *testing.T, in []byte) {
 		if l, err := parseUpdate(in); err == nil {
 			var r EndpointSet
 			r.apply(l)
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -1,4 +1,3 @@
-// Package discovery follows the list of servers: the known one first, then discovery's watch.
 package discovery
 
 import (
@@ -8,46 +7,47 @@
 	"time"
 )
 
-// HealthState is a server's health as listed.
+// HealthState is a server's state as the list has it. A state that is not one of these takes no new work.
 type HealthState string
 
+// The states of a server.
 const (
 	Ready       HealthState = "Ready"
-	Terminating HealthState = "Terminating"
-	Removed     HealthState = "Gone"
+	Terminating HealthState = "Terminating" // draining: no new work
+	Removed     HealthState = "Gone"        // no longer listed; in incremental updates only
 )
 
 // Endpoint is one server of the list.
 type Endpoint struct {
-	Host        string      `json:"host"`
-	Address     string      `json:"dial"`
-	Zone        string      `json:"site"`
-	Cell        *int64      `json:"block"`
+	Host        string      `json:"host"`  // the server's unique name
+	Address     string      `json:"dial"`  // address:port
+	Zone        string      `json:"site"`  // empty: not stated
+	Cell        *int64      `json:"block"` // nil: not stated
 	Health      HealthState `json:"health"`
-	Capacity    float64     `json:"share"`
-	MachineKind string      `json:"kind"` // of machine; absent: not told
-	StartedAtMs int64       `json:"born_ms"`
+	Capacity    float64     `json:"share"`   // relative to other servers
+	MachineKind string      `json:"kind"`    // empty: not stated
+	StartedAtMs int64       `json:"born_ms"` // Unix time of the latest start by the server's wall clock, ms; 0: not stated
 }
 
-// Update is the list of servers, whole or what changed in it.
+// Update is the list of servers, or a change to it.
 type Update struct {
-	Seq       int64      `json:"seq"`
-	Full      bool       `json:"whole"`
+	Seq       int64      `json:"seq"`   // number of the list in this service's order
+	Full      bool       `json:"whole"` // replaces the list; false: adds, changes and removes the endpoints named
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// parseUpdate reads one list; entries that name no server or no address are an error.
+// parseUpdate reads one update. An endpoint without a name or an address is an error.
 func parseUpdate(text []byte) (*Update, error) {
-	var l Update
-	if err := json.Unmarshal(text, &l); err != nil {
+	var u Update
+	if err := json.Unmarshal(text, &u); err != nil {
 		return nil, fmt.Errorf("list is not the JSON expected: %w", err)
 	}
-	return &l, l.Validate()
+	return &u, u.Validate()
 }
 
-// Validate names the first entry that makes no sense.
-func (l *Update) Validate() error {
-	for i, e := range l.Endpoints {
+// Validate returns an error that names the first invalid endpoint by its JSON key.
+func (u *Update) Validate() error {
+	for i, e := range u.Endpoints {
 		switch {
 		case e.Host == "":
 			return fmt.Errorf("hosts[%d].host is empty", i)
@@ -60,67 +60,66 @@
 	return nil
 }
 
-// EndpointSet is the latest list, readable from any goroutine; only the list's actor changes it.
-// Guards against acting on a list that is older than the moment of writing.
+// EndpointSet is the list in force. Any goroutine may read it; only the Client's goroutine changes it.
 type EndpointSet struct {
-	endpoints  atomic.Pointer[map[string]Endpoint]
-	lastSynced atomic.Pointer[time.Time] // when the list was last known to be as discovery has it; nil: never
+	endpoints  atomic.Pointer[map[string]Endpoint] // by host; a map is never changed once stored
+	lastSynced atomic.Pointer[time.Time]           // when the list was last known to equal discovery's; nil: never
 }
 
-// markSynced notes that the list is as discovery has it.
-func (r *EndpointSet) markSynced(now time.Time) { r.lastSynced.Store(&now) }
+// markSynced records that the list equals discovery's at this time.
+func (s *EndpointSet) markSynced(now time.Time) { s.lastSynced.Store(&now) }
 
-// Staleness is how long ago discovery was last heard; 0: never.
-func (r *EndpointSet) Staleness() time.Duration {
-	if at := r.lastSynced.Load(); at != nil {
+// Staleness returns the time since the list was last known to equal discovery's; 0 where it never was.
+func (s *EndpointSet) Staleness() time.Duration {
+	if at := s.lastSynced.Load(); at != nil {
 		return time.Since(*at)
 	}
 	return 0
 }
 
-// Lookup returns the entry of a host that is listed.
-func (r *EndpointSet) Lookup(host string) (Endpoint, bool) {
-	m := r.endpoints.Load()
-	if m == nil {
+// Lookup returns the endpoint of a host; false: it is not listed.
+func (s *EndpointSet) Lookup(host string) (Endpoint, bool) {
+	endpoints := s.endpoints.Load()
+	if endpoints == nil {
 		return Endpoint{}, false
 	}
-	e, ok := (*m)[host]
+	e, ok := (*endpoints)[host]
 	return e, ok
 }
 
-// Address returns where to reach a host, and whether it wants new work.
-func (r *EndpointSet) Address(host string) (dial string, ready bool) {
-	e, ok := r.Lookup(host)
+// Address returns where to reach a host, and whether it takes new work.
+func (s *EndpointSet) Address(host string) (address string, ready bool) {
+	e, ok := s.Lookup(host)
 	return e.Address, ok && e.Health == Ready
 }
 
-// HasEndpoints tells whether any server is listed yet.
-func (r *EndpointSet) HasEndpoints() bool {
-	m := r.endpoints.Load()
-	return m != nil && len(*m) > 0
+// HasEndpoints reports whether any server is listed.
+func (s *EndpointSet) HasEndpoints() bool {
+	endpoints := s.endpoints.Load()
+	return endpoints != nil && len(*endpoints) > 0
 }
 
-// Replace sets the whole list.
-func (r *EndpointSet) Replace(l *Update) {
-	whole := *l
-	whole.Full = true
-	r.apply(&whole)
+// Replace sets the list, whether the update is marked as full or not.
+func (s *EndpointSet) Replace(u *Update) {
+	full := *u
+	full.Full = true
+	s.apply(&full)
 }
 
-// apply takes a list in.
-func (r *EndpointSet) apply(l *Update) {
-	next := make(map[string]Endpoint, len(l.Endpoints))
-	if old := r.endpoints.Load(); old != nil && !l.Full {
-		for h, e := range *old {
-			next[h] = e
+// apply takes an update into the list.
+func (s *EndpointSet) apply(u *Update) {
+	next := make(map[string]Endpoint, len(u.Endpoints))
+	if old := s.endpoints.Load(); old != nil && !u.Full {
+		for host, e := range *old {
+			next[host] = e
 		}
 	}
-	for _, e := range l.Endpoints {
+	for _, e := range u.Endpoints {
 		if e.Health == Removed {
 			delete(next, e.Host)
 		} else {
 			next[e.Host] = e
 		}
 	}
-	r.endpoints.Store(&next)
+	s.endpoints.Store(&next)
 }
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -2,56 +2,69 @@
 
 import "time"
 
-// StalenessBound is the time after which a change counts as told, from when discovery had it and could be reached.
+// StalenessBound is the time after which a change has to be in force here, counted from when discovery had it and could
+// be reached.
 const StalenessBound = 6 * time.Second
 
+// Polls after a watch is lost: a burst within the bound, then one each steadyInterval.
 const (
-	burstPolls       = 3                       // calls that fit between a doubt about the list and the end of its bound: two may fail
-	responseReserve  = 900 * time.Millisecond  // kept for the answer to the last of them
-	minBurstInterval = 750 * time.Millisecond  // between the begins of two calls of a burst, but for jitter
-	steadyInterval   = 2700 * time.Millisecond // between the begins of two calls after a burst: one may fail within the bound
-	jitterShare      = 0.1                     // of each gap, at most, that it is shorter by
-
-	// A fleet that loses its watches together is spread, as far as the bound leaves time for it.
-	spreadPerBalancer    = 50 * time.Millisecond // of the spread, for each balancer ...
-	minSpread            = 200 * time.Millisecond
-	minSpreadPerBalancer = 500 * time.Microsecond // ... and at the least: past a thousand balancers a burst is of fewer calls
+	burstPolls       = 3                       // begin between the loss and the end of the bound: two may fail
+	responseReserve  = 900 * time.Millisecond  // of the bound, left for the response to the last of them
+	minBurstInterval = 750 * time.Millisecond  // between two polls of a burst, before jitter
+	steadyInterval   = 2700 * time.Millisecond // between two polls after a burst: one may fail within the bound
+	jitterShare      = 0.1                     // of each interval, taken off at random
+)
+
+// The first poll of a burst is spread at random, so that a fleet that loses its watches together does not poll together.
+// The bound limits the spread.
+const (
+	spreadPerBalancer = 50 * time.Millisecond
+	minSpread         = 200 * time.Millisecond
+
+	// minSpreadPerBalancer holds even where the bound then leaves time for fewer polls: in fleets of over a thousand.
+	minSpreadPerBalancer = 500 * time.Microsecond
 	maxMinSpread         = 2 * time.Second
+)
 
-	// The list that a process starts with may be older than the bound: only the grace for drains is left then.
+// The list that a process starts with may be older than the bound: only the time that draining servers wait for stragglers
+// (2 s) is left, in which the second poll begins.
+const (
 	maxStartSpread  = 800 * time.Millisecond
-	assumedStartAge = 2800 * time.Millisecond // of the bound, taken for spent: a second call begins within the grace of 2 s
+	assumedStartAge = 2800 * time.Millisecond
+)
 
-	// An agent beside this process serves it alone: it answers at once or not at all, and is asked soon again.
-	agentPollInterval = 600 * time.Millisecond // between the begins of two calls, twice that after a failure
+// An agent beside this process serves it alone: it answers at once or not at all, and is polled again soon.
+const (
+	agentPollInterval = 600 * time.Millisecond // twice that after a failure
 	agentBackoffBase  = 200 * time.Millisecond // half to all of it after a failure, twice that after the next
 )
 
-// pollSchedule is the one owner of the list's staleness: from one deadline it takes when each call for the list begins. It reads no
-// clock and sets no timer. All times have to carry the monotonic clock.
+// pollSchedule owns the deadline of the list: it derives the beginning of each poll from it. It performs no I/O, reads no
+// clock and sets no timer. Times passed in must carry the monotonic clock; the waits that it returns count from them.
 type pollSchedule struct {
-	balancerCount int  // in the fleet
-	fromAgent     bool // the list comes from an agent beside this process
-	random        func() float64
+	balancerCount int            // that poll the same service
+	fromAgent     bool           // the list comes from an agent beside this process
+	random        func() float64 // in [0, 1)
 
-	// current is the time before which every change is in force, or could not be had. The deadline is StalenessBound later.
+	// lastSynced is the time before which every change is in force, or could not be fetched. The deadline is StalenessBound
+	// later.
 	lastSynced time.Time
 
-	polls        int       // begun since then
-	lastPollAt   time.Time // the latest of them
-	burstRefused bool      // after a burst nobody has listened: the bound begins anew with the first sign of life
-	failing      bool      // a call has failed since the last word
+	polls        int       // begun since the watch was lost
+	lastPollAt   time.Time // when the latest of them began
+	burstRefused bool      // connections were refused after a burst: the first other failure begins a new burst
+	failing      bool      // a poll has failed since the last message
 }
 
-// onMessage notes that a whole line came on the watch in force: the list is as discovery has it.
+// onMessage records a complete message on the active watch: the list is as discovery has it.
 func (s *pollSchedule) onMessage(now time.Time) {
 	s.lastSynced, s.polls, s.burstRefused, s.failing = now, 0, false, false
 }
 
-// onSourceChanged notes that another service counts from now on, whose first call begins at once.
+// onSourceChanged records that another service counts from now on, whose first poll begins at once.
 func (s *pollSchedule) onSourceChanged(now time.Time) { s.onMessage(now) }
 
-// initialDelay tells how long a new process with a list that was known before waits with its first call.
+// initialDelay returns how long a process that starts with a known list waits before its first poll.
 func (s *pollSchedule) initialDelay(now time.Time) time.Duration {
 	s.lastSynced = now.Add(-assumedStartAge)
 	if s.fromAgent {
@@ -60,18 +73,18 @@
 	return s.randomWithin(min(s.fleetSpread(), maxStartSpread))
 }
 
-// onWatchLost tells how long the first call waits after the watch has ended, or is suspected.
+// onWatchLost records that the watch has ended or is suspect, and returns the wait before the first poll.
 func (s *pollSchedule) onWatchLost(now time.Time) time.Duration {
 	s.polls = 0
 	if s.fromAgent {
 		return s.agentBackoff(agentBackoffBase)
 	}
-	spread := s.timeToLastPoll(now) - (burstPolls-1)*(minBurstInterval+minBurstInterval/2)
-	crowd := min(time.Duration(s.balancerCount)*minSpreadPerBalancer, maxMinSpread)
-	return s.randomWithin(min(max(spread, crowd, minSpread), s.fleetSpread()))
+	inBound := s.timeToLastPoll(now) - (burstPolls-1)*(minBurstInterval+minBurstInterval/2)
+	least := min(time.Duration(s.balancerCount)*minSpreadPerBalancer, maxMinSpread)
+	return s.randomWithin(min(max(inBound, least, minSpread), s.fleetSpread()))
 }
 
-// onPollStarted notes that a call begins, and tells when the next is due should none be answered.
+// onPollStarted records the beginning of a poll, and returns the wait before the next in case that none is answered.
 func (s *pollSchedule) onPollStarted(now time.Time) time.Duration {
 	s.polls++
 	s.lastPollAt = now
@@ -84,8 +97,8 @@
 	return s.nextInterval(now)
 }
 
-// nextInterval is the time from the begin of a call to the next: an equal part of what the bound leaves, or a turn. Bursts of a fleet that
-// end together are spread over the first turn.
+// nextInterval returns the time from a poll to the next: within a burst an equal part of what the bound leaves, then
+// steadyInterval. The first interval after a burst is random, to spread a fleet whose bursts end together.
 func (s *pollSchedule) nextInterval(now time.Time) time.Duration {
 	switch {
 	case s.polls == burstPolls:
@@ -96,8 +109,8 @@
 	return s.jittered(max(minBurstInterval, min(s.timeToLastPoll(now)/time.Duration(burstPolls-s.polls), steadyInterval)))
 }
 
-// onPollFailed notes that the latest call has failed, and whether by nobody listening. Where it changes when the next is due it tells
-// how long that waits from now on.
+// onPollFailed records that the latest poll has failed, and whether the connection was refused. Where that changes the
+// beginning of the next poll it returns the wait from now on.
 func (s *pollSchedule) onPollFailed(now time.Time, refused bool) (wait time.Duration, changed bool) {
 	again := s.failing
 	s.failing = true
@@ -108,37 +121,37 @@
 		return s.agentBackoff(agentBackoffBase), true
 	case s.polls < burstPolls:
 		return 0, false
-	case refused:
+	case refused: // no change could be fetched up to that poll
 		s.lastSynced, s.burstRefused = s.lastPollAt, true
 		return 0, false
-	case s.burstRefused: // somebody listens again since the call before
+	case s.burstRefused: // the service listens again since the poll before
 		s.burstRefused, s.polls = false, 1
 		return s.nextInterval(now), true
 	}
 	return 0, false
 }
 
-// timeToLastPoll is the time until the last call of a burst has to begin.
+// timeToLastPoll returns the time until the last poll of a burst has to begin.
 func (s *pollSchedule) timeToLastPoll(now time.Time) time.Duration {
 	return StalenessBound - responseReserve - now.Sub(s.lastSynced)
 }
 
-// fleetSpread is the spread of a whole fleet.
+// fleetSpread returns the time over which a fleet of this size spreads its polls.
 func (s *pollSchedule) fleetSpread() time.Duration {
 	return max(minSpread, time.Duration(s.balancerCount)*spreadPerBalancer)
 }
 
-// randomWithin draws a time from a spread; the least is a tenth of it.
+// randomWithin draws from the last nine tenths of a spread.
 func (s *pollSchedule) randomWithin(spread time.Duration) time.Duration {
 	return time.Duration((0.1 + 0.9*s.random()) * float64(spread))
 }
 
-// agentBackoff draws from the later half of a gap.
-func (s *pollSchedule) agentBackoff(gap time.Duration) time.Duration {
-	return time.Duration((0.5 + 0.5*s.random()) * float64(gap))
+// agentBackoff draws from the second half of a wait.
+func (s *pollSchedule) agentBackoff(wait time.Duration) time.Duration {
+	return time.Duration((0.5 + 0.5*s.random()) * float64(wait))
 }
 
-// jittered is a gap, shorter by jitter.
-func (s *pollSchedule) jittered(gap time.Duration) time.Duration {
-	return time.Duration((1 - jitterShare*s.random()) * float64(gap))
+// jittered takes up to jitterShare off an interval.
+func (s *pollSchedule) jittered(interval time.Duration) time.Duration {
+	return time.Duration((1 - jitterShare*s.random()) * float64(interval))
 }
