--- /dev/null
+++ b/internal/sidecar/attempts.go
@@ -0,0 +1,85 @@
+package sidecar
+
+import (
+	"damsonscale/decide"
+	"damsonscale/internal/auditevent"
+	"damsonscale/internal/shadow"
+	"damsonscale/internal/upstream"
+)
+
+// streamHandler returns the OnStream of a call's attempt.
+func (s *Sidecar) streamHandler(c *Call, number int) func(*upstream.Attempt, *upstream.Stream) {
+	return func(_ *upstream.Attempt, stream *upstream.Stream) {
+		s.mailbox <- streamStarted{c, number, stream}
+	}
+}
+
+// onStreamStarted makes a stream the call's response, or closes it where the call has one.
+func (s *Sidecar) onStreamStarted(now int64, m streamStarted) {
+	if !s.respond(m.call, Response{Status: Served, Stream: m.stream, ContentType: m.stream.ContentType}) {
+		m.stream.Close()
+		return
+	}
+	id, number := m.call.Request.ID, m.number
+	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnStreamStarted(now, id, number) }})
+}
+
+// onAttemptEnded handles the end of an attempt. A server's successful response ends the call.
+func (s *Sidecar) onAttemptEnded(now int64, m attemptEnded) {
+	c, a, r := m.call, m.attempt, m.result
+	if !c.answered && c.gate.Disconnected() { // no retry while the client's own goroutine has not seen it yet
+		s.onClientDisconnected(now, c)
+		close(c.disconnected)
+	}
+	p := s.peers[a.Host]
+	p.inFlight--
+	c.inFlight--
+	result := r.Reason.DecisionResult()
+	if !result.NeverRan() && c.firstEffectAt.IsZero() {
+		c.firstEffectAt = a.DecidedAt
+	}
+	if result == decide.Succeeded {
+		s.respond(c, Response{Status: Served, Body: r.Body, ContentType: r.ContentType})
+	}
+	if c.inFlight == 0 && !c.leaseHeld() { // retries would all end as NotSent, while the client waits for nothing
+		status := Failed
+		if c.firstEffectAt.IsZero() {
+			status = Rejected
+		}
+		s.respond(c, Response{Status: status})
+	}
+	if r.Reason == upstream.NotSent || r.Reason == upstream.ConnectFailed {
+		s.record(auditevent.Unsent, c.Request.ID, a.Host)
+	}
+	outcome := outcomeOf(m)
+	e := shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnOutcome(now, outcome) }, AttemptEnded: outcome.Request}
+	if outcome.RequestAnswered {
+		e.RequestEnded = outcome.Request
+	}
+	s.dispatch(e)
+	s.forgetIfDone(c)
+	s.retirePeer(a.Host)
+}
+
+// outcomeOf converts the end of an attempt to the balancer's form.
+func outcomeOf(m attemptEnded) decide.Outcome {
+	sentAt := m.attempt.DecidedAt
+	if !m.result.BodySentAt.IsZero() { // the server could not begin before
+		sentAt = m.result.BodySentAt
+	}
+	return decide.Outcome{
+		Request: m.call.Request.ID, Attempt: m.number, Server: m.attempt.Host, Result: m.result.Reason.DecisionResult(),
+		Latency: m.result.ObservedAt.Sub(sentAt).Microseconds(), RequestAnswered: m.call.answered, Load: m.result.Load,
+		BodyConsumed: m.result.BodyConsumed,
+	}
+}
+
+// onHealthCheckEnded handles the end of a health check.
+func (s *Sidecar) onHealthCheckEnded(now int64, m healthCheckEnded) {
+	s.peers[m.server].inFlight--
+	s.balancer.OnHealthCheck(now, decide.HealthCheck{
+		Server: m.server, Result: m.result.Reason.DecisionResult(),
+		Latency: m.result.ObservedAt.Sub(m.check.DecidedAt).Microseconds(), Load: m.result.Load,
+	})
+	s.retirePeer(m.server)
+}
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -8,122 +8,135 @@
 	"damsonscale/internal/upstream"
 )
 
-// Status is the kind of a final answer.
+// Status is the kind of a response.
 type Status uint8
 
+// The kinds of a response. Package frontend maps them to HTTP.
 const (
-	Served           Status = iota
-	Rejected                // no, and a new try is harmless
-	Failed                  // failed, nothing promised
-	DuplicateID             // another request of this id is not answered yet
-	DeadlineExceeded        // the time was up before the module said anything
+	Served           Status = iota // a server's response
+	Rejected                       // no effect: a retry is harmless
+	Failed                         // an attempt may have had an effect
+	DuplicateID                    // another request of this id is in flight
+	DeadlineExceeded               // the client left, or the time ended, before the balancer responded
 )
 
-// Response is a request's final answer.
+// Response is the final response to a request.
 type Response struct {
 	Status        Status
 	Body          []byte
-	Stream        *upstream.Stream // with Served, where the body is not held; it must be closed
+	Stream        *upstream.Stream // with Served, where the body is passed on as it comes; the receiver must close it
 	ContentType   []byte
-	RetryAfter    time.Duration    // with Refused; 0: no advice
-	ConfigVersion auditevent.Stamp // the version that it was decided by, where an account is kept
+	RetryAfter    time.Duration    // with Rejected; 0: no advice
+	ConfigVersion auditevent.Stamp // the configuration that it was decided under, where there is an audit trail
 }
 
-// Call is one request of the client, taken and owed one final answer.
+// Call is a request of a client, which gets exactly one response. Unexported fields without another remark belong to the
+// actor once the call is given to Do.
 type Call struct {
-	Request decide.Request // Left is set when the module takes it
+	Request decide.Request // its TimeLeft is set by the actor
 	Message upstream.Message
 
-	// Whole is called once a body that is not held has come to its end, and returns what is closed when the client leaves.
+	// OnBodyComplete is called once a body that is not buffered has been read to its end. The channel that it returns is
+	// closed when the client disconnects.
 	OnBodyComplete func() <-chan struct{}
 
-	settings         *decide.Settings // that it was admitted under
-	class            *decide.Class    // as it was then
-	timeout          time.Duration    // from its last byte on
-	decisionDeadline time.Time        // when the module's time for it ends; zero: its last byte has not come yet
-	responseDeadline time.Time        // when it is answered, whatever the module does
+	settings         *decide.Settings // that Request's class and tenant are indices into
+	class            *decide.Class    // as of those settings
+	timeout          time.Duration    // from the request's last byte on
+	decisionDeadline time.Time        // when the balancer's time for it ends; zero: its last byte has not come yet
+	responseDeadline time.Time        // when Do returns, whatever the balancer does
 	gate             upstream.Gate
-	leaseRequired    bool          // it is answered at once where the gate has no leave; else it waits for that
-	response         chan Response // holds the one answer of the module
+	leaseRequired    bool          // without the lease it is answered at once; otherwise it waits for the lease
+	response         chan Response // holds the one response of the actor
 	disconnected     chan struct{} // closed by the actor when an attempt has found that the client left
 	attempts         []*upstream.Attempt
 	inFlight         int       // attempts without their end
-	answered         bool      // by the module, or ended for it by Gone
-	firstEffectAt    time.Time // when the first attempt that may have run was sent
+	answered         bool      // by the actor, or ended by the client
+	firstEffectAt    time.Time // when the first attempt that may have run was sent; zero: none may have
 }
 
-// How long before the client's deadline the module's time for a request ends, and the last answer leaves
-// whatever the module does: goroutines lag and the way back takes time. Short deadlines give up a part.
+// Margins before the client's deadline, for scheduling delays and the way back; short deadlines give up a part instead.
 const (
-	decisionMargin, decisionMarginPart = 20 * time.Millisecond, 8
-	responseMargin, responseMarginPart = 12 * time.Millisecond, 14
+	decisionMargin, decisionMarginPart = 20 * time.Millisecond, 8  // the balancer's time ends: 20 ms, or 1/8 of the timeout
+	responseMargin, responseMarginPart = 12 * time.Millisecond, 14 // Do returns: 12 ms, or 1/14 of the timeout
 )
 
-// maxBodyDuration is how long a body that is not held may keep coming, however steadily.
+// maxBodyDuration is how long a body that is not buffered may keep coming, however steadily.
 const maxBodyDuration = 15 * time.Minute
 
-// NewCall makes a call of a request that had come by a time, under settings, and is to be answered within left. Where
-// a part of its body is not held its time counts from the last byte of that.
-func NewCall(set *decide.Settings, r decide.Request, m upstream.Message, came time.Time, left time.Duration) *Call {
+// NewCall returns a call for a request that was received at a time under settings, and is to be answered within timeout.
+// Where a part of its body is not buffered the timeout counts from the last byte of that.
+func NewCall(settings *decide.Settings, r decide.Request, m upstream.Message, receivedAt time.Time, timeout time.Duration) *Call {
 	c := &Call{
-		Request: r, Message: m, settings: set, class: &set.Classes[r.Class], response: make(chan Response, 1),
-		disconnected: make(chan struct{}), timeout: left,
+		Request: r, Message: m, settings: settings, class: &settings.Classes[r.Class], response: make(chan Response, 1),
+		disconnected: make(chan struct{}), timeout: timeout,
 	}
 	if m.Remainder != nil {
-		c.Request.BodyUnbuffered, c.responseDeadline = true, came.Add(maxBodyDuration)
+		c.Request.BodyUnbuffered, c.responseDeadline = true, receivedAt.Add(maxBodyDuration)
 		return c
 	}
-	c.decisionDeadline, c.responseDeadline = came.Add(c.decisionTime()), c.responseDeadlineFrom(came)
+	c.decisionDeadline, c.responseDeadline = receivedAt.Add(c.decisionTime()), c.responseDeadlineFrom(receivedAt)
 	return c
 }
 
-// RequireLease has the call taken and sent only while leave says so, and answered at once where it does not.
-func (c *Call) RequireLease(leave func() bool) { c.gate.LeaseValid, c.leaseRequired = leave, true }
+// RequireLease has the call admitted and sent only while valid reports that this process holds its lease, and answered at
+// once where it does not.
+func (c *Call) RequireLease(valid func() bool) { c.gate.LeaseValid, c.leaseRequired = valid, true }
+
+// UseLease has the call sent only while valid reports that this process holds its lease. priorAttemptAge is the time since
+// another sidecar may have sent it; 0: none has.
+func (c *Call) UseLease(valid func() bool, priorAttemptAge time.Duration) {
+	c.gate.LeaseValid = valid
+	if priorAttemptAge > 0 {
+		c.Request.PriorAttemptAge = max(1, priorAttemptAge.Microseconds())
+		c.firstEffectAt = time.Now().Add(-priorAttemptAge)
+	}
+}
 
-// SetDisconnectCheck has the call given up, with nothing sent, where hungUp says right before an attempt that the client has left. It
-// must not block.
-func (c *Call) SetDisconnectCheck(hungUp func() bool) { c.gate.IsDisconnected = hungUp }
+// SetDisconnectCheck has the call end without another attempt where isDisconnected reports, right before an attempt's
+// first byte, that the client has left. It must not block.
+func (c *Call) SetDisconnectCheck(isDisconnected func() bool) { c.gate.IsDisconnected = isDisconnected }
 
-// leaseHeld tells whether this process has the leave that the call needs.
+// leaseHeld reports whether this process holds the lease that the call requires, if any.
 func (c *Call) leaseHeld() bool { return !c.leaseRequired || c.gate.MaySend() }
 
-// UseLease has the call sent only while leave says so. former is the time since another sidecar may have sent it; 0: none has.
-func (c *Call) UseLease(leave func() bool, former time.Duration) {
-	c.gate.LeaseValid = leave
-	if former > 0 {
-		c.Request.PriorAttemptAge = max(1, former.Microseconds())
-		c.firstEffectAt = time.Now().Add(-former)
-	}
-}
-
-// decisionTime is the module's time for it.
+// decisionTime is the balancer's time for the call.
 func (c *Call) decisionTime() time.Duration {
 	return c.timeout - min(decisionMargin, c.timeout/decisionMarginPart)
 }
 
-func (c *Call) responseDeadlineFrom(came time.Time) time.Time {
-	return came.Add(c.timeout - min(responseMargin, c.timeout/responseMarginPart))
+// responseDeadlineFrom is when Do returns at the latest for a request whose last byte came at a time.
+func (c *Call) responseDeadlineFrom(receivedAt time.Time) time.Time {
+	return receivedAt.Add(c.timeout - min(responseMargin, c.timeout/responseMarginPart))
+}
+
+// attemptDeadline is when an attempt with a timeout in µs ends: never past the balancer's time for the call.
+func (c *Call) attemptDeadline(now time.Time, timeout int64) time.Time {
+	if t := now.Add(time.Duration(timeout) * time.Microsecond); timeout > 0 && t.Before(c.decisionDeadline) {
+		return t
+	}
+	return c.decisionDeadline
 }
 
-// TimeLeft is the time from now until it is answered whatever the module does.
+// TimeLeft returns the time from now until Do returns at the latest.
 func (c *Call) TimeLeft(now time.Time) time.Duration { return c.responseDeadline.Sub(now) }
 
-// respond gives the call its answer, once.
-func (c *Call) respond(a Response) bool {
+// respond gives the call its response; false: it had one.
+func (c *Call) respond(r Response) bool {
 	if c.answered {
 		return false
 	}
 	c.answered = true
-	c.response <- a
+	c.response <- r
 	return true
 }
 
-// discardResponse ends an answer that nobody takes any more. Guards against a stream that waits for its reader for good.
+// discardResponse closes the stream of a response that nobody takes any more: its attempt would wait for the reader.
 func (c *Call) discardResponse() {
 	select {
-	case a := <-c.response:
-		if a.Stream != nil {
-			a.Stream.Close()
+	case r := <-c.response:
+		if r.Stream != nil {
+			r.Stream.Close()
 		}
 	default:
 	}
--- /dev/null
+++ b/internal/sidecar/log.go
@@ -0,0 +1,46 @@
+package sidecar
+
+import (
+	"strings"
+	"time"
+
+	"damsonscale/internal/discovery"
+	"damsonscale/internal/eventlog"
+)
+
+// Events of the log.
+const (
+	eventPeerMailboxFull   = "peer_mailbox_full"
+	eventStaleEndpointSend = "stale_endpoint_send"
+)
+
+// staleSendLogInterval is the time between two lines of eventStaleEndpointSend, at least.
+const staleSendLogInterval = time.Second
+
+// Log implements decide.Actions: the line's first word is the event, the rest is fields (key=value) or plain text.
+func (x actions) Log(line string) {
+	event, rest, _ := strings.Cut(line, " ")
+	eventlog.Info(event, append([]any{"source", "decide"}, logFields(rest)...)...)
+}
+
+// logFields splits "key=value key=value" into keys and values; other text becomes the value of the key detail.
+func logFields(text string) (fields []any) {
+	for word := range strings.FieldsSeq(text) {
+		key, value, isField := strings.Cut(word, "=")
+		if !isField {
+			return []any{"detail", text}
+		}
+		fields = append(fields, key, value)
+	}
+	return fields
+}
+
+// logStaleSend logs that an attempt goes by an endpoint list whose changes may be in force elsewhere.
+func (s *Sidecar) logStaleSend(now time.Time, request, server string) {
+	staleness := s.discovery.Endpoints.Staleness()
+	if staleness <= discovery.StalenessBound || now.Sub(s.staleSendLoggedAt) < staleSendLogInterval {
+		return
+	}
+	s.staleSendLoggedAt = now
+	eventlog.Warn(eventStaleEndpointSend, nil, "request", request, "server", server, "endpoints_age_ms", staleness.Milliseconds())
+}
--- /dev/null
+++ b/internal/sidecar/peers.go
@@ -0,0 +1,50 @@
+package sidecar
+
+import (
+	"time"
+
+	"damsonscale/internal/eventlog"
+	"damsonscale/internal/upstream"
+)
+
+// connectionReuseDelay is how long a connection rests after a response: a second response to the same request, which
+// faulty servers send within some ms, would be read as the next request's.
+const connectionReuseDelay = 8 * time.Millisecond
+
+// peer is a server's actor, with what the balancer has in flight there.
+type peer struct {
+	*upstream.Peer
+	inFlight int // attempts and health checks without their end
+}
+
+// peerFor returns the peer of a host, and starts it where there is none.
+func (s *Sidecar) peerFor(host string) *peer {
+	p := s.peers[host]
+	if p == nil {
+		p = &peer{Peer: upstream.NewPeer(host, &s.peerShared)}
+		s.peers[host] = p
+	}
+	return p
+}
+
+// retirePeer stops the peer of a host that is no longer listed, once nothing is in flight there.
+func (s *Sidecar) retirePeer(host string) {
+	p := s.peers[host]
+	if _, listed := s.discovery.Endpoints.Lookup(host); p != nil && p.inFlight == 0 && !listed {
+		p.Stop()
+		delete(s.peers, host)
+	}
+}
+
+// offerAttempt hands an attempt to its peer. Where the peer's mailbox is full the attempt ends as NotSent.
+func (s *Sidecar) offerAttempt(a *upstream.Attempt) {
+	p := s.peerFor(a.Host)
+	p.inFlight++
+	if !p.Offer(a) {
+		eventlog.Warn(eventPeerMailboxFull, nil, "peer", a.Host)
+		go a.OnDone(a, upstream.AttemptResult{Reason: upstream.NotSent, ObservedAt: time.Now()}) // it posts to this actor, which must not wait
+	}
+}
+
+// CloseIdleConnections closes all idle connections to servers.
+func (s *Sidecar) CloseIdleConnections() { s.mailbox <- closeIdleConnections{} }
--- /dev/null
+++ b/internal/sidecar/requests.go
@@ -0,0 +1,148 @@
+package sidecar
+
+import (
+	"slices"
+	"time"
+
+	"damsonscale/decide"
+	"damsonscale/internal/auditevent"
+	"damsonscale/internal/shadow"
+)
+
+// Do serves a call and returns its response. gone is closed when the client disconnects; left reports that it did.
+func (s *Sidecar) Do(c *Call, gone <-chan struct{}) (r Response, left bool) {
+	deadline := time.NewTimer(time.Until(c.responseDeadline))
+	defer deadline.Stop()
+	select {
+	case s.mailbox <- requestReceived{c}:
+	case <-deadline.C: // the mailbox is full: nothing was sent, nothing will be
+		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, false
+	case <-s.aborted:
+		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, false
+	case <-gone:
+		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, true
+	}
+	r, left, answered := s.await(c, gone, deadline)
+	if answered {
+		c.gate.Close()
+		return r, false
+	}
+	// The balancer cancels what is in flight first: a write under way holds the gate until it ends or is cancelled.
+	go func() { s.mailbox <- clientDisconnected{c} }()
+	c.gate.Close()
+	return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, left
+}
+
+// await waits for the response, the client's disconnection, or the deadline.
+func (s *Sidecar) await(c *Call, gone <-chan struct{}, deadline *time.Timer) (r Response, left, answered bool) {
+	var bodyDone <-chan struct{}
+	if c.Message.Remainder != nil {
+		bodyDone = c.Message.Remainder.Done()
+	}
+	for {
+		select {
+		case r = <-c.response:
+			return r, false, true
+		case <-gone:
+			return r, true, false
+		case <-c.disconnected:
+			return r, true, false
+		case <-deadline.C:
+			return r, false, false
+		case <-s.aborted:
+			select { // a response that is there takes precedence
+			case r = <-c.response:
+				return r, false, true
+			default:
+				return r, false, false
+			}
+		case <-bodyDone:
+			bodyDone = nil
+			at, err := c.Message.Remainder.Complete()
+			if err != nil {
+				return r, true, false
+			}
+			deadline.Reset(time.Until(c.responseDeadlineFrom(at)))
+			gone = c.OnBodyComplete()
+		}
+	}
+}
+
+// InFlight returns the ids of the requests in flight.
+func (s *Sidecar) InFlight() []string {
+	reply := make(chan []string, 1)
+	s.mailbox <- inFlightQuery{reply}
+	return <-reply
+}
+
+// onRequest admits a call and gives it to the balancer.
+func (s *Sidecar) onRequest(now int64, c *Call) {
+	if c.gate.Closed() { // it ended while it waited in the mailbox
+		return
+	}
+	if s.calls[c.Request.ID] != nil || s.peerInFlight[c.Request.ID] { // attempts of two requests with one id can't be told apart
+		s.respond(c, Response{Status: DuplicateID})
+		return
+	}
+	if !c.leaseHeld() || !s.mapToCurrentSettings(c) {
+		s.respond(c, Response{Status: Rejected}) // nothing was sent: a retry is harmless
+		return
+	}
+	s.calls[c.Request.ID] = c
+	if kind := auditevent.Took; s.recorder != nil {
+		if c.Request.PriorAttemptAge > 0 {
+			kind = auditevent.TookOver
+		}
+		s.record(kind, c.Request.ID, c.class.Name)
+	}
+	if c.Request.TimeLeft = c.decisionTime().Microseconds(); !c.Request.BodyUnbuffered {
+		c.Request.TimeLeft = max(0, s.clockTime(c.decisionDeadline)-now)
+	}
+	request := c.Request
+	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnRequest(now, request) }})
+}
+
+// mapToCurrentSettings finds the class and the tenant of a call that was read under earlier settings by their names;
+// false: there is no such class any more, or its semantics have changed.
+func (s *Sidecar) mapToCurrentSettings(c *Call) bool {
+	if c.settings == s.settings {
+		return true
+	}
+	class, tenant := -1, -1
+	for i := range s.settings.Classes {
+		if current := &s.settings.Classes[i]; current.Name == c.class.Name && current.Semantics == c.class.Semantics {
+			class, c.class = i, current
+		}
+	}
+	if at := c.Request.Tenant; at >= 0 {
+		name := c.settings.Tenants[at].Name
+		tenant = slices.IndexFunc(s.settings.Tenants, func(t decide.Tenant) bool { return t.Name == name })
+	}
+	c.settings, c.Request.Class, c.Request.Tenant = s.settings, class, tenant
+	return class >= 0
+}
+
+// onClientDisconnected ends a call that nobody waits for any more.
+func (s *Sidecar) onClientDisconnected(now int64, c *Call) {
+	if c.answered || s.calls[c.Request.ID] != c {
+		c.discardResponse()
+		return
+	}
+	c.answered = true
+	id := c.Request.ID
+	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnClientDisconnected(now, id) }, RequestEnded: id})
+	s.forgetIfDone(c)
+}
+
+// respond gives a call its response under the configuration in force; false: it had one.
+func (s *Sidecar) respond(c *Call, r Response) bool {
+	r.ConfigVersion = s.ConfigVersion()
+	return c.respond(r)
+}
+
+// forgetIfDone drops a call that is answered and has nothing in flight.
+func (s *Sidecar) forgetIfDone(c *Call) {
+	if c.answered && c.inFlight == 0 && s.calls[c.Request.ID] == c {
+		delete(s.calls, c.Request.ID)
+	}
+}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -53,10 +53,15 @@
 	return NewCall(&set, decide.Request{ID: id, Class: class, Tenant: -1}, m, time.Now(), left)
 }
 
+// onActor is a message that runs a function on the actor.
+type onActor func()
+
+func (f onActor) handle(*Sidecar, int64) { f() }
+
 // ask runs f on the actor.
 func ask[T any](s *Sidecar, f func() T) T {
 	back := make(chan T)
-	s.mailbox <- func(int64) { back <- f() }
+	s.mailbox <- onActor(func() { back <- f() })
 	return <-back
 }
 
@@ -83,7 +88,7 @@
 // Where the module's actor says nothing the client is answered all the same, and nothing is sent afterwards.
 func TestAnsweredInTimeWhateverTheModuleDoes(t *testing.T) {
 	came := make(chan bool, 1)
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { came <- true }))
+	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true }))
 	if a, left := s.Do(call("a", 0, 50*time.Millisecond), nil); left || a.Status != DeadlineExceeded {
 		t.Fatalf("%+v", a)
 	}
@@ -133,7 +138,7 @@
 func TestFullMailbox(t *testing.T) {
 	s := sidecar(t, "127.0.0.1:1")
 	for range mailboxSize {
-		s.mailbox <- func(int64) {}
+		s.mailbox <- onActor(func() {})
 	}
 	if a, _ := s.Do(call("a", 0, 50*time.Millisecond), nil); a.Status != DeadlineExceeded {
 		t.Fatalf("%+v", a)
@@ -153,7 +158,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s, gone, done := sidecar(t, "127.0.0.1:1"), make(chan struct{}), make(chan bool)
 			for range mailboxSize {
-				s.mailbox <- func(int64) {}
+				s.mailbox <- onActor(func() {})
 			}
 			go func() {
 				a, left := s.Do(call("a", 0, time.Hour), gone)
@@ -190,12 +195,12 @@
 // Rule 2 holds at the moment of writing: a repeat of what may have run carries the end of the window with it.
 func TestRepeatCarriesItsWindow(t *testing.T) {
 	came := make(chan bool, 1)
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { came <- true }))
+	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true }))
 	c := call("k", 1, time.Minute)
 	c.firstEffectAt = time.Now().Add(-2 * time.Second)
 	s.calls["k"] = c
 	actions{s}.SendAttempt("k", "s1", 0)
-	(<-s.mailbox)(s.now()) // the attempt's end
+	(<-s.mailbox).handle(s, s.now()) // the attempt's end
 	if c.inFlight != 0 || len(came) != 0 {
 		t.Fatalf("%d out, %d written past the window", c.inFlight, len(came))
 	}
@@ -204,12 +209,12 @@
 // A probe the module asks for ends with its word, and holds nothing afterwards.
 func TestProbeEnds(t *testing.T) {
 	asked := make(chan string, 1)
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { asked <- r.URL.Path }))
+	s := sidecar(t, toy(t, func(_ http.ResponseWriter, r *http.Request) { asked <- r.URL.Path }))
 	actions{s}.CheckHealth("s1")
 	if path := <-asked; path != "/health/live" {
 		t.Errorf("asked %s", path)
 	}
-	(<-s.mailbox)(s.now())
+	(<-s.mailbox).handle(s, s.now())
 	if out := s.peers["s1"].inFlight; out != 0 {
 		t.Errorf("%d out", out)
 	}
@@ -218,7 +223,7 @@
 // A server that is gone takes its actor with it, once nothing is out there.
 func TestGonePeerIsRetired(t *testing.T) {
 	came, finish := make(chan bool), make(chan bool)
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) {
+	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) {
 		came <- true
 		<-finish
 	}))
@@ -272,7 +277,7 @@
 // A call that was read just before the settings changed finds its class by name; where that is gone or has another
 // effect it is refused, as it has gone nowhere. Guards against one that is served under the rules of another class.
 func TestReadBeforeARetune(t *testing.T) {
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "yes") }))
+	s := sidecar(t, toy(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
 	run(t, s)
 	next := &config.Config{Settings: testSettings(), Transport: s.startConfig.Transport}
 	next.Settings.Classes = []decide.Class{
@@ -294,7 +299,7 @@
 
 // Fifty retunes leave no goroutine and no class behind.
 func TestManyRetunes(t *testing.T) {
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "yes") }))
+	s := sidecar(t, toy(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
 	run(t, s)
 	if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Status != Served {
 		t.Fatalf("%+v", a)
@@ -314,7 +319,7 @@
 // End answers what is open at once, and what comes then. Guards against requests left with no answer by the process's end.
 func TestEndAnswersAll(t *testing.T) {
 	came, finish := make(chan bool, 1), make(chan bool)
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { came <- true; <-finish }))
+	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true; <-finish }))
 	defer close(finish)
 	run(t, s)
 	answer := make(chan Response)
@@ -335,7 +340,7 @@
 
 // An id that another process of the sidecar has under way is not taken, until that one has gone.
 func TestForeignIDs(t *testing.T) {
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "yes") }))
+	s := sidecar(t, toy(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
 	run(t, s)
 	for _, step := range []struct {
 		foreign []string
@@ -351,7 +356,7 @@
 // Open lists what is under way, and that alone.
 func TestOpenIDs(t *testing.T) {
 	came, finish := make(chan bool, 1), make(chan bool)
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { came <- true; <-finish }))
+	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true; <-finish }))
 	run(t, s)
 	done := make(chan bool)
 	go func() { s.Do(call("a", 0, time.Minute), nil); done <- true }()
@@ -367,7 +372,7 @@
 // A call that needs a leave is refused at once without it, when it is taken and when it was lost since.
 func TestWithoutLeave(t *testing.T) {
 	var came atomic.Bool
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { came.Store(true) }))
+	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came.Store(true) }))
 	run(t, s)
 	c := call("a", 0, time.Minute)
 	c.RequireLease(func() bool { return false })
@@ -416,7 +421,7 @@
 // Acts bear the version that they were decided by, servers are told whose act it was, and what was not written is said.
 func TestActsAreNoted(t *testing.T) {
 	actor := make(chan string, 4)
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) {
+	s := sidecar(t, toy(t, func(_ http.ResponseWriter, r *http.Request) {
 		actor <- r.Header.Get(auditevent.Header)
 		time.Sleep(50 * time.Millisecond)
 	}))
--- a/internal/sidecar/start_times.go
+++ b/internal/sidecar/start_times.go
@@ -6,60 +6,62 @@
 	"damsonscale/internal/discovery"
 )
 
-// clockStep is the difference between the wall clock and the monotonic one from which on the wall clock counts as stepped.
-const clockStep = time.Second
+// minClockStep is the difference between the wall clock and the balancer's clock from which on the wall clock counts as
+// stepped.
+const minClockStep = time.Second
 
-// serverStartTimes turns the wall-clock times at which servers say that they started into times of the module's clock, once for each start.
-// That clock is the wall clock of this process's start moved on by the monotonic one, so a wall clock that is stepped since makes
-// each later start look an hour old, or an hour ahead. After a step the younger reading counts. Guards against a cold server that
-// gets a warm one's share, and against one that is held for cold until the clocks meet.
+// serverStartTimes converts the wall-clock times at which servers say that they started to the balancer's clock, once for
+// each start.
+//
+// The balancer's clock is the wall clock at the start of this process, advanced by the monotonic one. Once the wall clock
+// has been stepped, later starts would look too old or lie in the future: a cold server would get the share of a warm
+// one, or stay in slow start until the clocks meet. After a step the later of the two readings counts.
 type serverStartTimes struct {
 	wallClock func() time.Time
-
-	starts map[string]serverStart // by host
+	starts    map[string]serverStart // by host
 }
 
-// serverStart is one start of a server.
+// serverStart is the latest known start of a server.
 type serverStart struct {
-	listedMs  int64 // as listed
-	startedAt int64 // in the module's clock, µs
+	listedMs  int64 // as listed, Unix time in ms
+	startedAt int64 // in the balancer's clock, µs
 }
 
 func newServerStartTimes() *serverStartTimes {
 	return &serverStartTimes{wallClock: time.Now, starts: map[string]serverStart{}}
 }
 
-// startTime is the start of a listed server in the module's clock, which shows now; 0: long ago.
-func (b *serverStartTimes) startTime(e *discovery.Endpoint, now int64) int64 {
+// startTime returns the start of a server in the balancer's clock, µs, which shows now; 0 where none is listed.
+func (t *serverStartTimes) startTime(e *discovery.Endpoint, now int64) int64 {
 	if e.StartedAtMs == 0 {
 		return 0
 	}
-	if k, ok := b.starts[e.Host]; ok && k.listedMs == e.StartedAtMs {
-		return k.startedAt
+	if known, ok := t.starts[e.Host]; ok && known.listedMs == e.StartedAtMs {
+		return known.startedAt
 	}
-	since := e.StartedAtMs * 1000
-	stepped := time.Duration(b.wallClock().UnixMicro()-now) * time.Microsecond
-	if stepped.Abs() >= clockStep {
-		since = min(now, max(since, since-stepped.Microseconds()))
+	startedAt := e.StartedAtMs * 1000
+	step := time.Duration(t.wallClock().UnixMicro()-now) * time.Microsecond
+	if step.Abs() >= minClockStep {
+		startedAt = min(now, max(startedAt, startedAt-step.Microseconds()))
 	}
-	b.starts[e.Host] = serverStart{listedMs: e.StartedAtMs, startedAt: since}
-	return since
+	t.starts[e.Host] = serverStart{listedMs: e.StartedAtMs, startedAt: startedAt}
+	return startedAt
 }
 
-// prune forgets the servers that a whole list does not name, or that a change removes.
-func (b *serverStartTimes) prune(l *discovery.Update) {
-	listed := make(map[string]bool, len(l.Endpoints))
-	for _, e := range l.Endpoints {
+// prune forgets the servers that an update removes.
+func (t *serverStartTimes) prune(u *discovery.Update) {
+	listed := make(map[string]bool, len(u.Endpoints))
+	for _, e := range u.Endpoints {
 		if listed[e.Host] = e.Health != discovery.Removed; !listed[e.Host] {
-			delete(b.starts, e.Host)
+			delete(t.starts, e.Host)
 		}
 	}
-	if !l.Full {
+	if !u.Full {
 		return
 	}
-	for host := range b.starts {
+	for host := range t.starts {
 		if !listed[host] {
-			delete(b.starts, host)
+			delete(t.starts, host)
 		}
 	}
 }
