--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 }
 
 // The roster holds what was listed last: changes apply on top, a whole list replaces it.
-func TestRoster(t *testing.T) {
+func TestEndpointSet(t *testing.T) {
 	var r EndpointSet
 	if _, ready := r.Address("a"); ready || r.HasEndpoints() {
 		t.Fatal("an empty roster knows a server")
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -207,7 +207,7 @@
 }
 
 // A probe the module asks for ends with its word, and holds nothing afterwards.
-func TestProbeEnds(t *testing.T) {
+func TestHealthCheckEnds(t *testing.T) {
 	asked := make(chan string, 1)
 	s := sidecar(t, toy(t, func(_ http.ResponseWriter, r *http.Request) { asked <- r.URL.Path }))
 	actions{s}.CheckHealth("s1")
@@ -221,7 +221,7 @@
 }
 
 // A server that is gone takes its actor with it, once nothing is out there.
-func TestGonePeerIsRetired(t *testing.T) {
+func TestRemovedPeerIsRetired(t *testing.T) {
 	came, finish := make(chan bool), make(chan bool)
 	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) {
 		came <- true
@@ -247,7 +247,7 @@
 	eventually(t, func() bool { return ask(s, func() int { return len(s.peers) }) == 0 })
 }
 
-func TestServersInTheModulesTerms(t *testing.T) {
+func TestToEndpoints(t *testing.T) {
 	cell := int64(3)
 	got := (&Sidecar{startTimes: newServerStartTimes()}).toEndpoints(time.Now().UnixMicro(), &discovery.Update{Endpoints: []discovery.Endpoint{
 		{Host: "a", Zone: "z", Cell: &cell, Health: discovery.Ready, Capacity: 1.5, StartedAtMs: 7},
@@ -276,7 +276,7 @@
 
 // A call that was read just before the settings changed finds its class by name; where that is gone or has another
 // effect it is refused, as it has gone nowhere. Guards against one that is served under the rules of another class.
-func TestReadBeforeARetune(t *testing.T) {
+func TestReadBeforeAConfigChange(t *testing.T) {
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
 	run(t, s)
 	next := &config.Config{Settings: testSettings(), Transport: s.startConfig.Transport}
@@ -298,7 +298,7 @@
 }
 
 // Fifty retunes leave no goroutine and no class behind.
-func TestManyRetunes(t *testing.T) {
+func TestManyConfigChanges(t *testing.T) {
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
 	run(t, s)
 	if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Status != Served {
@@ -317,7 +317,7 @@
 }
 
 // End answers what is open at once, and what comes then. Guards against requests left with no answer by the process's end.
-func TestEndAnswersAll(t *testing.T) {
+func TestAbortAllAnswersAll(t *testing.T) {
 	came, finish := make(chan bool, 1), make(chan bool)
 	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true; <-finish }))
 	defer close(finish)
@@ -339,7 +339,7 @@
 }
 
 // An id that another process of the sidecar has under way is not taken, until that one has gone.
-func TestForeignIDs(t *testing.T) {
+func TestPeerInFlightIDs(t *testing.T) {
 	s := sidecar(t, toy(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
 	run(t, s)
 	for _, step := range []struct {
@@ -354,7 +354,7 @@
 }
 
 // Open lists what is under way, and that alone.
-func TestOpenIDs(t *testing.T) {
+func TestInFlightIDs(t *testing.T) {
 	came, finish := make(chan bool, 1), make(chan bool)
 	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true; <-finish }))
 	run(t, s)
@@ -370,7 +370,7 @@
 }
 
 // A call that needs a leave is refused at once without it, when it is taken and when it was lost since.
-func TestWithoutLeave(t *testing.T) {
+func TestWithoutLease(t *testing.T) {
 	var came atomic.Bool
 	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came.Store(true) }))
 	run(t, s)
@@ -419,7 +419,7 @@
 }
 
 // Acts bear the version that they were decided by, servers are told whose act it was, and what was not written is said.
-func TestActsAreNoted(t *testing.T) {
+func TestAuditEventsAreRecorded(t *testing.T) {
 	actor := make(chan string, 4)
 	s := sidecar(t, toy(t, func(_ http.ResponseWriter, r *http.Request) {
 		actor <- r.Header.Get(auditevent.Header)
--- a/internal/sidecar/start_times_test.go
+++ b/internal/sidecar/start_times_test.go
@@ -9,7 +9,7 @@
 
 // Servers that start around a step of the wall clock are as old as they are, or younger: never older, and never ahead of now. One start
 // has one time, however often it is listed.
-func TestBirthsAcrossAStepOfTheWallClock(t *testing.T) {
+func TestStartTimesAcrossAStepOfTheWallClock(t *testing.T) {
 	const warm = 5 * time.Second
 	start := time.Now()
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
--- a/internal/upstream/end_reason.go
+++ b/internal/upstream/end_reason.go
@@ -1,41 +1,47 @@
-// Package upstream sends attempts to servers. Each peer is an actor that owns its idle connections; an
-// attempt owns its connection while it runs, to the last byte and the closing.
 package upstream
 
-import "damsonscale/decide"
+import (
+	"github.com/valyala/fasthttp"
 
-// EndReason is how an attempt ended. Every way in which a connection can end is one of these.
+	"damsonscale/decide"
+)
+
+// declinedHeader is 1 in a response by which a server says that it did not run the request.
+const declinedHeader = "Srv-Declined"
+
+// EndReason is how an attempt ended. Every way in which one can end is one of these.
 type EndReason uint8
 
+// The ways in which an attempt ends.
 const (
-	Answered       EndReason = iota // 200 and its whole body
-	ErrorResponse                   // an answer that is none of the others
+	Answered       EndReason = iota // 200 and its complete body
+	ErrorResponse                   // a complete response that is none of the others
 	InvalidRequest                  // the server finds the request itself at fault
-	Declined                        // the server says that it never ran
+	Declined                        // the server says that it did not run the request
 	ConnectFailed                   // no connection, or it broke before the last byte was written
-	Malformed                       // what came after the last byte was written can't be read as an answer
-	Reset                           // it broke after the last byte was written, before a whole answer
-	TimedOut                        // the time was up after the last byte was written
-	Cancelled                       // called back after the last byte was written
-	NotSent                         // never written: called back, over, or the server wants nothing new
+	Malformed                       // what came after the last byte was written can't be read as a response
+	Reset                           // the connection broke after the last byte was written, before a complete response
+	TimedOut                        // after the last byte was written
+	Cancelled                       // after the last byte was written
+	NotSent                         // never completely written: cancelled or timed out before, or the server takes no new work
 )
 
-// String names the end as log lines do.
-func (e EndReason) String() string {
-	names := [...]string{"answered", "failed", "rejected", "declined", "unreachable", "spoilt", "broken", "expired",
-		"withdrawn", "unwritten"}
-	if int(e) < len(names) {
-		return names[e]
+// String returns the name of the reason.
+func (r EndReason) String() string {
+	names := [...]string{"answered", "error_response", "invalid_request", "declined", "connect_failed", "malformed", "reset",
+		"timed_out", "cancelled", "not_sent"}
+	if int(r) < len(names) {
+		return names[r]
 	}
 	return "unknown"
 }
 
-// DecisionResult is the module's word for an end.
-func (e EndReason) DecisionResult() decide.Result {
-	switch e {
+// DecisionResult maps a reason to the decision module's results.
+func (r EndReason) DecisionResult() decide.Result {
+	switch r {
 	case Answered:
 		return decide.Succeeded
-	case ErrorResponse, Malformed: // a server that answers is up, whatever it says
+	case ErrorResponse, Malformed: // a server that responds is up, whatever it says
 		return decide.Errored
 	case InvalidRequest:
 		return decide.InvalidRequest
@@ -50,5 +56,21 @@
 	case NotSent:
 		return decide.NotSent
 	}
-	return decide.Reset // whatever is not known to be better may have run
+	return decide.Reset // may have run, as anything unknown
+}
+
+// classify returns the reason for a complete response, by its head.
+func classify(resp *fasthttp.Response) EndReason {
+	switch status := resp.StatusCode(); {
+	case status == fasthttp.StatusOK:
+		return Answered
+	case (status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout) &&
+		string(resp.Header.Peek(declinedHeader)) == "1":
+		return Declined
+	case status == fasthttp.StatusRequestTimeout || status == fasthttp.StatusTooManyRequests:
+		return ErrorResponse // about the server's state, not about the request
+	case status >= 400 && status < 500:
+		return InvalidRequest
+	}
+	return ErrorResponse
 }
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// NewHealthCheck makes a probe of a host: its state, or its load report where load is true.
-func NewHealthCheck(host string, load bool, timeout time.Duration, done func(*Attempt, AttemptResult)) *Attempt {
+// NewHealthCheck returns a health check of a host, or a request for its load report where load is true. onDone gets the load
+// report in the result, nil where there is none.
+func NewHealthCheck(host string, load bool, timeout time.Duration, onDone func(*Attempt, AttemptResult)) *Attempt {
 	head := "GET /health/live HTTP/1.1\r\nHost: " + host + "\r\n"
 	if load {
 		head = "GET /stats HTTP/1.1\r\nHost: " + host + "\r\n"
@@ -15,7 +16,7 @@
 			if r.Load == nil && load && r.Reason == Answered {
 				r.Load = parseLoad(r.Body)
 			}
-			done(a, r)
+			onDone(a, r)
 		},
 	}
 }
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -7,9 +7,8 @@
 	"damsonscale/decide"
 )
 
-// parseLoad reads a load report in text form, "TEXT name=value, name=value", as a header has it or a probe's
-// body; nil where there is none.
-// Names that it does not know, and values that are no numbers, are skipped: a report is a hint.
+// parseLoad reads a load report in text form, "TEXT name=value, name=value", from a header or from a health check's
+// body; nil where there is none. Unknown names, and values that are no numbers, are skipped.
 func parseLoad(text []byte) *decide.LoadReport {
 	rest := bytes.TrimPrefix(bytes.TrimSpace(text), []byte("TEXT "))
 	if !bytes.Contains(rest, []byte{'='}) {
--- a/internal/upstream/peer.go
+++ b/internal/upstream/peer.go
@@ -1,124 +1,97 @@
 package upstream
 
 import (
-	"bufio"
 	"context"
-	"errors"
 	"net"
 	"slices"
 	"sync/atomic"
-	"syscall"
 	"time"
 )
 
 const (
 	mailboxSize    = 256
 	sweepInterval  = time.Second
-	redialDelay    = 5 * time.Millisecond // after a dial that met a lack on this side
-	idleLimitShare = 0.6                  // of the servers' idle limit: a connection older than this is not written to
+	idleLimitShare = 0.6 // of the servers' idle timeout: an older connection is not written to
 )
 
-// SocketBudget counts the sockets that all peers may hold.
-type SocketBudget struct {
-	limit   atomic.Int64
-	inUse   atomic.Int64
-	waiting atomic.Int64 // attempts that have found none
-}
-
-// NewSocketBudget makes a budget of that many sockets.
-func NewSocketBudget(limit int) *SocketBudget {
-	b := &SocketBudget{}
-	b.SetLimit(limit)
-	return b
-}
-
-// SetLimit keeps to so many sockets from now on; of those open none is closed for it.
-func (b *SocketBudget) SetLimit(limit int) { b.limit.Store(int64(limit)) }
-
-func (b *SocketBudget) tryAcquire() bool {
-	if b.inUse.Add(1) > b.limit.Load() {
-		b.inUse.Add(-1)
-		return false
-	}
-	return true
-}
-
-func (b *SocketBudget) release() { b.inUse.Add(-1) }
-
-// acquire takes a socket as soon as there is one, asking by short for idle ones to be closed; false: ctx ended
-// first. Guards against attempts that use up a request's tries within microseconds while none is free yet.
-func (b *SocketBudget) acquire(ctx context.Context, short func()) bool {
-	for n := 0; !b.tryAcquire(); n++ {
-		if n == 0 {
-			b.waiting.Add(1)
-			defer b.waiting.Add(-1)
-			short()
-		}
-		select {
-		case <-ctx.Done():
-			return false
-		case <-time.After(time.Millisecond):
-		}
-	}
-	if ctx.Err() != nil {
-		b.release()
-		return false
-	}
-	return true
-}
-
-// PeerShared is what all peers have in common.
+// PeerShared is what all peers have in common. Its fields must not change once a peer runs.
 type PeerShared struct {
 	Sockets          *SocketBudget
-	Resolve          func(host string) (dial string, ready bool)              // as listed at this moment
-	OnSocketShortage func()                                                   // asks all peers to shed; it may block
-	ReuseDelay       time.Duration                                            // that a connection rests after an answer, before its next request
-	Dial             func(ctx context.Context, addr string) (net.Conn, error) // nil: the system's
+	Resolve          func(host string) (addr string, ready bool)              // by the endpoint list in force; safe for concurrent use
+	OnSocketShortage func()                                                   // has all peers close idle connections; it may block
+	ReuseDelay       time.Duration                                            // rest after a response: a late second response would be read as the next one
+	Dial             func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
 
-	dialTimeout atomic.Int64
-	connIdle    atomic.Int64 // the servers' idle limit
+	dialTimeout atomic.Int64 // ns
+	connIdle    atomic.Int64 // the servers' idle timeout, ns
 }
 
-// SetTimeouts sets how long a dial may take, and how long servers keep idle connections.
+// SetTimeouts sets how long a dial may take, and how long servers keep idle connections. It is safe for concurrent use.
 func (s *PeerShared) SetTimeouts(dialTimeout, connIdle time.Duration) {
 	s.dialTimeout.Store(int64(dialTimeout))
 	s.connIdle.Store(int64(connIdle))
 }
 
-// Peer is a server's actor: it owns the idle connections and starts attempts on them.
-//
-// The module posts attempts with Offer, which never blocks: a full mailbox turns the attempt down. Attempts
-// post their ends and wait for room; the actor itself waits only on what Done waits on.
+// Peer is a server's actor. Its goroutine owns the idle connections and starts the attempts. It waits for nothing but what
+// OnDone waits for.
 type Peer struct {
 	Host string
 
 	shared  *PeerShared
-	mailbox chan any
-	idle    []*conn // the latest used last
+	mailbox chan peerMessage
+	idle    []*conn // in the order in which they fell idle
 }
 
+// peerMessage is what the mailbox takes. handle runs on the peer's goroutine.
+type peerMessage interface{ handle(*Peer) }
+
+// attemptOffered is an attempt to be started.
+type attemptOffered struct{ attempt *Attempt }
+
+func (m attemptOffered) handle(p *Peer) { go p.runAttempt(m.attempt, p.takeIdle()) }
+
+// attemptEnded is the end of an attempt.
 type attemptEnded struct {
 	attempt *Attempt
-	conn    *conn // fit to serve again; nil: none
+	conn    *conn // can be reused; nil: none
 	result  AttemptResult
 }
 
+func (m attemptEnded) handle(p *Peer) {
+	switch {
+	case m.conn == nil:
+	case p.shared.Sockets.waiting.Load() > 0: // the request to close idle ones may have come before this one was idle
+		m.conn.closeAndRelease()
+	default:
+		m.conn.idleSince = time.Now()
+		p.idle = append(p.idle, m.conn)
+	}
+	m.attempt.release()
+	m.attempt.OnDone(m.attempt, m.result)
+}
+
+// closeOldestIdle closes the connection that has been idle longest.
 type closeOldestIdle struct{}
 
+func (closeOldestIdle) handle(p *Peer) { p.closeOldest(min(1, len(p.idle))) }
+
+// closeAllIdle closes all idle connections.
 type closeAllIdle struct{}
 
-// NewPeer starts a server's actor.
+func (closeAllIdle) handle(p *Peer) { p.closeOldest(len(p.idle)) }
+
+// NewPeer starts the actor of a server.
 func NewPeer(host string, shared *PeerShared) *Peer {
-	p := &Peer{Host: host, shared: shared, mailbox: make(chan any, mailboxSize)}
+	p := &Peer{Host: host, shared: shared, mailbox: make(chan peerMessage, mailboxSize)}
 	go p.run()
 	return p
 }
 
-// Offer hands the peer an attempt; false: its mailbox is full and nothing was or will be sent.
+// Offer hands the peer an attempt; false: its mailbox is full and nothing was or will be sent. It never blocks.
 func (p *Peer) Offer(a *Attempt) bool {
 	a.startTimer()
 	select {
-	case p.mailbox <- a:
+	case p.mailbox <- attemptOffered{a}:
 		return true
 	default:
 		a.release()
@@ -126,7 +99,8 @@
 	}
 }
 
-// CloseOldestIdle asks the peer to close the connection that has been idle longest. It never blocks.
+// CloseOldestIdle asks the peer to close the connection that has been idle longest. It never blocks: a full mailbox drops
+// it.
 func (p *Peer) CloseOldestIdle() {
 	select {
 	case p.mailbox <- closeOldestIdle{}:
@@ -134,8 +108,8 @@
 	}
 }
 
-// CloseIdleConnections asks the peer to close all idle connections before it serves the attempts offered after this. It
-// never blocks: a peer whose mailbox is full turns those attempts down.
+// CloseIdleConnections asks the peer to close all idle connections before it starts attempts that are offered after this.
+// It never blocks: a full mailbox drops it, and refuses those attempts too.
 func (p *Peer) CloseIdleConnections() {
 	select {
 	case p.mailbox <- closeAllIdle{}:
@@ -143,7 +117,7 @@
 	}
 }
 
-// Stop ends the actor. No attempt may be out or be offered from then on.
+// Stop ends the actor. No attempt may be in flight, or be offered after this.
 func (p *Peer) Stop() { close(p.mailbox) }
 
 func (p *Peer) run() {
@@ -156,42 +130,20 @@
 				p.closeOldest(len(p.idle))
 				return
 			}
-			p.serve(m)
+			m.handle(p)
 		case <-tick.C:
 			p.sweep()
 		}
 	}
 }
 
-func (p *Peer) serve(m any) {
-	switch m := m.(type) {
-	case *Attempt:
-		go p.runAttempt(m, p.takeIdle())
-	case attemptEnded:
-		switch {
-		case m.conn == nil:
-		case p.shared.Sockets.waiting.Load() > 0: // Guards against one that falls idle after the ask for idle ones, and is kept
-			m.conn.closeAndRelease()
-		default:
-			m.conn.idleSince = time.Now()
-			p.idle = append(p.idle, m.conn)
-		}
-		m.attempt.release()
-		m.attempt.OnDone(m.attempt, m.result)
-	case closeOldestIdle:
-		p.closeOldest(min(1, len(p.idle)))
-	case closeAllIdle:
-		p.closeOldest(len(p.idle))
-	}
-}
-
-// takeIdle returns the idle connection that is fit to be written to and has been idle longest, or nil. Guards
-// against writing to one that its server closes right after an answer: the latest used may not show it yet.
+// takeIdle returns the connection that has been idle longest and can be written to, or nil. The latest used is the worst
+// choice: a server that closes connections right after a response may not have shown it yet.
 func (p *Peer) takeIdle() *conn {
 	addr, _ := p.shared.Resolve(p.Host)
 	for len(p.idle) > 0 {
 		c := p.idle[0]
-		if time.Since(c.idleSince) < p.shared.ReuseDelay { // Guards against a second answer some ms late: it would be read as the next one's
+		if time.Since(c.idleSince) < p.shared.ReuseDelay {
 			return nil
 		}
 		p.idle = slices.Delete(p.idle, 0, 1)
@@ -203,11 +155,12 @@
 	return nil
 }
 
+// isWithinIdleLimit reports whether a server is sure to keep an idle connection open for a while.
 func (p *Peer) isWithinIdleLimit(c *conn) bool {
 	return time.Since(c.idleSince) < time.Duration(idleLimitShare*float64(p.shared.connIdle.Load()))
 }
 
-// sweep closes idle connections that are old, closed by the server, or to one that wants nothing new.
+// sweep closes idle connections that are too old, closed by the server, or to a server that takes no new work there.
 func (p *Peer) sweep() {
 	addr, ready := p.shared.Resolve(p.Host)
 	p.idle = slices.DeleteFunc(p.idle, func(c *conn) bool {
@@ -227,15 +180,15 @@
 	p.idle = slices.Delete(p.idle, 0, n)
 }
 
-// runAttempt runs one attempt to its end and reports it to the actor.
+// runAttempt runs one attempt to its end, on a goroutine of its own, and reports the end to the actor.
 func (p *Peer) runAttempt(a *Attempt, c *conn) {
 	r := AttemptResult{}
-	if c != nil && !c.isOpenAndEmpty() { // Guards against what came since the peer looked
+	if c != nil && !c.isOpenAndEmpty() { // again: something may have come since the peer looked
 		c.closeAndRelease()
 		c = nil
 	}
-	fresh := c == nil
-	if fresh {
+	isNew := c == nil
+	if isNew {
 		c, r.Reason = p.dial(a)
 	}
 	if c != nil {
@@ -249,60 +202,10 @@
 			c = nil
 		}
 	}
-	r.NewConnection = fresh
+	r.NewConnection = isNew
 	r.BodyConsumed = a.Message.Remainder != nil && a.Message.Remainder.Started()
 	if r.ObservedAt.IsZero() {
 		r.ObservedAt = time.Now()
 	}
 	p.mailbox <- attemptEnded{attempt: a, conn: c, result: r}
 }
-
-// IsSocketShortage tells of a lack on this side that passes. Guards against servers suspended for it.
-func IsSocketShortage(err error) bool {
-	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) ||
-		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
-}
-
-// isTransient tells of an error of socket or connect that may be over within a moment: a lack on this side, or no way to that server.
-func isTransient(err error) bool {
-	return IsSocketShortage(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
-}
-
-// connect dials.
-func (s *PeerShared) connect(ctx context.Context, addr string) (net.Conn, error) {
-	if s.Dial != nil {
-		return s.Dial(ctx, addr)
-	}
-	var d net.Dialer
-	return d.DialContext(ctx, "tcp", addr)
-}
-
-// dial opens a connection for an attempt.
-func (p *Peer) dial(a *Attempt) (*conn, EndReason) {
-	addr, ready := p.shared.Resolve(p.Host)
-	ctx, cancel := context.WithTimeout(a.ctx, time.Duration(p.shared.dialTimeout.Load()))
-	defer cancel()
-	if !ready || !p.shared.Sockets.acquire(ctx, p.shared.OnSocketShortage) {
-		return nil, NotSent
-	}
-	nc, err := p.shared.connect(ctx, addr)
-	short := IsSocketShortage(err)
-	if short {
-		p.shared.OnSocketShortage()
-	}
-	for isTransient(err) && ctx.Err() == nil { // Guards against tries that are used up within microseconds while it passes
-		select {
-		case <-ctx.Done():
-		case <-time.After(redialDelay):
-			nc, err = p.shared.connect(ctx, addr)
-		}
-	}
-	if err != nil {
-		p.shared.Sockets.release()
-		if a.isCancelled() || IsSocketShortage(err) || short && ctx.Err() != nil {
-			return nil, NotSent
-		}
-		return nil, ConnectFailed
-	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr, sockets: p.shared.Sockets}, Answered
-}
--- a/internal/upstream/stream_state.go
+++ b/internal/upstream/stream_state.go
@@ -3,27 +3,27 @@
 import (
 	"bufio"
 	"bytes"
-	"errors"
 	"fmt"
 	"io"
 	"net"
 	"time"
 )
 
-// StreamState is where an answer under way stands between two reads, as another process needs it to go on.
+// StreamState is the position of a response between two reads, for another process that goes on with it. Its JSON form is
+// part of the handover protocol between an old and a new build.
 type StreamState struct {
 	Framing      Framing `json:"kind"`
-	Remaining    int64   `json:"left,omitempty"` // bytes of the answer, or of its chunk
-	AtChunkEnd   bool    `json:"after,omitempty"`
-	InTrailers   bool    `json:"trailing,omitempty"`
+	Remaining    int64   `json:"left,omitempty"`     // bytes of the body, or of the present chunk
+	AtChunkEnd   bool    `json:"after,omitempty"`    // the line end after a chunk comes next
+	InTrailers   bool    `json:"trailing,omitempty"` // the last chunk has been read
 	TrailerLines int     `json:"trailers,omitempty"`
-	Complete     bool    `json:"over,omitempty"`
-	Forwarded    int64   `json:"sum"`             // bytes passed on so far
-	ReadAhead    []byte  `json:"ahead,omitempty"` // read and not passed on: of the body first, then as they came
-	BufferedBody int     `json:"held,omitempty"`  // of those, bytes of the body
+	Complete     bool    `json:"over,omitempty"`  // the last trailer has been read
+	Forwarded    int64   `json:"sum"`             // bytes of the body passed on so far
+	ReadAhead    []byte  `json:"ahead,omitempty"` // read and not passed on: first of the body, then as they came
+	BufferedBody int     `json:"held,omitempty"`  // of ReadAhead, bytes of the body
 }
 
-// Framing is how an answer's end is told.
+// Framing is how the end of a body is marked.
 type Framing string
 
 const (
@@ -32,77 +32,72 @@
 	framedByClose  Framing = "end"
 )
 
-// ErrDetached is what Read returns once Detach was called, between two pieces of the answer.
-var ErrDetached = errors.New("the answer goes on elsewhere")
-
-// Detach makes Read return ErrDetached as soon as may be.
-func (s *Stream) Detach() {
-	s.detached.Store(true)
-	s.conn.SetReadDeadline(deadlinePast)
-}
-
-// Attach takes a Detach back.
-func (s *Stream) Attach() { s.detached.Store(false) }
-
-// State tells, after ErrDetached, where the answer stands, and its server's connection.
+// State returns, after ErrDetached, the position of the response, and its server's connection.
 func (s *Stream) State() (StreamState, net.Conn) {
-	st := StreamState{Forwarded: s.forwarded, BufferedBody: len(s.buffered)}
-	switch b := s.body.(type) {
+	state := StreamState{Forwarded: s.forwarded, BufferedBody: len(s.buffered)}
+	switch body := s.body.(type) {
 	case *lengthReader:
-		st.Framing, st.Remaining = framedByLength, b.remaining
+		state.Framing, state.Remaining = framedByLength, body.remaining
 	case *chunkedReader:
-		st.Framing, st.Remaining, st.AtChunkEnd, st.InTrailers, st.TrailerLines, st.Complete = framedByChunks, b.remaining, b.atChunkEnd, b.inTrailers, b.trailerLines, b.complete
+		state.Framing, state.Remaining = framedByChunks, body.remaining
+		state.AtChunkEnd, state.InTrailers, state.TrailerLines, state.Complete = body.atChunkEnd, body.inTrailers, body.trailerLines, body.complete
 	default:
-		st.Framing = framedByClose
+		state.Framing = framedByClose
 	}
 	ahead, _ := s.conn.br.Peek(s.conn.br.Buffered())
-	st.ReadAhead = append(append([]byte(nil), s.buffered...), ahead...)
-	return st, s.conn.Conn
+	state.ReadAhead = append(append([]byte(nil), s.buffered...), ahead...)
+	return state, s.conn.Conn
 }
 
-// validate tells why a standing can't be one.
-func (st *StreamState) validate() error {
+// validate returns an error that names what is impossible in a state.
+func (s *StreamState) validate() error {
 	switch {
-	case st.Framing != framedByLength && st.Framing != framedByChunks && st.Framing != framedByClose:
-		return fmt.Errorf("unknown framing %q", st.Framing)
-	case st.Remaining < 0 || st.Remaining > MaxBodySize || st.Forwarded < 0 || st.TrailerLines < 0:
-		return fmt.Errorf("figures out of bounds: %d left, %d passed on", st.Remaining, st.Forwarded)
-	case st.BufferedBody < 0 || st.BufferedBody > len(st.ReadAhead) || len(st.ReadAhead) > MaxBuffered+1+readBuffer:
-		return fmt.Errorf("%d bytes held of %d read", st.BufferedBody, len(st.ReadAhead))
+	case s.Framing != framedByLength && s.Framing != framedByChunks && s.Framing != framedByClose:
+		return fmt.Errorf("unknown framing %q", s.Framing)
+	case s.Remaining < 0 || s.Remaining > MaxBodySize || s.Forwarded < 0 || s.TrailerLines < 0:
+		return fmt.Errorf("figures out of bounds: %d left, %d passed on", s.Remaining, s.Forwarded)
+	case s.BufferedBody < 0 || s.BufferedBody > len(s.ReadAhead) || len(s.ReadAhead) > MaxBuffered+1+readBuffer:
+		return fmt.Errorf("%d bytes held of %d read", s.BufferedBody, len(s.ReadAhead))
 	}
 	return nil
 }
 
-// Resume goes on with an answer that another process began. Its error is io.EOF after the last byte of a whole one alone.
-func Resume(server net.Conn, st StreamState) (io.Reader, error) {
-	if err := st.validate(); err != nil {
+// Resume returns the rest of a response that another process began to read from a server's connection. Its error is io.EOF
+// only after the last byte of a complete one.
+func Resume(server net.Conn, state StreamState) (io.Reader, error) {
+	if err := state.validate(); err != nil {
 		return nil, err
 	}
-	br := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(st.ReadAhead[st.BufferedBody:]), stallReader{server}), readBuffer)
+	br := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.ReadAhead[state.BufferedBody:]), stallReader{server}), readBuffer)
 	var body io.Reader = br
-	switch st.Framing {
+	switch state.Framing {
 	case framedByLength:
-		body = &lengthReader{br, st.Remaining}
+		body = &lengthReader{br, state.Remaining}
 	case framedByChunks:
-		body = &chunkedReader{br: br, remaining: st.Remaining, atChunkEnd: st.AtChunkEnd, inTrailers: st.InTrailers, trailerLines: st.TrailerLines, complete: st.Complete}
+		body = &chunkedReader{
+			br: br, remaining: state.Remaining, atChunkEnd: state.AtChunkEnd, inTrailers: state.InTrailers, trailerLines: state.TrailerLines,
+			complete: state.Complete,
+		}
 	}
-	return &boundedReader{io.MultiReader(bytes.NewReader(st.ReadAhead[:st.BufferedBody]), body), MaxBodySize - st.Forwarded}, nil
+	return &boundedReader{io.MultiReader(bytes.NewReader(state.ReadAhead[:state.BufferedBody]), body), MaxBodySize - state.Forwarded}, nil
 }
 
-// stallReader reads as long as something comes now and then.
+// stallReader fails a read that gets no byte for stallTimeout.
 type stallReader struct{ net.Conn }
 
+// Read implements io.Reader.
 func (s stallReader) Read(p []byte) (int, error) {
 	s.SetReadDeadline(time.Now().Add(stallTimeout))
 	return s.Conn.Read(p)
 }
 
-// boundedReader reads so many bytes at most: more is an error, not an end.
+// boundedReader fails once more than so many bytes come.
 type boundedReader struct {
 	r         io.Reader
 	remaining int64
 }
 
+// Read implements io.Reader.
 func (b *boundedReader) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p)
 	if b.remaining -= int64(n); b.remaining < 0 {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -113,7 +113,7 @@
 
 // Each way in which an answer can end is told apart; a short 200 is a reset, and only what the server says
 // itself, or a missing last byte, proves that nothing ran.
-func TestEnds(t *testing.T) {
+func TestEndReasons(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct {
 		name, answer string
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestResults(t *testing.T) {
+func TestDecisionResults(t *testing.T) {
 	want := map[EndReason]decide.Result{
 		Answered: decide.Succeeded, ErrorResponse: decide.Errored, Declined: decide.Saturated, ConnectFailed: decide.ConnectFailed,
 		InvalidRequest: decide.InvalidRequest, Malformed: decide.Errored, Reset: decide.Reset, TimedOut: decide.TimedOut, Cancelled: decide.Cancelled, NotSent: decide.NotSent,
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestRefusedConnectionIsUnreachable(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	s := listen(t, always("", true))
 	addr := s.Addr().String()
 	s.Close()
@@ -195,8 +195,8 @@
 	}
 }
 
-func TestSilentServerExpires(t *testing.T) {
-	s := listen(t, func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
+func TestSilentServerTimesOut(t *testing.T) {
+	s := listen(t, func(_ net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
 	p, sh := peerOf(t, at(s.Addr().String()))
 	if r := send(t, p, func(a *Attempt) { a.Deadline = a.DecidedAt.Add(500 * time.Millisecond) }); r.Reason != TimedOut {
 		t.Fatal(r.Reason)
@@ -208,7 +208,7 @@
 
 func TestCancelClosesTheConnection(t *testing.T) {
 	came, closed := make(chan bool), make(chan bool)
-	s := listen(t, func(c net.Conn, br *bufio.Reader) {
+	s := listen(t, func(_ net.Conn, br *bufio.Reader) {
 		take(br)
 		came <- true
 		_, err := br.ReadByte()
@@ -236,7 +236,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := make(chan int64, 1)
-			s := listen(t, func(c net.Conn, br *bufio.Reader) {
+			s := listen(t, func(_ net.Conn, br *bufio.Reader) {
 				n, _ := io.Copy(io.Discard, br)
 				got <- n
 			})
@@ -384,7 +384,7 @@
 
 // A full mailbox turns an attempt down and never makes the module wait.
 func TestFullMailboxTurnsDown(t *testing.T) {
-	p := &Peer{mailbox: make(chan any, 1)}
+	p := &Peer{mailbox: make(chan peerMessage, 1)}
 	a := func() *Attempt { return &Attempt{Deadline: time.Now().Add(time.Minute)} }
 	if !p.Offer(a()) || p.Offer(a()) {
 		t.Fatal("one of two fits")
@@ -430,7 +430,7 @@
 }
 
 // A probe asks for the state, or for the load report where there are reports, and carries no request's id.
-func TestProbe(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	asked := make(chan string, 1)
 	s := listen(t, func(c net.Conn, br *bufio.Reader) {
 		for r, ok := take(br); ok; r, ok = take(br) {
