--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -889,7 +889,7 @@
 			t.Fatal(s, body)
 		}
 	}
-	p.expect(t, "event=watch compared=20 server=0 wait=0 refuse=0 fail=0 timeout=0 copy=0 close=0 message=0")
+	p.expect(t, "event=shadow_compared compared=20 server=0 send=0 reject=0 fail=0 timeout=0 hedge=0 close=0 gossip=0")
 	faulty := start(t, startDiscovery(t).addr, nil, watched(0.1, "guessed"))
 	if err := <-faulty.done; err == nil || !strings.Contains(faulty.log.String(), "watch.settings: WeightSource") {
 		t.Errorf("a faulty watch: %v %s", err, faulty.log.String())
--- a/internal/shadow/evaluator_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -23,70 +23,70 @@
 	}
 }
 
-// serving plays the sidecar: a balancer whose events and actions are shown to a judge.
+// serving plays the sidecar: a balancer whose events and actions are shown to a comparer.
 type serving struct {
-	t    *testing.T
-	b    *decide.Balancer
-	j    *comparer
-	now  int64
-	acts []Action
-	out  []Action // sends without their end
-	ends map[string]int
+	t           *testing.T
+	b           *decide.Balancer
+	comparer    *comparer
+	now         int64
+	actions     []Action
+	inFlight    []Action // sends without their end
+	attemptEnds map[string]int
 }
 
 func (s *serving) SendAttempt(request, server string, timeout int64) {
-	s.acts = append(s.acts, Action{SendAttempt, request, server, timeout})
-	s.out = append(s.out, Action{SendAttempt, request, server, timeout})
+	s.actions = append(s.actions, Action{SendAttempt, request, server, timeout})
+	s.inFlight = append(s.inFlight, Action{SendAttempt, request, server, timeout})
 }
 func (s *serving) Reject(id string, _ int64) {
-	s.acts = append(s.acts, Action{Kind: Reject, Request: id})
+	s.actions = append(s.actions, Action{Kind: Reject, Request: id})
 }
-func (s *serving) Fail(id string) { s.acts = append(s.acts, Action{Kind: Fail, Request: id}) }
+func (s *serving) Fail(id string) { s.actions = append(s.actions, Action{Kind: Fail, Request: id}) }
 func (s *serving) CloseIdleConnections(server string) {
-	s.acts = append(s.acts, Action{Kind: CloseIdleConnections, Server: server})
+	s.actions = append(s.actions, Action{Kind: CloseIdleConnections, Server: server})
 }
-func (s *serving) SendGossip(int, []byte)    { s.acts = append(s.acts, Action{Kind: SendGossip}) }
+func (s *serving) SendGossip(int, []byte)    { s.actions = append(s.actions, Action{Kind: SendGossip}) }
 func (s *serving) CancelAttempt(string, int) {}
 func (s *serving) CheckHealth(string)        {}
 func (s *serving) WatchEndpoints(bool)       {}
 func (s *serving) SetTimer(int64, int64)     {}
 func (s *serving) Log(string)                {}
 
-func (s *serving) tell(e Event) {
-	s.acts = nil
+func (s *serving) dispatch(e Event) {
+	s.actions = nil
 	e.Now = s.now
 	e.Apply(s.b)
-	e.Actions = s.acts
-	s.j.observe(e)
+	e.Actions = s.actions
+	s.comparer.observe(e)
 }
 
 // play serves n requests 5 ms apart by two servers, one three times the other's size; slow answers take 100 ms, and
 // every seventh attempt gets an error.
 func play(t *testing.T, own, watched decide.Settings, n int) Counts {
-	s := &serving{t: t, now: 1_000_000_000, ends: map[string]int{}}
+	s := &serving{t: t, now: 1_000_000_000, attemptEnds: map[string]int{}}
 	s.b = decide.New(own, 9, s)
-	s.j = newComparer(watched, 9)
+	s.comparer = newComparer(watched, 9)
 	s.b.Start(s.now)
-	s.j.balancer.Start(s.now)
+	s.comparer.balancer.Start(s.now)
 	list := []decide.Endpoint{{ID: "a", Capacity: 3}, {ID: "b", Capacity: 1}, {ID: "c", Capacity: 1}}
-	s.tell(Event{Apply: func(b *decide.Balancer) { b.OnEndpoints(s.now, list, true) }})
+	s.dispatch(Event{Apply: func(b *decide.Balancer) { b.OnEndpoints(s.now, list, true) }})
 	for i := range n {
 		s.now += 5000
 		id := fmt.Sprint("r", i)
-		s.tell(Event{Apply: func(b *decide.Balancer) {
+		s.dispatch(Event{Apply: func(b *decide.Balancer) {
 			b.OnRequest(s.now, decide.Request{ID: id, Tenant: -1, TimeLeft: 2_000_000})
 		}})
 		if i%200 == 0 {
-			s.tell(Event{Apply: func(b *decide.Balancer) { b.OnTimer(s.now, 0) }})
+			s.dispatch(Event{Apply: func(b *decide.Balancer) { b.OnTimer(s.now, 0) }})
 		}
-		for len(s.out) > 4 {
-			a := s.out[0]
-			s.out = s.out[1:]
+		for len(s.inFlight) > 4 {
+			a := s.inFlight[0]
+			s.inFlight = s.inFlight[1:]
 			o := decide.Outcome{Request: a.Request, Server: a.Server, Result: decide.Succeeded, Latency: 20_000, RequestAnswered: true}
 			if i%7 == 0 {
 				o.Result, o.RequestAnswered = decide.Errored, false
 			}
-			for _, before := range s.out { // attempts of a request are numbered; only the first ends here
+			for _, before := range s.inFlight { // attempts of a request are numbered; only the first ends here
 				if before.Request == a.Request {
 					t.Fatal("two attempts out")
 				}
@@ -96,16 +96,16 @@
 			if o.RequestAnswered {
 				e.RequestEnded = a.Request
 			}
-			s.tell(e)
+			s.dispatch(e)
 		}
 	}
-	return s.j.counts
+	return s.comparer.counts
 }
 
 // attempt numbers the ends of a request's attempts.
 func (s *serving) attempt(a Action) int {
-	s.ends[a.Request]++
-	return s.ends[a.Request] - 1
+	s.attemptEnds[a.Request]++
+	return s.attemptEnds[a.Request] - 1
 }
 
 // The same settings decide the same: nothing differs, through retries and failures. Guards against books that drift
@@ -142,9 +142,9 @@
 }
 
 // decisions of each kind, compared by hand.
-func TestDiffer(t *testing.T) {
-	did := func(do ActionKind, server string, time int64) decision {
-		return decision{made: true, action: Action{Kind: do, Server: server, Timeout: time}}
+func TestDifference(t *testing.T) {
+	did := func(do ActionKind, server string, timeout int64) decision {
+		return decision{made: true, action: Action{Kind: do, Server: server, Timeout: timeout}}
 	}
 	for _, c := range []struct {
 		x, y decision
@@ -167,8 +167,8 @@
 	}
 }
 
-// Copies and closes count apart from the decision itself.
-func TestCopiesAndCloses(t *testing.T) {
+// Hedged attempts and closes count apart from the decision itself.
+func TestHedgesAndCloses(t *testing.T) {
 	j := newComparer(settings(), 1)
 	j.inFlight["r"] = 1
 	j.compare([]Action{{SendAttempt, "r", "a", 1}, {Kind: CloseIdleConnections, Server: "b"}}, []Action{}, map[string]bool{"r": true})
@@ -177,8 +177,8 @@
 	}
 }
 
-// A failure of the second balancer ends the watch alone, and the log says so; events go on being taken.
-func TestAFaultEndsTheWatchAlone(t *testing.T) {
+// A failure of the second balancer ends the evaluation alone, and the log says so; events go on being taken.
+func TestAFaultEndsTheEvaluationAlone(t *testing.T) {
 	var out bytes.Buffer
 	log.SetOutput(&out)
 	defer log.SetOutput(os.Stderr)
@@ -191,10 +191,10 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the watch goes on")
 	}
-	for range 2 * mailboxSize { // nobody reads any more: the mailbox runs over, and See still returns
+	for range 2 * mailboxSize { // nobody reads any more: the mailbox is full, and Observe still returns
 		w.Observe(Event{Now: 3, Apply: func(*decide.Balancer) {}})
 	}
-	for _, want := range []string{"event=watch_stopped", "broken on purpose", "compared=0", "cannot keep up"} {
+	for _, want := range []string{"event=shadow_stopped", "broken on purpose", "compared=0", "cannot keep up"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("the log lacks %q: %s", want, out.String())
 		}
