--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,5 +1,5 @@
-// Package accept takes connections from a listener whose errors pass: of those that Linux documents for accept only a closed
-// listener is an end.
+// Package accept takes connections from a listener and retries after errors that pass: of those that Linux documents for
+// accept only a closed listener is final.
 package accept
 
 import (
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// retryDelay is the time between a failed accept and the next: descriptors are given back, and routes come back, within some of them.
+// retryDelay is the time between a failed accept and the next, within which descriptors may be freed or a route come back.
 const retryDelay = 5 * time.Millisecond
 
-// Next returns the next connection. It fails only once the listener is closed; failed is told of each other error.
-func Next(ln net.Listener, failed func(error)) (net.Conn, error) {
+// Next returns the next connection. Its only error is that of a closed listener; onError is called with each other.
+func Next(ln net.Listener, onError func(error)) (net.Conn, error) {
 	for {
 		conn, err := ln.Accept()
 		if err == nil {
@@ -21,7 +21,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
-		failed(err)
+		onError(err)
 		time.Sleep(retryDelay)
 	}
 }
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -23,7 +23,7 @@
 	return l.Listener.Accept()
 }
 
-// Errors of accept are told and passed over, a closed listener ends.
+// Errors of accept are reported and retried; a closed listener is final.
 func TestErrorsOfAcceptPass(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -213,5 +213,5 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Services":[{}]}}`))
 	f.Add([]byte(`[]`))
-	f.Fuzz(func(t *testing.T, in []byte) { Parse(in, none) })
+	f.Fuzz(func(_ *testing.T, in []byte) { Parse(in, none) })
 }
--- a/internal/config/missing_keys.go
+++ b/internal/config/missing_keys.go
@@ -6,72 +6,73 @@
 	"slices"
 )
 
-// optionalKeys are the keys that a new file may leave out.
+// optionalKeys are the keys that a new file may leave out although the file in force has them.
 var optionalKeys = []string{"known", "watch", "admin", "seed"}
 
-// missingKey names a key that the one file has and the other lacks, the first by name; empty: none.
-func missingKey(old, new []byte) (string, error) {
-	var a, b map[string]any
-	if err := json.Unmarshal(old, &a); err != nil {
+// missingKey names the first key, by name, that the old file has and the new one lacks; empty: none.
+func missingKey(oldText, newText []byte) (string, error) {
+	var oldKeys, newKeys map[string]any
+	if err := json.Unmarshal(oldText, &oldKeys); err != nil {
 		return "", err
 	}
-	if err := json.Unmarshal(new, &b); err != nil {
+	if err := json.Unmarshal(newText, &newKeys); err != nil {
 		return "", err
 	}
-	for _, k := range optionalKeys {
-		delete(a, k)
+	for _, key := range optionalKeys {
+		delete(oldKeys, key)
 	}
-	return missingFromObject(a, b), nil
+	return missingFromObject(oldKeys, newKeys), nil
 }
 
-// missingFromObject compares two objects. Of lists of objects each new element must have the keys that all old ones have: the
-// elements themselves may come and go.
-func missingFromObject(old, new map[string]any) string {
-	for _, k := range sortedKeys(old) {
-		value, there := new[k]
-		if !there {
-			return k
+// missingFromObject compares two objects and the objects and lists in them.
+func missingFromObject(oldKeys, newKeys map[string]any) string {
+	for _, key := range sortedKeys(oldKeys) {
+		newValue, ok := newKeys[key]
+		if !ok {
+			return key
 		}
-		switch was := old[k].(type) {
+		switch oldValue := oldKeys[key].(type) {
 		case map[string]any:
-			now, ok := value.(map[string]any)
+			newObject, ok := newValue.(map[string]any)
 			if !ok {
-				return k
+				return key
 			}
-			if at := missingFromObject(was, now); at != "" {
-				return k + "." + at
+			if at := missingFromObject(oldValue, newObject); at != "" {
+				return key + "." + at
 			}
 		case []any:
-			now, ok := value.([]any)
+			newList, ok := newValue.([]any)
 			if !ok {
-				return k
+				return key
 			}
-			if at := missingFromList(was, now); at != "" {
-				return k + at
+			if at := missingFromList(oldValue, newList); at != "" {
+				return key + at
 			}
 		}
 	}
 	return ""
 }
 
-func missingFromList(old, new []any) string {
-	all, of := map[string]int{}, 0
-	for _, e := range old {
-		if m, ok := e.(map[string]any); ok {
-			of++
-			for k := range m {
-				all[k]++
+// missingFromList compares two lists of objects: each new element must have the keys that all old ones have. The elements
+// themselves may come and go.
+func missingFromList(oldList, newList []any) string {
+	count, objects := map[string]int{}, 0
+	for _, element := range oldList {
+		if object, ok := element.(map[string]any); ok {
+			objects++
+			for key := range object {
+				count[key]++
 			}
 		}
 	}
-	for i, e := range new {
-		m, ok := e.(map[string]any)
+	for i, element := range newList {
+		object, ok := element.(map[string]any)
 		if !ok {
 			continue
 		}
-		for _, k := range sortedKeys(all) {
-			if _, there := m[k]; !there && all[k] == of {
-				return fmt.Sprintf("[%d].%s", i, k)
+		for _, key := range sortedKeys(count) {
+			if _, there := object[key]; !there && count[key] == objects {
+				return fmt.Sprintf("[%d].%s", i, key)
 			}
 		}
 	}
@@ -80,8 +81,8 @@
 
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
+	for key := range m {
+		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	return keys
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -120,31 +120,31 @@
 }
 
 // A fleet's settings come in whole or not at all; what is each sidecar's own stays.
-func TestAdopt(t *testing.T) {
+func TestWithFleetSettings(t *testing.T) {
 	var file map[string]any
-	if err := json.Unmarshal([]byte(adoptable), &file); err != nil {
+	if err := json.Unmarshal([]byte(fleetFile), &file); err != nil {
 		t.Fatal(err)
 	}
 	with := func(change func(settings map[string]any)) []byte {
 		var copied map[string]any
-		json.Unmarshal([]byte(adoptable), &copied)
+		json.Unmarshal([]byte(fleetFile), &copied)
 		set := copied["settings"].(map[string]any)
 		change(set)
 		text, _ := json.Marshal(map[string]any{"settings": set})
 		return text
 	}
 	none := func(string) string { return "" }
-	c, err := Parse([]byte(adoptable), none)
+	c, err := Parse([]byte(fleetFile), none)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next, err := c.WithFleetSettings(with(func(s map[string]any) {
 		s["Me"], s["Zone"], s["Odd"], s["TickUs"] = 7, "z", 2, 6000
 	}), none)
-	if err != nil || next.Settings.BalancerIndex != 1 || next.Settings.Zone != "a" || next.Settings.Limits.MinEventInterval != 6000 || next.Name != "p" || string(next.Text()) != adoptable {
+	if err != nil || next.Settings.BalancerIndex != 1 || next.Settings.Zone != "a" || next.Settings.Limits.MinEventInterval != 6000 || next.Name != "p" || string(next.Text()) != fleetFile {
 		t.Fatalf("%v %+v", err, next)
 	}
-	if whole, err := c.WithFleetSettings([]byte(strings.Replace(adoptable, `"p"`, `"another"`, 1)), none); err != nil || whole.Name != "p" || whole.SettingsChanged(c) {
+	if whole, err := c.WithFleetSettings([]byte(strings.Replace(fleetFile, `"p"`, `"another"`, 1)), none); err != nil || whole.Name != "p" || whole.SettingsChanged(c) {
 		t.Error(err)
 	}
 	for want, text := range map[string][]byte{
@@ -163,7 +163,7 @@
 	}
 }
 
-const adoptable = `{"name": "p", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"Balancers": 2, "Me": 1, "Zone": "a", "Odd": 1,
+const fleetFile = `{"name": "p", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"Balancers": 2, "Me": 1, "Zone": "a", "Odd": 1,
  "RegistryMode": "on_request", "TickUs": 5000, "Services": [{"Name": "look", "Semantics": "idempotent", "AimUs": 1000, "DeadlineUs": 2000, "LateShare": 0.3, "Worth": 1}],
  "Limits": {"MaxAttempts": 3, "ConnIdleUs": 1000000, "DialTimeoutUs": 250000}, "ScoringMix": {"Whole": 1},
  "Guarantees": {"AnswerSlackUs": 20000, "AskEveryUs": 10000000, "StopSendingWithinUs": 2000000, "ColdFrom": 0.3, "ColdUs": 8000000, "OverloadFactor": 3, "FallUs": 3000000}}}`
