--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,7 +56,7 @@
 	return Parse(text, none)
 }
 
-// What crossing zones costs is told to the decisions; without a price it is free.
+// The price of crossing zones reaches the decisions; without one it is free.
 func TestZonePrice(t *testing.T) {
 	for value, want := range map[any]float64{nil: 0, 0.03: 0.03} {
 		prices := map[string]any{}
@@ -132,7 +132,7 @@
 	}
 }
 
-// watchedOf is a watch of the example's own settings with one key replaced.
+// watchedOf returns shadow settings: the example's own with one key replaced.
 func watchedOf(t *testing.T, key string, value any) map[string]any {
 	t.Helper()
 	var conf map[string]any
@@ -146,7 +146,7 @@
 	return map[string]any{"settings": set}
 }
 
-// What the settings of the new shape say reaches the module; without them it is as it was.
+// Settings that were added later reach the decisions; without them there is no change.
 func TestSettingsOfTheNewShape(t *testing.T) {
 	c, err := Parse(example(t), none)
 	if err != nil || c.Shadow != nil || c.Settings.CapacityLive || c.Settings.Limits.CPU != 0 || c.Settings.Objective.TailLatency != 0 ||
@@ -166,7 +166,7 @@
 	}
 }
 
-// A budget of attempts and the answers held reach the module.
+// The attempt budget and the limit on buffered responses reach the decisions.
 func TestBudgetOfAttempts(t *testing.T) {
 	c, err := change(t, "settings.Guarantees", map[string]any{"ExtraFloor": 3, "ResendRatio": 0.05, "ResendSpanUs": 10_000_000})
 	if err != nil || c.Settings.Rules.AttemptBudgetMin != 3 || c.Settings.Rules.AttemptBudgetRatio != 0.05 || c.Settings.Rules.AttemptBudgetWindow != 10_000_000 {
@@ -190,7 +190,7 @@
 	}
 }
 
-// What the environment says goes before the file; the file itself is named there.
+// Environment variables override the file, which one of them names.
 func TestEnvironment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	if err := os.WriteFile(path, example(t), 0o600); err != nil {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -55,7 +55,7 @@
 	return all["settings"].(map[string]any)["Limits"].(map[string]any)
 }
 
-// Each of these files is refused whole, and the key is named. Guards against half a file that is taken for all of it.
+// Each of these files is refused, and the error names the key.
 func TestBrokenReload(t *testing.T) {
 	good := example(t)
 	for name, c := range map[string]struct {
@@ -93,7 +93,7 @@
 	}
 }
 
-// What may go is taken, what changed is told apart from what must wait for a start.
+// Optional keys may be left out, and keys that need a restart are named.
 func TestReload(t *testing.T) {
 	for name, c := range map[string]struct {
 		change  func(all map[string]any)
@@ -119,7 +119,7 @@
 	}
 }
 
-// A fleet's settings come in whole or not at all; what is each sidecar's own stays.
+// A fleet's settings are adopted completely or not at all; per-sidecar keys stay.
 func TestWithFleetSettings(t *testing.T) {
 	var file map[string]any
 	if err := json.Unmarshal([]byte(fleetFile), &file); err != nil {
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -13,7 +13,7 @@
 	"damsonscale/internal/lab/standin"
 )
 
-func running(t *testing.T, c *Client) {
+func runClient(t *testing.T, c *Client) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go c.Run(ctx)
@@ -24,7 +24,7 @@
 
 func (f onActor) handle(*Client) { f() }
 
-func next(t *testing.T, to told) string {
+func nextNotification(t *testing.T, to notifications) string {
 	t.Helper()
 	select {
 	case word := <-to:
@@ -36,25 +36,25 @@
 }
 
 const (
-	older = `{"seq":9,"whole":true,"hosts":[{"host":"a","dial":"1","health":"Ready"}]}` + "\n"
-	newer = `{"seq":2,"whole":true,"hosts":[{"host":"a","dial":"1","health":"Terminating"}]}` + "\n"
+	update9Ready    = `{"seq":9,"whole":true,"hosts":[{"host":"a","dial":"1","health":"Ready"}]}` + "\n"
+	update2Draining = `{"seq":2,"whole":true,"hosts":[{"host":"a","dial":"1","health":"Terminating"}]}` + "\n"
 )
 
-// A list that is pushed is watched from the start on, though nobody asks, and what the agent has goes before what was known:
-// a server that drains there is never ready here. The failure: no watch was ever opened, and servers long gone were sent to.
+// With an agent a watch is opened at the start, and the agent's list takes precedence over the one known before: a server
+// that drains there is never ready here.
 func TestAPushedListIsWatched(t *testing.T) {
 	addr := standin.NewDiscovery(t, func(w *standin.Watch) {
 		w.Begin()
-		w.Tell(newer)
+		w.Tell(update2Draining)
 		w.Left()
 	})
-	to := make(told, 16)
-	c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{entry("a", "1", Ready)}}, Source{Pushed: true}, to)
+	to := make(notifications, 16)
+	c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{Pushed: true}, to)
 	if _, ready := c.Endpoints.Address("a"); ready {
 		t.Fatal("what was known goes before the agent")
 	}
-	running(t, c)
-	if word := next(t, to); word != "listed" {
+	runClient(t, c)
+	if word := nextNotification(t, to); word != "listed" {
 		t.Fatal(word)
 	}
 	if _, ready := c.Endpoints.Address("a"); ready || !c.Endpoints.HasEndpoints() {
@@ -62,7 +62,8 @@
 	}
 }
 
-// Where the agent is away, what was known serves, and the agent is asked again until it is back: its list counts from then on.
+// While the agent is down the list known before is used, and the agent is polled until it is back: its list counts from
+// then on.
 func TestAnAgentThatIsAway(t *testing.T) {
 	for _, how := range []string{"hangs up", "hangs"} {
 		t.Run(how, func(t *testing.T) {
@@ -77,18 +78,18 @@
 					return
 				}
 				w.Begin()
-				w.Tell(newer)
+				w.Tell(update2Draining)
 				w.Left()
 			})
-			to := make(told, 16)
-			c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{entry("a", "1", Ready)}}, Source{Pushed: true}, to)
-			running(t, c)
-			next(t, to)
+			to := make(notifications, 16)
+			c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{Pushed: true}, to)
+			runClient(t, c)
+			nextNotification(t, to)
 			if _, ready := c.Endpoints.Address("a"); !ready {
 				t.Fatal("what was known does not serve")
 			}
 			close(back)
-			if word := next(t, to); word != "listed" {
+			if word := nextNotification(t, to); word != "listed" {
 				t.Fatal(word)
 			}
 			if _, ready := c.Endpoints.Address("a"); ready {
@@ -98,19 +99,19 @@
 	}
 }
 
-// A reload that makes lists pushed, or asked for, leaves the watch; one that ends is opened anew either way.
+// A reload that changes whether lists come from an agent keeps the watch; one that ends is opened again either way.
 func TestPushedByAReload(t *testing.T) {
 	end := make(chan bool)
 	addr := standin.NewDiscovery(t, func(w *standin.Watch) {
 		w.Begin()
-		w.Tell(older)
+		w.Tell(update9Ready)
 		<-end
 	})
-	to := make(told, 16)
+	to := make(notifications, 16)
 	c := New(addr, nil, Source{BalancerCount: 1}, to)
-	running(t, c)
+	runClient(t, c)
 	for _, pushed := range []bool{true, false, true} {
-		if word := next(t, to); word != "listed" {
+		if word := nextNotification(t, to); word != "listed" {
 			t.Fatal(word)
 		}
 		held := make(chan *subscription, 2)
@@ -123,18 +124,18 @@
 		}
 		end <- true
 	}
-	if word := next(t, to); word != "listed" {
+	if word := nextNotification(t, to); word != "listed" {
 		t.Fatal(word)
 	}
 	close(end)
 }
 
-// A list that stops in its middle is broken, whether nothing comes any more, empty lines, or bytes one by one.
+// An update that stops in its middle is broken, whether nothing follows, empty lines, or single bytes.
 func TestAListThatStops(t *testing.T) {
 	for _, after := range []string{"", "\n", "\n \n", "x"} {
 		client, server := net.Pipe()
 		go func() {
-			io.WriteString(server, older[:30])
+			io.WriteString(server, update9Ready[:30])
 			for after != "" {
 				if _, err := io.WriteString(server, after); err != nil {
 					return
@@ -143,7 +144,7 @@
 			}
 		}()
 		ended := make(chan error, 1)
-		go func() { ended <- readUpdates(&heartbeatReader{conn: hurried{client}, body: client}, nil) }()
+		go func() { ended <- readUpdates(&heartbeatReader{conn: fastDeadlines{client}, body: client}, nil) }()
 		select {
 		case err := <-ended:
 			if err == nil {
@@ -157,14 +158,14 @@
 	}
 }
 
-// A service that answers calls without ever a head, or with one that trickles, costs no more than a call's time.
+// A service that never completes the head of its response costs no more than the time limit for it.
 func TestNoHeadEverComes(t *testing.T) {
 	for _, text := range []string{"", "HTTP/1.1 200 OK\r\nX: "} {
 		addr := standin.NewDiscovery(t, func(w *standin.Watch) {
 			io.WriteString(w, text)
 			w.Left()
 		})
-		call := calling(addr, -1, nil)
+		call := newWatchCall(addr, -1, nil)
 		call.headTimeout = 20 * time.Millisecond
 		err := call.run(context.Background())
 		if err == nil || !strings.Contains(err.Error(), "timeout") {
@@ -173,8 +174,8 @@
 	}
 }
 
-// Moves that cross: there, back, and a third while the second has not spoken. The last asked for counts, nothing is heard of
-// those left once it speaks, and versions of the one are not asked of another.
+// Changes of the address that cross: there, back, and a third before the second has answered. The last one counts, the others
+// are ignored once it has sent a message, and sequence numbers of one are not sent to another.
 func TestMovesThatCross(t *testing.T) {
 	speak := make(chan bool)
 	var addr [3]string
@@ -184,17 +185,17 @@
 			asked <- w.Query
 			w.Begin()
 			if i == 0 {
-				w.Tell(older)
+				w.Tell(update9Ready)
 			} else {
 				<-speak
-				w.Tell(newer)
+				w.Tell(update2Draining)
 			}
 			w.Left()
 		})
 	}
-	to := make(told, 16)
+	to := make(notifications, 16)
 	c := New(addr[0], nil, Source{BalancerCount: 1}, to)
-	running(t, c)
+	runClient(t, c)
 	query := func() {
 		t.Helper()
 		if q := <-asked; strings.Contains(q, "from") {
@@ -202,12 +203,12 @@
 		}
 	}
 	query()
-	next(t, to)
+	nextNotification(t, to)
 	c.SetAddress(addr[1])
 	query()
 	c.SetAddress(addr[0])
 	query()
-	next(t, to) // the first service, asked again, speaks
+	nextNotification(t, to) // the first service, asked again, speaks
 	c.SetAddress(addr[2])
 	query()
 	close(speak)
@@ -217,7 +218,8 @@
 	})
 }
 
-// However a watch ends, it is opened anew, and its versions are asked from where they were; what ended in noise is asked for whole.
+// However a watch ends, it is opened again and resumes from the last sequence number; after malformed data the full list is
+// requested.
 func TestAWatchThatEndsIsOpenedAnew(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -229,36 +231,36 @@
 		{"noise", errMalformed, "watch=1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			to := make(told, 16)
+			to := make(notifications, 16)
 			addr := standin.NewDiscovery(t, func(w *standin.Watch) {
 				to <- w.Query
 				w.Left()
 			})
 			d := New(addr, nil, Source{BalancerCount: 1}, to)
 			d.resumeSeq = 3
-			s := watching(d)
-			running(t, d)
+			s := withActiveWatch(d)
+			runClient(t, d)
 			d.mailbox <- watchEnded{s, c.err}
-			if word := next(t, to); word != c.want {
+			if word := nextNotification(t, to); word != c.want {
 				t.Fatal(word)
 			}
 		})
 	}
 }
 
-// What ends a watch for silence is called so; what ends it for another reason is not.
+// errSilent is returned for silence only.
 func TestSilenceIsCalledSo(t *testing.T) {
 	for _, c := range []struct {
 		hangUp, silent bool
 	}{{true, false}, {false, true}} {
 		client, server := net.Pipe()
 		go func() {
-			io.WriteString(server, older)
+			io.WriteString(server, update9Ready)
 			if c.hangUp {
 				server.Close()
 			}
 		}()
-		err := readUpdates(&heartbeatReader{conn: hurried{client}, body: client}, func(*Update) {})
+		err := readUpdates(&heartbeatReader{conn: fastDeadlines{client}, body: client}, func(*Update) {})
 		if errors.Is(err, errSilent) != c.silent {
 			t.Errorf("hung up %v: %v", c.hangUp, err)
 		}
@@ -266,31 +268,31 @@
 	}
 }
 
-// Two failures that cross: the call that opens a silent watch anew fails too, and so does the first one after a move. The next is
-// made at the address that counts; what the old watch still says is heard.
+// Two failures that cross: the poll that replaces a silent watch fails too, and so does the first one after a change of the
+// address. The next goes to the address in force; messages of the old watch still count.
 func TestAFailureAfterSilenceOrAMove(t *testing.T) {
 	for _, move := range []bool{false, true} {
-		to := make(told, 16)
+		to := make(notifications, 16)
 		hangsUp := standin.NewDiscovery(t, func(*standin.Watch) { to <- "asked" })
 		d := New(hangsUp, nil, Source{BalancerCount: 1}, to)
 		if move {
 			d.addr = "127.0.0.1:1"
 		}
-		old := watching(d)
-		running(t, d)
+		old := withActiveWatch(d)
+		runClient(t, d)
 		if move {
 			d.SetAddress(hangsUp)
 		} else {
 			d.mailbox <- watchEnded{old, errSilent}
 		}
 		for range 2 {
-			if word := next(t, to); word != "asked" {
+			if word := nextNotification(t, to); word != "asked" {
 				t.Fatalf("after a move %v: %s", move, word)
 			}
 		}
 		if move {
-			d.mailbox <- updateReceived{old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}}
-			for word := next(t, to); word != "listed"; word = next(t, to) {
+			d.mailbox <- updateReceived{old, &Update{Endpoints: []Endpoint{endpoint("a", "1", Ready)}}}
+			for word := nextNotification(t, to); word != "listed"; word = nextNotification(t, to) {
 				if word != "asked" {
 					t.Fatalf("the old watch: %s", word)
 				}
@@ -299,17 +301,17 @@
 	}
 }
 
-// queue is a list service whose calls wait until they are answered.
-type queue struct {
-	addr         string
-	asked, ended chan int
-	answer       [maxPendingPolls + 1]chan bool
+// queueingService is a discovery service whose polls wait until respondTo.
+type queueingService struct {
+	addr          string
+	polled, ended chan int
+	respond       [maxPendingPolls + 1]chan bool
 }
 
-func newQueue(t *testing.T) *queue {
-	q := &queue{asked: make(chan int, maxPendingPolls+1), ended: make(chan int, maxPendingPolls+1)}
-	for i := range q.answer {
-		q.answer[i] = make(chan bool)
+func newQueueingService(t *testing.T) *queueingService {
+	q := &queueingService{polled: make(chan int, maxPendingPolls+1), ended: make(chan int, maxPendingPolls+1)}
+	for i := range q.respond {
+		q.respond[i] = make(chan bool)
 	}
 	q.addr = standin.NewDiscovery(t, func(w *standin.Watch) {
 		left := make(chan bool)
@@ -317,11 +319,11 @@
 			w.Left()
 			close(left)
 		}()
-		q.asked <- w.N
+		q.polled <- w.N
 		select {
-		case <-q.answer[w.N]:
+		case <-q.respond[w.N]:
 			w.Begin()
-			w.Tell(newer)
+			w.Tell(update2Draining)
 			<-left
 		case <-left:
 		}
@@ -330,8 +332,8 @@
 	return q
 }
 
-// number waits for a call to be asked or ended.
-func number(t *testing.T, calls chan int) int {
+// nextNumber waits for a poll to arrive or to end, and returns its number.
+func nextNumber(t *testing.T, calls chan int) int {
 	t.Helper()
 	select {
 	case n := <-calls:
@@ -342,41 +344,41 @@
 	}
 }
 
-// ask has the next call made.
-func (q *queue) ask(t *testing.T, c *Client, n int) {
+// poll has the next poll begin.
+func (q *queueingService) poll(t *testing.T, c *Client, n int) {
 	t.Helper()
 	c.mailbox <- onActor(func() { c.startPoll(time.Now()) })
-	if number(t, q.asked) != n {
+	if nextNumber(t, q.polled) != n {
 		t.Fatal("asked out of order")
 	}
 }
 
-// reply answers a call that waits.
-func (q *queue) reply(t *testing.T, n int) {
+// respondTo answers a pending poll.
+func (q *queueingService) respondTo(t *testing.T, n int) {
 	t.Helper()
 	select {
-	case q.answer[n] <- true:
+	case q.respond[n] <- true:
 	case <-time.After(standin.Patience):
 		t.Fatalf("call %d waits no more", n)
 	}
 }
 
-// Calls that have no answer go on waiting beside the next, and whichever is answered first counts and ends the others; of five
-// the oldest is given up for another only after its time. Guards against calls that give their places away, in a service that works through them in turn.
+// Pending polls stay open beside the next, and whichever is answered first becomes the watch and ends the others; at the limit
+// the oldest is cancelled only after its time: it is the next to be answered by a service that works through them in turn.
 func TestACallKeepsItsPlace(t *testing.T) {
 	for answered := range 3 {
-		q, to := newQueue(t), make(told, 16)
+		q, to := newQueueingService(t), make(notifications, 16)
 		c := New(q.addr, nil, Source{BalancerCount: 1}, to)
-		go quietly(t, c)
+		go serveMailbox(t, c)
 		for n := range 3 {
-			q.ask(t, c, n)
+			q.poll(t, c, n)
 		}
-		q.reply(t, answered)
-		if word := next(t, to); word != "listed" {
+		q.respondTo(t, answered)
+		if word := nextNotification(t, to); word != "listed" {
 			t.Fatal(word)
 		}
 		for range 2 {
-			if n := number(t, q.ended); n == answered {
+			if n := nextNumber(t, q.ended); n == answered {
 				t.Errorf("call %d was answered, and ended", n)
 			}
 		}
@@ -386,15 +388,15 @@
 			close(done)
 		})
 		<-done
-		if len(q.asked) > 0 {
+		if len(q.polled) > 0 {
 			t.Error("asked again")
 		}
 	}
-	q, to := newQueue(t), make(told, 16)
+	q, to := newQueueingService(t), make(notifications, 16)
 	c := New(q.addr, nil, Source{BalancerCount: 1}, to)
-	go quietly(t, c)
+	go serveMailbox(t, c)
 	for n := range maxPendingPolls {
-		q.ask(t, c, n)
+		q.poll(t, c, n)
 	}
 	waiting := make(chan int)
 	another := func(now time.Time) int {
@@ -407,13 +409,13 @@
 	if n := another(time.Now()); n != maxPendingPolls {
 		t.Errorf("call %d beside %d that wait", n, maxPendingPolls)
 	}
-	if n := another(time.Now().Add(maxHeadWait)); n != maxPendingPolls+1 || number(t, q.ended) != 0 {
+	if n := another(time.Now().Add(maxHeadWait)); n != maxPendingPolls+1 || nextNumber(t, q.ended) != 0 {
 		t.Errorf("%d calls, and the oldest is not given up in its time", n)
 	}
 }
 
-// quietly serves a client's mailbox alone: no call begins by itself.
-func quietly(t *testing.T, c *Client) {
+// serveMailbox serves a client's mailbox only: no poll begins by itself.
+func serveMailbox(t *testing.T, c *Client) {
 	for {
 		select {
 		case <-t.Context().Done():
@@ -425,16 +427,16 @@
 	}
 }
 
-// A watch that has missed a line is opened anew beside the old one, which is heard until the new one is answered; one that has
-// said something since is let be.
+// Beside a watch that has missed a heartbeat a poll begins, and the watch counts until the poll is answered; one that has sent
+// a message since is healthy again.
 func TestASuspectWatchIsHeardOn(t *testing.T) {
 	for _, speaks := range []bool{false, true} {
-		q, to := newQueue(t), make(told, 16)
+		q, to := newQueueingService(t), make(notifications, 16)
 		c := New(q.addr, nil, Source{BalancerCount: 1}, to)
-		go quietly(t, c)
+		go serveMailbox(t, c)
 		var old *subscription
 		c.mailbox <- onActor(func() {
-			old = watching(c)
+			old = withActiveWatch(c)
 			c.onQuiet(old)
 			if speaks {
 				c.onMessage(old)
@@ -445,52 +447,53 @@
 			}
 		})
 		if speaks {
-			if word := next(t, to); word != "true 0" {
+			if word := nextNotification(t, to); word != "true 0" {
 				t.Errorf("opened anew although it spoke: %s", word)
 			}
 			continue
 		}
-		if n := number(t, q.asked); n != 0 {
+		if n := nextNumber(t, q.polled); n != 0 {
 			t.Fatal(n)
 		}
 		c.mailbox <- watchQuiet{old} // again: nothing more is planned for it
-		q.reply(t, 0)
-		if word := next(t, to); word != "listed" || old.ctx.Err() == nil {
+		q.respondTo(t, 0)
+		if word := nextNotification(t, to); word != "listed" || old.ctx.Err() == nil {
 			t.Fatalf("the new watch: %s; the old one ended: %v", word, old.ctx.Err())
 		}
 	}
 }
 
-// What a suspect watch still says is taken, and ends the call beside it: the list is as discovery has it.
+// A message of a suspect watch counts, and cancels the poll beside it: the list is as discovery has it.
 func TestASuspectWatchThatSpeaksIsInForce(t *testing.T) {
-	q, to := newQueue(t), make(told, 16)
+	q, to := newQueueingService(t), make(notifications, 16)
 	c := New(q.addr, nil, Source{BalancerCount: 1}, to)
-	go quietly(t, c)
+	go serveMailbox(t, c)
 	var old *subscription
 	c.mailbox <- onActor(func() {
-		old = watching(c)
+		old = withActiveWatch(c)
 		c.onQuiet(old)
 		c.startPoll(time.Now())
 	})
-	if n := number(t, q.asked); n != 0 {
+	if n := nextNumber(t, q.polled); n != 0 {
 		t.Fatal(n)
 	}
-	c.mailbox <- updateReceived{old, &Update{Endpoints: []Endpoint{entry("a", "1", Ready)}}}
-	if word := next(t, to); word != "listed" {
+	c.mailbox <- updateReceived{old, &Update{Endpoints: []Endpoint{endpoint("a", "1", Ready)}}}
+	if word := nextNotification(t, to); word != "listed" {
 		t.Fatalf("the suspect watch: %s", word)
 	}
-	if n := number(t, q.ended); n != 0 || old.ctx.Err() != nil {
+	if n := nextNumber(t, q.ended); n != 0 || old.ctx.Err() != nil {
 		t.Fatalf("call %d ended; the watch: %v", n, old.ctx.Err())
 	}
 }
 
-// An older list of the same service is not taken, wherever it comes from: the whole list is asked for. Where the next answer, a whole
-// list, says the same, the service counts anew, and it is. Another service's versions are not compared.
+// An older update of the same service is not applied, whichever watch it comes from, and the full list is requested. Where the
+// next update is older too, and full, the service has restarted its sequence, and it is applied. Sequence numbers of another
+// service are not compared.
 func TestAnOlderListIsNotTaken(t *testing.T) {
-	ready, gone := entry("a", "1", Ready), entry("a", "1", Terminating)
+	ready, gone := endpoint("a", "1", Ready), endpoint("a", "1", Terminating)
 	for _, waits := range []bool{false, true} {
-		c := New("here", nil, Source{BalancerCount: 1}, make(told, 16))
-		s := watching(c)
+		c := New("here", nil, Source{BalancerCount: 1}, make(notifications, 16))
+		s := withActiveWatch(c)
 		c.onUpdate(s, &Update{Seq: 9, Full: true, Endpoints: []Endpoint{gone}})
 		if waits {
 			c.active, c.pending = nil, []*subscription{s}
@@ -499,12 +502,12 @@
 		if _, is := c.Endpoints.Address("a"); is || s.ctx.Err() == nil || c.resumeSeq != -1 {
 			t.Fatalf("waits %v: an older list was taken, or its call goes on, or its version is asked from: %d", waits, c.resumeSeq)
 		}
-		s = watching(c)
+		s = withActiveWatch(c)
 		c.onUpdate(s, &Update{Seq: 7, Endpoints: []Endpoint{ready}})
 		if _, is := c.Endpoints.Address("a"); is {
 			t.Fatal("a part of an older list was taken")
 		}
-		s = watching(c)
+		s = withActiveWatch(c)
 		c.onUpdate(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
 		if _, is := c.Endpoints.Address("a"); !is || c.resumeSeq != 8 {
 			t.Fatal("a service that counts anew is not believed")
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// lastBegin is when, after the list was known to be current, the last call of a burst begins at the latest.
-const lastBegin = StalenessBound - responseReserve
+// lastPollOfBurst is when, after lastSynced, the last poll of a burst begins at the latest.
+const lastPollOfBurst = StalenessBound - responseReserve
 
-// drawn has a schedule for each of many draws, the extremes among them.
-func drawn(balancers int, pushed bool, f func(s *pollSchedule)) {
+// forEachDraw calls f with a schedule for each of many random sequences, the extremes among them.
+func forEachDraw(balancers int, pushed bool, f func(s *pollSchedule)) {
 	for seed := range uint64(300) {
 		s := &pollSchedule{balancerCount: balancers, fromAgent: pushed, random: rand.New(rand.NewPCG(seed, 1)).Float64}
 		if seed < 2 {
@@ -21,8 +21,8 @@
 	}
 }
 
-// burstOf has a schedule's calls fail or hang one after the other, and returns when each begins.
-func burstOf(s *pollSchedule, first time.Time, fails bool, calls int) (begins []time.Time) {
+// pollTimes has a schedule's polls fail or hang one after the other, and returns when each begins.
+func pollTimes(s *pollSchedule, first time.Time, fails bool, calls int) (begins []time.Time) {
 	at := first
 	for range calls {
 		begins = append(begins, at)
@@ -37,18 +37,18 @@
 	return begins
 }
 
-// Whenever and however a watch is lost, three calls begin early enough for the bound, in fleets of up to a thousand; two in any.
+// Whenever and however a watch is lost, three polls begin early enough for the bound, in fleets of up to a thousand; two in any.
 func TestABurstFitsIntoTheBound(t *testing.T) {
 	t0 := time.Now()
 	for _, c := range []struct{ balancers, fit int }{{1, 3}, {30, 3}, {300, 3}, {900, 3}, {3000, 2}, {18_000, 2}, {1_000_000, 2}} {
 		for _, pushed := range []bool{false, true} {
 			for _, after := range []time.Duration{0, time.Second, 2 * time.Second, quietTimeout} {
 				for _, fails := range []bool{false, true} {
-					drawn(c.balancers, pushed, func(s *pollSchedule) {
+					forEachDraw(c.balancers, pushed, func(s *pollSchedule) {
 						s.onMessage(t0)
 						lost := t0.Add(after)
-						begins := burstOf(s, lost.Add(s.onWatchLost(lost)), fails, c.fit)
-						if last := begins[c.fit-1].Sub(t0); last > lastBegin+time.Millisecond {
+						begins := pollTimes(s, lost.Add(s.onWatchLost(lost)), fails, c.fit)
+						if last := begins[c.fit-1].Sub(t0); last > lastPollOfBurst+time.Millisecond {
 							t.Fatalf("%+v, pushed %v, lost after %v, fails %v: call %d begins after %v", c, pushed, after, fails, c.fit, last)
 						}
 						if pause := begins[1].Sub(begins[0]); !pushed && pause < time.Duration((1-jitterShare)*float64(minBurstInterval)) {
@@ -61,34 +61,34 @@
 	}
 }
 
-// A process that starts with a known list asks twice within the grace for drains, with time for the answer, and once more soon.
+// A process that starts with a known list polls twice within the drain grace, with time for the response, and once more soon.
 func TestAStartAsksAtOnce(t *testing.T) {
 	t0 := time.Now()
 	for _, balancers := range []int{1, 300, 18_000} {
-		drawn(balancers, false, func(s *pollSchedule) {
-			begins := burstOf(s, t0.Add(s.initialDelay(t0)), true, burstPolls)
+		forEachDraw(balancers, false, func(s *pollSchedule) {
+			begins := pollTimes(s, t0.Add(s.initialDelay(t0)), true, burstPolls)
 			first, second, last := begins[0].Sub(t0), begins[1].Sub(t0), begins[2].Sub(t0)
-			if first > maxStartSpread || second > 1600*time.Millisecond || last > lastBegin-assumedStartAge+time.Millisecond {
+			if first > maxStartSpread || second > 1600*time.Millisecond || last > lastPollOfBurst-assumedStartAge+time.Millisecond {
 				t.Fatalf("%d balancers: calls after %v, %v and %v", balancers, first, second, last)
 			}
 		})
 	}
 }
 
-// After a burst two calls begin within any bound, whether they hang or fail.
+// After a burst two polls begin within any bound, whether they hang or fail.
 func TestAfterABurstTwoCallsFit(t *testing.T) {
 	t0 := time.Now()
 	for _, fails := range []bool{false, true} {
-		drawn(300, false, func(s *pollSchedule) {
+		forEachDraw(300, false, func(s *pollSchedule) {
 			s.onMessage(t0)
-			begins := burstOf(s, t0.Add(s.onWatchLost(t0)), fails, 30)
+			begins := pollTimes(s, t0.Add(s.onWatchLost(t0)), fails, 30)
 			for i := burstPolls; i < len(begins); i++ {
 				pause := begins[i].Sub(begins[i-1])
 				least := time.Duration((1 - jitterShare) * float64(steadyInterval))
 				if i == burstPolls {
 					least = minBurstInterval
 				}
-				if 2*pause > lastBegin+300*time.Millisecond || pause < least {
+				if 2*pause > lastPollOfBurst+300*time.Millisecond || pause < least {
 					t.Fatalf("call %d begins %v after the one before", i, pause)
 				}
 			}
@@ -96,10 +96,10 @@
 	}
 }
 
-// Where nobody listened before, the bound begins with the call that was refused last: of those after it two may fail.
+// Where connections were refused, the bound begins with the poll that was refused last: of those after it two may fail.
 func TestTheBoundBeginsWithTheLastRefusal(t *testing.T) {
 	t0 := time.Now()
-	drawn(300, false, func(s *pollSchedule) {
+	forEachDraw(300, false, func(s *pollSchedule) {
 		s.onMessage(t0)
 		at := t0.Add(s.onWatchLost(t0))
 		for range 20 {
@@ -110,15 +110,15 @@
 			at = next
 		}
 		refused := s.lastPollAt
-		begins := burstOf(s, at, true, 3)
-		if last := begins[2].Sub(refused); last > lastBegin+time.Millisecond {
+		begins := pollTimes(s, at, true, 3)
+		if last := begins[2].Sub(refused); last > lastPollOfBurst+time.Millisecond {
 			t.Fatalf("the third call begins %v after the last refusal", last)
 		}
 	})
 }
 
-// A fleet whose watches all end at one moment, or fall silent then, is spread: so many calls at most in any tenth of a second, four
-// standard deviations of chance added; and after the burst no more than a turn allows.
+// The polls of a fleet whose watches all end or fall silent at one moment are spread: a bounded number in any tenth of a second,
+// with four standard deviations added, and after the burst no more than steadyInterval allows.
 func TestAFleetIsSpread(t *testing.T) {
 	const balancers = 300
 	t0 := time.Now()
@@ -136,7 +136,7 @@
 			if c.silent {
 				lost = s.lastSynced.Add(quietTimeout)
 			}
-			for _, at := range burstOf(s, lost.Add(s.onWatchLost(lost)), true, 12) {
+			for _, at := range pollTimes(s, lost.Add(s.onWatchLost(lost)), true, 12) {
 				calls[int(at.Sub(t0)/(100*time.Millisecond))]++
 			}
 		}
--- a/internal/shadow/evaluator_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -108,8 +108,7 @@
 	return s.attemptEnds[a.Request] - 1
 }
 
-// The same settings decide the same: nothing differs, through retries and failures. Guards against books that drift
-// from what was really done.
+// The same settings decide the same, through retries and failures: the second balancer's state follows what was really done.
 func TestTheSameSettingsNeverDiffer(t *testing.T) {
 	c := play(t, settings(), settings(), 2000)
 	if c.Compared < 2000 || c.Differences != [differenceKinds]int{} {
@@ -141,7 +140,7 @@
 	}
 }
 
-// decisions of each kind, compared by hand.
+// Decisions of each kind, compared one by one.
 func TestDifference(t *testing.T) {
 	did := func(do ActionKind, server string, timeout int64) decision {
 		return decision{made: true, action: Action{Kind: do, Server: server, Timeout: timeout}}
--- a/internal/sidecar/overloaded_discovery_test.go
+++ b/internal/sidecar/overloaded_discovery_test.go
@@ -10,9 +10,9 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// A list service that works through calls in turn, also through those that were given up, is stuck or down and comes back
-// overbooked: it takes 5 s for a fleet that has 6. It serves all of them by their first calls: whoever gives a call up for
-// the next gives its place away, and the service works for nobody. Guards against a fleet that asks it into answering none.
+// A discovery service that works through requests in turn, also through cancelled ones, hangs or is down and comes back
+// overloaded: it needs 5 s for a fleet that has 6. It serves all of them by their first polls: a poll that is cancelled for the
+// next loses its place in the queue, and the service works for nobody.
 func TestAServiceThatWorksInTurnServesAll(t *testing.T) {
 	const n, each = 30, 160 * time.Millisecond
 	for name, fault := range map[string]standin.Fault{"stuck": standin.Hangs, "refuses": standin.Refuses} {
@@ -30,7 +30,7 @@
 					Discovery: r.Addr, Settings: set, Seed: uint64(i + 1),
 					Transport: config.Transport{ConnIdle: time.Minute, DialTimeout: time.Second},
 				}, 8)
-				run(t, fleet[i])
+				runSidecar(t, fleet[i])
 			}
 			time.Sleep(5500 * time.Millisecond) // calls that were given up are long so by then, and the next have begun
 			before := r.Calls()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -22,7 +22,7 @@
 	"damsonscale/internal/upstream"
 )
 
-func sidecar(t *testing.T, addr string) *Sidecar {
+func newTestSidecar(t *testing.T, addr string) *Sidecar {
 	t.Helper()
 	return New(&config.Config{
 		Discovery:     "127.0.0.1:1",
@@ -41,13 +41,13 @@
 	}
 }
 
-func run(t *testing.T, s *Sidecar) {
+func runSidecar(t *testing.T, s *Sidecar) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go s.Run(ctx)
 }
 
-func call(id string, class int, left time.Duration) *Call {
+func newTestCall(id string, class int, left time.Duration) *Call {
 	m := upstream.Message{Head: []byte("GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\n")}
 	set := testSettings()
 	return NewCall(&set, decide.Request{ID: id, Class: class, Tenant: -1}, m, time.Now(), left)
@@ -58,42 +58,42 @@
 
 func (f onActor) handle(*Sidecar, int64) { f() }
 
-// ask runs f on the actor.
-func ask[T any](s *Sidecar, f func() T) T {
+// askActor runs f on the actor.
+func askActor[T any](s *Sidecar, f func() T) T {
 	back := make(chan T)
 	s.mailbox <- onActor(func() { back <- f() })
 	return <-back
 }
 
-func toy(t *testing.T, h http.HandlerFunc) string {
+func startServer(t *testing.T, h http.HandlerFunc) string {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
 func TestServed(t *testing.T) {
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, r.Header.Get("Req-Id")) }))
-	run(t, s)
+	s := newTestSidecar(t, startServer(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, r.Header.Get("Req-Id")) }))
+	runSidecar(t, s)
 	for _, id := range []string{"a", "b", "a"} { // an id may come again once it is answered
-		a, left := s.Do(call(id, 0, time.Minute), nil)
+		a, left := s.Do(newTestCall(id, 0, time.Minute), nil)
 		if left || a.Status != Served || string(a.Body) != id {
 			t.Fatalf("%s: %+v", id, a)
 		}
 	}
-	if n := ask(s, func() int { return len(s.calls) }); n != 0 {
+	if n := askActor(s, func() int { return len(s.calls) }); n != 0 {
 		t.Fatalf("%d calls are still held", n)
 	}
 }
 
-// Where the module's actor says nothing the client is answered all the same, and nothing is sent afterwards.
+// A client gets its response in time although the actor does not run, and nothing is sent afterwards.
 func TestAnsweredInTimeWhateverTheModuleDoes(t *testing.T) {
 	came := make(chan bool, 1)
-	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true }))
-	if a, left := s.Do(call("a", 0, 50*time.Millisecond), nil); left || a.Status != DeadlineExceeded {
+	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true }))
+	if a, left := s.Do(newTestCall("a", 0, 50*time.Millisecond), nil); left || a.Status != DeadlineExceeded {
 		t.Fatalf("%+v", a)
 	}
-	run(t, s) // only now does it take the request
-	eventually(t, func() bool { return ask(s, func() int { return len(s.calls) }) == 0 })
+	runSidecar(t, s) // only now does it take the request
+	eventually(t, func() bool { return askActor(s, func() int { return len(s.calls) }) == 0 })
 	select {
 	case <-came:
 		t.Fatal("sent after the final answer")
@@ -101,17 +101,17 @@
 	}
 }
 
-// A client that leaves while its request is being written to a server that does not read is let go at once: the
-// write is called back first, as closing the gate waits for it.
+// A client that disconnects while its request is being written to a server that does not read is released at once: the write
+// is cancelled first, as closing the gate waits for it.
 func TestClientLeavesDuringAWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := sidecar(t, ln.Addr().String())
-	run(t, s)
-	c, gone, done := call("a", 0, time.Hour), make(chan struct{}), make(chan bool)
+	s := newTestSidecar(t, ln.Addr().String())
+	runSidecar(t, s)
+	c, gone, done := newTestCall("a", 0, time.Hour), make(chan struct{}), make(chan bool)
 	c.Message.Body = make([]byte, 64<<20) // more than any socket takes
 	go func() {
 		_, left := s.Do(c, gone)
@@ -134,18 +134,18 @@
 	}
 }
 
-// A full mailbox of the module holds nobody up past the request's time.
+// A full mailbox of the actor delays nobody past the request's deadline.
 func TestFullMailbox(t *testing.T) {
-	s := sidecar(t, "127.0.0.1:1")
+	s := newTestSidecar(t, "127.0.0.1:1")
 	for range mailboxSize {
 		s.mailbox <- onActor(func() {})
 	}
-	if a, _ := s.Do(call("a", 0, 50*time.Millisecond), nil); a.Status != DeadlineExceeded {
+	if a, _ := s.Do(newTestCall("a", 0, 50*time.Millisecond), nil); a.Status != DeadlineExceeded {
 		t.Fatalf("%+v", a)
 	}
 }
 
-// A request that waits for room in the mailbox ends there when its client leaves, or the process does: it is never taken.
+// A request that waits for room in the mailbox ends when its client disconnects or the process ends: it is never admitted.
 func TestLeavingAFullMailbox(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -156,12 +156,12 @@
 		{"the process ends", func(s *Sidecar, _ chan struct{}) { s.AbortAll() }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, gone, done := sidecar(t, "127.0.0.1:1"), make(chan struct{}), make(chan bool)
+			s, gone, done := newTestSidecar(t, "127.0.0.1:1"), make(chan struct{}), make(chan bool)
 			for range mailboxSize {
 				s.mailbox <- onActor(func() {})
 			}
 			go func() {
-				a, left := s.Do(call("a", 0, time.Hour), gone)
+				a, left := s.Do(newTestCall("a", 0, time.Hour), gone)
 				done <- left == c.left && a.Status == DeadlineExceeded
 			}()
 			c.end(s, gone)
@@ -173,30 +173,30 @@
 			case <-time.After(10 * time.Second):
 				t.Fatal("held until its time ends")
 			}
-			run(t, s)
-			if n := ask(s, func() int { return len(s.calls) }); n != 0 {
+			runSidecar(t, s)
+			if n := askActor(s, func() int { return len(s.calls) }); n != 0 {
 				t.Fatalf("%d calls taken", n)
 			}
 		})
 	}
 }
 
-// A request that was answered while it waited in the mailbox is not told to the module.
+// A request that has ended while it waited in the mailbox never reaches the balancer.
 func TestAnsweredInTheMailbox(t *testing.T) {
-	s := sidecar(t, toy(t, func(http.ResponseWriter, *http.Request) {}))
-	run(t, s)
-	c := call("a", 0, time.Hour)
+	s := newTestSidecar(t, startServer(t, func(http.ResponseWriter, *http.Request) {}))
+	runSidecar(t, s)
+	c := newTestCall("a", 0, time.Hour)
 	c.gate.Close()
-	if ask(s, func() bool { s.onRequest(s.now(), c); return s.balancer.IsOpen("a") }) {
+	if askActor(s, func() bool { s.onRequest(s.now(), c); return s.balancer.IsOpen("a") }) {
 		t.Fatal("taken")
 	}
 }
 
-// Rule 2 holds at the moment of writing: a repeat of what may have run carries the end of the window with it.
+// The dedup window is checked at the moment of writing: a retry of what may have run carries the end of the window with it.
 func TestRepeatCarriesItsWindow(t *testing.T) {
 	came := make(chan bool, 1)
-	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true }))
-	c := call("k", 1, time.Minute)
+	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true }))
+	c := newTestCall("k", 1, time.Minute)
 	c.firstEffectAt = time.Now().Add(-2 * time.Second)
 	s.calls["k"] = c
 	actions{s}.SendAttempt("k", "s1", 0)
@@ -206,10 +206,10 @@
 	}
 }
 
-// A probe the module asks for ends with its word, and holds nothing afterwards.
+// A health check reports its result to the balancer, and is not in flight afterwards.
 func TestHealthCheckEnds(t *testing.T) {
 	asked := make(chan string, 1)
-	s := sidecar(t, toy(t, func(_ http.ResponseWriter, r *http.Request) { asked <- r.URL.Path }))
+	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, r *http.Request) { asked <- r.URL.Path }))
 	actions{s}.CheckHealth("s1")
 	if path := <-asked; path != "/health/live" {
 		t.Errorf("asked %s", path)
@@ -220,31 +220,31 @@
 	}
 }
 
-// A server that is gone takes its actor with it, once nothing is out there.
+// The peer of a removed server stops once nothing is in flight there.
 func TestRemovedPeerIsRetired(t *testing.T) {
 	came, finish := make(chan bool), make(chan bool)
-	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) {
+	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, _ *http.Request) {
 		came <- true
 		<-finish
 	}))
-	run(t, s)
+	runSidecar(t, s)
 	done := make(chan Response)
 	go func() {
-		a, _ := s.Do(call("a", 0, time.Minute), nil)
+		a, _ := s.Do(newTestCall("a", 0, time.Minute), nil)
 		done <- a
 	}()
 	<-came
 	gone := &discovery.Update{Seq: 2, Full: true}
-	ask(s, func() bool { s.discovery.Endpoints.Replace(gone); return true })
+	askActor(s, func() bool { s.discovery.Endpoints.Replace(gone); return true })
 	s.OnEndpoints(gone)
-	if n := ask(s, func() int { return len(s.peers) }); n != 1 {
+	if n := askActor(s, func() int { return len(s.peers) }); n != 1 {
 		t.Fatalf("%d peers while an attempt is out", n)
 	}
 	finish <- true
 	if a := <-done; a.Status != Served {
 		t.Fatalf("%+v", a)
 	}
-	eventually(t, func() bool { return ask(s, func() int { return len(s.peers) }) == 0 })
+	eventually(t, func() bool { return askActor(s, func() int { return len(s.peers) }) == 0 })
 }
 
 func TestToEndpoints(t *testing.T) {
@@ -274,11 +274,11 @@
 	}
 }
 
-// A call that was read just before the settings changed finds its class by name; where that is gone or has another
-// effect it is refused, as it has gone nowhere. Guards against one that is served under the rules of another class.
+// A call that was read just before the settings changed finds its class by name. Where there is none, or it has other semantics,
+// the call is rejected: nothing was sent.
 func TestReadBeforeAConfigChange(t *testing.T) {
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
-	run(t, s)
+	s := newTestSidecar(t, startServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
+	runSidecar(t, s)
 	next := &config.Config{Settings: testSettings(), Transport: s.startConfig.Transport}
 	next.Settings.Classes = []decide.Class{
 		{Name: "make", PriorityWeight: 1, Semantics: decide.AtMostOnce}, {Name: "new", PriorityWeight: 1}, {Name: "look", PriorityWeight: 1},
@@ -288,7 +288,7 @@
 	if told != &next.Settings {
 		t.Fatal("those who read requests were not told")
 	}
-	look, dropped := call("a", 0, time.Minute), call("b", 1, time.Minute)
+	look, dropped := newTestCall("a", 0, time.Minute), newTestCall("b", 1, time.Minute)
 	if a, _ := s.Do(look, nil); a.Status != Served || look.Request.Class != 2 {
 		t.Fatalf("%+v as class %d", a, look.Request.Class)
 	}
@@ -297,11 +297,11 @@
 	}
 }
 
-// Fifty retunes leave no goroutine and no class behind.
+// Fifty changes of the configuration leave no goroutine and no class behind.
 func TestManyConfigChanges(t *testing.T) {
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
-	run(t, s)
-	if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Status != Served {
+	s := newTestSidecar(t, startServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
+	runSidecar(t, s)
+	if a, _ := s.Do(newTestCall("a", 0, time.Minute), nil); a.Status != Served {
 		t.Fatalf("%+v", a)
 	}
 	before := runtime.NumGoroutine()
@@ -311,20 +311,20 @@
 		s.ApplyConfig(next, func(*decide.Settings) {})
 	}
 	eventually(t, func() bool { return runtime.NumGoroutine() <= before })
-	if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Status != Served {
+	if a, _ := s.Do(newTestCall("a", 0, time.Minute), nil); a.Status != Served {
 		t.Fatalf("%+v", a)
 	}
 }
 
-// End answers what is open at once, and what comes then. Guards against requests left with no answer by the process's end.
+// AbortAll ends the requests in flight at once, and those that come later.
 func TestAbortAllAnswersAll(t *testing.T) {
 	came, finish := make(chan bool, 1), make(chan bool)
-	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true; <-finish }))
+	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true; <-finish }))
 	defer close(finish)
-	run(t, s)
+	runSidecar(t, s)
 	answer := make(chan Response)
 	go func() {
-		a, _ := s.Do(call("a", 0, time.Minute), nil)
+		a, _ := s.Do(newTestCall("a", 0, time.Minute), nil)
 		answer <- a
 	}()
 	<-came
@@ -333,33 +333,33 @@
 	if a := <-answer; a.Status != DeadlineExceeded {
 		t.Fatalf("%+v", a)
 	}
-	if a, left := s.Do(call("b", 0, time.Minute), nil); a.Status != DeadlineExceeded || left {
+	if a, left := s.Do(newTestCall("b", 0, time.Minute), nil); a.Status != DeadlineExceeded || left {
 		t.Fatalf("%+v", a)
 	}
 }
 
-// An id that another process of the sidecar has under way is not taken, until that one has gone.
+// An id that another process of the sidecar has in flight is a duplicate until it has ended there.
 func TestPeerInFlightIDs(t *testing.T) {
-	s := sidecar(t, toy(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
-	run(t, s)
+	s := newTestSidecar(t, startServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
+	runSidecar(t, s)
 	for _, step := range []struct {
 		foreign []string
 		want    Status
 	}{{[]string{"a", "b"}, DuplicateID}, {[]string{"b"}, Served}, {[]string{"a"}, DuplicateID}, {nil, Served}} {
 		s.SetPeerInFlight(step.foreign)
-		if a, _ := s.Do(call("a", 0, time.Minute), nil); a.Status != step.want {
+		if a, _ := s.Do(newTestCall("a", 0, time.Minute), nil); a.Status != step.want {
 			t.Fatalf("beside %v: %+v", step.foreign, a)
 		}
 	}
 }
 
-// Open lists what is under way, and that alone.
+// InFlight lists the requests in flight, and no others.
 func TestInFlightIDs(t *testing.T) {
 	came, finish := make(chan bool, 1), make(chan bool)
-	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true; <-finish }))
-	run(t, s)
+	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, _ *http.Request) { came <- true; <-finish }))
+	runSidecar(t, s)
 	done := make(chan bool)
-	go func() { s.Do(call("a", 0, time.Minute), nil); done <- true }()
+	go func() { s.Do(newTestCall("a", 0, time.Minute), nil); done <- true }()
 	<-came
 	if ids := s.InFlight(); len(ids) != 1 || ids[0] != "a" {
 		t.Fatal(ids)
@@ -369,68 +369,69 @@
 	eventually(t, func() bool { return len(s.InFlight()) == 0 })
 }
 
-// A call that needs a leave is refused at once without it, when it is taken and when it was lost since.
+// A call that requires a lease is rejected at once without it, when it is admitted and when the lease is lost afterwards.
 func TestWithoutLease(t *testing.T) {
 	var came atomic.Bool
-	s := sidecar(t, toy(t, func(_ http.ResponseWriter, _ *http.Request) { came.Store(true) }))
-	run(t, s)
-	c := call("a", 0, time.Minute)
+	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, _ *http.Request) { came.Store(true) }))
+	runSidecar(t, s)
+	c := newTestCall("a", 0, time.Minute)
 	c.RequireLease(func() bool { return false })
 	if a, _ := s.Do(c, nil); a.Status != Rejected || came.Load() {
 		t.Fatalf("%+v, sent %t", a, came.Load())
 	}
 	asked := 0
-	c = call("b", 0, time.Minute)
+	c = newTestCall("b", 0, time.Minute)
 	c.RequireLease(func() bool { asked++; return asked == 1 }) // lost before anything is written
 	if a, _ := s.Do(c, nil); a.Status != Rejected || came.Load() {
 		t.Fatalf("%+v, sent %t", a, came.Load())
 	}
 }
 
-type notes struct{ all []string }
+type fakeRecorder struct{ events []string }
 
-func (n *notes) Under(settings, _ uint64, list int64) auditevent.Stamp {
+func (n *fakeRecorder) Under(settings, _ uint64, list int64) auditevent.Stamp {
 	return auditevent.Stamp(settings*100 + uint64(list))
 }
 
-func (n *notes) Add(k auditevent.Kind, under auditevent.Stamp, id, note string) auditevent.Ref {
-	n.all = append(n.all, fmt.Sprint(k, " ", under, " ", id, " ", note))
-	return auditevent.Ref{Member: takeover.Member{Name: "n"}, N: uint64(len(n.all))}
+func (n *fakeRecorder) Add(k auditevent.Kind, under auditevent.Stamp, id, note string) auditevent.Ref {
+	n.events = append(n.events, fmt.Sprint(k, " ", under, " ", id, " ", note))
+	return auditevent.Ref{Member: takeover.Member{Name: "n"}, N: uint64(len(n.events))}
 }
 
-// A call whose attempt finds that the client has left ends as that of a client that left, with nobody else to say so: the
-// module draws no other server for it. Guards against draws that come to nothing, and an answer made up for nobody.
+// A call whose attempt finds that the client has left ends as disconnected, although nobody else has noticed it: the balancer
+// sends no further attempt.
 func TestAnAttemptFindsTheClientGone(t *testing.T) {
 	var asked atomic.Int64
-	s := sidecar(t, toy(t, func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
-	var n notes
+	s := newTestSidecar(t, startServer(t, func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
+	var n fakeRecorder
 	s.SetRecorder(&n)
-	run(t, s)
-	c := call("a", 0, time.Minute)
+	runSidecar(t, s)
+	c := newTestCall("a", 0, time.Minute)
 	c.SetDisconnectCheck(func() bool { return true })
 	if a, left := s.Do(c, nil); !left || a.Status != DeadlineExceeded {
 		t.Errorf("left %v, %+v", left, a)
 	}
-	eventually(t, func() bool { return ask(s, func() int { return len(s.calls) }) == 0 })
-	got := ask(s, func() []string { return slices.Clone(n.all) })
+	eventually(t, func() bool { return askActor(s, func() int { return len(s.calls) }) == 0 })
+	got := askActor(s, func() []string { return slices.Clone(n.events) })
 	if want := []string{"took 1 a look", "sent 1 a s1", "unsent 1 a s1"}; !slices.Equal(got, want) || asked.Load() > 0 {
 		t.Errorf("%q, %d came", got, asked.Load())
 	}
 }
 
-// Acts bear the version that they were decided by, servers are told whose act it was, and what was not written is said.
+// Audit events carry the config version that they were decided under, servers get the reference of the event, and an attempt
+// that was not written is recorded.
 func TestAuditEventsAreRecorded(t *testing.T) {
 	actor := make(chan string, 4)
-	s := sidecar(t, toy(t, func(_ http.ResponseWriter, r *http.Request) {
+	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		actor <- r.Header.Get(auditevent.Header)
 		time.Sleep(50 * time.Millisecond)
 	}))
-	var n notes
+	var n fakeRecorder
 	s.SetRecorder(&n)
-	run(t, s)
+	runSidecar(t, s)
 	done := make(chan Response)
 	go func() {
-		a, _ := s.Do(call("a", 0, time.Minute), nil)
+		a, _ := s.Do(newTestCall("a", 0, time.Minute), nil)
 		done <- a
 	}()
 	told := <-actor
@@ -440,13 +441,13 @@
 	if a := <-done; a.ConfigVersion != 301 {
 		t.Errorf("answered under %d", a.ConfigVersion)
 	}
-	gone := call("b", 0, time.Minute)
+	gone := newTestCall("b", 0, time.Minute)
 	gone.UseLease(func() bool { return false }, 0)
 	left := make(chan struct{})
 	time.AfterFunc(20*time.Millisecond, func() { close(left) })
 	s.Do(gone, left)
-	eventually(t, func() bool { return ask(s, func() int { return len(s.calls) }) == 0 })
-	got := ask(s, func() []string { return slices.Clone(n.all) })
+	eventually(t, func() bool { return askActor(s, func() int { return len(s.calls) }) == 0 })
+	got := askActor(s, func() []string { return slices.Clone(n.events) })
 	want := []string{"took 1 a look", "sent 1 a s1", "took 301 b look", "sent 301 b s1", "unsent 301 b s1"}
 	if len(got) < len(want) || !slices.Equal(got[:len(want)], want) {
 		t.Errorf("%q", got)
--- a/internal/sidecar/start_times_test.go
+++ b/internal/sidecar/start_times_test.go
@@ -7,8 +7,8 @@
 	"damsonscale/internal/discovery"
 )
 
-// Servers that start around a step of the wall clock are as old as they are, or younger: never older, and never ahead of now. One start
-// has one time, however often it is listed.
+// Servers that start around a step of the wall clock count as their age or younger: never older, and never started in the
+// future. One start has one time, however often it is listed.
 func TestStartTimesAcrossAStepOfTheWallClock(t *testing.T) {
 	const warm = 5 * time.Second
 	start := time.Now()
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -13,8 +13,8 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// A second answer that comes some milliseconds after the first is no answer to the next request: a connection rests before
-// it is used again, and one on which anything came meanwhile is closed.
+// A second response some milliseconds after the first is not taken for that of the next request: a connection rests before it
+// is reused, and one on which anything came meanwhile is closed.
 func TestASecondAnswerIsNobodys(t *testing.T) {
 	s := listen(t, func(c net.Conn, br *bufio.Reader) {
 		take(br)
@@ -22,19 +22,19 @@
 		br.Peek(1) // it crosses the next request, if that comes here
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
 	})
-	p, sh := peerOf(t, at(s.Addr().String()))
+	p, sh := startPeer(t, resolveTo(s.Addr().String()))
 	sh.ReuseDelay = time.Hour
-	first := send(t, p, nil)
-	if r := send(t, p, nil); r.Reason != Answered || string(r.Body) != string(first.Body) || !r.NewConnection {
+	first := sendAttempt(t, p, nil)
+	if r := sendAttempt(t, p, nil); r.Reason != Answered || string(r.Body) != string(first.Body) || !r.NewConnection {
 		t.Fatalf("%v %q, fresh %v", r.Reason, r.Body, r.NewConnection)
 	}
 }
 
-// A connection that its server closes, or answers on, between the peer's look and the attempt's is not written to.
+// A connection that its server closes, or writes to, between the peer's check and the attempt's is not written to.
 func TestClosedBetweenLookAndWrite(t *testing.T) {
 	for _, what := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"} {
 		s := listen(t, always(yes, false))
-		p, sh := peerOf(t, at(s.Addr().String()))
+		p, sh := startPeer(t, resolveTo(s.Addr().String()))
 		there, here := net.Conn(nil), net.Conn(nil)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -57,7 +57,7 @@
 		for looked.isOpenAndEmpty() {
 			time.Sleep(time.Millisecond)
 		}
-		a, done := attempt(nil)
+		a, done := newAttempt(nil)
 		a.startTimer()
 		p.runAttempt(a, looked)
 		if r := <-done; r.Reason != Answered || string(r.Body) == "wrong" || sh.Sockets.inUse.Load() != 1 {
@@ -77,23 +77,23 @@
 			br.ReadString('\n')
 			c.(*net.TCPConn).SetLinger(0)
 		})
-		p, _ := peerOf(t, at(s.Addr().String()))
-		r := send(t, p, func(a *Attempt) { a.Message.Body = make([]byte, c.body) })
+		p, _ := startPeer(t, resolveTo(s.Addr().String()))
+		r := sendAttempt(t, p, func(a *Attempt) { a.Message.Body = make([]byte, c.body) })
 		if r.Reason != c.want {
 			t.Errorf("%d bytes: %v, want %v", c.body, r.Reason, c.want)
 		}
 	}
 }
 
-// An attempt for which the system has no descriptor asks for idle sockets to be closed and waits, as one for which the budget has
-// none. Guards against a request whose tries all end at once while a crowd's descriptors are being closed.
+// An attempt for which the system has no descriptor has idle sockets closed and waits, as one for which the budget has none: a
+// request's attempts would otherwise all end at once while descriptors are being freed.
 func TestADialWithoutADescriptor(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // accepts only once there are descriptors again: it would need one itself
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	p, sh := peerOf(t, at(ln.Addr().String()))
+	p, sh := startPeer(t, resolveTo(ln.Addr().String()))
 	sh.SetTimeouts(time.Minute, time.Hour)
 	var usual syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &usual); err != nil {
@@ -117,7 +117,7 @@
 		}()
 	}
 	set(syscall.Rlimit{Cur: 0, Max: usual.Max})
-	if r := send(t, p, nil); r.Reason != Answered || asked != 1 || sh.Sockets.inUse.Load() != 1 {
+	if r := sendAttempt(t, p, nil); r.Reason != Answered || asked != 1 || sh.Sockets.inUse.Load() != 1 {
 		t.Fatalf("%v, asked %d times, %d sockets", r.Reason, asked, sh.Sockets.inUse.Load())
 	}
 	for range 2 { // none comes free: it is the lack's fault, not the server's
@@ -125,7 +125,7 @@
 		sh.OnSocketShortage = func() { asked++ }
 		p.CloseIdleConnections()
 		set(syscall.Rlimit{Cur: 0, Max: usual.Max})
-		r := send(t, p, nil)
+		r := sendAttempt(t, p, nil)
 		set(usual)
 		if r.Reason != NotSent || sh.Sockets.inUse.Load() != 0 {
 			t.Fatalf("with none: %v, %d sockets", r.Reason, sh.Sockets.inUse.Load())
@@ -133,9 +133,9 @@
 	}
 }
 
-// A dial that fails for a moment, by a lack on this side or for want of a way, is made again within its time; one that goes on lacking
-// sockets tells nothing of the server, and no way to it does. What the server's side answers is its own. Guards against servers that are
-// suspended, all at once, because this machine had no way out for a moment.
+// A dial that fails by a shortage on this machine, or for want of a route, is repeated within its time limit. A lasting shortage
+// says nothing about the server; a lasting lack of a route, or an error from the server's side, does. Servers would otherwise be
+// ejected, all at once, because this machine had no route for a moment.
 func TestADialThatLacksForAMoment(t *testing.T) {
 	s := standin.NewServer(t, standin.Yes)
 	type ends struct{ once, always EndReason }
@@ -145,7 +145,7 @@
 		syscall.ECONNREFUSED: {ConnectFailed, ConnectFailed}, syscall.EHOSTUNREACH: {ConnectFailed, ConnectFailed},
 	} {
 		for _, fails := range []int{1, 1 << 30} {
-			p, sh := peerOf(t, at(s.Addr))
+			p, sh := startPeer(t, resolveTo(s.Addr))
 			sh.SetTimeouts(50*time.Millisecond, time.Hour)
 			if fails == 1 {
 				sh.SetTimeouts(time.Minute, time.Hour)
@@ -163,7 +163,7 @@
 			if fails == 1 {
 				end = want.once
 			}
-			if r := send(t, p, nil); r.Reason != end {
+			if r := sendAttempt(t, p, nil); r.Reason != end {
 				t.Errorf("%v, %d times: %v, want %v", errno, fails, r.Reason, end)
 			}
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -16,7 +16,7 @@
 	"damsonscale/decide"
 )
 
-// server is a stand-in that hands each connection to serve.
+// server is a test server that hands each connection to serve.
 type server struct {
 	net.Listener
 	conns atomic.Int64
@@ -46,7 +46,7 @@
 	return s
 }
 
-// take reads one whole request; false: the connection ended.
+// take reads one complete request; false: the connection ended.
 func take(br *bufio.Reader) (*fasthttp.Request, bool) {
 	var r fasthttp.Request
 	return &r, r.Read(br) == nil
@@ -67,7 +67,7 @@
 	}
 }
 
-func peerOf(t *testing.T, find func(string) (string, bool)) (*Peer, *PeerShared) {
+func startPeer(t *testing.T, find func(string) (string, bool)) (*Peer, *PeerShared) {
 	t.Helper()
 	sh := &PeerShared{Sockets: NewSocketBudget(8), Resolve: find, OnSocketShortage: func() {}}
 	sh.SetTimeouts(time.Second, time.Hour)
@@ -76,12 +76,12 @@
 	return p, sh
 }
 
-func at(addr string) func(string) (string, bool) {
+func resolveTo(addr string) func(string) (string, bool) {
 	return func(string) (string, bool) { return addr, true }
 }
 
-// attempt makes one that reports to the channel.
-func attempt(change func(*Attempt)) (*Attempt, chan AttemptResult) {
+// newAttempt returns an attempt whose result goes to the channel.
+func newAttempt(change func(*Attempt)) (*Attempt, chan AttemptResult) {
 	done := make(chan AttemptResult, 1)
 	now := time.Now()
 	a := &Attempt{
@@ -95,24 +95,24 @@
 	return a, done
 }
 
-// offer sends one attempt and returns the channel of its report.
-func offer(t *testing.T, p *Peer, change func(*Attempt)) (*Attempt, chan AttemptResult) {
+// offerAttempt offers one attempt and returns the channel of its result.
+func offerAttempt(t *testing.T, p *Peer, change func(*Attempt)) (*Attempt, chan AttemptResult) {
 	t.Helper()
-	a, done := attempt(change)
+	a, done := newAttempt(change)
 	if !p.Offer(a) {
 		t.Fatal("mailbox full")
 	}
 	return a, done
 }
 
-func send(t *testing.T, p *Peer, change func(*Attempt)) AttemptResult {
+func sendAttempt(t *testing.T, p *Peer, change func(*Attempt)) AttemptResult {
 	t.Helper()
-	_, done := offer(t, p, change)
+	_, done := offerAttempt(t, p, change)
 	return <-done
 }
 
-// Each way in which an answer can end is told apart; a short 200 is a reset, and only what the server says
-// itself, or a missing last byte, proves that nothing ran.
+// Each way in which a response can end has its reason; a short 200 is a reset, and only the server's own statement, or a missing
+// last byte of the request, proves that nothing ran.
 func TestEndReasons(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct {
@@ -157,8 +157,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := listen(t, always(c.answer, true))
-			p, _ := peerOf(t, at(s.Addr().String()))
-			r := send(t, p, nil)
+			p, _ := startPeer(t, resolveTo(s.Addr().String()))
+			r := sendAttempt(t, p, nil)
 			if r.Reason != c.want {
 				t.Fatalf("got %v, want %v", r.Reason, c.want)
 			}
@@ -189,16 +189,16 @@
 	s := listen(t, always("", true))
 	addr := s.Addr().String()
 	s.Close()
-	p, _ := peerOf(t, at(addr))
-	if r := send(t, p, nil); r.Reason != ConnectFailed {
+	p, _ := startPeer(t, resolveTo(addr))
+	if r := sendAttempt(t, p, nil); r.Reason != ConnectFailed {
 		t.Fatal(r.Reason)
 	}
 }
 
 func TestSilentServerTimesOut(t *testing.T) {
 	s := listen(t, func(_ net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
-	p, sh := peerOf(t, at(s.Addr().String()))
-	if r := send(t, p, func(a *Attempt) { a.Deadline = a.DecidedAt.Add(500 * time.Millisecond) }); r.Reason != TimedOut {
+	p, sh := startPeer(t, resolveTo(s.Addr().String()))
+	if r := sendAttempt(t, p, func(a *Attempt) { a.Deadline = a.DecidedAt.Add(500 * time.Millisecond) }); r.Reason != TimedOut {
 		t.Fatal(r.Reason)
 	}
 	if n := sh.Sockets.inUse.Load(); n != 0 { // given up by closing the connection
@@ -214,8 +214,8 @@
 		_, err := br.ReadByte()
 		closed <- err != nil
 	})
-	p, _ := peerOf(t, at(s.Addr().String()))
-	a, done := offer(t, p, nil)
+	p, _ := startPeer(t, resolveTo(s.Addr().String()))
+	a, done := offerAttempt(t, p, nil)
 	<-came
 	a.Cancel()
 	if r := <-done; r.Reason != Cancelled {
@@ -226,7 +226,7 @@
 	}
 }
 
-// A dial that comes up after the list has changed, or the request is over, writes nothing.
+// A dial that succeeds after the list has changed, or the request has ended, writes nothing.
 func TestNothingWrittenWhenItWouldBeTooLate(t *testing.T) {
 	for name, change := range map[string]func(*Attempt){
 		"draining":        nil,
@@ -241,12 +241,12 @@
 				got <- n
 			})
 			var asked atomic.Int64
-			p, _ := peerOf(t, func(string) (string, bool) {
+			p, _ := startPeer(t, func(string) (string, bool) {
 				// idle look-up, dial, and then the check before the write
 				return s.Addr().String(), asked.Add(1) <= 2 || name != "draining"
 			})
 			// A clock that is up may cut the dial first, which ends as a dial does.
-			if r := send(t, p, change); r.Reason != NotSent && !(name == "time is up" && r.Reason == ConnectFailed) {
+			if r := sendAttempt(t, p, change); r.Reason != NotSent && !(name == "time is up" && r.Reason == ConnectFailed) {
 				t.Fatal(r.Reason)
 			}
 			if s.conns.Load() > 0 {
@@ -262,9 +262,9 @@
 
 func TestConnectionsAreKept(t *testing.T) {
 	s := listen(t, always(yes, false))
-	p, _ := peerOf(t, at(s.Addr().String()))
+	p, _ := startPeer(t, resolveTo(s.Addr().String()))
 	for i := range 5 {
-		if r := send(t, p, nil); r.Reason != Answered || r.NewConnection != (i == 0) {
+		if r := sendAttempt(t, p, nil); r.Reason != Answered || r.NewConnection != (i == 0) {
 			t.Fatalf("attempt %d: %v, fresh %v", i, r.Reason, r.NewConnection)
 		}
 	}
@@ -284,12 +284,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := listen(t, always(c.answer, false))
-			p, sh := peerOf(t, at(s.Addr().String()))
+			p, sh := startPeer(t, resolveTo(s.Addr().String()))
 			if c.change != nil {
 				c.change(sh)
 			}
 			for range 3 {
-				if r := send(t, p, nil); r.Reason != Answered || !r.NewConnection {
+				if r := sendAttempt(t, p, nil); r.Reason != Answered || !r.NewConnection {
 					t.Fatalf("%v, fresh %v", r.Reason, r.NewConnection)
 				}
 			}
@@ -306,9 +306,9 @@
 		c.Close()
 		gone <- true
 	})
-	p, _ := peerOf(t, at(s.Addr().String()))
+	p, _ := startPeer(t, resolveTo(s.Addr().String()))
 	for range 4 {
-		if r := send(t, p, nil); r.Reason != Answered || !r.NewConnection {
+		if r := sendAttempt(t, p, nil); r.Reason != Answered || !r.NewConnection {
 			t.Fatalf("%v, fresh %v", r.Reason, r.NewConnection)
 		}
 		<-gone
@@ -320,39 +320,39 @@
 	one, two := listen(t, always(yes, false)), listen(t, always(yes, false))
 	var mu sync.Mutex
 	addr := one.Addr().String()
-	p, _ := peerOf(t, func(string) (string, bool) {
+	p, _ := startPeer(t, func(string) (string, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		return addr, true
 	})
-	send(t, p, nil)
+	sendAttempt(t, p, nil)
 	mu.Lock()
 	addr = two.Addr().String()
 	mu.Unlock()
-	if r := send(t, p, nil); r.Reason != Answered || two.conns.Load() != 1 {
+	if r := sendAttempt(t, p, nil); r.Reason != Answered || two.conns.Load() != 1 {
 		t.Fatal(r.Reason, two.conns.Load())
 	}
 }
 
-// A peer short of a socket waits for one as long as for a connection; idle ones of others are closed for it.
+// A peer without a socket waits for one as long as for a connection; idle ones of others are closed for it.
 func TestWaitsForASocket(t *testing.T) {
 	s := listen(t, always(yes, false))
-	sh := &PeerShared{Sockets: NewSocketBudget(1), Resolve: at(s.Addr().String())}
+	sh := &PeerShared{Sockets: NewSocketBudget(1), Resolve: resolveTo(s.Addr().String())}
 	sh.SetTimeouts(time.Minute, time.Hour)
 	other, p := NewPeer("s2", sh), NewPeer("s1", sh)
 	defer other.Stop()
 	defer p.Stop()
 	sh.OnSocketShortage = other.CloseOldestIdle
-	if r := send(t, other, nil); r.Reason != Answered { // holds the only socket, idle, from now on
+	if r := sendAttempt(t, other, nil); r.Reason != Answered { // holds the only socket, idle, from now on
 		t.Fatal(r.Reason)
 	}
-	if r := send(t, p, nil); r.Reason != Answered || sh.Sockets.inUse.Load() != 1 {
+	if r := sendAttempt(t, p, nil); r.Reason != Answered || sh.Sockets.inUse.Load() != 1 {
 		t.Fatal(r.Reason, sh.Sockets.inUse.Load())
 	}
 }
 
-// A connection that falls idle while an attempt waits for its socket, after idle ones were asked for, gives way. The
-// failure: it stayed, idle, and the attempt waited for it until its time was up.
+// A connection that falls idle while an attempt waits for a socket is closed, although the request to close idle ones came
+// before.
 func TestAConnectionThatFallsIdleGivesWay(t *testing.T) {
 	came, on := make(chan bool, 2), make(chan bool)
 	s := listen(t, func(c net.Conn, br *bufio.Reader) {
@@ -365,14 +365,14 @@
 			io.WriteString(c, yes)
 		}
 	})
-	sh, asked := &PeerShared{Sockets: NewSocketBudget(1), Resolve: at(s.Addr().String())}, make(chan bool, 1)
+	sh, asked := &PeerShared{Sockets: NewSocketBudget(1), Resolve: resolveTo(s.Addr().String())}, make(chan bool, 1)
 	sh.SetTimeouts(time.Minute, time.Hour)
 	p := NewPeer("s1", sh)
 	defer p.Stop()
 	sh.OnSocketShortage = func() { p.CloseOldestIdle(); asked <- true }
-	_, first := offer(t, p, nil)
+	_, first := offerAttempt(t, p, nil)
 	<-came
-	_, second := offer(t, p, nil)
+	_, second := offerAttempt(t, p, nil)
 	<-asked
 	close(on)
 	for _, done := range []chan AttemptResult{first, second} {
@@ -382,7 +382,7 @@
 	}
 }
 
-// A full mailbox turns an attempt down and never makes the module wait.
+// A full mailbox rejects an attempt and never blocks the caller.
 func TestFullMailboxTurnsDown(t *testing.T) {
 	p := &Peer{mailbox: make(chan peerMessage, 1)}
 	a := func() *Attempt { return &Attempt{Deadline: time.Now().Add(time.Minute)} }
@@ -406,8 +406,8 @@
 		got <- all
 		io.WriteString(c, yes)
 	})
-	p, _ := peerOf(t, at(s.Addr().String()))
-	send(t, p, func(a *Attempt) { a.Deadline = a.DecidedAt.Add(time.Hour) })
+	p, _ := startPeer(t, resolveTo(s.Addr().String()))
+	sendAttempt(t, p, func(a *Attempt) { a.Deadline = a.DecidedAt.Add(time.Hour) })
 	head, tail, _ := bytes.Cut(<-got, []byte("Req-Deadline-Ms: 3"))
 	if string(head) != "POST /c HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n" || !bytes.HasSuffix(tail, []byte("\r\n\r\nhi")) {
 		t.Fatalf("%q ... %q", head, tail)
@@ -429,7 +429,7 @@
 	}
 }
 
-// A probe asks for the state, or for the load report where there are reports, and carries no request's id.
+// A health check requests the state, or the load report where there are reports, and carries no request id.
 func TestHealthCheck(t *testing.T) {
 	asked := make(chan string, 1)
 	s := listen(t, func(c net.Conn, br *bufio.Reader) {
@@ -438,7 +438,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nTEXT inflight=4\n")
 		}
 	})
-	p, _ := peerOf(t, at(s.Addr().String()))
+	p, _ := startPeer(t, resolveTo(s.Addr().String()))
 	for load, path := range map[bool]string{true: "/stats", false: "/health/live"} {
 		done := make(chan AttemptResult, 1)
 		p.Offer(NewHealthCheck("s1", load, time.Minute, func(_ *Attempt, r AttemptResult) { done <- r }))
@@ -480,12 +480,12 @@
 // After CloseIdleConnections the next attempt goes on a new connection.
 func TestCloseIdle(t *testing.T) {
 	s := listen(t, always(yes, false))
-	p, _ := peerOf(t, at(s.Addr().String()))
+	p, _ := startPeer(t, resolveTo(s.Addr().String()))
 	for n, fresh := range []bool{true, false, true, false} {
 		if n == 2 {
 			p.CloseIdleConnections()
 		}
-		if r := send(t, p, nil); r.Reason != Answered || r.NewConnection != fresh {
+		if r := sendAttempt(t, p, nil); r.Reason != Answered || r.NewConnection != fresh {
 			t.Errorf("attempt %d: %v, fresh %v, want %v", n, r.Reason, r.NewConnection, fresh)
 		}
 	}
