--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -40,7 +40,7 @@
 func parseUpdate(text []byte) (*Update, error) {
 	var u Update
 	if err := json.Unmarshal(text, &u); err != nil {
-		return nil, fmt.Errorf("list is not the JSON expected: %w", err)
+		return nil, fmt.Errorf("endpoint list is not the JSON expected: %w", err)
 	}
 	return &u, u.Validate()
 }
--- a/internal/discovery/heartbeat_reader.go
+++ b/internal/discovery/heartbeat_reader.go
@@ -76,7 +76,7 @@
 		r.updateSize += n
 	}
 	if r.updateSize > maxUpdateBytes {
-		return n, fmt.Errorf("%w: one over %d bytes", errMalformed, maxUpdateBytes)
+		return n, fmt.Errorf("%w: over %d bytes", errMalformed, maxUpdateBytes)
 	}
 	return n, err
 }
--- a/internal/discovery/watch_call.go
+++ b/internal/discovery/watch_call.go
@@ -20,9 +20,9 @@
 )
 
 var (
-	errMalformed = errors.New("discovery sent what is no list")
-	errSilent    = errors.New("the watch fell silent")
-	errStale     = errors.New("discovery sent a list older than the one in force")
+	errMalformed = errors.New("malformed endpoint list")
+	errSilent    = errors.New("no heartbeat on the watch")
+	errStale     = errors.New("endpoint list older than the one applied")
 )
 
 // watchCall is one request for a watch. Its callbacks run on the goroutine of run; none may be nil.
--- a/internal/upstream/body_remainder.go
+++ b/internal/upstream/body_remainder.go
@@ -15,7 +15,7 @@
 )
 
 // errRequestOver says that a body was not read to its end because its request had ended.
-var errRequestOver = errors.New("the request is over")
+var errRequestOver = errors.New("request has ended")
 
 // BodyRemainder is the part of a request's body that is not buffered. The attempt that sends it reads it from the client,
 // once. Its source must not block for good. It is safe for concurrent use.
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -14,8 +14,8 @@
 const maxTrailerLines = 64
 
 var (
-	errNoLength = errors.New("answer of no stated length")
-	errChunk    = errors.New("unreadable chunk")
+	errNoLength       = errors.New("response without a length")
+	errMalformedChunk = errors.New("malformed chunk")
 )
 
 // answerBody returns the body of a response whose head was read, and its length, -1 where it is not known. Where
@@ -137,19 +137,19 @@
 	switch {
 	case c.atChunkEnd:
 		if len(line) > 0 {
-			return errChunk
+			return errMalformedChunk
 		}
 		c.atChunkEnd = false
 	case c.inTrailers:
 		c.complete = len(line) == 0
 		if c.trailerLines++; c.trailerLines > maxTrailerLines {
-			return errChunk
+			return errMalformedChunk
 		}
 	default:
 		digits, _, _ := bytes.Cut(line, []byte{';'})
 		length, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 40)
 		if err != nil {
-			return errChunk
+			return errMalformedChunk
 		}
 		c.remaining, c.inTrailers = int64(length), length == 0
 	}
@@ -165,7 +165,7 @@
 			return bytes.TrimSuffix(b[:i], []byte{'\r'}), i + 1, nil
 		}
 		if len(b) == br.Size() {
-			return nil, 0, errChunk
+			return nil, 0, errMalformedChunk
 		}
 		if _, err := br.Peek(len(b) + 1); err != nil {
 			if err == io.EOF {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -16,7 +16,7 @@
 	loadHeader       = "Srv-Load"             // a server's load report
 )
 
-var errNoAnswer = errors.New("no answer of HTTP/1.1")
+var errNoResponse = errors.New("no final HTTP/1.1 response")
 
 // read reads one response: buffered where it is short, otherwise as a stream. Without a complete response the request may
 // have run. It reports whether the connection can be reused.
@@ -145,7 +145,7 @@
 		if s := resp.StatusCode(); s >= 200 {
 			return endsAtClose, nil
 		} else if s == fasthttp.StatusSwitchingProtocols || n == maxInformational {
-			return false, errNoAnswer
+			return false, errNoResponse
 		}
 	}
 }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -13,9 +13,9 @@
 const stallTimeout = 5 * time.Second
 
 // ErrDetached is returned by Stream.Read after Detach, between two pieces of the response.
-var ErrDetached = errors.New("the answer goes on elsewhere")
+var ErrDetached = errors.New("stream is detached")
 
-var errTooLong = errors.New("over the longest that is passed on")
+var errTooLong = errors.New("body over the maximum size")
 
 // Stream is a response whose body is read from the server's connection as the client takes it. One goroutine reads it and
 // must close it; Detach, Attach and Close may be called from any.
--- a/internal/upstream/stream_state.go
+++ b/internal/upstream/stream_state.go
@@ -55,9 +55,9 @@
 	case s.Framing != framedByLength && s.Framing != framedByChunks && s.Framing != framedByClose:
 		return fmt.Errorf("unknown framing %q", s.Framing)
 	case s.Remaining < 0 || s.Remaining > MaxBodySize || s.Forwarded < 0 || s.TrailerLines < 0:
-		return fmt.Errorf("figures out of bounds: %d left, %d passed on", s.Remaining, s.Forwarded)
+		return fmt.Errorf("out of bounds: %d bytes remaining, %d forwarded", s.Remaining, s.Forwarded)
 	case s.BufferedBody < 0 || s.BufferedBody > len(s.ReadAhead) || len(s.ReadAhead) > MaxBuffered+1+readBuffer:
-		return fmt.Errorf("%d bytes held of %d read", s.BufferedBody, len(s.ReadAhead))
+		return fmt.Errorf("%d bytes of the body buffered of %d read ahead", s.BufferedBody, len(s.ReadAhead))
 	}
 	return nil
 }
