--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -126,7 +126,7 @@
 			io.WriteString(client, look)
 			<-sent
 			eventually(t, "one idle connection", func() bool { return f.idle() == 1 })
-			f.closeIdle(-time.Hour, true)
+			f.closeIdleConns(-time.Hour, true)
 			close(chosen)
 			br := bufio.NewReader(client)
 			resp, err := http.ReadResponse(br, nil)
@@ -143,7 +143,7 @@
 
 // A connection that is chosen while it is about to set its own patience, or before its first read, does not wait on.
 func TestAChosenConnectionEnds(t *testing.T) {
-	f, _ := serving(t, func(f *Frontend) { f.server.ReadTimeout = time.Hour })
+	f, _ := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = time.Hour })
 	reads, on := make(chan bool, 1), make(chan bool)
 	ln := hooked(t, f, func(c *net.TCPConn, p []byte) (int, error) {
 		reads <- true
@@ -152,7 +152,7 @@
 	})
 	client := dial(t, ln)
 	<-reads
-	f.closeIdle(-time.Hour, true)
+	f.closeIdleConns(-time.Hour, true)
 	f.mu.Lock()
 	for c := range f.conns {
 		c.SetReadDeadline(time.Now().Add(time.Hour)) // as fasthttp does before each request
@@ -242,7 +242,7 @@
 		{"for the rest of its body", func(t *testing.T) *scene {
 			return held(t, func(_ *config.Config, f *Frontend) {
 				if f != nil {
-					f.held.take(1 << 20) // none of it is left
+					f.bodyBudget.reserve(1 << 20) // none of it is left
 				}
 			})
 		}, 40 << 10},
@@ -409,7 +409,7 @@
 	select {
 	case <-drained:
 		t.Fatal("the drain ended before the connection's request")
-	case <-time.After(10 * drainStep): // what is tested holds however long this is
+	case <-time.After(10 * pollInterval): // what is tested holds however long this is
 	}
 	close(ln.on)
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
@@ -421,7 +421,7 @@
 
 // A drain as short as that of deadlines of 200 ms closes its listener before its end, and leaves time for what came last.
 func TestAShortDrainClosesItsListener(t *testing.T) {
-	for _, total := range []time.Duration{lastAnswers, lastAnswers + acceptLeft, 800 * time.Millisecond} {
+	for _, total := range []time.Duration{abortMargin, abortMargin + answerTimeAfterAccept, 800 * time.Millisecond} {
 		f, _ := serving(t, nil)
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -436,7 +436,7 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(drainStep):
+				case <-time.After(pollInterval):
 					if c, err := net.Dial("tcp", inner.Addr().String()); err == nil {
 						c.Close()
 					}
@@ -463,7 +463,7 @@
 	var once atomic.Bool
 	ln := hooked(t, f, func(c *net.TCPConn, p []byte) (int, error) {
 		if once.CompareAndSwap(false, true) { // its patience is over, and what follows comes before anyone looks
-			c.SetReadDeadline(past)
+			c.SetReadDeadline(expiredDeadline)
 			n, err := c.Read(p)
 			ended <- true
 			<-sent
@@ -509,7 +509,7 @@
 	s := standin.NewServer(t, standin.Yes)
 	f, side, ln := before(t, s.Addr, 8, func(_ *config.Config, f *Frontend) {
 		if f != nil {
-			f.server.MaxIdleWorkerDuration = 20 * time.Millisecond // fasthttp keeps its goroutines for 10 s else
+			f.httpServer.MaxIdleWorkerDuration = 20 * time.Millisecond // fasthttp keeps its goroutines for 10 s else
 		}
 	})
 	usual := func(id string) {
@@ -641,11 +641,11 @@
 	defer ours.Close()
 	defer theirs.Close()
 	c := &clientConn{Conn: ours}
-	b := &body{c: c, src: c, length: 9}
-	b.rest = upstream.NewBodyRemainder(b, b.length, b.stop)
+	b := &requestBody{conn: c, source: c, length: 9}
+	b.remainder = upstream.NewBodyRemainder(b, b.length, b.stop)
 	b.stop()
 	go func() { theirs.Write([]byte("late")) }() // nobody is to wait for it
-	if n, err := b.rest.Read(make([]byte, 9)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if n, err := b.remainder.Read(make([]byte, 9)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("read on: %d bytes, %v", n, err)
 	}
 }
--- a/internal/frontend/faults_test.go
+++ b/internal/frontend/faults_test.go
@@ -33,8 +33,8 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			f, first := serving(t, nil)
 			first.Close()
-			eventually(t, "the end of the first listener", f.deaf.Load)
-			f.deaf.Store(false)
+			eventually(t, "the end of the first listener", f.acceptLoopDone.Load)
+			f.acceptLoopDone.Store(false)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -46,7 +46,7 @@
 			c := dial(t, ln)
 			c.SetDeadline(time.Now().Add(5 * time.Second))
 			exchange(t, c, bufio.NewReader(c), look, 503)
-			if f.deaf.Load() {
+			if f.acceptLoopDone.Load() {
 				t.Error("taken for the last connection")
 			}
 			select {
@@ -68,7 +68,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if at := c.idleSince.Load(); at > micros(time.Now()) || at > (48*time.Hour).Microseconds() {
+		if at := c.idleSince.Load(); at > monotonicMicros(time.Now()) || at > (48*time.Hour).Microseconds() {
 			t.Errorf("idle since %d µs: not of this process's clock", at)
 		}
 	}
@@ -82,7 +82,7 @@
 		syscall.ENETDOWN: true, syscall.EHOSTDOWN: true, syscall.ECONNABORTED: true, syscall.ECONNREFUSED: true, syscall.ENOTCONN: true,
 		syscall.EAGAIN: false, syscall.EINTR: false, syscall.ENOBUFS: false, syscall.ENOMEM: false, syscall.EBADF: false,
 	} {
-		if endsConnection(errno) != left {
+		if isConnectionError(errno) != left {
 			t.Errorf("%v: left %v", errno, !left)
 		}
 	}
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -52,7 +52,7 @@
 // A connection that is opened and not used is closed without a word: the 408 that fasthttp writes there would be
 // read as the answer to the next request.
 func TestUnusedConnectionIsClosedSilently(t *testing.T) {
-	_, ln := serving(t, func(f *Frontend) { f.server.ReadTimeout = 20 * time.Millisecond })
+	_, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = 20 * time.Millisecond })
 	if b, err := io.ReadAll(dial(t, ln)); err != nil || len(b) != 0 {
 		t.Fatalf("%q %v", b, err)
 	}
@@ -87,11 +87,11 @@
 	c := dial(t, ln)
 	io.WriteString(c, look[:20])
 	eventually(t, "first bytes read", func() bool { return f.count() == 1 && f.idle() == 0 })
-	f.closeIdle(-time.Hour, true)
+	f.closeIdleConns(-time.Hour, true)
 	br := bufio.NewReader(c)
 	exchange(t, c, br, look[20:], 503)
 	eventually(t, "an idle connection", func() bool { return f.idle() == 1 })
-	f.closeIdle(-time.Hour, true)
+	f.closeIdleConns(-time.Hour, true)
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Fatalf("an idle one is still open: %v", err)
 	}
@@ -99,7 +99,7 @@
 
 // Silent clients hold all sockets: they make room, and a usual client is answered.
 func TestSilentClientsMakeRoom(t *testing.T) {
-	_, ln := serving(t, func(f *Frontend) { f.server.ReadTimeout, f.server.IdleTimeout = time.Hour, time.Hour })
+	_, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout, f.httpServer.IdleTimeout = time.Hour, time.Hour })
 	for range 20 {
 		dial(t, ln)
 	}
@@ -110,7 +110,7 @@
 // The failure: clients that keep a connection after one request reached their own limit before ours, so that no new
 // connection came, none was closed, and most requests were never sent. From half of the sockets on idle ones make room.
 func TestKeptConnectionsMakeRoomFromHalfOn(t *testing.T) {
-	f, ln := serving(t, func(f *Frontend) { f.server.IdleTimeout = time.Hour })
+	f, ln := serving(t, func(f *Frontend) { f.httpServer.IdleTimeout = time.Hour })
 	for range 7 { // of 8 sockets
 		c := dial(t, ln)
 		exchange(t, c, bufio.NewReader(c), look, 503)
@@ -129,16 +129,16 @@
 	eventually(t, "two idle connections", func() bool { return f.idle() == 2 })
 	f.mu.Lock()
 	for c := range f.conns {
-		if at := c.idleSince.Load(); at > busy { // both idle for long, the used one longer
+		if at := c.idleSince.Load(); at > connBusy { // both idle for long, the used one longer
 			since := at - time.Minute.Microseconds()
-			if c.served.Load() {
+			if c.hasServed.Load() {
 				since -= time.Minute.Microseconds()
 			}
 			c.idleSince.Store(since)
 		}
 	}
 	f.mu.Unlock()
-	f.closeIdlest()
+	f.evictConn()
 	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("the silent one is open: %v", err)
 	}
@@ -152,10 +152,10 @@
 // A client that sends half a request is told so, on a new connection and on one that has served; what it is owed
 // within 3 s comes with room to spare.
 func TestHalfARequestIsEnded(t *testing.T) {
-	if readTimeout > 2800*time.Millisecond || idleTimeout < 2*time.Second {
+	if headTimeout > 2800*time.Millisecond || idleTimeout < 2*time.Second {
 		t.Error("an error or a close is owed within 3 s; an idle connection may be closed after 2 s")
 	}
-	_, ln := serving(t, func(f *Frontend) { f.server.ReadTimeout = 300 * time.Millisecond })
+	_, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = 300 * time.Millisecond })
 	for _, first := range []string{"", look} {
 		c := dial(t, ln)
 		br := bufio.NewReader(c)
@@ -178,7 +178,7 @@
 }
 
 func (f *Frontend) count() int {
-	n, _ := f.open()
+	n, _ := f.connCount()
 	return n
 }
 
@@ -187,7 +187,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if c.idleSince.Load() > busy {
+		if c.idleSince.Load() > connBusy {
 			n++
 		}
 	}
@@ -214,31 +214,31 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
-			if c.idleSince.Load() < taken {
+			if c.idleSince.Load() < connClosing {
 				n++
 			}
 		}
 		return n
 	}
 	eventually(t, "two on their way", func() bool { return halfway() == 2 })
-	time.Sleep(2 * unusedAfter)
-	before := micros(time.Now())
+	time.Sleep(2 * unusedIdleTime)
+	before := monotonicMicros(time.Now())
 	io.WriteString(slow, look[1:2])
 	eventually(t, "its second byte read", func() bool { // by the server
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
-			if since(c.idleSince.Load()) >= before {
+			if timestampOf(c.idleSince.Load()) >= before {
 				return true
 			}
 		}
 		return false
 	})
-	f.closeIdlest()
+	f.evictConn()
 	if _, err := stalls.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the one that stalls was answered")
 	}
-	f.closeIdlest()
+	f.evictConn()
 	if n := halfway(); n != 1 {
 		t.Fatalf("%d requests on their way, want that of the slow writer", n)
 	}
@@ -247,11 +247,11 @@
 // A request that is not whole when the time for a drain is over is answered before its connection ends. Guards against one
 // whose last bytes come just then: it would be taken and lost.
 func TestHalfARequestIsAnsweredAtTheEnd(t *testing.T) {
-	f, ln := serving(t, func(f *Frontend) { f.server.ReadTimeout = time.Minute })
+	f, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = time.Minute })
 	c := dial(t, ln)
 	io.WriteString(c, look[:20])
-	eventually(t, "a connection", func() bool { n, _ := f.open(); return n == 1 })
-	ctx, cancel := context.WithTimeout(context.Background(), 2*lastAnswers)
+	eventually(t, "a connection", func() bool { n, _ := f.connCount(); return n == 1 })
+	ctx, cancel := context.WithTimeout(context.Background(), 2*abortMargin)
 	defer cancel()
 	go f.Shutdown(ctx, ln, nil)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/frontend/keep.go
+++ b/internal/frontend/keep.go
@@ -16,8 +16,8 @@
 	"damsonscale/internal/upstream"
 )
 
-// resumeHead marks a request that its client has asked of another member before.
-const resumeHead = "Req-Resume"
+// resumeHeader marks a request that its client has asked of another member before.
+const resumeHeader = "Req-Resume"
 
 // RequestReplicator keeps work with an effect, so that it survives the loss of its sidecar.
 type RequestReplicator interface {
@@ -31,48 +31,48 @@
 }
 
 // SetReplicator has the work with an effect kept from the next request on.
-func (f *Frontend) SetReplicator(k RequestReplicator) { f.keeper = k }
+func (f *Frontend) SetReplicator(k RequestReplicator) { f.replicator = k }
 
-// keep serves a request under the fleet's custody; false: its class has none.
-func (f *Frontend) keep(ctx *fasthttp.RequestCtx, c *clientConn, p *parsed, b *body) bool {
+// serveReplicated serves a request under the fleet's custody; false: its class has none.
+func (f *Frontend) serveReplicated(ctx *fasthttp.RequestCtx, c *clientConn, p *parsedRequest, b *requestBody) bool {
 	h := &ctx.Request.Header
-	class := &p.now.settings.Classes[p.request.Class]
-	effect := effectOf(class.Semantics)
-	policy := f.keeper.ReplicationPolicy(class.Name, effect)
+	class := &p.snapshot.settings.Classes[p.request.Class]
+	effect := idempotencyOf(class.Semantics)
+	policy := f.replicator.ReplicationPolicy(class.Name, effect)
 	if policy == options.NoReplication {
 		return false
 	}
-	p.left = min(p.left, f.keeper.MaxDuration())
-	if b.src == nil {
-		b.held = slices.Clone(b.held) // it outlasts its client, and is the server's memory; what came as a stream is our own
+	p.timeLeft = min(p.timeLeft, f.replicator.MaxDuration())
+	if b.source == nil {
+		b.buffered = slices.Clone(b.buffered) // it outlasts its client, and is the server's memory; what came as a stream is our own
 	}
-	call := p.call(h, b, c.readAt)
-	call.OnBodyComplete = c.watch
+	call := p.newCall(h, b, c.readAt)
+	call.OnBodyComplete = c.watchDisconnect
 	w := takeover.Request{
-		ID: p.request.ID, Class: class.Name, Idempotency: effect, Resume: string(h.Peek(resumeHead)) == "1", Strict: policy == options.StrictReplication,
-		Timeout: min(call.TimeLeft(time.Now()), p.left), MaxDuration: call.TimeLeft(time.Now()), Digest: digest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.held),
+		ID: p.request.ID, Class: class.Name, Idempotency: effect, Resume: string(h.Peek(resumeHeader)) == "1", Strict: policy == options.StrictReplication,
+		Timeout: min(call.TimeLeft(time.Now()), p.timeLeft), MaxDuration: call.TimeLeft(time.Now()), Digest: requestDigest(class.Name, h.Peek("Idempotency-Key"), p.request.Key, b.buffered),
 	}
 	var gone <-chan struct{}
 	switch {
-	case b.rest != nil: // it can't be sent again: once begun, it is treated as work that must not be
+	case b.remainder != nil: // it can't be sent again: once begun, it is treated as work that must not be
 		w.Idempotency = takeover.NotIdempotent
 	case effect == takeover.IdempotentByKey && class.DedupScope == decide.ScopeAll:
-		w.DedupWindow, w.Stored = time.Duration(class.DedupWindow)*time.Microsecond, p.store(call, b)
+		w.DedupWindow, w.Stored = time.Duration(class.DedupWindow)*time.Microsecond, p.storedRequest(call, b)
 	}
-	if b.rest == nil {
-		gone = c.watch()
+	if b.remainder == nil {
+		gone = c.watchDisconnect()
 	}
 	began := time.Now()
-	o := f.keeper.Execute(w, gone, f.run(call))
-	broken := b.close()
-	c.unwatch()
+	o := f.replicator.Execute(w, gone, f.sendFunc(call))
+	broken := b.finish()
+	c.stopWatch()
 	switch {
 	case broken != nil && o.Kind != takeover.OutcomeResponse:
-		bad := b.fault(broken)
+		bad := b.requestError(broken)
 		ctx.Error(bad.text, bad.status)
-		f.account(ctx, w.ID, f.side.ConfigVersion())
+		f.recordResponse(ctx, w.ID, f.sidecar.ConfigVersion())
 	default:
-		f.tell(ctx, c, call, &o, min(call.TimeLeft(time.Now()), p.left-time.Since(began))) // a body that is not held counts from its end
+		f.writeOutcome(ctx, c, call, &o, min(call.TimeLeft(time.Now()), p.timeLeft-time.Since(began))) // a body that is not held counts from its end
 	}
 	if broken != nil || o.Kind == takeover.OutcomeCallerGone {
 		ctx.SetConnectionClose()
@@ -80,7 +80,7 @@
 	return true
 }
 
-func effectOf(s decide.Semantics) takeover.Idempotency {
+func idempotencyOf(s decide.Semantics) takeover.Idempotency {
 	switch s {
 	case decide.Idempotent:
 		return takeover.Idempotent
@@ -90,8 +90,8 @@
 	return takeover.NotIdempotent
 }
 
-// digest tells requests of one id apart.
-func digest(class string, key []byte, about string, body []byte) uint64 {
+// requestDigest tells requests of one id apart.
+func requestDigest(class string, key []byte, about string, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range [][]byte{[]byte(class), key, []byte(about), body} {
@@ -101,17 +101,17 @@
 	return d.Sum64()
 }
 
-// store makes what holders keep of a request.
-func (p *parsed) store(call *sidecar.Call, b *body) takeover.StoredRequest {
-	s := takeover.StoredRequest{Head: call.Message.Head, Body: b.held, Key: p.request.Key}
+// storedRequest makes what holders keep of a request.
+func (p *parsedRequest) storedRequest(call *sidecar.Call, b *requestBody) takeover.StoredRequest {
+	s := takeover.StoredRequest{Head: call.Message.Head, Body: b.buffered, Key: p.request.Key}
 	if t := p.request.Tenant; t >= 0 {
-		s.Tenant = p.now.settings.Tenants[t].Name
+		s.Tenant = p.snapshot.settings.Tenants[t].Name
 	}
 	return s
 }
 
-// run makes what sends a call, under a leave that it may lose.
-func (f *Frontend) run(call *sidecar.Call) func(takeover.SendPermit) takeover.Result {
+// sendFunc makes what sends a call, under a leave that it may lose.
+func (f *Frontend) sendFunc(call *sidecar.Call) func(takeover.SendPermit) takeover.Result {
 	return func(l takeover.SendPermit) takeover.Result {
 		var over <-chan struct{}
 		var leave func() bool
@@ -119,7 +119,7 @@
 			over, leave = l.Lease.Done(), l.Lease.Valid
 		}
 		call.UseLease(leave, l.PriorSendAge)
-		a, left := f.side.Do(call, over)
+		a, left := f.sidecar.Do(call, over)
 		r := takeover.Result{LiveResponse: a}
 		switch {
 		case left:
@@ -139,12 +139,12 @@
 
 // ResumeOrphan makes what runs a recorded request that nobody has asked for again.
 func (f *Frontend) ResumeOrphan(rec *takeover.Record, s *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error) {
-	now := f.now.Load()
+	now := f.snapshot.Load()
 	class, ok := now.classes[rec.Class]
 	if !ok {
 		return nil, fmt.Errorf("class %q is unknown here", rec.Class)
 	}
-	if e := effectOf(now.settings.Classes[class].Semantics); e != rec.Idempotency { // Guards against work taken over across a reload
+	if e := idempotencyOf(now.settings.Classes[class].Semantics); e != rec.Idempotency { // Guards against work taken over across a reload
 		return nil, fmt.Errorf("class %q has another effect here", rec.Class)
 	}
 	r := decide.Request{ID: rec.ID, Class: class, Tenant: -1, Key: s.Key}
@@ -153,7 +153,7 @@
 	}
 	left := time.Duration(rec.DeadlineAge-rec.Age) * time.Microsecond
 	m := upstream.Message{Head: s.Head, Body: s.Body}
-	return f.run(sidecar.NewCall(now.settings, r, m, time.Now(), left)), nil
+	return f.sendFunc(sidecar.NewCall(now.settings, r, m, time.Now(), left)), nil
 }
 
 // DiscardAnswer ends a live answer that nobody is left to take.
@@ -163,56 +163,56 @@
 	}
 }
 
-// tell answers as custody has it, where so much of the request's time is left. A member that has lost its leave answers nothing: another one does.
-func (f *Frontend) tell(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, left time.Duration) {
+// writeOutcome answers as custody has it, where so much of the request's time is left. A member that has lost its leave answers nothing: another one does.
+func (f *Frontend) writeOutcome(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, left time.Duration) {
 	if o.Kind == takeover.OutcomeResponse && o.Lease != nil && !o.Lease.Valid() {
 		f.DiscardAnswer(o.LiveResponse)
 		o.Kind = takeover.OutcomeCloseConnection
 	}
-	under := f.side.ConfigVersion()
+	under := f.sidecar.ConfigVersion()
 	switch o.Kind {
 	case takeover.OutcomeCloseConnection:
-		f.silent(ctx, c, call.Request.ID, left)
+		f.closeUnanswered(ctx, c, call.Request.ID, left)
 		return
 	case takeover.OutcomeCallerGone:
-		f.answer(ctx, c, sidecar.Response{Status: sidecar.DeadlineExceeded})
-		f.noted(ctx, auditevent.ClientLeft, call.Request.ID, under)
+		f.writeResponse(ctx, c, sidecar.Response{Status: sidecar.DeadlineExceeded})
+		f.record(ctx, auditevent.ClientLeft, call.Request.ID, under)
 		return
 	case takeover.OutcomeInFlight:
-		f.answer(ctx, c, sidecar.Response{Status: sidecar.DuplicateID})
+		f.writeResponse(ctx, c, sidecar.Response{Status: sidecar.DuplicateID})
 	case takeover.OutcomeIDConflict:
 		ctx.Error("the id is that of another request", fasthttp.StatusConflict)
 	default:
 		if a, ok := o.LiveResponse.(sidecar.Response); ok {
 			under = a.ConfigVersion
-			f.answer(ctx, c, a)
+			f.writeResponse(ctx, c, a)
 		} else {
-			f.recorded(ctx, c, &o.Response)
+			f.writeStoredResponse(ctx, c, &o.Response)
 		}
 	}
-	f.account(ctx, call.Request.ID, under)
+	f.recordResponse(ctx, call.Request.ID, under)
 }
 
-// silent ends a connection without an answer: its client asks another member. In the last of its time the request fails, which
+// closeUnanswered ends a connection without an answer: its client asks another member. In the last of its time the request fails, which
 // promises nothing. Guards against one that nobody answers while no member has leave to.
-func (f *Frontend) silent(ctx *fasthttp.RequestCtx, c *clientConn, id string, left time.Duration) {
-	if left > lastWord {
+func (f *Frontend) closeUnanswered(ctx *fasthttp.RequestCtx, c *clientConn, id string, left time.Duration) {
+	if left > minTimeElsewhere {
 		ctx.SetConnectionClose()
 		c.Close()
 		return
 	}
 	ctx.Error("takeover: this member may not say", fasthttp.StatusBadGateway)
 	ctx.SetConnectionClose()
-	f.account(ctx, id, f.side.ConfigVersion())
+	f.recordResponse(ctx, id, f.sidecar.ConfigVersion())
 }
 
-// recorded gives an answer that was kept.
-func (f *Frontend) recorded(ctx *fasthttp.RequestCtx, c *clientConn, a *takeover.Response) {
+// writeStoredResponse gives an answer that was kept.
+func (f *Frontend) writeStoredResponse(ctx *fasthttp.RequestCtx, c *clientConn, a *takeover.Response) {
 	switch a.Status {
 	case takeover.Served:
-		f.answer(ctx, c, sidecar.Response{Status: sidecar.Served, Body: a.Body, ContentType: a.ContentType})
+		f.writeResponse(ctx, c, sidecar.Response{Status: sidecar.Served, Body: a.Body, ContentType: a.ContentType})
 	case takeover.Rejected:
-		refuse(ctx, sidecar.Response{RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
+		writeRejection(ctx, sidecar.Response{RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
 	case takeover.ResponseTooLarge:
 		ctx.Error("takeover: served, the answer was too long to keep", fasthttp.StatusBadGateway)
 	default:
--- a/internal/frontend/look_test.go
+++ b/internal/frontend/look_test.go
@@ -54,10 +54,10 @@
 			io.WriteString(theirs, c.bytes)
 			c.leave(theirs)
 			if c.left {
-				eventually(t, "the leaving", ours.hungUp)
+				eventually(t, "the leaving", ours.isDisconnected)
 			}
 			for range 3 {
-				if got := ours.hungUp(); got != c.left {
+				if got := ours.isDisconnected(); got != c.left {
 					t.Fatalf("%v, want %v", got, c.left)
 				}
 			}
@@ -68,13 +68,13 @@
 			}
 		})
 	}
-	if hungUp(-1) {
+	if peerClosed(-1) {
 		t.Error("a look that the system refuses tells of an end")
 	}
 	ours, theirs := net.Pipe()
 	defer ours.Close()
 	theirs.Close()
-	if (&clientConn{Conn: ours}).hungUp() {
+	if (&clientConn{Conn: ours}).isDisconnected() {
 		t.Error("a connection that is no socket has ended")
 	}
 }
@@ -86,7 +86,7 @@
 			ours, theirs := ends(b)
 			io.WriteString(theirs, bytes)
 			for b.Loop() {
-				if ours.hungUp() {
+				if ours.isDisconnected() {
 					b.Fatal("left")
 				}
 			}
--- a/internal/frontend/recorded_test.go
+++ b/internal/frontend/recorded_test.go
@@ -12,21 +12,21 @@
 
 // A stream that the build of commit 2029d41 hands over is read as it was meant, and written byte for byte alike.
 func TestRecordedStreams(t *testing.T) {
-	for name, want := range map[string]handed{
+	for name, want := range map[string]streamMessage{
 		"stream.json": {
-			Answer: upstream.StreamState{
+			Stream: upstream.StreamState{
 				Framing: "chunks", Remaining: 1536, AtChunkEnd: true, InTrailers: true, TrailerLines: 2, Complete: true, Forwarded: 70_000,
 				ReadAhead: []byte("ab\r\n"), BufferedBody: 2,
 			},
-			Chunks: true,
+			Chunked: true,
 		},
-		"stream_of_known_length.json": {Answer: upstream.StreamState{Framing: "length", Remaining: 5, Forwarded: 65_536}},
+		"stream_of_known_length.json": {Stream: upstream.StreamState{Framing: "length", Remaining: 5, Forwarded: 65_536}},
 	} {
 		text, err := os.ReadFile("../handover/testdata/2029d41/" + name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var got handed
+		var got streamMessage
 		if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: read %+v, expected %+v: %v", name, got, want, err)
 		}
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -18,62 +18,62 @@
 // StreamHandover hands work with its two connections to the process that follows.
 type StreamHandover func(about any, client, server syscall.Conn) error
 
-// handed is an answer that goes on in another process, between two pieces.
-type handed struct {
-	Answer upstream.StreamState `json:"answer"`
-	Chunks bool                 `json:"chunks"` // the client takes chunks; else its connection's end is the answer's
+// streamMessage is an answer that goes on in another process, between two pieces.
+type streamMessage struct {
+	Stream  upstream.StreamState `json:"answer"`
+	Chunked bool                 `json:"chunks"` // the client takes chunks; else its connection's end is the answer's
 }
 
-// stream answers with what comes.
-func (f *Frontend) stream(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Response) {
+// writeStream answers with what comes.
+func (f *Frontend) writeStream(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Response) {
 	c.stream.Store(a.Stream)
 	if ctx.Request.Header.IsHTTP11() {
 		ctx.Response.ImmediateHeaderFlush = true
-		ctx.Response.SetBodyStream(&passing{a.Stream, f, c, true}, -1) // chunked, each written as it comes; a broken one lacks its last chunk
+		ctx.Response.SetBodyStream(&clientStream{a.Stream, f, c, true}, -1) // chunked, each written as it comes; a broken one lacks its last chunk
 		return
 	}
-	f.toTheEnd(ctx, c, a)
+	f.writeStreamUntilClose(ctx, c, a)
 }
 
-// toTheEnd passes an answer on to a client of HTTP/1.0, which takes no chunks: the connection's end is the answer's. One
+// writeStreamUntilClose passes an answer on to a client of HTTP/1.0, which takes no chunks: the connection's end is the answer's. One
 // that breaks ends in a reset.
-func (f *Frontend) toTheEnd(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Response) {
+func (f *Frontend) writeStreamUntilClose(ctx *fasthttp.RequestCtx, c *clientConn, a sidecar.Response) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {
 		defer a.Stream.Close()
 		_, err := fmt.Fprintf(c, "HTTP/1.0 200 OK\r\nConnection: close\r\nContent-Type: %s\r\n\r\n", a.ContentType)
 		if err == nil {
-			_, err = io.Copy(onlyWriter{c}, &passing{a.Stream, f, c, false})
+			_, err = io.Copy(writerOnly{c}, &clientStream{a.Stream, f, c, false})
 		}
 		if err != nil && err != upstream.ErrDetached {
-			reset(c.Conn)
+			resetOnClose(c.Conn)
 		}
 	})
 }
 
-// onlyWriter hides what else a connection can do.
-type onlyWriter struct{ io.Writer }
+// writerOnly hides what else a connection can do.
+type writerOnly struct{ io.Writer }
 
-func reset(c net.Conn) {
+func resetOnClose(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 }
 
-// passing is an answer whose pieces are read once those before are written: between two of them it can go elsewhere.
-type passing struct {
+// clientStream is an answer whose pieces are read once those before are written: between two of them it can go elsewhere.
+type clientStream struct {
 	*upstream.Stream
-	front  *Frontend
-	c      *clientConn
-	chunks bool
+	front   *Frontend
+	conn    *clientConn
+	chunked bool
 }
 
-func (p *passing) Read(b []byte) (int, error) {
+func (p *clientStream) Read(b []byte) (int, error) {
 	n, err := p.Stream.Read(b)
 	if err != upstream.ErrDetached {
 		return n, err
 	}
-	if err := p.front.handOver(p); err != nil {
+	if err := p.front.handOverStream(p); err != nil {
 		log.Printf("event=stream_stays err=%q", err)
 		p.Attach() // it is finished here, if there is time
 		return p.Stream.Read(b)
@@ -81,52 +81,52 @@
 	return 0, upstream.ErrDetached
 }
 
-// handOver hands an answer to the process that follows. This one closes its ends of both connections afterwards, which
+// handOverStream hands an answer to the process that follows. This one closes its ends of both connections afterwards, which
 // ends neither.
-func (f *Frontend) handOver(p *passing) error {
-	pass := f.pass.Load()
+func (f *Frontend) handOverStream(p *clientStream) error {
+	pass := f.streamHandover.Load()
 	if pass == nil {
 		return fmt.Errorf("no process takes it")
 	}
 	standing, server := p.State()
 	to, ok := server.(syscall.Conn)
-	from, fine := p.c.Conn.(syscall.Conn)
+	from, fine := p.conn.Conn.(syscall.Conn)
 	if !ok || !fine {
 		return fmt.Errorf("not connections of the system")
 	}
-	return (*pass)(handed{standing, p.chunks}, from, to)
+	return (*pass)(streamMessage{standing, p.chunked}, from, to)
 }
 
 // ResumeStream goes on with an answer that the process before began.
 func (f *Frontend) ResumeStream(about []byte, client, server net.Conn) {
-	f.resumed.Add(1)
+	f.resumedStreams.Add(1)
 	go func() {
-		defer f.resumed.Add(-1)
+		defer f.resumedStreams.Add(-1)
 		defer client.Close()
 		defer server.Close()
-		var h handed
+		var h streamMessage
 		err := json.Unmarshal(about, &h)
 		if err == nil {
-			err = finish(h, client, server)
+			err = copyStream(h, client, server)
 		}
 		if err != nil {
 			log.Printf("event=stream_broken err=%q", err)
-			reset(client)
+			resetOnClose(client)
 		}
 	}()
 }
 
-// finish passes the rest of an answer on.
-func finish(h handed, client, server net.Conn) error {
-	body, err := upstream.Resume(server, h.Answer)
+// copyStream passes the rest of an answer on.
+func copyStream(h streamMessage, client, server net.Conn) error {
+	body, err := upstream.Resume(server, h.Stream)
 	if err != nil {
 		return err
 	}
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := body.Read(buf)
-		parts := upstream.EncodeBodyPiece(buf[:n], h.Chunks, err == io.EOF)
-		client.SetWriteDeadline(time.Now().Add(writeStall))
+		parts := upstream.EncodeBodyPiece(buf[:n], h.Chunked, err == io.EOF)
+		client.SetWriteDeadline(time.Now().Add(writeStallTimeout))
 		if _, failed := parts.WriteTo(client); failed != nil {
 			return failed
 		}
