--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -76,7 +76,7 @@
 // New makes a frontend that holds at most maxConns client connections, and at most bodyBytes bytes of bodies that are
 // still coming.
 func New(side *sidecar.Sidecar, life *lifecycle.Tracker, settings *decide.Settings, maxConns int, bodyBytes int64) *Frontend {
-	f := &Frontend{
+	f   := &Frontend{
 		sidecar: side, lifecycle: life, conns: map[*clientConn]bool{}, slots: make(chan struct{}, maxConns),
 	}
 	f.SetConnectionLimit(maxConns)
