--- a/cmd/damsonscale-fleet/main.go
+++ b/cmd/damsonscale-fleet/main.go
@@ -17,7 +17,7 @@
 	if len(os.Args) > 1 && os.Args[1] == app.FleetCommand {
 		os.Exit(operator.Main(os.Args[2:], os.Stdout, os.Stderr))
 	}
-	app.Main(func(o *options.Options, name string, longest time.Duration, front *frontend.Frontend, tuning *app.SettingsManager) (app.FleetMember, error) {
-		return fleet.New(o, name, longest, front, tuning)
+	app.Main(func(o *options.Options, name string, maxDeadline time.Duration, front *frontend.Frontend, settings *app.SettingsManager) (app.FleetMember, error) {
+		return fleet.New(o, name, maxDeadline, front, settings)
 	})
 }
--- a/cmd/damsonscale/crossings_test.go
+++ b/cmd/damsonscale/crossings_test.go
@@ -63,7 +63,7 @@
 			}()
 			<-came
 			p.signal(signals...)
-			p.expect(t, "event=term")
+			p.expect(t, "event=terminating")
 			p.signal(signals[len(signals)-1])
 			close(finish)
 			if s := <-answered; s != 200 {
@@ -99,7 +99,7 @@
 		`"Semantics":"deduplicated"`, `"Semantics":"at_most_once"`).Replace(settings))
 	p.configure(t)
 	p.signal(syscall.SIGHUP)
-	p.expect(t, "event=reload version=2")
+	p.expect(t, "event=config_reloaded version=2")
 	if s, _ := do(t, request(t, p.addr, "GET", "/look", "")); s != 404 {
 		t.Errorf("a class that is none any more: %d", s)
 	}
--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -676,7 +676,7 @@
 	p.expect(t, "event=reload_failed err=\"config: discovery: expected address:port")
 	p.conf["limits"] = map[string]any{"cores": 2.0, "memory_mb": 192, "sockets": 256}
 	p.reload(t, d.addr)
-	p.expect(t, "needs_restart=\"limits\"")
+	p.expect(t, "needs_restart=limits")
 	if s, body := p.look(t); s != 200 || body != "yes" {
 		t.Fatal(s, body)
 	}
@@ -698,7 +698,7 @@
 	}()
 	<-came
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.expect(t, "event=term")
+	p.expect(t, "event=terminating")
 	second := startDiscovery(t)
 	p.reload(t, second.addr)
 	<-second.watches
--- a/cmd/damsonscale/ops_test.go
+++ b/cmd/damsonscale/ops_test.go
@@ -208,7 +208,7 @@
 		next := old.beside(t)
 		next.serves(t)
 		old.cmd.Process.Signal(syscall.SIGTERM)
-		eventually(t, "the end of the old one's accepting", func() bool { return strings.Contains(old.log.String(), "event=term") })
+		eventually(t, "the end of the old one's accepting", func() bool { return strings.Contains(old.log.String(), "event=terminating") })
 		if s, last := kept.look(t); s != 200 || !last {
 			t.Fatalf("a kept connection: %d, last %t", s, last)
 		}
@@ -278,7 +278,7 @@
 	p.conf["environment"] = "TMPDIR=" + dir
 	next := p.beside(t)
 	next.serves(t)
-	next.expect(t, "beside=true")
+	next.expect(t, "address_shared=true")
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-p.done; err != nil {
 		t.Fatal(err)
@@ -340,7 +340,7 @@
 	turn := strings.NewReplacer(`"look","Semantics":"idempotent"`, `"look","Semantics":"at_most_once"`, `"make"`, `"put"`)
 	p.conf["settings"] = json.RawMessage(turn.Replace(settings))
 	p.reload(t, d.addr)
-	p.expect(t, "event=reload version=2 retuned=true")
+	p.expect(t, "event=config_reloaded version=2 settings_changed=true")
 	finish <- true
 	if a := <-answer; a != "200 OK again" {
 		t.Fatalf("the open request: %q", a)
@@ -379,7 +379,7 @@
 	next := p.beside(t)
 	next.serves(t)
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.expect(t, "event=term")
+	p.expect(t, "event=terminating")
 	eventually(t, "409 for the same id", func() bool {
 		second := next.dial(t)
 		io.WriteString(second, text)
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,178 +1,82 @@
-// Package app is the sidecar's program: it serves its client on sockets and sends each request to a server.
+// Package app is the sidecar's program: it makes the parts, connects them, and starts and stops them in order.
+//
+// The parts have an owner of their state each: lifecycle the stage of the process, sidecar the balancer and all calls,
+// frontend the clients' connections, SettingsManager the configuration in force, upgrade the listening socket. run
+// starts their goroutines and waits for SIGTERM or for the first failure.
 package app
 
 import (
 	"context"
 	"fmt"
 	"log"
-	"net"
 	"os"
-	"os/signal"
 	"path/filepath"
-	"runtime"
-	"sync/atomic"
 	"syscall"
 	"time"
 
-	"damsonscale/decide"
-	"damsonscale/internal/admin"
 	"damsonscale/internal/auditevent"
-	"damsonscale/internal/config"
-	"damsonscale/internal/discovery"
+	"damsonscale/internal/eventlog"
 	"damsonscale/internal/frontend"
-	"damsonscale/internal/lifecycle"
 	"damsonscale/internal/options"
-	"damsonscale/internal/sidecar"
 )
 
+// Names of events. .ci/run waits for eventStart.
 const (
-	heapPart   = 0.6                      // of the memory limit: the rest is for stacks, the runtime and the program itself
-	bodyPart   = 0.2                      // of the heap, for bodies that are held
-	ownSockets = 8 + discovery.MaxSockets // the runtime's, the log, the listener; the list
-	clientPart = 0.5                      // of the other sockets: each request out holds one on either side
+	eventStart           = "start"
+	eventReady           = "ready"
+	eventTerminating     = "terminating"
+	eventExit            = "exit"
+	eventDescriptorLimit = "descriptor_limit"
 
-	drainMore = 600 * time.Millisecond // past the longest deadline, after SIGTERM
-	drainMost = 3 * time.Second        // of that deadline: operators wait no longer before SIGKILL. Guards against a class of
-	// longer deadlines, whose open requests were cut off by it unanswered
+	eventConfigReloaded  = "config_reloaded"
+	eventReloadFailed    = "reload_failed"
+	eventSettingsApplied = "settings_applied"
+
+	eventHandoverFailed       = "handover_failed"
+	eventHandoverMalformed    = "handover_message_malformed"
+	eventHandoverUnavailable  = "handover_unavailable"
+	eventHandoverNotifyFailed = "handover_notify_failed"
 )
 
-// fleetProgram stands beside the program. It is the same one with the fleet's libraries linked in, which more than double
-// the program and the memory mapped by each sidecar; without a fleet nobody pays for them.
+// FleetCommand is the argument by which the program talks to a fleet as an operator's tool instead of serving.
+const FleetCommand = "fleet"
+
+// fleetProgram is the name of the program with the fleet's libraries linked in, which stands beside this one. They more
+// than double the program and the memory mapped by each sidecar, which one without a fleet doesn't pay for.
 const fleetProgram = "damsonscale-fleet"
 
-// FleetMember is a sidecar's part in a fleet.
+// FleetMember is a sidecar's membership of a fleet.
 type FleetMember interface {
 	frontend.RequestReplicator
-	Ledger() auditevent.Recorder   // the account to keep; nil: none
-	Digest(text []byte) uint64     // of settings, for the account
-	Run(ctx context.Context) error // returns once it listens
-	Leave()                        // ends the membership, once the work is done
+	// Ledger returns the audit log to record into; nil: none.
+	Ledger() auditevent.Recorder
+	// Digest returns the digest of settings by which the audit log names them.
+	Digest(text []byte) uint64
+	// Run starts the membership, which ends with ctx. It returns once it listens.
+	Run(ctx context.Context) error
+	// Leave ends the membership, once no request is in flight.
+	Leave()
 }
 
-// JoinFleet makes a membership. longest is the longest deadline of a class.
-type JoinFleet func(o *options.Options, name string, longest time.Duration, front *frontend.Frontend, tuning *SettingsManager) (FleetMember, error)
+// JoinFleet makes a membership, which is not started yet. maxDeadline is the longest deadline of a class.
+type JoinFleet func(o *options.Options, name string, maxDeadline time.Duration, front *frontend.Frontend, settings *SettingsManager) (FleetMember, error)
 
-// Main runs the program until SIGTERM. Where join is nil and the options want a fleet, fleetProgram takes this process over.
+// Main runs the program until SIGTERM, and exits with status 1 on an error. Where join is nil and the options want a
+// fleet, fleetProgram takes this process over.
 func Main(join JoinFleet) {
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
 	if join == nil && len(os.Args) > 1 && os.Args[1] == FleetCommand {
-		log.Fatal(become(fleetProgram))
+		log.Fatal(execBeside(fleetProgram))
 	}
 	if err := run(join); err != nil {
-		log.Fatalf("event=exit err=%q", err)
-	}
-}
-
-func run(join JoinFleet) error {
-	hup := make(chan os.Signal, 1) // one that comes while the file is read makes it be read again
-	signal.Notify(hup, syscall.SIGHUP)
-	conf, err := config.Load(os.Getenv)
-	if err != nil {
-		return err
-	}
-	opts, err := options.Load(os.Getenv, conf.Name)
-	if err != nil {
-		return err
-	}
-	together := opts != nil && opts.Takeover.Enabled
-	if together && join == nil {
-		return become(fleetProgram)
-	}
-	limits := conf.Limits
-	runtime.GOMAXPROCS(max(1, min(runtime.NumCPU(), int(limits.Cores+0.5))))
-	own := ownSockets
-	if conf.Admin != "" {
-		own += 1 + admin.MaxConnections
-	}
-	clients, servers := divide(descriptors(limits.Sockets), own)
-	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stop()
-	life, failed := &lifecycle.Tracker{}, make(chan error, 2)
-	if conf.Admin != "" { // first: operators see it start
-		door, err := net.Listen("tcp", conf.Admin)
-		if err != nil {
-			return fmt.Errorf("admin %s: %w", conf.Admin, err)
-		}
-		go func() { failed <- admin.New(life).Serve(door) }()
-	}
-	up := takeOver(term, conf)
-	side := sidecar.New(conf, servers)
-	heap := heapPart * float64(limits.MemoryMB) * (1 << 20)
-	front := frontend.New(side, life, &conf.Settings, clients, int64(bodyPart*heap))
-	up.side, up.front, up.life, up.failed = side, front, life, failed
-	up.share = &share{
-		front: front, side: side, clients: clients, servers: servers,
-		memory: heap,
-	}
-	up.share.set()
-	var most atomic.Int64 // the longest deadline of any settings so far
-	most.Store(longest(conf.Settings.Classes))
-	tuning := newTuning(conf, side, front, &most)
-	var members FleetMember
-	if together {
-		if members, err = join(opts, conf.Name, time.Duration(most.Load())*time.Microsecond, front, tuning); err != nil {
-			return err
-		}
-		if ledger := members.Ledger(); ledger != nil {
-			tuning.sum = members.Digest
-			conf.SettingsDigest = tuning.digest(conf)
-			side.SetRecorder(ledger)
-			front.SetRecorder(ledger)
-		}
-		if err := members.Run(context.Background()); err != nil {
-			return err
-		}
-		front.SetReplicator(members)
-	}
-	go side.Run(context.Background())
-	if err := up.begin(term); err != nil {
-		return err
+		eventlog.Error(eventExit, err)
+		os.Exit(1)
 	}
-	go front.RunOperatorDrain(term)
-	go func() { // also while draining
-		for range hup {
-			tuning.reload()
-		}
-	}()
-	log.Printf("event=start name=%s listen=%s discovery=%s", conf.Name, conf.Listen, conf.Discovery)
-	select {
-	case err := <-failed:
-		return err
-	case <-term.Done():
-	}
-	life.Terminate()
-	log.Printf("event=term name=%s", conf.Name)
-	ctx, cancel := context.WithTimeout(context.Background(), drainFor(most.Load()))
-	defer cancel()
-	up.drain(ctx)
-	if members != nil {
-		members.Leave()
-	}
-	return nil
-}
-
-// descriptors is how many of those told this process may hold. Guards against a limit of the system below them: clients would
-// take all, and the calls to discovery and to servers would find none.
-func descriptors(told int) int {
-	var l syscall.Rlimit // its soft limit, which the runtime has raised to the hard one
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil || l.Cur >= uint64(told) {
-		return told
-	}
-	log.Printf("event=descriptors allowed=%d told=%d", l.Cur, told)
-	return int(l.Cur)
-}
-
-// divide gives clients and servers their connections, one at least, of so many descriptors, own of which are the program's.
-func divide(all, own int) (clients, servers int) {
-	clients = max(1, int(clientPart*float64(all-own)))
-	return clients, max(1, all-own-clients)
 }
 
-// FleetCommand is the argument by which the program speaks with a fleet instead of serving.
-const FleetCommand = "fleet"
-
-// become has a program that stands beside this one take this process over, with its environment and number.
-func become(name string) error {
+// execBeside replaces this process by a program in the same directory, with its arguments, environment and process ID.
+// It returns only with an error.
+func execBeside(name string) error {
 	here, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -183,16 +87,3 @@
 	}
 	return nil
 }
-
-// drainFor is how long SIGTERM's drain may last, where the longest deadline is so many µs.
-func drainFor(longest int64) time.Duration {
-	return min(time.Duration(longest)*time.Microsecond, drainMost) + drainMore
-}
-
-// longest is the longest deadline of a class, in µs.
-func longest(classes []decide.Class) (most int64) {
-	for _, c := range classes {
-		most = max(most, c.Deadline)
-	}
-	return most
-}
--- a/internal/app/recorded_test.go
+++ b/internal/app/recorded_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// What a process of commit 2029d41 tells the one after it is read as it was meant, and written byte for byte alike.
+// The JSON that a process sends its successor is that of commit 2029d41, byte for byte.
 func TestRecordedHandoverMessages(t *testing.T) {
 	for name, c := range map[string]struct{ got, want any }{
-		"state.json":         {&told{}, &told{Drained: true}},
-		"open_requests.json": {&ends{}, &ends{Open: []string{"r1", "r2"}}},
+		"state.json":         {&predecessorState{}, &predecessorState{Draining: true}},
+		"open_requests.json": {&inFlightNotice{}, &inFlightNotice{RequestIDs: []string{"r1", "r2"}}},
 	} {
 		text, err := os.ReadFile("../handover/testdata/2029d41/" + name)
 		if err != nil {
--- a/internal/app/upgrade.go
+++ b/internal/app/upgrade.go
@@ -4,222 +4,204 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"log"
 	"net"
 	"os"
-	"runtime/debug"
 	"sync"
 
 	"damsonscale/internal/config"
+	"damsonscale/internal/eventlog"
 	"damsonscale/internal/frontend"
 	"damsonscale/internal/handover"
 	"damsonscale/internal/lifecycle"
 	"damsonscale/internal/sidecar"
 )
 
-// upgrade is this process's part in one: what it takes from the process before, and gives to the one after.
+// transferBuffer is how many transfers of the predecessor wait while the process isn't ready for them.
+const transferBuffer = 16
+
+// upgrade owns the clients' listening socket: it takes it over from the predecessor, and offers it to the successor.
 type upgrade struct {
-	id     handover.ID
-	path   string
-	before *handover.Predecessor // nil: nobody hands anything over
-	held   bool                  // somebody has the address all the same
-	side   *sidecar.Sidecar
-	front  *frontend.Frontend
-	life   *lifecycle.Tracker
-	share  *share
-	failed chan<- error
-	works  chan handover.Transfer // that the process before hands over
-
-	mu    sync.Mutex
-	ln    net.Listener // nil: it does not accept yet
-	offer *handover.Server
+	id          handover.ID
+	path        string                // of the Unix socket where the processes meet
+	predecessor *handover.Predecessor // nil: none hands its socket over
+	transfers   chan handover.Transfer
+
+	// addressShared is set where another process listens at the address and hands nothing over: both accept from a queue
+	// of their own.
+	addressShared bool
+
+	sidecar   *sidecar.Sidecar
+	frontend  *frontend.Frontend
+	lifecycle *lifecycle.Tracker
+	shares    *resourceShares
+	failed    chan<- error
+
+	mu       sync.Mutex
+	listener net.Listener // nil: it doesn't accept yet
+	server   *handover.Server
 }
 
-// told is what a process tells the one after it.
-type told struct {
-	Drained bool `json:"drained"` // by operators
+// predecessorState is what a process tells its successor of itself.
+type predecessorState struct {
+	Draining bool `json:"drained"` // by operators
 }
 
-// ends is what a process that SIGTERM ends tells the one after it.
-type ends struct {
-	Open []string `json:"open"` // ids of the requests that it still has under way
+// inFlightNotice is what a process tells its successor when it shuts down.
+type inFlightNotice struct {
+	RequestIDs []string `json:"open"`
 }
 
-// takeOver asks the process that is there for its socket.
-func takeOver(ctx context.Context, conf *config.Config) *upgrade {
-	u := &upgrade{id: handover.ID{Name: conf.Name, Listen: conf.Listen}, works: make(chan handover.Transfer, 16)}
+// acquireSocket takes the listening socket over from the running process of the same sidecar, if there is one.
+func acquireSocket(ctx context.Context, conf *config.Config) *upgrade {
+	u := &upgrade{id: handover.ID{Name: conf.Name, Listen: conf.Listen}, transfers: make(chan handover.Transfer, transferBuffer)}
 	u.path = u.id.SocketPath(os.TempDir())
 	var err error
-	if u.before, err = handover.Acquire(ctx, u.path, u.id, func(w handover.Transfer) { u.works <- w }); err == nil {
+	u.predecessor, err = handover.Acquire(ctx, u.path, u.id, func(t handover.Transfer) { u.transfers <- t })
+	if err == nil {
 		return u
 	}
 	if !errors.Is(err, handover.ErrNoPredecessor) {
-		log.Printf("event=handover_failed err=%q", err)
+		eventlog.Warn(eventHandoverFailed, err)
 	}
-	u.held = handover.AddressInUse(u.id.Listen)
+	u.addressShared = handover.AddressInUse(u.id.Listen)
 	return u
 }
 
-// begin takes the clients' address: at once where nobody has it, else as soon as this process can serve.
-func (u *upgrade) begin(ctx context.Context) error {
-	if u.before != nil {
-		var t told
-		if err := json.Unmarshal(u.before.State, &t); err != nil {
-			log.Printf("event=handover_unreadable err=%q", err)
-		} else if t.Drained {
-			u.life.StartDraining()
+// connect gives the upgrade the parts that it acts on. It must be called before start.
+func (u *upgrade) connect(p *program, shares *resourceShares) {
+	u.sidecar, u.frontend, u.lifecycle, u.failed = p.sidecar, p.frontend, p.lifecycle, p.failed
+	u.shares = shares
+}
+
+// start accepts clients: at once where no other process has the address, else as soon as this process can serve.
+func (u *upgrade) start(ctx context.Context) error {
+	switch {
+	case u.predecessor != nil:
+		u.followPredecessor()
+	case u.addressShared:
+		u.sidecar.SetPeerProcessActive(true) // for good: its exit goes unnoticed
+	default:
+		if err := u.listen(ctx); err != nil {
+			return err
 		}
-		u.share.other(true)
-		u.side.SetPeerProcessActive(true)
-		go func() {
-			for w := range u.works {
-				u.goOn(w)
-			}
-		}()
-		go func() {
-			<-u.before.Done()
-			u.side.SetPeerInFlight(nil)
-			u.side.SetPeerProcessActive(false)
-			u.share.other(false)
-		}()
-	} else if u.held {
-		u.side.SetPeerProcessActive(true) // for good: that process does not tell when it ends
-	} else if err := u.bind(ctx); err != nil {
-		return err
 	}
 	go func() {
-		if err := u.follow(ctx); err != nil {
+		if err := u.becomeReady(ctx); err != nil {
 			u.failed <- err
 		}
 	}()
 	return nil
 }
 
-// goOn takes what the process before hands over or tells.
-func (u *upgrade) goOn(w handover.Transfer) {
-	if w.Client != nil {
-		u.front.ResumeStream(w.Payload, w.Client, w.Server)
+// followPredecessor continues the predecessor's drain, and shares resources with it until it exits.
+func (u *upgrade) followPredecessor() {
+	var state predecessorState
+	if err := json.Unmarshal(u.predecessor.State, &state); err != nil {
+		eventlog.Warn(eventHandoverMalformed, err)
+	} else if state.Draining {
+		u.lifecycle.StartDraining()
+	}
+	u.shares.setPredecessor(true)
+	u.sidecar.SetPeerProcessActive(true)
+	go func() {
+		for t := range u.transfers {
+			u.receive(t)
+		}
+	}()
+	go func() {
+		<-u.predecessor.Done()
+		u.sidecar.SetPeerInFlight(nil)
+		u.sidecar.SetPeerProcessActive(false)
+		u.shares.setPredecessor(false)
+	}()
+}
+
+// receive resumes a stream of the predecessor, or takes note of its requests in flight.
+func (u *upgrade) receive(t handover.Transfer) {
+	if t.Client != nil {
+		u.frontend.ResumeStream(t.Payload, t.Client, t.Server)
 		return
 	}
-	var e ends
-	if err := json.Unmarshal(w.Payload, &e); err != nil {
-		log.Printf("event=handover_unreadable err=%q", err)
+	var notice inFlightNotice
+	if err := json.Unmarshal(t.Payload, &notice); err != nil {
+		eventlog.Warn(eventHandoverMalformed, err)
 		return
 	}
-	u.side.SetPeerInFlight(e.Open)
+	u.sidecar.SetPeerInFlight(notice.RequestIDs)
 	select {
-	case <-u.before.Done(): // perhaps before they were named: what it had under way has ended
-		u.side.SetPeerInFlight(nil)
+	case <-u.predecessor.Done(): // it may have exited before its requests were noted
+		u.sidecar.SetPeerInFlight(nil)
 	default:
 	}
 }
 
-// follow accepts once this process can serve, or the one that did has gone, and tells that it serves.
-func (u *upgrade) follow(ctx context.Context) error {
-	if u.before != nil {
+// becomeReady accepts from the predecessor's socket once this process can serve, or the predecessor has exited; once it
+// can serve it tells the predecessor and reports that it is ready.
+func (u *upgrade) becomeReady(ctx context.Context) error {
+	if u.predecessor != nil {
 		select {
-		case <-u.side.EndpointsKnown():
-		case <-u.before.Done():
+		case <-u.sidecar.EndpointsKnown():
+		case <-u.predecessor.Done():
 		}
-		u.serve(u.before.Listener)
+		u.accept(u.predecessor.Listener)
 	}
 	select {
-	case <-u.side.EndpointsKnown():
+	case <-u.sidecar.EndpointsKnown():
 	case <-ctx.Done():
 		return nil
 	}
-	if u.held {
-		if err := u.bind(ctx); err != nil {
+	if u.addressShared {
+		if err := u.listen(ctx); err != nil {
 			return err
 		}
 	}
-	u.before.NotifyServing()
-	log.Printf("event=ready stage=%s handed_over=%t beside=%t", u.life.MarkReady(), u.before != nil, u.held)
+	u.predecessor.NotifyServing()
+	eventlog.Info(eventReady, "stage", u.lifecycle.MarkReady().String(),
+		"socket_handed_over", u.predecessor != nil, "address_shared", u.addressShared)
 	return nil
 }
 
-func (u *upgrade) bind(ctx context.Context) error {
+// listen binds the address and accepts clients from it.
+func (u *upgrade) listen(ctx context.Context) error {
 	ln, err := handover.Listen(ctx, u.id.Listen)
 	if err == nil {
-		u.serve(ln)
+		u.accept(ln)
 	}
 	return err
 }
 
-// serve accepts from ln, and offers it to a process that starts beside this one.
-func (u *upgrade) serve(ln net.Listener) {
+// accept accepts clients from ln, and offers it to a successor.
+func (u *upgrade) accept(ln net.Listener) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.ln = ln
-	go func() { u.failed <- u.front.Serve(ln) }()
+	u.listener = ln
+	go func() { u.failed <- u.frontend.Serve(ln) }()
 	socket, ok := ln.(*net.TCPListener)
 	if !ok {
 		return
 	}
 	var err error
-	u.offer, err = handover.NewServer(u.path, u.id, socket, func() any {
-		return told{Drained: u.life.Stage() == lifecycle.Draining}
-	}, u.share.heir)
-	if err != nil { // an upgrade then shares the address
-		log.Printf("event=handover_not_offered err=%q", err)
+	u.server, err = handover.NewServer(u.path, u.id, socket, func() any {
+		return predecessorState{Draining: u.lifecycle.Stage() == lifecycle.Draining}
+	}, u.shares.setSuccessor)
+	if err != nil { // a successor shares the address then
+		eventlog.Warn(eventHandoverUnavailable, err)
 	}
 }
 
-// drain answers what is taken and returns when nothing is left or ctx ends. Where another process accepts from the
-// socket this one stops at once.
-func (u *upgrade) drain(ctx context.Context) {
+// shutdown answers open requests, and returns once none is left or ctx ends. Where a successor accepts from the socket
+// this process stops accepting at once, and hands its streams over.
+func (u *upgrade) shutdown(ctx context.Context) {
 	u.mu.Lock()
-	ln, offer := u.ln, u.offer
+	ln, server := u.listener, u.server
 	u.mu.Unlock()
-	var pass frontend.StreamHandover
-	if offer.Successor() == handover.SuccessorServing {
-		pass = offer.TransferStream
-		if err := offer.Notify(ends{Open: u.side.InFlight()}); err != nil {
-			log.Printf("event=handover_not_told err=%q", err)
+	var handOver frontend.StreamHandover
+	if server.Successor() == handover.SuccessorServing {
+		handOver = server.TransferStream
+		if err := server.Notify(inFlightNotice{RequestIDs: u.sidecar.InFlight()}); err != nil {
+			eventlog.Warn(eventHandoverNotifyFailed, err)
 		}
 	}
-	offer.Close()
-	u.front.Shutdown(ctx, ln, pass)
-}
-
-// share divides what the machine grants between this process and others of the same sidecar.
-type share struct {
-	front            *frontend.Frontend
-	side             *sidecar.Sidecar
-	clients, servers int
-	memory           float64 // bytes of the heap
-
-	mu     sync.Mutex
-	others int
-	after  bool // one of them is the heir
-}
-
-// other tells of a process beside this one that comes or goes.
-func (s *share) other(comes bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if comes {
-		s.others++
-	} else {
-		s.others--
-	}
-	s.set()
-}
-
-// heir tells how far the process after this one has come.
-func (s *share) heir(h handover.SuccessorState) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.after = h != handover.NoSuccessor
-	s.set()
-}
-
-func (s *share) set() {
-	parts := 1 + s.others
-	if s.after {
-		parts++
-	}
-	s.front.SetConnectionLimit(max(1, s.clients/parts))
-	s.side.SetSocketLimit(max(1, s.servers/parts))
-	debug.SetMemoryLimit(int64(s.memory / float64(parts)))
+	server.Close()
+	u.frontend.Shutdown(ctx, ln, handOver)
 }
--- a/internal/lab/fleetscale/worker.go
+++ b/internal/lab/fleetscale/worker.go
@@ -154,11 +154,20 @@
 
 // logKinds are the lines of the program's log that tell an event.
 var logKinds = map[string]EventKind{
-	"event=fleet_lease": Leased, "event=fleet_leads": Leads, "event=fleet_epoch": Evicted, "event=adopted": Adopted,
+	"event=fleet_lease": Leased, "event=fleet_leads": Leads, "event=fleet_epoch": Evicted, "event=settings_applied": Adopted,
 }
 
+// logTime is the time of a line of package log; lines of package eventlog have theirs in the key time.
 const logTime = "2006/01/02 15:04:05.000000"
 
+// lineTime returns the time of a line, given its fields.
+func lineTime(f []string) (time.Time, error) {
+	if stamp, ok := strings.CutPrefix(f[0], "time="); ok {
+		return time.Parse(time.RFC3339Nano, stamp)
+	}
+	return time.Parse(logTime, f[0]+" "+f[1])
+}
+
 // eventOf reads a line of the program's log.
 func eventOf(line string) (e Event, ok bool) {
 	f := strings.Fields(line)
@@ -168,7 +177,7 @@
 	if e.Kind, ok = logKinds[f[2]]; !ok {
 		return e, false
 	}
-	at, err := time.Parse(logTime, f[0]+" "+f[1])
+	at, err := lineTime(f)
 	if err != nil {
 		return e, false
 	}
@@ -182,7 +191,7 @@
 			e.Which = value
 		case "out":
 			out = value == "true"
-		case "number":
+		case "settings_version":
 			e.Number, _ = strconv.ParseInt(value, 10, 64)
 		}
 	}
