--- a/internal/frontend/faults_test.go
+++ b/internal/frontend/faults_test.go
@@ -24,8 +24,8 @@
 	return l.Listener.Accept()
 }
 
-// An error of accept that passes ends nothing, and is not taken for the last connection, by which a drain would go.
-func TestAnErrorOfAcceptEndsNothing(t *testing.T) {
+// A transient error of accept doesn't end the accept loop, and isn't taken for the last connection.
+func TestTransientAcceptErrorEndsNothing(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN,
 		syscall.EPROTO, syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR,
@@ -33,8 +33,8 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			f, first := serving(t, nil)
 			first.Close()
-			eventually(t, "the end of the first listener", f.deaf.Load)
-			f.deaf.Store(false)
+			eventually(t, "the end of the first listener", f.acceptLoopDone.Load)
+			f.acceptLoopDone.Store(false)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -46,7 +46,7 @@
 			c := dial(t, ln)
 			c.SetDeadline(time.Now().Add(5 * time.Second))
 			exchange(t, c, bufio.NewReader(c), look, 503)
-			if f.deaf.Load() {
+			if f.acceptLoopDone.Load() {
 				t.Error("taken for the last connection")
 			}
 			select {
@@ -58,8 +58,7 @@
 	}
 }
 
-// How long a connection is idle is counted by the monotonic clock. Guards against a wall clock that is stepped by an hour: forward,
-// each resting connection is idle for longest; back, and none may be closed.
+// How long a connection is idle doesn't depend on the wall clock.
 func TestIdleTimesAreMonotonic(t *testing.T) {
 	f, ln := serving(t, nil)
 	used := dial(t, ln)
@@ -68,21 +67,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if at := c.idleSince.Load(); at > micros(time.Now()) || at > (48*time.Hour).Microseconds() {
+		if at := c.idleSince.Load(); at > monotonicMicros(time.Now()) || at > (48*time.Hour).Microseconds() {
 			t.Errorf("idle since %d µs: not of this process's clock", at)
 		}
 	}
 }
 
-// What a look at a client's socket says by its error: a connection that has ended in any way is left, an interrupted look and a lack on
-// this side are not.
-func TestWhatALookSays(t *testing.T) {
+// Errors of a socket that mean that its connection has ended, and errors that don't.
+func TestSocketErrorsOfADisconnect(t *testing.T) {
 	for errno, left := range map[syscall.Errno]bool{
 		syscall.ECONNRESET: true, syscall.EPIPE: true, syscall.ETIMEDOUT: true, syscall.EHOSTUNREACH: true, syscall.ENETUNREACH: true,
 		syscall.ENETDOWN: true, syscall.EHOSTDOWN: true, syscall.ECONNABORTED: true, syscall.ECONNREFUSED: true, syscall.ENOTCONN: true,
 		syscall.EAGAIN: false, syscall.EINTR: false, syscall.ENOBUFS: false, syscall.ENOMEM: false, syscall.EBADF: false,
 	} {
-		if endsConnection(errno) != left {
+		if isConnectionError(errno) != left {
 			t.Errorf("%v: left %v", errno, !left)
 		}
 	}
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -49,10 +49,10 @@
 	return c
 }
 
-// A connection that is opened and not used is closed without a word: the 408 that fasthttp writes there would be
-// read as the answer to the next request.
+// An unused connection is closed without a response: a client would take fasthttp's 408 for the response to its next
+// request.
 func TestUnusedConnectionIsClosedSilently(t *testing.T) {
-	_, ln := serving(t, func(f *Frontend) { f.server.ReadTimeout = 20 * time.Millisecond })
+	_, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = 20 * time.Millisecond })
 	if b, err := io.ReadAll(dial(t, ln)); err != nil || len(b) != 0 {
 		t.Fatalf("%q %v", b, err)
 	}
@@ -71,8 +71,8 @@
 	io.Copy(io.Discard, resp.Body)
 }
 
-// With no server known a request is refused, and the connection goes on.
-func TestRefusedWithoutServers(t *testing.T) {
+// With no server known a request is rejected, and the connection stays open.
+func TestRejectedWithoutServers(t *testing.T) {
 	_, ln := serving(t, nil)
 	c := dial(t, ln)
 	br := bufio.NewReader(c)
@@ -81,25 +81,25 @@
 	}
 }
 
-// A connection is idle between requests alone: not while one is half read, nor while it is served.
+// A connection isn't idle while a request is half read, nor while it is served.
 func TestBusyConnectionIsNotClosedAsIdle(t *testing.T) {
 	f, ln := serving(t, nil)
 	c := dial(t, ln)
 	io.WriteString(c, look[:20])
 	eventually(t, "first bytes read", func() bool { return f.count() == 1 && f.idle() == 0 })
-	f.closeIdle(-time.Hour, true)
+	f.closeIdleConns(-time.Hour, true)
 	br := bufio.NewReader(c)
 	exchange(t, c, br, look[20:], 503)
 	eventually(t, "an idle connection", func() bool { return f.idle() == 1 })
-	f.closeIdle(-time.Hour, true)
+	f.closeIdleConns(-time.Hour, true)
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Fatalf("an idle one is still open: %v", err)
 	}
 }
 
-// Silent clients hold all sockets: they make room, and a usual client is answered.
-func TestSilentClientsMakeRoom(t *testing.T) {
-	_, ln := serving(t, func(f *Frontend) { f.server.ReadTimeout, f.server.IdleTimeout = time.Hour, time.Hour })
+// Where silent clients hold all connections they are evicted, and another client is answered.
+func TestSilentClientsAreEvicted(t *testing.T) {
+	_, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout, f.httpServer.IdleTimeout = time.Hour, time.Hour })
 	for range 20 {
 		dial(t, ln)
 	}
@@ -107,10 +107,9 @@
 	exchange(t, c, bufio.NewReader(c), look, 503)
 }
 
-// The failure: clients that keep a connection after one request reached their own limit before ours, so that no new
-// connection came, none was closed, and most requests were never sent. From half of the sockets on idle ones make room.
-func TestKeptConnectionsMakeRoomFromHalfOn(t *testing.T) {
-	f, ln := serving(t, func(f *Frontend) { f.server.IdleTimeout = time.Hour })
+// From half of the connections on a new one evicts an idle one.
+func TestIdleConnectionsAreEvictedAboveTheSoftLimit(t *testing.T) {
+	f, ln := serving(t, func(f *Frontend) { f.httpServer.IdleTimeout = time.Hour })
 	for range 7 { // of 8 sockets
 		c := dial(t, ln)
 		exchange(t, c, bufio.NewReader(c), look, 503)
@@ -121,24 +120,24 @@
 	}
 }
 
-// Of idle connections a silent one goes before one that has served, however long that one has been idle.
-func TestSilentOnesGoFirst(t *testing.T) {
+// An unused connection is evicted before one that has served, however long that one has been idle.
+func TestUnusedConnectionsAreEvictedFirst(t *testing.T) {
 	f, ln := serving(t, nil)
 	used, silent := dial(t, ln), dial(t, ln)
 	exchange(t, used, bufio.NewReader(used), look, 503)
 	eventually(t, "two idle connections", func() bool { return f.idle() == 2 })
 	f.mu.Lock()
 	for c := range f.conns {
-		if at := c.idleSince.Load(); at > busy { // both idle for long, the used one longer
+		if at := c.idleSince.Load(); at > connBusy { // both idle for long, the used one longer
 			since := at - time.Minute.Microseconds()
-			if c.served.Load() {
+			if c.hasServed.Load() {
 				since -= time.Minute.Microseconds()
 			}
 			c.idleSince.Store(since)
 		}
 	}
 	f.mu.Unlock()
-	f.closeIdlest()
+	f.evictConn()
 	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("the silent one is open: %v", err)
 	}
@@ -149,13 +148,12 @@
 	exchange(t, used, bufio.NewReader(used), look, 503)
 }
 
-// A client that sends half a request is told so, on a new connection and on one that has served; what it is owed
-// within 3 s comes with room to spare.
-func TestHalfARequestIsEnded(t *testing.T) {
-	if readTimeout > 2800*time.Millisecond || idleTimeout < 2*time.Second {
+// An incomplete request is answered 408 within 3 s, on a new connection and on one that has served.
+func TestIncompleteRequestTimesOut(t *testing.T) {
+	if headTimeout > 2800*time.Millisecond || idleTimeout < 2*time.Second {
 		t.Error("an error or a close is owed within 3 s; an idle connection may be closed after 2 s")
 	}
-	_, ln := serving(t, func(f *Frontend) { f.server.ReadTimeout = 300 * time.Millisecond })
+	_, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = 300 * time.Millisecond })
 	for _, first := range []string{"", look} {
 		c := dial(t, ln)
 		br := bufio.NewReader(c)
@@ -166,8 +164,8 @@
 	}
 }
 
-// A bad request is answered and its connection closed.
-func TestBadRequestIsClosed(t *testing.T) {
+// A malformed request is answered and its connection closed.
+func TestMalformedRequestClosesTheConnection(t *testing.T) {
 	_, ln := serving(t, nil)
 	c := dial(t, ln)
 	br := bufio.NewReader(c)
@@ -178,7 +176,7 @@
 }
 
 func (f *Frontend) count() int {
-	n, _ := f.open()
+	n, _ := f.connCount()
 	return n
 }
 
@@ -187,7 +185,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if c.idleSince.Load() > busy {
+		if c.idleSince.Load() > connBusy {
 			n++
 		}
 	}
@@ -203,9 +201,8 @@
 	}
 }
 
-// Of two requests that come in pieces the one that stalls gives way, the one that goes on does not, however long it has
-// taken. Guards against slow writers cut off in a crowd: 140 of 315 were.
-func TestAWriterThatGoesOnIsSpared(t *testing.T) {
+// Of two incomplete requests the one that stalls is evicted, and the one that goes on isn't, however long it has taken.
+func TestSlowWriterIsNotEvicted(t *testing.T) {
 	f, ln := serving(t, nil)
 	slow, stalls := dial(t, ln), dial(t, ln)
 	io.WriteString(slow, look[:1])
@@ -214,44 +211,43 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
-			if c.idleSince.Load() < taken {
+			if c.idleSince.Load() < connClosing {
 				n++
 			}
 		}
 		return n
 	}
 	eventually(t, "two on their way", func() bool { return halfway() == 2 })
-	time.Sleep(2 * unusedAfter)
-	before := micros(time.Now())
+	time.Sleep(2 * unusedIdleTime)
+	before := monotonicMicros(time.Now())
 	io.WriteString(slow, look[1:2])
 	eventually(t, "its second byte read", func() bool { // by the server
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
-			if since(c.idleSince.Load()) >= before {
+			if timestampOf(c.idleSince.Load()) >= before {
 				return true
 			}
 		}
 		return false
 	})
-	f.closeIdlest()
+	f.evictConn()
 	if _, err := stalls.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the one that stalls was answered")
 	}
-	f.closeIdlest()
+	f.evictConn()
 	if n := halfway(); n != 1 {
 		t.Fatalf("%d requests on their way, want that of the slow writer", n)
 	}
 }
 
-// A request that is not whole when the time for a drain is over is answered before its connection ends. Guards against one
-// whose last bytes come just then: it would be taken and lost.
-func TestHalfARequestIsAnsweredAtTheEnd(t *testing.T) {
-	f, ln := serving(t, func(f *Frontend) { f.server.ReadTimeout = time.Minute })
+// A request that is incomplete at the end of a shutdown is answered before its connection is closed.
+func TestIncompleteRequestIsAnsweredAtShutdown(t *testing.T) {
+	f, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = time.Minute })
 	c := dial(t, ln)
 	io.WriteString(c, look[:20])
-	eventually(t, "a connection", func() bool { n, _ := f.open(); return n == 1 })
-	ctx, cancel := context.WithTimeout(context.Background(), 2*lastAnswers)
+	eventually(t, "a connection", func() bool { n, _ := f.connCount(); return n == 1 })
+	ctx, cancel := context.WithTimeout(context.Background(), 2*abortMargin)
 	defer cancel()
 	go f.Shutdown(ctx, ln, nil)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/lab/fleetscale/worker.go
+++ b/internal/lab/fleetscale/worker.go
@@ -154,13 +154,10 @@
 
 // logKinds are the events of the program's log that are handed on.
 var logKinds = map[string]EventKind{
-	"event=fleet_lease_granted": Leased, "event=fleet_leader_elected": Leads, "event=fleet_membership_changed": Evicted, "event=adopted": Adopted,
+	"event=fleet_lease_granted": Leased, "event=fleet_leader_elected": Leads, "event=fleet_membership_changed": Evicted, "event=settings_applied": Adopted,
 }
 
-// logTime is how the standard logger writes times; package eventlog writes them as RFC 3339.
-const logTime = "2006/01/02 15:04:05.000000"
-
-// eventOf reads a line of the program's log: of package eventlog, or of the standard logger.
+// eventOf reads a line of the program's log, as package eventlog writes it.
 func eventOf(line string) (e Event, ok bool) {
 	f := strings.Fields(line)
 	if len(f) < 3 {
@@ -169,10 +166,7 @@
 	if e.Kind, ok = logKinds[f[2]]; !ok {
 		return e, false
 	}
-	at, err := time.Parse(logTime, f[0]+" "+f[1])
-	if structured, found := strings.CutPrefix(f[0], "time="); found {
-		at, err = time.Parse(time.RFC3339Nano, structured)
-	}
+	at, err := time.Parse(time.RFC3339Nano, strings.TrimPrefix(f[0], "time="))
 	if err != nil {
 		return e, false
 	}
@@ -186,7 +180,7 @@
 			e.Which = value
 		case "evicted":
 			evicted = value == "true"
-		case "number":
+		case "settings_version":
 			e.Number, _ = strconv.ParseInt(value, 10, 64)
 		}
 	}
