--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Requests wait for room worthiest first; those that would wait too long are refused at once.
+// Requests wait in the order of their priority; those that would wait too long are rejected at once.
 func TestLowestPriorityIsRejectedFirst(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	for i := range 4 {
@@ -31,7 +31,7 @@
 	}
 }
 
-// The failure: a request whose client had left stood in the queue and was answered when it overflowed.
+// A queued request whose client left gets no answer when the queue overflows.
 func TestDisconnectedClientIsNotAnswered(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	var low []*trackedRequest
@@ -43,8 +43,8 @@
 	w.advance(2 * second)
 }
 
-// By hand: with equal allowances a tenant with three quarters of the traffic is over its share by a third of
-// its requests; the other never is.
+// With equal allowances a tenant with three quarters of the traffic is over its quota by a third of its
+// requests; the other never is.
 func TestOverQuotaByTraffic(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{Name: "a", Allowance: 50}, {Name: "b", Allowance: 50}}
@@ -65,8 +65,8 @@
 	}
 }
 
-// A refusal tells the client when to come back, where the settings allow that, and never after the longest
-// wait that a client follows.
+// A rejection names a time to come back, where the settings allow it, and never more than the longest that
+// clients follow.
 func TestRejectionNamesRetryAfter(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		set := testSettings()
@@ -83,8 +83,8 @@
 	}
 }
 
-// A repeat whose client has waited past the aim is answered at once where late is worth nothing.
-// Guards against repeats that keep a jam going.
+// A client's retry that comes past the latency objective is answered at once where a late answer is worth
+// nothing.
 func TestLateRetriesOfClientsAreRejected(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	w.request("first", 0, 1_200_000)
--- a/decide/attempt_budget_test.go
+++ b/decide/attempt_budget_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// withAttemptBudget are test settings with a budget of attempts.
+// withAttemptBudget are test settings with an attempt budget.
 func withAttemptBudget(floor, ratio float64, span int64) Settings {
 	set := testSettings()
 	set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio, set.Rules.AttemptBudgetWindow = floor, ratio, span
 	return set
 }
 
-// As reported from overloaded days: 27 further attempts in 10 s where 158 requests allow 26.7, most of them after servers
-// that were full, which the retry budget does not count. However an attempt ends, the next one asks the budget, the
-// reference of the world counts exactly, and a request that may not be sent again has its answer at once.
+// However an attempt ends, a retry needs a place in the attempt budget, which the workload counts exactly. A
+// request that may not be sent again has its answer at once. Most retries here follow saturated endpoints,
+// which need no retry token.
 func TestRetriesStayWithinAttemptBudget(t *testing.T) {
 	for _, end := range []Result{Saturated, ConnectFailed, Errored, Reset, TimedOut, NotSent} {
 		for _, set := range []Settings{withAttemptBudget(3, 0.15, 10*second), withAttemptBudget(0, 0.05, 5*second), withAttemptBudget(2, 0, 10*second),
@@ -41,8 +41,8 @@
 	}
 }
 
-// A new span, a longer one or one where there was none, mints nothing (the world's reference remembers everything), and
-// the same span again takes nothing away.
+// A new window, longer or where there was none, adds no attempts (the workload remembers all of them), and
+// the same window again takes none away.
 func TestAttemptBudgetOverSettingsUpdates(t *testing.T) {
 	w := newWorkload(t, withAttemptBudget(4, 0.2, 2*second), testEndpoints(6)...)
 	for i := range 400 {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Two processes of one upgrade have one floor between them: the new one counts on its own requests alone, until the old
-// one's attempts have left the span.
+// Two processes of an upgrade have one fixed part of the budget between them: the new one goes by its own
+// requests alone until the old one's attempts have left the window.
 func TestOneBudgetFloorForTwoProcesses(t *testing.T) {
 	w := newWorkload(t, withAttemptBudget(3, 0.1, 10*second), testEndpoints(4)...)
 	w.b.SetPeerProcessActive(w.now, true)
@@ -94,7 +94,7 @@
 	}
 }
 
-// A clock that steps back neither forgets nor mints; the books hold their size.
+// A clock that steps back neither forgets retries nor adds attempts, and the counts keep their size.
 func TestAttemptBudgetClock(t *testing.T) {
 	var n attemptBudget
 	n.setWindow(10 * second)
--- a/decide/attempt_timeout_test.go
+++ b/decide/attempt_timeout_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// The failure: time-outs at a multiple of the latency mark fed a jam, as late work goes on at the servers.
+// An attempt whose retry would be late gets all the time that is left.
 func TestNoShortTimeoutWhenRetryWouldBeLate(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	c := w.b.classes[0]
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkRequest is one request taken and answered at a balancer of 800 before 250 servers, with keys and without.
+// BenchmarkRequest is one request of a balancer among 800 before 250 endpoints, with key affinity and
+// without.
 func BenchmarkRequest(b *testing.B) {
 	for _, warm := range []bool{false, true} {
 		b.Run(fmt.Sprint("warm keys ", warm), func(b *testing.B) {
--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Live weights give the size by their largest, at the median of a kind; wild ones change nothing.
+// Live capacities count with their peak, at the median of a kind of machine; absurd ones change nothing.
 func TestCapacityFromLivePeaks(t *testing.T) {
 	set := testSettings()
 	set.CapacityListed, set.CapacityLive = true, true
@@ -21,9 +21,9 @@
 	}
 }
 
-// The failure: at sohar-routes slow machines are listed at the same size as fast ones, and balancers of five requests a
-// second learned it too late. By hand: paces of 100, 100 and 400 ms have a mean of 200, so sizes are as 2, 2 and 0.5;
-// one that tells nothing counts as its kind. Reports that make no sense change nothing.
+// Endpoints listed alike differ in capacity by the latency that they report: 100, 100 and 400 ms have a mean
+// of 200, so capacities are as 2, 2 and 0.5. One that reports none counts as its kind. Absurd reports change
+// nothing.
 func TestCapacityFollowsReportedLatency(t *testing.T) {
 	list := testEndpoints(4)
 	list[2].MachineKind, list[3].MachineKind = "old", "old"
--- a/decide/cluster_test.go
+++ b/decide/cluster_test.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// cluster hosts many balancers before one fleet that answers everything after the same time. It is no model of
-// servers: it counts what all balancers together send to each.
+// cluster hosts many balancers before one set of endpoints that answer everything after the same time. It is
+// no model of endpoints: it counts what all balancers together send to each.
 type cluster struct {
 	now      int64
 	bs       []*Balancer
@@ -55,7 +55,7 @@
 
 func (noActions) SendGossip(int, []byte) {}
 
-// clusterActions is one balancer's Actions: only its sends count.
+// clusterActions are one balancer's Actions: only its sends count.
 type clusterActions struct {
 	noActions
 	c *cluster
@@ -78,7 +78,7 @@
 	}
 }
 
-// newCluster makes n balancers; skew 0 spreads traffic evenly, more gives the first ones most of it.
+// newCluster makes n balancers; skew 0 spreads traffic evenly, more gives most of it to the first ones.
 func newCluster(n int, set Settings, skew float64, servers []Endpoint) *cluster {
 	return newSeededCluster(0, n, set, skew, servers)
 }
@@ -108,7 +108,7 @@
 	return m.b
 }
 
-// run plays traffic of so many requests a second; each attempt is answered after 60 ms.
+// run plays so many requests a second; each attempt is answered after 60 ms.
 func (c *cluster) run(seconds, perSecond int) {
 	for end := c.now + int64(seconds)*second; c.now < end; {
 		c.step(perSecond * clusterTick / int(second))
@@ -150,7 +150,7 @@
 	}
 }
 
-// sendRequest hands a request to a balancer.
+// sendRequest gives a request to balancer i.
 func (c *cluster) sendRequest(i int) {
 	c.requests++
 	r := Request{ID: fmt.Sprint("r", c.requests), Tenant: -1, TimeLeft: 2 * second}
@@ -160,7 +160,8 @@
 	c.bs[i].OnRequest(c.now, r)
 }
 
-// sendsToStartingServer tells all balancers of a server that starts now, and returns the times of what they send it in some seconds.
+// sendsToStartingServer lists an endpoint that starts now, and returns the times of what is sent to it in
+// some seconds.
 func (c *cluster) sendsToStartingServer(seconds, perSecond int) (times []int64) {
 	c.onSend = func(id string) {
 		if id == "cold" {
--- a/decide/concurrency_limit_test.go
+++ b/decide/concurrency_limit_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// The failure: when a zone fell silent, attempts at its servers held all the room of a balancer until they timed out,
-// and requests for servers at ease were refused.
+// Attempts at endpoints that don't respond take no capacity of the others.
 func TestUnresponsiveEndpointsTakeNoCapacity(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
 	w.b.pool.limit = 0.3
@@ -27,9 +26,8 @@
 	}
 }
 
-// The failure: where some servers of nine were throttled, a busy balancer held back two thirds of what the others would
-// have answered in a twentieth of the aim. Many answers a server move its own limit in time, so the one bound does not
-// act there; and a full server tells of itself alone.
+// A busy balancer goes by the limits of its endpoints and not by the pool limit; a saturated endpoint doesn't
+// lower the pool limit.
 func TestPoolLimitBindsQuietBalancers(t *testing.T) {
 	for perSecond, want := range map[float64]int{0.5: 1, 20: 4} {
 		w := newWorkload(t, testSettings(), testEndpoints(10)...)
@@ -45,9 +43,8 @@
 	}
 }
 
-// The failure: at a busy balancer forty answers that came late together left it two parts in a thousand of its room, and
-// two sidecars of a small fleet refused what their servers could do. By hand: with n out each cuts by 0.6/n, or by 0.15
-// with four or less, from forty down to one all together to 0.13 of it.
+// Late answers that come together leave a busy balancer a part of its pool limit: with n in flight each
+// lowers it by 0.6/n, or by 0.15 with four or less, from forty down to one to 0.13 of it.
 func TestBurstOfLateAnswersLeavesCapacity(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
 	w.request("quick", 0, 2*second) // so that it is known how quick answers are at ease
@@ -68,7 +65,8 @@
 	assertNear(t, "part of the room kept", w.b.pool.limit/before, 0.13, 0.03)
 }
 
-// A late answer cuts what may be out at all servers together, at once; early ones that find no room bring it back.
+// A late answer lowers what may be in flight at all endpoints together, at once; early ones that find the
+// limit in use raise it.
 func TestLateAnswersLowerPoolLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
 	_, before := w.b.poolCapacity(w.now)
@@ -86,8 +84,8 @@
 	assertNear(t, "density after five early ones", w.b.pool.limit, 0.1*math.Pow(1.05, 5), 1e-9)
 }
 
-// The failure: many small balancers each kept one attempt at every server and together filled the fleet;
-// every answer was late for good. Limits fall below one, and what is out with them.
+// Where every answer is late, limits fall below one, and what is in flight falls with them: many small
+// balancers with one attempt at every endpoint would keep them overloaded.
 func TestLateAnswersLowerInFlight(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(20)...)
 	most := 0
@@ -108,8 +106,8 @@
 	}
 }
 
-// The failure: attempts that fell silent one by one at all servers cut every limit, though all else was answered early, and
-// a third of the requests was refused. In a jam answers are late as well: there a time-out still cuts.
+// Attempts that time out one by one at endpoints whose other answers are early cut no limit; where answers
+// are late, a timeout does.
 func TestLoneTimeoutKeepsLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	s, c := w.b.endpoints[0], w.b.classes[0]
@@ -129,8 +127,7 @@
 	}
 }
 
-// The failure: nine new balancers allowed themselves four attempts at each server and flooded the fleet in the
-// first seconds. By hand: 8 for all, a ninth of it each.
+// Of the initial limit of 8 for all, each of nine balancers that share an endpoint has a ninth.
 func TestInitialLimitsAreShared(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 9
@@ -138,9 +135,8 @@
 	assertNear(t, "start limit", w.b.endpoints[0].concurrencyLimit, 8.0/9, 1e-9)
 }
 
-// The failure: when four servers in ten left, quiet balancers, each of whose limits an answer moved only now and then,
-// went on filling the rest: 499 answers came within the aim and 6,700 late. By hand: 36 servers do 1,200 a
-// second of the 1,600 asked for, so a fleet that holds back what is over can be early with nearly all of those.
+// Quiet balancers together send less when four of ten endpoints leave, so that nearly all answers are early:
+// 36 endpoints do 1,200 a second of the 1,600 asked for.
 func TestQuietBalancersSendLessWhenEndpointsLeave(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true // each balancer meets all servers, as keys' homes
@@ -162,7 +158,8 @@
 	}
 }
 
-// A server that turns away early and answers in time keeps its limit; where further attempts are rationed it does not.
+// An endpoint that rejects early and answers in time keeps its limit, unless an attempt budget makes retries
+// scarce.
 func TestSaturationAtAnEarlyEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		span int64
--- a/decide/congestion_test.go
+++ b/decide/congestion_test.go
@@ -4,8 +4,7 @@
 	"testing"
 )
 
-// The failure: a busy balancer's jam doubled its idea of uncrowded within seconds, by its many answers, and
-// then took the jam for normal. Only time forgets it now, 1% a second.
+// A congestion with many late answers raises the baseline by 1% a second and no faster.
 func TestCongestionDoesNotRaiseBaseline(t *testing.T) {
 	c := &classState{Class: Class{LatencyObjective: 400_000}, latencyP95: 100_000, latencyMedian: 50_000, latencyP90: 100_000, baselineP90: 100_000}
 	for range 5000 {
@@ -18,8 +17,8 @@
 	assertNear(t, "uncrowded mark after a second", w.b.classes[0].baselineP90/before, 1.01, 1e-9)
 }
 
-// The failure: where servers tell nothing of their load, answers past 0.6 of the aim came from single slow servers, and a
-// third was refused for them (rough-1 of tas-sessions-later 0.85 to 0.71).
+// Where endpoints report no load, answers up to 0.75 of the objective are early: single slow endpoints would
+// have requests rejected.
 func TestEarlyShareWithoutLoadReports(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	c := w.b.classes[0]
--- a/decide/endpoint_list_test.go
+++ b/decide/endpoint_list_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Rule 3: draining, removed and unlisted servers get nothing, however they are told.
+// Rule 3: draining, removed and unlisted endpoints get nothing, however the list says so.
 func TestDrainingEndpointsGetNothing(t *testing.T) {
 	for name, tell := range map[string]func(*workload, []Endpoint){
 		"draining": func(w *workload, l []Endpoint) { l[0].Phase = Draining; w.sendEndpoints(false, l[0]) },
@@ -32,7 +32,7 @@
 	}
 }
 
-// The failure: what was known of servers that are gone was kept for good.
+// What is known of endpoints that left long ago is dropped.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	for i := range 50 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// A list that grows from one server to a thousand, repeats entries, shrinks to none and comes back neither panics nor
-// starves: whatever is listed is used, at any size.
+// A list that grows from one endpoint to a thousand, repeats entries, shrinks to none and comes back is used
+// in full at any length.
 func TestListOfAnyLength(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 500
@@ -66,8 +66,8 @@
 	}
 }
 
-// A number of balancers that is absent, or wrong by a factor of ten either way, still keeps rule 4 for all together
-// and serves what comes.
+// A balancer count that is absent, or wrong by a factor of ten, still keeps rule 4 for all together, and
+// requests are served.
 func TestWrongBalancerCount(t *testing.T) {
 	for _, told := range []int{0, 5, 500} {
 		set := testSettings()
@@ -88,7 +88,7 @@
 	}
 }
 
-// An infinite or absurd listed size counts as one: it would leave all others without a part.
+// An infinite or absurd listed capacity counts as one: it would leave nothing to the others.
 func TestAbsurdCapacityCountsAsOne(t *testing.T) {
 	set := testSettings()
 	set.CapacityListed = true
--- a/decide/endpoint_poll_test.go
+++ b/decide/endpoint_poll_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// After a failed, refused or given-up call the next begins a turn after it at most, however large the fleet and however often
-// it failed: 4.5 of the 6 s after which a change counts as told, which leaves 1.5 s for the connection and the answer.
+// After a failed poll the next begins within 4.5 s of its start, however large the fleet and however often it
+// failed. That leaves 1.5 s of the 6 s in which a change has to be in force.
 func TestNextPollStartsWithinMaxDelay(t *testing.T) {
 	for _, balancers := range []int{1, 30, 300, 18_000} {
 		for _, waited := range []int64{0, 1000, second, 2_500_000, 4_400_000, 30 * second} {
@@ -27,9 +27,8 @@
 	}
 }
 
-// What a service gets at its return from a fleet whose watches all ended at once: n/(0.9 x turn) calls a second at most, or those
-// of its slots, in each window but for chance, so that one which takes as many is overbooked at no time. Guards against asking
-// sooner by asking together, at the failure or in step later.
+// A list service that returns to a fleet whose polls all failed at once gets n/(0.9 x delay) calls a second
+// at most, or those of its slots, in each window but for chance.
 func TestFailedPollsOfAFleetAreSpread(t *testing.T) {
 	const window, span = second / 2, 60 * second
 	for _, n := range []int{80, 300, 3000} {
@@ -74,8 +73,8 @@
 	}
 }
 
-// listService is a list service that works through calls in turn, also through those that it has given up, and turns calls
-// away at once while its queue is full.
+// listService works through polls in turn, also through those that were given up, and rejects polls while its
+// queue is full.
 type listService struct {
 	now     int64
 	callers []*pollingHost
@@ -89,7 +88,7 @@
 	dead bool
 }
 
-// pollingHost is one balancer's Actions before a queue: only its asks and timers count.
+// pollingHost is one balancer's Actions before a listService: only its polls and timers count.
 type pollingHost struct {
 	noActions
 	q      *listService
@@ -108,7 +107,7 @@
 	c.q.waiting = append(c.q.waiting, &pollCall{from: c, at: c.q.now})
 }
 
-// run lets time pass before a service that takes so many calls a second and holds so many.
+// run lets time pass before a service that takes so many polls a second and queues so many.
 func (q *listService) run(seconds int64, perSecond float64, holds int) {
 	const tick, patience = 10_000, 2 * second
 	for end := q.now + seconds*second; q.now < end; q.now += tick {
@@ -139,9 +138,8 @@
 	}
 }
 
-// The failure: 80 balancers that started together asked for the list at once, most were given up after 2 s, and all
-// came back within 0.2 s, again and again: over twenty seconds the list service worked through calls that it had
-// given up, and served none. By hand: it takes 15 a second, so 80 take 5.3 s where none is wasted.
+// 80 balancers that start together are all served: a service of 15 polls a second takes 5.3 s for them if
+// none is wasted on a poll that was given up.
 func TestFleetThatPollsTogetherIsServed(t *testing.T) {
 	for _, known := range [][]Endpoint{testEndpoints(60), nil} {
 		q := &listService{now: 1000 * second}
--- a/decide/exp3_test.go
+++ b/decide/exp3_test.go
@@ -13,13 +13,13 @@
 	}
 }
 
-// newPlainRequest is a request of the first class that has done nothing yet.
+// newPlainRequest is a request of the first class without attempts.
 func newPlainRequest(b *Balancer) *request {
 	c := b.classes[0]
 	return &request{class: c, classRules: c.Class, maxAttempts: b.settings.Limits.MaxAttempts}
 }
 
-// The design's formula by hand: weights 1, 2, 1 give (1-0.07)*2/4 + 0.07/3 = 0.488333.
+// The paper's formula: weights 1, 2, 1 give (1-0.07)*2/4 + 0.07/3 = 0.488333.
 func TestDrawProbability(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	w.b.knownEndpoints["s1"].setLogWeight(math.Log(2))
@@ -35,7 +35,7 @@
 	}
 }
 
-// A server of listed size 4 beside two of size 1 counts as four arms of six: means scale to 2, 0.5, 0.5.
+// An endpoint of listed capacity 4 beside two of 1 counts as four arms of six: scaled to 2, 0.5, 0.5.
 func TestCapacityCountsAsArms(t *testing.T) {
 	set := testSettings()
 	set.CapacityListed = true
@@ -52,7 +52,7 @@
 	t.Error("the big server was never drawn")
 }
 
-// By hand: a payoff of 1 drawn with p 0.5 among 3 adds 0.07*1/(0.5*3) = 0.046667; one of 0 adds nothing.
+// A payoff of 1 drawn with probability 0.5 among 3 adds 0.07*1/(0.5*3) = 0.046667; one of 0 adds nothing.
 func TestUpdateWeightOfDrawnEndpoint(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	s := w.b.endpoints[0]
@@ -65,9 +65,8 @@
 	}
 }
 
-// The failure: a quiet balancer of a large fleet forgot what it had learned before the next answers came. By hand: arms
-// that give half an answer a second move a weight three times as far, ones that give 2.5 twice, ones that give 10 as
-// the paper has it.
+// Arms that give half an answer a second move a weight three times as far as the paper has it, ones that give
+// 2.5 twice, ones that give 10 as far.
 func TestQuietBalancersLearnFaster(t *testing.T) {
 	for perSecond, want := range map[int]float64{2: 3 * gamma, 10: 2 * gamma, 40: gamma} {
 		w := newWorkload(t, testSettings(), testEndpoints(4)...)
@@ -82,9 +81,8 @@
 	}
 }
 
-// By hand: with an uncrowded mark of 100 ms, answers within 60 ms earn all and one of 120 ms earns half, long before the
-// aim of 400 ms; the failure: machines that took six times as long as others in a crowded fleet kept their part.
-// A request whose aim is stretched to twice the class's may take twice as long.
+// With a baseline of 100 ms, answers within 60 ms earn all and one of 120 ms earns half, long before the
+// objective of 400 ms. A request whose objective is extended to twice the class's may take twice as long.
 func TestPayoff(t *testing.T) {
 	class := &classState{Class: Class{LatencyObjective: 400_000}, baselineP90: 100_000}
 	c := &request{latencyObjective: 400_000, class: class, classRules: class.Class}
@@ -132,8 +130,8 @@
 	}
 }
 
-// The design: log-weights keep 0.9 of their distance from the mean each second. A quiet balancer forgets by
-// its answers: by hand, two answers at two servers keep 0.98, none keep all, a thousand no less than 0.9.
+// Log-weights keep 0.9 of their distance from the mean each second. A quiet balancer's decay by its answers:
+// two answers at two endpoints keep 0.98, none keep all, a thousand no less than 0.9.
 func TestWeightsDecay(t *testing.T) {
 	for answers, keep := range map[int]float64{0: 1, 2: 0.98, 1000: 0.9} {
 		w := newWorkload(t, testSettings(), testEndpoints(2)...)
@@ -176,8 +174,7 @@
 	}
 }
 
-// The failure: many balancers took turns at a jammed server, one attempt each, and kept it jammed. By hand: a
-// limit of 0.1 counts as a tenth of an arm, so p = 0.93*0.1/1.1 + 0.07/2 = 0.119545.
+// A limit of 0.1 counts as a tenth of an arm, so p = 0.93*0.1/1.1 + 0.07/2 = 0.119545.
 func TestLimitBelowOneLowersDrawWeight(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	jammed := w.b.endpoints[0]
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// gossipLink carries the words of balancers to one another, at once.
+// gossipLink carries the messages of balancers to each other at once.
 type gossipLink struct {
 	noActions
 	from int
@@ -28,6 +28,7 @@
 	}
 }
 
+// gossipingBalancers know of each other and of the endpoints.
 func gossipingBalancers(t *testing.T, n, servers int) (bs []*Balancer, now *int64, lost *bool, sent *int) {
 	t.Helper()
 	bs, now, lost, sent = make([]*Balancer, n), new(int64), new(bool), new(int)
@@ -46,8 +47,7 @@
 	return bs, now, lost, sent
 }
 
-// What one sends, those that share the server count, until it ends. Guards against a pool in which each sees its own
-// few attempts and all choose the same server.
+// What one balancer sends counts at those that share the endpoint until it ends.
 func TestGossipCountsAllInFlight(t *testing.T) {
 	bs, now, _, _ := gossipingBalancers(t, 3, 3)
 	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: second})
@@ -69,8 +69,8 @@
 	}
 }
 
-// A count whose end is lost is forgotten after a second; where no word comes at all, each takes the others to hold
-// what it holds itself. Guards against a collapse while all messages are lost.
+// A count whose end is lost is forgotten after a second. Where no message comes at all, each takes the others
+// to have as much in flight as itself.
 func TestLostGossip(t *testing.T) {
 	bs, now, lost, _ := gossipingBalancers(t, 4, 2)
 	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: 3 * second})
@@ -92,8 +92,8 @@
 	}
 }
 
-// Words that are none, damaged, of another version, stale, doubled, from oneself or nobody, or about servers that are
-// not listed change nothing.
+// Messages that are empty, damaged, of another version, old, repeated, from the balancer itself or from
+// nobody, or about endpoints that aren't listed, change nothing.
 func TestInvalidGossipIsIgnored(t *testing.T) {
 	bs, now, _, _ := gossipingBalancers(t, 3, 3)
 	b := bs[0]
@@ -151,7 +151,7 @@
 	}
 }
 
-// A word is heard once, and not after a newer one.
+// A message counts once, and not after a newer one.
 func TestOldGossipIsIgnored(t *testing.T) {
 	bs, now, _, _ := gossipingBalancers(t, 2, 1)
 	s := bs[1].endpoints[0]
@@ -168,7 +168,7 @@
 	}
 }
 
-// No balancer without leave sends or hears a word.
+// Without Limits.Gossip no balancer sends or handles a message.
 func TestNoGossipUnlessEnabled(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	w.traffic(50, func(*trackedAttempt) (Result, bool) { return Succeeded, true })
@@ -178,8 +178,8 @@
 	}
 }
 
-// A word goes to no more balancers than the CPU of its receivers bears: by hand 8 ms / 0.4 ms = 20, 24 at the most; and
-// to no more than 16,000 for all balancers together: of 2,000 each to 8.
+// A message goes to no more balancers than the CPU of its receivers allows: 8 ms / 0.4 ms = 20, 24 at the
+// most; and to no more than 16,000 for all balancers together: of 2,000 each to 8.
 func TestGossipFanout(t *testing.T) {
 	for cpu, want := range map[int64]int{0: 24, 8000: 20, 500_000: 24, 1: 1} {
 		set := testSettings()
@@ -195,8 +195,7 @@
 	}
 }
 
-// A server that has been silent for a latency mark gets nothing new. Guards against attempts that follow one lost on a
-// dead connection, and against hung servers.
+// An endpoint that has not answered for the p95 latency gets nothing new.
 func TestUnresponsiveEndpointsGetNothingWithGossip(t *testing.T) {
 	set := testSettings()
 	set.Limits.Gossip = true
@@ -208,8 +207,7 @@
 	}
 }
 
-// Of eight who share a server and hear that it has room, about two send what waits. Guards against a herd: at an
-// overloaded fleet each freed place was taken by all who waited, and a third of what was sent came late.
+// Of eight that share an endpoint and hear that it has capacity, about two dispatch their queue.
 func TestFewDispatchOnGossip(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
--- a/decide/idempotency_test.go
+++ b/decide/idempotency_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Rule 2, every class with every outcome of its first attempt: what may follow. The world checks each
-// action against its own books; here the wanted kind of action is named too.
+// Rule 2, every class with every result of its first attempt. The workload checks each action by its own
+// records; here the wanted kind of action is named too.
 func TestRepeatIsSafeAfterEachResult(t *testing.T) {
 	never := []Result{Saturated, ConnectFailed, NotSent}
 	maybe := []Result{Errored, TimedOut, Reset, Cancelled}
@@ -30,7 +30,8 @@
 	}
 }
 
-// Rule 2: past its window a keyed request that may have run is neither sent again nor refused.
+// Rule 2: past its window a request with an idempotency key that may have run is neither sent again nor
+// rejected.
 func TestNoRetryPastDedupWindow(t *testing.T) {
 	for class := 1; class <= 3; class++ {
 		w := newWorkload(t, testSettings(), testEndpoints(6)...)
@@ -44,7 +45,7 @@
 	}
 }
 
-// Rule 2: with its group drained away, a keyed request that may have run fails at once.
+// Rule 2: with all of its scope draining, a request with an idempotency key that may have run fails at once.
 func TestNoRetryOutsideDedupScope(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	r := w.request("a", 2, 2*second)
@@ -57,8 +58,8 @@
 	}
 }
 
-// A request that another balancer may have sent is sent again only where that has no second effect, and what is sent counts
-// as beyond its first attempt. Guards against a takeover that runs work twice or mints attempts.
+// A request that another balancer may have sent is sent only where that has no second effect, and the send
+// counts as one beyond its first.
 func TestPriorAttemptOfAnotherBalancer(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/decide/idle_connections_test.go
+++ b/decide/idle_connections_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What got no answer on an idle connection closes it; after two of them others as long idle are closed before a send.
-// Guards against connections dropped unseen, a payout sent on one is lost, and against handshakes for slow answers.
+// An attempt without an answer on an idle connection closes it; after two of them connections idle for as
+// long are closed before a send. Slow answers close none.
 func TestDeadConnectionsAreClosed(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	served := func(id string) { w.endAttempt(w.request(id, 0, 2*second).attempts[0], Succeeded) }
--- a/decide/key_affinity_test.go
+++ b/decide/key_affinity_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Every balancer with the same list sends a key to the same home, each with its own seed.
+// Every balancer with the same list prefers the same replica for a key, whatever its seed.
 func TestPreferredReplicasAgree(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
@@ -25,8 +25,7 @@
 	}
 }
 
-// The failure: a home weighed 300 times a server, which three arms never outweighed: a slow home kept its keys at every
-// balancer. By hand, ten equal arms of which one is home: it weighs 20 beside 9, p = 0.93*20/29 + 0.07/10 = 0.648379.
+// Of ten equal endpoints the preferred one weighs 20 beside 9, p = 0.93*20/29 + 0.07/10 = 0.648379.
 func TestPreferredReplicaWeighsTwiceTheSubset(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
@@ -43,9 +42,8 @@
 	t.Error("the home was never drawn")
 }
 
-// The failure: at 687 balancers a key asked for in a tenth of all requests had one home, which all of them flooded.
-// By hand: with a tenth of 2,000 requests at 50 servers it gets 1 + 2*50*200/2020 = 10 homes; a key asked for twice
-// keeps one, and balancers agree on them.
+// A key with a tenth of 2,000 requests at 50 endpoints gets 1 + 2*50*200/2020 = 10 replicas; a key asked for
+// twice has one, and balancers agree on them.
 func TestHotKeyHasSeveralReplicas(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
--- a/decide/key_outliers_test.go
+++ b/decide/key_outliers_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// driveKeyedTraffic plays one request in four for the key "lock", whose attempts end as given after so long, among others that are
-// answered in 10 ms, and counts what of each was refused without an attempt.
+// driveKeyedTraffic sends one request in four for the key "lock", whose attempts end as given after so long,
+// among others that are answered in 10 ms, and counts what of each was rejected without an attempt.
 func driveKeyedTraffic(w *workload, n int, end Result, after int64) (lock, others int) {
 	var all []*trackedRequest
 	for i := range n {
@@ -37,9 +37,8 @@
 	return lock, others
 }
 
-// The failures: a lock behind all servers, clients that read for a second and requests that any server finds in error
-// held the places of all others, and servers were suspended and limits cut for them. The key's requests are thinned, no
-// other is refused, no server is suspended, and it ends when the answers are good again.
+// Requests of a key that fails at every endpoint, by a lock, a slow client or an invalid request, are partly
+// rejected. No other request is, no endpoint is ejected, and it ends when the answers are good again.
 func TestKeyThatFailsEverywhereIsAnOutlier(t *testing.T) {
 	for _, c := range []struct {
 		end   Result
@@ -63,7 +62,7 @@
 	}
 }
 
-// Where everything is as bad no key is to blame: servers are.
+// Where all keys fail alike none is an outlier: endpoints are at fault.
 func TestEndpointFaultsMakeNoKeyAnOutlier(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(6)...)
 	for i := range 600 {
@@ -82,7 +81,7 @@
 	}
 }
 
-// A key that is to blame may hold one of the few answers held for clients no longer than half its aim: the others wait for it.
+// A request of an outlier key may hold one of few response buffers for half its objective at most.
 func TestOutlierKeysGetShortTimeouts(t *testing.T) {
 	for held, want := range map[int]int64{0: 2 * second, 1: 200_000} {
 		set := testSettings()
--- a/decide/load_reports_test.go
+++ b/decide/load_reports_test.go
@@ -9,8 +9,8 @@
 	return &LoadReport{InFlight: held, Queue: queue, Busy: -1, Latency: latency, Rate: -1, FailRate: -1}
 }
 
-// A server that tells that it holds three times the mean weighs a quarter of what it would at the mean: the root of
-// ((1+1)/(3+1)) to the power of 2. What waits counts by its root, so less.
+// An endpoint that reports three times the mean in flight weighs a quarter of what it would at the mean:
+// ((1+1)/(3+1)) squared. A queue counts by its root, so less.
 func TestDrawWeightFollowsReportedInFlight(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	w.b.loadReports.meanInFlight = 1
@@ -23,8 +23,8 @@
 	assertNear(t, "ease of one where three wait", w.b.loadWeight(q), 1, 1e-9)
 }
 
-// Probes go to those drawn from, where servers tell of themselves to probes alone, and never past what their price
-// allows: two thousandths of the goal. Each row is checked over two minutes.
+// Health checks go to the subset, where load is reported to them alone, and cost two thousandths of the
+// objective at most, in each row over two minutes.
 func TestHealthChecksKeepToTheirPrice(t *testing.T) {
 	for _, c := range []struct {
 		pull, allowed bool
--- a/decide/locality_test.go
+++ b/decide/locality_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// By hand: of four equal servers in four zones, where crossing has a price, the own one weighs 5 beside 3:
-// p = 0.93*5/8 + 0.07/4 = 0.59875. Without a price all are equal.
+// Of four equal endpoints in four zones, where crossing has a price, the own one weighs 5 beside 3: p =
+// 0.93*5/8 + 0.07/4 = 0.59875. Without a price all are equal.
 func TestOwnZoneWeighsMoreWhenCrossingIsPriced(t *testing.T) {
 	for price, want := range map[float64]float64{0: 0.25, 0.03: 0.93*5/8 + 0.07/4} {
 		set := testSettings()
--- a/decide/outlier_detection_test.go
+++ b/decide/outlier_detection_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The failure: a dead process turned attempts away at once, so it always had room and took them all.
+// A dead process that refuses connections at once, and so always has capacity, gets little.
 func TestDeadEndpointIsEjected(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	dead := w.countRefusedConnections(500, 100_000, func(id string) bool { return id == "s0" })
@@ -15,7 +15,8 @@
 	}
 }
 
-// A hung server is suspended after two time-outs in a row; a trial brings it back, as cold, once it answers.
+// A hung endpoint is ejected after two timeouts in a row. A trial restores it, in slow start, once it
+// answers.
 func TestHungEndpointIsEjectedAndRestored(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	hung := true
@@ -39,7 +40,7 @@
 	}
 }
 
-// The failure: servers that fail one class were suspended for all, and the other class lost them too.
+// An endpoint that fails one class still serves the others.
 func TestErrorsEjectFromOneClass(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	failed, served := 0, 0
@@ -68,7 +69,7 @@
 	}
 }
 
-// failRepeatedly suspends a server for every class.
+// failRepeatedly ejects an endpoint from every class.
 func failRepeatedly(b *Balancer, now int64, s *endpointState, cause Result) {
 	for i := range s.ejections {
 		s.ejections[i].lastFailure = cause
@@ -76,7 +77,7 @@
 	}
 }
 
-// When nearly all look ill the cause is shared: a quarter of the servers stays in the draw.
+// When nearly all fail there is a common cause: a quarter of the endpoints stays.
 func TestCommonCauseDoesNotEjectAll(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(8)...)
 	w.traffic(200, func(*trackedAttempt) (Result, bool) { return Errored, true })
@@ -91,8 +92,8 @@
 	}
 }
 
-// The failure: a server never asked counted as silent since the clock began, so that one failure and a
-// good trial made it cold, with one attempt a window, at every small balancer.
+// An endpoint never used counts as heard of when it was listed, so that one failure and a good trial put it
+// in no slow start.
 func TestEndpointNeverUsedIsNotSilent(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	s := w.b.endpoints[0]
@@ -104,8 +105,8 @@
 	}
 }
 
-// The failure: with a zone lost, the floor of servers that stay in the draw kept a dead one in it, and that
-// one took every retry.
+// With a zone lost, all of its endpoints are ejected while others answer: one that stayed would get every
+// retry.
 func TestLostZoneIsEjectedCompletely(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
 	refused := w.countRefusedConnections(600, 20_000, func(id string) bool { return id != "s0" })
@@ -114,7 +115,7 @@
 	}
 }
 
-// The failure: a server back from silence kept the limit that its failures had cut, and regrew 2% an answer.
+// An endpoint restored after silence is in slow start with the initial limit.
 func TestRestoredAfterSilenceIsInSlowStart(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	s := w.b.endpoints[0]
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What servers find faulty fails at once: no server is blamed, and no retry is spent on it.
+// A request that an endpoint finds invalid fails at once, without a retry and without blame to the endpoint.
 func TestInvalidRequestFailsAtOnce(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	before := w.b.retryBudget.tokens
@@ -34,8 +34,8 @@
 	}
 }
 
-// By hand: an aim of 400 ms stretched by 3 times the work hinted: 100 ms of work 700 ms, 900 ms of work no more than the
-// deadline of 2 s, none the class's own.
+// An objective of 400 ms extended by 3 times the work hint: 100 ms of work 700 ms, 900 ms of work no more
+// than the deadline of 2 s, without a hint the class's own.
 func TestObjectiveGrowsWithWorkHint(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].ObjectivePerWork = 3
@@ -49,8 +49,7 @@
 	}
 }
 
-// An answer that has begun holds no place: its server has done its work. Guards against requests refused for want of
-// room while slow clients take long answers (573 of 1,200 in 5 s with 88 out, most of them such).
+// An answer that has started takes no capacity: the work of its endpoint is done.
 func TestStartedStreamTakesNoCapacity(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	r := w.request("long", 0, 2*second)
@@ -70,8 +69,8 @@
 	}
 }
 
-// A body that is not held gets all the time that is left, and no second attempt once it has gone; one that never left is
-// tried again.
+// A request whose body is not buffered gets all the time that is left, and no retry once part of the body was
+// sent; if none was it is retried.
 func TestUnbufferedBodyIsSentOnce(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	once := func(id string, spent bool) *trackedRequest {
@@ -96,7 +95,7 @@
 	}
 }
 
-// Latencies count in parts of what the work hinted makes likely: half of the time goes by it.
+// Latencies are compared by what the work hint makes likely: half of the time is in proportion to the work.
 func TestWorkFactor(t *testing.T) {
 	c := newClassState(Class{LatencyObjective: second})
 	assertNear(t, "without a hint", c.workFactor(0), 1, 0)
--- a/decide/retry_budget_test.go
+++ b/decide/retry_budget_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// A scarce attempt goes where it helps: once attempts after errors have never helped, the few left are not spent on
-// them, but are on full servers, where others had room; a request of more value passes where a mean one does not; and
-// without a budget, or with plenty left, all are tried.
+// Once retries after errors have never helped, scarce ones are not spent on them, but are after saturated
+// endpoints, where others had capacity. A request of high priority gets one where a mean one does not.
+// Without a budget, or with plenty left, all retry.
 func TestScarceRetriesGoWhereTheyHelp(t *testing.T) {
 	w := newWorkload(t, withAttemptBudget(3, 0, 10*second), testEndpoints(5)...)
 	b, r := w.b, &request{priority: 1}
--- a/decide/settings_update_test.go
+++ b/decide/settings_update_test.go
@@ -18,8 +18,8 @@
 	w.b.UpdateSettings(w.now, set)
 }
 
-// What was learned of servers and of classes that stay is kept, wherever the class now stands; a new one starts as new.
-// Guards against a balancer that learns anew at each reload.
+// What was learned of endpoints, and of classes that stay, is kept wherever the class now stands. A new class
+// starts as new.
 func TestUpdateSettingsKeepsEstimates(t *testing.T) {
 	set := testSettings()
 	w := newWorkload(t, set, testEndpoints(4)...)
@@ -46,8 +46,8 @@
 	}
 }
 
-// Open requests keep the rules and the attempts they were taken with, new ones get the new: a safe class becomes unsafe,
-// attempts get fewer.
+// Open requests keep the rules and the attempts that they arrived with, new ones get the new: an idempotent
+// class becomes one that must run once, attempts get fewer.
 func TestOpenRequestsKeepTheirRules(t *testing.T) {
 	set := testSettings()
 	set.Limits.MaxAttempts = 3
@@ -76,7 +76,8 @@
 	}
 }
 
-// A class that is dropped is forgotten when its last request ends, not before; its failures until then are its own.
+// A class that is dropped is forgotten when its last request ends, not before. Its failures until then are
+// its own.
 func TestDroppedClassIsForgotten(t *testing.T) {
 	set := testSettings()
 	a, z := Class{Name: "a", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second}, Class{Name: "z", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second}
@@ -101,7 +102,7 @@
 	w.traffic(50, func(_ *trackedAttempt) (Result, bool) { return Succeeded, true })
 }
 
-// A server that is out of the draw for every class is not tried anew for a class that is new.
+// An endpoint that is ejected from every class is not tried anew for a new one.
 func TestEjectedEndpointStaysSoForNewClass(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	w.traffic(200, func(f *trackedAttempt) (Result, bool) {
@@ -121,7 +122,7 @@
 	}
 }
 
-// Tenants go by name.
+// Tenants are matched by name.
 func TestUpdatedTenants(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{"a", 1}, {"b", 1}}
@@ -134,7 +135,7 @@
 	}
 }
 
-// The same settings again change no decision, and fifty turns leave nothing behind.
+// The same settings again change no decision, and fifty updates leave nothing behind.
 func TestUpdateToSameSettingsChangesNothing(t *testing.T) {
 	play := func(retune bool) []string {
 		w := newWorkload(t, testSettings(), testEndpoints(5)...)
--- a/decide/slow_start_fleet_test.go
+++ b/decide/slow_start_fleet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// slowStartCluster watches what a whole fleet sends to servers in their warm-up.
+// slowStartCluster counts what a whole cluster sends to endpoints in slow start.
 type slowStartCluster struct {
 	*cluster
 	set     Settings
@@ -18,7 +18,7 @@
 	owed    float64 // part of a request that the traffic is behind
 }
 
-// newSlowStartCluster makes a fleet before warm servers that take so much each, and lets it learn.
+// newSlowStartCluster makes a cluster before warm endpoints that take so much each, and lets it learn.
 func newSlowStartCluster(seed uint64, balancers, warm int, rate, skew float64, keys int) *slowStartCluster {
 	set := testSettings()
 	set.Rules.OverloadWindow, set.Rules.SlowStartWindow = second, 20*second // the more windows a warm-up has, the more can be saved in it
@@ -35,7 +35,7 @@
 	return f
 }
 
-// play lets time pass under so many times the traffic that gives each warm server its rate.
+// play lets time pass with so many times the traffic that gives each warm endpoint its rate.
 func (f *slowStartCluster) play(seconds, times float64) {
 	for end := f.now + int64(seconds*1e6); f.now < end; {
 		f.owed += times * f.rate * f.warm() * clusterTick / float64(second)
@@ -56,7 +56,7 @@
 	}
 }
 
-// bursts gives each balancer so many requests at once, again and again, as often as makes the traffic of the rate.
+// bursts gives each balancer so many requests at once, again and again, as often as makes up the traffic.
 func (f *slowStartCluster) bursts(seconds, each float64) {
 	gap := each * float64(len(f.bs)) / (f.rate * f.warm())
 	for ; seconds > 0; seconds -= gap {
@@ -65,7 +65,7 @@
 	}
 }
 
-// begin starts servers now and names them; who is to tell of them.
+// begin starts endpoints now and names them, for the caller to list.
 func (f *slowStartCluster) begin(n int) (list []Endpoint) {
 	for i := range n {
 		id := fmt.Sprint("cold", i)
@@ -81,9 +81,10 @@
 	}
 }
 
-// most is the fullest window of a cold server as a part of its bound, of windows that begin with any send: N calls and
-// 2 root of N + 2, where N is what the settings allow for what a warm server takes, by the part of its warm-up that has
-// passed as the window begins. got is what they had of N over the whole warm-up.
+// most is the fullest window of an endpoint in slow start as a part of its bound, of windows that begin with
+// any send: N + 2 root of N + 2, where N is what the settings allow for what a warm endpoint takes, by the
+// part of its slow start that has passed as the window begins. got is what they had of N over the whole slow
+// start.
 func (f *slowStartCluster) most() (most, got float64) {
 	rules := f.set.Rules
 	for id, times := range f.sends {
@@ -112,7 +113,7 @@
 	return most, got
 }
 
-// ramps are what may bring the sends of a fleet together.
+// ramps are what may bring the sends of a cluster together.
 var ramps = []struct {
 	name string
 	skew float64 // 0: all balancers have the same part of the traffic
@@ -201,12 +202,10 @@
 	}},
 }
 
-// Guards against sends that a fleet saves up: each balancer kept one that nobody wanted, and all spent them in one moment.
-// With 30 balancers before few servers a cold one got up to 1.12 of its bound, with 300 up to 2.3, when the others drained
-// or a burst came. However many balancers share the traffic, no window of the named time has more than N + 2 root of N + 2
-// sends, N being what the settings allow as the window begins. By hand: at a factor of 3 all together earn N/2 in a window
-// where warm servers do all they can, and hold what a window earned, so N may come in one on average, after a lull at the
-// worst; each earns at times of its own, so the sum strays by root of N at the most.
+// However many balancers share the traffic, no window has more than N + 2 root of N + 2 sends, N being what
+// the settings allow as the window begins. At an overload factor of 3 all together earn N/2 in a window where
+// warm endpoints do all they can, and hold what a window earned, so N may come in one on average, after a
+// lull at the worst. Each earns at times of its own, so the sum strays by root of N at the most.
 func TestSlowStartHoldsForTheFleet(t *testing.T) {
 	for _, c := range ramps {
 		for n, seeds := range map[int]int{20: 3, 30: 3, 300: 1} {
@@ -230,8 +229,8 @@
 	}
 }
 
-// What runs out unused isn't lost to a server that is asked for: with ample traffic it gets as much of its budget as it did
-// from balancers that saved up (0.14 and 0.12 of N, which is three times what it can do), and with little a part of it.
+// Tokens that expire are not lost to an endpoint that is asked for: with ample traffic it gets as much as
+// from balancers that save up (0.14 and 0.12 of N, three times what it can do), with little a part of it.
 func TestSlowStartServerWarmsUp(t *testing.T) {
 	for _, of := range []struct {
 		balancers, servers int
@@ -251,8 +250,8 @@
 	}
 }
 
-// A token holds for a time, is one at the most, and the next comes when it would have come without it: traffic moves none.
-// By hand: one each 100 µs, holding for 30.
+// A token lasts for a time, is one at the most, and the next comes when it would have come without it,
+// whatever the traffic: one each 100 µs, for 30.
 func TestSlowStartTokensExpire(t *testing.T) {
 	k := expiringTokenBucket{tokens: 0.5}
 	for _, at := range []struct {
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The failure: the cold budget followed the sends to warm servers, which in a jam are far more than they
-// can do, and a cold server that got its part of that fell over.
+// Slow start goes by the answers of warm endpoints and not by the sends to them, which in an overload are far
+// more than they can do.
 func TestSlowStartFollowsAnswersNotSends(t *testing.T) {
 	list := testEndpoints(3)
 	w := newWorkload(t, testSettings(), list...)
@@ -36,10 +36,9 @@
 	assertNear(t, "a clock before its start", w.b.warmupFraction(w.now-second, s), 0.3, 1e-9)
 }
 
-// The failure: each of hundreds of quiet balancers granted a cold server one send a window, and together they
-// pushed it over. However many balancers share the traffic and however unevenly, what all of them send to one that
-// has just started stays, in any window of the rule, under the stated multiple of its warm-up's part of what a
-// warm server gets.
+// However many balancers share the traffic and however unevenly, what all of them send to an endpoint that
+// has just started stays, in any window of the rule, under the overload factor times its share of what a warm
+// one gets.
 func TestSlowStartOfManyBalancersTogether(t *testing.T) {
 	for _, n := range []int{1, 10, 1000} {
 		for _, skew := range []float64{0, 0.3} {
@@ -76,9 +75,8 @@
 	}
 }
 
-// The failure: where all servers are met as homes of keys, a balancer's answers from its few arms were spread over the
-// whole fleet, so a cold server's arms gave it a tenth of its warm-up's part. By hand: a warm server gets 20 a second;
-// over 8 s from 0.3 to 1 of it are 104, and a random first part of one send.
+// With key affinity the throughput of the subset counts apart from the rest. A warm endpoint gets 20 a
+// second; over 8 s from 0.3 to 1 of it are 104, and a random first part of one send.
 func TestSlowStartShareFromSubset(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
@@ -89,9 +87,9 @@
 	}
 }
 
-// The failure: cold servers answered at ease with their part as the slowest warm-up has it, while warm ones were late. By
-// hand: a warm arm gives 10 answers a second, so 100 ms after its start (0.3 of its capacity) a cold one has earned 0.3
-// sends where twice its capacity would push it over, and 0.9 where six times would: half of that.
+// A warm endpoint gives 10 answers a second, so 100 ms after its start (0.3 of its capacity) one in slow
+// start has earned 0.3 sends where twice its capacity would overload it, and 0.9 where six times would: half
+// of that.
 func TestSlowStartMayUseHalfOfOverload(t *testing.T) {
 	for factor, want := range map[float64]float64{2: 0.3, 6: 0.9} {
 		set := testSettings()
@@ -104,8 +102,8 @@
 	}
 }
 
-// The failure: a balancer that had just started knew no rate and gave a cold server nothing but its random first part
-// for some seconds. By hand: 20 balancers of 40 a second at 10 servers make 80 a second a warm server.
+// A balancer that has just started gives an endpoint in slow start its share within seconds: 20 balancers of
+// 40 a second at 10 endpoints make 80 a second a warm endpoint.
 func TestNewBalancerServesSlowStartSoon(t *testing.T) {
 	c := newCluster(20, testSettings(), 0, testEndpoints(10))
 	c.run(1, 800)
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// The failure: quiet balancers of a large fleet met each server once a minute, learned nothing, and kept a
-// connection to each. By hand: 1,000 balancers and 200 servers leave minSubset arms to each; all arms together are 15
-// a server, so none is without and none has over three times that. With two balancers every server is an arm.
+// 1,000 balancers and 200 endpoints leave minSubset endpoints to each; all subsets together have an endpoint
+// 15 times, so none is without and none has over three times that. With two balancers every endpoint is in
+// both subsets.
 func TestSubsetsOfManyBalancers(t *testing.T) {
 	c := newCluster(1000, testSettings(), 0, testEndpoints(200))
 	held := map[string]int{}
@@ -29,8 +29,8 @@
 	}
 }
 
-// An ill arm is made up for by the next of the balancer's own order and comes back to its place; a change of the
-// list far away moves no arm.
+// An ejected endpoint is replaced by the next of the balancer's order and comes back to its place; a change
+// of the list far away in the order moves none.
 func TestEjectedEndpointIsReplacedInSubset(t *testing.T) {
 	b := newCluster(1000, testSettings(), 0, testEndpoints(200)).bs[0]
 	now, before := 1000*second, slices.Clone(b.subset)
@@ -48,8 +48,8 @@
 	}
 }
 
-// However the list grows, few arms are drawn from where balancers talk. Guards against a draw that counts what all hold
-// at dozens of servers: a fleet of 400 that grew to 436 servers took more CPU than there was.
+// However long the list, the subset stays small with gossip, since each draw looks at what all balancers have
+// in flight at each endpoint.
 func TestSubsetStaysSmallWithGossip(t *testing.T) {
 	set := testSettings()
 	set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount = true, true, 400
@@ -62,7 +62,7 @@
 	}
 }
 
-// More traffic wants more to draw from, less where open connections have a price.
+// More traffic wants a larger subset, a smaller one where open connections have a price.
 func TestSubsetSizeByTraffic(t *testing.T) {
 	for _, c := range []struct {
 		price, rate float64
--- a/decide/tail_latency_test.go
+++ b/decide/tail_latency_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// tailSimulation plays some balancers before servers whose times are drawn: how slow an answer is has nothing to do with what is
-// held, unless the servers have places. It counts what becomes of requests.
+// tailSimulation plays some balancers before servers whose times are drawn: how slow an answer is has nothing
+// to do with what is in flight, unless the servers have places. It counts what becomes of requests.
 type tailSimulation struct {
 	now    int64
 	rng    *rand.Rand
@@ -125,7 +125,7 @@
 	}
 }
 
-// tailSettings are the two classes of the newcomer's run: aims of 200 and 400 ms, deadlines of 2 s, 0.3 for late answers.
+// tailSettings are two classes with objectives of 200 and 400 ms, deadlines of 2 s, and 0.3 for late answers.
 func tailSettings() Settings {
 	set := testSettings()
 	set.Classes = []Class{
@@ -135,7 +135,7 @@
 	return set
 }
 
-// play has n balancers take so many requests a second together, for some seconds.
+// playTails has n balancers take so many requests a second together, for some seconds.
 func playTails(n int, perSecond, seconds float64, seed uint64, set ...tailServer) *tailSimulation {
 	t := &tailSimulation{now: 1000 * second, rng: rand.New(rand.NewPCG(seed, 5)), names: map[string]int{}, set: set, open: map[string]*tailRequest{}, how: map[string]int{}}
 	var list []Endpoint
@@ -217,7 +217,7 @@
 	}, 0.568},
 }
 
-// limitedServers are four servers that hold so many at once.
+// limitedServers are four servers that take so many at once.
 func limitedServers(places int, times ...int64) []tailServer {
 	out := alikeServers(times...)
 	for i := range out {
@@ -233,9 +233,8 @@
 	return set
 }
 
-// Where answers are slow by nature hardly anything is refused, and where room is short it is kept as before: what is earned
-// may fall by chance alone. Figures are of the simulation, and the same at each run. Guards against limits that take a slow tail
-// for a crowd: they refused up to 83% of what servers had room for.
+// Where answers are slow by nature hardly anything is rejected, and where capacity is short the limits hold:
+// what is earned may fall by chance alone. Figures are of the simulation, and the same at each run.
 func TestLimitsTellTailFromCongestion(t *testing.T) {
 	for _, row := range tailRows {
 		got := playTails(3, row.perSecond, 30, 1, row.set()...)
@@ -249,8 +248,8 @@
 	}
 }
 
-// BenchmarkTails measures how much is refused, and earned, where answers are slow by nature and where room is short: three
-// balancers and sixty, four servers, 30 s. docs/limits.md has its figures.
+// BenchmarkTails measures how much is rejected, and earned, where answers are slow by nature and where
+// capacity is short: three balancers and sixty, four servers, 30 s. docs/limits.md has its figures.
 func BenchmarkTails(b *testing.B) {
 	for _, row := range tailRows {
 		for _, n := range []int{3, 60} {
--- a/decide/workload_test.go
+++ b/decide/workload_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// workload is an order generator with a checker, not a model of servers: it keeps the books of what a host
-// would know and fails the test at the first action that breaks one of the four rules.
+// workload drives one balancer with legal orders of events, and is no model of servers: it records what a
+// host would know and fails the test at the first action that breaks one of the rules.
 type workload struct {
 	t               testing.TB
 	set             Settings
@@ -54,7 +54,7 @@
 	return w
 }
 
-// restart is a kill and a new start: what was held is the clients' to retry.
+// restart is a kill and a new start: what was in flight is for the clients to retry.
 func (w *workload) restart() {
 	w.requests, w.unanswered, w.inFlight, w.timers = map[string]*trackedRequest{}, nil, nil, nil
 	w.phase, w.warmAt, w.sends = map[string]Endpoint{}, map[string]int64{}, map[string][]int64{}
@@ -94,7 +94,7 @@
 	return w.take(Request{ID: id, Class: class, Tenant: -1, TimeLeft: left, Key: "k" + id})
 }
 
-// take books a request and hands it to the balancer.
+// take records a request and gives it to the balancer.
 func (w *workload) take(in Request) *trackedRequest {
 	r := &trackedRequest{Request: in, deadline: w.now + in.TimeLeft}
 	w.requests[in.ID] = r
@@ -104,7 +104,7 @@
 	return r
 }
 
-// traffic sends n requests of the first class 10 ms apart and ends the flights that answer gives a result.
+// traffic sends n requests of the first class 10 ms apart and ends the attempts that answer gives a result.
 func (w *workload) traffic(n int, answer func(f *trackedAttempt) (Result, bool)) {
 	for range n {
 		w.requestsSent++
@@ -118,8 +118,8 @@
 	}
 }
 
-// countRefusedConnections plays traffic of n requests before servers of which the dead turn connections away at once and the others
-// answer after some time; it counts what the dead turned away.
+// countRefusedConnections plays traffic of n requests before servers of which the dead refuse connections at
+// once and the others answer after some time. It counts the connections refused.
 func (w *workload) countRefusedConnections(n int, answerAfter int64, dead func(id string) bool) (refused int) {
 	w.traffic(n, func(f *trackedAttempt) (Result, bool) {
 		if dead(f.server.ID) {
@@ -131,7 +131,7 @@
 	return refused
 }
 
-// endAttempt ends a flight; a served one closes its request.
+// endAttempt ends an attempt; a success closes its request.
 func (w *workload) endAttempt(f *trackedAttempt, result Result) {
 	if f.ended {
 		return
@@ -160,7 +160,7 @@
 	w.b.OnClientDisconnected(w.now, r.ID)
 }
 
-// advance lets time pass in ticks; attempts expire and timers come due in it.
+// advance lets time pass in ticks; attempts expire and timers end in it.
 func (w *workload) advance(d int64) {
 	const tick = 5000
 	for end := w.now + d; w.now < end; {
@@ -192,7 +192,7 @@
 	}
 }
 
-// isSafe is rule 2, worked out from the books: may server run r again, or may r be refused ("")?
+// isSafe is rule 2, worked out from the records: may server run r again, or may r be rejected (nil)?
 func (w *workload) isSafe(r *trackedRequest, server *Endpoint) bool {
 	c := w.set.Classes[r.Class]
 	for _, f := range r.attempts {
@@ -248,7 +248,7 @@
 }
 
 // checkSlowStart is this balancer's part of rule 4: in any window no more than one send, or than the answers
-// that it got from the whole fleet in its best second would make in that time.
+// that it got from all servers in its best second would make in that time.
 func (w *workload) checkSlowStart(server string) {
 	if w.now >= w.warmAt[server] {
 		return
