--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -16,17 +16,17 @@
 		low = append(low, w.request(fmt.Sprint("low", i), 0, 2*second))
 	}
 	high := w.request("high", 1, 2*second)
-	if low[0].answered != "refuse" || high.answered != "" {
-		t.Errorf("the oldest of the low is %q and the high %q, want refuse and waiting", low[0].answered, high.answered)
+	if low[0].answered != "reject" || high.answered != "" {
+		t.Errorf("the oldest of the low is %q and the high %q, want reject and waiting", low[0].answered, high.answered)
 	}
 	w.endAttempt(w.inFlight[0], Succeeded)
 	if len(high.attempts) != 1 || len(low[2].attempts) != 0 { // the limit grew a little: one more may go
-		t.Error("room came, and the worthiest was not the one sent")
+		t.Error("capacity came, and the one of the highest priority was not the one sent")
 	}
 	w.advance(300_000)
 	for _, r := range low {
-		if len(r.attempts) == 0 && r.answered != "refuse" {
-			t.Errorf("%s waited past its part of the aim and is %q", r.ID, r.answered)
+		if len(r.attempts) == 0 && r.answered != "reject" {
+			t.Errorf("%s waited past its part of the objective and is %q", r.ID, r.answered)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 		return w.take(Request{ID: id, Tenant: -1, TimeLeft: left, IsRetry: true})
 	}
 	if r := repeat("late", 800_000); r.answered == "" || len(r.attempts) > 0 {
-		t.Error("a repeat 1.2 s after its start was sent with an aim of 0.4 s")
+		t.Error("a repeat 1.2 s after its start was sent with an objective of 0.4 s")
 	}
 	if r := repeat("soon", 1_200_000); len(r.attempts) != 1 {
 		t.Error("a repeat that may be in time was not sent")
--- a/decide/attempt_budget_test.go
+++ b/decide/attempt_budget_test.go
@@ -29,13 +29,13 @@
 					}
 					w.endAttempt(f, result)
 					if left := w.b.attemptBudgetRemaining(w.now); left < 1 && f.r.answered == "" && f.r.attempts[len(f.r.attempts)-1].ended {
-						t.Fatalf("%s is held, though %v further attempts are left", f.r.ID, left)
+						t.Fatalf("%s is held, though %v retries are left", f.r.ID, left)
 					}
 				}
 				w.advance(20_000)
 			}
 			if rules := set.Rules; len(w.retryTimes) == 0 && rules.AttemptBudgetMin+rules.AttemptBudgetRatio > 0 {
-				t.Errorf("%v: no further attempt at all under %+v", end, rules)
+				t.Errorf("%v: no retries at all under %+v", end, rules)
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(w.retryTimes) > 0 {
-		t.Fatalf("%d further attempts for 5 requests beside another process", len(w.retryTimes))
+		t.Fatalf("%d retries for 5 requests beside another process", len(w.retryTimes))
 	}
 	w.advance(9 * second)
 	w.b.SetPeerProcessActive(w.now, false)
@@ -101,10 +101,10 @@
 	for i := range int64(100_000) {
 		n.slot(1000*second+i*37%(5*second)).retries++
 	}
-	if _, further := n.counts(990 * second); further != 100_000 {
-		t.Fatal(further)
+	if _, retries := n.counts(990 * second); retries != 100_000 {
+		t.Fatal(retries)
 	}
-	if _, further := n.counts(1016 * second); further != 0 {
-		t.Fatal(further)
+	if _, retries := n.counts(1016 * second); retries != 0 {
+		t.Fatal(retries)
 	}
 }
--- a/decide/concurrency_limit_test.go
+++ b/decide/concurrency_limit_test.go
@@ -17,12 +17,12 @@
 	w.advance(50_000)
 	w.request("early", 0, 2*second)
 	if n := w.countActions("send"); n != 3 {
-		t.Fatalf("%d sent with room for three", n)
+		t.Fatalf("%d sent with capacity for three", n)
 	}
 	w.advance(200_000) // past the latency mark
 	w.request("late", 0, 2*second)
 	if n := w.countActions("send late"); n != 1 {
-		t.Error("a request is not sent while silent servers hold all room")
+		t.Error("a request is not sent while silent servers hold all capacity")
 	}
 }
 
@@ -36,10 +36,10 @@
 			w.request(fmt.Sprint("r", i), 0, 2*second)
 		}
 		if n := w.countActions("send"); n != want {
-			t.Errorf("%v answers a second from each server: %d sent with room for one, want %d", perSecond, n, want)
+			t.Errorf("%v answers a second from each server: %d sent with capacity for one, want %d", perSecond, n, want)
 		}
 		w.endAttempt(w.inFlight[0], Saturated)
-		assertNear(t, "density after a full server", w.b.pool.limit, 0.1, 0)
+		assertNear(t, "pool limit after a full server", w.b.pool.limit, 0.1, 0)
 	}
 }
 
@@ -62,7 +62,7 @@
 	for len(w.inFlight) > 0 {
 		w.endAttempt(w.inFlight[0], Succeeded)
 	}
-	assertNear(t, "part of the room kept", w.b.pool.limit/before, 0.13, 0.03)
+	assertNear(t, "part of the capacity kept", w.b.pool.limit/before, 0.13, 0.03)
 }
 
 // A late answer lowers what may be in flight at all endpoints together, at once; early ones that find the
@@ -74,14 +74,14 @@
 	w.advance(350_000) // past 3/4 of the aim
 	w.endAttempt(w.inFlight[0], Succeeded)
 	_, after := w.b.poolCapacity(w.now)
-	assertNear(t, "room after a late answer", after/before, 0.85, 1e-9)
+	assertNear(t, "capacity after a late answer", after/before, 0.85, 1e-9)
 	w.b.pool.limit = 0.1
 	for i := range 5 {
 		w.request(fmt.Sprint("quick", i), 0, 2*second)
 		w.advance(20_000)
 		w.endAttempt(w.inFlight[0], Succeeded)
 	}
-	assertNear(t, "density after five early ones", w.b.pool.limit, 0.1*math.Pow(1.05, 5), 1e-9)
+	assertNear(t, "pool limit after five early ones", w.b.pool.limit, 0.1*math.Pow(1.05, 5), 1e-9)
 }
 
 // Where every answer is late, limits fall below one, and what is in flight falls with them: many small
@@ -154,7 +154,7 @@
 	c.served = map[bool]int{}
 	c.run(6, 1600)
 	if in, late := c.served[true], c.served[false]; in < 6*900 || late > in/4 {
-		t.Errorf("%d answers within the aim and %d late in 6 s, want 5400 or more and few late", in, late)
+		t.Errorf("%d answers within the objective and %d late in 6 s, want 5400 or more and few late", in, late)
 	}
 }
 
--- a/decide/congestion_test.go
+++ b/decide/congestion_test.go
@@ -25,10 +25,10 @@
 	c.baselineP90 = float64(10 * second)
 	late := Outcome{Result: Succeeded, Latency: 280_000} // of an aim of 400 ms
 	if !w.b.isEarly(c, late) {
-		t.Error("0.7 of the aim is late where nothing is told")
+		t.Error("0.7 of the objective is late where nothing is told")
 	}
 	w.b.recordLoadReport(w.b.knownEndpoints["s0"], loadReport(1, -1, -1))
 	if w.b.isEarly(c, late) {
-		t.Error("0.7 of the aim is early where servers tell of their load")
+		t.Error("0.7 of the objective is early where servers tell of their load")
 	}
 }
--- a/decide/endpoint_list_test.go
+++ b/decide/endpoint_list_test.go
@@ -27,8 +27,8 @@
 
 func TestRejectAtOnceWithoutEndpoints(t *testing.T) {
 	w := newWorkload(t, testSettings())
-	if r := w.request("a", 0, second); r.answered != "refuse" {
-		t.Errorf("answer %q, want refuse", r.answered)
+	if r := w.request("a", 0, second); r.answered != "reject" {
+		t.Errorf("answer %q, want reject", r.answered)
 	}
 }
 
@@ -56,7 +56,7 @@
 		list := testEndpoints(n)
 		w.sendEndpoints(true, append(list, list...)...)
 		if len(w.b.endpoints) != n || len(w.b.subset) > max(n, 3*minSubset) || n > 0 && len(w.b.subset) == 0 {
-			t.Fatalf("%d listed: %d servers kept, %d arms", n, len(w.b.endpoints), len(w.b.subset))
+			t.Fatalf("%d listed: %d servers kept, %d in the subset", n, len(w.b.endpoints), len(w.b.subset))
 		}
 		before := w.countActions("send")
 		w.traffic(50, serve)
@@ -83,7 +83,7 @@
 		}
 		cold := len(c.sendsToStartingServer(2, perSecond))
 		if most := set.Rules.OverloadFactor * set.Rules.SlowStartMinShare * perSecond / servers * 2; float64(cold) > most {
-			t.Errorf("told %d: %d sends to a cold server in its first window, budget %.0f", told, cold, most)
+			t.Errorf("told %d: %d sends to a server in slow start in its first window, budget %.0f", told, cold, most)
 		}
 	}
 }
--- a/decide/exp3_test.go
+++ b/decide/exp3_test.go
@@ -170,7 +170,7 @@
 		}
 	}
 	if away < 95 {
-		t.Errorf("%d of 100 draws went to the server with room, want 95 or more", away)
+		t.Errorf("%d of 100 draws went to the server with capacity, want 95 or more", away)
 	}
 }
 
--- a/decide/fuzz_test.go
+++ b/decide/fuzz_test.go
@@ -74,9 +74,9 @@
 		if arg%8 == 1 && len(w.b.endpoints) > 0 { // another tells of its attempts, or of nonsense
 			s := *w.b.endpoints[arg%len(w.b.endpoints)]
 			s.inFlight = arg / 16
-			word := slices.Clone(w.b.encodeGossip(&s))
-			word[arg%len(word)] ^= byte(arg & 32)
-			w.b.OnGossip(w.now, arg%3, word)
+			message := slices.Clone(w.b.encodeGossip(&s))
+			message[arg%len(message)] ^= byte(arg & 32)
+			w.b.OnGossip(w.now, arg%3, message)
 		}
 		if arg%8 == 2 { // another budget of attempts, or none
 			set := w.set
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -19,11 +19,11 @@
 	sent *int
 }
 
-func (p gossipLink) SendGossip(peer int, word []byte) {
+func (p gossipLink) SendGossip(peer int, message []byte) {
 	*p.sent++
 	for i, b := range p.to {
 		if b != nil && i != p.from && (peer < 0 || peer == i) && !*p.lost {
-			b.OnGossip(*p.now, p.from, slices.Clone(word))
+			b.OnGossip(*p.now, p.from, slices.Clone(message))
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	s := bs[1].endpoints[0]
 	*now += gossipLossTimeout + 1
 	if s.inFlight = 1; bs[1].totalInFlight(*now, s) != bs[1].balancersPerEndpoint() || bs[1].balancersPerEndpoint() != 4 {
-		t.Errorf("deaf with one out: %v held, want 4", bs[1].totalInFlight(*now, s))
+		t.Errorf("messages lost with one out: %v held, want 4", bs[1].totalInFlight(*now, s))
 	}
 	s.inFlight = 0
 	*lost, *now = false, *now+second
@@ -88,7 +88,7 @@
 		sum += bs[1].totalInFlight(*now, s)
 	}
 	if sum != 1 {
-		t.Errorf("%v held after one old word and one new, want 1", sum)
+		t.Errorf("%v held after one old message and one new, want 1", sum)
 	}
 }
 
@@ -124,11 +124,11 @@
 				t.Errorf("%s: state changed to %s", name, state())
 			}
 		} else if taken++; !strings.HasPrefix(name, "bit") {
-			t.Errorf("%s: taken for a word", name)
+			t.Errorf("%s: taken for a message", name)
 		}
 	}
 	if taken > len(bad)/8 { // four bits of check let one in sixteen through
-		t.Errorf("%d of %d damaged words were taken", taken, len(bad))
+		t.Errorf("%d of %d damaged messages were taken", taken, len(bad))
 	}
 	before := state()
 	for _, from := range []int{0, -1, 3, math.MaxInt} {
@@ -146,7 +146,7 @@
 	}
 	for _, s := range b.endpoints {
 		if h := b.totalInFlight(*now, s); h > 2*maxGossipInFlight || len(s.peerLoads) > 2 {
-			t.Errorf("random words: %v held, %d sharers", h, len(s.peerLoads))
+			t.Errorf("random messages: %v held, %d sharers", h, len(s.peerLoads))
 		}
 	}
 }
@@ -164,7 +164,7 @@
 	b.OnGossip(*now, 1, old)
 	b.OnGossip(*now, 1, fresh)
 	if got := b.totalInFlight(*now, b.endpoints[0]); got != 2 {
-		t.Errorf("%v held, want the 2 of the newest word", got)
+		t.Errorf("%v held, want the 2 of the newest message", got)
 	}
 }
 
@@ -174,7 +174,7 @@
 	w.traffic(50, func(*trackedAttempt) (Result, bool) { return Succeeded, true })
 	w.b.OnGossip(w.now, 1, []byte{gossipVersion | 1, 0, 0, 0, 0})
 	if slices.ContainsFunc(w.actions, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.gossip.peers) > 0 {
-		t.Error("words were sent or heard where the settings permit none")
+		t.Error("messages were sent or heard where the settings permit none")
 	}
 }
 
@@ -231,6 +231,6 @@
 		sent += b.endpoints[0].inFlight
 	}
 	if sent < 25 || sent > 85 { // a quarter of 200
-		t.Errorf("%d of 200 took the room, want about 50", sent)
+		t.Errorf("%d of 200 took the capacity, want about 50", sent)
 	}
 }
--- a/decide/idempotency_test.go
+++ b/decide/idempotency_test.go
@@ -71,9 +71,9 @@
 	}{
 		{"nobody has", 4, 0, 0, true, ""},
 		{"safe", 0, 100_000, 1, true, ""},
-		{"safe, no attempt left", 0, 100_000, 0, false, "refuse"},
+		{"safe, no attempt left", 0, 100_000, 0, false, "reject"},
 		{"keyed", 1, 100_000, 1, true, ""},
-		{"keyed, no attempt left", 1, 100_000, 0, false, "refuse"},
+		{"keyed, no attempt left", 1, 100_000, 0, false, "reject"},
 		{"keyed, its window over", 1, second, 1, false, "fail"},
 		{"keyed in one zone, nobody knows which", 2, 100_000, 1, false, "fail"},
 		{"keyed in one cell, nobody knows which", 3, 100_000, 1, false, "fail"},
@@ -82,9 +82,9 @@
 		w := newWorkload(t, withAttemptBudget(c.floor, 0, 10*second), testEndpoints(6)...)
 		r := w.take(Request{ID: "x", Class: c.class, Tenant: -1, TimeLeft: 2 * second, Key: "k", PriorAttemptAge: c.former})
 		w.advance(2 * second)
-		_, further := w.b.attemptBudget.counts(w.now)
-		if sent := len(r.attempts) > 0; sent != c.sent || !sent && r.answered != c.answer || (further > 0) != (sent && c.former > 0) {
-			t.Errorf("%s: sent %t, answered %q, %d further", c.name, sent, r.answered, further)
+		_, retries := w.b.attemptBudget.counts(w.now)
+		if sent := len(r.attempts) > 0; sent != c.sent || !sent && r.answered != c.answer || (retries > 0) != (sent && c.former > 0) {
+			t.Errorf("%s: sent %t, answered %q, %d further", c.name, sent, r.answered, retries)
 		}
 	}
 }
--- a/decide/key_affinity_test.go
+++ b/decide/key_affinity_test.go
@@ -16,7 +16,7 @@
 		key := fmt.Sprint("key", i)
 		a, b := w.b.preferredReplica(&request{affinityHash: hash(key) | 1}), other.b.preferredReplica(&request{affinityHash: hash(key) | 1})
 		if a.ID != b.ID {
-			t.Fatalf("%s is at home at %s and at %s", key, a.ID, b.ID)
+			t.Fatalf("%s is preferred at %s and at %s", key, a.ID, b.ID)
 		}
 		seen[a.ID] = true
 	}
@@ -32,14 +32,14 @@
 	w := newWorkload(t, set, testEndpoints(10)...)
 	r := newPlainRequest(w.b)
 	r.affinityHash = hash("key") | 1
-	home := w.b.preferredReplica(r)
+	preferred := w.b.preferredReplica(r)
 	for range 100 {
-		if s, p := w.b.drawEndpoint(w.now, r); s == home {
-			assertNear(t, "p of the home", p, 0.93*20/29+0.07/10, 1e-9)
+		if s, p := w.b.drawEndpoint(w.now, r); s == preferred {
+			assertNear(t, "p of the preferred replica", p, 0.93*20/29+0.07/10, 1e-9)
 			return
 		}
 	}
-	t.Error("the home was never drawn")
+	t.Error("the preferred replica was never drawn")
 }
 
 // A key with a tenth of 2,000 requests at 50 endpoints gets 1 + 2*50*200/2020 = 10 replicas; a key asked for
@@ -48,7 +48,7 @@
 	set := testSettings()
 	set.KeyAffinity = true
 	bs := newCluster(2, set, 0, testEndpoints(50)).bs // each with its own seed
-	homes := [2]map[string]bool{{}, {}}
+	replicas := [2]map[string]bool{{}, {}}
 	for j, b := range bs {
 		for i := range 2000 {
 			key := fmt.Sprint("k", i/2)
@@ -56,15 +56,15 @@
 				key = "hot"
 			}
 			if s := b.preferredReplica(&request{affinityHash: b.affinityReplica(key)}); key == "hot" && i >= 1000 {
-				homes[j][s.ID] = true
+				replicas[j][s.ID] = true
 			}
 		}
 	}
-	if n := len(homes[0]); n < 5 || n > 11 {
+	if n := len(replicas[0]); n < 5 || n > 11 {
 		t.Errorf("the hot key has %d homes, want 5 to 11", n)
 	}
-	if !maps.Equal(homes[0], homes[1]) {
-		t.Errorf("one balancer has the hot key at home at %v, the other at %v", homes[0], homes[1])
+	if !maps.Equal(replicas[0], replicas[1]) {
+		t.Errorf("one balancer has the hot key preferred at %v, the other at %v", replicas[0], replicas[1])
 	}
 	if a, b := bs[0].affinityReplica("once"), bs[0].affinityReplica("once"); a != b {
 		t.Error("a rare key has two homes")
--- a/decide/key_outliers_test.go
+++ b/decide/key_outliers_test.go
@@ -48,16 +48,16 @@
 		driveKeyedTraffic(w, 400, Succeeded, 0)
 		lock, others := driveKeyedTraffic(w, 1000, c.end, c.after)
 		if lock < 100 || others > 10 {
-			t.Errorf("%+v: %d of 250 refused for the key, %d of 750 others", c, lock, others)
+			t.Errorf("%+v: %d of 250 rejected for the key, %d of 750 others", c, lock, others)
 		}
 		for id, s := range w.b.knownEndpoints {
 			if s.ejectedForAll || s.concurrencyLimit < 1 {
-				t.Errorf("%+v: %s suspended %v, limit %v", c, id, s.ejectedForAll, s.concurrencyLimit)
+				t.Errorf("%+v: %s ejected %v, limit %v", c, id, s.ejectedForAll, s.concurrencyLimit)
 			}
 		}
 		driveKeyedTraffic(w, 3000, Succeeded, 0)
 		if lock, _ = driveKeyedTraffic(w, 400, Succeeded, 0); lock > 0 {
-			t.Errorf("%+v: %d of 100 refused though all is well again", c, lock)
+			t.Errorf("%+v: %d of 100 rejected though all is well again", c, lock)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	}
 	for i := range w.b.keys.slots {
 		if w.b.keys.slots[i].rejectRatio > 0.5 {
-			t.Fatalf("slot %d is thinned by %v", i, w.b.keys.slots[i].rejectRatio)
+			t.Fatalf("slot %d is rejected at %v", i, w.b.keys.slots[i].rejectRatio)
 		}
 	}
 }
--- a/decide/load_reports_test.go
+++ b/decide/load_reports_test.go
@@ -53,8 +53,8 @@
 	w.b.OnHealthCheck(w.now, HealthCheck{Server: "nobody", Result: Succeeded, Load: loadReport(1, -1, 5)})
 	w.b.OnHealthCheck(w.now, HealthCheck{Server: "s0", Result: TimedOut, Load: loadReport(1, -1, 5)})
 	if w.b.knownEndpoints["s0"].reportedLatencyMs != 0 {
-		t.Error("a probe that failed told a pace")
+		t.Error("a health check that failed set a latency")
 	}
 	w.b.OnHealthCheck(w.now, HealthCheck{Server: "s0", Result: Succeeded, Load: loadReport(1, -1, 5)})
-	assertNear(t, "pace told to a probe", w.b.knownEndpoints["s0"].reportedLatencyMs, 5, 1e-9)
+	assertNear(t, "latency reported to a health check", w.b.knownEndpoints["s0"].reportedLatencyMs, 5, 1e-9)
 }
--- a/decide/outlier_detection_test.go
+++ b/decide/outlier_detection_test.go
@@ -25,7 +25,7 @@
 	}
 	w.traffic(300, answer)
 	if w.countActions("log endpoint_ejected") == 0 {
-		t.Error("the server answers nothing and was not suspended")
+		t.Error("the server answers nothing and was not ejected")
 	}
 	hung = false
 	for _, f := range slices.Clone(w.inFlight) {
@@ -36,7 +36,7 @@
 		t.Error("the server answers again but was not brought back")
 	}
 	if w.b.knownEndpoints["s0"].slowStartSince == 0 {
-		t.Error("a server back from a long silence counts as cold")
+		t.Error("a server back from a long silence counts as in slow start")
 	}
 }
 
@@ -101,7 +101,7 @@
 	failRepeatedly(w.b, w.now, s, ConnectFailed)
 	w.b.updateEjection(w.now+second, 0, s, Succeeded)
 	if s.ejectedForAll || s.slowStartSince != 0 {
-		t.Errorf("suspended %v, cold since %d, want neither", s.ejectedForAll, s.slowStartSince)
+		t.Errorf("ejected %v, slow start since %d, want neither", s.ejectedForAll, s.slowStartSince)
 	}
 }
 
@@ -109,9 +109,9 @@
 // retry.
 func TestLostZoneIsEjectedCompletely(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
-	refused := w.countRefusedConnections(600, 20_000, func(id string) bool { return id != "s0" })
-	if refused > 120 {
-		t.Errorf("%d refused connections at nine dead servers in 6 s, want 120 or fewer", refused)
+	rejected := w.countRefusedConnections(600, 20_000, func(id string) bool { return id != "s0" })
+	if rejected > 120 {
+		t.Errorf("%d rejected connections at nine dead servers in 6 s, want 120 or fewer", rejected)
 	}
 }
 
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -13,7 +13,7 @@
 		r := w.request(fmt.Sprint("bad", i), 0, 2*second)
 		w.endAttempt(w.inFlight[0], InvalidRequest)
 		if r.answered != "fail" || len(r.attempts) != 1 {
-			t.Fatalf("answered %q after %d tries", r.answered, len(r.attempts))
+			t.Fatalf("answered %q after %d attempts", r.answered, len(r.attempts))
 		}
 	}
 	if w.b.retryBudget.tokens != before || w.countActions("log endpoint_ejected") != 0 || w.b.endpoints[0].logWeight != 0 {
@@ -44,7 +44,7 @@
 		id := fmt.Sprint("r", work)
 		w.take(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, WorkHint: work})
 		if got := w.b.openRequests[id].latencyObjective; got != want {
-			t.Errorf("aim with %d us of work: %d, want %d", work, got, want)
+			t.Errorf("objective with %d us of work: %d, want %d", work, got, want)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 		w.b.OnOutcome(w.now, Outcome{Request: id, Server: f.server.ID, Result: ConnectFailed, BodyConsumed: spent})
 		return r
 	}
-	if r := once("gone", true); len(r.attempts) != 1 || r.answered != "refuse" {
+	if r := once("gone", true); len(r.attempts) != 1 || r.answered != "reject" {
 		t.Fatalf("%d attempts, %q", len(r.attempts), r.answered)
 	}
 	if r := once("kept", false); len(r.attempts) != 2 || r.answered != "" {
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -23,8 +23,8 @@
 		w.b.OnHealthCheck(w.now, HealthCheck{Server: "nobody", Load: &LoadReport{InFlight: math.NaN()}})
 	}
 	w.sendEndpoints(true)
-	if r := w.request("last", 0, second); r.answered != "refuse" {
-		t.Errorf("with nobody listed: %q, want refuse", r.answered)
+	if r := w.request("last", 0, second); r.answered != "reject" {
+		t.Errorf("with nobody listed: %q, want reject", r.answered)
 	}
 }
 
--- a/decide/settings_update_test.go
+++ b/decide/settings_update_test.go
@@ -65,7 +65,7 @@
 		}
 	}
 	w.endAttempt(old.attempts[2], Errored)
-	if old.answered != "refuse" {
+	if old.answered != "reject" {
 		t.Fatalf("a safe request was %q", old.answered)
 	}
 	w.set = next
--- a/decide/slow_start_fleet_test.go
+++ b/decide/slow_start_fleet_test.go
@@ -219,7 +219,7 @@
 						f := newSlowStartCluster(seed, n, of.servers, of.rate, c.skew, of.keys)
 						c.run(f)
 						if most, _ := f.most(); most > 1 {
-							t.Errorf("%d servers that take %v a second, seed %d: %.2f of what a cold one may get in a window",
+							t.Errorf("%d servers that take %v a second, seed %d: %.2f of what one in slow start may get in a window",
 								of.servers, of.rate, seed, most)
 						}
 					}
@@ -244,7 +244,7 @@
 			sum += got / 6
 		}
 		if sum < of.least {
-			t.Errorf("%d balancers, %d servers that take %v a second: a cold one got %.2f of its budget, want %.2f",
+			t.Errorf("%d balancers, %d servers that take %v a second: one in slow start got %.2f of its budget, want %.2f",
 				of.balancers, of.servers, of.rate, sum, of.least)
 		}
 	}
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -68,7 +68,7 @@
 					}
 				}
 				if len(times) == 0 {
-					t.Error("the cold server got nothing at all")
+					t.Error("the server in slow start got nothing at all")
 				}
 			})
 		}
@@ -83,7 +83,7 @@
 	c := newCluster(80, set, 0, testEndpoints(60))
 	c.run(6, 1200)
 	if n := len(c.sendsToStartingServer(8, 1200)); n < 52 || n > 208 {
-		t.Errorf("a cold server got %d sends in its warm-up, want 104 or so", n)
+		t.Errorf("a server in slow start got %d sends in its warm-up, want 104 or so", n)
 	}
 }
 
@@ -108,6 +108,6 @@
 	c := newCluster(20, testSettings(), 0, testEndpoints(10))
 	c.run(1, 800)
 	if n := len(c.sendsToStartingServer(2, 800)); n < 30 {
-		t.Errorf("a cold server got %d sends within 2 s of a start, want 60 or so", n)
+		t.Errorf("a server in slow start got %d sends within 2 s of a start, want 60 or so", n)
 	}
 }
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -13,7 +13,7 @@
 	held := map[string]int{}
 	for _, b := range c.bs {
 		if len(b.subset) != minSubset {
-			t.Fatalf("%d arms, want %d", len(b.subset), minSubset)
+			t.Fatalf("%d in the subset, want %d", len(b.subset), minSubset)
 		}
 		for _, s := range b.subset {
 			held[s.ID]++
@@ -25,7 +25,7 @@
 		}
 	}
 	if b := newCluster(2, testSettings(), 0, testEndpoints(12)).bs[0]; len(b.subset) != 12 {
-		t.Errorf("%d arms of 12 servers at two balancers, want all", len(b.subset))
+		t.Errorf("%d endpoints in the subset of 12 servers at two balancers, want all", len(b.subset))
 	}
 }
 
@@ -39,12 +39,12 @@
 	}
 	failRepeatedly(b, now, before[0], TimedOut)
 	if n := len(b.subset); n != len(before)+1 || !slices.Equal(b.subset[:len(before)], before) {
-		t.Errorf("%d arms after one fell ill, want the same and one more", n)
+		t.Errorf("%d in the subset after one fell ill, want the same and one more", n)
 	}
 	b.restore(now, before[0], 0)
 	b.OnEndpoints(now, []Endpoint{{ID: b.endpoints[100].ID, Capacity: 1, Phase: Removed}}, false)
 	if !slices.Equal(b.subset, before) {
-		t.Error("the arms are not the same after the return and a change elsewhere")
+		t.Error("the subset is not the same after the return and a change elsewhere")
 	}
 }
 
@@ -57,7 +57,7 @@
 	for servers, want := range map[int]int{57: 2, 119: 4, 436: 8} {
 		b.OnEndpoints(1000*second, testEndpoints(servers), true)
 		if got := b.subsetSize(); got != want {
-			t.Errorf("%d servers: %d arms, want %d", servers, got, want)
+			t.Errorf("%d servers: subset of %d, want %d", servers, got, want)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 		set.ConnectionPrice, set.BalancerCount = c.price, 1000
 		w := newWorkload(t, set, testEndpoints(60)...)
 		if w.b.rates.requests = c.rate; w.b.subsetSize() != c.want {
-			t.Errorf("price %v, %v requests a second: %d arms, want %d", c.price, c.rate, w.b.subsetSize(), c.want)
+			t.Errorf("price %v, %v requests a second: subset of %d, want %d", c.price, c.rate, w.b.subsetSize(), c.want)
 		}
 	}
 }
--- a/decide/tail_latency_test.go
+++ b/decide/tail_latency_test.go
@@ -239,8 +239,8 @@
 	for _, row := range tailRows {
 		got := playTails(3, row.perSecond, 30, 1, row.set()...)
 		all := float64(got.how["served"] + got.how["refused"] + got.how["failed"])
-		if refused := float64(got.how["refused"]) / all; row.earns == 0 && refused > 0.01 {
-			t.Errorf("%s: %.1f%% refused", row.name, 100*refused)
+		if rejected := float64(got.how["refused"]) / all; row.earns == 0 && rejected > 0.01 {
+			t.Errorf("%s: %.1f%% rejected", row.name, 100*rejected)
 		}
 		if earned := got.points / all; earned < row.earns-0.02 {
 			t.Errorf("%s: %.1f%% earned, %.1f%% before", row.name, 100*earned, 100*row.earns)
--- a/decide/workload_test.go
+++ b/decide/workload_test.go
@@ -120,15 +120,15 @@
 
 // countRefusedConnections plays traffic of n requests before servers of which the dead refuse connections at
 // once and the others answer after some time. It counts the connections refused.
-func (w *workload) countRefusedConnections(n int, answerAfter int64, dead func(id string) bool) (refused int) {
+func (w *workload) countRefusedConnections(n int, answerAfter int64, dead func(id string) bool) (rejected int) {
 	w.traffic(n, func(f *trackedAttempt) (Result, bool) {
 		if dead(f.server.ID) {
-			refused++
+			rejected++
 			return ConnectFailed, true
 		}
 		return Succeeded, w.now-f.sent >= answerAfter
 	})
-	return refused
+	return rejected
 }
 
 // endAttempt ends an attempt; a success closes its request.
@@ -281,7 +281,7 @@
 	}
 	sent, allowed := within(w.retryTimes), rules.AttemptBudgetMin+rules.AttemptBudgetRatio*within(w.requestTimes)
 	if sent > allowed {
-		w.violation("rule 5: %s got the %.0fth further attempt, %.1f allowed", id, sent, allowed)
+		w.violation("rule 5: %s got the %.0fth retries, %.1f allowed", id, sent, allowed)
 	}
 }
 
@@ -304,8 +304,8 @@
 }
 
 func (w *workload) Reject(id string, _ int64) {
-	if r := w.answer(id, "refuse"); r != nil && !w.isSafe(r, nil) {
-		w.violation("rule 2: %s refused, but it may have run", id)
+	if r := w.answer(id, "reject"); r != nil && !w.isSafe(r, nil) {
+		w.violation("rule 2: %s rejected, but it may have run", id)
 	}
 }
 
@@ -315,9 +315,9 @@
 
 func (w *workload) WatchEndpoints(on bool) { w.record("watch %v", on) }
 
-func (w *workload) SendGossip(p int, word []byte) {
-	if w.record("tell %d %x", p, word); !w.set.Limits.Gossip || p >= w.set.BalancerCount || p == w.set.BalancerIndex || len(word) > 256 {
-		w.violation("message of %d bytes to %d", len(word), p)
+func (w *workload) SendGossip(p int, message []byte) {
+	if w.record("tell %d %x", p, message); !w.set.Limits.Gossip || p >= w.set.BalancerCount || p == w.set.BalancerIndex || len(message) > 256 {
+		w.violation("message of %d bytes to %d", len(message), p)
 	}
 }
 
@@ -332,9 +332,9 @@
 func (w *workload) countActions(prefix string) (n int) {
 	for _, a := range w.actions {
 		var at int64
-		var word, rest string
-		fmt.Sscanf(a, "%d %s %s", &at, &word, &rest)
-		if word == prefix || word+" "+rest == prefix {
+		var message, rest string
+		fmt.Sscanf(a, "%d %s %s", &at, &message, &rest)
+		if message == prefix || message+" "+rest == prefix {
 			n++
 		}
 	}
