--- a/decide/doc.go
+++ b/decide/doc.go
@@ -49,8 +49,3 @@
 //  4. An endpoint in slow start is not overloaded by all balancers together (slow_start.go).
 //  5. Attempts beyond the first of each request stay within a budget for any time window (attempt_budget.go).
 package decide
-
-const (
-	millisecond = int64(1_000)
-	second      = 1000 * millisecond
-)
--- a/decide/request.go
+++ b/decide/request.go
@@ -57,6 +57,7 @@
 	if r.TimeLeft < 0 {
 		r.TimeLeft = class.Deadline
 	}
+	// A retry comes with the time that its client has left of its deadline; the rest has passed before.
 	if !in.IsRetry {
 		class.maxFirstTimeLeft = max(class.maxFirstTimeLeft, r.TimeLeft)
 	} else if r.TimeLeft < class.maxFirstTimeLeft-b.settings.Rules.AnswerSlack {
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -48,9 +48,9 @@
 
 // Rules are the figures of the rules that a deployment checks, see the package comment.
 type Rules struct {
-	AnswerSlack         int64   // by which times on the wire may be off
+	AnswerSlack         int64   // after its deadline, in which a request may still be answered
 	PollInterval        int64   // between two polls of the endpoint list at most; 0: no bound
-	DrainGrace          int64   // within which no attempt may start at a draining endpoint
+	DrainGrace          int64   // after which no attempt may start at a draining endpoint; none starts at all
 	SlowStartMinShare   float64 // of its capacity, that an endpoint has at its start
 	SlowStartWindow     int64   // until it has all of it
 	OverloadFactor      float64 // times its share within OverloadWindow overloads an endpoint in slow start
@@ -60,7 +60,7 @@
 	AttemptBudgetWindow int64   // 0: there is no budget
 }
 
-// Limits are what the deployment permits.
+// Limits are what the deployment permits. No rule uses Hedging and MinEventInterval.
 type Limits struct {
 	Cancel, Hedging, HealthChecks, RetryAfter, Gossip bool
 	MaxAttempts                                       int // of a request; 0: defaultMaxAttempts
@@ -71,7 +71,7 @@
 }
 
 // ServiceObjective is how the service is judged: the weights of its parts, and the share of late answers that
-// the tail tolerates.
+// the tail tolerates. No rule uses WorstTenant, TailLatency and ToleratedLateShare.
 type ServiceObjective struct {
 	Overall, WorstWindow, WorstClass, WorstTenant, TailLatency float64
 	ToleratedLateShare                                         float64
