--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Requests wait for room worthiest first; those that would wait too long are refused at once.
+// Requests wait in the order of their priority; those that would wait too long are rejected at once.
 func TestLowestPriorityIsRejectedFirst(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	for i := range 4 {
@@ -16,22 +16,22 @@
 		low = append(low, w.request(fmt.Sprint("low", i), 0, 2*second))
 	}
 	high := w.request("high", 1, 2*second)
-	if low[0].answered != "refuse" || high.answered != "" {
-		t.Errorf("the oldest of the low is %q and the high %q, want refuse and waiting", low[0].answered, high.answered)
+	if low[0].answered != "reject" || high.answered != "" {
+		t.Errorf("the oldest of the low is %q and the high %q, want reject and waiting", low[0].answered, high.answered)
 	}
 	w.endAttempt(w.inFlight[0], Succeeded)
 	if len(high.attempts) != 1 || len(low[2].attempts) != 0 { // the limit grew a little: one more may go
-		t.Error("room came, and the worthiest was not the one sent")
+		t.Error("capacity came, and the one of the highest priority was not the one sent")
 	}
 	w.advance(300_000)
 	for _, r := range low {
-		if len(r.attempts) == 0 && r.answered != "refuse" {
-			t.Errorf("%s waited past its part of the aim and is %q", r.ID, r.answered)
+		if len(r.attempts) == 0 && r.answered != "reject" {
+			t.Errorf("%s waited past its part of the objective and is %q", r.ID, r.answered)
 		}
 	}
 }
 
-// The failure: a request whose client had left stood in the queue and was answered when it overflowed.
+// A queued request whose client left gets no answer when the queue overflows.
 func TestDisconnectedClientIsNotAnswered(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	var low []*trackedRequest
@@ -43,8 +43,8 @@
 	w.advance(2 * second)
 }
 
-// By hand: with equal allowances a tenant with three quarters of the traffic is over its share by a third of
-// its requests; the other never is.
+// With equal allowances a tenant with three quarters of the traffic is over its quota by a third of its
+// requests; the other never is.
 func TestOverQuotaByTraffic(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{Name: "a", Allowance: 50}, {Name: "b", Allowance: 50}}
@@ -65,8 +65,8 @@
 	}
 }
 
-// A refusal tells the client when to come back, where the settings allow that, and never after the longest
-// wait that a client follows.
+// A rejection names a time to come back, where the settings allow it, and never more than the longest that
+// clients follow.
 func TestRejectionNamesRetryAfter(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		set := testSettings()
@@ -83,8 +83,8 @@
 	}
 }
 
-// A repeat whose client has waited past the aim is answered at once where late is worth nothing.
-// Guards against repeats that keep a jam going.
+// A client's retry that comes past the latency objective is answered at once where a late answer is worth
+// nothing.
 func TestLateRetriesOfClientsAreRejected(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	w.request("first", 0, 1_200_000)
@@ -92,7 +92,7 @@
 		return w.take(Request{ID: id, Tenant: -1, TimeLeft: left, IsRetry: true})
 	}
 	if r := repeat("late", 800_000); r.answered == "" || len(r.attempts) > 0 {
-		t.Error("a repeat 1.2 s after its start was sent with an aim of 0.4 s")
+		t.Error("a repeat 1.2 s after its start was sent with an objective of 0.4 s")
 	}
 	if r := repeat("soon", 1_200_000); len(r.attempts) != 1 {
 		t.Error("a repeat that may be in time was not sent")
--- a/decide/endpoint_list_test.go
+++ b/decide/endpoint_list_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Rule 3: draining, removed and unlisted servers get nothing, however they are told.
+// Rule 3: draining, removed and unlisted endpoints get nothing, however the list says so.
 func TestDrainingEndpointsGetNothing(t *testing.T) {
 	for name, tell := range map[string]func(*workload, []Endpoint){
 		"draining": func(w *workload, l []Endpoint) { l[0].Phase = Draining; w.sendEndpoints(false, l[0]) },
@@ -27,12 +27,12 @@
 
 func TestRejectAtOnceWithoutEndpoints(t *testing.T) {
 	w := newWorkload(t, testSettings())
-	if r := w.request("a", 0, second); r.answered != "refuse" {
-		t.Errorf("answer %q, want refuse", r.answered)
+	if r := w.request("a", 0, second); r.answered != "reject" {
+		t.Errorf("answer %q, want reject", r.answered)
 	}
 }
 
-// The failure: what was known of servers that are gone was kept for good.
+// What is known of endpoints that left long ago is dropped.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	for i := range 50 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// A list that grows from one server to a thousand, repeats entries, shrinks to none and comes back neither panics nor
-// starves: whatever is listed is used, at any size.
+// A list that grows from one endpoint to a thousand, repeats entries, shrinks to none and comes back is used
+// in full at any length.
 func TestListOfAnyLength(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 500
@@ -56,7 +56,7 @@
 		list := testEndpoints(n)
 		w.sendEndpoints(true, append(list, list...)...)
 		if len(w.b.endpoints) != n || len(w.b.subset) > max(n, 3*minSubset) || n > 0 && len(w.b.subset) == 0 {
-			t.Fatalf("%d listed: %d servers kept, %d arms", n, len(w.b.endpoints), len(w.b.subset))
+			t.Fatalf("%d listed: %d servers kept, %d in the subset", n, len(w.b.endpoints), len(w.b.subset))
 		}
 		before := w.countActions("send")
 		w.traffic(50, serve)
@@ -66,8 +66,8 @@
 	}
 }
 
-// A number of balancers that is absent, or wrong by a factor of ten either way, still keeps rule 4 for all together
-// and serves what comes.
+// A balancer count that is absent, or wrong by a factor of ten, still keeps rule 4 for all together, and
+// requests are served.
 func TestWrongBalancerCount(t *testing.T) {
 	for _, told := range []int{0, 5, 500} {
 		set := testSettings()
@@ -83,12 +83,12 @@
 		}
 		cold := len(c.sendsToStartingServer(2, perSecond))
 		if most := set.Rules.OverloadFactor * set.Rules.SlowStartMinShare * perSecond / servers * 2; float64(cold) > most {
-			t.Errorf("told %d: %d sends to a cold server in its first window, budget %.0f", told, cold, most)
+			t.Errorf("told %d: %d sends to a server in slow start in its first window, budget %.0f", told, cold, most)
 		}
 	}
 }
 
-// An infinite or absurd listed size counts as one: it would leave all others without a part.
+// An infinite or absurd listed capacity counts as one: it would leave nothing to the others.
 func TestAbsurdCapacityCountsAsOne(t *testing.T) {
 	set := testSettings()
 	set.CapacityListed = true
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// gossipLink carries the words of balancers to one another, at once.
+// gossipLink carries the messages of balancers to each other at once.
 type gossipLink struct {
 	noActions
 	from int
@@ -19,15 +19,16 @@
 	sent *int
 }
 
-func (p gossipLink) SendGossip(peer int, word []byte) {
+func (p gossipLink) SendGossip(peer int, message []byte) {
 	*p.sent++
 	for i, b := range p.to {
 		if b != nil && i != p.from && (peer < 0 || peer == i) && !*p.lost {
-			b.OnGossip(*p.now, p.from, slices.Clone(word))
+			b.OnGossip(*p.now, p.from, slices.Clone(message))
 		}
 	}
 }
 
+// gossipingBalancers know of each other and of the endpoints.
 func gossipingBalancers(t *testing.T, n, servers int) (bs []*Balancer, now *int64, lost *bool, sent *int) {
 	t.Helper()
 	bs, now, lost, sent = make([]*Balancer, n), new(int64), new(bool), new(int)
@@ -46,8 +47,7 @@
 	return bs, now, lost, sent
 }
 
-// What one sends, those that share the server count, until it ends. Guards against a pool in which each sees its own
-// few attempts and all choose the same server.
+// What one balancer sends counts at those that share the endpoint until it ends.
 func TestGossipCountsAllInFlight(t *testing.T) {
 	bs, now, _, _ := gossipingBalancers(t, 3, 3)
 	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: second})
@@ -69,8 +69,8 @@
 	}
 }
 
-// A count whose end is lost is forgotten after a second; where no word comes at all, each takes the others to hold
-// what it holds itself. Guards against a collapse while all messages are lost.
+// A count whose end is lost is forgotten after a second. Where no message comes at all, each takes the others
+// to have as much in flight as itself.
 func TestLostGossip(t *testing.T) {
 	bs, now, lost, _ := gossipingBalancers(t, 4, 2)
 	bs[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: 3 * second})
@@ -78,7 +78,7 @@
 	s := bs[1].endpoints[0]
 	*now += gossipLossTimeout + 1
 	if s.inFlight = 1; bs[1].totalInFlight(*now, s) != bs[1].balancersPerEndpoint() || bs[1].balancersPerEndpoint() != 4 {
-		t.Errorf("deaf with one out: %v held, want 4", bs[1].totalInFlight(*now, s))
+		t.Errorf("messages lost with one out: %v held, want 4", bs[1].totalInFlight(*now, s))
 	}
 	s.inFlight = 0
 	*lost, *now = false, *now+second
@@ -88,12 +88,12 @@
 		sum += bs[1].totalInFlight(*now, s)
 	}
 	if sum != 1 {
-		t.Errorf("%v held after one old word and one new, want 1", sum)
+		t.Errorf("%v held after one old message and one new, want 1", sum)
 	}
 }
 
-// Words that are none, damaged, of another version, stale, doubled, from oneself or nobody, or about servers that are
-// not listed change nothing.
+// Messages that are empty, damaged, of another version, old, repeated, from the balancer itself or from
+// nobody, or about endpoints that aren't listed, change nothing.
 func TestInvalidGossipIsIgnored(t *testing.T) {
 	bs, now, _, _ := gossipingBalancers(t, 3, 3)
 	b := bs[0]
@@ -124,11 +124,11 @@
 				t.Errorf("%s: state changed to %s", name, state())
 			}
 		} else if taken++; !strings.HasPrefix(name, "bit") {
-			t.Errorf("%s: taken for a word", name)
+			t.Errorf("%s: taken for a message", name)
 		}
 	}
 	if taken > len(bad)/8 { // four bits of check let one in sixteen through
-		t.Errorf("%d of %d damaged words were taken", taken, len(bad))
+		t.Errorf("%d of %d damaged messages were taken", taken, len(bad))
 	}
 	before := state()
 	for _, from := range []int{0, -1, 3, math.MaxInt} {
@@ -146,12 +146,12 @@
 	}
 	for _, s := range b.endpoints {
 		if h := b.totalInFlight(*now, s); h > 2*maxGossipInFlight || len(s.peerLoads) > 2 {
-			t.Errorf("random words: %v held, %d sharers", h, len(s.peerLoads))
+			t.Errorf("random messages: %v held, %d sharers", h, len(s.peerLoads))
 		}
 	}
 }
 
-// A word is heard once, and not after a newer one.
+// A message counts once, and not after a newer one.
 func TestOldGossipIsIgnored(t *testing.T) {
 	bs, now, _, _ := gossipingBalancers(t, 2, 1)
 	s := bs[1].endpoints[0]
@@ -164,22 +164,22 @@
 	b.OnGossip(*now, 1, old)
 	b.OnGossip(*now, 1, fresh)
 	if got := b.totalInFlight(*now, b.endpoints[0]); got != 2 {
-		t.Errorf("%v held, want the 2 of the newest word", got)
+		t.Errorf("%v held, want the 2 of the newest message", got)
 	}
 }
 
-// No balancer without leave sends or hears a word.
+// Without Limits.Gossip no balancer sends or handles a message.
 func TestNoGossipUnlessEnabled(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	w.traffic(50, func(*trackedAttempt) (Result, bool) { return Succeeded, true })
 	w.b.OnGossip(w.now, 1, []byte{gossipVersion | 1, 0, 0, 0, 0})
 	if slices.ContainsFunc(w.actions, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.gossip.peers) > 0 {
-		t.Error("words were sent or heard where the settings permit none")
+		t.Error("messages were sent or heard where the settings permit none")
 	}
 }
 
-// A word goes to no more balancers than the CPU of its receivers bears: by hand 8 ms / 0.4 ms = 20, 24 at the most; and
-// to no more than 16,000 for all balancers together: of 2,000 each to 8.
+// A message goes to no more balancers than the CPU of its receivers allows: 8 ms / 0.4 ms = 20, 24 at the
+// most; and to no more than 16,000 for all balancers together: of 2,000 each to 8.
 func TestGossipFanout(t *testing.T) {
 	for cpu, want := range map[int64]int{0: 24, 8000: 20, 500_000: 24, 1: 1} {
 		set := testSettings()
@@ -195,8 +195,7 @@
 	}
 }
 
-// A server that has been silent for a latency mark gets nothing new. Guards against attempts that follow one lost on a
-// dead connection, and against hung servers.
+// An endpoint that has not answered for the p95 latency gets nothing new.
 func TestUnresponsiveEndpointsGetNothingWithGossip(t *testing.T) {
 	set := testSettings()
 	set.Limits.Gossip = true
@@ -208,8 +207,7 @@
 	}
 }
 
-// Of eight who share a server and hear that it has room, about two send what waits. Guards against a herd: at an
-// overloaded fleet each freed place was taken by all who waited, and a third of what was sent came late.
+// Of eight that share an endpoint and hear that it has capacity, about two dispatch their queue.
 func TestFewDispatchOnGossip(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
@@ -233,6 +231,6 @@
 		sent += b.endpoints[0].inFlight
 	}
 	if sent < 25 || sent > 85 { // a quarter of 200
-		t.Errorf("%d of 200 took the room, want about 50", sent)
+		t.Errorf("%d of 200 took the capacity, want about 50", sent)
 	}
 }
--- a/decide/key_outliers_test.go
+++ b/decide/key_outliers_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// driveKeyedTraffic plays one request in four for the key "lock", whose attempts end as given after so long, among others that are
-// answered in 10 ms, and counts what of each was refused without an attempt.
+// driveKeyedTraffic sends one request in four for the key "lock", whose attempts end as given after so long,
+// among others that are answered in 10 ms, and counts what of each was rejected without an attempt.
 func driveKeyedTraffic(w *workload, n int, end Result, after int64) (lock, others int) {
 	var all []*trackedRequest
 	for i := range n {
@@ -37,9 +37,8 @@
 	return lock, others
 }
 
-// The failures: a lock behind all servers, clients that read for a second and requests that any server finds in error
-// held the places of all others, and servers were suspended and limits cut for them. The key's requests are thinned, no
-// other is refused, no server is suspended, and it ends when the answers are good again.
+// Requests of a key that fails at every endpoint, by a lock, a slow client or an invalid request, are partly
+// rejected. No other request is, no endpoint is ejected, and it ends when the answers are good again.
 func TestKeyThatFailsEverywhereIsAnOutlier(t *testing.T) {
 	for _, c := range []struct {
 		end   Result
@@ -49,21 +48,21 @@
 		driveKeyedTraffic(w, 400, Succeeded, 0)
 		lock, others := driveKeyedTraffic(w, 1000, c.end, c.after)
 		if lock < 100 || others > 10 {
-			t.Errorf("%+v: %d of 250 refused for the key, %d of 750 others", c, lock, others)
+			t.Errorf("%+v: %d of 250 rejected for the key, %d of 750 others", c, lock, others)
 		}
 		for id, s := range w.b.knownEndpoints {
 			if s.ejectedForAll || s.concurrencyLimit < 1 {
-				t.Errorf("%+v: %s suspended %v, limit %v", c, id, s.ejectedForAll, s.concurrencyLimit)
+				t.Errorf("%+v: %s ejected %v, limit %v", c, id, s.ejectedForAll, s.concurrencyLimit)
 			}
 		}
 		driveKeyedTraffic(w, 3000, Succeeded, 0)
 		if lock, _ = driveKeyedTraffic(w, 400, Succeeded, 0); lock > 0 {
-			t.Errorf("%+v: %d of 100 refused though all is well again", c, lock)
+			t.Errorf("%+v: %d of 100 rejected though all is well again", c, lock)
 		}
 	}
 }
 
-// Where everything is as bad no key is to blame: servers are.
+// Where all keys fail alike none is an outlier: endpoints are at fault.
 func TestEndpointFaultsMakeNoKeyAnOutlier(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(6)...)
 	for i := range 600 {
@@ -77,12 +76,12 @@
 	}
 	for i := range w.b.keys.slots {
 		if w.b.keys.slots[i].rejectRatio > 0.5 {
-			t.Fatalf("slot %d is thinned by %v", i, w.b.keys.slots[i].rejectRatio)
+			t.Fatalf("slot %d is rejected at %v", i, w.b.keys.slots[i].rejectRatio)
 		}
 	}
 }
 
-// A key that is to blame may hold one of the few answers held for clients no longer than half its aim: the others wait for it.
+// A request of an outlier key may hold one of few response buffers for half its objective at most.
 func TestOutlierKeysGetShortTimeouts(t *testing.T) {
 	for held, want := range map[int]int64{0: 2 * second, 1: 200_000} {
 		set := testSettings()
