--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,13 +19,17 @@
 )
 
 const (
-	mailboxSize           = 1024
-	leaseRequestsPerLease = 5
-	rebindInterval        = 50 * time.Millisecond // between attempts to listen at the configured address
-	quorumTimeoutsInLease = 2
-	takeoverStaggers      = 2 // in a lease
-	resendsPerLease       = 20
-	minResendMicros       = 5000
+	mailboxSize    = 1024                  // messages to tendLease's or the replicator's goroutine
+	rebindInterval = 50 * time.Millisecond // between attempts to listen at the configured address
+)
+
+// Intervals within one lease.
+const (
+	leaseRequestsPerLease    = 5
+	quorumTimeoutsPerLease   = 2
+	takeoverStaggersPerLease = 2
+	resendsPerLease          = 20
+	minResendMicros          = 5000 // however short the lease is
 )
 
 // Hooks are what a fleet needs of the client side. They may be called from any goroutine.
@@ -101,7 +105,7 @@
 	lease := opts.Fleet.LeaseDuration.Microseconds()
 	f := &Fleet{
 		name: name, options: opts, configuredAddresses: map[string]string{}, build: buildRevision(), start: time.Now(),
-		maxRequestAge: maxRequestAge, resendInterval: max(lease/resendsPerLease, minResendMicros), quorumTimeout: lease / quorumTimeoutsInLease,
+		maxRequestAge: maxRequestAge, resendInterval: max(lease/resendsPerLease, minResendMicros), quorumTimeout: lease / quorumTimeoutsPerLease,
 		faults: faultsOfBuild(), hooks: hooks, applier: applier, codec: codec, mailbox: make(chan memberMessage, mailboxSize),
 	}
 	for _, m := range opts.Fleet.Members {
@@ -137,7 +141,7 @@
 	return takeover.Config{
 		Self: *f.self.Load(), MemberNames: f.memberNames, ReplicationFactor: opts.Replicas, MaxRecords: opts.MaxRecords, MaxBytes: opts.MaxBytes,
 		Retention: opts.AnswerRetention.Microseconds(), MaxRequestAge: f.maxRequestAge.Microseconds(), LateRequestSlack: lease,
-		QuorumTimeout: f.quorumTimeout, ResendInterval: f.resendInterval, TakeoverStagger: lease / takeoverStaggers, Fault: f.faults.takeover,
+		QuorumTimeout: f.quorumTimeout, ResendInterval: f.resendInterval, TakeoverStagger: lease / takeoverStaggersPerLease, Fault: f.faults.takeover,
 	}
 }
 
--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -17,7 +17,8 @@
 	a, b := member("a", 1), member("b", 1)
 	rec := takeover.Record{ID: "x", Idempotency: takeover.IdempotentByKey, Owner: b, Epoch: 9, DeadlineAge: 1 << 62, Age: -5, Request: []byte("r")}
 	good, err := c.Marshal([]takeover.Message{
-		{Kind: takeover.Write, ID: "x", Ballot: takeover.Ballot{Proposer: b}, Epoch: 2, Record: &rec}, {Kind: takeover.Prepare, ID: "x", Ballot: takeover.Ballot{Round: 2, Proposer: b}},
+		{Kind: takeover.Write, ID: "x", Ballot: takeover.Ballot{Proposer: b}, Epoch: 2, Record: &rec},
+		{Kind: takeover.Prepare, ID: "x", Ballot: takeover.Ballot{Round: 2, Proposer: b}},
 		{Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "mine", HasRecord: true, Ballot: takeover.Ballot{Round: 1, Proposer: a}},
 	})
 	if err != nil {
@@ -30,7 +31,8 @@
 			return
 		}
 		n := takeover.New(takeover.Config{
-			Self: a, MemberNames: []string{"a", "b", "c"}, ReplicationFactor: 3, MaxRecords: 8, MaxBytes: 4096, Retention: 1000, MaxRequestAge: 1000, QuorumTimeout: 100, ResendInterval: 10, TakeoverStagger: 10,
+			Self: a, MemberNames: []string{"a", "b", "c"}, ReplicationFactor: 3, MaxRecords: 8, MaxBytes: 4096, Retention: 1000,
+			MaxRequestAge: 1000, QuorumTimeout: 100, ResendInterval: 10, TakeoverStagger: 10,
 		})
 		n.ApplyView(0, (&membership.Membership{}).Apply(&membership.Change{Member: a}, nil).Apply(&membership.Change{Member: b}, nil).View())
 		n.Resume(0, takeover.Record{ID: "mine", Idempotency: takeover.NotIdempotent, DeadlineAge: 1000})
--- a/internal/fleet/lease_renewal.go
+++ b/internal/fleet/lease_renewal.go
@@ -9,8 +9,8 @@
 	"damsonscale/internal/fleet/protocol"
 )
 
-// hurryFactor is how much more often a member without a valid lease requests one.
-const hurryFactor = 4
+// unleasedRequestFactor is how much more often a member without a valid lease requests one.
+const unleasedRequestFactor = 4
 
 // tendLease requests leases and handles what is posted, until ctx ends.
 func (f *Fleet) tendLease(ctx context.Context) {
@@ -29,7 +29,7 @@
 			if f.lease.Load().Valid() {
 				next.Reset(interval)
 			} else {
-				next.Reset(interval / hurryFactor)
+				next.Reset(interval / unleasedRequestFactor)
 			}
 		}
 	}
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -35,11 +35,14 @@
 		m = next
 	}
 	v := m.View()
-	if s := v.Members[a2]; len(v.Members) != 1 || s.JoinedEpoch != 2 || s.FirstIncarnation || m.AddressOf("a", "configured") != "x:1" || m.AddressOf("b", "configured") != "configured" {
+	if s := v.Members[a2]; len(v.Members) != 1 || s.JoinedEpoch != 2 || s.FirstIncarnation ||
+		m.AddressOf("a", "configured") != "x:1" || m.AddressOf("b", "configured") != "configured" {
 		t.Fatalf("%+v", v)
 	}
 	for _, bad := range []*Membership{
-		{Epoch: 1, Members: []JoinedMember{{Member: a1, JoinedEpoch: 2}}}, {Epoch: 1, Members: []JoinedMember{{}}}, {Epoch: 1, Members: []JoinedMember{{Member: a1}, {Member: a1}}},
+		{Epoch: 1, Members: []JoinedMember{{Member: a1, JoinedEpoch: 2}}},
+		{Epoch: 1, Members: []JoinedMember{{}}},
+		{Epoch: 1, Members: []JoinedMember{{Member: a1}, {Member: a1}}},
 	} {
 		if bad.Validate() == nil {
 			t.Errorf("accepted: %+v", bad)
--- a/internal/fleet/segmentfile/directory.go
+++ b/internal/fleet/segmentfile/directory.go
@@ -38,18 +38,18 @@
 
 // Directory writes the segments of one process. It is not safe for concurrent use.
 type Directory struct {
-	path           string
-	maxBytes       int // of all files together
-	codec          *protocol.Codec
-	file           segmentFile // nil: to be opened before the next write
-	filePath       string
-	usedBytes      int                                    // of the file, written or pending
-	full           bool                                   // the file may grow no further
-	faultLogged    bool                                   // and not over since
-	completeBytes  int64                                  // of complete segments in the file
-	needsTruncate  bool                                   // there may be a part of a segment behind them
-	pending        [][]byte                               // encoded segments that are not written yet, in order
-	openForAppends func(path string) (segmentFile, error) // replaces openLocked in tests
+	path          string
+	maxBytes      int // of all files together
+	codec         *protocol.Codec
+	file          segmentFile // nil: to be opened before the next write
+	filePath      string
+	usedBytes     int                                    // of the file, written or pending
+	full          bool                                   // the file may grow no further
+	faultLogged   bool                                   // and not over since
+	completeBytes int64                                  // of complete segments in the file
+	needsTruncate bool                                   // there may be a part of a segment behind them
+	pending       [][]byte                               // encoded segments that are not written yet, in order
+	openForAppend func(path string) (segmentFile, error) // replaces openLocked in tests
 }
 
 // segmentFile is what segments are written to.
@@ -160,7 +160,7 @@
 
 // reopen opens the file of this incarnation behind its complete segments. It reports whether it could.
 func (d *Directory) reopen() bool {
-	open := d.openForAppends
+	open := d.openForAppend
 	if open == nil {
 		open = d.openLocked
 	}
--- a/internal/fleet/segmentfile/directory_test.go
+++ b/internal/fleet/segmentfile/directory_test.go
@@ -50,7 +50,7 @@
 		random := rand.New(rand.NewPCG(seed, 9))
 		faults, dir := 0, t.TempDir()
 		d := New(dir, 1<<20, codec)
-		d.openForAppends = func(path string) (segmentFile, error) {
+		d.openForAppend = func(path string) (segmentFile, error) {
 			if faults > 0 {
 				faults--
 				return nil, syscall.EIO
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -18,7 +18,8 @@
 	"damsonscale/internal/takeover"
 )
 
-// wireGolden has one line for each sample: its name, and in hexadecimal what commit 2029d41 writes for it.
+// wireGolden has one line for each sample: its name, after the type's name in commit 2029d41, and in hexadecimal what that commit
+// writes for it.
 const wireGolden = "testdata/wire-2029d41.hex"
 
 func sampleDigest(first byte) (d rollout.Digest) {
@@ -42,8 +43,10 @@
 func sampleMessage() takeover.Message {
 	rec := sampleRecord()
 	return takeover.Message{
-		Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "id-1", Ballot: takeover.Ballot{Round: 21, Proposer: member("by", 22)}, Epoch: 23, Digest: 24,
-		Seq: 25, PromisedBallot: takeover.Ballot{Round: 26, Proposer: member("pr", 27)}, HasRecord: true, RecordBallot: takeover.Ballot{Round: 28, Proposer: member("at", 29)}, Record: &rec,
+		Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "id-1", Epoch: 23, Digest: 24, Seq: 25, HasRecord: true, Record: &rec,
+		Ballot:         takeover.Ballot{Round: 21, Proposer: member("by", 22)},
+		PromisedBallot: takeover.Ballot{Round: 26, Proposer: member("pr", 27)},
+		RecordBallot:   takeover.Ballot{Round: 28, Proposer: member("at", 29)},
 	}
 }
 
@@ -56,7 +59,8 @@
 
 func sampleCommand() *rollout.Command {
 	return &rollout.Command{
-		Kind: rollout.Exclude, ID: 41, Author: "who", Reason: "order why", Settings: []byte("text"), Number: 42, Name: "name", Share: 43, SettleMs: 44, GraceMs: 45,
+		Kind: rollout.Exclude, ID: 41, Author: "who", Reason: "order why", Settings: []byte("text"), Number: 42, Name: "name", Share: 43,
+		SettleMs: 44, GraceMs: 45,
 	}
 }
 
