--- a/internal/fleet/membership/log.go
+++ b/internal/fleet/membership/log.go
@@ -128,7 +128,7 @@
 		return nil
 	}
 	var s snapshot
-	if err := l.codec.Unmarshal(data, &s); err != nil || s.Membership == nil {
+	if err := l.codec.UnmarshalStored(data, &s); err != nil || s.Membership == nil {
 		return fmt.Errorf("snapshot: %w", errors.Join(err, ErrInvalid))
 	}
 	l.membership, l.settings = s.Membership, s.Settings
--- a/internal/fleet/protocol/codec.go
+++ b/internal/fleet/protocol/codec.go
@@ -11,21 +11,28 @@
 
 // Codec encodes payloads as canonical CBOR and decodes them within bounds. It may be used from any goroutine.
 type Codec struct {
-	decode cbor.DecMode
-	encode cbor.EncMode
+	decode       cbor.DecMode
+	decodeStored cbor.DecMode
+	encode       cbor.EncMode
 }
 
 // NewCodec makes a codec.
 func NewCodec() (*Codec, error) {
-	decode, err := cbor.DecOptions{
+	options := cbor.DecOptions{
 		MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNestedLevels,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
-	}.DecMode()
+	}
+	decode, err := options.DecMode()
+	if err != nil {
+		return nil, err
+	}
+	options.UTF8 = cbor.UTF8DecodeInvalid
+	decodeStored, err := options.DecMode()
 	if err != nil {
 		return nil, err
 	}
 	encode, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
-	return &Codec{decode, encode}, err
+	return &Codec{decode, decodeStored, encode}, err
 }
 
 // Marshal encodes a value.
@@ -33,3 +40,7 @@
 
 // Unmarshal decodes data into v. Data that exceeds the bounds, has unknown fields or bytes behind its end is an error.
 func (c *Codec) Unmarshal(data []byte, v any) error { return c.decode.Unmarshal(data, v) }
+
+// UnmarshalStored is Unmarshal for snapshots of the membership log: their map of settings has raw digests as text keys, which are
+// no valid UTF-8.
+func (c *Codec) UnmarshalStored(data []byte, v any) error { return c.decodeStored.Unmarshal(data, v) }
