--- a/cmd/damsonscale-lab/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -56,9 +56,9 @@
 }
 
 func (s *shape) draw(seed uint64) *faultinjection.Timeline {
-	t := faultinjection.Draw(seed, s.Processes, s.LengthMs, s.PerSecond, s.Fleet)
+	t := faultinjection.RandomTimeline(seed, s.Processes, s.LengthMs, s.PerSecond, s.Fleet)
 	if s.Audit {
-		t = faultinjection.Audited(t)
+		t = faultinjection.WithOperatorSteps(t)
 	}
 	return t
 }
@@ -68,7 +68,9 @@
 	Fleet bool   `help:"The processes take work over from each other." default:"true" negatable:""`
 }
 
-func (c *lostCmd) Run(p *player) error { return p.one(faultinjection.Lost(c.Seed, c.Fleet), p.dir) }
+func (c *lostCmd) Run(p *player) error {
+	return p.one(faultinjection.KillsAndPause(c.Seed, c.Fleet), p.dir)
+}
 
 type rolloutsCmd struct {
 	Seed uint64 `help:"Of the requests and the servers' times." default:"1"`
@@ -132,15 +134,15 @@
 				switch {
 				case err != nil:
 					fault = errors.Join(fault, fmt.Errorf("seed %d: %w", seed, err))
-				case !r.Kept() && r.Void():
+				case !r.Passed() && r.Inconclusive():
 					void++
-					fmt.Printf("seed %d: void: the machine stood still for %d ms; %s\n", seed, r.StallMs, r.Why())
+					fmt.Printf("seed %d: void: the machine stood still for %d ms; %s\n", seed, r.StallMs, r.Summary())
 					r = nil
-				case !r.Kept():
+				case !r.Passed():
 					to := filepath.Join(c.Keep, fmt.Sprintf("%d-%d", c.Processes, seed))
 					kept = append(kept, to)
 					fault = errors.Join(fault, faultinjection.Save(to, t, r))
-					fmt.Printf("seed %d: %s\n", seed, r.Why())
+					fmt.Printf("seed %d: %s\n", seed, r.Summary())
 				default:
 					os.RemoveAll(dir)
 				}
@@ -181,7 +183,7 @@
 	small, err := faultinjection.Shrink(p.ctx, t, c.Tries, func(t *faultinjection.Timeline) (bool, error) {
 		n++
 		r, err := faultinjection.Run(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(n))), t)
-		return err == nil && !r.Kept(), err
+		return err == nil && !r.Passed(), err
 	}, func(step string) { fmt.Println(step) })
 	return errors.Join(err, small.Write(c.Out))
 }
@@ -202,7 +204,7 @@
 func (c *overheadCmd) Run(p *player) error {
 	var lines []byte
 	for i := range c.Times {
-		r, err := faultinjection.MeasureOverhead(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(i))), &faultinjection.Overhead{
+		r, err := faultinjection.MeasureOverhead(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(i))), &faultinjection.OverheadConfig{
 			PerSecond: c.PerSecond, For: c.For, Servers: c.Servers, Balancers: c.Balancers, Members: c.Members, Class: c.Class, ServerMs: c.ServerMs, Seed: c.Seed + uint64(i),
 		})
 		if err != nil {
@@ -232,13 +234,13 @@
 
 // cells goes ways at random through a world of cells.
 func (c *exploreCmd) cells(p *player) error {
-	steps, met := 0, modelcheck.Met{}
+	steps, met := 0, modelcheck.Coverage{}
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
-		f := modelcheck.WalkCells(modelcheck.CellsOf(seed), seed, c.Steps)
-		steps, met = steps+f.States, met.Add(f.Met)
-		if f.Broken != "" {
-			fmt.Printf("%s\n%s\nseed=%d\n", f.Broken, strings.Join(f.Trace, "\n"), seed)
+		f := modelcheck.WalkCells(modelcheck.CellsConfigFor(seed), seed, c.Steps)
+		steps, met = steps+f.States, met.Add(f.Coverage)
+		if f.Violation != "" {
+			fmt.Printf("%s\n%s\nseed=%d\n", f.Violation, strings.Join(f.Trace, "\n"), seed)
 			return errBroken
 		}
 	}
@@ -249,15 +251,15 @@
 // fences looks at every order of events of leases and versions.
 func (c *exploreCmd) fences(p *player) error {
 	conf := modelcheck.FenceConfig{
-		Members: 1, Orders: []rollout.Kind{rollout.RollOut, rollout.Fence}, Turns: 1, Starts: 1, Ticks: 4, Asks: 2,
+		Members: 1, Commands: []rollout.Kind{rollout.RollOut, rollout.Fence}, LeaderChanges: 1, Restarts: 1, Ticks: 4, LeaseRequests: 2,
 	}
 	f, err := modelcheck.ExhaustFence(p.ctx, conf)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%v states=%d\n", conf, f.States)
-	if f.Broken != "" {
-		fmt.Printf("%s\n%s\n", f.Broken, strings.Join(f.Trace, "\n"))
+	if f.Violation != "" {
+		fmt.Printf("%s\n%s\n", f.Violation, strings.Join(f.Trace, "\n"))
 		return errBroken
 	}
 	return nil
@@ -272,15 +274,15 @@
 	case c.Cells:
 		return c.cells(p)
 	}
-	broken := func(f modelcheck.Found) bool {
-		if f.Broken == "" {
+	broken := func(f modelcheck.Result) bool {
+		if f.Violation == "" {
 			return false
 		}
-		fmt.Printf("%s\n%s\n", f.Broken, strings.Join(f.Trace, "\n"))
+		fmt.Printf("%s\n%s\n", f.Violation, strings.Join(f.Trace, "\n"))
 		return true
 	}
 	for _, strict := range []bool{false, true} {
-		conf := modelcheck.Config{Effects: []takeover.Idempotency{takeover.NotIdempotent}, Strict: strict, Budget: modelcheck.Little}
+		conf := modelcheck.Config{Idempotency: []takeover.Idempotency{takeover.NotIdempotent}, Strict: strict, Budget: modelcheck.SmallBudget}
 		f, err := modelcheck.Exhaust(p.ctx, conf, c.Depth)
 		if err != nil {
 			return err
@@ -294,7 +296,7 @@
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
 		f := modelcheck.Walk(modelcheck.Config{
-			Effects: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}, Strict: seed%2 == 0, Budget: modelcheck.Much,
+			Idempotency: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}, Strict: seed%2 == 0, Budget: modelcheck.LargeBudget,
 		}, seed, c.Steps)
 		steps += f.States
 		if broken(f) {
@@ -330,23 +332,23 @@
 	if err != nil {
 		return err
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		fmt.Println(b)
 	}
 	for _, s := range r.Steps {
 		fmt.Println("step:", s)
 	}
-	for number, ms := range r.TurnMs {
+	for number, ms := range r.RolloutMs {
 		fmt.Printf("version %d: %d ms from its order to the last run under an older one\n", number, ms)
 	}
-	if r.Held != "" {
-		fmt.Println("held:", r.Held)
+	if r.PauseReason != "" {
+		fmt.Println("held:", r.PauseReason)
 	}
-	if r.Waits != "" {
-		fmt.Println("waits:", r.Waits)
+	if r.WaitingFor != "" {
+		fmt.Println("waits:", r.WaitingFor)
 	}
 	fmt.Println(r.Line())
-	if !r.Kept() {
+	if !r.Passed() {
 		return errBroken
 	}
 	return nil
--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -676,7 +676,7 @@
 	p.expect(t, "event=reload_failed err=\"config: discovery: expected address:port")
 	p.conf["limits"] = map[string]any{"cores": 2.0, "memory_mb": 192, "sockets": 256}
 	p.reload(t, d.addr)
-	p.expect(t, "needs_restart=\"limits\"")
+	p.expect(t, "needs_restart=limits")
 	if s, body := p.look(t); s != 200 || body != "yes" {
 		t.Fatal(s, body)
 	}
@@ -698,7 +698,7 @@
 	}()
 	<-came
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.expect(t, "event=term")
+	p.expect(t, "event=terminating")
 	second := startDiscovery(t)
 	p.reload(t, second.addr)
 	<-second.watches
@@ -889,7 +889,7 @@
 			t.Fatal(s, body)
 		}
 	}
-	p.expect(t, "event=watch compared=20 server=0 wait=0 refuse=0 fail=0 timeout=0 copy=0 close=0 message=0")
+	p.expect(t, "event=shadow_compared compared=20 server=0 send=0 reject=0 fail=0 timeout=0 hedge=0 close=0 gossip=0")
 	faulty := start(t, startDiscovery(t).addr, nil, watched(0.1, "guessed"))
 	if err := <-faulty.done; err == nil || !strings.Contains(faulty.log.String(), "watch.settings: WeightSource") {
 		t.Errorf("a faulty watch: %v %s", err, faulty.log.String())
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -5,16 +5,17 @@
 	"testing"
 )
 
-// BenchmarkRequest is one request taken and answered at a balancer of 800 before 250 servers, with keys and without.
+// BenchmarkRequest is one request of a balancer among 800 before 250 endpoints, with key affinity and
+// without.
 func BenchmarkRequest(b *testing.B) {
 	for _, warm := range []bool{false, true} {
 		b.Run(fmt.Sprint("warm keys ", warm), func(b *testing.B) {
 			set := testSettings()
 			set.KeyAffinity, set.BalancerCount = warm, 800
-			bal := New(set, 1, silent{})
+			bal := New(set, 1, noActions{})
 			now := int64(1000 * second)
 			bal.Start(now)
-			bal.OnEndpoints(now, fleet(250), true)
+			bal.OnEndpoints(now, testEndpoints(250), true)
 			ids := make([]string, 1024)
 			for i := range ids {
 				ids[i] = fmt.Sprint("r", i)
