--- a/internal/lab/fleetscale/children.go
+++ b/internal/lab/fleetscale/children.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	endWithin = 10 * time.Second // of the end of its input; past it a process is killed
-	logStep   = 20 * time.Millisecond
+	stopTimeout     = 10 * time.Second // of the end of its input; past it a process is killed
+	logPollInterval = 20 * time.Millisecond
 )
 
 // child is one process that the run started.
 type child struct {
 	name    string
 	cmd     *exec.Cmd
-	in      io.WriteCloser // of a worker
+	stdin   io.WriteCloser // of a worker
 	log     *os.File
 	members []int
 	done    chan struct{}
@@ -39,14 +39,14 @@
 type children struct {
 	starter *faultinjection.ProcessStarter
 	dir     string
-	see     func(*child, Event)
+	observe func(*child, Event)
 	all     []*child
 	tails   sync.WaitGroup
 	stop    chan struct{} // ends the readers of logs
 }
 
 func newChildren(dir string, see func(*child, Event)) *children {
-	return &children{starter: faultinjection.NewProcessStarter(), dir: dir, see: see, stop: make(chan struct{})}
+	return &children{starter: faultinjection.NewProcessStarter(), dir: dir, observe: see, stop: make(chan struct{})}
 }
 
 func (c *children) start(name string, members []int, cmd *exec.Cmd) (*child, error) {
@@ -64,8 +64,8 @@
 	return one, nil
 }
 
-// worker starts a process with hollow members or links.
-func (c *children) worker(name string, members []int, command []string, w *work) (*child, error) {
+// startWorker starts a process with hollow members or links.
+func (c *children) startWorker(name string, members []int, command []string, w *workerSpec) (*child, error) {
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), "TMPDIR="+c.dir)
 	in, err := cmd.StdinPipe()
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	one.in = in
+	one.stdin = in
 	go func() {
 		lines := bufio.NewReader(out)
 		for {
@@ -90,7 +90,7 @@
 			}
 			var e Event
 			if json.Unmarshal(text, &e) == nil {
-				c.take(one, e)
+				c.handle(one, e)
 			}
 		}
 		cmd.Wait()
@@ -106,7 +106,7 @@
 	return one, nil
 }
 
-func (c *children) take(one *child, e Event) {
+func (c *children) handle(one *child, e Event) {
 	if e.Kind == Counted {
 		select {
 		case one.counted <- e:
@@ -114,11 +114,11 @@
 		}
 		return
 	}
-	c.see(one, e)
+	c.observe(one, e)
 }
 
-// real starts the program, and reads its log.
-func (c *children) real(name string, member int, binary string, env []string) (*child, error) {
+// startReal starts the program, and reads its log.
+func (c *children) startReal(name string, member int, binary string, env []string) (*child, error) {
 	cmd := exec.Command(binary)
 	cmd.Dir, cmd.Env = c.dir, append(append(os.Environ(), "TMPDIR="+c.dir), env...)
 	one, err := c.start(name, []int{member}, cmd)
@@ -143,7 +143,7 @@
 		part += text
 		if err == nil {
 			if e, ok := eventOf(part); ok {
-				c.see(one, e)
+				c.observe(one, e)
 			}
 			part = ""
 			continue
@@ -151,7 +151,7 @@
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(logStep):
+		case <-time.After(logPollInterval):
 		}
 	}
 }
@@ -189,7 +189,7 @@
 		if !one.links {
 			continue
 		}
-		if _, err := io.WriteString(one.in, "\n"); err != nil {
+		if _, err := io.WriteString(one.stdin, "\n"); err != nil {
 			return nil, 0, fmt.Errorf("%s: %w", one.name, err)
 		}
 		select {
@@ -225,14 +225,14 @@
 
 // close ends all processes.
 func (c *children) close() {
-	c.end(func(*child) bool { return true })
+	c.stopProcesses(func(*child) bool { return true })
 	close(c.stop)
 	c.tails.Wait()
 	c.starter.Close()
 }
 
-// end ends some processes: real ones at once, for nothing is in their hands.
-func (c *children) end(some func(*child) bool) {
+// stopProcesses ends some processes: real ones at once, for nothing is in their hands.
+func (c *children) stopProcesses(some func(*child) bool) {
 	var all []*child
 	for _, one := range c.all {
 		if some(one) {
@@ -242,13 +242,13 @@
 	for _, one := range all {
 		one.killed = true
 		one.cmd.Process.Signal(syscall.SIGCONT)
-		if one.in != nil {
-			one.in.Close()
+		if one.stdin != nil {
+			one.stdin.Close()
 		} else {
 			one.cmd.Process.Kill()
 		}
 	}
-	late := time.After(endWithin)
+	late := time.After(stopTimeout)
 	for _, one := range all {
 		select {
 		case <-one.done:
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -15,10 +15,10 @@
 	"damsonscale/internal/takeover"
 )
 
-// hollow is a member without a data path: its fleet, custody, account, versions and list are the program's own.
-type hollow struct {
-	name string
-	tell func(Event)
+// hollowMember is a member without a data path: its fleet, custody, account, versions and list are the program's own.
+type hollowMember struct {
+	name   string
+	report func(Event)
 
 	mu   sync.Mutex
 	conf *config.Config
@@ -27,15 +27,15 @@
 var errHollow = errors.New("a hollow member runs nothing")
 
 // ResumeOrphan refuses: nobody sends requests in such a run.
-func (h *hollow) ResumeOrphan(*takeover.Record, *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error) {
+func (h *hollowMember) ResumeOrphan(*takeover.Record, *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error) {
 	return nil, errHollow
 }
 
 // DiscardAnswer is never called with anything.
-func (h *hollow) DiscardAnswer(any) {}
+func (h *hollowMember) DiscardAnswer(any) {}
 
 // ApplySettings puts a version in force, by the checks of the program.
-func (h *hollow) ApplySettings(number uint64, text []byte) error {
+func (h *hollowMember) ApplySettings(number uint64, text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next, err := h.conf.WithFleetSettings(text, os.Getenv)
@@ -43,12 +43,12 @@
 		return err
 	}
 	h.conf = next
-	h.tell(Event{Kind: Adopted, Member: h.name, Number: int64(number), At: time.Now()})
+	h.report(Event{Kind: Adopted, Member: h.name, Number: int64(number), At: time.Now()})
 	return nil
 }
 
 // ValidateSettings tells what Adopt would say.
-func (h *hollow) ValidateSettings(text []byte) error {
+func (h *hollowMember) ValidateSettings(text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, err := h.conf.WithFleetSettings(text, os.Getenv)
@@ -56,16 +56,16 @@
 }
 
 // CloseIdleConnections has nothing to close.
-func (h *hollow) CloseIdleConnections() {}
+func (h *hollowMember) CloseIdleConnections() {}
 
 // OnEndpoints tells of a list in force.
-func (h *hollow) OnEndpoints(l *discovery.Update) {
-	h.tell(Event{Kind: Listed, Member: h.name, Number: l.Seq, At: time.Now()})
+func (h *hollowMember) OnEndpoints(l *discovery.Update) {
+	h.report(Event{Kind: Listed, Member: h.name, Number: l.Seq, At: time.Now()})
 }
 
 // startHollow joins a member to its fleet and to the list service.
 func startHollow(ctx context.Context, o *options.Options, name string, conf *config.Config, list string, tell func(Event)) error {
-	h := &hollow{name: name, tell: tell, conf: conf}
+	h := &hollowMember{name: name, report: tell, conf: conf}
 	const longest = 2 * time.Second
 	f, err := fleet.New(o, name, longest, h, h)
 	if err == nil {
--- a/internal/lab/fleetscale/link.go
+++ b/internal/lab/fleetscale/link.go
@@ -21,9 +21,9 @@
 )
 
 // Kinds of frames, as fleet numbers them on the wire.
-const hello = 0
+const frameHello = 0
 
-var kindNames = []string{"hello", "raft", "custody", "ask", "grant", "view_ask", "view", "leave", "desk", "want", "have", "segments", "taken"}
+var frameKindNames = []string{"hello", "raft", "custody", "ask", "grant", "view_ask", "view", "leave", "desk", "want", "have", "segments", "taken"}
 
 // Tally counts whole frames with their heads.
 type Tally struct {
@@ -64,7 +64,7 @@
 	counts map[string]*Tally
 	lns    []net.Listener
 	conns  map[net.Conn]bool
-	over   bool
+	closed bool
 }
 
 func newLinks() *links { return &links{counts: map[string]*Tally{}, conns: map[net.Conn]bool{}} }
@@ -93,7 +93,7 @@
 func (l *links) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = true
+	l.closed = true
 	for _, ln := range l.lns {
 		ln.Close()
 	}
@@ -102,17 +102,17 @@
 	}
 }
 
-// holds notes a connection, unless all are to be closed.
-func (l *links) holds(c net.Conn) bool {
+// track notes a connection, unless all are to be closed.
+func (l *links) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.over {
+	if !l.closed {
 		l.conns[c] = true
 	}
-	return !l.over
+	return !l.closed
 }
 
-func (l *links) drop(c net.Conn) {
+func (l *links) untrack(c net.Conn) {
 	c.Close()
 	l.mu.Lock()
 	delete(l.conns, c)
@@ -120,16 +120,16 @@
 }
 
 func (l *links) relay(to, target string, near net.Conn) {
-	defer l.drop(near)
-	if !l.holds(near) {
+	defer l.untrack(near)
+	if !l.track(near) {
 		return
 	}
 	far, err := net.DialTimeout("tcp", target, linkDial)
 	if err != nil {
 		return
 	}
-	defer l.drop(far)
-	if !l.holds(far) {
+	defer l.untrack(far)
+	if !l.track(far) {
 		return
 	}
 	go func() { // an operator is answered on its own connection; a member's only ends
@@ -144,8 +144,8 @@
 			return
 		}
 		kind := one[3]
-		if first && kind == hello {
-			if from, err = dialler(one[frame.HeaderSize:]); err != nil {
+		if first && kind == frameHello {
+			if from, err = helloSender(one[frame.HeaderSize:]); err != nil {
 				return
 			}
 		}
@@ -177,8 +177,8 @@
 	return to, err
 }
 
-// dialler reads the name out of a hello.
-func dialler(payload []byte) (string, error) {
+// helloSender reads the name out of a hello.
+func helloSender(payload []byte) (string, error) {
 	var h struct {
 		_     struct{} `cbor:",toarray"`
 		Fleet uint64
@@ -194,7 +194,7 @@
 	return h.From.Name, nil
 }
 
-func (l *links) of(name string) *Tally {
+func (l *links) tallyOf(name string) *Tally {
 	t := l.counts[name]
 	if t == nil {
 		t = &Tally{Out: map[string]int64{}}
@@ -206,11 +206,11 @@
 func (l *links) sent(from string, kind byte, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.of(from)
+	t := l.tallyOf(from)
 	t.OutFrames, t.OutBytes = t.OutFrames+1, t.OutBytes+int64(bytes)
 	name := "other"
-	if int(kind) < len(kindNames) {
-		name = kindNames[kind]
+	if int(kind) < len(frameKindNames) {
+		name = frameKindNames[kind]
 	}
 	t.Out[name]++
 }
@@ -218,7 +218,7 @@
 func (l *links) received(to string, bytes int, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.of(to)
+	t := l.tallyOf(to)
 	if !whole {
 		t.LostFrames++
 		return
--- a/internal/lab/fleetscale/list.go
+++ b/internal/lab/fleetscale/list.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	beat       = 2 * time.Second // of a watch
-	deltasKept = 1024            // changes that a watch may begin behind; one further behind gets the whole list
+	heartbeatInterval = 2 * time.Second // of a watch
+	maxDeltas         = 1024            // changes that a watch may begin behind; one further behind gets the whole list
 )
 
 // listService is the stand-in of discovery's list: whole lists first, then what changes.
@@ -26,15 +26,15 @@
 	addr string
 	http *http.Server
 
-	calls, words, in, out atomic.Int64 // watches asked for; lists and beats told; bytes both ways
-	open                  atomic.Int64 // watches
-	deltasTold            atomic.Int64 // changes told, each to each watch
+	calls, messages, bytesIn, bytesOut atomic.Int64 // watches asked for; lists and beats told; bytes both ways
+	open                               atomic.Int64 // watches
+	deltasSent                         atomic.Int64 // changes told, each to each watch
 
-	mu     sync.Mutex
-	list   discovery.Update
-	deltas []discovery.Update // the latest, in order
-	change chan struct{}      // closed and replaced at each change
-	told   map[int64]time.Time
+	mu        sync.Mutex
+	list      discovery.Update
+	deltas    []discovery.Update // the latest, in order
+	change    chan struct{}      // closed and replaced at each change
+	changedAt map[int64]time.Time
 }
 
 // startList serves a list of so many servers, all of which are at dial.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &listService{addr: ln.Addr().String(), change: make(chan struct{}), told: map[int64]time.Time{}}
+	s := &listService{addr: ln.Addr().String(), change: make(chan struct{}), changedAt: map[int64]time.Time{}}
 	s.list = discovery.Update{Seq: 1, Full: true}
 	for i := range servers {
 		s.list.Endpoints = append(s.list.Endpoints, discovery.Endpoint{
@@ -57,8 +57,8 @@
 
 func (s *listService) close() { s.http.Close() }
 
-// whole copies the list.
-func (s *listService) whole() *discovery.Update {
+// fullList copies the list.
+func (s *listService) fullList() *discovery.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.list
@@ -66,18 +66,18 @@
 	return &l
 }
 
-// alter changes the share of one server, and returns the list's new number.
-func (s *listService) alter() int64 {
+// changeOne changes the share of one server, and returns the list's new number.
+func (s *listService) changeOne() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.Seq++
 	one := &s.list.Endpoints[int(s.list.Seq)%len(s.list.Endpoints)]
 	one.Capacity = 1 + float64(s.list.Seq%7)/10
 	s.deltas = append(s.deltas, discovery.Update{Seq: s.list.Seq, Endpoints: []discovery.Endpoint{*one}})
-	if len(s.deltas) > deltasKept {
-		s.deltas = slices.Clone(s.deltas[len(s.deltas)-deltasKept:])
+	if len(s.deltas) > maxDeltas {
+		s.deltas = slices.Clone(s.deltas[len(s.deltas)-maxDeltas:])
 	}
-	s.told[s.list.Seq] = time.Now()
+	s.changedAt[s.list.Seq] = time.Now()
 	close(s.change)
 	s.change = make(chan struct{})
 	return s.list.Seq
@@ -87,11 +87,11 @@
 func (s *listService) changes() map[int64]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.told)
+	return maps.Clone(s.changedAt)
 }
 
-// news returns what a watch that has seen from is to be told, and what is closed at the next change.
-func (s *listService) news(from int64) (out []discovery.Update, next <-chan struct{}, seq int64) {
+// updatesSince returns what a watch that has seen from is to be told, and what is closed at the next change.
+func (s *listService) updatesSince(from int64) (out []discovery.Update, next <-chan struct{}, seq int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch behind := int(s.list.Seq - from); {
@@ -114,16 +114,16 @@
 	s.calls.Add(1)
 	s.open.Add(1)
 	defer s.open.Add(-1)
-	tick := time.NewTicker(beat)
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	out := json.NewEncoder(w)
 	for {
-		news, next, seq := s.news(from)
+		news, next, seq := s.updatesSince(from)
 		from = seq
 		for i := range news {
-			s.words.Add(1)
+			s.messages.Add(1)
 			if !news[i].Full {
-				s.deltasTold.Add(1)
+				s.deltasSent.Add(1)
 			}
 			if out.Encode(&news[i]) != nil {
 				return
@@ -140,7 +140,7 @@
 			case <-next:
 				quiet = false
 			case <-tick.C:
-				s.words.Add(1)
+				s.messages.Add(1)
 				io.WriteString(w, "\n")
 				w.(http.Flusher).Flush()
 			}
@@ -154,6 +154,7 @@
 	s *listService
 }
 
+// Accept accepts a connection whose bytes are counted.
 func (c *counted) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
@@ -169,12 +170,12 @@
 
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.s.in.Add(int64(n))
+	c.s.bytesIn.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.s.out.Add(int64(n))
+	c.s.bytesOut.Add(int64(n))
 	return n, err
 }
--- a/internal/lab/fleetscale/lists.go
+++ b/internal/lab/fleetscale/lists.go
@@ -16,7 +16,7 @@
 	"damsonscale/internal/lab/faultinjection"
 )
 
-const mostLists = 32 // sizes of one run
+const maxListSizes = 32 // sizes of one run
 
 // ListsConfig is a run of one idle sidecar without a fleet, for each length of the list.
 type ListsConfig struct {
@@ -30,19 +30,19 @@
 // Validate refuses what is out of range, by the name of its argument.
 func (c *ListsConfig) Validate() error {
 	var all []error
-	if len(c.Sizes) == 0 || len(c.Sizes) > mostLists {
-		all = append(all, fmt.Errorf("--sizes: %d of them, not 1 to %d", len(c.Sizes), mostLists))
+	if len(c.Sizes) == 0 || len(c.Sizes) > maxListSizes {
+		all = append(all, fmt.Errorf("--sizes: %d of them, not 1 to %d", len(c.Sizes), maxListSizes))
 	}
 	for _, n := range c.Sizes {
-		if n < 1 || n > MostServers {
-			all = append(all, fmt.Errorf("--sizes: %d is not within 1 to %d", n, MostServers))
+		if n < 1 || n > MaxServers {
+			all = append(all, fmt.Errorf("--sizes: %d is not within 1 to %d", n, MaxServers))
 		}
 	}
-	if c.For < LeastFor || c.For > MostFor {
-		all = append(all, fmt.Errorf("--for: %v is not within %v to %v", c.For, LeastFor, MostFor))
+	if c.For < MinFor || c.For > MaxFor {
+		all = append(all, fmt.Errorf("--for: %v is not within %v to %v", c.For, MinFor, MaxFor))
 	}
-	if !(c.Changes >= 0 && c.Changes <= MostRate) {
-		all = append(all, fmt.Errorf("--changes: %v is not within 0 to %v a second", c.Changes, MostRate))
+	if !(c.Changes >= 0 && c.Changes <= MaxRate) {
+		all = append(all, fmt.Errorf("--changes: %v is not within 0 to %v a second", c.Changes, MaxRate))
 	}
 	return errors.Join(all...)
 }
@@ -115,7 +115,7 @@
 	}
 	all := newChildren(c.Dir, func(*child, Event) {})
 	defer all.close()
-	one, err := all.real(fmt.Sprintf("list-%d", n), 0, c.Binary, []string{"PROXY_CONFIG=" + path, "DAMSONSCALE_OPTIONS="})
+	one, err := all.startReal(fmt.Sprintf("list-%d", n), 0, c.Binary, []string{"PROXY_CONFIG=" + path, "DAMSONSCALE_OPTIONS="})
 	if err != nil {
 		return nil, err
 	}
@@ -129,13 +129,13 @@
 	}
 	changing, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
-	go func() { defer close(done); every(changing, c.Changes, func(int) { list.alter() }) }()
+	go func() { defer close(done); atRate(changing, c.Changes, func(int) { list.changeOne() }) }()
 	f.Changing, f.Told, err = c.over(ctx, one, list)
 	stop()
 	<-done
 	f.Changes = int64(len(list.changes()))
-	for end := time.Now().Add(lastWithin); ; sleep(ctx, 10*time.Millisecond) {
-		if f.Untold = f.Changes - list.deltasTold.Load(); f.Untold == 0 || time.Now().After(end) || ctx.Err() != nil {
+	for end := time.Now().Add(settleTimeout); ; sleep(ctx, 10*time.Millisecond) {
+		if f.Untold = f.Changes - list.deltasSent.Load(); f.Untold == 0 || time.Now().After(end) || ctx.Err() != nil {
 			break
 		}
 	}
@@ -151,20 +151,20 @@
 	if err != nil {
 		return u, 0, err
 	}
-	at, bytes, changes := time.Now(), list.out.Load(), list.deltasTold.Load()
+	at, bytes, changes := time.Now(), list.bytesOut.Load(), list.deltasSent.Load()
 	sleep(ctx, c.For)
 	after, err := usageOf(one.cmd.Process.Pid)
 	seconds := time.Since(at).Seconds()
 	u = Over{
 		CPU: 100 * (after.CPU - before.CPU).Seconds() / seconds, MemoryMB: float64(after.RSS) / (1 << 20), Descriptors: after.Descriptors,
-		Watches: list.open.Load(), KBIn: float64(list.out.Load()-bytes) / 1000 / seconds,
+		Watches: list.open.Load(), KBIn: float64(list.bytesOut.Load()-bytes) / 1000 / seconds,
 	}
-	return u, float64(list.deltasTold.Load()-changes) / seconds, errors.Join(err, ctx.Err())
+	return u, float64(list.deltasSent.Load()-changes) / seconds, errors.Join(err, ctx.Err())
 }
 
 // ready waits until a sidecar serves.
 func ready(ctx context.Context, all *children, addr string) error {
-	ctx, cancel := context.WithTimeout(ctx, startWithin)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
 		ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/health/ready", nil)
--- a/internal/lab/fleetscale/proc.go
+++ b/internal/lab/fleetscale/proc.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// tick is the kernel's account of CPU time.
-const tick = 10 * time.Millisecond
+// clockTick is the kernel's account of CPU time.
+const clockTick = 10 * time.Millisecond
 
 // Usage is what the system tells of one process.
 type Usage struct {
@@ -19,7 +19,7 @@
 	Descriptors int
 }
 
-var errStat = errors.New("/proc tells nothing readable of the process")
+var errUnreadableStat = errors.New("/proc tells nothing readable of the process")
 
 // usageOf reads a process's usage.
 func usageOf(pid int) (u Usage, err error) {
@@ -30,15 +30,15 @@
 	_, after, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(after)
 	if len(f) < 22 {
-		return u, errStat
+		return u, errUnreadableStat
 	}
 	var n [3]int64
 	for i, at := range []int{11, 12, 21} {
 		if n[i], err = strconv.ParseInt(f[at], 10, 64); err != nil {
-			return u, fmt.Errorf("%w: %w", errStat, err)
+			return u, fmt.Errorf("%w: %w", errUnreadableStat, err)
 		}
 	}
-	u.CPU, u.RSS = time.Duration(n[0]+n[1])*tick, n[2]*int64(os.Getpagesize())
+	u.CPU, u.RSS = time.Duration(n[0]+n[1])*clockTick, n[2]*int64(os.Getpagesize())
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	u.Descriptors = len(fds)
 	return u, err
--- a/internal/lab/fleetscale/report.go
+++ b/internal/lab/fleetscale/report.go
@@ -74,8 +74,8 @@
 	if one.links {
 		return Links
 	}
-	m := &r.lay.members[one.members[0]]
-	voter := m.fleet == 0 && one.members[0] < votersOf(len(r.lay.fleets[0].members))
+	m := &r.layout.members[one.members[0]]
+	voter := m.fleet == 0 && one.members[0] < votersOf(len(r.layout.fleets[0].members))
 	switch {
 	case one == leader && m.real:
 		return Leader
@@ -93,14 +93,23 @@
 	return CellMember
 }
 
+// report summarises the time between two samples.
 func (r *run) report(before, after *sample) *Report {
 	c := &r.conf
+	seconds := after.at.Sub(before.at).Seconds()
 	out := &Report{
-		Real: c.Real, Hollow: c.Hollow, CellSize: c.CellSize, Fleets: len(r.lay.fleets), Members: c.Real + c.Hollow,
-		ForS: after.at.Sub(before.at).Seconds(), LeaseMs: float64(c.Lease.Milliseconds()), Audit: c.Audit, Servers: c.Servers,
+		Real: c.Real, Hollow: c.Hollow, CellSize: c.CellSize, Fleets: len(r.layout.fleets), Members: c.Real + c.Hollow,
+		ForS: seconds, LeaseMs: float64(c.Lease.Milliseconds()), Audit: c.Audit, Servers: c.Servers,
 	}
-	seconds := out.ForS
-	leader, _ := r.book.leader(r.first)
+	out.Roles = r.roles(before, after, seconds)
+	out.ListService = listFigures(before.list, after.list, seconds)
+	r.countMembershipChanges(out, before.at, after.at)
+	return out
+}
+
+// roles returns the mean use of one member, by role.
+func (r *run) roles(before, after *sample, seconds float64) (out []Role) {
+	leader, _ := r.observations.leader(r.ofFirstFleet)
 	byName := map[string]*Role{}
 	for _, one := range r.children.all {
 		u, ok := after.usage[one]
@@ -119,63 +128,79 @@
 		role.CPU += 100 * (u.CPU - was.CPU).Seconds() / seconds
 		role.MemoryMB += float64(u.RSS) / (1 << 20)
 		role.Descriptors += float64(u.Descriptors)
-		if name == Links {
-			continue
-		}
-		for _, i := range one.members {
-			m := &r.lay.members[i]
-			if !r.lay.fleets[m.fleet].counted {
-				continue
-			}
-			t := after.counts[m.name].since(before.counts[m.name])
-			role.Counted++
-			role.KBIn, role.KBOut = role.KBIn+float64(t.InBytes)/1000/seconds, role.KBOut+float64(t.OutBytes)/1000/seconds
-			role.In, role.Out = role.In+float64(t.InFrames)/seconds, role.Out+float64(t.OutFrames)/seconds
-			for k, n := range t.Out {
-				if n > 0 {
-					role.OutOf[k] += float64(n) / seconds
-				}
-			}
+		if name != Links {
+			r.addTraffic(role, one, before, after, seconds)
 		}
 	}
 	for _, name := range Roles {
-		role := byName[name]
-		if role == nil {
+		if role := byName[name]; role != nil {
+			role.divide()
+			out = append(out, *role)
+		}
+	}
+	return out
+}
+
+// addTraffic adds what the members of a process sent and received over counted links.
+func (r *run) addTraffic(role *Role, one *child, before, after *sample, seconds float64) {
+	for _, i := range one.members {
+		m := &r.layout.members[i]
+		if !r.layout.fleets[m.fleet].counted {
 			continue
 		}
-		n := float64(role.Members)
-		role.CPU, role.MemoryMB, role.Descriptors = role.CPU/n, role.MemoryMB/n, role.Descriptors/n
-		if k := float64(role.Counted); k > 0 {
-			role.KBIn, role.KBOut, role.In, role.Out = role.KBIn/k, role.KBOut/k, role.In/k, role.Out/k
-			for kind := range role.OutOf {
-				role.OutOf[kind] /= k
+		t := after.counts[m.name].since(before.counts[m.name])
+		role.Counted++
+		role.KBIn += float64(t.InBytes) / 1000 / seconds
+		role.KBOut += float64(t.OutBytes) / 1000 / seconds
+		role.In += float64(t.InFrames) / seconds
+		role.Out += float64(t.OutFrames) / seconds
+		for k, n := range t.Out {
+			if n > 0 {
+				role.OutOf[k] += float64(n) / seconds
 			}
 		}
-		out.Roles = append(out.Roles, *role)
 	}
-	a, b := after.list, before.list
-	out.ListService = ListFigures{
-		Open: a.Open, Calls: float64(a.Calls-b.Calls) / seconds, Words: float64(a.Words-b.Words) / seconds,
-		KBIn: float64(a.BytesIn-b.BytesIn) / 1000 / seconds, KBOut: float64(a.BytesOut-b.BytesOut) / 1000 / seconds,
+}
+
+// divide turns sums over all members of a role into means.
+func (r *Role) divide() {
+	n := float64(r.Members)
+	r.CPU, r.MemoryMB, r.Descriptors = r.CPU/n, r.MemoryMB/n, r.Descriptors/n
+	k := float64(r.Counted)
+	if k == 0 {
+		return
+	}
+	r.KBIn, r.KBOut, r.In, r.Out = r.KBIn/k, r.KBOut/k, r.In/k, r.Out/k
+	for kind := range r.OutOf {
+		r.OutOf[kind] /= k
 	}
-	r.book.mu.Lock()
-	defer r.book.mu.Unlock()
-	out.Leases, out.PutOut = len(r.book.leased), len(r.book.out)
-	within := func(at time.Time) int {
-		if at.Before(before.at) || at.After(after.at) {
-			return 0
-		}
-		return 1
+}
+
+// listFigures returns the list service's rates.
+func listFigures(before, after ListUse, seconds float64) ListFigures {
+	return ListFigures{
+		Open:  after.Open,
+		Calls: float64(after.Calls-before.Calls) / seconds, Words: float64(after.Words-before.Words) / seconds,
+		KBIn: float64(after.BytesIn-before.BytesIn) / 1000 / seconds, KBOut: float64(after.BytesOut-before.BytesOut) / 1000 / seconds,
 	}
-	for _, at := range r.book.out {
-		out.Unrest += within(at)
+}
+
+// countMembershipChanges counts leases and evictions, and those evictions and elections that fall into the measured time.
+func (r *run) countMembershipChanges(out *Report, from, to time.Time) {
+	r.observations.mu.Lock()
+	defer r.observations.mu.Unlock()
+	out.Leases, out.PutOut = len(r.observations.leaseCounts), len(r.observations.evictions)
+	measured := func(at time.Time) bool { return !at.Before(from) && !at.After(to) }
+	for _, at := range r.observations.evictions {
+		if measured(at) {
+			out.Unrest++
+		}
 	}
-	for _, l := range r.book.leads {
-		if r.first(l.by) {
-			out.Unrest += within(l.at)
+	for _, l := range r.observations.elections {
+		if r.ofFirstFleet(l.process) && measured(l.at) {
+			out.Unrest++
 		}
 	}
-	return out
 }
 
 // Calm tells whether a run was of members that live on: nobody was put out and no other led while it was measured. A run that is not was starved
--- a/internal/lab/fleetscale/scale.go
+++ b/internal/lab/fleetscale/scale.go
@@ -15,28 +15,28 @@
 
 // Bounds of a run.
 const (
-	MostReal    = 200
-	MostHollow  = 20_000
-	MostFleet   = 1024 // members, as the program's options have it
-	LeastCell   = 3
-	MostCell    = MostFleet
-	MostServers = 20_000
-	MostRate    = 100.0 // changes a second, of either kind
-	LeastFor    = time.Second
-	MostFor     = 10 * time.Minute
-	LeastMemory = 64 // MB
+	MaxReal    = 200
+	MaxHollow  = 20_000
+	MaxFleet   = 1024 // members, as the program's options have it
+	MinCell    = 3
+	MaxCell    = MaxFleet
+	MaxServers = 20_000
+	MaxRate    = 100.0 // changes a second, of either kind
+	MinFor     = time.Second
+	MaxFor     = 10 * time.Minute
+	MinMemory  = 64 // MB
 )
 
 // Faults that a run may have, once, after a third of its time.
 const (
-	NoFault    = "none"
-	KillLeader = "leader-killed"  // outright, and not started again
-	StopLeader = "leader-stopped" // for stopFor
-	ListDown   = "list-down"      // the list service refuses for downFor
-	stopFor    = 2 * time.Second
-	downFor    = 5 * time.Second
-	faultPart  = 3
-	voterProcs = 5 // members of the first fleet that have a process of their own, at most: those who vote
+	NoFault          = "none"
+	KillLeader       = "leader-killed"  // outright, and not started again
+	StopLeader       = "leader-stopped" // for pauseDuration
+	ListDown         = "list-down"      // the list service refuses for listDownDuration
+	pauseDuration    = 2 * time.Second
+	listDownDuration = 5 * time.Second
+	faultAfterShare  = 3
+	voterProcs       = 5 // members of the first fleet that have a process of their own, at most: those who vote
 )
 
 // FaultNames are those that may be asked for.
@@ -80,7 +80,7 @@
 		c.Fault = NoFault
 	}
 	if c.MemoryMB == 0 {
-		c.MemoryMB = max(LeastMemory, int(machineMemory()>>20)/4)
+		c.MemoryMB = max(MinMemory, int(machineMemory()>>20)/4)
 	}
 	return c
 }
@@ -97,15 +97,15 @@
 		}
 	}
 	rate := func(name string, r float64) {
-		if !(r >= 0 && r <= MostRate) {
-			wrong(name, "%v is not within 0 to %v a second", r, MostRate)
+		if !(r >= 0 && r <= MaxRate) {
+			wrong(name, "%v is not within 0 to %v a second", r, MaxRate)
 		}
 	}
-	within("real", c.Real, 0, MostReal)
-	within("hollow", c.Hollow, 0, MostHollow)
-	within("servers", c.Servers, 1, MostServers)
-	within("per-process", c.PerProcess, 1, MostFleet)
-	within("counted-cells", c.CountedCells, 0, MostHollow)
+	within("real", c.Real, 0, MaxReal)
+	within("hollow", c.Hollow, 0, MaxHollow)
+	within("servers", c.Servers, 1, MaxServers)
+	within("per-process", c.PerProcess, 1, MaxFleet)
+	within("counted-cells", c.CountedCells, 0, MaxHollow)
 	within("cores", c.Cores, 1, 64)
 	rate("changes", c.Changes)
 	rate("list-changes", c.ListChanges)
@@ -113,15 +113,15 @@
 	switch {
 	case n == 0:
 		wrong("hollow", "no members: neither real nor hollow ones")
-	case c.CellSize == 0 && n > MostFleet:
-		wrong("hollow", "%d members in one fleet, the program's options allow %d: give --cell-size", n, MostFleet)
-	case c.CellSize != 0 && (c.CellSize < LeastCell || c.CellSize > MostCell):
-		wrong("cell-size", "%d is not within %d to %d", c.CellSize, LeastCell, MostCell)
+	case c.CellSize == 0 && n > MaxFleet:
+		wrong("hollow", "%d members in one fleet, the program's options allow %d: give --cell-size", n, MaxFleet)
+	case c.CellSize != 0 && (c.CellSize < MinCell || c.CellSize > MaxCell):
+		wrong("cell-size", "%d is not within %d to %d", c.CellSize, MinCell, MaxCell)
 	case c.CellSize != 0 && n%c.CellSize != 0:
 		wrong("cell-size", "%d members are no whole number of fleets of %d", n, c.CellSize)
 	}
-	if c.For < LeastFor || c.For > MostFor {
-		wrong("for", "%v is not within %v to %v", c.For, LeastFor, MostFor)
+	if c.For < MinFor || c.For > MaxFor {
+		wrong("for", "%v is not within %v to %v", c.For, MinFor, MaxFor)
 	}
 	if c.Lease < 100*time.Millisecond || c.Lease > 10*time.Second {
 		wrong("lease", "%v is not within 100ms to 10s", c.Lease)
@@ -129,8 +129,8 @@
 	if !slices.Contains(FaultNames, c.Fault) {
 		wrong("fault", "%q is none of %v", c.Fault, FaultNames)
 	}
-	if half := int(machineMemory()>>20) / 2; half > 0 && (c.MemoryMB < LeastMemory || c.MemoryMB > half) {
-		wrong("memory-mb", "%d is not within %d to half of this machine's, %d", c.MemoryMB, LeastMemory, half)
+	if half := int(machineMemory()>>20) / 2; half > 0 && (c.MemoryMB < MinMemory || c.MemoryMB > half) {
+		wrong("memory-mb", "%d is not within %d to half of this machine's, %d", c.MemoryMB, MinMemory, half)
 	}
 	return errors.Join(all...)
 }
@@ -183,8 +183,8 @@
 			mb += float64(c.conns(n)) * relayMB
 		}
 	}
-	mb += float64(c.Real)*realMB + float64(len(l.shared)+len(l.own)+len(l.links))*processMB
-	for _, p := range l.shared {
+	mb += float64(c.Real)*realMB + float64(len(l.sharedProcesses)+len(l.ownProcesses)+len(l.linkProcesses))*processMB
+	for _, p := range l.sharedProcesses {
 		n := descriptors
 		for _, i := range p.members {
 			f := l.fleets[l.members[i].fleet]
@@ -192,11 +192,11 @@
 		}
 		files = max(files, n)
 	}
-	for _, p := range l.own {
+	for _, p := range l.ownProcesses {
 		f := l.fleets[l.members[p.members[0]].fleet]
 		files = max(files, descriptors+memberFiles+3*len(f.members))
 	}
-	for _, p := range l.links {
+	for _, p := range l.linkProcesses {
 		n := descriptors
 		for _, i := range p.members {
 			f := l.fleets[l.members[i].fleet]
--- a/internal/lab/fleetscale/seen.go
+++ b/internal/lab/fleetscale/seen.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// book is what was seen of the members, by when it happened.
-type book struct {
-	mu      sync.Mutex
-	serves  int
-	failed  string
-	leased  map[string]int // first leases of incarnations
-	leads   []lead
-	out     map[string]time.Time // incarnations that were put out
-	last    time.Time            // of a lease that began
-	adopted map[string][]mark
-	listed  map[string][]mark
-	change  chan struct{} // closed and replaced with each word
+// observations is what was seen of the members, by when it happened.
+type observations struct {
+	mu          sync.Mutex
+	serving     int
+	failure     string
+	leaseCounts map[string]int // first leases of incarnations
+	elections   []election
+	evictions   map[string]time.Time // incarnations that were put out
+	lastLease   time.Time            // of a lease that began
+	adopted     map[string][]versionTime
+	listed      map[string][]versionTime
+	changed     chan struct{} // closed and replaced with each word
 }
 
-type lead struct {
-	by *child
-	at time.Time
+type election struct {
+	process *child
+	at      time.Time
 }
 
-// mark is a number in force from a moment on.
-type mark struct {
+// versionTime is a number in force from a moment on.
+type versionTime struct {
 	number int64
 	at     time.Time
 }
 
-func newBook() *book {
-	return &book{leased: map[string]int{}, out: map[string]time.Time{}, adopted: map[string][]mark{}, listed: map[string][]mark{}, change: make(chan struct{})}
+func newObservations() *observations {
+	return &observations{leaseCounts: map[string]int{}, evictions: map[string]time.Time{}, adopted: map[string][]versionTime{}, listed: map[string][]versionTime{}, changed: make(chan struct{})}
 }
 
-func (b *book) take(by *child, e Event) {
+func (b *observations) record(by *child, e Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e.Member == "" {
@@ -44,38 +44,38 @@
 	}
 	switch e.Kind {
 	case Serves:
-		b.serves++
+		b.serving++
 	case Failed:
-		b.failed = by.name + ": " + e.Why
+		b.failure = by.name + ": " + e.Why
 	case Leased:
-		b.leased[e.Member]++
-		b.last = e.At
+		b.leaseCounts[e.Member]++
+		b.lastLease = e.At
 	case Leads:
-		b.leads = append(b.leads, lead{by, e.At})
+		b.elections = append(b.elections, election{by, e.At})
 	case Evicted:
-		if key := e.Member + "/" + e.Which; b.out[key].IsZero() {
-			b.out[key] = e.At
+		if key := e.Member + "/" + e.Which; b.evictions[key].IsZero() {
+			b.evictions[key] = e.At
 		}
 	case Adopted:
-		b.adopted[e.Member] = append(b.adopted[e.Member], mark{e.Number, e.At})
+		b.adopted[e.Member] = append(b.adopted[e.Member], versionTime{e.Number, e.At})
 	case Listed:
-		b.listed[e.Member] = append(b.listed[e.Member], mark{e.Number, e.At})
+		b.listed[e.Member] = append(b.listed[e.Member], versionTime{e.Number, e.At})
 	}
-	close(b.change)
-	b.change = make(chan struct{})
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
 // leader is the process whose member began to lead last, of those asked about.
-func (b *book) leader(of func(*child) bool) (*child, time.Time) {
+func (b *observations) leader(of func(*child) bool) (*child, time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var best lead
-	for _, l := range b.leads {
-		if of(l.by) && l.at.After(best.at) {
+	var best election
+	for _, l := range b.elections {
+		if of(l.process) && l.at.After(best.at) {
 			best = l
 		}
 	}
-	return best.by, best.at
+	return best.process, best.at
 }
 
 // InForce tells how long changes took to be in force, in ms, over all members and changes.
@@ -90,14 +90,14 @@
 	WorstMember string  `json:",omitempty"`
 }
 
-// inForce compares when changes were made with when members had them, or later ones, in force.
-func inForce(made []mark, members []string, marks map[string][]mark) (ms []float64, f InForce) {
+// compareInForce compares when changes were made with when members had them, or later ones, in force.
+func compareInForce(made []versionTime, members []string, marks map[string][]versionTime) (ms []float64, f InForce) {
 	for _, name := range members {
 		own := slices.Clone(marks[name])
-		slices.SortFunc(own, func(a, b mark) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
+		slices.SortFunc(own, func(a, b versionTime) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 		for _, m := range made {
 			f.Expected++
-			at := slices.IndexFunc(own, func(o mark) bool { return o.number >= m.number && !o.at.Before(m.at) })
+			at := slices.IndexFunc(own, func(o versionTime) bool { return o.number >= m.number && !o.at.Before(m.at) })
 			if at < 0 {
 				f.Missing++
 				f.WorstMember = name
@@ -109,8 +109,8 @@
 	return ms, f
 }
 
-// ranks fills in the figures of all times.
-func (f *InForce) ranks(ms []float64) {
+// setQuantiles fills in the figures of all times.
+func (f *InForce) setQuantiles(ms []float64) {
 	if len(ms) == 0 {
 		return
 	}
--- a/internal/lab/standin/registry.go
+++ b/internal/lab/standin/registry.go
@@ -16,24 +16,26 @@
 // Fault is what a registry does with the calls that come.
 type Fault int
 
+// Faults of a registry.
 const (
-	Good     Fault = iota
-	Refuses        // nobody listens at its address
-	Hangs          // calls are accepted and never answered; one that works in turn answers them later
-	Trickles       // heads come byte by byte, and never whole
-	Busy           // 503
-	Resets         // once the call was read
-	Garbles        // what comes is no list
-	Ends           // watches end after their head
-	Mixed          // each of these but Refuses, one call after another
-	Heads          // calls get their head and nothing more
-	Halves         // calls get half a list and nothing more
-	Older          // calls get the list that was there before the present one, and empty lines from then on
+	Good     Fault = iota // none
+	Refuses               // nobody listens at its address
+	Hangs                 // calls are accepted and never answered; one that works in turn answers them later
+	Trickles              // heads come byte by byte, and never whole
+	Busy                  // 503
+	Resets                // once the call was read
+	Garbles               // what comes is no list
+	Ends                  // watches end after their head
+	Mixed                 // each of these but Refuses, one call after another
+	Heads                 // calls get their head and nothing more
+	Halves                // calls get half a list and nothing more
+	Older                 // calls get the list that was there before the present one, and empty lines from then on
 )
 
 // Break is how the watches that are open come to their end.
 type Break int
 
+// Ways in which an open watch ends.
 const (
 	Silent      Break = iota // nothing more comes
 	HalfAndBeat              // half a list comes, and empty lines go on
