--- a/internal/fleet/admin.go
+++ b/internal/fleet/admin.go
@@ -15,20 +15,23 @@
 	adminSegmentBytes = 1 << 20          // of segments in a frame
 )
 
+// AdminRequestKind is what an operator requests.
+type AdminRequestKind string
+
 // What an operator may request. The words are part of the wire format.
 const (
-	CommandStatus   = "status"   // the ClusterStatus as this member knows it
-	CommandOrder    = "order"    // a change of the rollout plan
-	CommandSegments = "segments" // the audit segments that this member stores
+	RequestStatus         AdminRequestKind = "status"   // the ClusterStatus as this member knows it
+	RequestRolloutCommand AdminRequestKind = "order"    // a change of the rollout plan
+	RequestSegments       AdminRequestKind = "segments" // the audit segments that this member stores
 )
 
 // AdminRequest is an operator's request. A connection carries one.
 type AdminRequest struct {
-	_       struct{} `cbor:",toarray"`
-	FleetID uint64   // protocol.FleetID; Call sets it
-	Command string
-	Order   *rollout.Command // with CommandOrder
-	Member  string           // with CommandSegments: the name whose segments are requested; empty: all
+	_              struct{} `cbor:",toarray"`
+	FleetID        uint64   // protocol.FleetID; Call sets it
+	Kind           AdminRequestKind
+	RolloutCommand *rollout.Command // with RequestRolloutCommand
+	Member         string           // with RequestSegments: the name whose segments are requested; empty: all
 }
 
 // AdminResponse answers an AdminRequest. Segments may come in several responses, all but the last with More.
--- a/internal/fleet/admin_server.go
+++ b/internal/fleet/admin_server.go
@@ -50,19 +50,19 @@
 func (f *Fleet) answerAdmin(conn net.Conn, r *AdminRequest) AdminResponse {
 	ctx, cancel := context.WithTimeout(f.ctx, adminTimeout)
 	defer cancel()
-	switch r.Command {
-	case CommandStatus:
+	switch r.Kind {
+	case RequestStatus:
 		return AdminResponse{Status: f.clusterStatus(ctx)}
-	case CommandSegments:
+	case RequestSegments:
 		return f.sendSegments(ctx, conn, r.Member)
-	case CommandOrder:
-		return f.answerOrder(ctx, r.Order)
+	case RequestRolloutCommand:
+		return f.answerRolloutCommand(ctx, r.RolloutCommand)
 	}
-	return AdminResponse{Err: fmt.Sprintf("%q is nothing that can be asked", r.Command)}
+	return AdminResponse{Err: fmt.Sprintf("%q is nothing that can be asked", r.Kind)}
 }
 
-// answerOrder has an operator's command agreed. Commands of the leader alone are refused.
-func (f *Fleet) answerOrder(ctx context.Context, c *rollout.Command) AdminResponse {
+// answerRolloutCommand has an operator's command agreed. Commands of the leader alone are refused.
+func (f *Fleet) answerRolloutCommand(ctx context.Context, c *rollout.Command) AdminResponse {
 	if c == nil || c.Kind > rollout.Readmit {
 		return AdminResponse{Err: "no order of an operator's"}
 	}
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -102,9 +102,9 @@
 		"haveText":           settingsReply{Settings: []byte("version text")},
 		"takenOf":            []segmentAck{{Member: member("of", 10), Index: 11}},
 		"segments":           []audit.SealedSegment{{Encoded: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}},
-		"ask":                AdminRequest{FleetID: 91, Command: CommandOrder, Order: sampleCommand(), Member: "of member"},
-		"ask-status":         AdminRequest{FleetID: 91, Command: CommandStatus},
-		"ask-segments":       AdminRequest{FleetID: 91, Command: CommandSegments, Member: "m"},
+		"ask":                AdminRequest{FleetID: 91, Kind: RequestRolloutCommand, RolloutCommand: sampleCommand(), Member: "of member"},
+		"ask-status":         AdminRequest{FleetID: 91, Kind: RequestStatus},
+		"ask-segments":       AdminRequest{FleetID: 91, Kind: RequestSegments, Member: "m"},
 		"reply-not-leading":  AdminResponse{Err: "no", NotLeader: true, Leader: "l"},
 		"reply-unknown":      AdminResponse{Err: "no", OutcomeUnknown: true},
 		"reply-standing":     AdminResponse{Status: sampleStatus()},
@@ -198,7 +198,7 @@
 			t.Errorf("%s: %v, not %v", name, c.got, c.want)
 		}
 	}
-	if CommandStatus != "status" || CommandOrder != "order" || CommandSegments != "segments" {
+	if RequestStatus != "status" || RequestRolloutCommand != "order" || RequestSegments != "segments" {
 		t.Error("an operator's request has another word")
 	}
 	if got := protocol.FleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -24,7 +24,7 @@
 	if err := c.Check(); err != nil {
 		return exitError{ExitUsage, err}
 	}
-	r, err := s.askLeader(fleet.AdminRequest{Command: fleet.CommandOrder, Order: &c})
+	r, err := s.askLeader(fleet.AdminRequest{Kind: fleet.RequestRolloutCommand, RolloutCommand: &c})
 	if err != nil {
 		return err
 	}
--- a/internal/operator/session.go
+++ b/internal/operator/session.go
@@ -74,7 +74,7 @@
 		switch {
 		case err != nil:
 			failures = errors.Join(failures, fmt.Errorf("%s: %w", name, err))
-		case r.Err == "" && (request.Order != nil || r.Status.IsLeader):
+		case r.Err == "" && (request.RolloutCommand != nil || r.Status.IsLeader):
 			return r, nil
 		case r.Err == "":
 			follower, next = r, append([]string{r.Status.Leader}, next...)
@@ -86,7 +86,7 @@
 			return nil, exitError{ExitRejected, fmt.Errorf("%s: %s", name, r.Err)}
 		}
 	}
-	if follower != nil && request.Order == nil {
+	if follower != nil && request.RolloutCommand == nil {
 		return follower, nil
 	}
 	return nil, exitError{ExitNoAnswer, fmt.Errorf("no answer from the leader: %w", errors.Join(failures, s.ctx.Err()))}
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -14,7 +14,7 @@
 
 // Run runs the command.
 func (statusCommand) Run(s *session) error {
-	r, err := s.askLeader(fleet.AdminRequest{Command: fleet.CommandStatus})
+	r, err := s.askLeader(fleet.AdminRequest{Kind: fleet.RequestStatus})
 	if err != nil {
 		return err
 	}
