--- a/cmd/damsonscale-lab/chain.go
+++ b/cmd/damsonscale-lab/chain.go
@@ -40,11 +40,11 @@
 		return c.added()
 	}
 	conf := callchain.Config{
-		Depth: c.Depth, Width: c.Width, Servers: c.Servers, Fault: callchain.Fault(c.Fault), Share: c.Fail, From: c.FaultFrom, FaultFor: c.FaultFor,
-		Rate: c.Rate, For: c.For, Seed: c.Seed, Pass: callchain.Pass(c.Pass), Tries: c.Tries, Above: c.Above,
+		Depth: c.Depth, Width: c.Width, Servers: c.Servers, Fault: callchain.Fault(c.Fault), FaultShare: c.Fail, FaultStart: c.FaultFrom, FaultDuration: c.FaultFor,
+		RequestsPerSecond: c.Rate, Duration: c.For, Seed: c.Seed, Pass: callchain.PassPolicy(c.Pass), MaxAttempts: c.Tries, MaxAttemptsAbove: c.Above,
 	}
 	if c.Budget {
-		conf.Ratio, conf.Floor, conf.Span = c.Ratio, c.Floor, c.Span
+		conf.BudgetRatio, conf.BudgetMin, conf.BudgetWindow = c.Ratio, c.Floor, c.Span
 	}
 	r, err := callchain.Run(conf)
 	if err != nil {
@@ -54,7 +54,7 @@
 	if err := c.write(r); err != nil {
 		return err
 	}
-	if !r.Kept() {
+	if !r.PromisesKept() {
 		return errBroken
 	}
 	return nil
@@ -72,7 +72,7 @@
 	if err = errors.Join(err, err2); err != nil {
 		return err
 	}
-	sums := map[string]callchain.Added{"log-normal": callchain.Sum(normal, c.Depth, p50, p99), "pareto": callchain.Sum(heavy, c.Depth, p50, p99)}
+	sums := map[string]callchain.AddedLatency{"log-normal": callchain.SumOverHops(normal, c.Depth, p50, p99), "pareto": callchain.SumOverHops(heavy, c.Depth, p50, p99)}
 	for _, shape := range []string{"log-normal", "pareto"} {
 		fmt.Println(shape, sums[shape])
 	}
--- a/internal/lab/callchain/latency_test.go
+++ b/internal/lab/callchain/latency_test.go
@@ -7,7 +7,7 @@
 
 func near(got, want, part float64) bool { return math.Abs(got-want) <= part*math.Abs(want) }
 
-// Guards against a hop that has not the quantiles it was asked for.
+// A hop has the quantiles that were asked for.
 func TestHopHasItsQuantiles(t *testing.T) {
 	for shape, make := range map[string]func(p50, p99, bin, most float64) (Histogram, error){"log-normal": LogNormal, "pareto": Pareto} {
 		h, err := make(100, 400, 2, 20_000)
@@ -23,22 +23,22 @@
 	}
 }
 
-// Guards against a convolution that is off: hops of two values each, reckoned by hand.
+// The sum of hops of two values each is as computed by hand.
 func TestSumOfTwoValues(t *testing.T) {
-	hop := Histogram{BinUs: 100, Parts: []float64{0.98, 0, 0, 0.02}, terms: 1} // 50 and 350 µs
-	a := Sum(hop, 3, 50, 350)
+	hop := Histogram{BinMicros: 100, Shares: []float64{0.98, 0, 0, 0.02}, terms: 1} // 50 and 350 µs
+	a := SumOverHops(hop, 3, 50, 350)
 	if want := 3 * 0.02 * 0.02; !near(hop.Plus(hop).Plus(hop).Over(500), 3*0.98*0.02*0.02+math.Pow(0.02, 3), 1e-9) {
 		t.Errorf("two slow of three: %v, about %v", hop.Plus(hop).Plus(hop).Over(500), want)
 	}
 	if a.IndependentP50 != 150 || a.IndependentP99 != 450 || a.DependentP99 != 1050 || !near(a.AnyHopOver, 0, 0) {
 		t.Errorf("%+v", a)
 	}
-	if one := Sum(hop, 1, 50, 350); one.IndependentP99 != one.DependentP99 || one.IndependentOver != one.DependentOver {
+	if one := SumOverHops(hop, 1, 50, 350); one.IndependentP99 != one.DependentP99 || one.IndependentOver != one.DependentOver {
 		t.Errorf("one hop: %+v", one)
 	}
 }
 
-// Guards against sums that lose parts, and against a sum of independent hops that is worse than one of hops slow together.
+// A sum loses no shares, and independent hops add up to less in the tail than hops that are slow together.
 func TestSumOfSeven(t *testing.T) {
 	for shape, make := range map[string]func(p50, p99, bin, most float64) (Histogram, error){"log-normal": LogNormal, "pareto": Pareto} {
 		h, err := make(100, 400, 10, 10_000)
@@ -49,17 +49,17 @@
 		for range 6 {
 			all = all.Plus(h)
 		}
-		for i, p := range h.Parts {
-			mean += p * h.value(i)
+		for i, p := range h.Shares {
+			mean += p * h.middleOf(i)
 		}
 		of := 0.0
-		for i, p := range all.Parts {
-			total, of = total+p, of+p*all.value(i)
+		for i, p := range all.Shares {
+			total, of = total+p, of+p*all.middleOf(i)
 		}
 		if !near(total, 1, 1e-9) || !near(of, 7*mean, 1e-9) {
-			t.Errorf("%s: parts add up to %v, mean %v, want %v", shape, total, of, 7*mean)
+			t.Errorf("%s: shares add up to %v, mean %v, want %v", shape, total, of, 7*mean)
 		}
-		a := Sum(h, 7, 100, 400)
+		a := SumOverHops(h, 7, 100, 400)
 		if a.IndependentP99 >= a.DependentP99 || a.IndependentOver >= a.DependentOver || !near(a.AnyHopOver, 1-math.Pow(0.99, 7), 0.05) {
 			t.Errorf("%s: %v", shape, a)
 		}
