--- a/internal/lab/modelcheck/cells_invariants.go
+++ b/internal/lab/modelcheck/cells_invariants.go
@@ -69,7 +69,7 @@
 		case len(p.PendingSuccessors)+len(p.Successors) > 0:
 			return fmt.Sprintf("cell %d is not sealed", id)
 		case update.Record.ChangedAt != p.ChangedAt || update.Global != d.Global():
-			return fmt.Sprintf("cell %d has heard %v, its part was changed at %v", id, update.Version, p.ChangedAt)
+			return fmt.Sprintf("cell %d has applied update %v, its record changed at %v", id, update.Version, p.ChangedAt)
 		}
 	}
 	return ""
--- a/internal/lab/modelcheck/takeover_requests.go
+++ b/internal/lab/modelcheck/takeover_requests.go
@@ -46,7 +46,7 @@
 	i := requestIndex(e.ID)
 	concluded := e.Decision == takeover.Execute || e.Decision == takeover.ReturnStored && e.ConcludedHere
 	if e.TakenOver && concluded && e.PreviousOwner != p.self && w.view(len(w.log)).Contains(e.PreviousOwner) {
-		w.violate("%s takes %s from %s, which lives", p.self.Name, e.ID, e.PreviousOwner.Name)
+		w.violate("%s takes over %s from %s, which is a member", p.self.Name, e.ID, e.PreviousOwner.Name)
 	}
 	switch e.Decision {
 	case takeover.Execute:
