--- /dev/null
+++ b/cmd/damsonscale/builds_test.go
@@ -0,0 +1,176 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// otherBuild names another build of the program, with which this one has to hand over both ways.
+const otherBuild = "OTHER_BUILD"
+
+// Two builds of the program hand over to each other, both ways: a kept connection is served in turn by both, a stream
+// goes on in the new process, a request in flight is not run twice, and a drain goes on. It runs only where OTHER_BUILD
+// names the other build's program.
+func TestUpgradeBetweenBuilds(t *testing.T) {
+	other := os.Getenv(otherBuild)
+	if other == "" {
+		t.Skip(otherBuild + " names no program")
+	}
+	build := func(exe string) func(map[string]any) {
+		return func(c map[string]any) {
+			if exe != "" {
+				c["executable"] = exe
+			}
+		}
+	}
+	for _, c := range []struct{ name, from, to string }{
+		{"from the other build to this one", other, ""},
+		{"from this build to the other one", "", other},
+	} {
+		t.Run(c.name+"/connections", func(t *testing.T) { upgradeWithConnections(t, build(c.from), build(c.to)) })
+		t.Run(c.name+"/stream", func(t *testing.T) { upgradeWithStream(t, build(c.from), build(c.to)) })
+		t.Run(c.name+"/request in flight", func(t *testing.T) { upgradeWithRequestInFlight(t, build(c.from), build(c.to)) })
+		t.Run(c.name+"/drained", func(t *testing.T) { upgradeWhileDrained(t, build(c.from), build(c.to)) })
+	}
+}
+
+// startBuild starts a build's program with an admin API before a server.
+func startBuild(t *testing.T, h http.HandlerFunc, build func(map[string]any)) *program {
+	t.Helper()
+	p, _ := oneWith(t, h, func(c map[string]any) {
+		withAdmin(t)(c)
+		build(c)
+	})
+	p.serves(t)
+	return p
+}
+
+// executable returns the path of the program that the process runs.
+func (p *program) executable(t *testing.T) string {
+	t.Helper()
+	path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", p.cmd.Process.Pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// handOver starts another build beside p, and ends p once the other serves.
+func handOver(t *testing.T, p *program, to func(map[string]any)) *program {
+	t.Helper()
+	next := p.besideWith(t, to)
+	next.serves(t)
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	return next
+}
+
+func upgradeWithConnections(t *testing.T, from, to func(map[string]any)) {
+	p := startBuild(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "yes") }, from)
+	kept := p.dial(t)
+	if s, last := kept.look(t); s != 200 || last {
+		t.Fatal(s, last)
+	}
+	next := handOver(t, p, to)
+	if p.executable(t) == next.executable(t) {
+		t.Fatalf("both processes are %s", p.executable(t))
+	}
+	eventually(t, "the end of the old one's accepting", func() bool { return strings.Contains(p.log.String(), "event=term") })
+	if s, last := kept.look(t); s != 200 || !last {
+		t.Fatalf("a kept connection: %d, last %t", s, last)
+	}
+	if err := <-p.done; err != nil {
+		t.Fatal(err, p.log.String())
+	}
+	if s, last := next.dial(t).look(t); s != 200 || last {
+		t.Fatal(s, last)
+	}
+	if strings.Contains(p.log.String()+next.log.String(), "event=handover_failed") {
+		t.Fatal(p.log.String(), next.log.String())
+	}
+}
+
+func upgradeWithStream(t *testing.T, from, to func(map[string]any)) {
+	body, goOn := pattern(300_000), make(chan bool)
+	p := scripted(t, func(r *http.Request, conn net.Conn) {
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n")
+		conn.Write(body[:100_000])
+		<-goOn
+		conn.Write(body[100_000:])
+		io.WriteString(conn, "\r\n0\r\nT: u\r\n\r\n")
+	}, func(c map[string]any) {
+		withAdmin(t)(c)
+		from(c)
+	})
+	p.serves(t)
+	conn := p.dial(t)
+	fmt.Fprintf(conn, "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 20000\r\n\r\n")
+	resp, err := http.ReadResponse(conn.br, nil)
+	if err != nil || resp.StatusCode != 200 {
+		t.Fatal(resp, err)
+	}
+	got := make([]byte, 50_000)
+	if _, err := io.ReadFull(resp.Body, got); err != nil {
+		t.Fatal(err)
+	}
+	next := handOver(t, p, to)
+	if err := <-p.done; err != nil { // it does not wait for the server
+		t.Fatal(err)
+	}
+	close(goOn)
+	rest, err := io.ReadAll(resp.Body)
+	if got = append(got, rest...); err != nil || !bytes.Equal(got, body) {
+		t.Fatalf("%d bytes, %v\n%s", len(got), err, next.log.String())
+	}
+}
+
+func upgradeWithRequestInFlight(t *testing.T, from, to func(map[string]any)) {
+	came, finish := make(chan bool, 4), make(chan bool)
+	p := startBuild(t, func(w http.ResponseWriter, r *http.Request) {
+		came <- true
+		<-finish
+		io.WriteString(w, "yes")
+	}, from)
+	const text = "POST /once HTTP/1.1\r\nHost: h\r\nReq-Id: same\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 0\r\n\r\n"
+	first := p.dial(t)
+	io.WriteString(first, text)
+	<-came
+	next := handOver(t, p, to)
+	p.expect(t, "event=term")
+	eventually(t, "409 for the same id", func() bool {
+		second := next.dial(t)
+		io.WriteString(second, text)
+		second.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // before the notice has come it is accepted, and waits
+		resp, err := http.ReadResponse(second.br, nil)
+		second.Close()
+		return err == nil && resp.StatusCode == 409
+	})
+	close(finish)
+	if resp, err := http.ReadResponse(first.br, nil); err != nil || resp.StatusCode != 200 {
+		t.Fatal(resp, err)
+	}
+	if err := <-p.done; err != nil {
+		t.Fatal(err)
+	}
+}
+
+func upgradeWhileDrained(t *testing.T, from, to func(map[string]any)) {
+	p := startBuild(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "yes") }, from)
+	p.operator(t, "POST", "/healthcheck/fail")
+	next := handOver(t, p, to)
+	if err := <-p.done; err != nil {
+		t.Fatal(err)
+	}
+	if s := next.status("/health/ready"); s != 503 {
+		t.Fatal(s)
+	}
+	next.operator(t, "POST", "/healthcheck/ok")
+	next.ready(t)
+}
--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -138,6 +138,7 @@
 	path string // of the configuration
 	addr string
 	most string // descriptors
+	exe  string // empty: the test's own binary
 	log  journal
 	done chan error
 }
@@ -193,6 +194,10 @@
 		p.most = fmt.Sprint(n)
 		delete(conf, "descriptors")
 	}
+	if exe, ok := conf["executable"]; ok { // another build
+		p.exe = exe.(string)
+		delete(conf, "executable")
+	}
 	p.conf, p.path = conf, filepath.Join(t.TempDir(), "config.json")
 	p.configure(t)
 	p.run(t, "1")
@@ -202,7 +207,11 @@
 // run starts the process in one of its roles.
 func (p *program) run(t *testing.T, role string) {
 	t.Helper()
-	cmd, done := exec.Command("/bin/sh", "-c", "ulimit -n "+p.most+"; exec "+os.Args[0]), make(chan error, 1)
+	exe := os.Args[0]
+	if p.exe != "" {
+		exe = p.exe
+	}
+	cmd, done := exec.Command("/bin/sh", "-c", "ulimit -n "+p.most+"; exec "+exe), make(chan error, 1)
 	cmd.Env = append(os.Environ(), "DAMSONSCALE_RUN_MAIN="+role, "PROXY_CONFIG="+p.path)
 	if e, ok := p.conf["environment"]; ok {
 		cmd.Env = append(cmd.Env, e.(string))
--- a/cmd/damsonscale/ops_test.go
+++ b/cmd/damsonscale/ops_test.go
@@ -140,6 +140,12 @@
 
 // beside starts the program a second time beside p: the same addresses, another door, the same folder.
 func (p *program) beside(t *testing.T) *program {
+	t.Helper()
+	return p.besideWith(t, nil)
+}
+
+// besideWith does so after a change to the configuration.
+func (p *program) besideWith(t *testing.T, change func(map[string]any)) *program {
 	t.Helper()
 	conf := map[string]any{}
 	for k, v := range p.conf {
@@ -151,6 +157,9 @@
 			c[k] = v
 		}
 		withAdmin(t)(c)
+		if change != nil {
+			change(c)
+		}
 	})
 	next.addr = p.addr
 	return next
