--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -1,5 +1,8 @@
-// What balancers tell each other: the attempts that each has in flight at the endpoints of its subset. It
-// acts only where Settings.Limits.Gossip is set. The bytes of a message are in gossip_message.go.
+// What balancers tell each other: the attempts that each has in flight at the endpoints of its subset. The
+// bytes of a message are in gossip_message.go.
+//
+// It acts only where Settings.Limits.Gossip is set. That is in the simulator alone: the sidecar carries no
+// messages, and internal/config refuses the setting.
 //
 // A message of one endpoint goes to the balancers that share it, at each send and each end of an attempt
 // there. One of the whole subset goes to all balancers now and then, so that they learn who shares what.
