--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -14,21 +14,22 @@
 	"time"
 
 	"damsonscale/internal/discovery"
+	"damsonscale/internal/eventlog"
 )
 
 const (
 	discoveryAddr = "127.0.0.1:8500"
 	firstPort     = 9001
 	servers       = 3
-	work          = 10 * time.Millisecond // of the fastest server; the next takes twice as long, and so on
-	beat          = 2 * time.Second       // of a watch
+	latency       = 10 * time.Millisecond // of the fastest server; the next takes twice as long, and so on
+	heartbeat     = 2 * time.Second       // of a watch
 )
 
 // serve answers each request after the server's own time, with its name.
 func serve(i int) {
 	h := func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		time.Sleep(time.Duration(float64(i+1) * (0.5 + rand.Float64()) * float64(work)))
+		time.Sleep(time.Duration(float64(i+1) * (0.5 + rand.Float64()) * float64(latency)))
 		fmt.Fprintf(w, "%s %s by %s\n", r.Method, r.RequestURI, name(i))
 	}
 	log.Fatal(http.ListenAndServe(addr(i), http.HandlerFunc(h)))
@@ -38,8 +39,8 @@
 
 func addr(i int) string { return fmt.Sprintf("127.0.0.1:%d", firstPort+i) }
 
-// list is the whole list; the last server drains once drained is closed.
-func list(drained <-chan struct{}) discovery.Update {
+// endpoints is the full endpoint list; the last server drains once drained is closed.
+func endpoints(drained <-chan struct{}) discovery.Update {
 	l := discovery.Update{Seq: 1, Full: true}
 	for i := range servers {
 		e := discovery.Endpoint{Host: name(i), Address: addr(i), Zone: "a", Health: discovery.Ready, Capacity: 1}
@@ -54,18 +55,19 @@
 	return l
 }
 
-// registry answers with the list; a watch stays open, gets the list again when it changes, and beats in between.
-func registry(drained <-chan struct{}) http.HandlerFunc {
+// discoveryHandler answers with the endpoint list; a watch stays open, gets the list again when it changes, and a
+// heartbeat in between.
+func discoveryHandler(drained <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		out := json.NewEncoder(w)
-		out.Encode(list(drained))
+		out.Encode(endpoints(drained))
 		if r.URL.Query().Get("watch") != "1" {
 			return
 		}
 		flush := w.(http.Flusher).Flush
 		flush()
 		changed := drained
-		tick := time.NewTicker(beat)
+		tick := time.NewTicker(heartbeat)
 		defer tick.Stop()
 		for {
 			select {
@@ -74,7 +76,7 @@
 			case <-tick.C:
 				io.WriteString(w, "\n")
 			case <-changed:
-				out.Encode(list(drained))
+				out.Encode(endpoints(drained))
 				changed = nil
 			}
 			flush()
@@ -88,13 +90,13 @@
 		go serve(i)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/registry/instances", registry(drained))
+	mux.Handle("/registry/instances", discoveryHandler(drained))
 	go func() { log.Fatal(http.ListenAndServe(discoveryAddr, mux)) }()
-	log.Printf("event=start discovery=%s servers=%d first=%s", discoveryAddr, servers, addr(0))
+	eventlog.Info("start", "discovery", discoveryAddr, "servers", servers, "first", addr(0))
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt)
 	<-stop
-	log.Printf("event=drain server=%s", name(servers-1))
+	eventlog.Info("drain", "server", name(servers-1))
 	close(drained)
 	<-stop
 }
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -118,25 +118,29 @@
 
 // readAvailable reads what has already come, without waiting: a request may have come before a read was ended.
 func (c *clientConn) readAvailable(p []byte) (n int) {
+	raw := c.rawConn()
+	if raw == nil {
+		return 0
+	}
 	var err error
-	c.withDescriptor(func(fd int) { n, err = recv(fd, p, syscall.MSG_DONTWAIT) })
+	raw.Control(func(fd uintptr) { n, err = recv(int(fd), p, syscall.MSG_DONTWAIT) })
 	if err != nil { // nothing has come, or the connection has ended: the next read says which
 		return 0
 	}
 	return n
 }
 
-// withDescriptor calls use with the connection's descriptor, unless there is none.
-func (c *clientConn) withDescriptor(use func(fd int)) {
+// rawConn returns the connection for system calls on its descriptor; nil: it has none.
+func (c *clientConn) rawConn() syscall.RawConn {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return
+		return nil
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return
+		return nil
 	}
-	raw.Control(func(fd uintptr) { use(int(fd)) })
+	return raw
 }
 
 // SetReadDeadline sets the deadline of reads, but for a connection that is marked closing, whose reads don't wait.
--- a/internal/frontend/disconnect.go
+++ b/internal/frontend/disconnect.go
@@ -65,7 +65,11 @@
 // sent: it sees an end behind unread bytes, and before the background read's goroutine runs. Where the system refuses
 // the check it returns false.
 func (c *clientConn) isDisconnected() (disconnected bool) {
-	c.withDescriptor(func(fd int) { disconnected = peerClosed(fd) })
+	raw := c.rawConn()
+	if raw == nil {
+		return false
+	}
+	raw.Control(func(fd uintptr) { disconnected = peerClosed(int(fd)) })
 	return disconnected
 }
 
