--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -48,12 +48,12 @@
 // FleetMember is a sidecar's membership of a fleet.
 type FleetMember interface {
 	frontend.RequestReplicator
-	// Ledger returns the audit log to record into; nil: none.
-	Ledger() auditevent.Recorder
+	// AuditRecorder returns the audit log to record into; nil: none.
+	AuditRecorder() auditevent.Recorder
 	// Digest returns the digest of settings by which the audit log names them.
 	Digest(text []byte) uint64
-	// Run starts the membership, which ends with ctx. It returns once it listens.
-	Run(ctx context.Context) error
+	// Start starts the membership, which ends with ctx. It returns once it listens.
+	Start(ctx context.Context) error
 	// Leave ends the membership, once no request is in flight.
 	Leave()
 }
@@ -64,7 +64,7 @@
 // Main runs the program until SIGTERM, and exits with status 1 on an error. Where join is nil and the options want a
 // fleet, fleetProgram takes this process over.
 func Main(join JoinFleet) {
-	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
+	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC) // of what libraries write
 	if join == nil && len(os.Args) > 1 && os.Args[1] == FleetCommand {
 		log.Fatal(execBeside(fleetProgram))
 	}
--- a/internal/app/program.go
+++ b/internal/app/program.go
@@ -111,13 +111,13 @@
 	if err != nil {
 		return err
 	}
-	if recorder := member.Ledger(); recorder != nil {
+	if recorder := member.AuditRecorder(); recorder != nil {
 		p.settings.digestOf = member.Digest
 		p.config.SettingsDigest = p.settings.digest(p.config)
 		p.sidecar.SetRecorder(recorder)
 		p.frontend.SetRecorder(recorder)
 	}
-	if err := member.Run(context.Background()); err != nil {
+	if err := member.Start(context.Background()); err != nil {
 		return err
 	}
 	p.frontend.SetReplicator(member)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -148,8 +148,8 @@
 // micros is the time in µs since the start of this process.
 func (f *Fleet) micros() int64 { return time.Since(f.start).Microseconds() }
 
-// Run serves the fleet until ctx ends. It returns once it listens, or with an error that names the address.
-func (f *Fleet) Run(ctx context.Context) error {
+// Start serves the fleet until ctx ends. It returns once it listens, or with an error that names the address.
+func (f *Fleet) Start(ctx context.Context) error {
 	listener, err := net.Listen("tcp", f.options.Fleet.Address)
 	if err != nil { // another process of this sidecar may have the address: the members are told of a second one
 		host, _, splitErr := net.SplitHostPort(f.options.Fleet.Address)
@@ -218,8 +218,8 @@
 	}
 }
 
-// Ledger records the audit events of this member; nil: they are not recorded.
-func (f *Fleet) Ledger() auditevent.Recorder {
+// AuditRecorder records the audit events of this member; nil: they are not recorded.
+func (f *Fleet) AuditRecorder() auditevent.Recorder {
 	if f.recorder == nil {
 		return nil
 	}
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -69,7 +69,7 @@
 	const longest = 2 * time.Second
 	f, err := fleet.New(o, name, longest, h, h)
 	if err == nil {
-		err = f.Run(ctx)
+		err = f.Start(ctx)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
