--- a/cmd/damsonscale/builds_test.go
+++ b/cmd/damsonscale/builds_test.go
@@ -7,22 +7,24 @@
 	"net"
 	"net/http"
 	"os"
+	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// otherBuild names another build of the program, with which this one has to hand over both ways.
+// otherBuild names the variable with the path of another build of the program, with which this one has to hand over both
+// ways.
 const otherBuild = "OTHER_BUILD"
 
 // Two builds of the program hand over to each other, both ways: a kept connection is served in turn by both, a stream
-// goes on in the new process, a request in flight is not run twice, and a drain goes on. It runs only where OTHER_BUILD
-// names the other build's program.
+// goes on in the new process, a request in flight is not run twice, and a drain goes on. Without OTHER_BUILD the other
+// build is a copy of this one.
 func TestUpgradeBetweenBuilds(t *testing.T) {
 	other := os.Getenv(otherBuild)
 	if other == "" {
-		t.Skip(otherBuild + " names no program")
+		other = copyOfThisBuild(t)
 	}
 	build := func(exe string) func(map[string]any) {
 		return func(c map[string]any) {
@@ -42,6 +44,20 @@
 	}
 }
 
+// copyOfThisBuild returns the path of a copy of this program.
+func copyOfThisBuild(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile(os.Args[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "other-build")
+	if err := os.WriteFile(path, text, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
 // startBuild starts a build's program with an admin API before a server.
 func startBuild(t *testing.T, h http.HandlerFunc, build func(map[string]any)) *program {
 	t.Helper()
