--- a/internal/lab/fleetscale/worker.go
+++ b/internal/lab/fleetscale/worker.go
@@ -22,6 +22,7 @@
 // EventKind is what is seen of a member.
 type EventKind string
 
+// Kinds of events.
 const (
 	Serves  EventKind = "serves"  // the process has all its members, or links, listening
 	Leased  EventKind = "leased"  // a member has its first lease of an incarnation
@@ -44,25 +45,25 @@
 	Why    string           `json:",omitempty"`
 }
 
-// work is what a worker is told on the first line of its input. Each further line asks for the links' counts; the end of the input ends
+// workerConfig is what a worker is told on the first line of its input. Each further line asks for the links' counts; the end of the input ends
 // it.
-type work struct {
+type workerConfig struct {
 	Cores  int
-	Links  []linkWork
-	Fleets []fleetWork
+	Links  []linkConfig
+	Fleets []fleetConfig
 	Config json.RawMessage // of hollow members
 	List   string          // the list service's address
 }
 
-type linkWork struct{ Member, Front, Target string }
+type linkConfig struct{ Member, Front, Target string }
 
-// fleetWork is this process's part of one fleet. Options are those of its first member; of the others address and directory differ.
-type fleetWork struct {
+// fleetConfig is this process's part of one fleet. Options are those of its first member; of the others address and directory differ.
+type fleetConfig struct {
 	Options string
-	Members []seatWork
+	Members []memberConfig
 }
 
-type seatWork struct{ Name, Address, StateDir string }
+type memberConfig struct{ Name, Address, StateDir string }
 
 // Worker is the program of a process with hollow members or links, until its input ends.
 func Worker(in io.Reader, out, errs io.Writer) error {
@@ -71,16 +72,16 @@
 	if err != nil {
 		return fmt.Errorf("a worker is told its work on its input: %w", err)
 	}
-	var w work
+	var w workerConfig
 	if err := json.Unmarshal(first, &w); err != nil {
 		return fmt.Errorf("a worker's work: %w", err)
 	}
 	runtime.GOMAXPROCS(max(1, w.Cores))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	tell := teller(out)
+	tell := eventWriter(out)
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
-	log.SetOutput(io.MultiWriter(errs, seen(func(line string) {
+	log.SetOutput(io.MultiWriter(errs, lineWriter(func(line string) {
 		if e, ok := eventOf(line); ok && e.Kind != Adopted {
 			tell(e)
 		}
@@ -101,7 +102,7 @@
 	}
 }
 
-func (w *work) begin(ctx context.Context, l *links, tell func(Event)) error {
+func (w *workerConfig) begin(ctx context.Context, l *links, tell func(Event)) error {
 	for _, one := range w.Links {
 		if err := l.open(one.Member, one.Front, one.Target); err != nil {
 			return err
@@ -130,8 +131,8 @@
 	return nil
 }
 
-// teller writes events, one a line, by any goroutine.
-func teller(out io.Writer) func(Event) {
+// eventWriter writes events, one a line, by any goroutine.
+func eventWriter(out io.Writer) func(Event) {
 	var mu sync.Mutex
 	return func(e Event) {
 		text, err := json.Marshal(e)
@@ -144,10 +145,10 @@
 	}
 }
 
-// seen hands each line of a log on.
-type seen func(line string)
+// lineWriter hands each line of a log on.
+type lineWriter func(line string)
 
-func (s seen) Write(p []byte) (int, error) {
+func (s lineWriter) Write(p []byte) (int, error) {
 	s(string(bytes.TrimSuffix(p, []byte("\n"))))
 	return len(p), nil
 }
