--- a/internal/lab/fleetscale/children.go
+++ b/internal/lab/fleetscale/children.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	endTimeout      = 10 * time.Second // of the end of its input; past it a process is killed
-	logPollInterval = 20 * time.Millisecond
+	endWithin = 10 * time.Second // of the end of its input; past it a process is killed
+	logStep   = 20 * time.Millisecond
 )
 
 // child is one process that the run started.
@@ -65,7 +65,7 @@
 }
 
 // worker starts a process with hollow members or links.
-func (c *children) worker(name string, members []int, command []string, w *workerConfig) (*child, error) {
+func (c *children) worker(name string, members []int, command []string, w *work) (*child, error) {
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), "TMPDIR="+c.dir)
 	in, err := cmd.StdinPipe()
@@ -151,7 +151,7 @@
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(logPollInterval):
+		case <-time.After(logStep):
 		}
 	}
 }
@@ -248,7 +248,7 @@
 			one.cmd.Process.Kill()
 		}
 	}
-	late := time.After(endTimeout)
+	late := time.After(endWithin)
 	for _, one := range all {
 		select {
 		case <-one.done:
--- a/internal/lab/fleetscale/layout.go
+++ b/internal/lab/fleetscale/layout.go
@@ -2,42 +2,42 @@
 
 import "fmt"
 
-// member is a member's place in a run.
-type member struct {
-	name        string
-	fleet       int
-	real        bool
-	ownProcess  bool   // a hollow one with a process of its own
-	address     string // where it listens
-	linkAddress string // where the others dial it: a link, or the same
-	httpAddress string // of a real one, for clients
+// seat is one member's place.
+type seat struct {
+	name  string
+	fleet int
+	real  bool
+	own   bool   // a hollow one with a process of its own
+	at    string // where it listens
+	front string // where the others dial it: a link, or the same
+	http  string // of a real one, for clients
 }
 
-// fleetLayout is one fleet.
-type fleetLayout struct {
+// group is one fleet.
+type group struct {
 	first   int // index of its first member
 	members []int
 	counted bool
 }
 
-// processLayout is the members, or the links, of one process.
-type processLayout struct{ members []int }
+// bundle is the members, or the links, of one process.
+type bundle struct{ members []int }
 
 // layout says who is in which fleet and in which process.
 type layout struct {
-	members []member
-	fleets  []fleetLayout
-	own     []processLayout // one member each
-	shared  []processLayout
-	links   []processLayout
+	members []seat
+	fleets  []group
+	own     []bundle // one member each
+	shared  []bundle
+	links   []bundle
 }
 
 // linksPerProcess bounds the links of one process.
 const linksPerProcess = 1000
 
-// newLayout makes the layout: the first members are real, those who vote in the first fleet have a process of their own, and a shared process
+// lay makes the layout: the first members are real, those who vote in the first fleet have a process of their own, and a shared process
 // has members of the first fleet alone, or whole other fleets as far as they fit.
-func newLayout(c *Config) *layout {
+func lay(c *Config) *layout {
 	n := c.Real + c.Hollow
 	size := c.CellSize
 	if size == 0 {
@@ -47,13 +47,13 @@
 	for i := range n {
 		at := i / size
 		if at == len(l.fleets) {
-			l.fleets = append(l.fleets, fleetLayout{first: i, counted: at < c.CountedCells})
+			l.fleets = append(l.fleets, group{first: i, counted: at < c.CountedCells})
 		}
 		f := &l.fleets[at]
 		f.members = append(f.members, i)
-		l.members = append(l.members, member{
+		l.members = append(l.members, seat{
 			name: fmt.Sprintf("c%d-%04d", at+1, i-f.first+1), fleet: at, real: i < c.Real,
-			ownProcess: i >= c.Real && at == 0 && i < votersOf(size),
+			own: i >= c.Real && at == 0 && i < votersOf(size),
 		})
 	}
 	for at := range l.fleets {
@@ -61,8 +61,8 @@
 		for _, i := range l.fleets[at].members {
 			switch m := &l.members[i]; {
 			case m.real:
-			case m.ownProcess:
-				l.own = append(l.own, processLayout{[]int{i}})
+			case m.own:
+				l.own = append(l.own, bundle{[]int{i}})
 			default:
 				rest = append(rest, i)
 			}
@@ -75,7 +75,7 @@
 		for len(rest) > 0 { // evenly
 			parts := (len(rest) + c.PerProcess - 1) / c.PerProcess
 			k := (len(rest) + parts - 1) / parts
-			l.shared = append(l.shared, processLayout{rest[:k]})
+			l.shared = append(l.shared, bundle{rest[:k]})
 			rest = rest[k:]
 		}
 	}
@@ -87,7 +87,7 @@
 			if last := len(l.links) - 1; last >= 0 && len(l.links[last].members) < linksPerProcess {
 				l.links[last].members = append(l.links[last].members, i)
 			} else {
-				l.links = append(l.links, processLayout{[]int{i}})
+				l.links = append(l.links, bundle{[]int{i}})
 			}
 		}
 	}
--- a/internal/lab/fleetscale/link.go
+++ b/internal/lab/fleetscale/link.go
@@ -64,7 +64,7 @@
 	counts map[string]*Tally
 	lns    []net.Listener
 	conns  map[net.Conn]bool
-	closed bool
+	over   bool
 }
 
 func newLinks() *links { return &links{counts: map[string]*Tally{}, conns: map[net.Conn]bool{}} }
@@ -93,7 +93,7 @@
 func (l *links) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.closed = true
+	l.over = true
 	for _, ln := range l.lns {
 		ln.Close()
 	}
@@ -102,17 +102,17 @@
 	}
 }
 
-// track notes a connection, unless all are to be closed.
-func (l *links) track(c net.Conn) bool {
+// holds notes a connection, unless all are to be closed.
+func (l *links) holds(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.closed {
+	if !l.over {
 		l.conns[c] = true
 	}
-	return !l.closed
+	return !l.over
 }
 
-func (l *links) untrack(c net.Conn) {
+func (l *links) drop(c net.Conn) {
 	c.Close()
 	l.mu.Lock()
 	delete(l.conns, c)
@@ -120,16 +120,16 @@
 }
 
 func (l *links) relay(to, target string, near net.Conn) {
-	defer l.untrack(near)
-	if !l.track(near) {
+	defer l.drop(near)
+	if !l.holds(near) {
 		return
 	}
 	far, err := net.DialTimeout("tcp", target, linkDial)
 	if err != nil {
 		return
 	}
-	defer l.untrack(far)
-	if !l.track(far) {
+	defer l.drop(far)
+	if !l.holds(far) {
 		return
 	}
 	go func() { // an operator is answered on its own connection; a member's only ends
@@ -194,7 +194,7 @@
 	return h.From.Name, nil
 }
 
-func (l *links) tally(name string) *Tally {
+func (l *links) of(name string) *Tally {
 	t := l.counts[name]
 	if t == nil {
 		t = &Tally{Out: map[string]int64{}}
@@ -206,7 +206,7 @@
 func (l *links) sent(from string, kind byte, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.tally(from)
+	t := l.of(from)
 	t.OutFrames, t.OutBytes = t.OutFrames+1, t.OutBytes+int64(bytes)
 	name := "other"
 	if int(kind) < len(kindNames) {
@@ -218,7 +218,7 @@
 func (l *links) received(to string, bytes int, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.tally(to)
+	t := l.of(to)
 	if !whole {
 		t.LostFrames++
 		return
--- a/internal/lab/fleetscale/list.go
+++ b/internal/lab/fleetscale/list.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second // of a watch
-	maxDeltas         = 1024            // changes that a watch may begin behind; one further behind gets the whole list
+	beat       = 2 * time.Second // of a watch
+	deltasKept = 1024            // changes that a watch may begin behind; one further behind gets the whole list
 )
 
 // listService is the stand-in of discovery's list: whole lists first, then what changes.
@@ -57,8 +57,8 @@
 
 func (s *listService) close() { s.http.Close() }
 
-// full copies the list.
-func (s *listService) full() *discovery.Update {
+// whole copies the list.
+func (s *listService) whole() *discovery.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.list
@@ -74,8 +74,8 @@
 	one := &s.list.Endpoints[int(s.list.Seq)%len(s.list.Endpoints)]
 	one.Capacity = 1 + float64(s.list.Seq%7)/10
 	s.deltas = append(s.deltas, discovery.Update{Seq: s.list.Seq, Endpoints: []discovery.Endpoint{*one}})
-	if len(s.deltas) > maxDeltas {
-		s.deltas = slices.Clone(s.deltas[len(s.deltas)-maxDeltas:])
+	if len(s.deltas) > deltasKept {
+		s.deltas = slices.Clone(s.deltas[len(s.deltas)-deltasKept:])
 	}
 	s.told[s.list.Seq] = time.Now()
 	close(s.change)
@@ -114,7 +114,7 @@
 	s.calls.Add(1)
 	s.open.Add(1)
 	defer s.open.Add(-1)
-	tick := time.NewTicker(heartbeatInterval)
+	tick := time.NewTicker(beat)
 	defer tick.Stop()
 	out := json.NewEncoder(w)
 	for {
@@ -154,7 +154,6 @@
 	s *listService
 }
 
-// Accept accepts a connection whose bytes are counted.
 func (c *counted) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
--- a/internal/lab/fleetscale/lists.go
+++ b/internal/lab/fleetscale/lists.go
@@ -134,7 +134,7 @@
 	stop()
 	<-done
 	f.Changes = int64(len(list.changes()))
-	for end := time.Now().Add(settleTimeout); ; sleep(ctx, 10*time.Millisecond) {
+	for end := time.Now().Add(lastWithin); ; sleep(ctx, 10*time.Millisecond) {
 		if f.Untold = f.Changes - list.deltasTold.Load(); f.Untold == 0 || time.Now().After(end) || ctx.Err() != nil {
 			break
 		}
@@ -164,7 +164,7 @@
 
 // ready waits until a sidecar serves.
 func ready(ctx context.Context, all *children, addr string) error {
-	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	ctx, cancel := context.WithTimeout(ctx, startWithin)
 	defer cancel()
 	for {
 		ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/health/ready", nil)
--- a/internal/lab/fleetscale/report.go
+++ b/internal/lab/fleetscale/report.go
@@ -57,7 +57,7 @@
 	Servers                        int
 	StartS                         float64 // until each member had a lease and a list
 	Leases                         int     // members that have had one
-	PutOut                         int     // evicted incarnations, over all of the run
+	PutOut                         int     // incarnations that were put out, over all of the run
 	Unrest                         int     // incarnations put out and new leaders of the first fleet while it was measured
 	Roles                          []Role
 	ListService                    ListFigures
@@ -74,8 +74,8 @@
 	if one.links {
 		return Links
 	}
-	m := &r.layout.members[one.members[0]]
-	voter := m.fleet == 0 && one.members[0] < votersOf(len(r.layout.fleets[0].members))
+	m := &r.lay.members[one.members[0]]
+	voter := m.fleet == 0 && one.members[0] < votersOf(len(r.lay.fleets[0].members))
 	switch {
 	case one == leader && m.real:
 		return Leader
@@ -93,25 +93,17 @@
 	return CellMember
 }
 
-// report summarizes what was measured between two samples.
 func (r *run) report(before, after *sample) *Report {
 	c := &r.conf
 	out := &Report{
-		Real: c.Real, Hollow: c.Hollow, CellSize: c.CellSize, Fleets: len(r.layout.fleets), Members: c.Real + c.Hollow,
+		Real: c.Real, Hollow: c.Hollow, CellSize: c.CellSize, Fleets: len(r.lay.fleets), Members: c.Real + c.Hollow,
 		ForS: after.at.Sub(before.at).Seconds(), LeaseMs: float64(c.Lease.Milliseconds()), Audit: c.Audit, Servers: c.Servers,
 	}
-	out.Roles = r.roles(before, after)
-	out.ListService = listFigures(before.list, after.list, out.ForS)
-	r.countUnrest(out, before.at, after.at)
-	return out
-}
-
-// roles returns what one member of each role took, on average.
-func (r *run) roles(before, after *sample) (roles []Role) {
-	leader, _ := r.observed.leader(r.inFirstFleet)
+	seconds := out.ForS
+	leader, _ := r.book.leader(r.first)
 	byName := map[string]*Role{}
 	for _, one := range r.children.all {
-		usage, ok := after.usage[one]
+		u, ok := after.usage[one]
 		was, had := before.usage[one]
 		if !ok || !had || one.killed {
 			continue
@@ -122,82 +114,68 @@
 			role = &Role{Name: name, OutOf: map[string]float64{}}
 			byName[name] = role
 		}
-		seconds := after.at.Sub(before.at).Seconds()
 		role.Members += len(one.members)
 		role.Processes++
-		role.CPU += 100 * (usage.CPU - was.CPU).Seconds() / seconds
-		role.MemoryMB += float64(usage.RSS) / (1 << 20)
-		role.Descriptors += float64(usage.Descriptors)
+		role.CPU += 100 * (u.CPU - was.CPU).Seconds() / seconds
+		role.MemoryMB += float64(u.RSS) / (1 << 20)
+		role.Descriptors += float64(u.Descriptors)
 		if name == Links {
 			continue
 		}
 		for _, i := range one.members {
-			if m := &r.layout.members[i]; r.layout.fleets[m.fleet].counted {
-				role.addTraffic(after.counts[m.name].since(before.counts[m.name]), seconds)
+			m := &r.lay.members[i]
+			if !r.lay.fleets[m.fleet].counted {
+				continue
+			}
+			t := after.counts[m.name].since(before.counts[m.name])
+			role.Counted++
+			role.KBIn, role.KBOut = role.KBIn+float64(t.InBytes)/1000/seconds, role.KBOut+float64(t.OutBytes)/1000/seconds
+			role.In, role.Out = role.In+float64(t.InFrames)/seconds, role.Out+float64(t.OutFrames)/seconds
+			for k, n := range t.Out {
+				if n > 0 {
+					role.OutOf[k] += float64(n) / seconds
+				}
 			}
 		}
 	}
 	for _, name := range Roles {
-		if role := byName[name]; role != nil {
-			role.average()
-			roles = append(roles, *role)
+		role := byName[name]
+		if role == nil {
+			continue
 		}
-	}
-	return roles
-}
-
-// addTraffic adds the frames of a member, counted for so many seconds.
-func (o *Role) addTraffic(t Tally, seconds float64) {
-	o.Counted++
-	o.KBIn += float64(t.InBytes) / 1000 / seconds
-	o.KBOut += float64(t.OutBytes) / 1000 / seconds
-	o.In += float64(t.InFrames) / seconds
-	o.Out += float64(t.OutFrames) / seconds
-	for kind, n := range t.Out {
-		if n > 0 {
-			o.OutOf[kind] += float64(n) / seconds
+		n := float64(role.Members)
+		role.CPU, role.MemoryMB, role.Descriptors = role.CPU/n, role.MemoryMB/n, role.Descriptors/n
+		if k := float64(role.Counted); k > 0 {
+			role.KBIn, role.KBOut, role.In, role.Out = role.KBIn/k, role.KBOut/k, role.In/k, role.Out/k
+			for kind := range role.OutOf {
+				role.OutOf[kind] /= k
+			}
 		}
+		out.Roles = append(out.Roles, *role)
 	}
-}
-
-// average divides sums over members by their number.
-func (o *Role) average() {
-	n := float64(o.Members)
-	o.CPU, o.MemoryMB, o.Descriptors = o.CPU/n, o.MemoryMB/n, o.Descriptors/n
-	counted := float64(o.Counted)
-	if counted == 0 {
-		return
-	}
-	o.KBIn, o.KBOut, o.In, o.Out = o.KBIn/counted, o.KBOut/counted, o.In/counted, o.Out/counted
-	for kind := range o.OutOf {
-		o.OutOf[kind] /= counted
-	}
-}
-
-// listFigures returns what the list service did a second.
-func listFigures(before, after ListUse, seconds float64) ListFigures {
-	return ListFigures{
-		Open: after.Open, Calls: float64(after.Calls-before.Calls) / seconds, Words: float64(after.Words-before.Words) / seconds,
-		KBIn: float64(after.BytesIn-before.BytesIn) / 1000 / seconds, KBOut: float64(after.BytesOut-before.BytesOut) / 1000 / seconds,
+	a, b := after.list, before.list
+	out.ListService = ListFigures{
+		Open: a.Open, Calls: float64(a.Calls-b.Calls) / seconds, Words: float64(a.Words-b.Words) / seconds,
+		KBIn: float64(a.BytesIn-b.BytesIn) / 1000 / seconds, KBOut: float64(a.BytesOut-b.BytesOut) / 1000 / seconds,
 	}
-}
-
-// countUnrest counts leases and evictions, and of evictions and changes of the first fleet's leader those between two times.
-func (r *run) countUnrest(out *Report, from, to time.Time) {
-	r.observed.mu.Lock()
-	defer r.observed.mu.Unlock()
-	out.Leases, out.PutOut = len(r.observed.leased), len(r.observed.evictedAt)
-	between := func(at time.Time) bool { return !at.Before(from) && !at.After(to) }
-	for _, at := range r.observed.evictedAt {
-		if between(at) {
-			out.Unrest++
+	r.book.mu.Lock()
+	defer r.book.mu.Unlock()
+	out.Leases, out.PutOut = len(r.book.leased), len(r.book.out)
+	within := func(at time.Time) int {
+		if at.Before(before.at) || at.After(after.at) {
+			return 0
 		}
+		return 1
 	}
-	for _, l := range r.observed.leaderships {
-		if r.inFirstFleet(l.by) && between(l.at) {
-			out.Unrest++
+	for _, at := range r.book.out {
+		out.Unrest += within(at)
+	}
+	for _, l := range r.book.leads {
+		if r.first(l.by) {
+			out.Unrest += within(l.at)
 		}
 	}
+	return out
 }
 
 // Calm tells whether a run was of members that live on: nobody was put out and no other led while it was measured. A run that is not was starved
--- a/internal/lab/fleetscale/scale.go
+++ b/internal/lab/fleetscale/scale.go
@@ -29,14 +29,14 @@
 
 // Faults that a run may have, once, after a third of its time.
 const (
-	NoFault      = "none"
-	KillLeader   = "leader-killed"  // outright, and not started again
-	StopLeader   = "leader-stopped" // for stopDuration
-	ListDown     = "list-down"      // the list service refuses for downDuration
-	stopDuration = 2 * time.Second
-	downDuration = 5 * time.Second
-	faultPart    = 3
-	voterProcs   = 5 // members of the first fleet that have a process of their own, at most: those who vote
+	NoFault    = "none"
+	KillLeader = "leader-killed"  // outright, and not started again
+	StopLeader = "leader-stopped" // for stopFor
+	ListDown   = "list-down"      // the list service refuses for downFor
+	stopFor    = 2 * time.Second
+	downFor    = 5 * time.Second
+	faultPart  = 3
+	voterProcs = 5 // members of the first fleet that have a process of their own, at most: those who vote
 )
 
 // FaultNames are those that may be asked for.
--- a/internal/lab/fleetscale/scale_test.go
+++ b/internal/lab/fleetscale/scale_test.go
@@ -50,9 +50,9 @@
 }
 
 // small is a run for tests. The lease is long, so that a busy machine puts nobody out.
-func small(t *testing.T, realMembers, hollow, cell int) Config {
+func small(t *testing.T, real, hollow, cell int) Config {
 	return Config{
-		Real: realMembers, Hollow: hollow, CellSize: cell, For: time.Second, Lease: 1500 * time.Millisecond, CountedCells: 2, MemoryMB: 2000,
+		Real: real, Hollow: hollow, CellSize: cell, For: time.Second, Lease: 1500 * time.Millisecond, CountedCells: 2, MemoryMB: 2000,
 		Binary: program, Dir: t.TempDir(), Worker: []string{os.Args[0], "worker"},
 	}.Defaults()
 }
@@ -119,7 +119,7 @@
 	for counted, per := range []int{1000, 10} { // a thousand members in a process, or a thousand links
 		c = small(t, 0, 1000, 0)
 		c.PerProcess, c.CountedCells = per, counted
-		if _, files := c.Estimate(newLayout(&c)); files < 10_000 {
+		if _, files := c.Estimate(lay(&c)); files < 10_000 {
 			t.Errorf("%d descriptors are expected with %d members in a process, %d fleets counted", files, per, counted)
 		}
 	}
@@ -136,7 +136,7 @@
 		{0, 5, 0, 10, 5, 0, 1}, {5, 20, 0, 10, 0, 2, 1}, {3, 6, 0, 10, 2, 1, 1}, {0, 30, 10, 100, 5, 2, 1}, {0, 40, 10, 20, 5, 3, 1}, {0, 2, 0, 9, 1, 1, 1},
 	} {
 		conf := Config{Real: c.real, Hollow: c.hollow, CellSize: c.cell, PerProcess: c.per, CountedCells: 2}.Defaults()
-		l := newLayout(&conf)
+		l := lay(&conf)
 		if len(l.own) != c.own || len(l.shared) != c.shared || len(l.links) != c.links {
 			t.Errorf("%+v: %d own, %d shared, %d links", c, len(l.own), len(l.shared), len(l.links))
 		}
@@ -180,8 +180,8 @@
 		"leader/% of a core": {0.125, 0.5, 2250.5}, "leader/MB": {0, 20, 20}, "leader/KB/s in and out": {3, 0, 54_000}, "member/% of a core": {0, 0.25, 0.25},
 		"list service/watches": {1, 0, 18_000}, "versions/ms to in force, p50": {0, 7, 7}, "versions/ms to in force, p99": {2, 100, 36_100},
 	}
-	const tolerance = 1e-9
-	off := func(a, b float64) bool { return a-b > tolerance || b-a > tolerance }
+	const close = 1e-9
+	off := func(a, b float64) bool { return a-b > close || b-a > close }
 	for _, s := range all {
 		w, ok := want[s.Role+"/"+s.Quantity]
 		if !ok {
@@ -220,8 +220,8 @@
 // A change is in force where it, or a later one, was seen after it was made; the rest is missing.
 func TestInForce(t *testing.T) {
 	at := func(ms int) time.Time { return time.UnixMilli(1_000_000 + int64(ms)) }
-	made := []appliedNumber{{1, at(0)}, {2, at(100)}}
-	marks := map[string][]appliedNumber{"a": {{1, at(10)}, {2, at(130)}}, "b": {{2, at(150)}}, "c": {{1, at(40)}}}
+	made := []mark{{1, at(0)}, {2, at(100)}}
+	marks := map[string][]mark{"a": {{1, at(10)}, {2, at(130)}}, "b": {{2, at(150)}}, "c": {{1, at(40)}}}
 	ms, f := inForce(made, []string{"a", "b", "c"}, marks)
 	f.ranks(ms)
 	if f.Expected != 6 || f.Missing != 1 || f.WorstMember != "c" || f.P50 != 40 || f.Most != 150 {
@@ -255,7 +255,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	total := 0
+	bytes := 0
 	for i, kind := range []byte{hello, 1, 1, 3, 200} {
 		payload := make([]byte, 100*i)
 		if kind == hello {
@@ -265,19 +265,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		total += len(one)
+		bytes += len(one)
 		if _, err := c.Write(one); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c.Close()
-	if n := <-heard; n != total {
-		t.Errorf("%d bytes received of %d", n, total)
+	if n := <-heard; n != bytes {
+		t.Errorf("%d bytes heard of %d", n, bytes)
 	}
 	standin.Eventually(t, "all connections closed", func() bool { _, open := l.tallies(); return open == 0 })
 	all, _ := l.tallies()
 	a, b := all["a"], all["b"]
-	if a.OutFrames != 5 || a.OutBytes != int64(total) || b.InFrames != 5 || b.InBytes != int64(total) || a.InFrames+b.OutFrames+b.LostFrames != 0 ||
+	if a.OutFrames != 5 || a.OutBytes != int64(bytes) || b.InFrames != 5 || b.InBytes != int64(bytes) || a.InFrames+b.OutFrames+b.LostFrames != 0 ||
 		a.Out["raft"] != 2 || a.Out["ask"] != 1 || a.Out["other"] != 1 {
 		t.Errorf("%+v", all)
 	}
@@ -421,7 +421,7 @@
 	t.Parallel()
 	conf := small(t, 0, 6, 0)
 	conf.MemoryMB, conf.For = 10, time.Minute
-	if _, err := play(context.Background(), conf, newLayout(&conf)); !errors.Is(err, ErrMemory) {
+	if _, err := play(context.Background(), conf, lay(&conf)); !errors.Is(err, ErrMemory) {
 		t.Error(err)
 	}
 	if l := left(t, conf.Dir); len(l) > 0 {
--- a/internal/lab/fleetscale/worker.go
+++ b/internal/lab/fleetscale/worker.go
@@ -22,7 +22,6 @@
 // EventKind is what is seen of a member.
 type EventKind string
 
-// Kinds of events.
 const (
 	Serves  EventKind = "serves"  // the process has all its members, or links, listening
 	Leased  EventKind = "leased"  // a member has its first lease of an incarnation
@@ -45,25 +44,25 @@
 	Why    string           `json:",omitempty"`
 }
 
-// workerConfig is what a worker is told on the first line of its input. Each further line asks for the links' counts; the end of the input ends
+// work is what a worker is told on the first line of its input. Each further line asks for the links' counts; the end of the input ends
 // it.
-type workerConfig struct {
+type work struct {
 	Cores  int
-	Links  []linkConfig
-	Fleets []fleetConfig
+	Links  []linkWork
+	Fleets []fleetWork
 	Config json.RawMessage // of hollow members
 	List   string          // the list service's address
 }
 
-type linkConfig struct{ Member, Front, Target string }
+type linkWork struct{ Member, Front, Target string }
 
-// fleetConfig is this process's part of one fleet. Options are those of its first member; of the others address and directory differ.
-type fleetConfig struct {
+// fleetWork is this process's part of one fleet. Options are those of its first member; of the others address and directory differ.
+type fleetWork struct {
 	Options string
-	Members []memberConfig
+	Members []seatWork
 }
 
-type memberConfig struct{ Name, Address, StateDir string }
+type seatWork struct{ Name, Address, StateDir string }
 
 // Worker is the program of a process with hollow members or links, until its input ends.
 func Worker(in io.Reader, out, errs io.Writer) error {
@@ -72,16 +71,16 @@
 	if err != nil {
 		return fmt.Errorf("a worker is told its work on its input: %w", err)
 	}
-	var w workerConfig
+	var w work
 	if err := json.Unmarshal(first, &w); err != nil {
 		return fmt.Errorf("a worker's work: %w", err)
 	}
 	runtime.GOMAXPROCS(max(1, w.Cores))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	tell := eventWriter(out)
+	tell := teller(out)
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
-	log.SetOutput(io.MultiWriter(errs, lineWriter(func(line string) {
+	log.SetOutput(io.MultiWriter(errs, seen(func(line string) {
 		if e, ok := eventOf(line); ok && e.Kind != Adopted {
 			tell(e)
 		}
@@ -102,7 +101,7 @@
 	}
 }
 
-func (w *workerConfig) begin(ctx context.Context, l *links, tell func(Event)) error {
+func (w *work) begin(ctx context.Context, l *links, tell func(Event)) error {
 	for _, one := range w.Links {
 		if err := l.open(one.Member, one.Front, one.Target); err != nil {
 			return err
@@ -131,8 +130,8 @@
 	return nil
 }
 
-// eventWriter writes events, one a line, by any goroutine.
-func eventWriter(out io.Writer) func(Event) {
+// teller writes events, one a line, by any goroutine.
+func teller(out io.Writer) func(Event) {
 	var mu sync.Mutex
 	return func(e Event) {
 		text, err := json.Marshal(e)
@@ -145,10 +144,10 @@
 	}
 }
 
-// lineWriter hands each line of a log on.
-type lineWriter func(line string)
+// seen hands each line of a log on.
+type seen func(line string)
 
-func (s lineWriter) Write(p []byte) (int, error) {
+func (s seen) Write(p []byte) (int, error) {
 	s(string(bytes.TrimSuffix(p, []byte("\n"))))
 	return len(p), nil
 }
--- a/internal/lab/standin/registry.go
+++ b/internal/lab/standin/registry.go
@@ -16,7 +16,6 @@
 // Fault is what a registry does with the calls that come.
 type Fault int
 
-// Faults.
 const (
 	Good     Fault = iota
 	Refuses        // nobody listens at its address
@@ -35,7 +34,6 @@
 // Break is how the watches that are open come to their end.
 type Break int
 
-// Ways in which a watch ends.
 const (
 	Silent      Break = iota // nothing more comes
 	HalfAndBeat              // half a list comes, and empty lines go on
