--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -18,7 +18,8 @@
 	"damsonscale/internal/takeover"
 )
 
-// wireGolden has one line for each sample: its name, and in hexadecimal what commit 2029d41 writes for it.
+// wireGolden has one line for each sample: its name, after the type's name in commit 2029d41, and in hexadecimal what that commit
+// writes for it.
 const wireGolden = "testdata/wire-2029d41.hex"
 
 func sampleDigest(first byte) (d rollout.Digest) {
@@ -42,8 +43,10 @@
 func sampleMessage() takeover.Message {
 	rec := sampleRecord()
 	return takeover.Message{
-		Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "id-1", Ballot: takeover.Ballot{Round: 21, Proposer: member("by", 22)}, Epoch: 23, Digest: 24,
-		Seq: 25, PromisedBallot: takeover.Ballot{Round: 26, Proposer: member("pr", 27)}, HasRecord: true, RecordBallot: takeover.Ballot{Round: 28, Proposer: member("at", 29)}, Record: &rec,
+		Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "id-1", Epoch: 23, Digest: 24, Seq: 25, HasRecord: true, Record: &rec,
+		Ballot:         takeover.Ballot{Round: 21, Proposer: member("by", 22)},
+		PromisedBallot: takeover.Ballot{Round: 26, Proposer: member("pr", 27)},
+		RecordBallot:   takeover.Ballot{Round: 28, Proposer: member("at", 29)},
 	}
 }
 
@@ -56,7 +59,8 @@
 
 func sampleCommand() *rollout.Command {
 	return &rollout.Command{
-		Kind: rollout.Exclude, ID: 41, Author: "who", Reason: "order why", Settings: []byte("text"), Number: 42, Name: "name", Share: 43, SettleMs: 44, GraceMs: 45,
+		Kind: rollout.Exclude, ID: 41, Author: "who", Reason: "order why", Settings: []byte("text"), Number: 42, Name: "name", Share: 43,
+		SettleMs: 44, GraceMs: 45,
 	}
 }
 
@@ -98,9 +102,9 @@
 		"haveText":           settingsReply{Settings: []byte("version text")},
 		"takenOf":            []segmentAck{{Member: member("of", 10), Index: 11}},
 		"segments":           []audit.SealedSegment{{Encoded: []byte("segment"), Hash: audit.Hash(sampleDigest(2))}},
-		"ask":                AdminRequest{FleetID: 91, Command: CommandOrder, Order: sampleCommand(), Member: "of member"},
-		"ask-status":         AdminRequest{FleetID: 91, Command: CommandStatus},
-		"ask-segments":       AdminRequest{FleetID: 91, Command: CommandSegments, Member: "m"},
+		"ask":                AdminRequest{FleetID: 91, Kind: RequestRolloutCommand, RolloutCommand: sampleCommand(), Member: "of member"},
+		"ask-status":         AdminRequest{FleetID: 91, Kind: RequestStatus},
+		"ask-segments":       AdminRequest{FleetID: 91, Kind: RequestSegments, Member: "m"},
 		"reply-not-leading":  AdminResponse{Err: "no", NotLeader: true, Leader: "l"},
 		"reply-unknown":      AdminResponse{Err: "no", OutcomeUnknown: true},
 		"reply-standing":     AdminResponse{Status: sampleStatus()},
@@ -194,7 +198,7 @@
 			t.Errorf("%s: %v, not %v", name, c.got, c.want)
 		}
 	}
-	if CommandStatus != "status" || CommandOrder != "order" || CommandSegments != "segments" {
+	if RequestStatus != "status" || RequestRolloutCommand != "order" || RequestSegments != "segments" {
 		t.Error("an operator's request has another word")
 	}
 	if got := protocol.FleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
