--- a/cmd/damsonscale/descriptors_test.go
+++ b/cmd/damsonscale/descriptors_test.go
@@ -197,8 +197,7 @@
 	return resp.StatusCode, string(text), time.Since(began)
 }
 
-// A process whose limit is lowered while it runs stays up, and serves once there is room. Guards against a listener that gives up
-// where no descriptor is left.
+// A process whose limit is lowered while it runs stays up, and serves once descriptors are free again.
 func TestDescriptorsTakenAway(t *testing.T) {
 	p, _ := one(t, func(_ http.ResponseWriter, _ *http.Request) {})
 	few := syscall.Rlimit{Cur: 16, Max: 256}
--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -167,8 +167,8 @@
 	eventually(t, piece, func() bool { return strings.Contains(p.log.String(), piece) })
 }
 
-// freeAddr is an address for a program, which shares it: it stays bound here, and nobody listens. Guards against a stand-in of another
-// test that is given the port before the program has it, and takes its clients.
+// freeAddr is an address for a program, which shares it: it stays bound here, and nobody listens, so
+// that no stand-in of another test is given the port before the program has it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	fd, addr := standin.Bound(t, 0, unix.SO_REUSEADDR, unix.SO_REUSEPORT)
--- a/cmd/damsonscale/operations_test.go
+++ b/cmd/damsonscale/operations_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// The door answers with every client socket taken. Guards against a sidecar that can't be drained when it matters.
+// The admin API answers while clients take every socket.
 func TestAdminAnswersWhileClientsTakeAllSockets(t *testing.T) {
 	p, _ := oneWith(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
 		withAdmin(t)(c)
--- a/cmd/damsonscale/slow_start_test.go
+++ b/cmd/damsonscale/slow_start_test.go
@@ -144,9 +144,7 @@
 	f.lists[i].tell(f.t, list{Seq: seq, Whole: true, Hosts: hosts})
 }
 
-// Guards against a fleet that pushes a cold server over with what each process has saved up for it: real processes, and
-// servers that count for themselves what comes in every window. While each process kept a send until it was wanted, 30 of
-// them had 1.24 of the bound when the others drained, and 20 had 0.75.
+// Many processes together stay within a cold server's slow start. The servers count what comes in every window.
 func TestColdServersUnderManyProcesses(t *testing.T) {
 	for _, n := range []int{20, 30} {
 		came := 0
