--- a/internal/handover/descriptors.go
+++ b/internal/handover/descriptors.go
@@ -54,7 +54,7 @@
 	}
 	n, controlled, _, _, err := r.conn.ReadMsgUnix(buf, control)
 	r.descriptors = append(r.descriptors, parseDescriptors(control[:controlled])...)
-	r.buffered = append(r.buffered, buf[:n]...)
+	r.buffered = append(r.buffered, buf[:max(n, 0)]...) // -1 with an error
 	if err == nil && n == 0 {
 		err = io.ErrUnexpectedEOF
 	}
