--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -169,3 +169,34 @@
 		}
 	}
 }
+
+// A dial that meets its deadline after a shortage on this machine says nothing about the server, also where the dialer notices the
+// deadline before the context does. Without a shortage it counts against the server.
+func TestADialThatEndsWithItsTimeLimit(t *testing.T) {
+	s := standin.NewServer(t, standin.Yes)
+	for _, c := range []struct {
+		name   string
+		errors []error
+		want   EndReason
+	}{
+		{"after a shortage", []error{syscall.EMFILE, os.ErrDeadlineExceeded}, NotSent},
+		{"after a shortage, by the context's error", []error{syscall.EMFILE, context.DeadlineExceeded}, NotSent},
+		{"after a shortage, refused", []error{syscall.EMFILE, syscall.ECONNREFUSED}, ConnectFailed},
+		{"without a shortage", []error{os.ErrDeadlineExceeded}, ConnectFailed},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p, sh := startPeer(t, resolveTo(s.Addr))
+			sh.SetTimeouts(time.Minute, time.Hour)
+			sh.OnSocketShortage = func() {}
+			dials := 0
+			sh.Dial = func(context.Context, string) (net.Conn, error) {
+				err := c.errors[min(dials, len(c.errors)-1)]
+				dials++
+				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err}
+			}
+			if r := sendAttempt(t, p, nil); r.Reason != c.want || dials != len(c.errors) || sh.Sockets.inUse.Load() != 0 {
+				t.Errorf("%v after %d dials, %d sockets; want %v", r.Reason, dials, sh.Sockets.inUse.Load(), c.want)
+			}
+		})
+	}
+}
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"net"
+	"os"
 	"syscall"
 	"time"
 )
@@ -34,7 +35,7 @@
 	}
 	if err != nil {
 		p.shared.Sockets.release()
-		if a.isCancelled() || IsSocketShortage(err) || shortage && ctx.Err() != nil {
+		if a.isCancelled() || IsSocketShortage(err) || shortage && (ctx.Err() != nil || isDeadlineExceeded(err)) {
 			return nil, NotSent
 		}
 		return nil, ConnectFailed
@@ -55,3 +56,9 @@
 func isTransient(err error) bool {
 	return IsSocketShortage(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
 }
+
+// isDeadlineExceeded reports whether a dial ended by its time limit. The dialer keeps the deadline of its context by itself, and may
+// return before the context's own timer has fired.
+func isDeadlineExceeded(err error) bool {
+	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded)
+}
