--- a/decide/api.go
+++ b/decide/api.go
@@ -85,9 +85,9 @@
 type LoadReport struct {
 	InFlight, Queue float64 // requests
 	Busy            float64 // share of its capacity
-	Latency         float64 // of work there without waiting, in ms
+	LatencyMs       float64 // of work there without waiting, in ms
 	Rate            float64 // requests per second
-	FailRate        float64 // errors per second
+	ErrorRate       float64 // errors per second
 }
 
 // Outcome is the end of one attempt. Each attempt has exactly one.
--- a/decide/load_reports.go
+++ b/decide/load_reports.go
@@ -33,13 +33,13 @@
 		s.reportedInFlight = inFlight
 		b.loadReports.meanInFlight += (inFlight - b.loadReports.meanInFlight) / meanInFlightReports
 	}
-	if !(report.Latency > 0 && report.Latency < maxReportedLatencyMs) {
+	if !(report.LatencyMs > 0 && report.LatencyMs < maxReportedLatencyMs) {
 		return
 	}
 	if s.reportedLatencyMs == 0 {
-		s.reportedLatencyMs = report.Latency
+		s.reportedLatencyMs = report.LatencyMs
 	}
-	s.reportedLatencyMs += (report.Latency - s.reportedLatencyMs) * reportedLatencyStep
+	s.reportedLatencyMs += (report.LatencyMs - s.reportedLatencyMs) * reportedLatencyStep
 }
 
 // loadWeight is the factor of s in the draw for what it reports to have in flight, beside the mean. It is
--- a/decide/load_reports_test.go
+++ b/decide/load_reports_test.go
@@ -6,7 +6,7 @@
 
 // loadReport is a report with some figures; the others are absent.
 func loadReport(held, queue, latency float64) *LoadReport {
-	return &LoadReport{InFlight: held, Queue: queue, Busy: -1, Latency: latency, Rate: -1, FailRate: -1}
+	return &LoadReport{InFlight: held, Queue: queue, Busy: -1, LatencyMs: latency, Rate: -1, ErrorRate: -1}
 }
 
 // An endpoint that reports three times the mean in flight weighs a quarter of what it would at the mean:
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -2,11 +2,11 @@
 //
 // A line reads
 //
-//	time=2026-01-02T15:04:05.123456Z level=INFO event=endpoints_applied call=3 entries=12
+//	time=2026-01-02T15:04:05.123456Z level=INFO event=endpoints_applied poll=3 entries=12
 //
-// Event names and keys are snake_case and stable: operators search for them, and docs/oncall.md lists them. Each
+// Event names and keys are snake_case and stable: operators search for them, and docs/oncall.md lists all of them. Each
 // package names its events by constants. Keys are followed by their values as in log/slog; durations go as
-// integers in a key that ends with _ms. All functions may be called from any goroutine.
+// integers in a key that ends with their unit, _ms or _us. All functions may be called from any goroutine.
 package eventlog
 
 import (
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -147,7 +147,7 @@
 		}
 		payload, err := c.fleet.codec.Marshal(messages[:n])
 		if err != nil {
-			eventlog.Warn(eventSendFailed, err, "to", name)
+			eventlog.Warn(eventEncodeFailed, err, "to", name)
 		} else {
 			c.fleet.send(name, protocol.KindTakeover, payload)
 		}
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -3,7 +3,7 @@
 //
 // Goroutines and what each of them owns:
 //
-//   - Fleet.tendLease owns the renewal of the lease, the adoption of memberships and the settings that this member acts on
+//   - Fleet.runLeaseRenewal owns the renewal of the lease, the adoption of memberships and the settings that this member acts on
 //     (settingsState). Others hand it work with Fleet.post.
 //   - coordinator.run owns the takeover.Node and the requests in flight.
 //   - auditReplicator.run owns the stored segments, their replication and the segment directory.
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -10,7 +10,7 @@
 	eventRejoinFailed         = "fleet_rejoin_failed"
 	eventExclusionChanged     = "fleet_exclusion_changed"
 	eventSettingsRejected     = "fleet_settings_rejected"
-	eventSendFailed           = "fleet_send_failed"
+	eventEncodeFailed         = "fleet_encode_failed"
 	eventTakeoverCounts       = "takeover_counts"
 	eventTakeoverStarted      = "takeover_started"
 	eventTakeoverFailed       = "takeover_failed"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	mailboxSize    = 1024                  // messages to tendLease's or the replicator's goroutine
+	mailboxSize    = 1024                  // messages to runLeaseRenewal's or the replicator's goroutine
 	rebindInterval = 50 * time.Millisecond // between attempts to listen at the configured address
 )
 
@@ -78,9 +78,9 @@
 	recorder    *audit.SegmentWriter // nil, like replicator, without audit records
 	replicator  *auditReplicator
 
-	ctx           context.Context    // of Run
-	mailbox       chan memberMessage // of tendLease's goroutine
-	settings      settingsState      // of tendLease's goroutine
+	ctx           context.Context    // of Start
+	mailbox       chan memberMessage // of runLeaseRenewal's goroutine
+	settings      settingsState      // of runLeaseRenewal's goroutine
 	listenAddress string             // told to the other members where it is not the configured one
 
 	self       atomic.Pointer[takeover.Member]
@@ -93,7 +93,7 @@
 }
 
 // New makes a member. maxRequestAge is the longest deadline of a class, which counts unless the options set another. Nothing is
-// listened to or sent before Run.
+// listened to or sent before Start.
 func New(opts *options.Options, name string, maxRequestAge time.Duration, hooks Hooks, applier SettingsApplier) (*Fleet, error) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
@@ -166,7 +166,7 @@
 	f.ctx = ctx
 	go f.transport.Serve(ctx, listener)
 	go f.coordinator.run(ctx)
-	go f.tendLease(ctx)
+	go f.runLeaseRenewal(ctx)
 	if f.replicator != nil {
 		go f.replicator.run(ctx)
 	}
@@ -194,7 +194,7 @@
 	}
 }
 
-// post hands a message to tendLease's goroutine. It blocks while the mailbox is full.
+// post hands a message to runLeaseRenewal's goroutine. It blocks while the mailbox is full.
 func (f *Fleet) post(m memberMessage) {
 	select {
 	case f.mailbox <- m:
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// onEvicted rejoins with a new incarnation after this one was evicted. On tendLease's goroutine.
+// onEvicted rejoins with a new incarnation after this one was evicted. On runLeaseRenewal's goroutine.
 func (f *Fleet) onEvicted() {
 	old := *f.self.Load()
 	if err := f.newIncarnation(); err != nil {
--- a/internal/fleet/lease_renewal.go
+++ b/internal/fleet/lease_renewal.go
@@ -12,8 +12,8 @@
 // unleasedRequestFactor is how much more often a member without a valid lease requests one.
 const unleasedRequestFactor = 4
 
-// tendLease requests leases and handles what is posted, until ctx ends.
-func (f *Fleet) tendLease(ctx context.Context) {
+// runLeaseRenewal requests leases and handles what is posted, until ctx ends.
+func (f *Fleet) runLeaseRenewal(ctx context.Context) {
 	interval := f.options.Fleet.LeaseDuration / leaseRequestsPerLease
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -56,7 +56,7 @@
 	}
 }
 
-// handleGrant takes a leader's reply. On tendLease's goroutine.
+// handleGrant takes a leader's reply. On runLeaseRenewal's goroutine.
 func (f *Fleet) handleGrant(from string, g *membership.LeaseGrant) {
 	self := *f.self.Load()
 	if g.Member != self {
--- a/internal/fleet/member_messages.go
+++ b/internal/fleet/member_messages.go
@@ -6,7 +6,7 @@
 	"damsonscale/internal/takeover"
 )
 
-// memberMessage is work for tendLease's goroutine.
+// memberMessage is work for runLeaseRenewal's goroutine.
 type memberMessage interface {
 	handle(f *Fleet)
 }
--- a/internal/fleet/membership_updates.go
+++ b/internal/fleet/membership_updates.go
@@ -58,7 +58,7 @@
 }
 
 // adoptMembership hands a newer membership to all that depend on it, and to this member's children in the tree of members. On
-// tendLease's goroutine.
+// runLeaseRenewal's goroutine.
 func (f *Fleet) adoptMembership(m *membership.Membership, settings map[string][]byte) {
 	if m.Epoch <= f.membership.Load().Epoch {
 		return
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -19,7 +19,7 @@
 	countsDelay = time.Second
 )
 
-// settingsState is what this member knows of the rollout plan's settings. tendLease's goroutine owns it.
+// settingsState is what this member knows of the rollout plan's settings. runLeaseRenewal's goroutine owns it.
 type settingsState struct {
 	active       uint64 // number of the version in force; 0: this member's own file
 	digest       uint64 // of that version
@@ -43,7 +43,7 @@
 }
 
 // followPlan applies the version that the plan has for this member, and suspends the lease while the plan does not let this
-// member act. Version numbers only grow, since leases are granted for the reported one. On tendLease's goroutine.
+// member act. Version numbers only grow, since leases are granted for the reported one. On runLeaseRenewal's goroutine.
 func (f *Fleet) followPlan() {
 	if f.replicator == nil {
 		return
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -26,7 +26,7 @@
 	answerTimeAfterAccept = 200 * time.Millisecond // left for the last connections, before abortMargin
 )
 
-// abortMargin is how long before the end of a shutdown open requests are answered as failed.
+// abortMargin is how long before the end of a shutdown open requests are answered with 504.
 const abortMargin = 150 * time.Millisecond
 
 // isDraining returns whether each connection is to be closed after its next response.
@@ -135,7 +135,7 @@
 	return sinceStart > minAcceptTime && sinceAccept > acceptQuietPeriod || sinceStart > acceptTime
 }
 
-// abortRequests answers open requests as failed. Those that aren't complete yet are rejected, so that no request whose
+// abortRequests answers open requests with 504. Those that aren't complete yet are rejected, so that no request whose
 // last bytes come while this process exits is accepted and never answered.
 func (f *Frontend) abortRequests() {
 	f.sidecar.AbortAll()
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -23,11 +23,12 @@
 //	409  a request with this ID is in flight, or the ID is that of another request
 //	413  the body is over 40 MB
 //	431  the head is over 8 KiB
-//	502  failed: no server answered; it may or may not have been executed
-//	503  rejected: it was not executed and can be retried; Retry-After in seconds where the sidecar advises a backoff
-//	504  its deadline passed before it was decided
+//	502  failed: no attempt succeeded, or a server found the request invalid; it may or may not have been executed
+//	503  rejected: it was not executed and can be retried; Retry-After in seconds, with three decimals, where the sidecar
+//	     advises a backoff
+//	504  its deadline passed, or the process exits, before there was a response; it may have been executed
 //
-// 400 to 431, unless the 409 above, close the connection.
+// All of 400 to 431 but 409 close the connection.
 
 // noLeaseRetryAfter is the Retry-After of a request that a member without a lease rejects.
 const noLeaseRetryAfter = 500 * time.Millisecond
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -21,15 +21,15 @@
 // snapshots and messages: order and types of its fields stay.
 type Plan struct {
 	_           struct{}  `cbor:",toarray"`
-	LastNumber  uint64    `json:"Last"`   // highest number of a version
-	Target      uint64    `json:"Target"` // 0: members act on their own files
-	Base        uint64    `json:"Base"`   // version of the members that the target is not for yet
-	Share       int       `json:"Share"`  // of the members that the target is for, in thousandths
-	Canaries    []string  `json:"First"`  // members that adopt the target first, while Share is below FullShare
-	SettleMs    int64     `json:"SettleMs"`
-	GraceMs     int64     `json:"GraceMs"`
-	Fence       uint64    `json:"Fence"` // no lease for members that act on a lower version
-	PauseReason string    `json:"Held"`  // why the target is paused; empty: it is not
+	LastNumber  uint64    `json:"Last"`     // highest number of a version
+	Target      uint64    `json:"Target"`   // 0: members act on their own files
+	Base        uint64    `json:"Base"`     // version of the members that the target is not for yet
+	Share       int       `json:"Share"`    // of the members that the target is for, in thousandths
+	Canaries    []string  `json:"First"`    // members that adopt the target first, while Share is below FullShare
+	SettleMs    int64     `json:"SettleMs"` // how long all canaries must have acted on it before it is promoted
+	GraceMs     int64     `json:"GraceMs"`  // from the promotion to the fence
+	Fence       uint64    `json:"Fence"`    // no lease for members that act on a lower version
+	PauseReason string    `json:"Held"`     // why the target is paused; empty: it is not
 	Versions    []Version `json:"Versions"`
 	Excluded    []string  `json:"Barred"` // members that get no lease, sorted
 	AppliedIDs  []uint64  `json:"Done"`
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -17,7 +17,7 @@
 	Rejected                       // no effect: a retry is harmless
 	Failed                         // an attempt may have had an effect
 	DuplicateID                    // another request of this id is in flight
-	DeadlineExceeded               // the client left, or the time ended, before the balancer responded
+	DeadlineExceeded               // the client left, the deadline passed or the process exits before there was a response; it may have been executed
 )
 
 // Response is the final response to a request.
@@ -98,7 +98,7 @@
 func (c *Call) SetDisconnectCheck(isDisconnected func() bool) { c.gate.IsDisconnected = isDisconnected }
 
 // leaseHeld reports whether this process holds the lease that the call requires, if any.
-func (c *Call) leaseHeld() bool { return !c.leaseRequired || c.gate.MaySend() }
+func (c *Call) leaseHeld() bool { return !c.leaseRequired || c.gate.LeaseHeld() }
 
 // decisionTime is the balancer's time for the call.
 func (c *Call) decisionTime() time.Duration {
--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -11,7 +11,7 @@
 //     or for the deadline, whichever comes first.
 //   - Each server has an upstream.Peer, an actor that owns the idle connections; each attempt has a goroutine of its own.
 //   - discovery.Client is the actor that owns the endpoint list. Its endpoint set may be read from any goroutine.
-//   - shadow.Evaluator, where it is configured, is shown every event and never waited for.
+//   - shadow.Evaluator, where it is configured, is shown every event but the ends of health checks, and never waited for.
 //
 // # The way of an attempt
 //
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -9,7 +9,8 @@
 	"damsonscale/internal/shadow"
 )
 
-// Do serves a call and returns its response. gone is closed when the client disconnects; left reports that it did.
+// Do serves a call and returns its response. gone is closed when the call need not be served any longer: the client has
+// disconnected, or the lease is over. left reports that, or that the rest of the body could not be read.
 func (s *Sidecar) Do(c *Call, gone <-chan struct{}) (r Response, left bool) {
 	deadline := time.NewTimer(time.Until(c.responseDeadline))
 	defer deadline.Stop()
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -77,7 +77,7 @@
 	if absent(b) || len(b) == 0 {
 		return nil, nil
 	}
-	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, Latency: -1, Rate: -1, FailRate: -1}
+	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, LatencyMs: -1, Rate: -1, ErrorRate: -1}
 	for pair := range bytes.SplitSeq(b, []byte{','}) {
 		name, value, ok := bytes.Cut(pair, []byte{':'})
 		if !ok {
@@ -95,11 +95,11 @@
 		case loadBusy:
 			l.Busy = v
 		case loadLatency:
-			l.Latency = v
+			l.LatencyMs = v
 		case loadRate:
 			l.Rate = v
 		case loadFailRate:
-			l.FailRate = v
+			l.ErrorRate = v
 		}
 	}
 	return l, nil
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -13,8 +13,8 @@
 	disconnected bool // IsDisconnected has said so
 }
 
-// MaySend reports whether this process holds the lease that sending needs.
-func (g *Gate) MaySend() bool { return g.LeaseValid == nil || g.LeaseValid() }
+// LeaseHeld reports whether this process holds the lease that sending needs.
+func (g *Gate) LeaseHeld() bool { return g.LeaseValid == nil || g.LeaseValid() }
 
 // Close waits for a write under way and lets no other begin.
 func (g *Gate) Close() {
@@ -50,7 +50,7 @@
 func (g *Gate) ifOpen(write func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.closed || !g.MaySend() {
+	if g.closed || !g.LeaseHeld() {
 		return false
 	}
 	write()
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -14,10 +14,10 @@
 	if !bytes.Contains(rest, []byte{'='}) {
 		return nil
 	}
-	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, Latency: -1, Rate: -1, FailRate: -1}
+	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, LatencyMs: -1, Rate: -1, ErrorRate: -1}
 	fields := map[string]*float64{
-		"inflight": &l.InFlight, "queue": &l.Queue, "util": &l.Busy, "latency_ms": &l.Latency, "qps": &l.Rate,
-		"eps": &l.FailRate,
+		"inflight": &l.InFlight, "queue": &l.Queue, "util": &l.Busy, "latency_ms": &l.LatencyMs, "qps": &l.Rate,
+		"eps": &l.ErrorRate,
 	}
 	for pair := range bytes.SplitSeq(rest, []byte{','}) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(pair), []byte{'='})
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -416,7 +416,7 @@
 
 func TestLoadReports(t *testing.T) {
 	l := parseLoad([]byte("TEXT inflight=7, queue=2, util=0.61, new=4"))
-	if l == nil || l.InFlight != 7 || l.Queue != 2 || l.Busy != 0.61 || l.Latency != -1 {
+	if l == nil || l.InFlight != 7 || l.Queue != 2 || l.Busy != 0.61 || l.LatencyMs != -1 {
 		t.Fatalf("%+v", l)
 	}
 	for _, text := range []string{"", "JSON {}", "inflight"} {
