--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -1,7 +1,6 @@
 package audit
 
 import (
-	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -14,6 +13,7 @@
 
 	"damsonscale/internal/auditevent"
 	"damsonscale/internal/frame"
+	"damsonscale/internal/lab/golden"
 	"damsonscale/internal/takeover"
 )
 
@@ -25,7 +25,7 @@
 // Messages have the bytes that commit 2029d41 gave them.
 func TestStoredBytes(t *testing.T) {
 	number := uint64(5)
-	stored(t, "testdata/messages.json", map[string]any{
+	golden.CheckCBOR(t, "testdata/messages.json", map[string]any{
 		"count":   goldenCount,
 		"stamped": numberedVersion{ID: 9, Version: goldenVersion},
 		"segment": Segment{
@@ -104,37 +104,3 @@
 		out = append(out, segment)
 	}
 }
-
-// stored compares the messages of a test with those that commit 2029d41 wrote to a file, and reads them back.
-func stored(t *testing.T, path string, messages map[string]any) {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := map[string]string{}
-	if err := json.Unmarshal(text, &want); err != nil {
-		t.Fatal(err)
-	}
-	if len(want) != len(messages) {
-		t.Errorf("%d messages in the file, %d in the test", len(want), len(messages))
-	}
-	encoder, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
-	if err != nil {
-		t.Fatal(err)
-	}
-	for name, message := range messages {
-		got, err := encoder.Marshal(message)
-		if err != nil || hex.EncodeToString(got) != want[name] {
-			t.Errorf("%s: encoded as %x, %v, want %s", name, got, err, want[name])
-		}
-		raw, err := hex.DecodeString(want[name])
-		if err != nil {
-			t.Fatal(err)
-		}
-		back := reflect.New(reflect.TypeOf(message))
-		if err := cbor.Unmarshal(raw, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), message) {
-			t.Errorf("%s: decoded as %+v, %v, want %+v", name, back.Elem(), err, message)
-		}
-	}
-}
--- a/internal/auditevent/golden_test.go
+++ b/internal/auditevent/golden_test.go
@@ -1,14 +1,9 @@
 package auditevent
 
 import (
-	"encoding/hex"
-	"encoding/json"
-	"os"
-	"reflect"
 	"testing"
 
-	"github.com/fxamacker/cbor/v2"
-
+	"damsonscale/internal/lab/golden"
 	"damsonscale/internal/takeover"
 )
 
@@ -26,7 +21,7 @@
 			t.Errorf("%d is named %s, want %s", kind, kind, name)
 		}
 	}
-	stored(t, "testdata/messages.json", messages)
+	golden.CheckCBOR(t, "testdata/messages.json", messages)
 }
 
 // The header has the form that commit 2029d41 gave it.
@@ -41,37 +36,3 @@
 		t.Errorf("read %+v, %v, want %+v", got, err, ref)
 	}
 }
-
-// stored compares the messages of a test with those that commit 2029d41 wrote to a file, and reads them back.
-func stored(t *testing.T, path string, messages map[string]any) {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := map[string]string{}
-	if err := json.Unmarshal(text, &want); err != nil {
-		t.Fatal(err)
-	}
-	if len(want) != len(messages) {
-		t.Errorf("%d messages in the file, %d in the test", len(want), len(messages))
-	}
-	encoder, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
-	if err != nil {
-		t.Fatal(err)
-	}
-	for name, message := range messages {
-		got, err := encoder.Marshal(message)
-		if err != nil || hex.EncodeToString(got) != want[name] {
-			t.Errorf("%s: encoded as %x, %v, want %s", name, got, err, want[name])
-		}
-		raw, err := hex.DecodeString(want[name])
-		if err != nil {
-			t.Fatal(err)
-		}
-		back := reflect.New(reflect.TypeOf(message))
-		if err := cbor.Unmarshal(raw, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), message) {
-			t.Errorf("%s: decoded as %+v, %v, want %+v", name, back.Elem(), err, message)
-		}
-	}
-}
