--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxBodyBytes = upstream.MaxBodySize
+	maxBodyBytes = upstream.MaxBodyBytes
 
 	// minBuffered is how much of a body is buffered whatever the budget has left.
 	minBuffered = 8 << 10
@@ -60,7 +60,7 @@
 	return b
 }
 
-// buffer reads up to upstream.MaxBuffered bytes, or minBuffered where the budget has no more. What exceeds that becomes
+// buffer reads up to upstream.MaxBufferedBytes bytes, or minBuffered where the budget has no more. What exceeds that becomes
 // the remainder.
 func (b *requestBody) buffer() *rejection {
 	if b.source == nil {
@@ -69,7 +69,7 @@
 	if b.length > maxBodyBytes {
 		return reject(fasthttp.StatusRequestEntityTooLarge, "request body too large")
 	}
-	limit := int64(upstream.MaxBuffered)
+	limit := int64(upstream.MaxBufferedBytes)
 	if b.length >= 0 {
 		limit = min(limit, b.length)
 	}
@@ -145,7 +145,7 @@
 		return nil
 	}
 	b.remainder.Close()
-	_, err := b.remainder.Complete()
+	_, err := b.remainder.CompletedAt()
 	return err
 }
 
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -86,7 +86,7 @@
 		Handler:            f.handle,
 		ErrorHandler:       rejectMalformed,
 		StreamRequestBody:  true,
-		MaxRequestBodySize: upstream.MaxBuffered, // beyond it fasthttp reads nothing ahead
+		MaxRequestBodySize: upstream.MaxBufferedBytes, // beyond it fasthttp reads nothing ahead
 		ReadBufferSize:     maxHeadBytes,
 		ReadTimeout:        headTimeout,
 		IdleTimeout:        idleTimeout,
--- a/internal/frontend/replication.go
+++ b/internal/frontend/replication.go
@@ -170,8 +170,8 @@
 	return f.sendFunc(sidecar.NewCall(snapshot.settings, r, m, time.Now(), timeLeft)), nil
 }
 
-// DiscardAnswer closes a live response that no client takes any more.
-func (f *Frontend) DiscardAnswer(live any) {
+// DiscardResponse closes a live response that no client takes any more.
+func (f *Frontend) DiscardResponse(live any) {
 	if r, ok := live.(sidecar.Response); ok && r.Stream != nil {
 		r.Stream.Close()
 	}
@@ -181,7 +181,7 @@
 // answers nothing: another one does.
 func (f *Frontend) writeOutcome(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, timeLeft time.Duration) {
 	if o.Kind == takeover.OutcomeResponse && o.Lease != nil && !o.Lease.Valid() {
-		f.DiscardAnswer(o.LiveResponse)
+		f.DiscardResponse(o.LiveResponse)
 		o.Kind = takeover.OutcomeCloseConnection
 	}
 	version := f.sidecar.ConfigVersion()
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -118,7 +118,7 @@
 		return
 	}
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		tcp.SetWriteBuffer(upstream.MaxBodySize)
+		tcp.SetWriteBuffer(upstream.MaxBodyBytes)
 	}
 	if hasSuccessor {
 		s.Detach()
--- a/internal/sidecar/attempts.go
+++ b/internal/sidecar/attempts.go
@@ -27,7 +27,7 @@
 // onAttemptEnded handles the end of an attempt. A server's successful response ends the call.
 func (s *Sidecar) onAttemptEnded(now int64, m attemptEnded) {
 	c, a, r := m.call, m.attempt, m.result
-	if !c.answered && c.gate.Disconnected() { // no retry while the client's own goroutine has not seen it yet
+	if !c.answered && c.gate.ClosedByDisconnect() { // no retry while the client's own goroutine has not seen it yet
 		s.onClientDisconnected(now, c)
 		close(c.disconnected)
 	}
--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -9,7 +9,7 @@
 //
 //   - A client's goroutine runs [Sidecar.Do]: it posts the request and waits for the response, for the client to leave,
 //     or for the deadline, whichever comes first.
-//   - Each server has an upstream.Peer, an actor that owns the idle connections; each attempt has a goroutine of its own.
+//   - Each server has an upstream.Endpoint, an actor that owns the idle connections; each attempt has a goroutine of its own.
 //   - discovery.Client is the actor that owns the endpoint list. Its endpoint set may be read from any goroutine.
 //   - shadow.Evaluator, where it is configured, is shown every event but the ends of health checks, and never waited for.
 //
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -13,7 +13,7 @@
 
 // peer is a server's actor, with what the balancer has in flight there.
 type peer struct {
-	*upstream.Peer
+	*upstream.Endpoint
 	inFlight int // attempts and health checks without their end
 }
 
@@ -21,7 +21,7 @@
 func (s *Sidecar) peerFor(host string) *peer {
 	p := s.peers[host]
 	if p == nil {
-		p = &peer{Peer: upstream.NewPeer(host, &s.peerShared)}
+		p = &peer{Endpoint: upstream.NewEndpoint(host, &s.peerShared)}
 		s.peers[host] = p
 	}
 	return p
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -59,7 +59,7 @@
 			}
 		case <-bodyDone:
 			bodyDone = nil
-			at, err := c.Message.Remainder.Complete()
+			at, err := c.Message.Remainder.CompletedAt()
 			if err != nil {
 				return r, true, false
 			}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -23,7 +23,7 @@
 	mailbox    chan message
 	startedAt  time.Time
 	discovery  *discovery.Client
-	peerShared upstream.PeerShared
+	peerShared upstream.EndpointConfig
 
 	// Owned by the goroutine of Run.
 
@@ -61,7 +61,7 @@
 		endpointsKnown: make(chan struct{}), aborted: make(chan struct{}), startTimes: newServerStartTimes(),
 	}
 	s.discovery = discovery.New(conf.Discovery, conf.LastEndpoints, sourceOf(&conf.Settings), s)
-	s.peerShared = upstream.PeerShared{
+	s.peerShared = upstream.EndpointConfig{
 		Sockets: upstream.NewSocketBudget(sockets), Resolve: s.discovery.Endpoints.Address,
 		OnSocketShortage: func() { s.mailbox <- socketShortage{} }, ReuseDelay: connectionReuseDelay,
 	}
--- a/internal/upstream/body_remainder.go
+++ b/internal/upstream/body_remainder.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// MaxBuffered is how many bytes of a request or response body are buffered; a longer one is forwarded as it comes.
-	MaxBuffered = 64 << 10
-	// MaxBodySize is the longest request or response body that is forwarded, in bytes.
-	MaxBodySize = 40 << 20
+	// MaxBufferedBytes is how many bytes of a request or response body are buffered; a longer one is forwarded as it comes.
+	MaxBufferedBytes = 64 << 10
+	// MaxBodyBytes is the longest request or response body that is forwarded, in bytes.
+	MaxBodyBytes = 40 << 20
 )
 
 // errRequestOver says that a body was not read to its end because its request had ended.
@@ -78,8 +78,8 @@
 // Done returns a channel that is closed once the last byte was read, or none will be.
 func (b *BodyRemainder) Done() <-chan struct{} { return b.done }
 
-// Complete returns, once Done is closed, when the last byte was read, or the error that came before it.
-func (b *BodyRemainder) Complete() (at time.Time, err error) {
+// CompletedAt returns, once Done is closed, when the last byte was read, or the error that came before it.
+func (b *BodyRemainder) CompletedAt() (at time.Time, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.err == io.EOF {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -62,12 +62,12 @@
 		}
 	}()
 	r.Reason = c.write(a, mayWrite)
-	if r.Reason == Answered && a.Message.Remainder != nil {
-		if r.Reason = c.writeRemainder(a); r.Reason == Answered {
+	if r.Reason == Succeeded && a.Message.Remainder != nil {
+		if r.Reason = c.writeRemainder(a); r.Reason == Succeeded {
 			r.BodySentAt = time.Now()
 		}
 	}
-	if r.Reason != Answered {
+	if r.Reason != Succeeded {
 		return r, false
 	}
 	reuse = c.read(a, &r)
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -25,7 +25,7 @@
 	p, sh := startPeer(t, resolveTo(s.Addr().String()))
 	sh.ReuseDelay = time.Hour
 	first := sendAttempt(t, p, nil)
-	if r := sendAttempt(t, p, nil); r.Reason != Answered || string(r.Body) != string(first.Body) || !r.NewConnection {
+	if r := sendAttempt(t, p, nil); r.Reason != Succeeded || string(r.Body) != string(first.Body) || !r.NewConnection {
 		t.Fatalf("%v %q, fresh %v", r.Reason, r.Body, r.NewConnection)
 	}
 }
@@ -60,7 +60,7 @@
 		a, done := newAttempt(nil)
 		a.startTimer()
 		p.runAttempt(a, looked)
-		if r := <-done; r.Reason != Answered || string(r.Body) == "wrong" || sh.Sockets.inUse.Load() != 1 {
+		if r := <-done; r.Reason != Succeeded || string(r.Body) == "wrong" || sh.Sockets.inUse.Load() != 1 {
 			t.Fatalf("after %q: %v %q, %d sockets", what, r.Reason, r.Body, sh.Sockets.inUse.Load())
 		}
 	}
@@ -117,7 +117,7 @@
 		}()
 	}
 	set(syscall.Rlimit{Cur: 0, Max: usual.Max})
-	if r := sendAttempt(t, p, nil); r.Reason != Answered || asked != 1 || sh.Sockets.inUse.Load() != 1 {
+	if r := sendAttempt(t, p, nil); r.Reason != Succeeded || asked != 1 || sh.Sockets.inUse.Load() != 1 {
 		t.Fatalf("%v, asked %d times, %d sockets", r.Reason, asked, sh.Sockets.inUse.Load())
 	}
 	for range 2 { // none comes free: it is the lack's fault, not the server's
@@ -140,8 +140,8 @@
 	s := standin.NewServer(t, standin.Yes)
 	type ends struct{ once, always EndReason }
 	for errno, want := range map[syscall.Errno]ends{
-		syscall.ENFILE: {Answered, NotSent}, syscall.ENOBUFS: {Answered, NotSent}, syscall.EADDRNOTAVAIL: {Answered, NotSent},
-		syscall.ENETUNREACH: {Answered, ConnectFailed}, syscall.ENETDOWN: {Answered, ConnectFailed},
+		syscall.ENFILE: {Succeeded, NotSent}, syscall.ENOBUFS: {Succeeded, NotSent}, syscall.EADDRNOTAVAIL: {Succeeded, NotSent},
+		syscall.ENETUNREACH: {Succeeded, ConnectFailed}, syscall.ENETDOWN: {Succeeded, ConnectFailed},
 		syscall.ECONNREFUSED: {ConnectFailed, ConnectFailed}, syscall.EHOSTUNREACH: {ConnectFailed, ConnectFailed},
 	} {
 		for _, fails := range []int{1, 1 << 30} {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -14,7 +14,7 @@
 const redialDelay = 5 * time.Millisecond
 
 // dial opens a connection for an attempt. Where the connection is nil the reason says why.
-func (p *Peer) dial(a *Attempt) (*conn, EndReason) {
+func (p *Endpoint) dial(a *Attempt) (*conn, EndReason) {
 	addr, ready := p.shared.Resolve(p.Host)
 	ctx, cancel := context.WithTimeout(a.ctx, time.Duration(p.shared.dialTimeout.Load()))
 	defer cancel()
@@ -40,11 +40,11 @@
 		}
 		return nil, ConnectFailed
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr, sockets: p.shared.Sockets}, Answered
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr, sockets: p.shared.Sockets}, Succeeded
 }
 
 // connect dials an address.
-func (s *PeerShared) connect(ctx context.Context, addr string) (net.Conn, error) {
+func (s *EndpointConfig) connect(ctx context.Context, addr string) (net.Conn, error) {
 	if s.Dial != nil {
 		return s.Dial(ctx, addr)
 	}
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -2,8 +2,8 @@
 //
 // # State and goroutines
 //
-//   - A [Peer] is an actor, one for each server. Its goroutine owns the idle connections to the server, and hands one to an
-//     attempt. Messages reach it through a mailbox of limited size: [Peer.Offer] and the Close methods never block, and drop
+//   - A [Endpoint] is an actor, one for each server. Its goroutine owns the idle connections to the server, and hands one to an
+//     attempt. Messages reach it through a mailbox of limited size: [Endpoint.Offer] and the Close methods never block, and drop
 //     their message where the mailbox is full; attempts post their end and wait for room.
 //   - An [Attempt] has a goroutine of its own, which owns one connection from the dial or from the idle list to the last
 //     byte. It never shares it.
@@ -13,7 +13,7 @@
 //
 // # The way of an attempt
 //
-// [Peer.Offer] starts the attempt's timer. The peer's goroutine takes an idle connection, if one is fit, and starts
+// [Endpoint.Offer] starts the attempt's timer. The peer's goroutine takes an idle connection, if one is fit, and starts
 // runAttempt, which dials otherwise. conn.exchange writes the request under the [Gate] (write.go) and reads the response
 // (response.go): a short body is buffered, a long one, or one without an end in sight, goes to OnStream as it comes.
 // The [AttemptResult] then goes through the peer's goroutine, which takes the connection back where it can be reused, to
--- a/internal/upstream/end_reason.go
+++ b/internal/upstream/end_reason.go
@@ -14,7 +14,7 @@
 
 // The ways in which an attempt ends.
 const (
-	Answered       EndReason = iota // 200 and its complete body
+	Succeeded      EndReason = iota // 200 and its complete body
 	ErrorResponse                   // a complete response that is none of the others
 	InvalidRequest                  // the server finds the request itself at fault
 	Declined                        // the server says that it did not run the request
@@ -39,7 +39,7 @@
 // DecisionResult maps a reason to the decision module's results.
 func (r EndReason) DecisionResult() decide.Result {
 	switch r {
-	case Answered:
+	case Succeeded:
 		return decide.Succeeded
 	case ErrorResponse, Malformed: // a server that responds is up, whatever it says
 		return decide.Errored
@@ -63,7 +63,7 @@
 func classify(resp *fasthttp.Response) EndReason {
 	switch status := resp.StatusCode(); {
 	case status == fasthttp.StatusOK:
-		return Answered
+		return Succeeded
 	case (status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout) &&
 		string(resp.Header.Peek(declinedHeader)) == "1":
 		return Declined
--- a/internal/upstream/peer.go
+++ b/internal/upstream/endpoint.go
@@ -14,8 +14,8 @@
 	idleLimitShare = 0.6 // of the servers' idle timeout: an older connection is not written to
 )
 
-// PeerShared is what all peers have in common. Its fields must not change once a peer runs.
-type PeerShared struct {
+// EndpointConfig is what all peers have in common. Its fields must not change once a peer runs.
+type EndpointConfig struct {
 	Sockets          *SocketBudget
 	Resolve          func(host string) (addr string, ready bool)              // by the endpoint list in force; safe for concurrent use
 	OnSocketShortage func()                                                   // has all peers close idle connections; it may block
@@ -27,28 +27,28 @@
 }
 
 // SetTimeouts sets how long a dial may take, and how long servers keep idle connections. It is safe for concurrent use.
-func (s *PeerShared) SetTimeouts(dialTimeout, connIdle time.Duration) {
+func (s *EndpointConfig) SetTimeouts(dialTimeout, connIdle time.Duration) {
 	s.dialTimeout.Store(int64(dialTimeout))
 	s.connIdle.Store(int64(connIdle))
 }
 
-// Peer is a server's actor. Its goroutine owns the idle connections and starts the attempts. It waits for nothing but what
+// Endpoint is a server's actor. Its goroutine owns the idle connections and starts the attempts. It waits for nothing but what
 // OnDone waits for.
-type Peer struct {
+type Endpoint struct {
 	Host string
 
-	shared  *PeerShared
+	shared  *EndpointConfig
 	mailbox chan peerMessage
 	idle    []*conn // in the order in which they fell idle
 }
 
 // peerMessage is what the mailbox takes. handle runs on the peer's goroutine.
-type peerMessage interface{ handle(*Peer) }
+type peerMessage interface{ handle(*Endpoint) }
 
 // attemptOffered is an attempt to be started.
 type attemptOffered struct{ attempt *Attempt }
 
-func (m attemptOffered) handle(p *Peer) { go p.runAttempt(m.attempt, p.takeIdle()) }
+func (m attemptOffered) handle(p *Endpoint) { go p.runAttempt(m.attempt, p.takeIdle()) }
 
 // attemptEnded is the end of an attempt.
 type attemptEnded struct {
@@ -57,7 +57,7 @@
 	result  AttemptResult
 }
 
-func (m attemptEnded) handle(p *Peer) {
+func (m attemptEnded) handle(p *Endpoint) {
 	switch {
 	case m.conn == nil:
 	case p.shared.Sockets.waiting.Load() > 0: // the request to close idle ones may have come before this one was idle
@@ -73,22 +73,22 @@
 // closeOldestIdle closes the connection that has been idle longest.
 type closeOldestIdle struct{}
 
-func (closeOldestIdle) handle(p *Peer) { p.closeOldest(min(1, len(p.idle))) }
+func (closeOldestIdle) handle(p *Endpoint) { p.closeOldest(min(1, len(p.idle))) }
 
 // closeAllIdle closes all idle connections.
 type closeAllIdle struct{}
 
-func (closeAllIdle) handle(p *Peer) { p.closeOldest(len(p.idle)) }
+func (closeAllIdle) handle(p *Endpoint) { p.closeOldest(len(p.idle)) }
 
-// NewPeer starts the actor of a server.
-func NewPeer(host string, shared *PeerShared) *Peer {
-	p := &Peer{Host: host, shared: shared, mailbox: make(chan peerMessage, mailboxSize)}
+// NewEndpoint starts the actor of a server.
+func NewEndpoint(host string, shared *EndpointConfig) *Endpoint {
+	p := &Endpoint{Host: host, shared: shared, mailbox: make(chan peerMessage, mailboxSize)}
 	go p.run()
 	return p
 }
 
 // Offer hands the peer an attempt; false: its mailbox is full and nothing was or will be sent. It never blocks.
-func (p *Peer) Offer(a *Attempt) bool {
+func (p *Endpoint) Offer(a *Attempt) bool {
 	a.startTimer()
 	select {
 	case p.mailbox <- attemptOffered{a}:
@@ -101,7 +101,7 @@
 
 // CloseOldestIdle asks the peer to close the connection that has been idle longest. It never blocks: a full mailbox drops
 // it.
-func (p *Peer) CloseOldestIdle() {
+func (p *Endpoint) CloseOldestIdle() {
 	select {
 	case p.mailbox <- closeOldestIdle{}:
 	default:
@@ -110,7 +110,7 @@
 
 // CloseIdleConnections asks the peer to close all idle connections before it starts attempts that are offered after this.
 // It never blocks: a full mailbox drops it, and refuses those attempts too.
-func (p *Peer) CloseIdleConnections() {
+func (p *Endpoint) CloseIdleConnections() {
 	select {
 	case p.mailbox <- closeAllIdle{}:
 	default:
@@ -118,9 +118,9 @@
 }
 
 // Stop ends the actor. No attempt may be in flight, or be offered after this.
-func (p *Peer) Stop() { close(p.mailbox) }
+func (p *Endpoint) Stop() { close(p.mailbox) }
 
-func (p *Peer) run() {
+func (p *Endpoint) run() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
@@ -139,7 +139,7 @@
 
 // takeIdle returns the connection that has been idle longest and can be written to, or nil. The latest used is the worst
 // choice: a server that closes connections right after a response may not have shown it yet.
-func (p *Peer) takeIdle() *conn {
+func (p *Endpoint) takeIdle() *conn {
 	addr, _ := p.shared.Resolve(p.Host)
 	for len(p.idle) > 0 {
 		c := p.idle[0]
@@ -156,12 +156,12 @@
 }
 
 // isWithinIdleLimit reports whether a server is sure to keep an idle connection open for a while.
-func (p *Peer) isWithinIdleLimit(c *conn) bool {
+func (p *Endpoint) isWithinIdleLimit(c *conn) bool {
 	return time.Since(c.idleSince) < time.Duration(idleLimitShare*float64(p.shared.connIdle.Load()))
 }
 
 // sweep closes idle connections that are too old, closed by the server, or to a server that takes no new work there.
-func (p *Peer) sweep() {
+func (p *Endpoint) sweep() {
 	addr, ready := p.shared.Resolve(p.Host)
 	p.idle = slices.DeleteFunc(p.idle, func(c *conn) bool {
 		stale := !ready || c.addr != addr || !p.isWithinIdleLimit(c) || !c.isOpenAndEmpty()
@@ -173,7 +173,7 @@
 }
 
 // closeOldest closes the n connections that have been idle longest.
-func (p *Peer) closeOldest(n int) {
+func (p *Endpoint) closeOldest(n int) {
 	for _, c := range p.idle[:n] {
 		c.closeAndRelease()
 	}
@@ -181,7 +181,7 @@
 }
 
 // runAttempt runs one attempt to its end, on a goroutine of its own, and reports the end to the actor.
-func (p *Peer) runAttempt(a *Attempt, c *conn) {
+func (p *Endpoint) runAttempt(a *Attempt, c *conn) {
 	r := AttemptResult{}
 	if c != nil && !c.isOpenAndEmpty() { // again: something may have come since the peer looked
 		c.closeAndRelease()
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -22,7 +22,7 @@
 // endsAtClose is true the end of the connection ends a body without a length.
 func answerBody(br *bufio.Reader, resp *fasthttp.Response, endsAtClose bool) (body io.Reader, length int64, err error) {
 	switch n := resp.Header.ContentLength(); {
-	case n > MaxBodySize:
+	case n > MaxBodyBytes:
 		return nil, 0, errTooLong
 	case n >= 0:
 		return &lengthReader{br, int64(n)}, int64(n), nil
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -30,8 +30,8 @@
 	return g.closed
 }
 
-// Disconnected reports whether an attempt has found that the client left, which closes the gate.
-func (g *Gate) Disconnected() bool {
+// ClosedByDisconnect reports whether an attempt has found that the client left, which closes the gate.
+func (g *Gate) ClosedByDisconnect() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.disconnected
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -13,7 +13,7 @@
 	return &Attempt{
 		Host: host, Message: &Message{Head: []byte(head)}, Gate: &Gate{}, DecidedAt: now, Deadline: now.Add(timeout),
 		OnDone: func(a *Attempt, r AttemptResult) {
-			if r.Load == nil && load && r.Reason == Answered {
+			if r.Load == nil && load && r.Reason == Succeeded {
 				r.Load = parseLoad(r.Body)
 			}
 			onDone(a, r)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -27,7 +27,7 @@
 	if err == nil {
 		r.Reason = classify(resp)
 		r.Load = parseLoad(resp.Header.Peek(loadHeader))
-		if r.Reason == Answered {
+		if r.Reason == Succeeded {
 			r.ContentType = append([]byte(nil), resp.Header.ContentType()...)
 		}
 		err = c.readBody(a, r, resp, endsAtClose)
@@ -64,8 +64,8 @@
 	if err != nil {
 		return err
 	}
-	mayStream := r.Reason == Answered && a.OnStream != nil
-	if length > MaxBuffered && mayStream {
+	mayStream := r.Reason == Succeeded && a.OnStream != nil
+	if length > MaxBufferedBytes && mayStream {
 		if _, err := c.br.Peek(1); err != nil { // until the first byte the attempt's timeout counts
 			return err
 		}
@@ -85,16 +85,16 @@
 // buffer reads a body up to MaxBuffered bytes, and where its length is not known for bufferFor at most. complete reports
 // that this was all of it.
 func (c *conn) buffer(a *Attempt, body io.Reader, length int64, mayStream bool) (buffered []byte, complete bool, err error) {
-	buffered = make([]byte, 0, max(512, min(length, MaxBuffered)+1))
+	buffered = make([]byte, 0, max(512, min(length, MaxBufferedBytes)+1))
 	until := time.Time{}
 	for {
 		if len(buffered) == cap(buffered) {
 			buffered = append(buffered, 0)[:len(buffered)]
 		}
-		n, err := body.Read(buffered[len(buffered):min(cap(buffered), MaxBuffered+1)])
+		n, err := body.Read(buffered[len(buffered):min(cap(buffered), MaxBufferedBytes+1)])
 		buffered = buffered[:len(buffered)+n]
 		switch {
-		case len(buffered) > MaxBuffered && (err == nil || err == io.EOF):
+		case len(buffered) > MaxBufferedBytes && (err == nil || err == io.EOF):
 			return buffered, false, nil
 		case err == io.EOF:
 			return buffered, true, nil
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -63,7 +63,7 @@
 		}
 		return 0, ErrDetached
 	}
-	if s.forwarded += int64(n); s.forwarded > MaxBodySize {
+	if s.forwarded += int64(n); s.forwarded > MaxBodyBytes {
 		err = errTooLong
 	}
 	s.err = err
--- a/internal/upstream/stream_state.go
+++ b/internal/upstream/stream_state.go
@@ -54,9 +54,9 @@
 	switch {
 	case s.Framing != framedByLength && s.Framing != framedByChunks && s.Framing != framedByClose:
 		return fmt.Errorf("unknown framing %q", s.Framing)
-	case s.Remaining < 0 || s.Remaining > MaxBodySize || s.Forwarded < 0 || s.TrailerLines < 0:
+	case s.Remaining < 0 || s.Remaining > MaxBodyBytes || s.Forwarded < 0 || s.TrailerLines < 0:
 		return fmt.Errorf("out of bounds: %d bytes remaining, %d forwarded", s.Remaining, s.Forwarded)
-	case s.BufferedBody < 0 || s.BufferedBody > len(s.ReadAhead) || len(s.ReadAhead) > MaxBuffered+1+readBuffer:
+	case s.BufferedBody < 0 || s.BufferedBody > len(s.ReadAhead) || len(s.ReadAhead) > MaxBufferedBytes+1+readBuffer:
 		return fmt.Errorf("%d bytes of the body buffered of %d read ahead", s.BufferedBody, len(s.ReadAhead))
 	}
 	return nil
@@ -79,7 +79,7 @@
 			complete: state.Complete,
 		}
 	}
-	return &boundedReader{io.MultiReader(bytes.NewReader(state.ReadAhead[:state.BufferedBody]), body), MaxBodySize - state.Forwarded}, nil
+	return &boundedReader{io.MultiReader(bytes.NewReader(state.ReadAhead[:state.BufferedBody]), body), MaxBodyBytes - state.Forwarded}, nil
 }
 
 // stallReader fails a read that gets no byte for stallTimeout.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -67,11 +67,11 @@
 	}
 }
 
-func startPeer(t *testing.T, find func(string) (string, bool)) (*Peer, *PeerShared) {
+func startPeer(t *testing.T, find func(string) (string, bool)) (*Endpoint, *EndpointConfig) {
 	t.Helper()
-	sh := &PeerShared{Sockets: NewSocketBudget(8), Resolve: find, OnSocketShortage: func() {}}
+	sh := &EndpointConfig{Sockets: NewSocketBudget(8), Resolve: find, OnSocketShortage: func() {}}
 	sh.SetTimeouts(time.Second, time.Hour)
-	p := NewPeer("s1", sh)
+	p := NewEndpoint("s1", sh)
 	t.Cleanup(p.Stop)
 	return p, sh
 }
@@ -96,7 +96,7 @@
 }
 
 // offerAttempt offers one attempt and returns the channel of its result.
-func offerAttempt(t *testing.T, p *Peer, change func(*Attempt)) (*Attempt, chan AttemptResult) {
+func offerAttempt(t *testing.T, p *Endpoint, change func(*Attempt)) (*Attempt, chan AttemptResult) {
 	t.Helper()
 	a, done := newAttempt(change)
 	if !p.Offer(a) {
@@ -105,7 +105,7 @@
 	return a, done
 }
 
-func sendAttempt(t *testing.T, p *Peer, change func(*Attempt)) AttemptResult {
+func sendAttempt(t *testing.T, p *Endpoint, change func(*Attempt)) AttemptResult {
 	t.Helper()
 	_, done := offerAttempt(t, p, change)
 	return <-done
@@ -119,20 +119,20 @@
 		name, answer string
 		want         EndReason
 	}{
-		{"whole", ok + "Content-Length: 3\r\n\r\nyes", Answered},
-		{"empty", ok + "Content-Length: 0\r\n\r\n", Answered},
-		{"chunked", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n", Answered},
-		{"interim first", "HTTP/1.1 100 Continue\r\n\r\n" + ok + "Content-Length: 3\r\n\r\nyes", Answered},
-		{"long head", ok + "A: " + strings.Repeat("x", 9000) + "\r\nContent-Length: 3\r\n\r\nyes", Answered},
+		{"whole", ok + "Content-Length: 3\r\n\r\nyes", Succeeded},
+		{"empty", ok + "Content-Length: 0\r\n\r\n", Succeeded},
+		{"chunked", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n", Succeeded},
+		{"interim first", "HTTP/1.1 100 Continue\r\n\r\n" + ok + "Content-Length: 3\r\n\r\nyes", Succeeded},
+		{"long head", ok + "A: " + strings.Repeat("x", 9000) + "\r\nContent-Length: 3\r\n\r\nyes", Succeeded},
 		{"endless head", ok + "A: " + strings.Repeat("x", 30000) + "\r\nContent-Length: 3\r\n\r\nyes", Malformed},
 		{"short", ok + "Content-Length: 30\r\n\r\nyes", Reset},
 		{"short chunk", ok + "Transfer-Encoding: chunked\r\n\r\n9\r\nyes", Reset},
 		{"no last chunk", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n", Reset},
 		{"no trailer's end", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n", Reset},
-		{"to the connection's end", ok + "Connection: close\r\n\r\nyes", Answered},
-		{"of HTTP/1.0", "HTTP/1.0 200 OK\r\n\r\nyes", Answered},
+		{"to the connection's end", ok + "Connection: close\r\n\r\nyes", Succeeded},
+		{"of HTTP/1.0", "HTTP/1.0 200 OK\r\n\r\nyes", Succeeded},
 		{"no length", ok + "\r\nyes", Malformed},
-		{"extensions and trailers", ok + "Transfer-Encoding: chunked\r\n\r\n1;a=b\r\ny\r\n2 ;c\r\nes\r\n0;x\r\nA: b\r\n\r\n", Answered},
+		{"extensions and trailers", ok + "Transfer-Encoding: chunked\r\n\r\n1;a=b\r\ny\r\n2 ;c\r\nes\r\n0;x\r\nA: b\r\n\r\n", Succeeded},
 		{"no chunk", ok + "Transfer-Encoding: chunked\r\n\r\nx\r\nyes\r\n0\r\n\r\n", Malformed},
 		{"a chunk that runs on", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nyes\r\n0\r\n\r\n", Malformed},
 		{"a chunk past measure", ok + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\nyes\r\n0\r\n\r\n", Malformed},
@@ -162,7 +162,7 @@
 			if r.Reason != c.want {
 				t.Fatalf("got %v, want %v", r.Reason, c.want)
 			}
-			if c.want == Answered && c.name != "empty" && string(r.Body) != "yes" {
+			if c.want == Succeeded && c.name != "empty" && string(r.Body) != "yes" {
 				t.Fatalf("body %q", r.Body)
 			}
 		})
@@ -171,11 +171,11 @@
 
 func TestDecisionResults(t *testing.T) {
 	want := map[EndReason]decide.Result{
-		Answered: decide.Succeeded, ErrorResponse: decide.Errored, Declined: decide.Saturated, ConnectFailed: decide.ConnectFailed,
+		Succeeded: decide.Succeeded, ErrorResponse: decide.Errored, Declined: decide.Saturated, ConnectFailed: decide.ConnectFailed,
 		InvalidRequest: decide.InvalidRequest, Malformed: decide.Errored, Reset: decide.Reset, TimedOut: decide.TimedOut, Cancelled: decide.Cancelled, NotSent: decide.NotSent,
 	}
 	never := map[EndReason]bool{Declined: true, ConnectFailed: true, NotSent: true}
-	for e := Answered; e <= NotSent; e++ {
+	for e := Succeeded; e <= NotSent; e++ {
 		if e.DecisionResult() != want[e] || e.DecisionResult().NeverRan() != never[e] {
 			t.Errorf("%v maps to %v, never ran %v", e, e.DecisionResult(), e.DecisionResult().NeverRan())
 		}
@@ -264,7 +264,7 @@
 	s := listen(t, always(yes, false))
 	p, _ := startPeer(t, resolveTo(s.Addr().String()))
 	for i := range 5 {
-		if r := sendAttempt(t, p, nil); r.Reason != Answered || r.NewConnection != (i == 0) {
+		if r := sendAttempt(t, p, nil); r.Reason != Succeeded || r.NewConnection != (i == 0) {
 			t.Fatalf("attempt %d: %v, fresh %v", i, r.Reason, r.NewConnection)
 		}
 	}
@@ -276,11 +276,11 @@
 func TestConnectionsAreNotKept(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
-		change func(*PeerShared)
+		change func(*EndpointConfig)
 	}{
 		"the server says close":  {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\nyes", nil},
 		"bytes after the answer": {yes + "HTTP/1.1 200 OK\r\n", nil},
-		"idle for too long":      {yes, func(s *PeerShared) { s.SetTimeouts(time.Second, 1) }},
+		"idle for too long":      {yes, func(s *EndpointConfig) { s.SetTimeouts(time.Second, 1) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := listen(t, always(c.answer, false))
@@ -289,7 +289,7 @@
 				c.change(sh)
 			}
 			for range 3 {
-				if r := sendAttempt(t, p, nil); r.Reason != Answered || !r.NewConnection {
+				if r := sendAttempt(t, p, nil); r.Reason != Succeeded || !r.NewConnection {
 					t.Fatalf("%v, fresh %v", r.Reason, r.NewConnection)
 				}
 			}
@@ -308,7 +308,7 @@
 	})
 	p, _ := startPeer(t, resolveTo(s.Addr().String()))
 	for range 4 {
-		if r := sendAttempt(t, p, nil); r.Reason != Answered || !r.NewConnection {
+		if r := sendAttempt(t, p, nil); r.Reason != Succeeded || !r.NewConnection {
 			t.Fatalf("%v, fresh %v", r.Reason, r.NewConnection)
 		}
 		<-gone
@@ -329,7 +329,7 @@
 	mu.Lock()
 	addr = two.Addr().String()
 	mu.Unlock()
-	if r := sendAttempt(t, p, nil); r.Reason != Answered || two.conns.Load() != 1 {
+	if r := sendAttempt(t, p, nil); r.Reason != Succeeded || two.conns.Load() != 1 {
 		t.Fatal(r.Reason, two.conns.Load())
 	}
 }
@@ -337,16 +337,16 @@
 // A peer without a socket waits for one as long as for a connection; idle ones of others are closed for it.
 func TestWaitsForASocket(t *testing.T) {
 	s := listen(t, always(yes, false))
-	sh := &PeerShared{Sockets: NewSocketBudget(1), Resolve: resolveTo(s.Addr().String())}
+	sh := &EndpointConfig{Sockets: NewSocketBudget(1), Resolve: resolveTo(s.Addr().String())}
 	sh.SetTimeouts(time.Minute, time.Hour)
-	other, p := NewPeer("s2", sh), NewPeer("s1", sh)
+	other, p := NewEndpoint("s2", sh), NewEndpoint("s1", sh)
 	defer other.Stop()
 	defer p.Stop()
 	sh.OnSocketShortage = other.CloseOldestIdle
-	if r := sendAttempt(t, other, nil); r.Reason != Answered { // holds the only socket, idle, from now on
+	if r := sendAttempt(t, other, nil); r.Reason != Succeeded { // holds the only socket, idle, from now on
 		t.Fatal(r.Reason)
 	}
-	if r := sendAttempt(t, p, nil); r.Reason != Answered || sh.Sockets.inUse.Load() != 1 {
+	if r := sendAttempt(t, p, nil); r.Reason != Succeeded || sh.Sockets.inUse.Load() != 1 {
 		t.Fatal(r.Reason, sh.Sockets.inUse.Load())
 	}
 }
@@ -365,9 +365,9 @@
 			io.WriteString(c, yes)
 		}
 	})
-	sh, asked := &PeerShared{Sockets: NewSocketBudget(1), Resolve: resolveTo(s.Addr().String())}, make(chan bool, 1)
+	sh, asked := &EndpointConfig{Sockets: NewSocketBudget(1), Resolve: resolveTo(s.Addr().String())}, make(chan bool, 1)
 	sh.SetTimeouts(time.Minute, time.Hour)
-	p := NewPeer("s1", sh)
+	p := NewEndpoint("s1", sh)
 	defer p.Stop()
 	sh.OnSocketShortage = func() { p.CloseOldestIdle(); asked <- true }
 	_, first := offerAttempt(t, p, nil)
@@ -376,7 +376,7 @@
 	<-asked
 	close(on)
 	for _, done := range []chan AttemptResult{first, second} {
-		if r := <-done; r.Reason != Answered {
+		if r := <-done; r.Reason != Succeeded {
 			t.Fatal(r.Reason)
 		}
 	}
@@ -384,7 +384,7 @@
 
 // A full mailbox rejects an attempt and never blocks the caller.
 func TestFullMailboxTurnsDown(t *testing.T) {
-	p := &Peer{mailbox: make(chan peerMessage, 1)}
+	p := &Endpoint{mailbox: make(chan peerMessage, 1)}
 	a := func() *Attempt { return &Attempt{Deadline: time.Now().Add(time.Minute)} }
 	if !p.Offer(a()) || p.Offer(a()) {
 		t.Fatal("one of two fits")
@@ -443,7 +443,7 @@
 		done := make(chan AttemptResult, 1)
 		p.Offer(NewHealthCheck("s1", load, time.Minute, func(_ *Attempt, r AttemptResult) { done <- r }))
 		r := <-done
-		if got := <-asked; got != path || r.Reason != Answered {
+		if got := <-asked; got != path || r.Reason != Succeeded {
 			t.Errorf("asked %s: %v", got, r.Reason)
 		}
 		if load != (r.Load != nil && r.Load.InFlight == 4) {
@@ -485,7 +485,7 @@
 		if n == 2 {
 			p.CloseIdleConnections()
 		}
-		if r := sendAttempt(t, p, nil); r.Reason != Answered || r.NewConnection != fresh {
+		if r := sendAttempt(t, p, nil); r.Reason != Succeeded || r.NewConnection != fresh {
 			t.Errorf("attempt %d: %v, fresh %v, want %v", n, r.Reason, r.NewConnection, fresh)
 		}
 	}
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -37,7 +37,7 @@
 		}
 		switch n, err := parts.WriteTo(c.Conn); {
 		case n == size:
-			reason = Answered
+			reason = Succeeded
 		case err != nil && a.isCancelled():
 			reason = NotSent
 		default:
@@ -62,13 +62,13 @@
 		a.Gate.ifOpen(func() {
 			reason = c.writePiece(a, buf[:n], last)
 		})
-		if reason != Answered {
+		if reason != Succeeded {
 			return reason
 		}
 		if last {
 			c.SetWriteDeadline(time.Time{})
 			a.expireIn(a.TimeoutAfterBody)
-			return Answered
+			return Succeeded
 		}
 	}
 }
@@ -86,7 +86,7 @@
 		}
 		return ConnectFailed // the last byte was not written: it never ran
 	}
-	return Answered
+	return Succeeded
 }
 
 // EncodeBodyPiece returns the bytes of one piece of a body: as they are, or as a chunk, with the end of the chunked body
