--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -7,41 +7,46 @@
 	"damsonscale/decide"
 )
 
-// Attempt is one send of a request to one server, or a health check. Its exported fields must not change once it is offered
-// to a peer.
+// Attempt is one transmission of a request to one server, or a health check. Its exported fields must not change once it
+// is offered to an endpoint.
 type Attempt struct {
-	Host             string
+	Host             string // the server's name in the endpoint list
 	Message          *Message
-	AuditRef         []byte // sent to the server, names the audit event of this attempt; empty: none
+	AuditRef         []byte // reference to the audit event of this attempt, sent to the server; may be empty
 	Gate             *Gate
-	DecidedAt        time.Time               // when the balancer decided to send it
-	Deadline         time.Time               // when the attempt times out; zero: TimeoutAfterBody counts
-	TimeoutAfterBody time.Duration           // from the last byte of a body that is not buffered
-	LatestStart      time.Time               // when even a first byte would be too late; zero: never
-	OnStream         func(*Attempt, *Stream) // called by the attempt's goroutine with a response that is not buffered; nil: all are
-	OnDone           func(*Attempt, AttemptResult)
+	DecidedAt        time.Time     // time of the balancer's decision to send the attempt
+	Deadline         time.Time     // time at which the attempt times out; if zero, TimeoutAfterBody applies
+	TimeoutAfterBody time.Duration // timeout that starts after the last byte of a streamed request body
+	LatestStart      time.Time     // time from which the first byte may no longer be written; zero means no limit
+
+	// OnStream receives a response that is streamed. The attempt's goroutine calls it. If it is nil, all responses are
+	// buffered.
+	OnStream func(*Attempt, *Stream)
+
+	// OnDone receives the result. The endpoint's goroutine calls it once.
+	OnDone func(*Attempt, AttemptResult)
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Reason        EndReason
-	ObservedAt    time.Time // the end of the response or of the attempt; for a stream its beginning
-	NewConnection bool      // a connection was opened for it
-	Body          []byte    // with Answered, where the response was buffered
+	ObservedAt    time.Time // time at which the response or the attempt ended; for a streamed response, when it began
+	NewConnection bool      // whether the attempt needed a new connection
+	Body          []byte    // body of a buffered response with the reason Succeeded
 	ContentType   []byte
-	Load          *decide.LoadReport // nil: none
-	BodySentAt    time.Time          // when the last byte of a body that is not buffered had been written; zero: no such body
-	BodyConsumed  bool               // a part of a body that is not buffered was read: it can't be sent again
+	Load          *decide.LoadReport // nil if the response has no load report
+	BodySentAt    time.Time          // time after the last byte of a streamed request body was written; zero if there is none
+	BodyConsumed  bool               // whether part of a streamed request body was read, so that it can't be sent again
 }
 
 // Cancel cancels the attempt. It never blocks.
 func (a *Attempt) Cancel() { a.cancel(context.Canceled) }
 
-// startTimer starts the attempt's clock, where it has a deadline from the start.
+// startTimer creates the attempt's context and, if the attempt has a deadline, starts its timer.
 func (a *Attempt) startTimer() {
 	a.ctx, a.cancel = context.WithCancelCause(context.Background())
 	if !a.Deadline.IsZero() {
@@ -49,12 +54,12 @@
 	}
 }
 
-// expireIn has the attempt time out after a time.
+// expireIn makes the attempt time out after the given duration.
 func (a *Attempt) expireIn(timeout time.Duration) {
 	a.timer = time.AfterFunc(timeout, func() { a.cancel(context.DeadlineExceeded) })
 }
 
-// stopTimer stops the attempt's clock; false: it has run out.
+// stopTimer stops the attempt's timer. It returns false if the timer has fired.
 func (a *Attempt) stopTimer() bool { return a.timer == nil || a.timer.Stop() }
 
 // release frees the timer and the context.
@@ -63,10 +68,10 @@
 	a.cancel(context.Canceled)
 }
 
-// isCancelled reports whether the attempt was cancelled, and not timed out.
+// isCancelled reports whether the attempt was cancelled rather than timed out.
 func (a *Attempt) isCancelled() bool { return context.Cause(a.ctx) == context.Canceled }
 
-// interruptReason returns the reason of an attempt whose context ended after the last byte was written.
+// interruptReason returns the end reason if the context ends after the last byte of the request is written.
 func (a *Attempt) interruptReason() EndReason {
 	if a.isCancelled() {
 		return Cancelled
--- a/internal/upstream/body_remainder.go
+++ b/internal/upstream/body_remainder.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// MaxBufferedBytes is how many bytes of a request or response body are buffered; a longer one is forwarded as it comes.
+	// MaxBufferedBytes is the size up to which a request or response body is buffered; a longer body is streamed.
 	MaxBufferedBytes = 64 << 10
-	// MaxBodyBytes is the longest request or response body that is forwarded, in bytes.
+	// MaxBodyBytes is the size of the longest request or response body that is forwarded.
 	MaxBodyBytes = 40 << 20
 )
 
-// errRequestOver says that a body was not read to its end because its request had ended.
-var errRequestOver = errors.New("request has ended")
+// errRequestEnded is the error of a body that is not read to its end because its request has ended.
+var errRequestEnded = errors.New("request ended before its body was read completely")
 
-// BodyRemainder is the part of a request's body that is not buffered. The attempt that sends it reads it from the client,
-// once. Its source must not block for good. It is safe for concurrent use.
+// BodyRemainder is the part of a request body that is not buffered. It can be read only once, from the client, by the
+// attempt that sends it. Reads of its source must not block forever. It is safe for concurrent use.
 type BodyRemainder struct {
-	BodyLength int64 // of the whole body, in bytes; negative: not known
+	BodyLength int64 // length of the complete body in bytes, the buffered part included; negative if unknown
 
 	mu        sync.Mutex
 	src       io.Reader
-	err       error // after which nothing more is read; io.EOF after the last byte
+	err       error // error that ended the reading; io.EOF after the last byte
 	started   bool
 	endedAt   time.Time
 	done      chan struct{}
 	interrupt func()
 }
 
-// NewBodyRemainder returns the remainder of a body of a length, read from src. interrupt must make a read of src under way
-// return.
+// NewBodyRemainder returns the remainder, read from src, of a body of the given total length. interrupt must make a
+// pending read of src return.
 func NewBodyRemainder(src io.Reader, length int64, interrupt func()) *BodyRemainder {
 	return &BodyRemainder{BodyLength: length, src: src, interrupt: interrupt, done: make(chan struct{})}
 }
@@ -60,7 +60,8 @@
 	close(b.done)
 }
 
-// Close ends the reading and waits for a read under way: then the client's connection is the caller's again.
+// Close ends the reading and waits for a pending read to return. Afterwards the caller may use the client's connection
+// again.
 func (b *BodyRemainder) Close() {
 	select {
 	case <-b.done:
@@ -71,14 +72,15 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.err == nil {
-		b.finish(errRequestOver)
+		b.finish(errRequestEnded)
 	}
 }
 
-// Done returns a channel that is closed once the last byte was read, or none will be.
+// Done returns a channel that is closed when the reading has ended, with the last byte or with an error.
 func (b *BodyRemainder) Done() <-chan struct{} { return b.done }
 
-// CompletedAt returns, once Done is closed, when the last byte was read, or the error that came before it.
+// CompletedAt returns the time at which the last byte was read, or the error that ended the reading early. It may be
+// called once Done is closed.
 func (b *BodyRemainder) CompletedAt() (at time.Time, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,7 +90,7 @@
 	return b.endedAt, b.err
 }
 
-// Started reports whether any of it was read: then it can't be sent again.
+// Started reports whether reading has begun. If so, the body can't be sent again.
 func (b *BodyRemainder) Started() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// readBuffer holds the longest head of a response, in bytes.
-const readBuffer = 16 << 10
+// readBufferBytes is the size of a connection's read buffer, and so of the longest response head.
+const readBufferBytes = 16 << 10
 
-// deadlinePast makes reads and writes under way return at once.
-var deadlinePast = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past, which makes pending reads and writes return at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// conn is a connection to a server. One attempt, or its peer's idle list, owns it.
+// conn is a connection to a server. It is owned either by one attempt or by the endpoint's list of idle connections.
 type conn struct {
 	net.Conn
 	br        *bufio.Reader
@@ -29,8 +29,8 @@
 	c.sockets.release()
 }
 
-// isOpenAndEmpty reports whether an idle connection is still open with nothing to read on it. A request written to one
-// that the server has closed would end as a reset, which may have run.
+// isOpenAndEmpty reports whether an idle connection is open and has no unread bytes. A request written to a connection
+// that the server has closed ends as Reset, after which it may have been executed.
 func (c *conn) isOpenAndEmpty() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -50,24 +50,24 @@
 	return err == nil && empty
 }
 
-// exchange writes the attempt and reads its response. mayWrite is asked right before the first byte. It reports whether the
-// connection can be reused.
+// exchange writes the request of an attempt and reads the response. mayWrite is checked right before the first byte.
+// reuse reports whether the connection can be reused.
 func (c *conn) exchange(a *Attempt, mayWrite func() bool) (r AttemptResult, reuse bool) {
-	stop := context.AfterFunc(a.ctx, func() { c.SetDeadline(deadlinePast) })
+	stop := context.AfterFunc(a.ctx, func() { c.SetDeadline(expiredDeadline) })
 	defer func() {
-		if !stop() { // the deadline was, or is about to be, set to the past: the next read would fail
+		if !stop() { // the deadline is, or is about to be, in the past: the next read would fail
 			reuse = false
 		} else if reuse {
 			c.SetDeadline(time.Time{})
 		}
 	}()
 	r.Reason = c.write(a, mayWrite)
-	if r.Reason == Succeeded && a.Message.Remainder != nil {
-		if r.Reason = c.writeRemainder(a); r.Reason == Succeeded {
+	if r.Reason == stepDone && a.Message.Remainder != nil {
+		if r.Reason = c.writeRemainder(a); r.Reason == stepDone {
 			r.BodySentAt = time.Now()
 		}
 	}
-	if r.Reason != Succeeded {
+	if r.Reason != stepDone {
 		return r, false
 	}
 	reuse = c.read(a, &r)
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,55 +10,56 @@
 	"time"
 )
 
-// redialDelay is the wait after a dial that failed by a shortage on this machine.
+// redialDelay is the wait before a dial is repeated after a transient error.
 const redialDelay = 5 * time.Millisecond
 
-// dial opens a connection for an attempt. Where the connection is nil the reason says why.
-func (p *Endpoint) dial(a *Attempt) (*conn, EndReason) {
-	addr, ready := p.shared.Resolve(p.Host)
-	ctx, cancel := context.WithTimeout(a.ctx, time.Duration(p.shared.dialTimeout.Load()))
+// dial opens a connection for an attempt. If the connection is nil, the reason says why the attempt ends.
+func (e *Endpoint) dial(a *Attempt) (*conn, EndReason) {
+	addr, ready := e.config.Resolve(e.Host)
+	ctx, cancel := context.WithTimeout(a.ctx, time.Duration(e.config.dialTimeout.Load()))
 	defer cancel()
-	if !ready || !p.shared.Sockets.acquire(ctx, p.shared.OnSocketShortage) {
+	if !ready || !e.config.Sockets.acquire(ctx, e.config.OnSocketShortage) {
 		return nil, NotSent
 	}
-	nc, err := p.shared.connect(ctx, addr)
+	nc, err := e.config.connect(ctx, addr)
 	shortage := IsSocketShortage(err)
 	if shortage {
-		p.shared.OnSocketShortage()
+		e.config.OnSocketShortage()
 	}
-	for isTransient(err) && ctx.Err() == nil { // a retry elsewhere would fail as fast, and use up the request's attempts
+	for isTransient(err) && ctx.Err() == nil { // retries on other endpoints would fail as fast and use up the request's attempts
 		select {
 		case <-ctx.Done():
 		case <-time.After(redialDelay):
-			nc, err = p.shared.connect(ctx, addr)
+			nc, err = e.config.connect(ctx, addr)
 		}
 	}
 	if err != nil {
-		p.shared.Sockets.release()
+		e.config.Sockets.release()
 		if a.isCancelled() || IsSocketShortage(err) || shortage && (ctx.Err() != nil || isDeadlineExceeded(err)) {
 			return nil, NotSent
 		}
 		return nil, ConnectFailed
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr, sockets: p.shared.Sockets}, Succeeded
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBufferBytes), addr: addr, sockets: e.config.Sockets}, stepDone
 }
 
 // connect dials an address.
-func (s *EndpointConfig) connect(ctx context.Context, addr string) (net.Conn, error) {
-	if s.Dial != nil {
-		return s.Dial(ctx, addr)
+func (c *EndpointConfig) connect(ctx context.Context, addr string) (net.Conn, error) {
+	if c.Dial != nil {
+		return c.Dial(ctx, addr)
 	}
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// isTransient reports whether an error of a dial may be over within a moment: a shortage on this machine, or no route.
+// isTransient reports whether the cause of a dial error may pass soon: a resource shortage on this machine, or a missing
+// route.
 func isTransient(err error) bool {
 	return IsSocketShortage(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
 }
 
-// isDeadlineExceeded reports whether a dial ended by its time limit. The dialer keeps the deadline of its context by itself, and may
-// return before the context's own timer has fired.
+// isDeadlineExceeded reports whether a dial timed out. The dialer enforces its context's deadline with a timer of its own
+// and may return before the context has ended.
 func isDeadlineExceeded(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded)
 }
--- a/internal/upstream/end_reason.go
+++ b/internal/upstream/end_reason.go
@@ -6,26 +6,30 @@
 	"damsonscale/decide"
 )
 
-// declinedHeader is 1 in a response by which a server says that it did not run the request.
+// declinedHeader has the value 1 in a response with which a server says that it did not execute the request.
 const declinedHeader = "Srv-Declined"
 
-// EndReason is how an attempt ended. Every way in which one can end is one of these.
+// EndReason says how an attempt ended.
 type EndReason uint8
 
-// The ways in which an attempt ends.
+// End reasons. After ConnectFailed and NotSent the last byte of the request was not written, and the server did not
+// execute it.
 const (
-	Succeeded      EndReason = iota // 200 and its complete body
-	ErrorResponse                   // a complete response that is none of the others
-	InvalidRequest                  // the server finds the request itself at fault
-	Declined                        // the server says that it did not run the request
-	ConnectFailed                   // no connection, or it broke before the last byte was written
-	Malformed                       // what came after the last byte was written can't be read as a response
-	Reset                           // the connection broke after the last byte was written, before a complete response
-	TimedOut                        // after the last byte was written
-	Cancelled                       // after the last byte was written
-	NotSent                         // never completely written: cancelled or timed out before, or the server takes no new work
+	Succeeded      EndReason = iota // complete response with status 200
+	ErrorResponse                   // complete response that no other reason covers
+	InvalidRequest                  // 4xx response other than 408 and 429: the server finds the request invalid
+	Declined                        // response that says that the server did not execute the request
+	ConnectFailed                   // dial failed, or the connection broke before the last byte of the request was written
+	Malformed                       // bytes received after the request was written are not a valid response
+	Reset                           // connection broke after the request was written and before the response was complete
+	TimedOut                        // attempt timed out after the request was written
+	Cancelled                       // attempt was cancelled after the request was written
+	NotSent                         // request not written completely: cancelled, timed out, or the server takes no new requests
 )
 
+// stepDone is returned by the dialing and writing steps of an attempt that have succeeded, so that the attempt continues.
+const stepDone = Succeeded
+
 // String returns the name of the reason.
 func (r EndReason) String() string {
 	names := [...]string{"answered", "error_response", "invalid_request", "declined", "connect_failed", "malformed", "reset",
@@ -36,12 +40,12 @@
 	return "unknown"
 }
 
-// DecisionResult maps a reason to the decision module's results.
+// DecisionResult maps the reason to a result of the decision module.
 func (r EndReason) DecisionResult() decide.Result {
 	switch r {
 	case Succeeded:
 		return decide.Succeeded
-	case ErrorResponse, Malformed: // a server that responds is up, whatever it says
+	case ErrorResponse, Malformed: // a server that responds is up, whatever the response
 		return decide.Errored
 	case InvalidRequest:
 		return decide.InvalidRequest
@@ -56,10 +60,10 @@
 	case NotSent:
 		return decide.NotSent
 	}
-	return decide.Reset // may have run, as anything unknown
+	return decide.Reset // the request may have been executed; unknown reasons count as this, too
 }
 
-// classify returns the reason for a complete response, by its head.
+// classify returns the end reason of a complete response with the given head.
 func classify(resp *fasthttp.Response) EndReason {
 	switch status := resp.StatusCode(); {
 	case status == fasthttp.StatusOK:
@@ -68,7 +72,7 @@
 		string(resp.Header.Peek(declinedHeader)) == "1":
 		return Declined
 	case status == fasthttp.StatusRequestTimeout || status == fasthttp.StatusTooManyRequests:
-		return ErrorResponse // about the server's state, not about the request
+		return ErrorResponse // these statuses concern the server's state, not the request
 	case status >= 400 && status < 500:
 		return InvalidRequest
 	}
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -11,60 +11,69 @@
 const (
 	mailboxSize    = 256
 	sweepInterval  = time.Second
-	idleLimitShare = 0.6 // of the servers' idle timeout: an older connection is not written to
+	idleLimitShare = 0.6 // share of the servers' idle timeout; a connection that is idle for longer is not reused
 )
 
-// EndpointConfig is what all peers have in common. Its fields must not change once a peer runs.
+// EndpointConfig is shared by all endpoints. Its fields must not change once an endpoint runs.
 type EndpointConfig struct {
-	Sockets          *SocketBudget
-	Resolve          func(host string) (addr string, ready bool)              // by the endpoint list in force; safe for concurrent use
-	OnSocketShortage func()                                                   // has all peers close idle connections; it may block
-	ReuseDelay       time.Duration                                            // rest after a response: a late second response would be read as the next one
-	Dial             func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
+	Sockets *SocketBudget
+
+	// Resolve looks a host up in the current endpoint list. It must be safe for concurrent use.
+	Resolve func(host string) (addr string, ready bool)
+
+	// OnSocketShortage is called when no socket is available, to close idle connections of all endpoints. It may block.
+	OnSocketShortage func()
+
+	// ReuseDelay is the time for which a connection is not reused after a response: a late duplicate response would be
+	// read as the response to the next request.
+	ReuseDelay time.Duration
+
+	// Dial opens a connection; nil means TCP.
+	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	dialTimeout atomic.Int64 // ns
-	connIdle    atomic.Int64 // the servers' idle timeout, ns
+	connIdle    atomic.Int64 // idle timeout of the servers, ns
 }
 
 // SetTimeouts sets how long a dial may take, and how long servers keep idle connections. It is safe for concurrent use.
-func (s *EndpointConfig) SetTimeouts(dialTimeout, connIdle time.Duration) {
-	s.dialTimeout.Store(int64(dialTimeout))
-	s.connIdle.Store(int64(connIdle))
+func (c *EndpointConfig) SetTimeouts(dialTimeout, connIdle time.Duration) {
+	c.dialTimeout.Store(int64(dialTimeout))
+	c.connIdle.Store(int64(connIdle))
 }
 
-// Endpoint is a server's actor. Its goroutine owns the idle connections and starts the attempts. It waits for nothing but what
-// OnDone waits for.
+// Endpoint is the actor for one server. Its goroutine owns the idle connections and starts the attempts. It blocks only
+// if an OnDone callback blocks.
 type Endpoint struct {
-	Host string
+	Host string // the server's name in the endpoint list
 
-	shared  *EndpointConfig
-	mailbox chan peerMessage
-	idle    []*conn // in the order in which they fell idle
+	config  *EndpointConfig
+	mailbox chan endpointMessage
+	idle    []*conn // the connection that has been idle longest comes first
 }
 
-// peerMessage is what the mailbox takes. handle runs on the peer's goroutine.
-type peerMessage interface{ handle(*Endpoint) }
+// endpointMessage is a message in an endpoint's mailbox. handle runs on the endpoint's goroutine.
+type endpointMessage interface{ handle(*Endpoint) }
 
-// attemptOffered is an attempt to be started.
+// attemptOffered starts an attempt.
 type attemptOffered struct{ attempt *Attempt }
 
-func (m attemptOffered) handle(p *Endpoint) { go p.runAttempt(m.attempt, p.takeIdle()) }
+func (m attemptOffered) handle(e *Endpoint) { go e.runAttempt(m.attempt, e.takeIdle()) }
 
-// attemptEnded is the end of an attempt.
+// attemptEnded reports that an attempt has ended.
 type attemptEnded struct {
 	attempt *Attempt
-	conn    *conn // can be reused; nil: none
+	conn    *conn // reusable connection; nil if there is none
 	result  AttemptResult
 }
 
-func (m attemptEnded) handle(p *Endpoint) {
+func (m attemptEnded) handle(e *Endpoint) {
 	switch {
 	case m.conn == nil:
-	case p.shared.Sockets.waiting.Load() > 0: // the request to close idle ones may have come before this one was idle
+	case e.config.Sockets.waiting.Load() > 0: // closeOldestIdle may have been handled before this connection was idle
 		m.conn.closeAndRelease()
 	default:
 		m.conn.idleSince = time.Now()
-		p.idle = append(p.idle, m.conn)
+		e.idle = append(e.idle, m.conn)
 	}
 	m.attempt.release()
 	m.attempt.OnDone(m.attempt, m.result)
@@ -73,25 +82,26 @@
 // closeOldestIdle closes the connection that has been idle longest.
 type closeOldestIdle struct{}
 
-func (closeOldestIdle) handle(p *Endpoint) { p.closeOldest(min(1, len(p.idle))) }
+func (closeOldestIdle) handle(e *Endpoint) { e.closeOldest(min(1, len(e.idle))) }
 
 // closeAllIdle closes all idle connections.
 type closeAllIdle struct{}
 
-func (closeAllIdle) handle(p *Endpoint) { p.closeOldest(len(p.idle)) }
+func (closeAllIdle) handle(e *Endpoint) { e.closeOldest(len(e.idle)) }
 
-// NewEndpoint starts the actor of a server.
-func NewEndpoint(host string, shared *EndpointConfig) *Endpoint {
-	p := &Endpoint{Host: host, shared: shared, mailbox: make(chan peerMessage, mailboxSize)}
-	go p.run()
-	return p
+// NewEndpoint starts the actor for a server.
+func NewEndpoint(host string, config *EndpointConfig) *Endpoint {
+	e := &Endpoint{Host: host, config: config, mailbox: make(chan endpointMessage, mailboxSize)}
+	go e.run()
+	return e
 }
 
-// Offer hands the peer an attempt; false: its mailbox is full and nothing was or will be sent. It never blocks.
-func (p *Endpoint) Offer(a *Attempt) bool {
+// Offer submits an attempt to the endpoint. It returns false if the mailbox is full; nothing is sent then. It never
+// blocks.
+func (e *Endpoint) Offer(a *Attempt) bool {
 	a.startTimer()
 	select {
-	case p.mailbox <- attemptOffered{a}:
+	case e.mailbox <- attemptOffered{a}:
 		return true
 	default:
 		a.release()
@@ -99,55 +109,55 @@
 	}
 }
 
-// CloseOldestIdle asks the peer to close the connection that has been idle longest. It never blocks: a full mailbox drops
-// it.
-func (p *Endpoint) CloseOldestIdle() {
+// CloseOldestIdle asks the endpoint to close the connection that has been idle longest. It never blocks; the call has no
+// effect if the mailbox is full.
+func (e *Endpoint) CloseOldestIdle() {
 	select {
-	case p.mailbox <- closeOldestIdle{}:
+	case e.mailbox <- closeOldestIdle{}:
 	default:
 	}
 }
 
-// CloseIdleConnections asks the peer to close all idle connections before it starts attempts that are offered after this.
-// It never blocks: a full mailbox drops it, and refuses those attempts too.
-func (p *Endpoint) CloseIdleConnections() {
+// CloseIdleConnections asks the endpoint to close all idle connections before it starts any attempt that is offered after
+// this call. It never blocks; the call has no effect if the mailbox is full.
+func (e *Endpoint) CloseIdleConnections() {
 	select {
-	case p.mailbox <- closeAllIdle{}:
+	case e.mailbox <- closeAllIdle{}:
 	default:
 	}
 }
 
-// Stop ends the actor. No attempt may be in flight, or be offered after this.
-func (p *Endpoint) Stop() { close(p.mailbox) }
+// Stop stops the actor. No attempt may be in flight, and none may be offered afterwards.
+func (e *Endpoint) Stop() { close(e.mailbox) }
 
-func (p *Endpoint) run() {
+func (e *Endpoint) run() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case m, ok := <-p.mailbox:
+		case m, ok := <-e.mailbox:
 			if !ok {
-				p.closeOldest(len(p.idle))
+				e.closeOldest(len(e.idle))
 				return
 			}
-			m.handle(p)
+			m.handle(e)
 		case <-tick.C:
-			p.sweep()
+			e.sweep()
 		}
 	}
 }
 
-// takeIdle returns the connection that has been idle longest and can be written to, or nil. The latest used is the worst
-// choice: a server that closes connections right after a response may not have shown it yet.
-func (p *Endpoint) takeIdle() *conn {
-	addr, _ := p.shared.Resolve(p.Host)
-	for len(p.idle) > 0 {
-		c := p.idle[0]
-		if time.Since(c.idleSince) < p.shared.ReuseDelay {
+// takeIdle removes and returns the usable connection that has been idle longest, or nil. The most recently used
+// connection is the worst choice: if the server closes it right after the response, the close may not have arrived yet.
+func (e *Endpoint) takeIdle() *conn {
+	addr, _ := e.config.Resolve(e.Host)
+	for len(e.idle) > 0 {
+		c := e.idle[0]
+		if time.Since(c.idleSince) < e.config.ReuseDelay {
 			return nil
 		}
-		p.idle = slices.Delete(p.idle, 0, 1)
-		if c.addr == addr && p.isWithinIdleLimit(c) && c.isOpenAndEmpty() {
+		e.idle = slices.Delete(e.idle, 0, 1)
+		if c.addr == addr && e.isWithinIdleLimit(c) && c.isOpenAndEmpty() {
 			return c
 		}
 		c.closeAndRelease()
@@ -155,16 +165,17 @@
 	return nil
 }
 
-// isWithinIdleLimit reports whether a server is sure to keep an idle connection open for a while.
-func (p *Endpoint) isWithinIdleLimit(c *conn) bool {
-	return time.Since(c.idleSince) < time.Duration(idleLimitShare*float64(p.shared.connIdle.Load()))
+// isWithinIdleLimit reports whether the server is certain to keep an idle connection open a while longer.
+func (e *Endpoint) isWithinIdleLimit(c *conn) bool {
+	return time.Since(c.idleSince) < time.Duration(idleLimitShare*float64(e.config.connIdle.Load()))
 }
 
-// sweep closes idle connections that are too old, closed by the server, or to a server that takes no new work there.
-func (p *Endpoint) sweep() {
-	addr, ready := p.shared.Resolve(p.Host)
-	p.idle = slices.DeleteFunc(p.idle, func(c *conn) bool {
-		stale := !ready || c.addr != addr || !p.isWithinIdleLimit(c) || !c.isOpenAndEmpty()
+// sweep closes idle connections that have been idle for too long, that the server has closed, or whose address takes no
+// new requests.
+func (e *Endpoint) sweep() {
+	addr, ready := e.config.Resolve(e.Host)
+	e.idle = slices.DeleteFunc(e.idle, func(c *conn) bool {
+		stale := !ready || c.addr != addr || !e.isWithinIdleLimit(c) || !c.isOpenAndEmpty()
 		if stale {
 			c.closeAndRelease()
 		}
@@ -173,28 +184,28 @@
 }
 
 // closeOldest closes the n connections that have been idle longest.
-func (p *Endpoint) closeOldest(n int) {
-	for _, c := range p.idle[:n] {
+func (e *Endpoint) closeOldest(n int) {
+	for _, c := range e.idle[:n] {
 		c.closeAndRelease()
 	}
-	p.idle = slices.Delete(p.idle, 0, n)
+	e.idle = slices.Delete(e.idle, 0, n)
 }
 
-// runAttempt runs one attempt to its end, on a goroutine of its own, and reports the end to the actor.
-func (p *Endpoint) runAttempt(a *Attempt, c *conn) {
+// runAttempt executes one attempt on its own goroutine and posts the result to the actor.
+func (e *Endpoint) runAttempt(a *Attempt, c *conn) {
 	r := AttemptResult{}
-	if c != nil && !c.isOpenAndEmpty() { // again: something may have come since the peer looked
+	if c != nil && !c.isOpenAndEmpty() { // bytes or a close may have arrived since takeIdle checked
 		c.closeAndRelease()
 		c = nil
 	}
 	isNew := c == nil
 	if isNew {
-		c, r.Reason = p.dial(a)
+		c, r.Reason = e.dial(a)
 	}
 	if c != nil {
 		var reuse bool
 		r, reuse = c.exchange(a, func() bool {
-			addr, ready := p.shared.Resolve(p.Host)
+			addr, ready := e.config.Resolve(e.Host)
 			return ready && addr == c.addr
 		})
 		if !reuse {
@@ -207,5 +218,5 @@
 	if r.ObservedAt.IsZero() {
 		r.ObservedAt = time.Now()
 	}
-	p.mailbox <- attemptEnded{attempt: a, conn: c, result: r}
+	e.mailbox <- attemptEnded{attempt: a, conn: c, result: r}
 }
--- a/internal/upstream/framing.go
+++ b/internal/upstream/framing.go
@@ -10,17 +10,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxTrailerLines is how many trailer lines a response may have.
+// maxTrailerLines bounds the trailer lines of a chunked response.
 const maxTrailerLines = 64
 
 var (
-	errNoLength       = errors.New("response without a length")
-	errMalformedChunk = errors.New("malformed chunk")
+	errNoLength       = errors.New("response body has no length and does not end with the connection")
+	errMalformedChunk = errors.New("malformed chunked body")
 )
 
-// answerBody returns the body of a response whose head was read, and its length, -1 where it is not known. Where
-// endsAtClose is true the end of the connection ends a body without a length.
-func answerBody(br *bufio.Reader, resp *fasthttp.Response, endsAtClose bool) (body io.Reader, length int64, err error) {
+// responseBody returns the body of a response whose head was read, and the body's length, or -1 if that is unknown. If
+// endsAtClose is true, a body without a length ends when the connection does.
+func responseBody(br *bufio.Reader, resp *fasthttp.Response, endsAtClose bool) (body io.Reader, length int64, err error) {
 	switch n := resp.Header.ContentLength(); {
 	case n > MaxBodyBytes:
 		return nil, 0, errTooLong
@@ -34,9 +34,9 @@
 	return nil, 0, errNoLength
 }
 
-// announcesClose reports whether the response head that comes next says that the connection ends with the response.
-// fasthttp reports that of every response without a length; but a body that only the connection's end marks is accepted
-// only where the head says so, since one that was cut short looks the same.
+// announcesClose reports whether the next response head, which it does not consume, says that the connection ends after
+// the response. fasthttp assumes this of every response without a length. Here the head must say so explicitly, because
+// a body that ends with the connection can't be told from a truncated body.
 func announcesClose(br *bufio.Reader) bool {
 	head := peekHead(br)
 	if bytes.HasPrefix(head, []byte("HTTP/1.0 ")) {
@@ -56,7 +56,7 @@
 	return false
 }
 
-// peekHead returns the bytes up to the next empty line, or nothing, and consumes none.
+// peekHead returns the bytes up to the next empty line without consuming them, or nil if there is no complete head.
 func peekHead(br *bufio.Reader) []byte {
 	for from := 0; ; {
 		b, _ := br.Peek(br.Buffered())
@@ -75,10 +75,10 @@
 	}
 }
 
-// lengthReader reads so many bytes: an earlier end is an error.
+// lengthReader reads a body of known length. An earlier end of its source is an error.
 type lengthReader struct {
 	r         io.Reader
-	remaining int64
+	remaining int64 // bytes
 }
 
 // Read implements io.Reader.
@@ -97,15 +97,15 @@
 	return n, err
 }
 
-// chunkedReader decodes a chunked body and drops extensions and trailers. A read that timed out can be repeated: a line is
-// consumed only once it is complete.
+// chunkedReader decodes a chunked body and drops chunk extensions and trailers. A read that timed out can be repeated,
+// because a line is consumed only when it is complete.
 type chunkedReader struct {
 	br           *bufio.Reader
-	remaining    int64 // bytes of the present chunk
-	atChunkEnd   bool  // the line end after a chunk comes next
-	inTrailers   bool  // the last chunk has been read
-	trailerLines int
-	complete     bool
+	remaining    int64 // unread bytes of the current chunk
+	atChunkEnd   bool  // whether the line end after a chunk comes next
+	inTrailers   bool  // whether the last chunk has been read
+	trailerLines int   // trailer lines read so far
+	complete     bool  // whether the last trailer has been read
 }
 
 // Read implements io.Reader.
@@ -128,7 +128,7 @@
 	return n, err
 }
 
-// nextLine reads the line before, between or after chunks.
+// nextLine reads a line that is not chunk data: a chunk's size, the line end after a chunk, or a trailer.
 func (c *chunkedReader) nextLine() error {
 	line, size, err := peekLine(c.br)
 	if err != nil {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// peekLine returns the next line without its end, and its size with it, and consumes nothing.
+// peekLine returns the next line without its line end, and its size including the line end. It consumes nothing.
 func peekLine(br *bufio.Reader) (line []byte, size int, err error) {
 	for {
 		b, _ := br.Peek(br.Buffered())
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// NewHealthCheck returns a health check of a host, or a request for its load report where load is true. onDone gets the load
-// report in the result, nil where there is none.
+// NewHealthCheck returns a health check of a host or, if load is true, a request for its load report. The result passed
+// to onDone contains the load report, or nil if there is none.
 func NewHealthCheck(host string, load bool, timeout time.Duration, onDone func(*Attempt, AttemptResult)) *Attempt {
 	head := "GET /health/live HTTP/1.1\r\nHost: " + host + "\r\n"
 	if load {
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -7,8 +7,9 @@
 	"damsonscale/decide"
 )
 
-// parseLoad reads a load report in text form, "TEXT name=value, name=value", from a header or from a health check's
-// body; nil where there is none. Unknown names, and values that are no numbers, are skipped.
+// parseLoad parses a load report of the form "TEXT name=value, name=value" from a header or the body of a health check.
+// It returns nil if there is no report. Unknown names and values that are not non-negative numbers are skipped; fields
+// that are not reported are -1.
 func parseLoad(text []byte) *decide.LoadReport {
 	rest := bytes.TrimPrefix(bytes.TrimSpace(text), []byte("TEXT "))
 	if !bytes.Contains(rest, []byte{'='}) {
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -8,20 +8,21 @@
 	"damsonscale/internal/auditevent"
 )
 
-// DeadlineHeader tells a server how long the sidecar will wait, in ms.
+// DeadlineHeader is the request header with the time, in ms, for which the sender waits for the response.
 const DeadlineHeader = "Req-Deadline-Ms"
 
-// Message is a request as it is forwarded: its bytes as they came, but for the fields that the sidecar sets.
+// Message is a forwarded request. Its bytes are those of the client's request, except for headers that the sidecar sets.
 type Message struct {
-	Head      []byte         // request line and headers, without the empty line and without DeadlineHeader
-	Body      []byte         // the buffered part of the body
-	Remainder *BodyRemainder // the part that is not buffered; nil: Body is all of it
+	Head      []byte         // request line and headers, without DeadlineHeader and the empty line at the end
+	Body      []byte         // buffered part of the body
+	Remainder *BodyRemainder // part of the body that is not buffered; nil if Body is complete
 }
 
 // isChunked reports whether the body is forwarded in chunks.
 func (m *Message) isChunked() bool { return m.Remainder != nil && m.Remainder.BodyLength < 0 }
 
-// render returns the bytes of one attempt up to the end of the buffered body, and their number. The body is not copied.
+// render returns the bytes that an attempt sends, up to the end of the buffered body, and their number. It does not copy
+// the body.
 func (m *Message) render(timeLeft time.Duration, auditRef []byte) (parts net.Buffers, size int64) {
 	head := make([]byte, 0, len(m.Head)+len(auditRef)+64)
 	head = append(append(head, m.Head...), DeadlineHeader+": "...)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	maxInformational = 8                      // 1xx responses before the final one
-	bufferFor        = 300 * time.Millisecond // how long a body of unknown length is buffered before it is streamed
-	loadHeader       = "Srv-Load"             // a server's load report
+	maxInformational = 8                      // number of 1xx responses before the final response
+	maxBufferTime    = 300 * time.Millisecond // time for which a body of unknown length is buffered before it is streamed
+	loadHeader       = "Srv-Load"             // header with the server's load report
 )
 
 var errNoResponse = errors.New("no final HTTP/1.1 response")
 
-// read reads one response: buffered where it is short, otherwise as a stream. Without a complete response the request may
-// have run. It reports whether the connection can be reused.
+// read reads the response of an attempt: a short response is buffered, a long response is streamed. reuse reports whether
+// the connection can be reused.
 func (c *conn) read(a *Attempt, r *AttemptResult) (reuse bool) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
@@ -36,18 +36,18 @@
 		r.ObservedAt = time.Now()
 	}
 	if err != nil {
-		r.Body, r.Reason = nil, readFailure(a, err)
+		r.Body, r.Reason = nil, reasonForReadError(a, err)
 		return false
 	}
 	return !resp.ConnectionClose() && string(resp.Header.Protocol()) != "HTTP/1.0" && c.br.Buffered() == 0
 }
 
-// readFailure returns the reason of an attempt whose response could not be read to its end.
-func readFailure(a *Attempt, err error) EndReason {
+// reasonForReadError returns the end reason of an attempt whose response could not be read completely.
+func reasonForReadError(a *Attempt, err error) EndReason {
 	switch {
 	case a.ctx.Err() != nil:
 		return a.interruptReason()
-	case err == errRequestOver: // the reader of the stream gave up
+	case err == errRequestEnded: // the stream was closed before its end
 		return Cancelled
 	case isConnectionError(err):
 		return Reset
@@ -60,13 +60,13 @@
 	if s := resp.StatusCode(); s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified {
 		return nil
 	}
-	body, length, err := answerBody(c.br, resp, endsAtClose)
+	body, length, err := responseBody(c.br, resp, endsAtClose)
 	if err != nil {
 		return err
 	}
 	mayStream := r.Reason == Succeeded && a.OnStream != nil
 	if length > MaxBufferedBytes && mayStream {
-		if _, err := c.br.Peek(1); err != nil { // until the first byte the attempt's timeout counts
+		if _, err := c.br.Peek(1); err != nil { // the attempt's timeout applies until the first byte of the body
 			return err
 		}
 		return c.startStream(a, r, nil, body)
@@ -82,8 +82,8 @@
 	return c.startStream(a, r, buffered, body)
 }
 
-// buffer reads a body up to MaxBuffered bytes, and where its length is not known for bufferFor at most. complete reports
-// that this was all of it.
+// buffer reads up to MaxBufferedBytes bytes of a body and, if its length is unknown, for at most maxBufferTime. complete
+// reports whether that is the complete body.
 func (c *conn) buffer(a *Attempt, body io.Reader, length int64, mayStream bool) (buffered []byte, complete bool, err error) {
 	buffered = make([]byte, 0, max(512, min(length, MaxBufferedBytes)+1))
 	until := time.Time{}
@@ -99,10 +99,10 @@
 		case err == io.EOF:
 			return buffered, true, nil
 		case until.IsZero() && length < 0 && mayStream && err == nil:
-			until = time.Now().Add(bufferFor)
+			until = time.Now().Add(maxBufferTime)
 			c.SetReadDeadline(until)
-			if a.ctx.Err() != nil { // its own deadline may have come before that one
-				return nil, false, errRequestOver
+			if a.ctx.Err() != nil { // expiredDeadline may have been set before this deadline
+				return nil, false, errRequestEnded
 			}
 		case err != nil && !until.IsZero() && timedOut(a.ctx, err):
 			return buffered, false, nil
@@ -112,10 +112,11 @@
 	}
 }
 
-// startStream hands a response to the client as it comes, and waits for its end. The attempt's timeout counts no more.
+// startStream passes the response to OnStream and waits until the stream is closed. The attempt's timeout no longer
+// applies.
 func (c *conn) startStream(a *Attempt, r *AttemptResult, buffered []byte, body io.Reader) error {
-	if !a.stopTimer() { // it has timed out
-		return errRequestOver
+	if !a.stopTimer() { // the attempt has timed out
+		return errRequestEnded
 	}
 	r.ObservedAt = time.Now()
 	s := &Stream{
@@ -128,14 +129,15 @@
 	return nil
 }
 
-// isConnectionError reports whether a read failed because the connection did.
+// isConnectionError reports whether a read failed because the connection failed or ended.
 func isConnectionError(err error) bool {
 	var nothing fasthttp.ErrNothingRead
 	var op *net.OpError
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &nothing) || errors.As(err, &op)
 }
 
-// readHead reads the head of the final response, after any 1xx. endsAtClose: it says that the connection ends with it.
+// readHead reads the head of the final response and skips 1xx responses. endsAtClose reports whether the head says that
+// the connection ends after the response.
 func readHead(br *bufio.Reader, resp *fasthttp.Response) (endsAtClose bool, err error) {
 	for n := 0; ; n++ {
 		endsAtClose = announcesClose(br)
--- a/internal/upstream/socket_budget.go
+++ b/internal/upstream/socket_budget.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// socketRetryDelay is the time between two attempts to get a socket from the budget.
+// socketRetryDelay is the interval at which a waiting attempt tries to get a socket from the budget.
 const socketRetryDelay = time.Millisecond
 
-// SocketBudget limits the sockets of all peers together. It is safe for concurrent use.
+// SocketBudget limits the total number of sockets of all endpoints. It is safe for concurrent use.
 type SocketBudget struct {
 	limit   atomic.Int64
 	inUse   atomic.Int64
-	waiting atomic.Int64 // attempts that have found none
+	waiting atomic.Int64 // number of attempts that wait for a socket
 }
 
-// NewSocketBudget returns a budget of that many sockets.
+// NewSocketBudget returns a budget with the given number of sockets.
 func NewSocketBudget(limit int) *SocketBudget {
 	b := &SocketBudget{}
 	b.SetLimit(limit)
 	return b
 }
 
-// SetLimit changes the limit. No open socket is closed for it.
+// SetLimit changes the limit. It does not close sockets that exceed a lower limit.
 func (b *SocketBudget) SetLimit(limit int) { b.limit.Store(int64(limit)) }
 
 func (b *SocketBudget) tryAcquire() bool {
@@ -38,8 +38,9 @@
 
 func (b *SocketBudget) release() { b.inUse.Add(-1) }
 
-// acquire waits for a socket; false: ctx ended first. onShortage, called once where there is none, has idle ones closed.
-// Waiting here keeps a request from using up its attempts within microseconds while none is free.
+// acquire waits for a socket and returns false if ctx ends first. If no socket is free, it calls onShortage once, which
+// closes idle connections. Without the wait, a request would use up its attempts within microseconds while no socket is
+// free.
 func (b *SocketBudget) acquire(ctx context.Context, onShortage func()) bool {
 	for n := 0; !b.tryAcquire(); n++ {
 		if n == 0 {
@@ -60,8 +61,8 @@
 	return true
 }
 
-// IsSocketShortage reports whether an error says that this machine lacks sockets, ports or memory for the moment. It says
-// nothing about the server.
+// IsSocketShortage reports whether an error means that this machine is temporarily out of descriptors, ports or memory.
+// Such an error says nothing about the server.
 func IsSocketShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// stallTimeout is how long a body may go without a byte, in either direction.
+// stallTimeout bounds the time without progress of a streamed body, in either direction.
 const stallTimeout = 5 * time.Second
 
-// ErrDetached is returned by Stream.Read after Detach, between two pieces of the response.
+// ErrDetached is returned by Stream.Read after Detach.
 var ErrDetached = errors.New("stream is detached")
 
-var errTooLong = errors.New("body over the maximum size")
+var errTooLong = errors.New("response body exceeds the maximum size")
 
-// Stream is a response whose body is read from the server's connection as the client takes it. One goroutine reads it and
-// must close it; Detach, Attach and Close may be called from any.
+// Stream is a response whose body is read from the server's connection at the pace of the client. One goroutine reads
+// the stream and must close it; Detach, Attach and Close may be called from any goroutine.
 type Stream struct {
-	ContentType []byte
+	ContentType []byte // value of the response's Content-Type header
 
 	attempt   *Attempt
 	conn      *conn
 	detached  atomic.Bool
-	buffered  []byte // read from body already, not yet passed on
+	buffered  []byte // bytes that were read from body and that Read has not returned yet
 	body      io.Reader
-	forwarded int64 // bytes read from body
-	err       error
-	once      sync.Once
-	done      chan error // receives the end once; io.EOF: read to its end
+	forwarded int64 // number of bytes read from body
+	err       error // error that ended the reading; io.EOF after the last byte
+	closeOnce sync.Once
+	done      chan error // receives one value when the stream is closed: io.EOF if it was read completely
 }
 
-// Read implements io.Reader. The error is io.EOF only after the last byte of a complete response, and ErrDetached after
-// Detach.
+// Read implements io.Reader. The error is io.EOF only after the last byte of a complete response, and ErrDetached while
+// the stream is detached.
 func (s *Stream) Read(p []byte) (n int, err error) {
 	if s.detached.Load() && s.err == nil {
 		return 0, ErrDetached
@@ -48,12 +48,12 @@
 		return 0, s.err
 	}
 	s.conn.SetReadDeadline(time.Now().Add(stallTimeout))
-	if s.attempt.ctx.Err() != nil { // it may have set its own deadline before that one
-		s.err = errRequestOver
+	if s.attempt.ctx.Err() != nil { // expiredDeadline may have been set before this deadline
+		s.err = errRequestEnded
 		return 0, s.err
 	}
 	if s.detached.Load() {
-		s.conn.SetReadDeadline(deadlinePast)
+		s.conn.SetReadDeadline(expiredDeadline)
 	}
 	n, err = s.body.Read(p)
 	if s.detached.Load() && timedOut(s.attempt.ctx, err) {
@@ -73,27 +73,27 @@
 	return n, err
 }
 
-// Close ends the response and lets its attempt end. It always returns nil.
+// Close ends the stream and its attempt. It always returns nil.
 func (s *Stream) Close() error {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		if len(s.buffered) > 0 || s.err == nil {
-			s.err = errRequestOver
+			s.err = errRequestEnded
 		}
 		s.done <- s.err
 	})
 	return nil
 }
 
-// Detach makes Read return ErrDetached as soon as possible.
+// Detach interrupts a pending Read and makes Read return ErrDetached, so that State can be called.
 func (s *Stream) Detach() {
 	s.detached.Store(true)
-	s.conn.SetReadDeadline(deadlinePast)
+	s.conn.SetReadDeadline(expiredDeadline)
 }
 
-// Attach undoes a Detach.
+// Attach reverses Detach, so that Read can be called again.
 func (s *Stream) Attach() { s.detached.Store(false) }
 
-// timedOut reports whether a read ended at its deadline while the attempt goes on.
+// timedOut reports whether a read ended at its deadline although the attempt has not ended.
 func timedOut(ctx context.Context, err error) bool {
 	var timeout interface{ Timeout() bool }
 	return ctx.Err() == nil && errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/upstream/stream_state.go
+++ b/internal/upstream/stream_state.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// StreamState is the position of a response between two reads, for another process that goes on with it. Its JSON form is
-// part of the handover protocol between an old and a new build.
+// StreamState is the position in a response between two reads, with which another process can resume the response. Its
+// JSON form is part of the handover protocol between an old and a new build.
 type StreamState struct {
 	Framing      Framing `json:"kind"`
-	Remaining    int64   `json:"left,omitempty"`     // bytes of the body, or of the present chunk
-	AtChunkEnd   bool    `json:"after,omitempty"`    // the line end after a chunk comes next
-	InTrailers   bool    `json:"trailing,omitempty"` // the last chunk has been read
-	TrailerLines int     `json:"trailers,omitempty"`
-	Complete     bool    `json:"over,omitempty"`  // the last trailer has been read
-	Forwarded    int64   `json:"sum"`             // bytes of the body passed on so far
-	ReadAhead    []byte  `json:"ahead,omitempty"` // read and not passed on: first of the body, then as they came
-	BufferedBody int     `json:"held,omitempty"`  // of ReadAhead, bytes of the body
+	Remaining    int64   `json:"left,omitempty"`     // unread bytes of the body, or of the current chunk
+	AtChunkEnd   bool    `json:"after,omitempty"`    // whether the line end after a chunk comes next
+	InTrailers   bool    `json:"trailing,omitempty"` // whether the last chunk has been read
+	TrailerLines int     `json:"trailers,omitempty"` // trailer lines read so far
+	Complete     bool    `json:"over,omitempty"`     // whether the last trailer has been read
+	Forwarded    int64   `json:"sum"`                // bytes of the body read so far
+	ReadAhead    []byte  `json:"ahead,omitempty"`    // bytes read but not forwarded: decoded body bytes, then raw bytes
+	BufferedBody int     `json:"held,omitempty"`     // number of decoded body bytes at the start of ReadAhead
 }
 
 // Framing is how the end of a body is marked.
@@ -32,7 +32,8 @@
 	framedByClose  Framing = "end"
 )
 
-// State returns, after ErrDetached, the position of the response, and its server's connection.
+// State returns the position in the response and the connection to the server. It may be called after Read has returned
+// ErrDetached.
 func (s *Stream) State() (StreamState, net.Conn) {
 	state := StreamState{Forwarded: s.forwarded, BufferedBody: len(s.buffered)}
 	switch body := s.body.(type) {
@@ -49,26 +50,26 @@
 	return state, s.conn.Conn
 }
 
-// validate returns an error that names what is impossible in a state.
+// validate returns an error if the state is inconsistent.
 func (s *StreamState) validate() error {
 	switch {
 	case s.Framing != framedByLength && s.Framing != framedByChunks && s.Framing != framedByClose:
-		return fmt.Errorf("unknown framing %q", s.Framing)
+		return fmt.Errorf("stream state has unknown framing %q", s.Framing)
 	case s.Remaining < 0 || s.Remaining > MaxBodyBytes || s.Forwarded < 0 || s.TrailerLines < 0:
-		return fmt.Errorf("out of bounds: %d bytes remaining, %d forwarded", s.Remaining, s.Forwarded)
-	case s.BufferedBody < 0 || s.BufferedBody > len(s.ReadAhead) || len(s.ReadAhead) > MaxBufferedBytes+1+readBuffer:
-		return fmt.Errorf("%d bytes of the body buffered of %d read ahead", s.BufferedBody, len(s.ReadAhead))
+		return fmt.Errorf("stream state has a count out of bounds: %d bytes remaining, %d forwarded", s.Remaining, s.Forwarded)
+	case s.BufferedBody < 0 || s.BufferedBody > len(s.ReadAhead) || len(s.ReadAhead) > MaxBufferedBytes+1+readBufferBytes:
+		return fmt.Errorf("stream state has invalid buffer sizes: %d body bytes of %d bytes read ahead", s.BufferedBody, len(s.ReadAhead))
 	}
 	return nil
 }
 
-// Resume returns the rest of a response that another process began to read from a server's connection. Its error is io.EOF
-// only after the last byte of a complete one.
+// Resume returns the rest of a response that another process began to read from the connection server. Reads return
+// io.EOF only after the last byte of a complete response.
 func Resume(server net.Conn, state StreamState) (io.Reader, error) {
 	if err := state.validate(); err != nil {
 		return nil, err
 	}
-	br := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.ReadAhead[state.BufferedBody:]), stallReader{server}), readBuffer)
+	br := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(state.ReadAhead[state.BufferedBody:]), stallReader{server}), readBufferBytes)
 	var body io.Reader = br
 	switch state.Framing {
 	case framedByLength:
@@ -82,7 +83,7 @@
 	return &boundedReader{io.MultiReader(bytes.NewReader(state.ReadAhead[:state.BufferedBody]), body), MaxBodyBytes - state.Forwarded}, nil
 }
 
-// stallReader fails a read that gets no byte for stallTimeout.
+// stallReader makes a read fail if no byte arrives within stallTimeout.
 type stallReader struct{ net.Conn }
 
 // Read implements io.Reader.
@@ -91,10 +92,10 @@
 	return s.Conn.Read(p)
 }
 
-// boundedReader fails once more than so many bytes come.
+// boundedReader fails when its source exceeds a number of bytes.
 type boundedReader struct {
 	r         io.Reader
-	remaining int64
+	remaining int64 // bytes
 }
 
 // Read implements io.Reader.
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// copyBuffer is the size of the pieces in which a body that is not buffered is forwarded, in bytes.
-const copyBuffer = 16 << 10
+// copyBufferBytes is the size of the pieces in which a streamed request body is forwarded.
+const copyBufferBytes = 16 << 10
 
 var (
-	copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+	copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 	crlf        = []byte("\r\n")
 )
 
-// write sends the attempt's head and the buffered part of its body. Answered means that all of that was written.
+// write sends the request head and the buffered part of the body. It returns stepDone if all of that was written.
 //
-// All checks happen under the gate, right before the first byte: a dial may have taken long, and since the decision the
-// client may have got its response or left, the lease may have ended, or the server may have been taken off the list.
+// All checks are made under the gate, right before the first byte. During a long dial the client may have received its
+// response or have disconnected, the lease may have ended, or the server may have been removed from the endpoint list.
 func (c *conn) write(a *Attempt, mayWrite func() bool) (reason EndReason) {
 	reason = NotSent
 	a.Gate.ifOpen(func() {
@@ -37,46 +37,46 @@
 		}
 		switch n, err := parts.WriteTo(c.Conn); {
 		case n == size:
-			reason = Succeeded
+			reason = stepDone
 		case err != nil && a.isCancelled():
 			reason = NotSent
 		default:
-			reason = ConnectFailed // the last byte was not written: it never ran
+			reason = ConnectFailed // the last byte was not written: the server can't have executed the request
 		}
 	})
 	return reason
 }
 
-// writeRemainder sends the part of the body that is not buffered, as it comes, and starts the attempt's timeout at its last
-// byte. The gate is passed for each piece, so that closing it waits for one piece at most.
+// writeRemainder streams the part of the body that is not buffered, and starts the attempt's timeout after the last byte.
+// It holds the gate for one piece at a time, so that closing the gate waits for at most one piece.
 func (c *conn) writeRemainder(a *Attempt) (reason EndReason) {
-	buf := copyBuffers.Get().(*[copyBuffer]byte)
+	buf := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buf)
 	for {
 		n, err := a.Message.Remainder.Read(buf[:])
 		if err != nil && err != io.EOF {
-			return NotSent // the client broke off
+			return NotSent // the client did not send the complete body
 		}
 		last := err == io.EOF
 		reason = NotSent
 		a.Gate.ifOpen(func() {
 			reason = c.writePiece(a, buf[:n], last)
 		})
-		if reason != Succeeded {
+		if reason != stepDone {
 			return reason
 		}
 		if last {
 			c.SetWriteDeadline(time.Time{})
 			a.expireIn(a.TimeoutAfterBody)
-			return Succeeded
+			return stepDone
 		}
 	}
 }
 
-// writePiece sends one piece of a body.
+// writePiece sends one piece of the request body.
 func (c *conn) writePiece(a *Attempt, piece []byte, last bool) EndReason {
 	c.SetWriteDeadline(time.Now().Add(stallTimeout))
-	if a.ctx.Err() != nil { // its own deadline may have come before that one
+	if a.ctx.Err() != nil { // expiredDeadline may have been set before this deadline
 		return NotSent
 	}
 	parts := EncodeBodyPiece(piece, a.Message.isChunked(), last)
@@ -84,13 +84,13 @@
 		if a.isCancelled() {
 			return NotSent
 		}
-		return ConnectFailed // the last byte was not written: it never ran
+		return ConnectFailed // the last byte was not written: the server can't have executed the request
 	}
-	return Succeeded
+	return stepDone
 }
 
-// EncodeBodyPiece returns the bytes of one piece of a body: as they are, or as a chunk, with the end of the chunked body
-// after the last one.
+// EncodeBodyPiece returns the encoding of one piece of a body. If chunked, the piece becomes a chunk, and the last piece
+// is followed by the end of the chunked body.
 func EncodeBodyPiece(piece []byte, chunked, last bool) (parts net.Buffers) {
 	if !chunked {
 		return net.Buffers{piece}
