--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -15,16 +15,16 @@
 const (
 	maxBodyBytes = upstream.MaxBodyBytes
 
-	// minBuffered is how much of a body is buffered whatever the budget has left.
-	minBuffered = 8 << 10
+	// minBufferedBytes is the part of a body that is buffered even if the budget is used up.
+	minBufferedBytes = 8 << 10
 )
 
-// byteBudget bounds the bytes of all buffered bodies in this process.
+// byteBudget limits the total number of bytes of buffered bodies in this process.
 type byteBudget struct {
 	remaining atomic.Int64
 }
 
-// reserve takes n bytes if so many remain.
+// reserve takes n bytes from the budget, or returns false if fewer remain.
 func (b *byteBudget) reserve(n int64) bool {
 	if b.remaining.Add(-n) >= 0 {
 		return true
@@ -33,24 +33,24 @@
 	return false
 }
 
-// release gives n bytes back.
+// release returns n bytes to the budget.
 func (b *byteBudget) release(n int64) { b.remaining.Add(n) }
 
-// requestBody is the body of a request while that is served: a buffered part, which can be sent more than once, and the
-// remainder of a longer body, which one attempt alone reads from the client.
+// requestBody is the body of a request that is being served. It consists of a buffered part, which can be sent more than
+// once, and for a long body a remainder, which only one attempt can read from the client.
 type requestBody struct {
 	conn      *clientConn
 	budget    *byteBudget
-	source    io.Reader // nil: fasthttp has buffered all of it
-	length    int64     // negative: unknown
-	reserved  int64     // of the budget
-	readBytes int64     // of source so far
+	source    io.Reader // nil if fasthttp has buffered the complete body
+	length    int64     // bytes; negative if unknown
+	reserved  int64     // bytes reserved from budget
+	readBytes int64     // bytes read from source so far
 	buffered  []byte
-	remainder *upstream.BodyRemainder // nil: buffered is all of it
-	stopped   atomic.Bool             // nothing more is to be read
+	remainder *upstream.BodyRemainder // nil if buffered is the complete body
+	stopped   atomic.Bool             // set by stop: reads fail
 }
 
-// newRequestBody makes the body of a request whose head was read.
+// newRequestBody returns the body of a request whose head was read.
 func (f *Frontend) newRequestBody(ctx *fasthttp.RequestCtx, c *clientConn) *requestBody {
 	b := &requestBody{conn: c, budget: &f.bodyBudget, source: ctx.RequestBodyStream(), length: int64(ctx.Request.Header.ContentLength())}
 	if b.source == nil {
@@ -60,8 +60,8 @@
 	return b
 }
 
-// buffer reads up to upstream.MaxBufferedBytes bytes, or minBuffered where the budget has no more. What exceeds that becomes
-// the remainder.
+// buffer reads up to upstream.MaxBufferedBytes bytes, or up to minBufferedBytes if the budget is used up. The rest of the
+// body becomes the remainder.
 func (b *requestBody) buffer() *rejection {
 	if b.source == nil {
 		return nil
@@ -73,14 +73,14 @@
 	if b.length >= 0 {
 		limit = min(limit, b.length)
 	}
-	if limit > minBuffered {
+	if limit > minBufferedBytes {
 		if b.budget.reserve(limit) {
 			b.reserved = limit
 		} else {
-			limit = minBuffered
+			limit = minBufferedBytes
 		}
 	}
-	b.buffered = make([]byte, 0, min(limit, minBuffered)+1)
+	b.buffered = make([]byte, 0, min(limit, minBufferedBytes)+1)
 	for int64(len(b.buffered)) < limit || b.length < 0 && int64(len(b.buffered)) <= limit {
 		if len(b.buffered) == cap(b.buffered) {
 			b.buffered = append(b.buffered, 0)[:len(b.buffered)]
@@ -101,20 +101,20 @@
 	return nil
 }
 
-// stop ends a pending read, and any later one.
+// stop makes the pending read and all later reads fail.
 func (b *requestBody) stop() {
 	b.stopped.Store(true)
 	b.conn.Conn.SetReadDeadline(expiredDeadline)
 }
 
 // errBodyTooLong is returned by Read for a body of unknown length that exceeds maxBodyBytes.
-var errBodyTooLong = errors.New("the body is too long")
+var errBodyTooLong = errors.New("request body exceeds the maximum size")
 
-// Read reads on from the client, which has bodyStallTimeout to send something.
+// Read reads the body from the client. It fails if no byte arrives within bodyStallTimeout.
 func (b *requestBody) Read(p []byte) (n int, err error) {
 	b.conn.stopWatch()
 	b.conn.Conn.SetReadDeadline(time.Now().Add(bodyStallTimeout))
-	if b.stopped.Load() { // stop may have set its deadline before that one
+	if b.stopped.Load() { // stop may have set expiredDeadline before this deadline
 		b.conn.Conn.SetReadDeadline(expiredDeadline)
 	}
 	n, err = b.source.Read(p)
@@ -122,13 +122,13 @@
 	switch {
 	case b.readBytes > maxBodyBytes:
 		err = errBodyTooLong
-	case err == io.EOF && b.length >= 0 && b.readBytes < b.length: // fasthttp takes the connection's end for the body's
+	case err == io.EOF && b.length >= 0 && b.readBytes < b.length: // fasthttp reports the end of the connection as the end of the body
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// rejection returns the response to a request whose body can't be read.
+// rejection returns the response to a request whose body can't be read because of err.
 func (b *requestBody) rejection(err error) *rejection {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -139,7 +139,8 @@
 	return reject(fasthttp.StatusBadRequest, "malformed body")
 }
 
-// finish ends the reading, and returns why the remainder couldn't be read: then the connection can't be used further.
+// finish ends the reading of the remainder. It returns an error if the remainder was not read completely; the connection
+// can't be used for further requests then.
 func (b *requestBody) finish() error {
 	if b.remainder == nil {
 		return nil
@@ -149,7 +150,7 @@
 	return err
 }
 
-// release gives the reserved bytes back to the budget.
+// release returns the reserved bytes to the budget.
 func (b *requestBody) release() {
 	b.budget.release(b.reserved)
 	b.reserved = 0
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -12,51 +12,51 @@
 	"damsonscale/internal/upstream"
 )
 
-// clientConn is a client's connection. Its fields but for the atomic ones belong to the goroutine that serves it, and to
-// the background read of disconnect.go while that runs.
+// clientConn is a connection of a client. Its non-atomic fields belong to the goroutine that serves the connection, and
+// to the background read of disconnect.go while that runs.
 type clientConn struct {
 	net.Conn
 	frontend *Frontend
 
-	// idleSince tells others whether the connection can be closed: connBusy, connClosing, the time since which it has
-	// been idle, or, below connClosing, the negative time at which the last part of its incomplete first request came.
-	// Times are those of monotonicMicros.
+	// idleSince is the state by which other goroutines decide whether the connection can be closed. It is connBusy,
+	// connClosing, the time since which the connection has been idle, or, if less than connClosing, the negated time
+	// at which bytes of an incomplete first request last arrived. Times are values of monotonicMicros.
 	idleSince atomic.Int64
-	hasServed atomic.Bool // it has carried a request
+	hasServed atomic.Bool // whether a request has been served on the connection
 	closed    atomic.Bool
-	stream    atomic.Pointer[upstream.Stream] // the long response that is being written; nil: none, or it is expedited
+	stream    atomic.Pointer[upstream.Stream] // streamed response that is being written; nil if none or if expedited
 
-	readAt             time.Time // when the last bytes came
-	betweenRequests    bool      // the next byte begins a request
-	closeAfterResponse bool      // it was to be closed when a request had already come
-	readErr            error     // that the background read found
+	lastReadAt         time.Time // when bytes last arrived
+	betweenRequests    bool      // whether the next byte begins a request
+	closeAfterResponse bool      // set if a request arrived before the connection was marked closing
+	readErr            error     // error of the background read
 
-	watchDone   chan struct{} // closed when the background read has ended; nil: there is none
-	readAhead   []byte        // what the background read got, and Read hasn't returned yet
-	readAheadAt time.Time     // when the last of it came
+	watchDone   chan struct{} // closed when the background read has ended; nil if there is none
+	readAhead   []byte        // bytes from the background read that Read has not returned yet
+	readAheadAt time.Time     // when the last byte of readAhead arrived
 }
 
-// States in idleSince besides times.
+// States in idleSince that are not times.
 const (
-	connBusy    = 0  // a request is being read or served, or its response isn't written yet
-	connClosing = -1 // its own goroutine closes it once a read finds no further request
+	connBusy    = 0  // a request is being read or served, or its response is being written
+	connClosing = -1 // the connection's own goroutine closes it when a read finds no further request
 )
 
 // monotonicEpoch is earlier than any time that a connection records.
 var monotonicEpoch = time.Now().Add(-24 * time.Hour)
 
-// monotonicMicros returns a time in µs that doesn't step with the wall clock.
+// monotonicMicros converts a time to microseconds that are independent of changes of the wall clock.
 func monotonicMicros(t time.Time) int64 { return t.Sub(monotonicEpoch).Microseconds() }
 
 // timestampOf returns the time in a value of idleSince.
 func timestampOf(state int64) int64 { return max(state, -state) }
 
-// expiredDeadline is a deadline that ends a pending read.
+// expiredDeadline is a deadline in the past, which ends a pending read.
 var expiredDeadline = time.Unix(1, 0)
 
-// Read reads what the client sends, what the background read got first. The connection is idle only while it waits here
-// for the first byte of a request. Marking it closing ends this read; if that finds a request nevertheless, it is
-// served first.
+// Read returns the bytes from the background read and then reads from the client. The connection is idle only while it
+// waits here for the first byte of a request. Marking the connection closing interrupts this wait; if a request has
+// arrived nevertheless, it is served before the connection is closed.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	if len(c.readAhead) > 0 && len(p) > 0 {
 		return c.takeReadAhead(p), nil
@@ -74,7 +74,7 @@
 	if closing := c.idleSince.Load() == connClosing; timedOut && (closing || c.betweenRequests) {
 		n = c.readAvailable(p)
 		if n == 0 && closing {
-			c.Close() // before fasthttp would answer 408
+			c.Close() // otherwise fasthttp would answer 408
 			return 0, net.ErrClosed
 		}
 		if n > 0 {
@@ -87,13 +87,13 @@
 		c.Conn.SetReadDeadline(time.Now().Add(headTimeout))
 	}
 	if c.betweenRequests && timedOut {
-		return 0, io.EOF // fasthttp would answer 408, which a client would take for the response to its next request
+		return 0, io.EOF // fasthttp would answer 408, which a client would read as the response to its next request
 	}
 	c.recordRead(n)
 	return n, err
 }
 
-// takeReadAhead returns what the background read got.
+// takeReadAhead copies bytes from the background read to p.
 func (c *clientConn) takeReadAhead(p []byte) (n int) {
 	n = copy(p, c.readAhead)
 	if c.readAhead, c.betweenRequests = c.readAhead[n:], false; len(c.readAhead) == 0 {
@@ -102,21 +102,22 @@
 	return n
 }
 
-// recordRead records that n bytes have come.
+// recordRead records that n bytes have arrived.
 func (c *clientConn) recordRead(n int) {
 	now := time.Now()
 	if n > 0 && !c.hasServed.Load() {
 		if c.betweenRequests {
 			c.idleSince.Store(-monotonicMicros(now))
-		} else if state := c.idleSince.Load(); state < connClosing { // it may be marked closing meanwhile
+		} else if state := c.idleSince.Load(); state < connClosing { // the connection may be marked closing concurrently
 			c.idleSince.CompareAndSwap(state, -monotonicMicros(now))
 		}
 	}
 	c.betweenRequests = c.betweenRequests && n == 0
-	c.readAt = now
+	c.lastReadAt = now
 }
 
-// readAvailable reads what has already come, without waiting: a request may have come before a read was ended.
+// readAvailable reads bytes that have already arrived, without waiting: a request may arrive just before a read is
+// interrupted.
 func (c *clientConn) readAvailable(p []byte) (n int) {
 	raw := c.rawConn()
 	if raw == nil {
@@ -124,13 +125,13 @@
 	}
 	var err error
 	raw.Control(func(fd uintptr) { n, err = recv(int(fd), p, syscall.MSG_DONTWAIT) })
-	if err != nil { // nothing has come, or the connection has ended: the next read says which
+	if err != nil { // no bytes have arrived, or the connection has ended: the next read will show which
 		return 0
 	}
 	return n
 }
 
-// rawConn returns the connection for system calls on its descriptor; nil: it has none.
+// rawConn returns the raw connection for system calls on its descriptor, or nil if there is no descriptor.
 func (c *clientConn) rawConn() syscall.RawConn {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -143,7 +144,7 @@
 	return raw
 }
 
-// SetReadDeadline sets the deadline of reads, but for a connection that is marked closing, whose reads don't wait.
+// SetReadDeadline sets the read deadline. Reads of a connection that is marked closing never wait, whatever the deadline.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	err := c.Conn.SetReadDeadline(t)
 	if c.idleSince.Load() == connClosing {
@@ -152,8 +153,8 @@
 	return err
 }
 
-// markClosing marks the connection closing if its idleSince still holds state. Its own goroutine closes it, after it has
-// served what has come meanwhile.
+// markClosing marks the connection closing if its idleSince still equals state. The connection's own goroutine closes it
+// after serving any request that has arrived in the meantime.
 func (c *clientConn) markClosing(state int64) bool {
 	if !c.idleSince.CompareAndSwap(state, connClosing) {
 		return false
@@ -162,13 +163,13 @@
 	return true
 }
 
-// markClosingIfIdle marks the connection closing if it has been idle since before.
+// markClosingIfIdle marks the connection closing if it has been idle since the given time or longer.
 func (c *clientConn) markClosingIfIdle(before int64) bool {
 	state := c.idleSince.Load()
 	return state > connBusy && state <= before && c.markClosing(state)
 }
 
-// beginRequest records that the head of a request has been read.
+// beginRequest marks the connection busy after the head of a request has been read.
 func (c *clientConn) beginRequest() {
 	if c.idleSince.Swap(connBusy) == connClosing {
 		c.closeAfterResponse = true
@@ -181,13 +182,13 @@
 	c.hasServed.Store(true)
 }
 
-// Write writes as long as the client takes something within writeStallTimeout.
+// Write writes to the client. It fails if the client accepts no bytes for writeStallTimeout.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.Conn.SetWriteDeadline(time.Now().Add(writeStallTimeout))
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection and gives its slot back, once.
+// Close closes the connection. The first call releases the connection's slot.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
 	if c.closed.CompareAndSwap(false, true) {
--- a/internal/frontend/disconnect.go
+++ b/internal/frontend/disconnect.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	// maxReadAhead bounds what a client may send ahead while its request is served; beyond it isDisconnected alone sees
-	// a disconnect.
-	maxReadAhead   = 16 << 10
-	readAheadPiece = 512
+	// maxReadAheadBytes limits the bytes that the background read accepts while a request is served. If a client sends
+	// more, only isDisconnected detects that it disconnects.
+	maxReadAheadBytes = 16 << 10
+
+	readAheadPieceBytes = 512 // size of one background read
 )
 
-// watchDisconnect starts the background read; the channel is closed when the client has disconnected. It reads what the
-// client sends ahead, up to maxReadAhead, since an end of the connection can only be read after that.
+// watchDisconnect starts the background read and returns a channel that is closed when the client disconnects. The
+// background read consumes bytes that the client sends ahead, up to maxReadAheadBytes, because the end of the connection
+// can only be read after them.
 func (c *clientConn) watchDisconnect() <-chan struct{} {
 	disconnected, done := make(chan struct{}), make(chan struct{})
 	c.watchDone = done
-	if c.readErr != nil { // it has disconnected already
+	if c.readErr != nil { // the client has disconnected already
 		close(disconnected)
 		close(done)
 		return disconnected
@@ -30,7 +32,7 @@
 	go func() {
 		defer close(done)
 		var first [1]byte
-		for piece := first[:]; len(c.readAhead) < maxReadAhead; piece = make([]byte, readAheadPiece) {
+		for piece := first[:]; len(c.readAhead) < maxReadAheadBytes; piece = make([]byte, readAheadPieceBytes) {
 			n, err := c.Conn.Read(piece)
 			if n > 0 {
 				c.readAhead, c.readAheadAt = append(c.readAhead, piece[:n]...), time.Now()
@@ -47,7 +49,7 @@
 	return disconnected
 }
 
-// stopWatch ends the background read, if there is one, and waits for that.
+// stopWatch stops the background read, if there is one, and waits until it has ended.
 func (c *clientConn) stopWatch() {
 	if c.watchDone == nil {
 		return
@@ -57,13 +59,13 @@
 	c.watchDone = nil
 	c.Conn.SetReadDeadline(time.Time{})
 	if len(c.readAhead) > 0 {
-		c.readAt = c.readAheadAt
+		c.lastReadAt = c.readAheadAt
 	}
 }
 
-// isDisconnected returns whether the client has disconnected by now, without waiting and without reading what it has
-// sent: it sees an end behind unread bytes, and before the background read's goroutine runs. Where the system refuses
-// the check it returns false.
+// isDisconnected reports whether the client has disconnected. It neither waits nor consumes bytes, and detects an end of
+// the connection after unread bytes and one that the background read has not noticed yet. If the system call fails, it
+// returns false.
 func (c *clientConn) isDisconnected() (disconnected bool) {
 	raw := c.rawConn()
 	if raw == nil {
@@ -73,7 +75,7 @@
 	return disconnected
 }
 
-// peerClosed returns whether the other side of a socket has shut down its writing, or reset the connection.
+// peerClosed reports whether the other side of a socket has shut down writing or reset the connection.
 func peerClosed(fd int) bool {
 	var b [1]byte
 	n, err := recv(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -83,14 +85,14 @@
 	case n == 0:
 		return true
 	}
-	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}} // an end may stand behind the unread bytes
+	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}} // the end of the connection may come after the unread bytes
 	if n, err := retryInterrupted(func() (int, error) { return unix.Poll(poll, 0) }); err != nil || n <= 0 {
 		return false
 	}
 	return poll[0].Revents&unix.POLLNVAL == 0 && poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// recv reads, or peeks at, what has come in a socket.
+// recv reads or peeks at bytes that have arrived at a socket.
 func recv(fd int, p []byte, flags int) (int, error) {
 	return retryInterrupted(func() (int, error) {
 		n, _, err := syscall.Recvfrom(fd, p, flags)
@@ -98,7 +100,7 @@
 	})
 }
 
-// retryInterrupted repeats a system call until no signal interrupts it.
+// retryInterrupted repeats a system call while it fails with EINTR.
 func retryInterrupted(call func() (int, error)) (n int, err error) {
 	for {
 		if n, err = call(); err != syscall.EINTR {
@@ -107,8 +109,8 @@
 	}
 }
 
-// isConnectionError returns whether an error of a socket means that its connection is over, and not that this system
-// lacks something.
+// isConnectionError reports whether a socket error means that the connection has ended, as opposed to an error on this
+// machine, such as a lack of memory.
 func isConnectionError(err error) bool {
 	switch err {
 	case syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENETUNREACH,
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,22 +1,23 @@
 // Package frontend serves the clients of a sidecar over HTTP/1.1, with fasthttp.
 //
-// # The way of a request
+// # Life cycle of a request
 //
-// request.go has it from top to bottom: fasthttp has read the head, the head is parsed (parse.go), the body is buffered
-// or prepared for streaming (body.go), and the request goes to sidecar.Do, or, where its class is replicated, to the
-// fleet (replication.go). response.go turns the result into status, headers and body; stream.go copies long responses.
+// request.go shows all steps: after fasthttp has read the head, the head is parsed (parse.go), the body is buffered or
+// prepared for streaming (body.go), and the request goes to sidecar.Do or, if its class is replicated, to the fleet
+// (replication.go). response.go turns the result into status, headers and body; stream.go copies long responses.
 //
 // # State and goroutines
 //
-//   - fasthttp runs one goroutine for each connection; it reads, serves and answers one request after the other.
-//     clientConn (conn.go) belongs to that goroutine but for its atomic fields.
-//   - While a request is served, a second goroutine reads the connection in the background, to notice that the client
-//     disconnects (disconnect.go). It has ended before the connection's goroutine reads again.
-//   - The accept loop (listener.go) admits connections, and closes idle ones where they are short. It takes
-//     Frontend.mu for the set of connections; nobody blocks while holding it.
-//   - Other goroutines choose a connection to close by marking it; the connection's own goroutine closes it, after it
-//     has served what had arrived by then.
-//   - Shutdown and RunOperatorDrain (drain.go) are called by the program, one goroutine each.
+//   - fasthttp runs one goroutine for each connection, which serves the requests of the connection one after the other.
+//     That goroutine owns the connection's clientConn (conn.go) except for its atomic fields.
+//   - While a request is served, a second goroutine reads the connection in the background to detect that the client
+//     disconnects (disconnect.go). It ends before the connection's goroutine reads again.
+//   - The accept loop (listener.go) accepts connections, and evicts idle connections near the connection limit. It
+//     locks Frontend.mu, which guards the set of connections; no goroutine blocks while it holds that lock.
+//   - Other goroutines close a connection by marking it closing. The connection's own goroutine closes it after it has
+//     served any request that had arrived by then.
+//   - The program calls Shutdown and RunOperatorDrain (drain.go) on one goroutine each.
 //
-// Settings are a snapshot that is swapped as a whole: a request keeps the one that it was parsed with.
+// The settings are an immutable snapshot that is replaced atomically. A request keeps the snapshot that it was parsed
+// with.
 package frontend
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -9,34 +9,34 @@
 	"damsonscale/internal/lifecycle"
 )
 
-// The longer a drain lasts the sooner an idle connection is closed, so that few requests cross its close; after 4 s no
-// idle one is left.
+// During a drain, idle connections are closed in three phases with ever shorter idle times, so that few requests are sent
+// on a connection that is being closed. No idle connection may be left after 4 s.
 const (
-	softDrainPeriod = 1000 * time.Millisecond // in which a connection is closed after that time without a request
-	hardDrainStart  = 2500 * time.Millisecond // from which minIdleTime is enough
-	softIdleTime    = 300 * time.Millisecond  // enough between the two
-	minIdleTime     = 50 * time.Millisecond   // a connection idle for so long has no request on its way
+	softDrainPeriod = 1000 * time.Millisecond // first phase, and the idle time after which it closes a connection
+	hardDrainStart  = 2500 * time.Millisecond // start of the last phase, which closes connections after minIdleTime
+	softIdleTime    = 300 * time.Millisecond  // idle time in the phase between; leaves time for the next request
+	minIdleTime     = 50 * time.Millisecond   // a connection that is idle for this long has no request in transit
 )
 
-// How long new connections are accepted after SIGTERM, since clients learn of it late.
+// Time for which new connections are accepted after SIGTERM. Clients keep connecting until they notice the shutdown.
 const (
 	minAcceptTime         = 700 * time.Millisecond
 	maxAcceptTime         = 1000 * time.Millisecond
-	acceptQuietPeriod     = 300 * time.Millisecond // without a new connection, after minAcceptTime
-	answerTimeAfterAccept = 200 * time.Millisecond // left for the last connections, before abortMargin
+	acceptQuietPeriod     = 300 * time.Millisecond // time without a new connection that ends accepting after minAcceptTime
+	answerTimeAfterAccept = 200 * time.Millisecond // time for answering the last connections, before abortMargin begins
 )
 
-// abortMargin is how long before the end of a shutdown open requests are answered with 504.
+// abortMargin is the time before the end of a shutdown at which open requests are answered with 504.
 const abortMargin = 150 * time.Millisecond
 
-// isDraining returns whether each connection is to be closed after its next response.
+// isDraining reports whether each connection must be closed after its next response.
 func (f *Frontend) isDraining() bool {
 	stage := f.lifecycle.Stage()
 	return stage == lifecycle.Draining || stage == lifecycle.Terminating
 }
 
-// RunOperatorDrain closes connections while operators drain the sidecar, until ctx ends. New ones are accepted all the
-// while: clients' balancers need a moment to see that it isn't ready.
+// RunOperatorDrain closes idle connections whenever an operator drains the sidecar, until ctx ends. New connections are
+// still accepted, because the clients' balancers notice late that the sidecar is not ready.
 func (f *Frontend) RunOperatorDrain(ctx context.Context) {
 	for {
 		stage, changed := f.lifecycle.Watch()
@@ -51,7 +51,7 @@
 	}
 }
 
-// closeIdleUntil closes idle connections until the stage changes.
+// closeIdleUntil closes idle connections until changed is closed or ctx ends.
 func (f *Frontend) closeIdleUntil(ctx context.Context, changed <-chan struct{}) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -67,15 +67,16 @@
 	}
 }
 
-// closeIdleAfter closes what is idle so long after a drain began.
+// closeIdleAfter closes the connections that exceed the idle thresholds at the given time after the start of a drain.
 func (f *Frontend) closeIdleAfter(sinceStart time.Duration) {
 	used, unused := idleThresholds(sinceStart)
 	f.closeIdleConns(used, false)
 	f.closeIdleConns(unused, true)
 }
 
-// idleThresholds returns how long a connection may have been idle, so long after a drain began: one that has carried a
-// request, and one that hasn't. One in use is closed with its next response, which no request can cross.
+// idleThresholds returns the idle times after which a drain closes connections that have carried a request (used) and
+// connections that have not (unused), at the given time after its start. A connection in use is closed with its next
+// response, which no request can cross.
 func idleThresholds(sinceStart time.Duration) (used, unused time.Duration) {
 	switch {
 	case sinceStart < softDrainPeriod:
@@ -86,10 +87,10 @@
 	return minIdleTime, unusedIdleTime
 }
 
-// Shutdown answers all open requests and returns once no connection is left, or ctx ends. It goes on accepting for a
-// while, unless a successor accepts from the same socket: then handOver is not nil, and streams are handed over by it.
-// ln is nil where Serve hasn't been called. fasthttp's own Shutdown would close the listener at once, while clients
-// still connect.
+// Shutdown answers all open requests and returns when no connection is left or ctx ends. ln is nil if Serve has not been
+// called. If a successor process accepts connections from the same socket, handOver must not be nil: ln is closed at
+// once, and handOver passes streams to the successor. Otherwise Shutdown keeps accepting connections for a while, unlike
+// fasthttp's Shutdown, which would close the listener while clients still connect.
 func (f *Frontend) Shutdown(ctx context.Context, ln net.Listener, handOver StreamHandover) {
 	start, accepting, hasSuccessor := time.Now(), ln != nil, handOver != nil
 	if hasSuccessor {
@@ -129,14 +130,14 @@
 	f.abortRequests()
 }
 
-// shouldStopAccepting returns whether to close the listener: once no client has connected for a while, and in any case
-// after acceptTime, which a short shutdown makes shorter.
+// shouldStopAccepting reports whether to close the listener: after acceptTime, or after minAcceptTime if no client has
+// connected for acceptQuietPeriod.
 func shouldStopAccepting(sinceStart, sinceAccept, acceptTime time.Duration) bool {
 	return sinceStart > minAcceptTime && sinceAccept > acceptQuietPeriod || sinceStart > acceptTime
 }
 
-// abortRequests answers open requests with 504. Those that aren't complete yet are rejected, so that no request whose
-// last bytes come while this process exits is accepted and never answered.
+// abortRequests answers open requests with 504. It rejects requests that have not been read completely; otherwise a
+// request whose last bytes arrive while this process exits could be accepted and never answered.
 func (f *Frontend) abortRequests() {
 	f.sidecar.AbortAll()
 	f.mu.Lock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// expediteStreams makes long responses end soon, or go on in the successor.
+// expediteStreams calls expediteStream for all connections.
 func (f *Frontend) expediteStreams(hasSuccessor bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -11,8 +11,8 @@
 	"damsonscale/internal/upstream"
 )
 
-// isHopByHop returns whether a header, in lower case, isn't forwarded: those of one hop, and those that the sidecar
-// writes itself.
+// isHopByHop reports whether a header, given in lower case, is not forwarded because it is a hop-by-hop header or because
+// the sidecar sets it itself.
 func isHopByHop(header string) bool {
 	switch header {
 	case "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "expect":
@@ -21,8 +21,9 @@
 	return header == "content-length" || strings.EqualFold(header, upstream.DeadlineHeader) || strings.EqualFold(header, auditevent.RefHeader)
 }
 
-// forwardedHead returns the head that servers get: request line and headers as they came, but for hop-by-hop ones, with
-// the target in origin form. A request of HTTP/1.0 without a host gets an empty Host, which HTTP/1.1 needs.
+// forwardedHead returns the head that is sent to servers: the request line with the target in origin form, and the
+// client's headers without hop-by-hop headers. If there is no Host header, as is allowed in HTTP/1.0, it adds an empty
+// one, because HTTP/1.1 requires it.
 func forwardedHead(h *fasthttp.RequestHeader, target []byte, body *requestBody) []byte {
 	raw := h.RawHeaders()
 	b := make([]byte, 0, len(raw)+len(target)+64)
@@ -60,7 +61,7 @@
 	return append(strconv.AppendInt(b, n, 10), "\r\n"...)
 }
 
-// isNamedIn returns whether a Connection header, in lower case, names a header as one of this hop.
+// isNamedIn reports whether the value of a Connection header lists the given header as hop-by-hop. Both are in lower case.
 func isNamedIn(connection, header string) bool {
 	for token := range strings.SplitSeq(connection, ",") {
 		if strings.TrimSpace(token) == header {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -15,7 +15,7 @@
 	"damsonscale/internal/upstream"
 )
 
-// Names of events.
+// Names of log events.
 const (
 	eventAcceptFailed         = "accept_failed"
 	eventDrained              = "drained"
@@ -23,58 +23,59 @@
 	eventResumedStreamFailed  = "resumed_stream_failed"
 )
 
-// Limits of a request. What exceeds one is rejected, see response.go.
+// Limits on requests and connections. A request that exceeds a limit is rejected, see response.go.
 const (
 	maxHeadBytes     = 8 << 10
-	headTimeout      = 2500 * time.Millisecond // for the whole head, from the connection's start or the head's first byte
+	headTimeout      = 2500 * time.Millisecond // for the complete head, from the accept or from the head's first byte
 	bodyStartTimeout = 1500 * time.Millisecond // for the first 8 KiB of a body
-	bodyStallTimeout = 1200 * time.Millisecond // without a byte of a body
+	bodyStallTimeout = 1200 * time.Millisecond // between two bytes of a body
 
-	// idleTimeout is more than the 2 s for which clients may rely on an idle connection.
+	// idleTimeout exceeds the 2 s for which clients may rely on an idle connection. A longer timeout would keep sockets
+	// that other clients need.
 	idleTimeout = 2200 * time.Millisecond
 
-	// writeStallTimeout is how long a client may take nothing of its response before it counts as disconnected.
+	// writeStallTimeout is the time after which a client that accepts no bytes of its response counts as disconnected.
 	writeStallTimeout = 5 * time.Second
 )
 
-// Frontend accepts connections of clients and answers their requests. Its setters may be called from any goroutine but
-// where they say otherwise.
+// Frontend accepts connections from clients and answers their requests. Its setters may be called from any goroutine
+// unless they say otherwise.
 type Frontend struct {
 	sidecar    *sidecar.Sidecar
 	lifecycle  *lifecycle.Tracker
-	replicator RequestReplicator   // nil: requests aren't replicated
-	recorder   auditevent.Recorder // nil: no audit log
+	replicator RequestReplicator   // nil if requests are not replicated
+	recorder   auditevent.Recorder // nil if there is no audit log
 	httpServer *fasthttp.Server
 
 	snapshot       atomic.Pointer[settingsSnapshot]
-	bodyBudget     byteBudget                     // of all buffered bodies
-	streamHandover atomic.Pointer[StreamHandover] // to the successor, during a shutdown
-	resumedStreams atomic.Int64                   // streams of the predecessor that aren't finished
+	bodyBudget     byteBudget                     // shared by all buffered bodies
+	streamHandover atomic.Pointer[StreamHandover] // set during a shutdown with a successor process
+	resumedStreams atomic.Int64                   // number of unfinished streams taken over from the predecessor
 
-	// softLimit is the number of connections above which a new one evicts an idle one.
+	// softLimit is the number of connections above which each new connection evicts an idle one.
 	softLimit atomic.Int64
-	// slots is a semaphore with a token for each connection that may not be accepted: open ones and withheld ones.
+	// slots is a semaphore that limits connections. It contains a token for each open connection and each withheld slot.
 	slots chan struct{}
-	// acceptLoopDone is set once the listener is closed and its last connection is among conns.
+	// acceptLoopDone is set when the listener is closed and its last connection has been added to conns.
 	acceptLoopDone atomic.Bool
 
 	mu            sync.Mutex
 	conns         map[*clientConn]bool
-	withheldSlots int // by which the limit on connections is under the one given to New
+	withheldSlots int // number of slots by which the current connection limit is below the limit given to New
 	lastAccept    time.Time
 
-	acceptErrorLoggedAt time.Time // belongs to the accept loop
+	acceptErrorLoggedAt time.Time // used only by the accept loop
 }
 
-// settingsSnapshot is an immutable set of settings, with the indexes of classes and tenants by name.
+// settingsSnapshot contains immutable settings and the indexes of their classes and tenants by name.
 type settingsSnapshot struct {
 	settings *decide.Settings
 	classes  map[string]int
 	tenants  map[string]int
 }
 
-// New makes a frontend that holds at most maxConns client connections, and at most bodyBytes bytes of bodies that are
-// still coming.
+// New returns a frontend that allows at most maxConns client connections and reserves at most bodyBytes bytes for
+// buffered bodies.
 func New(side *sidecar.Sidecar, life *lifecycle.Tracker, settings *decide.Settings, maxConns int, bodyBytes int64) *Frontend {
 	f := &Frontend{
 		sidecar: side, lifecycle: life, conns: map[*clientConn]bool{}, slots: make(chan struct{}, maxConns),
@@ -86,15 +87,15 @@
 		Handler:            f.handle,
 		ErrorHandler:       rejectMalformed,
 		StreamRequestBody:  true,
-		MaxRequestBodySize: upstream.MaxBufferedBytes, // beyond it fasthttp reads nothing ahead
+		MaxRequestBodySize: upstream.MaxBufferedBytes, // fasthttp reads no more than this ahead
 		ReadBufferSize:     maxHeadBytes,
 		ReadTimeout:        headTimeout,
 		IdleTimeout:        idleTimeout,
 		HeaderReceived: func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 			return fasthttp.RequestConfig{ReadTimeout: bodyStartTimeout}
 		},
-		Concurrency:                  1 << 20, // never reached: its 503 would count as a rejection of ours
-		DisablePreParseMultipartForm: true,    // bodies are forwarded as they came
+		Concurrency:                  1 << 20, // never reached; clients would read fasthttp's 503 as a rejection by the sidecar
+		DisablePreParseMultipartForm: true,    // bodies are forwarded unchanged
 		NoDefaultServerHeader:        true,
 		NoDefaultDate:                true,
 		Logger:                       discardLogger{},
@@ -102,14 +103,14 @@
 	return f
 }
 
-// discardLogger drops the line that fasthttp would log for each connection with an error.
+// discardLogger drops fasthttp's log, which has a line for each connection error.
 type discardLogger struct{}
 
-// Printf drops a line.
+// Printf does nothing.
 func (discardLogger) Printf(string, ...any) {}
 
-// ApplySettings puts settings in force for requests that are parsed from now on. The caller must not change them any
-// more.
+// ApplySettings sets the settings for requests that are parsed from now on. The caller must not change settings
+// afterwards.
 func (f *Frontend) ApplySettings(settings *decide.Settings) {
 	s := &settingsSnapshot{settings: settings, classes: map[string]int{}, tenants: map[string]int{}}
 	for i, c := range settings.Classes {
@@ -121,10 +122,10 @@
 	f.snapshot.Store(s)
 }
 
-// SetReplicator has requests replicated. It must be called before Serve.
+// SetReplicator sets the replicator of requests. It must be called before Serve.
 func (f *Frontend) SetReplicator(r RequestReplicator) { f.replicator = r }
 
-// SetRecorder has responses recorded in the audit log. It must be called before Serve.
+// SetRecorder sets the recorder of the audit log. It must be called before Serve.
 func (f *Frontend) SetRecorder(r auditevent.Recorder) { f.recorder = r }
 
 // Serve accepts connections from ln until Shutdown closes it.
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// softLimitShare is the share of the connections above which a new one evicts an idle one: clients that open a
-	// connection for each request and keep it would reach their own limit first otherwise.
+	// softLimitShare is the share of the connection limit above which each new connection evicts an idle one. Otherwise
+	// clients that open a connection for each request and leave it open would exhaust their own connection limits.
 	softLimitShare = 0.5
 
-	// unusedIdleTime is how long a connection that has carried no request is spared: its first one is likely on its way.
+	// unusedIdleTime is the time for which a new connection without a request is not evicted: its first request is
+	// probably in transit.
 	unusedIdleTime = 300 * time.Millisecond
 
 	acceptErrorLogInterval = time.Second
 
-	// pollInterval is how often connections to close are looked for.
+	// pollInterval is the interval at which eviction and drains look for connections to close.
 	pollInterval = 10 * time.Millisecond
 )
 
-// listener accepts connections within the frontend's limit.
+// listener accepts connections up to the frontend's connection limit.
 type listener struct {
 	net.Listener
 	frontend *Frontend
 }
 
-// Accept returns the next connection. It fails only once the listener is closed: fasthttp's Serve would end on a
-// transient error.
+// Accept returns the next connection. It fails only when the listener is closed, because fasthttp's Serve returns on any
+// other error, too.
 func (l *listener) Accept() (net.Conn, error) {
 	f := l.frontend
 	f.acquireSlot()
@@ -41,7 +42,7 @@
 		return nil, err
 	}
 	now := time.Now()
-	c := &clientConn{Conn: nc, frontend: f, readAt: now, betweenRequests: true}
+	c := &clientConn{Conn: nc, frontend: f, lastReadAt: now, betweenRequests: true}
 	c.idleSince.Store(monotonicMicros(now))
 	f.mu.Lock()
 	f.conns[c] = true
@@ -54,7 +55,7 @@
 	return c, nil
 }
 
-// onAcceptError frees a descriptor where accept found none, and logs errors at intervals.
+// onAcceptError evicts a connection if accept lacks a descriptor, and logs at most one error per acceptErrorLogInterval.
 func (f *Frontend) onAcceptError(err error) {
 	if upstream.IsSocketShortage(err) {
 		f.evictConn()
@@ -65,7 +66,7 @@
 	}
 }
 
-// acquireSlot waits for a slot, evicting connections meanwhile.
+// acquireSlot waits for a slot and evicts connections until there is one.
 func (f *Frontend) acquireSlot() {
 	select {
 	case f.slots <- struct{}{}:
@@ -84,7 +85,7 @@
 	}
 }
 
-// releaseConn forgets a closed connection and gives its slot back.
+// releaseConn removes a closed connection and releases its slot.
 func (f *Frontend) releaseConn(c *clientConn) {
 	f.mu.Lock()
 	delete(f.conns, c)
@@ -92,8 +93,8 @@
 	<-f.slots
 }
 
-// SetConnectionLimit bounds the connections from now on, to at most what New was given. Connections above the limit
-// are evicted as new ones come.
+// SetConnectionLimit sets the connection limit, which must not exceed the limit given to New. Connections above the new
+// limit are evicted as new connections arrive.
 func (f *Frontend) SetConnectionLimit(limit int) {
 	f.softLimit.Store(int64(softLimitShare * float64(limit)))
 	f.mu.Lock()
@@ -104,32 +105,33 @@
 	for ; f.withheldSlots < cap(f.slots)-limit; f.withheldSlots++ {
 		select {
 		case f.slots <- struct{}{}:
-		default: // all are in use
+		default: // all slots are in use
 			return
 		}
 	}
 }
 
-// connCount returns the number of open connections, and the time since the last one was accepted.
+// connCount returns the number of open connections and the time since the last accept.
 func (f *Frontend) connCount() (conns int, sinceAccept time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns), time.Since(f.lastAccept)
 }
 
-// evictConn closes one connection, if any can be spared: first one that has sent nothing at all, then one that is idle
-// between requests, last one whose first request stalls halfway; of each kind the one that has been so longest. Unless
-// it is between requests, a connection that has sent something within unusedIdleTime is spared.
+// evictConn marks one connection closing, if any can be evicted. It prefers connections that have sent nothing, then
+// connections that are idle between requests, then connections with an incomplete first request; within each kind, the
+// connection that has been in that state longest. A connection without a complete request is not evicted within
+// unusedIdleTime of its accept or its last byte.
 func (f *Frontend) evictConn() {
 	const (
 		unused = iota
 		idle
-		halfReceived
+		incomplete
 		kinds
 	)
 	var candidates [kinds]*clientConn
-	var states [kinds]int64 // of the candidates, in their idleSince
-	fresh := monotonicMicros(time.Now().Add(-unusedIdleTime))
+	var states [kinds]int64 // values of idleSince of the candidates
+	cutoff := monotonicMicros(time.Now().Add(-unusedIdleTime))
 	f.mu.Lock()
 	for c := range f.conns {
 		state, kind := c.idleSince.Load(), idle
@@ -137,11 +139,11 @@
 		case state == connBusy || state == connClosing:
 			continue
 		case state < connClosing:
-			kind = halfReceived
+			kind = incomplete
 		case !c.hasServed.Load():
 			kind = unused
 		}
-		evictable := kind == idle || timestampOf(state) < fresh
+		evictable := kind == idle || timestampOf(state) < cutoff
 		if evictable && (candidates[kind] == nil || timestampOf(state) < timestampOf(states[kind])) {
 			candidates[kind], states[kind] = c, state
 		}
@@ -154,10 +156,11 @@
 	}
 }
 
-// CloseIdleConnections closes connections of clients that are idle.
+// CloseIdleConnections closes idle client connections.
 func (f *Frontend) CloseIdleConnections() { f.closeIdleConns(minIdleTime, true) }
 
-// closeIdleConns closes connections that have been idle for so long, unused ones only if includeUnused.
+// closeIdleConns closes connections that have been idle for at least the given time. Connections that have carried no
+// request are closed only if includeUnused is true.
 func (f *Frontend) closeIdleConns(idle time.Duration, includeUnused bool) {
 	before := monotonicMicros(time.Now().Add(-idle))
 	f.mu.Lock()
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -13,31 +13,31 @@
 	"damsonscale/internal/upstream"
 )
 
-// Headers of a request.
+// Request headers.
 const (
-	idHeader             = "Req-Id"          // needed once; responses and the audit log go by it
-	retryHeader          = "Req-Retry"       // "1": the client has sent the request before
-	tenantHeader         = "Req-Owner"       // the tenant, if it has a quota
-	idempotencyKeyHeader = "Idempotency-Key" // needed by classes that are idempotent with a key
+	idHeader             = "Req-Id"          // required exactly once; identifies the request in the audit log and the fleet
+	retryHeader          = "Req-Retry"       // headerTrue if the client has sent the request before
+	tenantHeader         = "Req-Owner"       // name of the tenant; only a tenant with a quota counts
+	idempotencyKeyHeader = "Idempotency-Key" // required by classes that are idempotent with a key
 
 	headerTrue = "1"
 
-	maxIDBytes  = 128
-	maxDeadline = time.Hour
+	maxIDBytes  = 128       // length of a request ID
+	maxDeadline = time.Hour // a request with a longer deadline is rejected as malformed
 
-	// objectKeyParameter is the parameter of the query that names what the request is about.
+	// objectKeyParameter is the query parameter with the key of the object that the request concerns.
 	objectKeyParameter = "obj="
 )
 
-// parsedRequest is what the head of a request says.
+// parsedRequest contains the fields of a request's head.
 type parsedRequest struct {
-	snapshot *settingsSnapshot // that the request is served by
+	snapshot *settingsSnapshot // settings for serving the request
 	request  decide.Request
-	timeLeft time.Duration // to the client's deadline, from the request's last byte on
+	timeLeft time.Duration // time until the client's deadline, counted from the last byte of the request
 	target   []byte        // path and query
 }
 
-// parseRequest checks a head, and reads the fields that decisions need.
+// parseRequest validates a head and parses the fields that the decision module needs.
 func (f *Frontend) parseRequest(h *fasthttp.RequestHeader) (*parsedRequest, *rejection) {
 	if rejected := checkFraming(h); rejected != nil {
 		return nil, rejected
@@ -69,7 +69,7 @@
 	return &parsedRequest{snapshot: snapshot, request: r, timeLeft: time.Duration(deadline) * time.Millisecond, target: target}, nil
 }
 
-// newCall makes the call of a request whose body is buffered; at is when its last bytes came.
+// newCall returns the call for a request whose body is buffered. at is the time at which its last bytes arrived.
 func (p *parsedRequest) newCall(h *fasthttp.RequestHeader, b *requestBody, at time.Time) *sidecar.Call {
 	m := upstream.Message{Head: forwardedHead(h, p.target, b), Body: b.buffered, Remainder: b.remainder}
 	return sidecar.NewCall(p.snapshot.settings, p.request, m, at, p.timeLeft)
@@ -95,8 +95,8 @@
 	}
 }
 
-// checkFraming rejects what servers could read differently than fasthttp does, folded lines and two lengths, since it
-// could smuggle a second request.
+// checkFraming rejects folded header lines and requests with two lengths. A server could parse them differently than
+// fasthttp does, which would allow request smuggling.
 func checkFraming(h *fasthttp.RequestHeader) *rejection {
 	lengths, chunked := 0, false
 	for line := range bytes.SplitSeq(h.RawHeaders(), []byte{'\n'}) {
@@ -116,14 +116,14 @@
 	return nil
 }
 
-// classOf returns the index of the class that the path's first segment names.
+// classOf returns the index of the class that is named by the first segment of the path.
 func (s *settingsSnapshot) classOf(path []byte) (int, bool) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(string(path), "/"), "/")
 	i, ok := s.classes[name]
 	return i, ok
 }
 
-// checkMethod rejects a request that doesn't come as its class does.
+// checkMethod rejects a request without the method or the idempotency key that its class requires.
 func (s *settingsSnapshot) checkMethod(h *fasthttp.RequestHeader, class int) *rejection {
 	switch s.settings.Classes[class].Semantics {
 	case decide.Idempotent:
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// objectKey returns what the request is about, empty if its query doesn't say.
+// objectKey returns the object key in a query, or "" if there is none.
 func objectKey(query []byte) string {
 	for pair := range bytes.SplitSeq(query, []byte{'&'}) {
 		if v, ok := bytes.CutPrefix(pair, []byte(objectKeyParameter)); ok {
--- a/internal/frontend/replication.go
+++ b/internal/frontend/replication.go
@@ -16,34 +16,35 @@
 	"damsonscale/internal/upstream"
 )
 
-// resumeHeader marks a request that its client has asked of another member before.
+// resumeHeader marks a request that the client has sent to another member before.
 const resumeHeader = "Req-Resume"
 
-// minTimeElsewhere is the least time to its deadline for which a client is left to ask another member: none would
-// answer in less.
-const minTimeElsewhere = 300 * time.Millisecond
+// minTimeForOtherMember is the minimum time to a request's deadline for which the client is left to ask another member.
+// In less time no other member would answer.
+const minTimeForOtherMember = 300 * time.Millisecond
 
-// RequestReplicator is the frontend's view of the fleet: it replicates requests that aren't idempotent, so that another
-// member can answer them after this one's exit. Its methods are called on the goroutines of connections.
+// RequestReplicator is the frontend's interface to the fleet. It replicates requests that are not idempotent, so that
+// another member can answer them after this member has failed. The goroutines of connections call its methods.
 type RequestReplicator interface {
-	// Execute replicates a request, has send send it if this member is to do that, and returns what to answer.
-	// clientGone is closed when the client disconnects; nil: it isn't watched.
+	// Execute replicates a request, calls send if this member is to send it, and returns the outcome. clientGone is
+	// closed when the client disconnects; it is nil if the client is not watched.
 	Execute(r takeover.Request, clientGone <-chan struct{}, send func(takeover.SendPermit) takeover.Result) takeover.Outcome
 	// ReplicationPolicy returns how a class's requests are replicated.
 	ReplicationPolicy(class string, idempotency takeover.Idempotency) options.ReplicationPolicy
-	// MaxDuration is the longest time for which a request is replicated.
+	// MaxDuration returns the maximum time for which a request is replicated.
 	MaxDuration() time.Duration
-	// RequiredLease returns the lease without which no request at all is accepted or sent; nil: none is required.
+	// RequiredLease returns the lease without which no request may be accepted or sent, or nil if none is required.
 	RequiredLease() takeover.Lease
-	// MayReject returns whether a request that was read just now may be rejected: false while it may have waited unread,
-	// so that its client may have asked another member.
+	// MayReject reports whether a request that was read just now may be rejected. It is false while the request may have
+	// waited unread for so long that its client may have asked another member.
 	MayReject() bool
 }
 
-// isResumed returns whether the client has asked another member before.
+// isResumed reports whether the client has sent the request to another member before.
 func isResumed(h *fasthttp.RequestHeader) bool { return string(h.Peek(resumeHeader)) == headerTrue }
 
-// serveReplicated serves a request whose class is replicated; false: it isn't, and nothing was done.
+// serveReplicated serves a request whose class is replicated. It returns false, without any effect, if the class is not
+// replicated.
 func (f *Frontend) serveReplicated(ctx *fasthttp.RequestCtx, c *clientConn, p *parsedRequest, b *requestBody) bool {
 	class := &p.snapshot.settings.Classes[p.request.Class]
 	idempotency := idempotencyOf(class.Semantics)
@@ -53,10 +54,10 @@
 	}
 	p.timeLeft = min(p.timeLeft, f.replicator.MaxDuration())
 	if b.source == nil {
-		b.buffered = slices.Clone(b.buffered) // fasthttp reuses its buffer once the client has its response
+		b.buffered = slices.Clone(b.buffered) // fasthttp reuses its buffer after the response
 	}
 	h := &ctx.Request.Header
-	call := p.newCall(h, b, c.readAt)
+	call := p.newCall(h, b, c.lastReadAt)
 	call.OnBodyComplete = c.watchDisconnect
 	r := takeover.Request{
 		ID: p.request.ID, Class: class.Name, Idempotency: idempotency, Resume: isResumed(h), Strict: policy == options.StrictReplication,
@@ -81,7 +82,7 @@
 		b.rejection(bodyErr).write(ctx)
 		f.recordResponse(ctx, r.ID, f.sidecar.ConfigVersion())
 	} else {
-		timeLeft := min(call.TimeLeft(time.Now()), p.timeLeft-time.Since(start)) // the former counts from the body's end
+		timeLeft := min(call.TimeLeft(time.Now()), p.timeLeft-time.Since(start)) // the call's time is counted from the end of the body
 		f.writeOutcome(ctx, c, call, &outcome, timeLeft)
 	}
 	if bodyErr != nil || outcome.Kind == takeover.OutcomeCallerGone {
@@ -90,7 +91,7 @@
 	return true
 }
 
-// idempotencyOf translates the semantics of a class.
+// idempotencyOf converts the semantics of a class.
 func idempotencyOf(s decide.Semantics) takeover.Idempotency {
 	switch s {
 	case decide.Idempotent:
@@ -101,7 +102,7 @@
 	return takeover.NotIdempotent
 }
 
-// requestDigest tells different requests of one ID apart.
+// requestDigest returns a hash that distinguishes different requests with the same ID.
 func requestDigest(class string, idempotencyKey []byte, objectKey string, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -112,7 +113,7 @@
 	return d.Sum64()
 }
 
-// storedRequest returns what replicas keep of a request, to send it for a lost member.
+// storedRequest returns the part of a request that replicas store, so that they can send it if this member fails.
 func (p *parsedRequest) storedRequest(call *sidecar.Call, b *requestBody) takeover.StoredRequest {
 	s := takeover.StoredRequest{Head: call.Message.Head, Body: b.buffered, Key: p.request.Key}
 	if t := p.request.Tenant; t >= 0 {
@@ -121,7 +122,7 @@
 	return s
 }
 
-// sendFunc returns a function that sends a call while its permit is valid, and returns the result.
+// sendFunc returns a function that sends a call as long as the permit's lease is valid.
 func (f *Frontend) sendFunc(call *sidecar.Call) func(takeover.SendPermit) takeover.Result {
 	return func(permit takeover.SendPermit) takeover.Result {
 		var leaseOver <-chan struct{}
@@ -135,7 +136,7 @@
 	}
 }
 
-// storedResponse returns what replicas keep of a response.
+// storedResponse returns the part of a response that replicas store.
 func storedResponse(r sidecar.Response, leaseLost bool) takeover.Response {
 	switch {
 	case leaseLost:
@@ -150,16 +151,16 @@
 	return takeover.Response{Status: takeover.Failed, Reason: "no server answered"}
 }
 
-// ResumeOrphan returns a function that sends a recorded request whose client is unknown here, or an error where its
-// class is unknown or has other semantics by now.
+// ResumeOrphan returns a function that sends a recorded request that no client of this member waits for. It returns an
+// error if the class is unknown or its semantics differ from those recorded.
 func (f *Frontend) ResumeOrphan(rec *takeover.Record, stored *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error) {
 	snapshot := f.snapshot.Load()
 	class, ok := snapshot.classes[rec.Class]
 	if !ok {
-		return nil, fmt.Errorf("class %q is unknown here", rec.Class)
+		return nil, fmt.Errorf("cannot resume request: class %q is not in the settings", rec.Class)
 	}
 	if idempotencyOf(snapshot.settings.Classes[class].Semantics) != rec.Idempotency {
-		return nil, fmt.Errorf("class %q has another effect here", rec.Class)
+		return nil, fmt.Errorf("cannot resume request: semantics of class %q differ from those recorded", rec.Class)
 	}
 	r := decide.Request{ID: rec.ID, Class: class, Tenant: -1, Key: stored.Key}
 	if t, ok := snapshot.tenants[stored.Tenant]; ok {
@@ -170,15 +171,15 @@
 	return f.sendFunc(sidecar.NewCall(snapshot.settings, r, m, time.Now(), timeLeft)), nil
 }
 
-// DiscardResponse closes a live response that no client takes any more.
+// DiscardResponse closes a live response that no client will read.
 func (f *Frontend) DiscardResponse(live any) {
 	if r, ok := live.(sidecar.Response); ok && r.Stream != nil {
 		r.Stream.Close()
 	}
 }
 
-// writeOutcome answers a replicated request with so much time to its deadline. A member that has lost its lease meanwhile
-// answers nothing: another one does.
+// writeOutcome answers a replicated request. timeLeft is the time to its deadline. If this member has lost its lease, it
+// closes the connection instead, because another member answers the request.
 func (f *Frontend) writeOutcome(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, timeLeft time.Duration) {
 	if o.Kind == takeover.OutcomeResponse && o.Lease != nil && !o.Lease.Valid() {
 		f.DiscardResponse(o.LiveResponse)
@@ -187,7 +188,7 @@
 	version := f.sidecar.ConfigVersion()
 	switch o.Kind {
 	case takeover.OutcomeCloseConnection:
-		f.closeUnanswered(ctx, c, call.Request.ID, timeLeft)
+		f.closeWithoutResponse(ctx, c, call.Request.ID, timeLeft)
 		return
 	case takeover.OutcomeCallerGone:
 		f.writeResponse(ctx, c, sidecar.Response{Status: sidecar.DeadlineExceeded})
@@ -208,10 +209,10 @@
 	f.recordResponse(ctx, call.Request.ID, version)
 }
 
-// closeUnanswered closes a connection without a response, so that its client asks another member. Shortly before the
-// request's deadline it is answered as failed instead.
-func (f *Frontend) closeUnanswered(ctx *fasthttp.RequestCtx, c *clientConn, id string, timeLeft time.Duration) {
-	if timeLeft > minTimeElsewhere {
+// closeWithoutResponse closes a connection without a response, so that the client asks another member. Shortly before
+// the deadline it answers that the request failed instead.
+func (f *Frontend) closeWithoutResponse(ctx *fasthttp.RequestCtx, c *clientConn, id string, timeLeft time.Duration) {
+	if timeLeft > minTimeForOtherMember {
 		ctx.SetConnectionClose()
 		c.Close()
 		return
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -12,10 +12,10 @@
 	"damsonscale/internal/takeover"
 )
 
-// readinessPath answers whether the sidecar wants traffic; every other path is a request for servers.
+// readinessPath is the path at which the sidecar reports whether it is ready. All other requests are forwarded to servers.
 const readinessPath = "/health/ready"
 
-// handle answers one request. fasthttp calls it on the goroutine of the request's connection.
+// handle serves one request. fasthttp calls it on the connection's goroutine.
 func (f *Frontend) handle(ctx *fasthttp.RequestCtx) {
 	c, ok := ctx.Conn().(*clientConn)
 	if !ok {
@@ -25,7 +25,7 @@
 	c.beginRequest()
 	defer c.endRequest()
 	if path, _, _ := bytes.Cut(originForm(&ctx.Request.Header), []byte{'?'}); string(path) == readinessPath {
-		f.answerReadiness(ctx)
+		f.handleReadiness(ctx)
 	} else {
 		f.serveRequest(ctx, c)
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-// serveRequest parses a request, has a server answer it and writes the response.
+// serveRequest parses a request, forwards it to a server and writes the response.
 func (f *Frontend) serveRequest(ctx *fasthttp.RequestCtx, c *clientConn) {
 	h := &ctx.Request.Header
 	body := f.newRequestBody(ctx, c)
@@ -45,48 +45,49 @@
 	}
 	if rejected != nil {
 		rejected.write(ctx)
-		ctx.SetConnectionClose() // what follows on it can't be trusted
+		ctx.SetConnectionClose() // bytes that follow an invalid request may not begin a new one
 		return
 	}
 	lease := f.requiredLease()
 	if lease != nil && !lease.Valid() {
-		f.answerWithoutLease(ctx, c, parsed)
+		f.handleWithoutLease(ctx, c, parsed)
 		return
 	}
 	if f.replicator != nil && f.serveReplicated(ctx, c, parsed, body) {
 		return
 	}
-	call := parsed.newCall(h, body, c.readAt)
+	call := parsed.newCall(h, body, c.lastReadAt)
 	if lease != nil {
 		call.RequireLease(lease.Valid)
 	}
 	call.OnBodyComplete = c.watchDisconnect
 	call.SetDisconnectCheck(c.isDisconnected)
-	response, clientLeft := f.sidecar.Do(call, c.watchDisconnect()) // a read of the body's remainder ends that watch
+	response, clientDisconnected := f.sidecar.Do(call, c.watchDisconnect()) // reading the body's remainder stops this watch
 	bodyErr := body.finish()
 	c.stopWatch()
-	f.finishRequest(ctx, c, parsed.request.ID, body, response, clientLeft, bodyErr)
+	f.finishRequest(ctx, c, parsed.request.ID, body, response, clientDisconnected, bodyErr)
 }
 
-// finishRequest writes and records the response of a request. bodyErr says why the rest of its body couldn't be read.
-func (f *Frontend) finishRequest(ctx *fasthttp.RequestCtx, c *clientConn, id string, body *requestBody, response sidecar.Response, clientLeft bool, bodyErr error) {
+// finishRequest writes the response of a request and records it in the audit log. bodyErr is the error that prevented the
+// body from being read completely, or nil.
+func (f *Frontend) finishRequest(ctx *fasthttp.RequestCtx, c *clientConn, id string, body *requestBody, response sidecar.Response, clientDisconnected bool, bodyErr error) {
 	switch {
-	case clientLeft && bodyErr != nil:
+	case clientDisconnected && bodyErr != nil:
 		body.rejection(bodyErr).write(ctx)
 		f.recordResponse(ctx, id, response.ConfigVersion)
-	case clientLeft:
+	case clientDisconnected:
 		f.writeResponse(ctx, c, response)
 		f.record(ctx, auditevent.ClientLeft, id, response.ConfigVersion)
 	default:
 		f.writeResponse(ctx, c, response)
 		f.recordResponse(ctx, id, response.ConfigVersion)
 	}
-	if clientLeft || bodyErr != nil {
+	if clientDisconnected || bodyErr != nil {
 		ctx.SetConnectionClose()
 	}
 }
 
-// requiredLease returns the lease without which this process may serve nothing at all; nil: none is required.
+// requiredLease returns the lease without which this process may not serve any request, or nil if none is required.
 func (f *Frontend) requiredLease() takeover.Lease {
 	if f.replicator == nil {
 		return nil
@@ -94,21 +95,21 @@
 	return f.replicator.RequiredLease()
 }
 
-// answerWithoutLease answers a request while this member has no lease. It is rejected, unless another member may have
-// executed it already: then the connection is closed unanswered, and the client asks another member.
-func (f *Frontend) answerWithoutLease(ctx *fasthttp.RequestCtx, c *clientConn, p *parsedRequest) {
+// handleWithoutLease handles a request while this member has no lease. The request is rejected, unless another member may
+// have executed it already; then the connection is closed without a response, and the client asks another member.
+func (f *Frontend) handleWithoutLease(ctx *fasthttp.RequestCtx, c *clientConn, p *parsedRequest) {
 	idempotent := p.snapshot.settings.Classes[p.request.Class].Semantics == decide.Idempotent
 	if !idempotent && (isResumed(&ctx.Request.Header) || !f.replicator.MayReject()) {
-		f.closeUnanswered(ctx, c, p.request.ID, p.timeLeft-time.Since(c.readAt))
+		f.closeWithoutResponse(ctx, c, p.request.ID, p.timeLeft-time.Since(c.lastReadAt))
 		return
 	}
 	writeRejection(ctx, noLeaseRetryAfter)
 	f.record(ctx, auditevent.RejectedNoLease, p.request.ID, f.sidecar.ConfigVersion())
-	ctx.SetConnectionClose() // clients have other members to ask
+	ctx.SetConnectionClose() // the client can use another member
 }
 
-// answerReadiness answers a request for readinessPath: 200 if the sidecar wants traffic, else 503.
-func (f *Frontend) answerReadiness(ctx *fasthttp.RequestCtx) {
+// handleReadiness answers a request for readinessPath: 200 if the sidecar is ready for traffic, else 503.
+func (f *Frontend) handleReadiness(ctx *fasthttp.RequestCtx) {
 	if lease := f.requiredLease(); f.sidecar.Ready() && !f.isDraining() && (lease == nil || lease.Valid()) {
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		return
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -14,26 +14,27 @@
 	"damsonscale/internal/takeover"
 )
 
-// Responses that the sidecar gives by itself, all with a line of text:
+// The sidecar itself generates these responses, each with a line of text:
 //
-//	400  the request is malformed: head, framing, body, a missing or invalid header
-//	404  its path names no class
-//	405  its class wants another method
-//	408  the head, or the next byte of the body, took too long
-//	409  a request with this ID is in flight, or the ID is that of another request
-//	413  the body is over 40 MB
+//	400  the head, the framing or the body is malformed, or a header is missing or invalid
+//	404  the path does not name a class
+//	405  the class requires another method
+//	408  the head, or the next byte of the body, did not arrive in time
+//	409  a request with this ID is in flight, or the ID belongs to a different request
+//	413  the body is over 40 MiB
 //	431  the head is over 8 KiB
 //	502  failed: no attempt succeeded, or a server found the request invalid; it may or may not have been executed
-//	503  rejected: it was not executed and can be retried; Retry-After in seconds, with three decimals, where the sidecar
-//	     advises a backoff
-//	504  its deadline passed, or the process exits, before there was a response; it may have been executed
+//	503  rejected: the request was not executed and can be retried; Retry-After, in seconds with three decimals, is set
+//	     if the sidecar advises a backoff
+//	504  the deadline passed, or the process exits, before there was a response; the request may have been executed
 //
-// All of 400 to 431 but 409 close the connection.
+// The connection is closed after all of 400 to 431 except 409.
 
-// noLeaseRetryAfter is the Retry-After of a request that a member without a lease rejects.
+// noLeaseRetryAfter is the Retry-After of a rejection by a member without a lease. The member may have regained its lease
+// by then.
 const noLeaseRetryAfter = 500 * time.Millisecond
 
-// rejection is the response to a request that isn't forwarded, since it is malformed or too large.
+// rejection is the response to a request that is not forwarded because it is malformed or too large.
 type rejection struct {
 	status int
 	text   string
@@ -45,12 +46,12 @@
 
 func (r *rejection) write(ctx *fasthttp.RequestCtx) { ctx.Error(r.text, r.status) }
 
-// rejectMalformed answers what fasthttp can't read as a request.
+// rejectMalformed answers a request that fasthttp can't parse.
 func rejectMalformed(ctx *fasthttp.RequestCtx, err error) {
-	var small *fasthttp.ErrSmallBuffer
+	var headTooLarge *fasthttp.ErrSmallBuffer
 	var timeout net.Error
 	switch {
-	case errors.As(err, &small):
+	case errors.As(err, &headTooLarge):
 		ctx.Error("request head too large", fasthttp.StatusRequestHeaderFieldsTooLarge)
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		ctx.Error("request body too large", fasthttp.StatusRequestEntityTooLarge)
@@ -85,7 +86,7 @@
 	}
 }
 
-// writeStoredResponse writes a response that replicas kept.
+// writeStoredResponse writes a response that replicas have stored.
 func (f *Frontend) writeStoredResponse(ctx *fasthttp.RequestCtx, c *clientConn, r *takeover.Response) {
 	switch r.Status {
 	case takeover.Served:
@@ -99,7 +100,8 @@
 	}
 }
 
-// writeRejection answers a request that was not executed, and that the client may retry after so long; 0: no advice.
+// writeRejection answers a request that was not executed and that the client may retry. If retryAfter is 0, the response
+// advises no backoff.
 func writeRejection(ctx *fasthttp.RequestCtx, retryAfter time.Duration) {
 	ctx.Error("refused, trying again is harmless", fasthttp.StatusServiceUnavailable)
 	if retryAfter > 0 {
@@ -107,7 +109,8 @@
 	}
 }
 
-// recordResponse records the response to a request, by its status, under the version of the settings that decided it.
+// recordResponse adds the response to the audit log, by its status. version is that of the settings that it was decided
+// with.
 func (f *Frontend) recordResponse(ctx *fasthttp.RequestCtx, id string, version auditevent.ConfigVersionID) {
 	switch ctx.Response.StatusCode() {
 	case fasthttp.StatusOK:
@@ -121,7 +124,7 @@
 	}
 }
 
-// record adds an event to the audit log, if there is one, and names it in the response.
+// record adds an event to the audit log, if there is one, and sets a reference to the event in the response.
 func (f *Frontend) record(ctx *fasthttp.RequestCtx, kind auditevent.Kind, id string, version auditevent.ConfigVersionID) {
 	if f.recorder == nil {
 		return
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -16,25 +16,25 @@
 	"damsonscale/internal/upstream"
 )
 
-// StreamHandover hands a stream with its two connections to the successor; payload is marshalled as JSON. Once it has
-// returned nil this process must close its ends of both without writing to them.
+// StreamHandover passes a stream and its two connections to the successor process. payload is marshalled as JSON. After
+// it returns nil, this process must close its copies of both connections without writing to them.
 type StreamHandover func(payload any, client, server syscall.Conn) error
 
 const copyBufferBytes = 16 << 10
 
 var (
-	errNoStreamSuccessor = errors.New("no process takes it")
-	errNoDescriptor      = errors.New("not connections of the system")
+	errNoStreamSuccessor = errors.New("no successor process to hand the stream over to")
+	errNoDescriptor      = errors.New("stream has a connection without a file descriptor")
 )
 
-// streamMessage is a stream that goes on in another process, between two pieces of its body.
+// streamMessage is the payload of a StreamHandover.
 type streamMessage struct {
 	Stream  upstream.StreamState `json:"answer"`
-	Chunked bool                 `json:"chunks"` // the client takes chunks; else the connection's end is the body's
+	Chunked bool                 `json:"chunks"` // whether the body is sent in chunks; otherwise it ends with the connection
 }
 
-// writeStream writes a long response as it comes from the server. To a client of HTTP/1.1 it goes in chunks; where the
-// server breaks off, the last chunk is missing.
+// writeStream writes a streamed response while it is read from the server. An HTTP/1.1 client receives it in chunks; if
+// the server fails, the last chunk is not sent.
 func (f *Frontend) writeStream(ctx *fasthttp.RequestCtx, c *clientConn, r sidecar.Response) {
 	c.stream.Store(r.Stream)
 	if ctx.Request.Header.IsHTTP11() {
@@ -45,8 +45,8 @@
 	f.writeStreamUntilClose(ctx, c, r)
 }
 
-// writeStreamUntilClose writes a long response to a client of HTTP/1.0, which takes no chunks: the connection's end is
-// the body's, and a reset tells that the server broke off.
+// writeStreamUntilClose writes a streamed response to an HTTP/1.0 client, which does not support chunks: the body ends
+// with the connection, and a reset signals that the server failed.
 func (f *Frontend) writeStreamUntilClose(ctx *fasthttp.RequestCtx, c *clientConn, r sidecar.Response) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {
@@ -64,15 +64,15 @@
 // writerOnly hides ReadFrom from io.Copy.
 type writerOnly struct{ io.Writer }
 
-// resetOnClose has the next Close reset the connection.
+// resetOnClose makes Close reset the connection.
 func resetOnClose(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 }
 
-// clientStream is a response on its way to its client. It is read one piece after the other, each once the one before
-// is written, so that it can be handed over between two.
+// clientStream is the body of a streamed response to a client. Each piece is read after the previous piece has been
+// written, so that the stream can be handed over between two pieces.
 type clientStream struct {
 	*upstream.Stream
 	frontend *Frontend
@@ -80,7 +80,7 @@
 	chunked  bool
 }
 
-// Read returns the next piece, or upstream.ErrDetached once the stream goes on in the successor.
+// Read returns the next piece, or upstream.ErrDetached if the stream was handed over to the successor.
 func (s *clientStream) Read(b []byte) (int, error) {
 	n, err := s.Stream.Read(b)
 	if err != upstream.ErrDetached {
@@ -88,14 +88,14 @@
 	}
 	if err := s.handOver(); err != nil {
 		eventlog.Warn(eventStreamHandoverFailed, err)
-		s.Attach() // it is finished here, if there is time
+		s.Attach() // this process continues the stream for as long as it runs
 		return s.Stream.Read(b)
 	}
 	return 0, upstream.ErrDetached
 }
 
-// handOver hands a detached stream to the successor. This process closes its ends of both connections afterwards, which
-// closes neither for the successor.
+// handOver hands a detached stream over to the successor. Afterwards this process closes its descriptors of both
+// connections, which stay open in the successor.
 func (s *clientStream) handOver() error {
 	handOver := s.frontend.streamHandover.Load()
 	if handOver == nil {
@@ -110,8 +110,8 @@
 	return (*handOver)(streamMessage{state, s.chunked}, clientSocket, serverSocket)
 }
 
-// expediteStream hands a long response over to the successor, where there is one, and lets the system buffer as much of
-// it as it may: what the system has buffered reaches a slow client after this process has exited.
+// expediteStream enlarges the kernel's send buffer for a streamed response, because buffered bytes reach a slow client
+// even after this process has exited. If there is a successor, it also detaches the stream for the handover.
 func (c *clientConn) expediteStream(hasSuccessor bool) {
 	s := c.stream.Swap(nil)
 	if s == nil {
@@ -125,8 +125,8 @@
 	}
 }
 
-// ResumeStream goes on with a stream that the predecessor has handed over, and closes its connections at its end.
-// payload is the JSON that StreamHandover was given. It returns at once.
+// ResumeStream continues a stream that the predecessor has handed over, and closes both connections when it ends. payload
+// is the JSON of the payload given to StreamHandover. ResumeStream does not block.
 func (f *Frontend) ResumeStream(payload []byte, client, server net.Conn) {
 	f.resumedStreams.Add(1)
 	go func() {
@@ -145,7 +145,7 @@
 	}()
 }
 
-// copyStream copies the rest of a stream to its client.
+// copyStream copies the rest of a stream to the client.
 func copyStream(m streamMessage, client, server net.Conn) error {
 	body, err := upstream.Resume(server, m.Stream)
 	if err != nil {
