--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -11,8 +11,8 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// ends returns both ends of a connection.
-func ends(t testing.TB) (ours *clientConn, theirs *net.TCPConn) {
+// connPair returns the server's and the client's end of a connection on loopback.
+func connPair(t testing.TB) (server *clientConn, client *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,80 +31,80 @@
 	return &clientConn{Conn: s}, c.(*net.TCPConn)
 }
 
-// peerClosed tells a disconnected client from a connected one, whatever bytes it has sent ahead, and reads nothing.
-func TestPeerClosed(t *testing.T) {
+// isDisconnected distinguishes a disconnected client from a connected one, even after unread bytes, and consumes nothing.
+func TestIsDisconnected(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		bytes string
-		leave func(*net.TCPConn)
-		left  bool
+		end   func(*net.TCPConn)
+		want  bool
 	}{
-		{"there", "", func(*net.TCPConn) {}, false},
-		{"there, with bytes in advance", "GET ", func(*net.TCPConn) {}, false},
+		{"connected", "", func(*net.TCPConn) {}, false},
+		{"connected, with unread bytes", "GET ", func(*net.TCPConn) {}, false},
 		{"closed", "", func(c *net.TCPConn) { c.Close() }, true},
-		{"closed behind bytes", "GET ", func(c *net.TCPConn) { c.Close() }, true},
-		{"ended its sending", "", func(c *net.TCPConn) { c.CloseWrite() }, true},
-		{"ended its sending behind bytes", "GET ", func(c *net.TCPConn) { c.CloseWrite() }, true},
-		{"reset", "", func(c *net.TCPConn) { leaves(c, true) }, true},
-		{"reset behind bytes", "GET ", func(c *net.TCPConn) { leaves(c, true) }, true},
+		{"closed after unread bytes", "GET ", func(c *net.TCPConn) { c.Close() }, true},
+		{"shut down for writing", "", func(c *net.TCPConn) { c.CloseWrite() }, true},
+		{"shut down for writing after unread bytes", "GET ", func(c *net.TCPConn) { c.CloseWrite() }, true},
+		{"reset", "", func(c *net.TCPConn) { disconnect(c, true) }, true},
+		{"reset after unread bytes", "GET ", func(c *net.TCPConn) { disconnect(c, true) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ours, theirs := ends(t)
-			io.WriteString(theirs, c.bytes)
-			c.leave(theirs)
-			if c.left {
-				eventually(t, "the leaving", ours.isDisconnected)
+			server, client := connPair(t)
+			io.WriteString(client, c.bytes)
+			c.end(client)
+			if c.want {
+				eventually(t, "the disconnect", server.isDisconnected)
 			}
 			for range 3 {
-				if got := ours.isDisconnected(); got != c.left {
-					t.Fatalf("%v, want %v", got, c.left)
+				if got := server.isDisconnected(); got != c.want {
+					t.Fatalf("isDisconnected() = %v, want %v", got, c.want)
 				}
 			}
 			if b := make([]byte, len(c.bytes)); c.bytes != "" {
-				if _, err := io.ReadFull(ours.Conn, b); err != nil || string(b) != c.bytes {
-					t.Fatalf("%q %v", b, err)
+				if _, err := io.ReadFull(server.Conn, b); err != nil || string(b) != c.bytes {
+					t.Fatalf("read %q with error %v after the checks, want %q", b, err, c.bytes)
 				}
 			}
 		})
 	}
 	if peerClosed(-1) {
-		t.Error("a look that the system refuses tells of an end")
+		t.Error("peerClosed(-1) = true, want false if the system call fails")
 	}
-	ours, theirs := net.Pipe()
-	defer ours.Close()
-	theirs.Close()
-	if (&clientConn{Conn: ours}).isDisconnected() {
-		t.Error("a connection that is no socket has ended")
+	server, client := net.Pipe()
+	defer server.Close()
+	client.Close()
+	if (&clientConn{Conn: server}).isDisconnected() {
+		t.Error("isDisconnected() = true for a connection without a socket, want false")
 	}
 }
 
-// One check of a client that has sent nothing since its request, and of one that has sent bytes ahead.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkIsDisconnected measures the check of a connected client, without and with unread bytes.
+func BenchmarkIsDisconnected(b *testing.B) {
 	for _, bytes := range []string{"", "GET "} {
-		b.Run(fmt.Sprint(len(bytes), " bytes in advance"), func(b *testing.B) {
-			ours, theirs := ends(b)
-			io.WriteString(theirs, bytes)
+		b.Run(fmt.Sprint(len(bytes), " unread bytes"), func(b *testing.B) {
+			server, client := connPair(b)
+			io.WriteString(client, bytes)
 			for b.Loop() {
-				if ours.isDisconnected() {
-					b.Fatal("left")
+				if server.isDisconnected() {
+					b.Fatal("isDisconnected() = true for a connected client")
 				}
 			}
 		})
 	}
 }
 
-// One request through frontend, sidecar and a connection of its own to a server, and back.
+// BenchmarkRequest measures one request through frontend, sidecar and server, and its response.
 func BenchmarkRequest(b *testing.B) {
 	s := standin.NewServer(b, standin.Yes)
-	_, _, ln := before(b, s.Addr, 256, nil) // as many as a second of them takes: each rests a while
+	_, _, ln := startWithServer(b, s.Addr, 256, nil) // enough connections for the requests of a second, since none is reused at once
 	c := dial(b, ln)
 	br, n := bufio.NewReader(c), 0
 	for b.Loop() {
 		n++
-		io.WriteString(c, text("look", fmt.Sprint(n), 0))
+		io.WriteString(c, requestText("look", fmt.Sprint(n), 0))
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil || resp.StatusCode != 200 {
-			b.Fatal(resp, err)
+			b.Fatalf("got response %v, error %v, want status 200", resp, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -15,8 +15,8 @@
 	"damsonscale/internal/sidecar"
 )
 
-// serving starts a frontend whose sidecar knows no server.
-func serving(t *testing.T, change func(*Frontend)) (*Frontend, net.Listener) {
+// startWithoutServers starts a frontend whose sidecar has no endpoints.
+func startWithoutServers(t *testing.T, change func(*Frontend)) (*Frontend, net.Listener) {
 	t.Helper()
 	conf := &config.Config{Discovery: "127.0.0.1:1", Settings: decide.Settings{
 		Classes: []decide.Class{{Name: "look", PriorityWeight: 1}, {Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}},
@@ -38,6 +38,7 @@
 	return f, ln
 }
 
+// dial connects to a listener.
 func dial(t testing.TB, ln net.Listener) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", ln.Addr().String())
@@ -49,86 +50,86 @@
 	return c
 }
 
-// An unused connection is closed without a response: a client would take fasthttp's 408 for the response to its next
+// An unused connection is closed without a response: a client would read fasthttp's 408 as the response to its next
 // request.
 func TestUnusedConnectionIsClosedSilently(t *testing.T) {
-	_, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = 20 * time.Millisecond })
+	_, ln := startWithoutServers(t, func(f *Frontend) { f.httpServer.ReadTimeout = 20 * time.Millisecond })
 	if b, err := io.ReadAll(dial(t, ln)); err != nil || len(b) != 0 {
-		t.Fatalf("%q %v", b, err)
+		t.Fatalf("read %q with error %v, want a close without a response", b, err)
 	}
 }
 
-const look = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 5000\r\n\r\n"
+const lookRequest = "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 5000\r\n\r\n"
 
-// exchange writes text and reads the whole answer, which has that status.
-func exchange(t *testing.T, c net.Conn, br *bufio.Reader, text string, status int) {
+// expectStatus writes text and reads the complete response, which must have the given status.
+func expectStatus(t *testing.T, c net.Conn, br *bufio.Reader, text string, status int) {
 	t.Helper()
 	io.WriteString(c, text)
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil || resp.StatusCode != status {
-		t.Fatalf("%v %v", resp, err)
+		t.Fatalf("got response %v, error %v, want status %d", resp, err, status)
 	}
 	io.Copy(io.Discard, resp.Body)
 }
 
-// With no server known a request is rejected, and the connection stays open.
-func TestRejectedWithoutServers(t *testing.T) {
-	_, ln := serving(t, nil)
+// Without endpoints a request is rejected with 503, and the connection stays open.
+func TestRequestWithoutServersIsRejected(t *testing.T) {
+	_, ln := startWithoutServers(t, nil)
 	c := dial(t, ln)
 	br := bufio.NewReader(c)
 	for range 3 {
-		exchange(t, c, br, look, 503)
+		expectStatus(t, c, br, lookRequest, 503)
 	}
 }
 
-// A connection isn't idle while a request is half read, nor while it is served.
+// A connection is not idle while a request is incomplete or is served.
 func TestBusyConnectionIsNotClosedAsIdle(t *testing.T) {
-	f, ln := serving(t, nil)
+	f, ln := startWithoutServers(t, nil)
 	c := dial(t, ln)
-	io.WriteString(c, look[:20])
-	eventually(t, "first bytes read", func() bool { return f.count() == 1 && f.idle() == 0 })
+	io.WriteString(c, lookRequest[:20])
+	eventually(t, "the first bytes to be read", func() bool { return f.openConns() == 1 && f.idleConns() == 0 })
 	f.closeIdleConns(-time.Hour, true)
 	br := bufio.NewReader(c)
-	exchange(t, c, br, look[20:], 503)
-	eventually(t, "an idle connection", func() bool { return f.idle() == 1 })
+	expectStatus(t, c, br, lookRequest[20:], 503)
+	eventually(t, "an idle connection", func() bool { return f.idleConns() == 1 })
 	f.closeIdleConns(-time.Hour, true)
 	if _, err := br.ReadByte(); err != io.EOF {
-		t.Fatalf("an idle one is still open: %v", err)
+		t.Fatalf("read on an idle connection returned error %v, want EOF", err)
 	}
 }
 
-// Where silent clients hold all connections they are evicted, and another client is answered.
+// If silent clients occupy all connections, they are evicted and another client is served.
 func TestSilentClientsAreEvicted(t *testing.T) {
-	_, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout, f.httpServer.IdleTimeout = time.Hour, time.Hour })
+	_, ln := startWithoutServers(t, func(f *Frontend) { f.httpServer.ReadTimeout, f.httpServer.IdleTimeout = time.Hour, time.Hour })
 	for range 20 {
 		dial(t, ln)
 	}
 	c := dial(t, ln)
-	exchange(t, c, bufio.NewReader(c), look, 503)
+	expectStatus(t, c, bufio.NewReader(c), lookRequest, 503)
 }
 
-// From half of the connections on a new one evicts an idle one.
+// Above half of the connection limit, each new connection evicts an idle one.
 func TestIdleConnectionsAreEvictedAboveTheSoftLimit(t *testing.T) {
-	f, ln := serving(t, func(f *Frontend) { f.httpServer.IdleTimeout = time.Hour })
-	for range 7 { // of 8 sockets
+	f, ln := startWithoutServers(t, func(f *Frontend) { f.httpServer.IdleTimeout = time.Hour })
+	for range 7 { // the limit is 8 connections
 		c := dial(t, ln)
-		exchange(t, c, bufio.NewReader(c), look, 503)
-		eventually(t, "all idle", func() bool { return f.idle() == f.count() })
+		expectStatus(t, c, bufio.NewReader(c), lookRequest, 503)
+		eventually(t, "all connections to be idle", func() bool { return f.idleConns() == f.openConns() })
 	}
-	if n := f.count(); n > 4 {
-		t.Errorf("%d connections kept, want 4 at most", n)
+	if n := f.openConns(); n > 4 {
+		t.Errorf("%d connections are open, want at most 4", n)
 	}
 }
 
-// An unused connection is evicted before one that has served, however long that one has been idle.
+// An unused connection is evicted before a connection that has carried a request, however long the latter has been idle.
 func TestUnusedConnectionsAreEvictedFirst(t *testing.T) {
-	f, ln := serving(t, nil)
+	f, ln := startWithoutServers(t, nil)
 	used, silent := dial(t, ln), dial(t, ln)
-	exchange(t, used, bufio.NewReader(used), look, 503)
-	eventually(t, "two idle connections", func() bool { return f.idle() == 2 })
+	expectStatus(t, used, bufio.NewReader(used), lookRequest, 503)
+	eventually(t, "two idle connections", func() bool { return f.idleConns() == 2 })
 	f.mu.Lock()
 	for c := range f.conns {
-		if at := c.idleSince.Load(); at > connBusy { // both idle for long, the used one longer
+		if at := c.idleSince.Load(); at > connBusy { // make both idle for long, and the used connection for longer
 			since := at - time.Minute.Microseconds()
 			if c.hasServed.Load() {
 				since -= time.Minute.Microseconds()
@@ -139,49 +140,50 @@
 	f.mu.Unlock()
 	f.evictConn()
 	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
-		t.Fatalf("the silent one is open: %v", err)
+		t.Fatalf("read on the unused connection returned error %v, want EOF", err)
 	}
-	eventually(t, "one connection fewer", func() bool { return f.count() < 2 }) // its own goroutine counts it out after the close
-	if n := f.count(); n != 1 {
-		t.Fatalf("%d connections left, want the used one", n)
+	eventually(t, "one connection fewer", func() bool { return f.openConns() < 2 }) // it is removed after the close
+	if n := f.openConns(); n != 1 {
+		t.Fatalf("%d connections are open, want 1, the used connection", n)
 	}
-	exchange(t, used, bufio.NewReader(used), look, 503)
+	expectStatus(t, used, bufio.NewReader(used), lookRequest, 503)
 }
 
-// An incomplete request is answered 408 within 3 s, on a new connection and on one that has served.
+// An incomplete request is answered with 408 within 3 s, on a new and on a used connection.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	if headTimeout > 2800*time.Millisecond || idleTimeout < 2*time.Second {
-		t.Error("an error or a close is owed within 3 s; an idle connection may be closed after 2 s")
+		t.Errorf("headTimeout is %v, want at most 2.8s; idleTimeout is %v, want at least 2s", headTimeout, idleTimeout)
 	}
-	_, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = 300 * time.Millisecond })
-	for _, first := range []string{"", look} {
+	_, ln := startWithoutServers(t, func(f *Frontend) { f.httpServer.ReadTimeout = 300 * time.Millisecond })
+	for _, first := range []string{"", lookRequest} {
 		c := dial(t, ln)
 		br := bufio.NewReader(c)
 		if first != "" {
-			exchange(t, c, br, first, 503)
+			expectStatus(t, c, br, first, 503)
 		}
-		exchange(t, c, br, look[:30], 408)
+		expectStatus(t, c, br, lookRequest[:30], 408)
 	}
 }
 
-// A malformed request is answered and its connection closed.
+// A malformed request is answered, and its connection is closed.
 func TestMalformedRequestClosesTheConnection(t *testing.T) {
-	_, ln := serving(t, nil)
+	_, ln := startWithoutServers(t, nil)
 	c := dial(t, ln)
 	br := bufio.NewReader(c)
-	exchange(t, c, br, "GET /nope HTTP/1.1\r\nHost: h\r\n\r\n", 404)
+	expectStatus(t, c, br, "GET /nope HTTP/1.1\r\nHost: h\r\n\r\n", 404)
 	if _, err := br.ReadByte(); err != io.EOF {
-		t.Fatalf("still open: %v", err)
+		t.Fatalf("read after the response returned error %v, want EOF", err)
 	}
 }
 
-func (f *Frontend) count() int {
+// openConns returns the number of open connections.
+func (f *Frontend) openConns() int {
 	n, _ := f.connCount()
 	return n
 }
 
-// idle counts the connections that could be closed.
-func (f *Frontend) idle() (n int) {
+// idleConns returns the number of idle connections.
+func (f *Frontend) idleConns() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -192,22 +194,23 @@
 	return n
 }
 
+// eventually waits until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// Of two incomplete requests the one that stalls is evicted, and the one that goes on isn't, however long it has taken.
+// Of two incomplete requests, the one that stalls is evicted. The one that makes progress is not, however slow it is.
 func TestSlowWriterIsNotEvicted(t *testing.T) {
-	f, ln := serving(t, nil)
-	slow, stalls := dial(t, ln), dial(t, ln)
-	io.WriteString(slow, look[:1])
-	io.WriteString(stalls, look[:1])
-	halfway := func() (n int) {
+	f, ln := startWithoutServers(t, nil)
+	slow, stalled := dial(t, ln), dial(t, ln)
+	io.WriteString(slow, lookRequest[:1])
+	io.WriteString(stalled, lookRequest[:1])
+	incomplete := func() (n int) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
@@ -217,11 +220,11 @@
 		}
 		return n
 	}
-	eventually(t, "two on their way", func() bool { return halfway() == 2 })
+	eventually(t, "two incomplete requests", func() bool { return incomplete() == 2 })
 	time.Sleep(2 * unusedIdleTime)
 	before := monotonicMicros(time.Now())
-	io.WriteString(slow, look[1:2])
-	eventually(t, "its second byte read", func() bool { // by the server
+	io.WriteString(slow, lookRequest[1:2])
+	eventually(t, "the frontend to read the second byte", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
@@ -232,26 +235,26 @@
 		return false
 	})
 	f.evictConn()
-	if _, err := stalls.Read(make([]byte, 1)); err == nil {
-		t.Fatal("the one that stalls was answered")
+	if _, err := stalled.Read(make([]byte, 1)); err == nil {
+		t.Fatal("read on the stalled connection succeeded, want a close without a response")
 	}
 	f.evictConn()
-	if n := halfway(); n != 1 {
-		t.Fatalf("%d requests on their way, want that of the slow writer", n)
+	if n := incomplete(); n != 1 {
+		t.Fatalf("%d requests are incomplete, want 1, that of the slow client", n)
 	}
 }
 
-// A request that is incomplete at the end of a shutdown is answered before its connection is closed.
+// A request that is incomplete at the end of a shutdown is answered with 408 before its connection is closed.
 func TestIncompleteRequestIsAnsweredAtShutdown(t *testing.T) {
-	f, ln := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = time.Minute })
+	f, ln := startWithoutServers(t, func(f *Frontend) { f.httpServer.ReadTimeout = time.Minute })
 	c := dial(t, ln)
-	io.WriteString(c, look[:20])
-	eventually(t, "a connection", func() bool { n, _ := f.connCount(); return n == 1 })
+	io.WriteString(c, lookRequest[:20])
+	eventually(t, "an open connection", func() bool { n, _ := f.connCount(); return n == 1 })
 	ctx, cancel := context.WithTimeout(context.Background(), 2*abortMargin)
 	defer cancel()
 	go f.Shutdown(ctx, ln, nil)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusRequestTimeout {
-		t.Fatal(resp, err)
+		t.Fatalf("got response %v, error %v, want status %d", resp, err, http.StatusRequestTimeout)
 	}
 }
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -32,8 +32,9 @@
 	"damsonscale/internal/upstream"
 )
 
-// before starts a frontend before a server, with so many connections to servers.
-func before(t testing.TB, addr string, servers int, change func(*config.Config, *Frontend)) (*Frontend, *sidecar.Sidecar, net.Listener) {
+// startWithServer starts a frontend whose sidecar has one endpoint, and sockets connections to servers. change is called with
+// the configuration before the sidecar starts, and again with the frontend.
+func startWithServer(t testing.TB, addr string, sockets int, change func(*config.Config, *Frontend)) (*Frontend, *sidecar.Sidecar, net.Listener) {
 	t.Helper()
 	conf := &config.Config{
 		Discovery:     "127.0.0.1:1",
@@ -51,7 +52,7 @@
 	if change != nil {
 		change(conf, nil)
 	}
-	side := sidecar.New(conf, servers)
+	side := sidecar.New(conf, sockets)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	f := New(side, &lifecycle.Tracker{}, &conf.Settings, 64, 1<<20)
@@ -68,8 +69,8 @@
 	return f, side, ln
 }
 
-// hooked has a frontend serve another listener, with the reads of its connections.
-func hooked(t *testing.T, f *Frontend, read func(*net.TCPConn, []byte) (int, error)) net.Listener {
+// serveWithReadHook makes a frontend serve another listener, whose connections are read with read.
+func serveWithReadHook(t *testing.T, f *Frontend, read func(*net.TCPConn, []byte) (int, error)) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,8 +81,8 @@
 	return ln
 }
 
-// text is a request of a class of before, with so many bytes of body.
-func text(class, id string, body int) string {
+// requestText returns a request of a class of startWithServer, with a body of the given size in bytes.
+func requestText(class, id string, body int) string {
 	method, key := "POST", ""
 	switch class {
 	case "look":
@@ -93,14 +94,14 @@
 		method, class, id, key, body, strings.Repeat("b", body))
 }
 
-// A request whose bytes had come, read or not, when its connection was marked closing is answered, and the connection is
-// closed after that.
+// If a request has arrived, read or not, when its connection is marked closing, it is answered before the connection is
+// closed.
 func TestRequestOnClosingConnectionIsServed(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		reads func(sent, chosen chan bool) func(*net.TCPConn, []byte) (int, error)
 	}{
-		{"read, and not yet returned", func(sent, chosen chan bool) func(*net.TCPConn, []byte) (int, error) {
+		{"request read and not returned yet", func(sent, chosen chan bool) func(*net.TCPConn, []byte) (int, error) {
 			return func(c *net.TCPConn, p []byte) (int, error) {
 				n, err := c.Read(p)
 				if n > 0 {
@@ -110,7 +111,7 @@
 				return n, err
 			}
 		}},
-		{"come, and its read ended", func(sent, chosen chan bool) func(*net.TCPConn, []byte) (int, error) {
+		{"request arrived and read interrupted", func(sent, chosen chan bool) func(*net.TCPConn, []byte) (int, error) {
 			return func(c *net.TCPConn, p []byte) (int, error) {
 				sent <- true
 				<-chosen
@@ -119,183 +120,183 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f, _ := serving(t, nil)
+			f, _ := startWithoutServers(t, nil)
 			sent, chosen := make(chan bool, 1), make(chan bool)
-			ln := hooked(t, f, c.reads(sent, chosen))
+			ln := serveWithReadHook(t, f, c.reads(sent, chosen))
 			client := dial(t, ln)
-			io.WriteString(client, look)
+			io.WriteString(client, lookRequest)
 			<-sent
-			eventually(t, "one idle connection", func() bool { return f.idle() == 1 })
+			eventually(t, "an idle connection", func() bool { return f.idleConns() == 1 })
 			f.closeIdleConns(-time.Hour, true)
 			close(chosen)
 			br := bufio.NewReader(client)
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil || resp.StatusCode != 503 {
-				t.Fatalf("%v %v", resp, err)
+				t.Fatalf("got response %v, error %v, want status 503", resp, err)
 			}
 			io.Copy(io.Discard, resp.Body)
 			if _, err := br.ReadByte(); err != io.EOF {
-				t.Fatalf("the connection goes on: %v", err)
+				t.Fatalf("read after the response returned error %v, want EOF", err)
 			}
 		})
 	}
 }
 
-// A connection that is marked closing while it sets its own deadline, or before its first read, is closed.
+// A connection is closed if it is marked closing before its first read, even if its read deadline is set afterwards.
 func TestClosingConnectionIsClosed(t *testing.T) {
-	f, _ := serving(t, func(f *Frontend) { f.httpServer.ReadTimeout = time.Hour })
-	reads, on := make(chan bool, 1), make(chan bool)
-	ln := hooked(t, f, func(c *net.TCPConn, p []byte) (int, error) {
-		reads <- true
-		<-on
+	f, _ := startWithoutServers(t, func(f *Frontend) { f.httpServer.ReadTimeout = time.Hour })
+	reading, resume := make(chan bool, 1), make(chan bool)
+	ln := serveWithReadHook(t, f, func(c *net.TCPConn, p []byte) (int, error) {
+		reading <- true
+		<-resume
 		return c.Read(p)
 	})
 	client := dial(t, ln)
-	<-reads
+	<-reading
 	f.closeIdleConns(-time.Hour, true)
 	f.mu.Lock()
 	for c := range f.conns {
 		c.SetReadDeadline(time.Now().Add(time.Hour)) // as fasthttp does before each request
 	}
 	f.mu.Unlock()
-	close(on)
+	close(resume)
 	if b, err := io.ReadAll(client); err != nil || len(b) != 0 {
-		t.Fatalf("%q %v", b, err)
+		t.Fatalf("read %q with error %v, want a close without a response", b, err)
 	}
 }
 
-// leaves closes a client's connection.
-func leaves(c net.Conn, reset bool) {
+// disconnect closes a client's connection, with a reset if reset is true.
+func disconnect(c net.Conn, reset bool) {
 	if reset {
 		c.(*net.TCPConn).SetLinger(0)
 	}
 	c.Close()
 }
 
-// A request whose client disconnects while it waits is not forwarded, wherever it waits, and is not retried.
+// A request whose client disconnects while the request waits is neither forwarded nor retried, whatever it waits for.
 func TestRequestsOfDisconnectedClientsAreNotForwarded(t *testing.T) {
-	type scene struct {
+	type scenario struct {
 		*standin.Server
-		f    *Frontend
-		side *sidecar.Sidecar
-		ln   net.Listener
-		sent int    // times that the leaver was, before it leaves
-		on   func() // ends its waiting
+		f      *Frontend
+		side   *sidecar.Sidecar
+		ln     net.Listener
+		sent   int    // attempts that reach the server before the client disconnects
+		resume func() // ends the wait of the request
 	}
-	type place struct {
+	type waitCase struct {
 		name  string
-		begin func(t *testing.T) *scene // has the request wait
-		body  int
+		begin func(t *testing.T) *scenario // sets up what the request waits for
+		body  int                          // size of the request body in bytes
 	}
-	// held fills the only connection to a server with a request that it answers once on is called.
-	held := func(t *testing.T, change func(*config.Config, *Frontend)) *scene {
-		stay := make(chan bool)
+	// occupied uses the only connection to the server for a request that is answered after resume is called.
+	occupied := func(t *testing.T, change func(*config.Config, *Frontend)) *scenario {
+		release := make(chan bool)
 		s := standin.NewServer(t, func(c *net.TCPConn, r *http.Request) bool {
 			if r.Header.Get("Req-Id") == "fill" {
-				<-stay
+				<-release
 			}
 			return standin.Yes(c, r)
 		})
-		f, side, ln := before(t, s.Addr, 1, change)
-		io.WriteString(dial(t, ln), text("look", "fill", 0))
-		eventually(t, "a full connection", func() bool { return s.Got("fill") == 1 })
-		on := sync.OnceFunc(func() { close(stay) })
-		t.Cleanup(on)
-		return &scene{s, f, side, ln, 0, on}
+		f, side, ln := startWithServer(t, s.Addr, 1, change)
+		io.WriteString(dial(t, ln), requestText("look", "fill", 0))
+		eventually(t, "the request that occupies the connection", func() bool { return s.Got("fill") == 1 })
+		resume := sync.OnceFunc(func() { close(release) })
+		t.Cleanup(resume)
+		return &scenario{s, f, side, ln, 0, resume}
 	}
-	for _, p := range []place{
-		{"for a socket", func(t *testing.T) *scene {
-			return held(t, nil)
+	for _, w := range []waitCase{
+		{"for a socket", func(t *testing.T) *scenario {
+			return occupied(t, nil)
 		}, 0},
-		{"in the module, behind a cold server's ration", func(t *testing.T) *scene {
-			s, room := standin.NewServer(t, standin.Yes), make(chan bool)
+		{"in the balancer during slow start", func(t *testing.T) *scenario {
+			s, capacity := standin.NewServer(t, standin.Yes), make(chan bool)
 			list := standin.NewDiscovery(t, func(w *standin.Watch) {
 				w.Begin()
-				<-room
+				<-capacity
 				w.Tell(`{"seq":2,"hosts":[{"host":"s2","dial":"` + s.Addr + `","health":"Ready"}]}` + "\n")
 				w.Left()
 			})
-			f, side, ln := before(t, s.Addr, 8, func(c *config.Config, _ *Frontend) {
+			f, side, ln := startWithServer(t, s.Addr, 8, func(c *config.Config, _ *Frontend) {
 				c.Discovery, c.LastEndpoints.Endpoints[0].StartedAtMs = list, time.Now().UnixMilli()
 				c.Settings.Rules.SlowStartWindow, c.Settings.Rules.SlowStartMinShare = 3_600_000_000, 0.1
 			})
-			return &scene{s, f, side, ln, 0, func() { close(room) }}
+			return &scenario{s, f, side, ln, 0, func() { close(capacity) }}
 		}, 0},
-		{"for a dial", func(t *testing.T) *scene {
+		{"for a dial", func(t *testing.T) *scenario {
 			s := standin.NewServer(t, standin.Yes)
 			addr, accept := standin.Crowded(t, s.Addr)
-			f, side, ln := before(t, addr, 8, nil)
-			return &scene{s, f, side, ln, 0, accept}
+			f, side, ln := startWithServer(t, addr, 8, nil)
+			return &scenario{s, f, side, ln, 0, accept}
 		}, 0},
-		{"between two tries", func(t *testing.T) *scene {
-			stay := make(chan bool)
+		{"between two attempts", func(t *testing.T) *scenario {
+			release := make(chan bool)
 			s := standin.NewServer(t, func(c *net.TCPConn, r *http.Request) bool {
 				if r.Header.Get("Req-Id") != "leaver" {
 					return standin.Yes(c, r)
 				}
-				<-stay
+				<-release
 				return standin.Say(c, 503, standin.Declined, "")
 			})
-			f, side, ln := before(t, s.Addr, 8, nil)
-			return &scene{s, f, side, ln, 1, func() { close(stay) }}
+			f, side, ln := startWithServer(t, s.Addr, 8, nil)
+			return &scenario{s, f, side, ln, 1, func() { close(release) }}
 		}, 0},
-		{"for the rest of its body", func(t *testing.T) *scene {
-			return held(t, func(_ *config.Config, f *Frontend) {
+		{"for the rest of its body", func(t *testing.T) *scenario {
+			return occupied(t, func(_ *config.Config, f *Frontend) {
 				if f != nil {
-					f.bodyBudget.reserve(1 << 20) // none of it is left
+					f.bodyBudget.reserve(1 << 20) // use up the budget
 				}
 			})
 		}, 40 << 10},
 	} {
 		for _, class := range []string{"look", "make", "once"} {
 			for _, how := range []string{
-				"closing", "resetting", "closing behind bytes sent in advance",
+				"closing", "resetting", "closing after bytes sent in advance",
 				"closing" + unread, "resetting" + unread, "closing" + unwatched, "resetting" + unwatched,
 			} {
-				t.Run(p.name+"/"+class+"/"+how, func(t *testing.T) {
+				t.Run(w.name+"/"+class+"/"+how, func(t *testing.T) {
 					unseen := strings.HasSuffix(how, unread) || strings.HasSuffix(how, unwatched)
-					if p.body > 0 && (class == "look" || how == "closing behind bytes sent in advance" || strings.HasSuffix(how, unwatched)) {
-						return // has no body; its body is what comes next; many reads bring it
+					if w.body > 0 && (class == "look" || how == "closing after bytes sent in advance" || strings.HasSuffix(how, unwatched)) {
+						return // no body; the next bytes belong to the body; the body needs many reads
 					}
-					s := p.begin(t)
-					ln, watched := s.ln, make(chan bool)
-					defer sync.OnceFunc(func() { close(watched) })()
+					s := w.begin(t)
+					ln, resumeReads := s.ln, make(chan bool)
+					defer sync.OnceFunc(func() { close(resumeReads) })()
 					if strings.HasSuffix(how, unwatched) {
-						ln = hooked(t, s.f, afterFirst(watched))
+						ln = serveWithReadHook(t, s.f, holdReadsAfterFirst(resumeReads))
 					}
 					client := dial(t, ln)
-					request := text(class, "leaver", p.body)
+					request := requestText(class, "leaver", w.body)
 					switch {
-					case strings.HasSuffix(how, unread) && p.body > 0:
-						request += strings.Repeat("b", 48<<10-p.body)
-						request = strings.Replace(request, fmt.Sprint("Length: ", p.body), fmt.Sprint("Length: ", 48<<10), 1)
-					case p.body > 0:
-						request = request[:len(request)-p.body/2]
+					case strings.HasSuffix(how, unread) && w.body > 0:
+						request += strings.Repeat("b", 48<<10-w.body)
+						request = strings.Replace(request, fmt.Sprint("Length: ", w.body), fmt.Sprint("Length: ", 48<<10), 1)
+					case w.body > 0:
+						request = request[:len(request)-w.body/2]
 					case strings.HasSuffix(how, unread):
 						request += strings.Repeat("GET /look HTTP/1.1\r\n", 48<<10/20)
 					}
 					io.WriteString(client, request)
-					eventually(t, "the leaver with the module", func() bool {
+					eventually(t, "the request to reach the balancer", func() bool {
 						return slices.Contains(s.side.InFlight(), "leaver")
 					})
-					eventually(t, "the leaver at its place", func() bool { return s.Got("leaver") == s.sent })
+					eventually(t, "the request to wait", func() bool { return s.Got("leaver") == s.sent })
 					if strings.Contains(how, "advance") {
 						io.WriteString(client, "GET ")
-						eventually(t, "the bytes sent in advance read", func() bool { return s.f.readOn() })
+						eventually(t, "the bytes sent in advance to be read", func() bool { return s.f.allBytesRead() })
 					}
-					others, from := s.f.count()-1, client.LocalAddr().String()
-					leaves(client, strings.HasPrefix(how, "resetting"))
-					if unseen { // nobody reads that far: the end has come, and stands there
-						eventually(t, "the leaving at the sidecar", func() bool { return s.f.hasEnded(from) })
+					others, from := s.f.openConns()-1, client.LocalAddr().String()
+					disconnect(client, strings.HasPrefix(how, "resetting"))
+					if unseen { // the background read does not reach the end of the connection
+						eventually(t, "the disconnect to reach the kernel", func() bool { return s.f.seesDisconnect(from) })
 					} else {
-						eventually(t, "the leaver's end", func() bool { return s.f.count() == others })
+						eventually(t, "the connection to be closed", func() bool { return s.f.openConns() == others })
 					}
-					s.on()
-					usual := dial(t, s.ln)
-					exchange(t, usual, bufio.NewReader(usual), text("look", "usual", 0), 200) // after all that waited before it
-					eventually(t, "nothing under way", func() bool { return len(s.side.InFlight()) == 0 })
+					s.resume()
+					other := dial(t, s.ln)
+					expectStatus(t, other, bufio.NewReader(other), requestText("look", "usual", 0), 200) // served after the requests that waited before it
+					eventually(t, "no request in flight", func() bool { return len(s.side.InFlight()) == 0 })
 					if n := s.Got("leaver"); n != s.sent {
-						t.Fatalf("sent %d times, want %d", n, s.sent)
+						t.Fatalf("server got %d attempts, want %d", n, s.sent)
 					}
 				})
 			}
@@ -303,25 +304,26 @@
 	}
 }
 
-// Ways of a client to disconnect that the background read doesn't see.
+// Disconnects that the background read does not detect.
 const (
-	unread    = " behind more than is read on"
-	unwatched = ", its watch held back"
+	unread    = " after unread bytes"
+	unwatched = ", background read delayed"
 )
 
-// afterFirst makes reads of which all but the first wait for on: the goroutine that watches a client lags.
-func afterFirst(on chan bool) func(*net.TCPConn, []byte) (int, error) {
+// holdReadsAfterFirst returns a read function that delays all reads but the first until resume is closed, as if the goroutine
+// of the background read lagged.
+func holdReadsAfterFirst(resume chan bool) func(*net.TCPConn, []byte) (int, error) {
 	var reads atomic.Int64
 	return func(c *net.TCPConn, p []byte) (int, error) {
 		if reads.Add(1) > 1 {
-			<-on
+			<-resume
 		}
 		return c.Read(p)
 	}
 }
 
-// hasEnded returns whether the system has seen the disconnect of the client at that address.
-func (f *Frontend) hasEnded(from string) (ended bool) {
+// seesDisconnect reports whether the kernel has received the disconnect of the client with the given address.
+func (f *Frontend) seesDisconnect(from string) (ended bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -341,8 +343,8 @@
 	return ended
 }
 
-// readOn returns whether the background reads have read all that clients sent ahead.
-func (f *Frontend) readOn() bool {
+// allBytesRead reports whether the background reads have read all bytes that clients have sent ahead.
+func (f *Frontend) allBytesRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -362,22 +364,22 @@
 	return true
 }
 
-// late is a listener that has accepted a connection and doesn't return it yet.
-type late struct {
+// heldListener is a listener that holds accepted connections back until resume is closed.
+type heldListener struct {
 	net.Listener
-	got, on, closed chan bool
+	accepted, resume, closed chan bool
 }
 
-func (l *late) Accept() (net.Conn, error) {
+func (l *heldListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		l.got <- true
-		<-l.on
+		l.accepted <- true
+		<-l.resume
 	}
 	return c, err
 }
 
-func (l *late) Close() error {
+func (l *heldListener) Close() error {
 	err := l.Listener.Close()
 	select {
 	case l.closed <- true:
@@ -386,18 +388,19 @@
 	return err
 }
 
-// A connection that is accepted and not counted yet keeps a shutdown from ending: its request is answered.
-func TestConnectionAcceptedAtTheEndOfShutdown(t *testing.T) {
-	f, _ := serving(t, nil)
+// A connection that the listener has accepted but Accept has not returned keeps Shutdown from returning, and its request is
+// answered.
+func TestConnectionAcceptedDuringShutdownIsServed(t *testing.T) {
+	f, _ := startWithoutServers(t, nil)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln := &late{inner, make(chan bool, 1), make(chan bool), make(chan bool, 1)}
+	ln := &heldListener{inner, make(chan bool, 1), make(chan bool), make(chan bool, 1)}
 	go f.Serve(ln)
 	client := dial(t, inner)
-	io.WriteString(client, look)
-	<-ln.got
+	io.WriteString(client, lookRequest)
+	<-ln.accepted
 	drained := make(chan bool)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -408,30 +411,30 @@
 	<-ln.closed
 	select {
 	case <-drained:
-		t.Fatal("the drain ended before the connection's request")
-	case <-time.After(10 * pollInterval): // what is tested holds however long this is
+		t.Fatal("Shutdown returned before the request was answered")
+	case <-time.After(10 * pollInterval): // a longer wait would only be more likely to detect the fault
 	}
-	close(ln.on)
+	close(ln.resume)
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil || resp.StatusCode != 503 {
-		t.Fatal(resp, err)
+		t.Fatalf("got response %v, error %v, want status 503", resp, err)
 	}
 	<-drained
 }
 
-// A shutdown as short as that of deadlines of 200 ms closes its listener, and leaves time for the last connections.
+// Shutdown closes the listener even if its time is as short as with deadlines of 200 ms.
 func TestShortShutdownClosesTheListener(t *testing.T) {
 	for _, total := range []time.Duration{abortMargin, abortMargin + answerTimeAfterAccept, 800 * time.Millisecond} {
-		f, _ := serving(t, nil)
+		f, _ := startWithoutServers(t, nil)
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		ln := &late{inner, make(chan bool, 99), make(chan bool), make(chan bool, 1)}
-		close(ln.on)
+		ln := &heldListener{inner, make(chan bool, 99), make(chan bool), make(chan bool, 1)}
+		close(ln.resume)
 		go f.Serve(ln)
 		stop := make(chan bool)
-		go func() { // one that polls
+		go func() { // a client that keeps connecting
 			for {
 				select {
 				case <-stop:
@@ -450,46 +453,46 @@
 		select {
 		case <-ln.closed:
 		default:
-			t.Errorf("a drain of %v ends with its listener open", total)
+			t.Errorf("listener is open after a shutdown of %v", total)
 		}
 	}
 }
 
-// A request that comes just as the idle timeout expires is served, and the connection stays open.
+// A request that arrives just as the idle timeout expires is served, and the connection stays open.
 func TestRequestAtTheIdleTimeoutIsServed(t *testing.T) {
-	f, _ := serving(t, nil)
-	ended, sent := make(chan bool, 1), make(chan bool)
+	f, _ := startWithoutServers(t, nil)
+	expired, sent := make(chan bool, 1), make(chan bool)
 	var once atomic.Bool
-	ln := hooked(t, f, func(c *net.TCPConn, p []byte) (int, error) {
-		if once.CompareAndSwap(false, true) { // its patience is over, and what follows comes before anyone looks
+	ln := serveWithReadHook(t, f, func(c *net.TCPConn, p []byte) (int, error) {
+		if once.CompareAndSwap(false, true) { // the read times out, and the request arrives before the result is handled
 			c.SetReadDeadline(expiredDeadline)
 			n, err := c.Read(p)
-			ended <- true
+			expired <- true
 			<-sent
 			return n, err
 		}
 		return c.Read(p)
 	})
 	client := dial(t, ln)
-	<-ended
-	io.WriteString(client, look)
+	<-expired
+	io.WriteString(client, lookRequest)
 	close(sent)
 	br := bufio.NewReader(client)
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil || resp.StatusCode != 503 {
-		t.Fatal(resp, err)
+		t.Fatalf("got response %v, error %v, want status 503", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
-	exchange(t, client, br, look, 503)
+	expectStatus(t, client, br, lookRequest, 503)
 }
 
-// An orphan isn't resumed where its class has other semantics by now, or is unknown.
-func TestOrphanAcrossAReload(t *testing.T) {
-	f, _ := serving(t, nil)
+// An orphan is not resumed if the settings no longer contain its class, or contain it with other semantics.
+func TestOrphanOfChangedClassIsNotResumed(t *testing.T) {
+	f, _ := startWithoutServers(t, nil)
 	rec := &takeover.Record{Class: "make", Idempotency: takeover.IdempotentByKey, DeadlineAge: 1_000_000}
 	for _, c := range []struct {
 		classes []decide.Class
-		runs    bool
+		resumed bool
 	}{
 		{[]decide.Class{{Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, true},
 		{[]decide.Class{{Name: "other", PriorityWeight: 1}, {Name: "make", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, true},
@@ -497,30 +500,30 @@
 		{[]decide.Class{{Name: "made", PriorityWeight: 1, Semantics: decide.IdempotencyKeyed}}, false},
 	} {
 		f.ApplySettings(&decide.Settings{Classes: c.classes})
-		if _, err := f.ResumeOrphan(rec, &takeover.StoredRequest{}); (err == nil) != c.runs {
-			t.Errorf("%+v: %v", c.classes, err)
+		if _, err := f.ResumeOrphan(rec, &takeover.StoredRequest{}); (err == nil) != c.resumed {
+			t.Errorf("classes %+v: ResumeOrphan returned error %v, want success: %v", c.classes, err, c.resumed)
 		}
 	}
 }
 
-// Many bad clients of each kind leak neither connections nor goroutines, and others are served.
-func TestBadClientsLeakNothing(t *testing.T) {
+// Misbehaving clients of each kind leak neither connections nor goroutines, and other clients are served.
+func TestMisbehavingClientsLeakNothing(t *testing.T) {
 	s := standin.NewServer(t, standin.Yes)
-	f, side, ln := before(t, s.Addr, 8, func(_ *config.Config, f *Frontend) {
+	f, side, ln := startWithServer(t, s.Addr, 8, func(_ *config.Config, f *Frontend) {
 		if f != nil {
-			f.httpServer.MaxIdleWorkerDuration = 20 * time.Millisecond // fasthttp keeps its goroutines for 10 s else
+			f.httpServer.MaxIdleWorkerDuration = 20 * time.Millisecond // by default fasthttp keeps idle goroutines for 10 s
 		}
 	})
-	usual := func(id string) {
+	sendValid := func(id string) {
 		c := dial(t, ln)
-		exchange(t, c, bufio.NewReader(c), text("look", id, 0), 200)
+		expectStatus(t, c, bufio.NewReader(c), requestText("look", id, 0), 200)
 		c.Close()
 	}
-	usual("first")
-	eventually(t, "a quiet start", func() bool { return f.count() == 0 && len(side.InFlight()) == 0 })
+	sendValid("first")
+	eventually(t, "no connection and no request in flight", func() bool { return f.openConns() == 0 && len(side.InFlight()) == 0 })
 	for i, bad := range []string{
-		"", "\r\n\r\n", "GET\r\n\r\n", "GET /none HTTP/1.1\r\nHost: h\r\n\r\n", strings.Repeat("x", 20<<10), look[:30],
-		text("make", "half", 4000)[:300], text("make", "long", 0) + strings.Repeat(text("look", "more", 0), 400),
+		"", "\r\n\r\n", "GET\r\n\r\n", "GET /none HTTP/1.1\r\nHost: h\r\n\r\n", strings.Repeat("x", 20<<10), lookRequest[:30],
+		requestText("make", "half", 4000)[:300], requestText("make", "long", 0) + strings.Repeat(requestText("look", "more", 0), 400),
 		"POST /make HTTP/1.1\r\nHost: h\r\nReq-Id: c\r\nReq-Deadline-Ms: 5000\r\nIdempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 		"POST /make HTTP/1.1\r\nHost: h\r\nReq-Id: d\r\nReq-Deadline-Ms: 5000\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
 	} {
@@ -531,28 +534,28 @@
 				t.Fatal(err)
 			}
 			io.WriteString(c, bad)
-			leaves(c, n%2 == 0)
+			disconnect(c, n%2 == 0)
 		}
-		eventually(t, fmt.Sprintf("the end of crowd %d", i), func() bool { return f.count() == 0 && len(side.InFlight()) == 0 })
-		usual(fmt.Sprint("after", i))
-		eventually(t, fmt.Sprintf("no goroutine more after crowd %d", i), func() bool { return runtime.NumGoroutine() <= before+8 })
+		eventually(t, fmt.Sprintf("the end of the clients of case %d", i), func() bool { return f.openConns() == 0 && len(side.InFlight()) == 0 })
+		sendValid(fmt.Sprint("after", i))
+		eventually(t, fmt.Sprintf("the goroutines of case %d to end", i), func() bool { return runtime.NumGoroutine() <= before+8 })
 	}
 }
 
-// TestLeaversMeasured measures how many attempts and retries begin over 0.1 s after their client has disconnected, with
-// so many clients at failing servers. It depends on timing, so it runs only where LEAVERS says how many.
-func TestLeaversMeasured(t *testing.T) {
-	most, err := strconv.Atoi(os.Getenv("LEAVERS"))
+// No attempt may begin more than 0.1 s after its client has disconnected, with failing servers. This depends on timing, so the
+// test runs only if the environment variable LEAVERS has the number of clients.
+func TestAttemptsForDisconnectedClients(t *testing.T) {
+	clients, err := strconv.Atoi(os.Getenv("LEAVERS"))
 	if err != nil {
-		t.Skip("LEAVERS names no number: a measurement")
+		t.Skip("LEAVERS is not set to the number of clients")
 	}
 	for _, cancel := range []bool{true, false} {
 		var mu sync.Mutex
-		came, left := map[string][]time.Time{}, map[string]time.Time{}
+		arrivals, disconnects := map[string][]time.Time{}, map[string]time.Time{}
 		s := standin.NewServer(t, func(c *net.TCPConn, r *http.Request) bool {
 			id := r.Header.Get("Req-Id")
 			mu.Lock()
-			came[id] = append(came[id], time.Now())
+			arrivals[id] = append(arrivals[id], time.Now())
 			mu.Unlock()
 			switch n := rand.IntN(10); {
 			case n < 3:
@@ -569,7 +572,7 @@
 				return false
 			}
 		})
-		_, _, ln := before(t, s.Addr, 12, func(c *config.Config, _ *Frontend) {
+		_, _, ln := startWithServer(t, s.Addr, 12, func(c *config.Config, _ *Frontend) {
 			c.Settings.Limits.Cancel = cancel
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].Deadline = 2_000_000
@@ -580,7 +583,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				for i := range most / 60 {
+				for i := range clients / 60 {
 					id := fmt.Sprintf("%d-%d", w, i)
 					c, err := net.Dial("tcp", ln.Addr().String())
 					if err != nil {
@@ -592,58 +595,58 @@
 					if class != "look" && rand.IntN(4) == 0 {
 						body = 30 << 10
 					}
-					io.WriteString(c, strings.Replace(text(class, id, body), "Ms: 60000", "Ms: 2000", 1))
+					io.WriteString(c, strings.Replace(requestText(class, id, body), "Ms: 60000", "Ms: 2000", 1))
 					switch rand.IntN(8) {
 					case 0:
 						io.WriteString(c, "GET /look")
 					case 1:
-						io.WriteString(c, strings.Repeat("GET /look HTTP/1.1\r\n", 48<<10/20)) // past what is read on
+						io.WriteString(c, strings.Repeat("GET /look HTTP/1.1\r\n", 48<<10/20)) // more than maxReadAheadBytes
 					}
 					time.Sleep(time.Duration(rand.IntN(150)) * time.Millisecond)
 					mu.Lock()
-					left[id] = time.Now()
+					disconnects[id] = time.Now()
 					mu.Unlock()
-					leaves(c, rand.IntN(2) == 0)
+					disconnect(c, rand.IntN(2) == 0)
 				}
 			}()
 		}
 		wg.Wait()
 		time.Sleep(2 * time.Second)
 		mu.Lock()
-		var total, later [2]int // of first and of further attempts
+		var total, late [2]int // of first attempts and of further attempts
 		var latest [2]time.Duration
-		for id, at := range left {
-			for i, when := range came[id] {
+		for id, at := range disconnects {
+			for i, when := range arrivals[id] {
 				kind := min(i, 1)
 				total[kind]++
 				latest[kind] = max(latest[kind], when.Sub(at))
 				if when.Sub(at) > 100*time.Millisecond {
-					later[kind]++
+					late[kind]++
 				}
 			}
 		}
 		mu.Unlock()
 		for kind, name := range []string{"first", "further"} {
-			t.Logf("cancel %v: %d leavers, %d %s attempts, %d over 0.1 s after the leaving, the latest %v after it",
-				cancel, len(left), total[kind], name, later[kind], latest[kind])
-			if later[kind] > 0 {
-				t.Errorf("%d %s attempts for those who had left", later[kind], name)
+			t.Logf("cancel %v: %d clients disconnected, %d %s attempts, %d of them over 0.1 s after the disconnect, the latest %v after it",
+				cancel, len(disconnects), total[kind], name, late[kind], latest[kind])
+			if late[kind] > 0 {
+				t.Errorf("%d %s attempts began over 0.1 s after their client had disconnected, want 0", late[kind], name)
 			}
 		}
 	}
 }
 
-// A body that is stopped just before the next read stays stopped.
+// After stop, a body can't be read, even if stop comes just before a read that sets its own deadline.
 func TestStoppedBodyStaysStopped(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer ours.Close()
-	defer theirs.Close()
-	c := &clientConn{Conn: ours}
+	server, client := net.Pipe()
+	defer server.Close()
+	defer client.Close()
+	c := &clientConn{Conn: server}
 	b := &requestBody{conn: c, source: c, length: 9}
 	b.remainder = upstream.NewBodyRemainder(b, b.length, b.stop)
 	b.stop()
-	go func() { theirs.Write([]byte("late")) }() // nobody is to wait for it
+	go func() { client.Write([]byte("late")) }() // must not be read
 	if n, err := b.remainder.Read(make([]byte, 9)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("read on: %d bytes, %v", n, err)
+		t.Fatalf("read of a stopped body returned %d bytes and error %v, want 0 bytes and %v", n, err, os.ErrDeadlineExceeded)
 	}
 }
--- a/internal/frontend/recorded_test.go
+++ b/internal/frontend/recorded_test.go
@@ -10,8 +10,8 @@
 	"damsonscale/internal/upstream"
 )
 
-// The JSON of a handed over stream is that of commit 2029d41, byte for byte.
-func TestRecordedStreams(t *testing.T) {
+// The JSON of a stream handover equals, byte for byte, the JSON recorded at commit 2029d41.
+func TestStreamHandoverFormat(t *testing.T) {
 	for name, want := range map[string]streamMessage{
 		"stream.json": {
 			Stream: upstream.StreamState{
@@ -28,10 +28,10 @@
 		}
 		var got streamMessage
 		if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read %+v, expected %+v: %v", name, got, want, err)
+			t.Errorf("%s: decoded %+v with error %v, want %+v", name, got, err, want)
 		}
-		if wrote, err := json.Marshal(want); err != nil || !bytes.Equal(wrote, bytes.TrimSpace(text)) {
-			t.Errorf("%s: wrote %s, the build of 2029d41 wrote %s: %v", name, wrote, text, err)
+		if encoded, err := json.Marshal(want); err != nil || !bytes.Equal(encoded, bytes.TrimSpace(text)) {
+			t.Errorf("%s: encoded %s with error %v, want the JSON of commit 2029d41: %s", name, encoded, err, text)
 		}
 	}
 }
