--- a/decide/api.go
+++ b/decide/api.go
@@ -83,11 +83,11 @@
 
 // LoadReport is what an endpoint reports of itself. A negative figure is absent.
 type LoadReport struct {
-	InFlight, Queue float64 // requests
-	Busy            float64 // share of its capacity
-	LatencyMs       float64 // of work there without waiting, in ms
-	Rate            float64 // requests per second
-	ErrorRate       float64 // errors per second
+	InFlight, QueueLength float64 // requests
+	Utilization           float64 // share of its capacity
+	ServiceTimeMs         float64 // of work there without waiting, in ms
+	RequestRate           float64 // requests per second
+	ErrorRate             float64 // errors per second
 }
 
 // Outcome is the end of one attempt. Each attempt has exactly one.
@@ -102,8 +102,8 @@
 	Load            *LoadReport
 }
 
-// HealthCheck is the end of one health check.
-type HealthCheck struct {
+// HealthCheckOutcome is the end of one health check.
+type HealthCheckOutcome struct {
 	Server  string
 	Result  Result
 	Latency int64
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -17,7 +17,7 @@
 	sum := 0.0
 	for _, s := range b.endpoints {
 		s.Capacity = s.listedCapacity
-		if b.settings.CapacityLive && s.peakCapacity > 0 {
+		if b.settings.CapacityFollowsLoad && s.peakCapacity > 0 {
 			s.Capacity = s.peakCapacity
 		}
 		if p := peaks[s.MachineKind]; len(p) > 0 && p[len(p)/2] > 0 {
@@ -34,7 +34,7 @@
 // peaksByKind lists the peaks of each kind of machine in order; none where listed capacities don't move.
 func (b *Balancer) peaksByKind() map[string][]float64 {
 	peaks := map[string][]float64{}
-	if !b.settings.CapacityLive {
+	if !b.settings.CapacityFollowsLoad {
 		return peaks
 	}
 	for _, s := range b.endpoints {
--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -9,7 +9,7 @@
 // Live capacities count with their peak, at the median of a kind of machine; absurd ones change nothing.
 func TestCapacityFromLivePeaks(t *testing.T) {
 	set := testSettings()
-	set.CapacityListed, set.CapacityLive = true, true
+	set.CapacityListed, set.CapacityFollowsLoad = true, true
 	list := []Endpoint{{ID: "a", MachineKind: "big", Capacity: 3}, {ID: "b", MachineKind: "big", Capacity: 1.1}, {ID: "c", MachineKind: "big", Capacity: 3},
 		{ID: "d", MachineKind: "small", Capacity: 1}}
 	w := newWorkload(t, set, list...)
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -223,8 +223,8 @@
 // gossipFanout is how many balancers a message of one endpoint goes to.
 func (b *Balancer) gossipFanout() int {
 	fanout := min(maxGossipFanout, fleetGossipFanout/float64(max(1, b.settings.BalancerCount)))
-	if b.settings.Limits.CPU > 0 {
-		fanout = min(fanout, float64(b.settings.Limits.CPU)/gossipCPUPerPeer)
+	if b.settings.Limits.DecisionCPU > 0 {
+		fanout = min(fanout, float64(b.settings.Limits.DecisionCPU)/gossipCPUPerPeer)
 	}
 	return int(max(1, fanout))
 }
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -183,7 +183,7 @@
 func TestGossipFanout(t *testing.T) {
 	for cpu, want := range map[int64]int{0: 24, 8000: 20, 500_000: 24, 1: 1} {
 		set := testSettings()
-		set.Limits.CPU = cpu
+		set.Limits.DecisionCPU = cpu
 		if got := New(set, 1, noActions{}).gossipFanout(); got != want {
 			t.Errorf("CPU %d: to %d, want %d", cpu, got, want)
 		}
--- a/decide/health_checks.go
+++ b/decide/health_checks.go
@@ -23,7 +23,7 @@
 }
 
 // OnHealthCheck takes the end of a health check. It says nothing but the load: a failed one ejects nobody.
-func (b *Balancer) OnHealthCheck(_ int64, c HealthCheck) {
+func (b *Balancer) OnHealthCheck(_ int64, c HealthCheckOutcome) {
 	if s := b.knownEndpoints[c.Server]; s != nil && c.Result == Succeeded {
 		b.recordLoadReport(s, c.Load)
 	}
--- a/decide/load_reports.go
+++ b/decide/load_reports.go
@@ -26,20 +26,20 @@
 	}
 	b.loadReports.seen = true
 	inFlight := report.InFlight
-	if inFlight < 0 && report.Queue >= 0 {
-		inFlight = math.Sqrt(1+report.Queue) - 1 // a queue says less than what is in flight
+	if inFlight < 0 && report.QueueLength >= 0 {
+		inFlight = math.Sqrt(1+report.QueueLength) - 1 // a queue says less than what is in flight
 	}
 	if inFlight >= 0 && inFlight < maxReportedInFlight {
 		s.reportedInFlight = inFlight
 		b.loadReports.meanInFlight += (inFlight - b.loadReports.meanInFlight) / meanInFlightReports
 	}
-	if !(report.LatencyMs > 0 && report.LatencyMs < maxReportedLatencyMs) {
+	if !(report.ServiceTimeMs > 0 && report.ServiceTimeMs < maxReportedLatencyMs) {
 		return
 	}
 	if s.reportedLatencyMs == 0 {
-		s.reportedLatencyMs = report.LatencyMs
+		s.reportedLatencyMs = report.ServiceTimeMs
 	}
-	s.reportedLatencyMs += (report.LatencyMs - s.reportedLatencyMs) * reportedLatencyStep
+	s.reportedLatencyMs += (report.ServiceTimeMs - s.reportedLatencyMs) * reportedLatencyStep
 }
 
 // loadWeight is the factor of s in the draw for what it reports to have in flight, beside the mean. It is
--- a/decide/load_reports_test.go
+++ b/decide/load_reports_test.go
@@ -6,7 +6,7 @@
 
 // loadReport is a report with some figures; the others are absent.
 func loadReport(held, queue, latency float64) *LoadReport {
-	return &LoadReport{InFlight: held, Queue: queue, Busy: -1, LatencyMs: latency, Rate: -1, ErrorRate: -1}
+	return &LoadReport{InFlight: held, QueueLength: queue, Utilization: -1, ServiceTimeMs: latency, RequestRate: -1, ErrorRate: -1}
 }
 
 // An endpoint that reports three times the mean in flight weighs a quarter of what it would at the mean:
@@ -50,11 +50,11 @@
 		}
 	}
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
-	w.b.OnHealthCheck(w.now, HealthCheck{Server: "nobody", Result: Succeeded, Load: loadReport(1, -1, 5)})
-	w.b.OnHealthCheck(w.now, HealthCheck{Server: "s0", Result: TimedOut, Load: loadReport(1, -1, 5)})
+	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "nobody", Result: Succeeded, Load: loadReport(1, -1, 5)})
+	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "s0", Result: TimedOut, Load: loadReport(1, -1, 5)})
 	if w.b.knownEndpoints["s0"].reportedLatencyMs != 0 {
 		t.Error("a health check that failed set a latency")
 	}
-	w.b.OnHealthCheck(w.now, HealthCheck{Server: "s0", Result: Succeeded, Load: loadReport(1, -1, 5)})
+	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "s0", Result: Succeeded, Load: loadReport(1, -1, 5)})
 	assertNear(t, "latency reported to a health check", w.b.knownEndpoints["s0"].reportedLatencyMs, 5, 1e-9)
 }
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -65,7 +65,7 @@
 	Cancel, Hedging, HealthChecks, RetryAfter, Gossip bool
 	MaxAttempts                                       int // of a request; 0: defaultMaxAttempts
 	MaxRetryAfter                                     int64
-	CPU                                               int64 // for decisions, in µs per second; 0: no limit
+	DecisionCPU                                       int64 // for decisions, in µs per second; 0: no limit
 	MinEventInterval                                  int64 // between two events
 	MaxBufferedResponses                              int   // while clients read them; 0: no limit
 }
@@ -92,7 +92,7 @@
 
 	EndpointsPushed      bool    // the host brings the endpoint list unasked
 	CapacityListed       bool    // Endpoint.Capacity is meaningful
-	CapacityLive         bool    // it is lowered by the load that the endpoint had some time ago
+	CapacityFollowsLoad  bool    // it is lowered by the load that the endpoint had some time ago
 	KeyAffinity          bool    // an endpoint that served a key lately needs less work for it
 	LoadFromHealthChecks bool    // endpoints report their load to health checks alone
 	OverQuotaWeight      float64 // factor of the priority of what a tenant sends over its quota
@@ -152,7 +152,7 @@
 		return fmt.Errorf("settings: ScoringMix.Tail %v is no weight", s.Objective.TailLatency)
 	case !(tolerated >= 0 && tolerated <= 1):
 		return fmt.Errorf("settings: ScoringMix.BorneMisses %v is not within 0 to 1", tolerated)
-	case l.CPU < 0:
+	case l.DecisionCPU < 0:
 		return errors.New("settings: Limits.CpuUsPerS is negative")
 	case l.MaxAttempts < 0 || l.MaxRetryAfter < 0 || l.MinEventInterval < 0:
 		return errors.New("settings: negative limit")
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -20,7 +20,7 @@
 		if r.answered == "" {
 			w.advance(2 * second)
 		}
-		w.b.OnHealthCheck(w.now, HealthCheck{Server: "nobody", Load: &LoadReport{InFlight: math.NaN()}})
+		w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "nobody", Load: &LoadReport{InFlight: math.NaN()}})
 	}
 	w.sendEndpoints(true)
 	if r := w.request("last", 0, second); r.answered != "reject" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -149,19 +149,19 @@
 // Settings that were added later reach the decisions; without them there is no change.
 func TestSettingsOfTheNewShape(t *testing.T) {
 	c, err := Parse(example(t), none)
-	if err != nil || c.Shadow != nil || c.Settings.CapacityLive || c.Settings.Limits.CPU != 0 || c.Settings.Objective.TailLatency != 0 ||
+	if err != nil || c.Shadow != nil || c.Settings.CapacityFollowsLoad || c.Settings.Limits.DecisionCPU != 0 || c.Settings.Objective.TailLatency != 0 ||
 		c.Settings.Objective.ToleratedLateShare != 0 {
 		t.Errorf("defaults: %v %+v", err, c)
 	}
 	c, err = change(t, "watch", watchedOf(t, "WeightSource", "live"))
-	if err != nil || c.Shadow == nil || !c.Shadow.Settings.CapacityLive || !c.Shadow.Settings.CapacityListed || c.Shadow.LogInterval != 10*time.Second || c.Settings.CapacityLive {
+	if err != nil || c.Shadow == nil || !c.Shadow.Settings.CapacityFollowsLoad || !c.Shadow.Settings.CapacityListed || c.Shadow.LogInterval != 10*time.Second || c.Settings.CapacityFollowsLoad {
 		t.Fatalf("live weights in the watch: %v %+v", err, c)
 	}
 	c, err = change(t, "settings.ScoringMix", map[string]any{"Tail": 0.3, "BorneMisses": 0.01})
 	if err != nil || c.Settings.Objective.TailLatency != 0.3 || c.Settings.Objective.ToleratedLateShare != 0.01 {
 		t.Errorf("tail: %v %+v", err, c)
 	}
-	if c, err = change(t, "settings.Limits.CpuUsPerS", 8000); err != nil || c.Settings.Limits.CPU != 8000 {
+	if c, err = change(t, "settings.Limits.CpuUsPerS", 8000); err != nil || c.Settings.Limits.DecisionCPU != 8000 {
 		t.Errorf("CPU: %v %+v", err, c)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -181,7 +181,7 @@
 		CrossZonePrice: in.Prices.CrossZone, ConnectionPrice: in.Prices.Connection, HealthCheckPrice: in.Prices.HealthCheck,
 		LoadFromHealthChecks: in.LoadReports.Via == "pull",
 		CapacityListed:       in.CapacitySource == "nominal" || in.CapacitySource == "rough" || in.CapacitySource == "live",
-		CapacityLive:         in.CapacitySource == "live",
+		CapacityFollowsLoad:  in.CapacitySource == "live",
 		KeyAffinity:          in.Keys.KeyAffinity,
 		Objective:            in.Objective.objective(),
 		Limits:               in.limits(),
@@ -207,7 +207,7 @@
 	return decide.Limits{
 		Cancel: l.Cancel, Hedging: l.Hedging, HealthChecks: l.HealthChecks, RetryAfter: l.RetryAfter, Gossip: l.Gossip,
 		MaxAttempts: l.MaxAttempts, MaxBufferedResponses: l.MaxBufferedResponses, MaxRetryAfter: l.MaxRetryAfterMicros,
-		MinEventInterval: in.MinEventMicros, CPU: l.CPUMicrosPerSecond,
+		MinEventInterval: in.MinEventMicros, DecisionCPU: l.CPUMicrosPerSecond,
 	}
 }
 
--- a/internal/sidecar/attempts.go
+++ b/internal/sidecar/attempts.go
@@ -77,7 +77,7 @@
 // onHealthCheckEnded handles the end of a health check.
 func (s *Sidecar) onHealthCheckEnded(now int64, m healthCheckEnded) {
 	s.peers[m.server].inFlight--
-	s.balancer.OnHealthCheck(now, decide.HealthCheck{
+	s.balancer.OnHealthCheck(now, decide.HealthCheckOutcome{
 		Server: m.server, Result: m.result.Reason.DecisionResult(),
 		Latency: m.result.ObservedAt.Sub(m.check.DecidedAt).Microseconds(), Load: m.result.Load,
 	})
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -176,7 +176,7 @@
 
 // healthCheckResult reports how a health check ended.
 func (a *adapter) healthCheckResult(in *instance, f [][]byte) (err error) {
-	var p decide.HealthCheck
+	var p decide.HealthCheckOutcome
 	if p.Server, err = a.address(f[0]); err != nil {
 		return err
 	}
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -77,7 +77,7 @@
 	if absent(b) || len(b) == 0 {
 		return nil, nil
 	}
-	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, LatencyMs: -1, Rate: -1, ErrorRate: -1}
+	l := &decide.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1, ServiceTimeMs: -1, RequestRate: -1, ErrorRate: -1}
 	for pair := range bytes.SplitSeq(b, []byte{','}) {
 		name, value, ok := bytes.Cut(pair, []byte{':'})
 		if !ok {
@@ -91,13 +91,13 @@
 		case loadInFlight:
 			l.InFlight = v
 		case loadQueue:
-			l.Queue = v
+			l.QueueLength = v
 		case loadBusy:
-			l.Busy = v
+			l.Utilization = v
 		case loadLatency:
-			l.LatencyMs = v
+			l.ServiceTimeMs = v
 		case loadRate:
-			l.Rate = v
+			l.RequestRate = v
 		case loadFailRate:
 			l.ErrorRate = v
 		}
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -14,9 +14,9 @@
 	if !bytes.Contains(rest, []byte{'='}) {
 		return nil
 	}
-	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, LatencyMs: -1, Rate: -1, ErrorRate: -1}
+	l := &decide.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1, ServiceTimeMs: -1, RequestRate: -1, ErrorRate: -1}
 	fields := map[string]*float64{
-		"inflight": &l.InFlight, "queue": &l.Queue, "util": &l.Busy, "latency_ms": &l.LatencyMs, "qps": &l.Rate,
+		"inflight": &l.InFlight, "queue": &l.QueueLength, "util": &l.Utilization, "latency_ms": &l.ServiceTimeMs, "qps": &l.RequestRate,
 		"eps": &l.ErrorRate,
 	}
 	for pair := range bytes.SplitSeq(rest, []byte{','}) {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -416,7 +416,7 @@
 
 func TestLoadReports(t *testing.T) {
 	l := parseLoad([]byte("TEXT inflight=7, queue=2, util=0.61, new=4"))
-	if l == nil || l.InFlight != 7 || l.Queue != 2 || l.Busy != 0.61 || l.LatencyMs != -1 {
+	if l == nil || l.InFlight != 7 || l.QueueLength != 2 || l.Utilization != 0.61 || l.ServiceTimeMs != -1 {
 		t.Fatalf("%+v", l)
 	}
 	for _, text := range []string{"", "JSON {}", "inflight"} {
@@ -424,7 +424,7 @@
 			t.Errorf("%q gave %+v", text, l)
 		}
 	}
-	if l := parseLoad([]byte("TEXT inflight=x, util=-1, queue=NaN")); l.InFlight != -1 || l.Busy != -1 || l.Queue != -1 {
+	if l := parseLoad([]byte("TEXT inflight=x, util=-1, queue=NaN")); l.InFlight != -1 || l.Utilization != -1 || l.QueueLength != -1 {
 		t.Errorf("absurd figures were taken: %+v", l)
 	}
 }
