--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -50,8 +50,8 @@
 	frontend.RequestReplicator
 	// AuditRecorder returns the audit log to record into; nil: none.
 	AuditRecorder() auditevent.Recorder
-	// Digest returns the digest of settings by which the audit log names them.
-	Digest(text []byte) uint64
+	// SettingsDigest returns the digest of settings by which the audit log names them.
+	SettingsDigest(text []byte) uint64
 	// Start starts the membership, which ends with ctx. It returns once it listens.
 	Start(ctx context.Context) error
 	// Leave ends the membership, once no request is in flight.
--- a/internal/app/program.go
+++ b/internal/app/program.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	if recorder := member.AuditRecorder(); recorder != nil {
-		p.settings.digestOf = member.Digest
+		p.settings.digestOf = member.SettingsDigest
 		p.config.SettingsDigest = p.settings.digest(p.config)
 		p.sidecar.SetRecorder(recorder)
 		p.frontend.SetRecorder(recorder)
--- a/internal/fleet/admin.go
+++ b/internal/fleet/admin.go
@@ -65,7 +65,7 @@
 	MemberNames []string                `json:"Names"`   // all configured ones
 	Members     []takeover.Member       `json:"Living"`  // in the order of joining
 	Reports     map[string]MemberStatus `json:"Reports"` // by name, from the leader alone
-	WaitingFor  string                  `json:"Waits"`   // why the rollout does not progress, from the leader alone
+	WaitReason  string                  `json:"Waits"`   // why the rollout does not progress, from the leader alone
 }
 
 // ID tells fleets apart by their members' names.
--- a/internal/fleet/admin_client.go
+++ b/internal/fleet/admin_client.go
@@ -14,9 +14,9 @@
 	adminRequestBuffer = 64 << 10 // initial bytes of an encoded request
 )
 
-// Call sends an operator's request to the member at an address and returns its response, with all segments in one. An error
+// SendAdminRequest sends an operator's request to the member at an address and returns its response, with all segments in one. An error
 // means that there is none; what the member says of itself is in the response's Err.
-func Call(ctx context.Context, address string, memberNames []string, r AdminRequest) (*AdminResponse, error) {
+func SendAdminRequest(ctx context.Context, address string, memberNames []string, r AdminRequest) (*AdminResponse, error) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
 		return nil, err
--- a/internal/fleet/admin_server.go
+++ b/internal/fleet/admin_server.go
@@ -121,7 +121,7 @@
 	if !ok || !status.IsLeader {
 		return s
 	}
-	s.IsLeader, s.WaitingFor, s.Leader, s.Reports = true, status.WaitingFor, f.name, map[string]MemberStatus{}
+	s.IsLeader, s.WaitReason, s.Leader, s.Reports = true, status.WaitReason, f.name, map[string]MemberStatus{}
 	for name, received := range status.Reports {
 		s.Reports[name] = MemberStatus{Report: received.Report, AgeMs: time.Since(received.ReceivedAt).Milliseconds()}
 	}
--- a/internal/fleet/decisions.go
+++ b/internal/fleet/decisions.go
@@ -148,7 +148,7 @@
 
 func (c *coordinator) discard(live any) {
 	if live != nil {
-		c.fleet.hooks.DiscardAnswer(live)
+		c.fleet.hooks.DiscardResponse(live)
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -36,8 +36,8 @@
 type Hooks interface {
 	// ResumeOrphan prepares the execution of a recorded request that no client is waiting for.
 	ResumeOrphan(rec *takeover.Record, stored *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error)
-	// DiscardAnswer ends a live response that no client is left to read.
-	DiscardAnswer(live any)
+	// DiscardResponse ends a live response that no client is left to read.
+	DiscardResponse(live any)
 }
 
 // SettingsApplier puts versions of the settings in force. Its methods may be called from any goroutine.
@@ -226,5 +226,5 @@
 	return f.recorder
 }
 
-// Digest identifies settings in audit events.
-func (f *Fleet) Digest(text []byte) uint64 { return audit.Digest(text) }
+// SettingsDigest identifies settings in audit events.
+func (f *Fleet) SettingsDigest(text []byte) uint64 { return audit.Digest(text) }
--- a/internal/fleet/membership/log_commands.go
+++ b/internal/fleet/membership/log_commands.go
@@ -110,7 +110,7 @@
 type Status struct {
 	IsLeader   bool
 	Reports    map[string]rollout.ReceivedReport // by member name
-	WaitingFor string                            // why the rollout does not progress
+	WaitReason string                            // why the rollout does not progress
 }
 
 // Status returns the status of this voter; false: it had too much to do until ctx ended.
@@ -133,5 +133,5 @@
 	if !l.isLeader {
 		return Status{}
 	}
-	return Status{IsLeader: true, Reports: maps.Clone(l.reports), WaitingFor: l.controller.WaitReason}
+	return Status{IsLeader: true, Reports: maps.Clone(l.reports), WaitReason: l.controller.WaitReason}
 }
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -77,5 +77,5 @@
 	}
 }
 
-// MaxDuration is how long a request's record may be needed: the longest deadline of a class.
-func (f *Fleet) MaxDuration() time.Duration { return f.maxRequestAge }
+// MaxRequestAge is how long a request's record may be needed: the longest deadline of a class.
+func (f *Fleet) MaxRequestAge() time.Duration { return f.maxRequestAge }
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -82,7 +82,7 @@
 func sampleStatus() *ClusterStatus {
 	return &ClusterStatus{
 		Name: "name", Self: member("me", 81), IsLeader: true, Leader: "leader", Epoch: 82, Plan: samplePlan(), MemberNames: []string{"n1", "n2"},
-		Members: []takeover.Member{member("l", 83)}, Reports: map[string]MemberStatus{"rep": {Report: sampleReport(), AgeMs: 84}}, WaitingFor: "waits",
+		Members: []takeover.Member{member("l", 83)}, Reports: map[string]MemberStatus{"rep": {Report: sampleReport(), AgeMs: 84}}, WaitReason: "waits",
 	}
 }
 
--- a/internal/frontend/replication.go
+++ b/internal/frontend/replication.go
@@ -31,8 +31,8 @@
 	Execute(r takeover.Request, clientGone <-chan struct{}, send func(takeover.SendPermit) takeover.Result) takeover.Outcome
 	// ReplicationPolicy returns how a class's requests are replicated.
 	ReplicationPolicy(class string, idempotency takeover.Idempotency) options.ReplicationPolicy
-	// MaxDuration is the longest time for which a request is replicated.
-	MaxDuration() time.Duration
+	// MaxRequestAge is the longest time for which a request is replicated.
+	MaxRequestAge() time.Duration
 	// RequiredLease returns the lease without which no request at all is accepted or sent; nil: none is required.
 	RequiredLease() takeover.Lease
 	// MayReject returns whether a request that was read just now may be rejected: false while it may have waited unread,
@@ -51,7 +51,7 @@
 	if policy == options.NoReplication {
 		return false
 	}
-	p.timeLeft = min(p.timeLeft, f.replicator.MaxDuration())
+	p.timeLeft = min(p.timeLeft, f.replicator.MaxRequestAge())
 	if b.source == nil {
 		b.buffered = slices.Clone(b.buffered) // fasthttp reuses its buffer once the client has its response
 	}
@@ -170,8 +170,8 @@
 	return f.sendFunc(sidecar.NewCall(snapshot.settings, r, m, time.Now(), timeLeft)), nil
 }
 
-// DiscardAnswer closes a live response that no client takes any more.
-func (f *Frontend) DiscardAnswer(live any) {
+// DiscardResponse closes a live response that no client takes any more.
+func (f *Frontend) DiscardResponse(live any) {
 	if r, ok := live.(sidecar.Response); ok && r.Stream != nil {
 		r.Stream.Close()
 	}
@@ -181,7 +181,7 @@
 // answers nothing: another one does.
 func (f *Frontend) writeOutcome(ctx *fasthttp.RequestCtx, c *clientConn, call *sidecar.Call, o *takeover.Outcome, timeLeft time.Duration) {
 	if o.Kind == takeover.OutcomeResponse && o.Lease != nil && !o.Lease.Valid() {
-		f.DiscardAnswer(o.LiveResponse)
+		f.DiscardResponse(o.LiveResponse)
 		o.Kind = takeover.OutcomeCloseConnection
 	}
 	version := f.sidecar.ConfigVersion()
--- a/internal/lab/faultinjection/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -49,7 +49,7 @@
 	asked := time.Now()
 	target := uint64(0)
 	for range 3 {
-		r, err := fleet.Call(ctx, p.memberAddresses[via], p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestRolloutCommand, RolloutCommand: o})
+		r, err := fleet.SendAdminRequest(ctx, p.memberAddresses[via], p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestRolloutCommand, RolloutCommand: o})
 		if err != nil {
 			replyError = err.Error()
 			break
@@ -88,9 +88,9 @@
 			defer func() { done <- true }()
 			for n := 0; ctx.Err() == nil; sleep(ctx, statusInterval) {
 				if n++; n%auditQueryInterval == 0 { // reading the audit log must not disturb the fleet
-					fleet.Call(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestSegments})
+					fleet.SendAdminRequest(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestSegments})
 				}
-				r, err := fleet.Call(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestStatus})
+				r, err := fleet.SendAdminRequest(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestStatus})
 				if err != nil || r.Status == nil {
 					continue
 				}
@@ -135,16 +135,16 @@
 	alive := map[takeover.Member]bool{}
 	responding := 0
 	for _, addr := range p.memberAddresses {
-		s, err := fleet.Call(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestSegments})
+		s, err := fleet.SendAdminRequest(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestSegments})
 		if err != nil {
 			continue // it is down
 		}
 		responding++
 		all = append(all, s.Segments...)
-		if st, err := fleet.Call(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestStatus}); err == nil && st.Status != nil {
+		if st, err := fleet.SendAdminRequest(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestStatus}); err == nil && st.Status != nil {
 			alive[st.Status.Self] = true
 			if st.Status.IsLeader {
-				r.WaitingFor, r.PauseReason = st.Status.WaitingFor, st.Status.Plan.PauseReason
+				r.WaitingFor, r.PauseReason = st.Status.WaitReason, st.Status.Plan.PauseReason
 				for _, n := range st.Status.MemberNames {
 					if st.Status.Reports[n].Report.Active < st.Status.Plan.Target {
 						r.NotConverged++
--- a/internal/lab/fleetscale/changes.go
+++ b/internal/lab/fleetscale/changes.go
@@ -29,7 +29,7 @@
 			}
 			addr := r.layout.members[f.members[turn%votersOf(len(f.members))]].address
 			call, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
-			reply, err := fleet.Call(call, addr, names, fleet.AdminRequest{Kind: fleet.RequestRolloutCommand, RolloutCommand: o})
+			reply, err := fleet.SendAdminRequest(call, addr, names, fleet.AdminRequest{Kind: fleet.RequestRolloutCommand, RolloutCommand: o})
 			cancel()
 			if err == nil && (reply.Err == "" || reply.Err == rollout.ErrAlreadyApplied.Error()) {
 				r.mu.Lock()
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -31,8 +31,8 @@
 	return nil, errHollow
 }
 
-// DiscardAnswer is never called with anything.
-func (h *hollowMember) DiscardAnswer(any) {}
+// DiscardResponse is never called with anything.
+func (h *hollowMember) DiscardResponse(any) {}
 
 // ApplySettings puts a version in force, by the checks of the program.
 func (h *hollowMember) ApplySettings(number uint64, text []byte) error {
--- a/internal/operator/audit.go
+++ b/internal/operator/audit.go
@@ -57,7 +57,7 @@
 	var calls sync.WaitGroup
 	for _, m := range s.members {
 		calls.Go(func() {
-			r, err := fleet.Call(s.ctx, m.Address, s.names(), fleet.AdminRequest{Kind: fleet.RequestSegments, Member: name})
+			r, err := fleet.SendAdminRequest(s.ctx, m.Address, s.names(), fleet.AdminRequest{Kind: fleet.RequestSegments, Member: name})
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
--- a/internal/operator/session.go
+++ b/internal/operator/session.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		asked[name] = true
-		r, err := fleet.Call(s.ctx, s.addressOf(name), s.names(), request)
+		r, err := fleet.SendAdminRequest(s.ctx, s.addressOf(name), s.names(), request)
 		switch {
 		case err != nil:
 			failures = errors.Join(failures, fmt.Errorf("%s: %w", name, err))
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -32,8 +32,8 @@
 	if p.PauseReason != "" {
 		fmt.Fprintf(s.out, "paused: %s\n", p.PauseReason)
 	}
-	if st.WaitingFor != "" {
-		fmt.Fprintf(s.out, "waits: %s\n", st.WaitingFor)
+	if st.WaitReason != "" {
+		fmt.Fprintf(s.out, "waits: %s\n", st.WaitReason)
 	}
 	s.printVersions(st)
 	s.printMembers(st)
