--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -226,5 +226,5 @@
 	return f.recorder
 }
 
-// Digest identifies settings in audit events.
-func (f *Fleet) Digest(text []byte) uint64 { return audit.Digest(text) }
+// SettingsDigest identifies settings in audit events.
+func (f *Fleet) SettingsDigest(text []byte) uint64 { return audit.Digest(text) }
--- a/internal/frontend/replication.go
+++ b/internal/frontend/replication.go
@@ -31,8 +31,8 @@
 	Execute(r takeover.Request, clientGone <-chan struct{}, send func(takeover.SendPermit) takeover.Result) takeover.Outcome
 	// ReplicationPolicy returns how a class's requests are replicated.
 	ReplicationPolicy(class string, idempotency takeover.Idempotency) options.ReplicationPolicy
-	// MaxDuration returns the maximum time for which a request is replicated.
-	MaxDuration() time.Duration
+	// MaxRequestAge returns the maximum time for which a request is replicated.
+	MaxRequestAge() time.Duration
 	// RequiredLease returns the lease without which no request may be accepted or sent, or nil if none is required.
 	RequiredLease() takeover.Lease
 	// MayReject reports whether a request that was read just now may be rejected. It is false while the request may have
@@ -52,7 +52,7 @@
 	if policy == options.NoReplication {
 		return false
 	}
-	p.timeLeft = min(p.timeLeft, f.replicator.MaxDuration())
+	p.timeLeft = min(p.timeLeft, f.replicator.MaxRequestAge())
 	if b.source == nil {
 		b.buffered = slices.Clone(b.buffered) // fasthttp reuses its buffer after the response
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -422,15 +422,15 @@
 
 func TestParseLoad(t *testing.T) {
 	l := parseLoad([]byte("TEXT inflight=7, queue=2, util=0.61, new=4"))
-	if l == nil || l.InFlight != 7 || l.Queue != 2 || l.Busy != 0.61 || l.LatencyMs != -1 {
-		t.Fatalf("got %+v, want 7 in flight, queue 2, busy 0.61, latency -1", l)
+	if l == nil || l.InFlight != 7 || l.QueueLength != 2 || l.Utilization != 0.61 || l.ServiceTimeMs != -1 {
+		t.Fatalf("got %+v, want 7 in flight, queue length 2, utilization 0.61, service time -1", l)
 	}
 	for _, text := range []string{"", "JSON {}", "inflight"} {
 		if l := parseLoad([]byte(text)); l != nil {
 			t.Errorf("parseLoad(%q) returned %+v, want nil", text, l)
 		}
 	}
-	if l := parseLoad([]byte("TEXT inflight=x, util=-1, queue=NaN")); l.InFlight != -1 || l.Busy != -1 || l.Queue != -1 {
+	if l := parseLoad([]byte("TEXT inflight=x, util=-1, queue=NaN")); l.InFlight != -1 || l.Utilization != -1 || l.QueueLength != -1 {
 		t.Errorf("invalid values were not skipped: %+v", l)
 	}
 }
