--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -28,7 +28,7 @@
 
 	lastReadAt         time.Time // when bytes last arrived
 	betweenRequests    bool      // whether the next byte begins a request
-	closeAfterResponse bool      // set if a request arrived before the connection was marked closing
+	closeAfterResponse bool      // set if the connection was marked closing after a request had arrived
 	readErr            error     // error of the background read
 
 	watchDone   chan struct{} // closed when the background read has ended; nil if there is none
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -22,7 +22,7 @@
 const (
 	minAcceptTime         = 700 * time.Millisecond
 	maxAcceptTime         = 1000 * time.Millisecond
-	acceptQuietPeriod     = 300 * time.Millisecond // time without a new connection that ends accepting after minAcceptTime
+	acceptQuietPeriod     = 300 * time.Millisecond // once minAcceptTime has passed, time without a new connection that ends accepting
 	answerTimeAfterAccept = 200 * time.Millisecond // time for answering the last connections, before abortMargin begins
 )
 
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -30,8 +30,8 @@
 	frontend *Frontend
 }
 
-// Accept returns the next connection. It fails only when the listener is closed, because fasthttp's Serve returns on any
-// other error, too.
+// Accept returns the next connection. It fails only when the listener is closed, because any error ends fasthttp's Serve,
+// even a transient one.
 func (l *listener) Accept() (net.Conn, error) {
 	f := l.frontend
 	f.acquireSlot()
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -17,7 +17,7 @@
 	disconnected bool // whether IsDisconnected has returned true
 }
 
-// LeaseHeld reports whether this process holds the lease, if one is needed for sending.
+// LeaseHeld reports whether this process holds the lease that it needs for sending. It is true if no lease is needed.
 func (g *Gate) LeaseHeld() bool { return g.LeaseValid == nil || g.LeaseValid() }
 
 // Close waits for a pending write and prevents any further write.
