--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -9,15 +9,15 @@
 func TestLowestPriorityIsRejectedFirst(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	for i := range 4 {
-		w.request(fmt.Sprint("out", i), 0, 2*second)
+		w.sendRequest(fmt.Sprint("out", i), 0, 2*second)
 	}
 	var low []*trackedRequest
 	for i := range 4 {
-		low = append(low, w.request(fmt.Sprint("low", i), 0, 2*second))
+		low = append(low, w.sendRequest(fmt.Sprint("low", i), 0, 2*second))
 	}
-	high := w.request("high", 1, 2*second)
-	if low[0].answered != "reject" || high.answered != "" {
-		t.Errorf("the oldest of the low is %q and the high %q, want reject and waiting", low[0].answered, high.answered)
+	high := w.sendRequest("high", 1, 2*second)
+	if low[0].answer != "reject" || high.answer != "" {
+		t.Errorf("the oldest of the low is %q and the high %q, want reject and waiting", low[0].answer, high.answer)
 	}
 	w.endAttempt(w.inFlight[0], Succeeded)
 	if len(high.attempts) != 1 || len(low[2].attempts) != 0 { // the limit grew a little: one more may go
@@ -25,8 +25,8 @@
 	}
 	w.advance(300_000)
 	for _, r := range low {
-		if len(r.attempts) == 0 && r.answered != "reject" {
-			t.Errorf("%s waited past its part of the objective and is %q", r.ID, r.answered)
+		if len(r.attempts) == 0 && r.answer != "reject" {
+			t.Errorf("%s waited past its part of the objective and is %q", r.ID, r.answer)
 		}
 	}
 }
@@ -36,16 +36,16 @@
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	var low []*trackedRequest
 	for i := range 8 {
-		low = append(low, w.request(fmt.Sprint("r", i), 0, 2*second))
+		low = append(low, w.sendRequest(fmt.Sprint("r", i), 0, 2*second))
 	}
-	w.disconnect(low[7])
-	w.request("high", 1, 2*second) // the world objects to an answer for low[7]
+	w.disconnectClient(low[7])
+	w.sendRequest("high", 1, 2*second) // the world objects to an answer for low[7]
 	w.advance(2 * second)
 }
 
 // With equal allowances a tenant with three quarters of the traffic is over its quota by a third of its
 // requests; the other never is.
-func TestOverQuotaByTraffic(t *testing.T) {
+func TestTenantAboveItsAllowanceIsOverQuota(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{Name: "a", Allowance: 50}, {Name: "b", Allowance: 50}}
 	w := newWorkload(t, set, testEndpoints(1)...)
@@ -67,34 +67,34 @@
 
 // A rejection names a time to come back, where the settings allow it, and never more than the longest that
 // clients follow.
-func TestRejectionNamesRetryAfter(t *testing.T) {
-	for _, told := range []bool{true, false} {
+func TestRejectionCarriesBoundedRetryAfter(t *testing.T) {
+	for _, allowed := range []bool{true, false} {
 		set := testSettings()
-		set.Limits.RetryAfter, set.Limits.MaxRetryAfter = told, 50_000
+		set.Limits.RetryAfter, set.Limits.MaxRetryAfter = allowed, 50_000
 		w := newWorkload(t, set)
 		w.b.classes[0].latencyMedian = 80_000
 		got, want := w.b.retryAfter(newPlainRequest(w.b)), int64(0)
-		if told {
+		if allowed {
 			want = 50_000
 		}
 		if got != want {
-			t.Errorf("told %v: come back after %d us, want %d", told, got, want)
+			t.Errorf("told %v: come back after %d us, want %d", allowed, got, want)
 		}
 	}
 }
 
 // A client's retry that comes past the latency objective is answered at once where a late answer is worth
 // nothing.
-func TestLateRetriesOfClientsAreRejected(t *testing.T) {
+func TestClientRetryPastLatencyObjectiveIsRejected(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
-	w.request("first", 0, 1_200_000)
-	repeat := func(id string, left int64) *trackedRequest {
-		return w.take(Request{ID: id, Tenant: -1, TimeLeft: left, IsRetry: true})
+	w.sendRequest("first", 0, 1_200_000)
+	retry := func(id string, left int64) *trackedRequest {
+		return w.submit(Request{ID: id, Tenant: -1, TimeLeft: left, IsRetry: true})
 	}
-	if r := repeat("late", 800_000); r.answered == "" || len(r.attempts) > 0 {
+	if r := retry("late", 800_000); r.answer == "" || len(r.attempts) > 0 {
 		t.Error("a repeat 1.2 s after its start was sent with an objective of 0.4 s")
 	}
-	if r := repeat("soon", 1_200_000); len(r.attempts) != 1 {
+	if r := retry("soon", 1_200_000); len(r.attempts) != 1 {
 		t.Error("a repeat that may be in time was not sent")
 	}
 }
--- a/decide/attempt_budget_test.go
+++ b/decide/attempt_budget_test.go
@@ -6,9 +6,9 @@
 )
 
 // withAttemptBudget are test settings with an attempt budget.
-func withAttemptBudget(floor, ratio float64, span int64) Settings {
+func withAttemptBudget(minimum, ratio float64, window int64) Settings {
 	set := testSettings()
-	set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio, set.Rules.AttemptBudgetWindow = floor, ratio, span
+	set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio, set.Rules.AttemptBudgetWindow = minimum, ratio, window
 	return set
 }
 
@@ -16,26 +16,26 @@
 // request that may not be sent again has its answer at once. Most retries here follow saturated endpoints,
 // which need no retry token.
 func TestRetriesStayWithinAttemptBudget(t *testing.T) {
-	for _, end := range []Result{Saturated, ConnectFailed, Errored, Reset, TimedOut, NotSent} {
+	for _, failure := range []Result{Saturated, ConnectFailed, Errored, Reset, TimedOut, NotSent} {
 		for _, set := range []Settings{withAttemptBudget(3, 0.15, 10*second), withAttemptBudget(0, 0.05, 5*second), withAttemptBudget(2, 0, 10*second),
 			withAttemptBudget(0, 0, 10*second), withAttemptBudget(1, 0.3, 333_333)} {
 			w := newWorkload(t, set, testEndpoints(9)...)
 			for i := range 600 {
-				w.request(fmt.Sprint("r", i), i%4, 2*second)
+				w.sendRequest(fmt.Sprint("r", i), i%4, 2*second)
 				for len(w.inFlight) > 0 {
-					f, result := w.inFlight[0], end
+					a, result := w.inFlight[0], failure
 					if i%8 > 4 {
 						result = Succeeded
 					}
-					w.endAttempt(f, result)
-					if left := w.b.attemptBudgetRemaining(w.now); left < 1 && f.r.answered == "" && f.r.attempts[len(f.r.attempts)-1].ended {
-						t.Fatalf("%s is held, though %v retries are left", f.r.ID, left)
+					w.endAttempt(a, result)
+					if left := w.b.attemptBudgetRemaining(w.now); left < 1 && a.request.answer == "" && a.request.attempts[len(a.request.attempts)-1].ended {
+						t.Fatalf("%s is held, though %v retries are left", a.request.ID, left)
 					}
 				}
 				w.advance(20_000)
 			}
 			if rules := set.Rules; len(w.retryTimes) == 0 && rules.AttemptBudgetMin+rules.AttemptBudgetRatio > 0 {
-				t.Errorf("%v: no retries at all under %+v", end, rules)
+				t.Errorf("%v: no retries at all under %+v", failure, rules)
 			}
 		}
 	}
@@ -43,10 +43,10 @@
 
 // A new window, longer or where there was none, adds no attempts (the workload remembers all of them), and
 // the same window again takes none away.
-func TestAttemptBudgetOverSettingsUpdates(t *testing.T) {
+func TestSettingsUpdateNeverIncreasesAttemptBudget(t *testing.T) {
 	w := newWorkload(t, withAttemptBudget(4, 0.2, 2*second), testEndpoints(6)...)
 	for i := range 400 {
-		w.request(fmt.Sprint("r", i), 0, second)
+		w.sendRequest(fmt.Sprint("r", i), 0, second)
 		for range 3 {
 			if len(w.inFlight) > 0 {
 				w.endAttempt(w.inFlight[0], Saturated)
@@ -72,11 +72,11 @@
 
 // Two processes of an upgrade have one fixed part of the budget between them: the new one goes by its own
 // requests alone until the old one's attempts have left the window.
-func TestOneBudgetFloorForTwoProcesses(t *testing.T) {
+func TestProcessesOfAnUpgradeShareOneBudgetFloor(t *testing.T) {
 	w := newWorkload(t, withAttemptBudget(3, 0.1, 10*second), testEndpoints(4)...)
 	w.b.SetPeerProcessActive(w.now, true)
 	for i := range 5 {
-		w.request(fmt.Sprint("r", i), 0, second)
+		w.sendRequest(fmt.Sprint("r", i), 0, second)
 		if len(w.inFlight) > 0 {
 			w.endAttempt(w.inFlight[0], Saturated)
 		}
@@ -95,7 +95,7 @@
 }
 
 // A clock that steps back neither forgets retries nor adds attempts, and the counts keep their size.
-func TestAttemptBudgetClock(t *testing.T) {
+func TestBackwardClockKeepsAttemptBudgetCounts(t *testing.T) {
 	var n attemptBudget
 	n.setWindow(10 * second)
 	for i := range int64(100_000) {
--- a/decide/attempt_timeout_test.go
+++ b/decide/attempt_timeout_test.go
@@ -5,7 +5,7 @@
 )
 
 // An attempt whose retry would be late gets all the time that is left.
-func TestNoShortTimeoutWhenRetryWouldBeLate(t *testing.T) {
+func TestAttemptGetsRemainingTimeWhenRetryWouldBeLate(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	c := w.b.classes[0]
 	r := newPlainRequest(w.b)
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -8,14 +8,14 @@
 // BenchmarkRequest is one request of a balancer among 800 before 250 endpoints, with key affinity and
 // without.
 func BenchmarkRequest(b *testing.B) {
-	for _, warm := range []bool{false, true} {
-		b.Run(fmt.Sprint("warm keys ", warm), func(b *testing.B) {
+	for _, keyAffinity := range []bool{false, true} {
+		b.Run(fmt.Sprint("warm keys ", keyAffinity), func(b *testing.B) {
 			set := testSettings()
-			set.KeyAffinity, set.BalancerCount = warm, 800
-			bal := New(set, 1, noActions{})
+			set.KeyAffinity, set.BalancerCount = keyAffinity, 800
+			balancer := New(set, 1, noActions{})
 			now := int64(1000 * second)
-			bal.Start(now)
-			bal.OnEndpoints(now, testEndpoints(250), true)
+			balancer.Start(now)
+			balancer.OnEndpoints(now, testEndpoints(250), true)
 			ids := make([]string, 1024)
 			for i := range ids {
 				ids[i] = fmt.Sprint("r", i)
@@ -24,12 +24,12 @@
 			for i := 0; b.Loop(); i++ {
 				now += 100_000
 				id := ids[i%len(ids)]
-				bal.OnRequest(now, Request{ID: id, Tenant: -1, TimeLeft: 2 * second, Key: id})
-				if r := bal.openRequests[id]; r != nil && len(r.attempts) > 0 {
-					bal.OnOutcome(now, Outcome{Request: id, Server: r.attempts[0].endpoint.ID, Latency: 60_000, RequestAnswered: true})
+				balancer.OnRequest(now, Request{ID: id, Tenant: -1, TimeLeft: 2 * second, Key: id})
+				if r := balancer.openRequests[id]; r != nil && len(r.attempts) > 0 {
+					balancer.OnOutcome(now, Outcome{Request: id, Server: r.attempts[0].endpoint.ID, Latency: 60_000, RequestAnswered: true})
 				}
 				if i%10 == 0 {
-					bal.OnTimer(now, timerSecond)
+					balancer.OnTimer(now, timerSecond)
 				}
 			}
 		})
--- a/decide/concurrency_limit_test.go
+++ b/decide/concurrency_limit_test.go
@@ -8,19 +8,19 @@
 )
 
 // Attempts at endpoints that don't respond take no capacity of the others.
-func TestUnresponsiveEndpointsTakeNoCapacity(t *testing.T) {
+func TestUnresponsiveEndpointsDoNotUsePoolLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
 	w.b.pool.limit = 0.3
 	for i := range 3 {
-		w.request(fmt.Sprint("lost", i), 0, 2*second)
+		w.sendRequest(fmt.Sprint("lost", i), 0, 2*second)
 	}
 	w.advance(50_000)
-	w.request("early", 0, 2*second)
+	w.sendRequest("early", 0, 2*second)
 	if n := w.countActions("send"); n != 3 {
 		t.Fatalf("%d sent with capacity for three", n)
 	}
 	w.advance(200_000) // past the latency mark
-	w.request("late", 0, 2*second)
+	w.sendRequest("late", 0, 2*second)
 	if n := w.countActions("send late"); n != 1 {
 		t.Error("a request is not sent while silent servers hold all capacity")
 	}
@@ -28,12 +28,12 @@
 
 // A busy balancer goes by the limits of its endpoints and not by the pool limit; a saturated endpoint doesn't
 // lower the pool limit.
-func TestPoolLimitBindsQuietBalancers(t *testing.T) {
+func TestPoolLimitAppliesToQuietBalancersOnly(t *testing.T) {
 	for perSecond, want := range map[float64]int{0.5: 1, 20: 4} {
 		w := newWorkload(t, testSettings(), testEndpoints(10)...)
 		w.b.rates.perCapacity[1], w.b.pool.limit = perSecond/float64(second), 0.1
 		for i := range 4 {
-			w.request(fmt.Sprint("r", i), 0, 2*second)
+			w.sendRequest(fmt.Sprint("r", i), 0, 2*second)
 		}
 		if n := w.countActions("send"); n != want {
 			t.Errorf("%v answers a second from each server: %d sent with capacity for one, want %d", perSecond, n, want)
@@ -45,14 +45,14 @@
 
 // Late answers that come together leave a busy balancer a part of its pool limit: with n in flight each
 // lowers it by 0.6/n, or by 0.15 with four or less, from forty down to one to 0.13 of it.
-func TestBurstOfLateAnswersLeavesCapacity(t *testing.T) {
+func TestBurstOfLateAnswersKeepsPartOfPoolLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
-	w.request("quick", 0, 2*second) // so that it is known how quick answers are at ease
+	w.sendRequest("quick", 0, 2*second) // so that it is known how quick answers are at ease
 	w.advance(20_000)
 	w.endAttempt(w.inFlight[0], Succeeded)
 	w.b.pool.limit = 20
 	for i := range 40 {
-		w.request(fmt.Sprint("r", i), 0, 2*second)
+		w.sendRequest(fmt.Sprint("r", i), 0, 2*second)
 	}
 	if n := len(w.inFlight); n != 40 {
 		t.Fatalf("%d out, want 40", n)
@@ -70,14 +70,14 @@
 func TestLateAnswersLowerPoolLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
 	_, before := w.b.poolCapacity(w.now)
-	w.request("slow", 0, 2*second)
+	w.sendRequest("slow", 0, 2*second)
 	w.advance(350_000) // past 3/4 of the aim
 	w.endAttempt(w.inFlight[0], Succeeded)
 	_, after := w.b.poolCapacity(w.now)
 	assertNear(t, "capacity after a late answer", after/before, 0.85, 1e-9)
 	w.b.pool.limit = 0.1
 	for i := range 5 {
-		w.request(fmt.Sprint("quick", i), 0, 2*second)
+		w.sendRequest(fmt.Sprint("quick", i), 0, 2*second)
 		w.advance(20_000)
 		w.endAttempt(w.inFlight[0], Succeeded)
 	}
@@ -86,29 +86,29 @@
 
 // Where every answer is late, limits fall below one, and what is in flight falls with them: many small
 // balancers with one attempt at every endpoint would keep them overloaded.
-func TestLateAnswersLowerInFlight(t *testing.T) {
+func TestPersistentLateAnswersReduceAttemptsInFlight(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(20)...)
-	most := 0
+	maxInFlight := 0
 	for i := range 2000 {
-		w.request(fmt.Sprint("r", i), 0, 2*second)
+		w.sendRequest(fmt.Sprint("r", i), 0, 2*second)
 		w.advance(20_000)
-		for _, f := range slices.Clone(w.inFlight) {
-			if w.now-f.sent >= 900_000 {
-				w.endAttempt(f, Succeeded)
+		for _, a := range slices.Clone(w.inFlight) {
+			if w.now-a.sentAt >= 900_000 {
+				w.endAttempt(a, Succeeded)
 			}
 		}
 		if i > 1500 {
-			most = max(most, len(w.inFlight))
+			maxInFlight = max(maxInFlight, len(w.inFlight))
 		}
 	}
-	if most >= 10 {
-		t.Errorf("%d attempts out at 20 servers that all answer late, want under 10", most)
+	if maxInFlight >= 10 {
+		t.Errorf("%d attempts out at 20 servers that all answer late, want under 10", maxInFlight)
 	}
 }
 
 // Attempts that time out one by one at endpoints whose other answers are early cut no limit; where answers
 // are late, a timeout does.
-func TestLoneTimeoutKeepsLimit(t *testing.T) {
+func TestSingleTimeoutKeepsConcurrencyLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	s, c := w.b.endpoints[0], w.b.classes[0]
 	end := func(result Result, latency int64) float64 {
@@ -128,7 +128,7 @@
 }
 
 // Of the initial limit of 8 for all, each of nine balancers that share an endpoint has a ninth.
-func TestInitialLimitsAreShared(t *testing.T) {
+func TestInitialLimitIsDividedAmongBalancers(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 9
 	w := newWorkload(t, set, testEndpoints(2)...)
@@ -137,13 +137,13 @@
 
 // Quiet balancers together send less when four of ten endpoints leave, so that nearly all answers are early:
 // 36 endpoints do 1,200 a second of the 1,600 asked for.
-func TestQuietBalancersSendLessWhenEndpointsLeave(t *testing.T) {
+func TestQuietBalancersReduceLoadWhenEndpointsDrain(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true // each balancer meets all servers, as keys' homes
 	c := newCluster(80, set, 0, testEndpoints(60))
-	c.busy, c.keys = map[string]int64{}, 300
+	c.busyUntil, c.keyCount = map[string]int64{}, 300
 	c.run(6, 1600)
-	for _, b := range c.bs {
+	for _, b := range c.balancers {
 		list := testEndpoints(60)[36:]
 		for i := range list {
 			list[i].Phase = Draining
@@ -151,32 +151,32 @@
 		b.OnEndpoints(c.now, list, false)
 	}
 	c.run(2, 1600)
-	c.served = map[bool]int{}
+	c.answerCounts = map[bool]int{}
 	c.run(6, 1600)
-	if in, late := c.served[true], c.served[false]; in < 6*900 || late > in/4 {
-		t.Errorf("%d answers within the objective and %d late in 6 s, want 5400 or more and few late", in, late)
+	if early, late := c.answerCounts[true], c.answerCounts[false]; early < 6*900 || late > early/4 {
+		t.Errorf("%d answers within the objective and %d late in 6 s, want 5400 or more and few late", early, late)
 	}
 }
 
 // An endpoint that rejects early and answers in time keeps its limit, unless an attempt budget makes retries
 // scarce.
-func TestSaturationAtAnEarlyEndpoint(t *testing.T) {
+func TestSaturationCutsLimitOfFastEndpointOnlyWithAttemptBudget(t *testing.T) {
 	for _, c := range []struct {
-		span int64
-		kept bool
+		window int64
+		kept   bool
 	}{{0, true}, {10 * second, false}} {
 		set := testSettings()
-		set.Rules.AttemptBudgetWindow, set.Rules.AttemptBudgetRatio = c.span, 0.1
-		if c.span == 0 {
+		set.Rules.AttemptBudgetWindow, set.Rules.AttemptBudgetRatio = c.window, 0.1
+		if c.window == 0 {
 			set.Rules.AttemptBudgetRatio = 0
 		}
 		w := newWorkload(t, set, testEndpoints(1)...)
 		s := w.b.knownEndpoints["s0"]
-		w.endAttempt(w.request("a", 0, second).attempts[0], Succeeded)
+		w.endAttempt(w.sendRequest("a", 0, second).attempts[0], Succeeded)
 		before := s.concurrencyLimit
-		w.endAttempt(w.request("b", 0, second).attempts[0], Saturated)
+		w.endAttempt(w.sendRequest("b", 0, second).attempts[0], Saturated)
 		if kept := s.concurrencyLimit >= before; kept != c.kept {
-			t.Errorf("span %d: limit %v, was %v", c.span, s.concurrencyLimit, before)
+			t.Errorf("span %d: limit %v, was %v", c.window, s.concurrencyLimit, before)
 		}
 	}
 }
--- a/decide/congestion_test.go
+++ b/decide/congestion_test.go
@@ -5,7 +5,7 @@
 )
 
 // A congestion with many late answers raises the baseline by 1% a second and no faster.
-func TestCongestionDoesNotRaiseBaseline(t *testing.T) {
+func TestCongestionDoesNotRaiseLatencyBaseline(t *testing.T) {
 	c := &classState{Class: Class{LatencyObjective: 400_000}, latencyP95: 100_000, latencyMedian: 50_000, latencyP90: 100_000, baselineP90: 100_000}
 	for range 5000 {
 		c.observeLatency(300_000)
@@ -19,7 +19,7 @@
 
 // Where endpoints report no load, answers up to 0.75 of the objective are early: single slow endpoints would
 // have requests rejected.
-func TestEarlyShareWithoutLoadReports(t *testing.T) {
+func TestLoadReportsLowerEarlyThreshold(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	c := w.b.classes[0]
 	c.baselineP90 = float64(10 * second)
@@ -27,7 +27,7 @@
 	if !w.b.isEarly(c, late) {
 		t.Error("0.7 of the objective is late where nothing is told")
 	}
-	w.b.recordLoadReport(w.b.knownEndpoints["s0"], loadReport(1, -1, -1))
+	w.b.recordLoadReport(w.b.knownEndpoints["s0"], newLoadReport(1, -1, -1))
 	if w.b.isEarly(c, late) {
 		t.Error("0.7 of the objective is early where servers tell of their load")
 	}
--- a/decide/endpoint_list_test.go
+++ b/decide/endpoint_list_test.go
@@ -7,28 +7,28 @@
 )
 
 // Rule 3: draining, removed and unlisted endpoints get nothing, however the list says so.
-func TestDrainingEndpointsGetNothing(t *testing.T) {
-	for name, tell := range map[string]func(*workload, []Endpoint){
-		"draining": func(w *workload, l []Endpoint) { l[0].Phase = Draining; w.sendEndpoints(false, l[0]) },
-		"removed":  func(w *workload, l []Endpoint) { l[0].Phase = Removed; w.sendEndpoints(false, l[0]) },
-		"unlisted": func(w *workload, l []Endpoint) { w.sendEndpoints(true, l[1]) },
+func TestUnavailableEndpointsGetNoAttempts(t *testing.T) {
+	for name, update := range map[string]func(*workload, []Endpoint){
+		"draining": func(w *workload, l []Endpoint) { l[0].Phase = Draining; w.updateEndpoints(false, l[0]) },
+		"removed":  func(w *workload, l []Endpoint) { l[0].Phase = Removed; w.updateEndpoints(false, l[0]) },
+		"unlisted": func(w *workload, l []Endpoint) { w.updateEndpoints(true, l[1]) },
 	} {
 		w := newWorkload(t, testSettings(), testEndpoints(2)...)
-		tell(w, testEndpoints(2))
+		update(w, testEndpoints(2))
 		for i := range 50 {
-			r := w.request(fmt.Sprint("r", i), 0, second)
+			r := w.sendRequest(fmt.Sprint("r", i), 0, second)
 			w.endAttempt(r.attempts[0], Succeeded)
-			if r.attempts[0].server.ID != "s1" {
-				t.Errorf("%s: sent to %s", name, r.attempts[0].server.ID)
+			if r.attempts[0].endpoint.ID != "s1" {
+				t.Errorf("%s: sent to %s", name, r.attempts[0].endpoint.ID)
 			}
 		}
 	}
 }
 
-func TestRejectAtOnceWithoutEndpoints(t *testing.T) {
+func TestRequestIsRejectedWithoutEndpoints(t *testing.T) {
 	w := newWorkload(t, testSettings())
-	if r := w.request("a", 0, second); r.answered != "reject" {
-		t.Errorf("answer %q, want reject", r.answered)
+	if r := w.sendRequest("a", 0, second); r.answer != "reject" {
+		t.Errorf("answer %q, want reject", r.answer)
 	}
 }
 
@@ -47,19 +47,19 @@
 
 // A list that grows from one endpoint to a thousand, repeats entries, shrinks to none and comes back is used
 // in full at any length.
-func TestListOfAnyLength(t *testing.T) {
+func TestEndpointListOfAnyLengthIsUsed(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 500
 	w := newWorkload(t, set, testEndpoints(1)...)
-	serve := func(f *trackedAttempt) (Result, bool) { return Succeeded, w.now-f.sent >= 20_000 }
+	outcome := func(a *trackedAttempt) (Result, bool) { return Succeeded, w.now-a.sentAt >= 20_000 }
 	for _, n := range []int{1, 2, 10, 100, 1000, 1, 0, 300} {
 		list := testEndpoints(n)
-		w.sendEndpoints(true, append(list, list...)...)
+		w.updateEndpoints(true, append(list, list...)...)
 		if len(w.b.endpoints) != n || len(w.b.subset) > max(n, 3*minSubset) || n > 0 && len(w.b.subset) == 0 {
 			t.Fatalf("%d listed: %d servers kept, %d in the subset", n, len(w.b.endpoints), len(w.b.subset))
 		}
 		before := w.countActions("send")
-		w.traffic(50, serve)
+		w.sendTraffic(50, outcome)
 		if got := w.countActions("send") - before; n > 0 && got < 20 { // limits start at a part of one send for 500 balancers and grow
 			t.Errorf("%d listed: %d sends for 50 requests", n, got)
 		}
@@ -68,28 +68,28 @@
 
 // A balancer count that is absent, or wrong by a factor of ten, still keeps rule 4 for all together, and
 // requests are served.
-func TestWrongBalancerCount(t *testing.T) {
-	for _, told := range []int{0, 5, 500} {
+func TestWrongBalancerCountKeepsSlowStartBound(t *testing.T) {
+	for _, configured := range []int{0, 5, 500} {
 		set := testSettings()
 		const servers, perSecond = 20, 800
 		c := newCluster(50, set, 0.3, testEndpoints(servers))
-		for _, b := range c.bs {
-			b.settings.BalancerCount = told
+		for _, b := range c.balancers {
+			b.settings.BalancerCount = configured
 			b.OnEndpoints(c.now, testEndpoints(servers), true)
 		}
 		c.run(5, perSecond)
-		if c.sent < 3*perSecond {
-			t.Errorf("told %d: %d attempts for %d requests", told, c.sent, c.requests)
+		if c.attemptsSent < 3*perSecond {
+			t.Errorf("told %d: %d attempts for %d requests", configured, c.attemptsSent, c.requestsSent)
 		}
-		cold := len(c.sendsToStartingServer(2, perSecond))
-		if most := set.Rules.OverloadFactor * set.Rules.SlowStartMinShare * perSecond / servers * 2; float64(cold) > most {
-			t.Errorf("told %d: %d sends to a server in slow start in its first window, budget %.0f", told, cold, most)
+		sends := len(c.sendsToStartingEndpoint(2, perSecond))
+		if maxSends := set.Rules.OverloadFactor * set.Rules.SlowStartMinShare * perSecond / servers * 2; float64(sends) > maxSends {
+			t.Errorf("told %d: %d sends to a server in slow start in its first window, budget %.0f", configured, sends, maxSends)
 		}
 	}
 }
 
 // An infinite or absurd listed capacity counts as one: it would leave nothing to the others.
-func TestAbsurdCapacityCountsAsOne(t *testing.T) {
+func TestExcessiveListedCapacityCountsAsOne(t *testing.T) {
 	set := testSettings()
 	set.CapacityListed = true
 	list := testEndpoints(3)
--- a/decide/endpoint_poll_test.go
+++ b/decide/endpoint_poll_test.go
@@ -17,9 +17,9 @@
 				set.BalancerCount = balancers
 				b := New(set, seed, noActions{})
 				for b.pollFailures = range 20 {
-					wait := b.pollBackoff(waited)
-					if wait < minPollSpanMicros/10 || wait > max(minPollSpanMicros, 4_500_000-waited) {
-						t.Fatalf("%d balancers, failure %d after %d us: asks in %d us", balancers, b.pollFailures, waited, wait)
+					delay := b.pollBackoff(waited)
+					if delay < minPollSpanMicros/10 || delay > max(minPollSpanMicros, 4_500_000-waited) {
+						t.Fatalf("%d balancers, failure %d after %d us: asks in %d us", balancers, b.pollFailures, waited, delay)
 					}
 				}
 			}
@@ -29,11 +29,11 @@
 
 // A list service that returns to a fleet whose polls all failed at once gets n/(0.9 x delay) calls a second
 // at most, or those of its slots, in each window but for chance.
-func TestFailedPollsOfAFleetAreSpread(t *testing.T) {
+func TestRetriedPollsOfFleetAreSpread(t *testing.T) {
 	const window, span = second / 2, 60 * second
 	for _, n := range []int{80, 300, 3000} {
-		for _, hangs := range []int64{0, 2_500_000} {
-			t.Run(fmt.Sprintf("%d hang %d us", n, hangs), func(t *testing.T) {
+		for _, pollDuration := range []int64{0, 2_500_000} {
+			t.Run(fmt.Sprintf("%d hang %d us", n, pollDuration), func(t *testing.T) {
 				set := testSettings()
 				set.BalancerCount = n
 				var calls [(span + 10*second) / window]int
@@ -42,14 +42,14 @@
 					for now := b.pollBackoff(0); now < span; {
 						calls[now/window]++
 						b.pollFailures++
-						now += hangs + b.pollBackoff(hangs)
+						now += pollDuration + b.pollBackoff(pollDuration)
 					}
 				}
 				expected := float64(window) / 0.9 * max(float64(n)/maxPollDelayMicros, 1.0/pollSlotPerBalancerMicros)
-				most := expected + 4*math.Sqrt(expected)
+				maxCalls := expected + 4*math.Sqrt(expected)
 				for i, got := range calls[:span/window] {
-					if float64(got) > most {
-						t.Errorf("%d calls in half a second, at %.1f s; at most %.0f", got, float64(i)/2, most)
+					if float64(got) > maxCalls {
+						t.Errorf("%d calls in half a second, at %.1f s; at most %.0f", got, float64(i)/2, maxCalls)
 					}
 				}
 			})
@@ -57,18 +57,18 @@
 	}
 }
 
-func TestFailedPollIsRepeatedInTime(t *testing.T) {
+func TestFailedPollIsRetriedWithinPollInterval(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
-	asked := w.countActions("watch")
+	polls := w.countActions("watch")
 	for range 12 {
 		w.timers = nil
 		w.b.OnPollFailed(w.now, 0)
-		if in := w.timers[0].at - w.now; in <= 0 || in > w.set.Rules.PollInterval/2 {
-			t.Errorf("asks again in %d us", in)
+		if delay := w.timers[0].at - w.now; delay <= 0 || delay > w.set.Rules.PollInterval/2 {
+			t.Errorf("asks again in %d us", delay)
 		}
 		w.advance(5 * second)
 	}
-	if got := w.countActions("watch") - asked; got != 12 {
+	if got := w.countActions("watch") - polls; got != 12 {
 		t.Errorf("asked %d times after 12 failures", got)
 	}
 }
@@ -76,97 +76,97 @@
 // listService works through polls in turn, also through those that were given up, and rejects polls while its
 // queue is full.
 type listService struct {
-	now     int64
-	callers []*pollingHost
-	waiting []*pollCall
-	worked  float64 // of the first one
+	now      int64
+	hosts    []*pollingHost
+	pending  []*pollCall
+	workDone float64 // of the first one
 }
 
 type pollCall struct {
-	from *pollingHost
-	at   int64
-	dead bool
+	host      *pollingHost
+	startedAt int64
+	abandoned bool
 }
 
 // pollingHost is one balancer's Actions before a listService: only its polls and timers count.
 type pollingHost struct {
 	noActions
-	q      *listService
-	b      *Balancer
-	timers []pendingTimer
-	served int64 // when its call was; 0: not yet
-	calls  []int64
+	service   *listService
+	balancer  *Balancer
+	timers    []pendingTimer
+	servedAt  int64 // when its call was; 0: not yet
+	pollTimes []int64
 }
 
 func (c *pollingHost) SetTimer(in, token int64) {
-	c.timers = append(c.timers, pendingTimer{c.q.now + in, token})
+	c.timers = append(c.timers, pendingTimer{c.service.now + in, token})
 }
 
 func (c *pollingHost) WatchEndpoints(bool) {
-	c.calls = append(c.calls, c.q.now)
-	c.q.waiting = append(c.q.waiting, &pollCall{from: c, at: c.q.now})
+	c.pollTimes = append(c.pollTimes, c.service.now)
+	c.service.pending = append(c.service.pending, &pollCall{host: c, startedAt: c.service.now})
 }
 
 // run lets time pass before a service that takes so many polls a second and queues so many.
-func (q *listService) run(seconds int64, perSecond float64, holds int) {
-	const tick, patience = 10_000, 2 * second
+func (q *listService) run(seconds int64, perSecond float64, queueLimit int) {
+	const tick, callTimeout = 10_000, 2 * second
 	for end := q.now + seconds*second; q.now < end; q.now += tick {
-		for _, c := range q.callers {
-			due := slices.Clone(c.timers)
-			c.timers = slices.DeleteFunc(c.timers, func(a pendingTimer) bool { return a.at <= q.now })
+		for _, host := range q.hosts {
+			due := slices.Clone(host.timers)
+			host.timers = slices.DeleteFunc(host.timers, func(a pendingTimer) bool { return a.at <= q.now })
 			for _, a := range due {
 				if a.at <= q.now {
-					c.b.OnTimer(q.now, a.token)
+					host.balancer.OnTimer(q.now, a.token)
 				}
 			}
 		}
-		for i, w := range q.waiting {
-			if !w.dead && (i >= holds || q.now-w.at >= patience) {
-				w.dead = true
-				w.from.b.OnPollFailed(q.now, q.now-w.at)
+		for i, call := range q.pending {
+			if !call.abandoned && (i >= queueLimit || q.now-call.startedAt >= callTimeout) {
+				call.abandoned = true
+				call.host.balancer.OnPollFailed(q.now, q.now-call.startedAt)
 			}
 		}
-		q.waiting = q.waiting[:min(holds, len(q.waiting))]
-		for q.worked += perSecond * tick / float64(second); q.worked >= 1 && len(q.waiting) > 0; q.worked-- {
-			if w := q.waiting[0]; !w.dead {
-				w.from.served = q.now
-				w.from.b.OnEndpoints(q.now, nil, false)
+		q.pending = q.pending[:min(queueLimit, len(q.pending))]
+		for q.workDone += perSecond * tick / float64(second); q.workDone >= 1 && len(q.pending) > 0; q.workDone-- {
+			if call := q.pending[0]; !call.abandoned {
+				call.host.servedAt = q.now
+				call.host.balancer.OnEndpoints(q.now, nil, false)
 			}
-			q.waiting = q.waiting[1:]
+			q.pending = q.pending[1:]
 		}
-		q.worked = min(q.worked, 1)
+		q.workDone = min(q.workDone, 1)
 	}
 }
 
 // 80 balancers that start together are all served: a service of 15 polls a second takes 5.3 s for them if
 // none is wasted on a poll that was given up.
-func TestFleetThatPollsTogetherIsServed(t *testing.T) {
+func TestBalancersStartedTogetherAllGetEndpointList(t *testing.T) {
 	for _, known := range [][]Endpoint{testEndpoints(60), nil} {
-		q := &listService{now: 1000 * second}
+		service := &listService{now: 1000 * second}
 		for i := range 80 {
 			set := testSettings()
 			set.BalancerCount = 80
-			c := &pollingHost{q: q}
-			c.b = New(set, uint64(i+1), c)
-			c.b.Start(q.now)
-			c.b.OnEndpoints(q.now, known, true)
-			q.callers = append(q.callers, c)
+			host := &pollingHost{service: service}
+			host.balancer = New(set, uint64(i+1), host)
+			host.balancer.Start(service.now)
+			host.balancer.OnEndpoints(service.now, known, true)
+			service.hosts = append(service.hosts, host)
 		}
-		start, late, within := q.now, 0, int64(14)
+		start, late, deadlineSeconds := service.now, 0, int64(14)
 		if len(known) == 0 { // those ask at once, and most in vain
-			within = 18
+			deadlineSeconds = 18
 		}
-		q.run(20, 15, 80)
-		for _, c := range q.callers {
-			if c.served == 0 || c.served-start > within*second {
+		service.run(20, 15, 80)
+		for _, host := range service.hosts {
+			if host.servedAt == 0 || host.servedAt-start > deadlineSeconds*second {
 				late++
 			}
-			if len(known) == 0 && c.calls[0]-start > second/10 {
-				t.Errorf("one that knows no server asks after %d us", c.calls[0]-start)
+			if len(known) == 0 && host.pollTimes[0]-start > second/10 {
+				t.Errorf("one that knows no server asks after %d us", host.pollTimes[0]-start)
 			}
 		}
 		if late > 0 {
-			t.Errorf("%d servers known: %d of 80 balancers have no list after %d s", len(known), late, within)
+			t.Errorf("%d servers known: %d of 80 balancers have no list after %d s", len(known), late, deadlineSeconds)
 		}
 	}
 }
--- a/decide/exp3_test.go
+++ b/decide/exp3_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-func assertNear(t *testing.T, what string, got, want, within float64) {
+func assertNear(t *testing.T, quantity string, got, want, tolerance float64) {
 	t.Helper()
-	if math.Abs(got-want) > within {
-		t.Errorf("%s: got %.6f, want %.6f within %g", what, got, want, within)
+	if math.Abs(got-want) > tolerance {
+		t.Errorf("%s: got %.6f, want %.6f within %g", quantity, got, want, tolerance)
 	}
 }
 
@@ -53,7 +53,7 @@
 }
 
 // A payoff of 1 drawn with probability 0.5 among 3 adds 0.07*1/(0.5*3) = 0.046667; one of 0 adds nothing.
-func TestUpdateWeightOfDrawnEndpoint(t *testing.T) {
+func TestOnlyDrawnEndpointLearns(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	s := w.b.endpoints[0]
 	w.b.updateWeight(&attempt{endpoint: s, probability: 0.5}, 1)
@@ -83,7 +83,7 @@
 
 // With a baseline of 100 ms, answers within 60 ms earn all and one of 120 ms earns half, long before the
 // objective of 400 ms. A request whose objective is extended to twice the class's may take twice as long.
-func TestPayoff(t *testing.T) {
+func TestPayoffFallsWithLatency(t *testing.T) {
 	class := &classState{Class: Class{LatencyObjective: 400_000}, baselineP90: 100_000}
 	c := &request{latencyObjective: 400_000, class: class, classRules: class.Class}
 	long := &request{latencyObjective: 800_000, class: class, classRules: class.Class}
@@ -102,7 +102,7 @@
 func TestCancelledAndUnsentAttemptsAreIgnored(t *testing.T) {
 	for _, result := range []Result{Cancelled, NotSent} {
 		w := newWorkload(t, testSettings(), testEndpoints(1)...)
-		w.request("a", 0, second)
+		w.sendRequest("a", 0, second)
 		w.endAttempt(w.inFlight[0], result)
 		if s := w.b.endpoints[0]; s.logWeight != 0 || s.ejections[0].consecutiveFailures != 0 {
 			t.Errorf("result %d moved log %v, failures %d", result, s.logWeight, s.ejections[0].consecutiveFailures)
@@ -111,7 +111,7 @@
 }
 
 // At a fixed seed 20,000 draws lie within 0.015 (over four standard deviations) of the formula.
-func TestDrawFrequencies(t *testing.T) {
+func TestDrawFrequenciesMatchProbabilities(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	for i, s := range w.b.endpoints {
 		s.setLogWeight(float64(i) / 2)
@@ -132,25 +132,25 @@
 
 // Log-weights keep 0.9 of their distance from the mean each second. A quiet balancer's decay by its answers:
 // two answers at two endpoints keep 0.98, none keep all, a thousand no less than 0.9.
-func TestWeightsDecay(t *testing.T) {
-	for answers, keep := range map[int]float64{0: 1, 2: 0.98, 1000: 0.9} {
+func TestLogWeightsDecayTowardsMean(t *testing.T) {
+	for answers, want := range map[int]float64{0: 1, 2: 0.98, 1000: 0.9} {
 		w := newWorkload(t, testSettings(), testEndpoints(2)...)
 		w.b.endpoints[0].setLogWeight(1)
 		w.b.rates.successesThisSecond = answers
 		w.b.onSecond(w.now)
-		assertNear(t, fmt.Sprint("distance kept after ", answers), w.b.endpoints[0].logWeight-w.b.endpoints[1].logWeight, keep, 1e-9)
+		assertNear(t, fmt.Sprint("distance kept after ", answers), w.b.endpoints[0].logWeight-w.b.endpoints[1].logWeight, want, 1e-9)
 	}
 }
 
 func TestRetriesDrawWithoutReplacement(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
-	r := w.request("a", 0, 2*second)
+	r := w.sendRequest("a", 0, 2*second)
 	for len(r.attempts) < 3 {
 		w.endAttempt(r.attempts[len(r.attempts)-1], Saturated)
 	}
 	seen := map[string]bool{}
-	for _, f := range r.attempts {
-		seen[f.server.ID] = true
+	for _, a := range r.attempts {
+		seen[a.endpoint.ID] = true
 	}
 	if len(seen) != 3 {
 		t.Errorf("three attempts met %d servers", len(seen))
@@ -163,24 +163,24 @@
 		w.b.endpoints[0].inFlight++
 		w.b.inFlight++
 	}
-	away := 0
+	idleDraws := 0
 	for range 100 {
 		if s, _ := w.b.drawEndpoint(w.now, newPlainRequest(w.b)); s.ID == "s1" {
-			away++
+			idleDraws++
 		}
 	}
-	if away < 95 {
-		t.Errorf("%d of 100 draws went to the server with capacity, want 95 or more", away)
+	if idleDraws < 95 {
+		t.Errorf("%d of 100 draws went to the server with capacity, want 95 or more", idleDraws)
 	}
 }
 
 // A limit of 0.1 counts as a tenth of an arm, so p = 0.93*0.1/1.1 + 0.07/2 = 0.119545.
 func TestLimitBelowOneLowersDrawWeight(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
-	jammed := w.b.endpoints[0]
-	jammed.concurrencyLimit = 0.1
+	congested := w.b.endpoints[0]
+	congested.concurrencyLimit = 0.1
 	for range 400 {
-		if s, p := w.b.drawEndpoint(w.now, newPlainRequest(w.b)); s == jammed {
+		if s, p := w.b.drawEndpoint(w.now, newPlainRequest(w.b)); s == congested {
 			assertNear(t, "p of the jammed server", p, 0.93*0.1/1.1+0.07/2, 1e-9)
 			return
 		}
--- a/decide/fuzz_test.go
+++ b/decide/fuzz_test.go
@@ -20,26 +20,26 @@
 		}
 		set.Limits.MaxAttempts = int(data[0] >> 5)
 	}
-	size := 1
+	endpointCount := 1
 	if len(data) > 1 {
-		size = int(data[1] % 9)
+		endpointCount = int(data[1] % 9)
 		if data[1] >= 240 { // a large fleet before one of many balancers
-			size, set.BalancerCount = 100*int(data[1]-238), 500
+			endpointCount, set.BalancerCount = 100*int(data[1]-238), 500
 		}
 	}
-	w := newWorkload(t, set, testEndpoints(size)...)
-	begun := w.now // two minutes of clock are enough for one order, or the search stalls on jumps
-	for i := 2; i+1 < len(data) && !w.failed && w.now-begun < 120*second; i += 2 {
-		w.step(i, data[i], int(data[i+1]))
+	w := newWorkload(t, set, testEndpoints(endpointCount)...)
+	start := w.now // two minutes of clock are enough for one order, or the search stalls on jumps
+	for i := 2; i+1 < len(data) && !w.failed && w.now-start < 120*second; i += 2 {
+		w.applyFuzzOperation(i, data[i], int(data[i+1]))
 	}
 	w.advance(3 * second) // everything taken is answered by then
 	return w.actions
 }
 
-func (w *workload) step(i int, op byte, arg int) {
+func (w *workload) applyFuzzOperation(i int, op byte, arg int) {
 	switch op % 16 {
 	case 0, 1, 2, 3, 4:
-		w.request(fmt.Sprint("r", i), arg%len(w.set.Classes), []int64{2 * second, 300_000, 1, 900_000}[arg/8%4])
+		w.sendRequest(fmt.Sprint("r", i), arg%len(w.set.Classes), []int64{2 * second, 300_000, 1, 900_000}[arg/8%4])
 	case 5, 6, 7, 8:
 		if n := len(w.inFlight); n > 0 {
 			w.endAttempt(w.inFlight[arg%n], []Result{Succeeded, Succeeded, Errored, Saturated, ConnectFailed, Reset, Cancelled, NotSent}[arg/32])
@@ -54,21 +54,21 @@
 			ids = append(ids, id)
 		}
 		if slices.Sort(ids); len(ids) > 0 {
-			w.disconnect(w.requests[ids[arg%len(ids)]])
+			w.disconnectClient(w.requests[ids[arg%len(ids)]])
 		}
 	case 13:
 		s := Endpoint{ID: fmt.Sprint("s", arg%10), Capacity: 1, Zone: fmt.Sprint("z", arg%2), Cell: int64(arg % 3)}
-		s.StartedAt = w.phase[s.ID].StartedAt
+		s.StartedAt = w.endpoints[s.ID].StartedAt
 		s.Phase = Phase(arg / 10 % 3)
 		if arg > 127 && s.Phase == InService {
 			s.StartedAt = w.now
 		}
-		w.sendEndpoints(false, s)
+		w.updateEndpoints(false, s)
 	case 14:
 		if arg < 128 {
 			w.b.OnPollFailed(w.now, 0)
 		} else {
-			w.sendEndpoints(true, testEndpoints(arg%7)...)
+			w.updateEndpoints(true, testEndpoints(arg%7)...)
 		}
 	case 15:
 		if arg%8 == 1 && len(w.b.endpoints) > 0 { // another tells of its attempts, or of nonsense
@@ -89,7 +89,7 @@
 		}
 		if arg%8 == 0 {
 			w.restart()
-			w.sendEndpoints(true, testEndpoints(arg/8%9)...)
+			w.updateEndpoints(true, testEndpoints(arg/8%9)...)
 		}
 	}
 }
--- a/decide/key_affinity_test.go
+++ b/decide/key_affinity_test.go
@@ -7,7 +7,7 @@
 )
 
 // Every balancer with the same list prefers the same replica for a key, whatever its seed.
-func TestPreferredReplicasAgree(t *testing.T) {
+func TestBalancersAgreeOnPreferredReplica(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
 	w, other := newWorkload(t, set, testEndpoints(9)...), newWorkload(t, set, testEndpoints(9)...)
@@ -47,9 +47,9 @@
 func TestHotKeyHasSeveralReplicas(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
-	bs := newCluster(2, set, 0, testEndpoints(50)).bs // each with its own seed
+	balancers := newCluster(2, set, 0, testEndpoints(50)).balancers // each with its own seed
 	replicas := [2]map[string]bool{{}, {}}
-	for j, b := range bs {
+	for j, b := range balancers {
 		for i := range 2000 {
 			key := fmt.Sprint("k", i/2)
 			if i%10 == 0 {
@@ -66,7 +66,7 @@
 	if !maps.Equal(replicas[0], replicas[1]) {
 		t.Errorf("one balancer has the hot key preferred at %v, the other at %v", replicas[0], replicas[1])
 	}
-	if a, b := bs[0].affinityReplica("once"), bs[0].affinityReplica("once"); a != b {
+	if a, b := balancers[0].affinityReplica("once"), balancers[0].affinityReplica("once"); a != b {
 		t.Error("a rare key has two homes")
 	}
 }
--- a/decide/locality_test.go
+++ b/decide/locality_test.go
@@ -18,14 +18,14 @@
 		list[2].Zone = "home"
 		w := newWorkload(t, set, list...)
 		r := newPlainRequest(w.b)
-		met := false
+		drawn := false
 		for range 200 {
 			if s, p := w.b.drawEndpoint(w.now, r); s.Zone == "home" {
-				met = true
+				drawn = true
 				assertNear(t, fmt.Sprint("p of the own zone at price ", price), p, want, 1e-9)
 			}
 		}
-		if !met {
+		if !drawn {
 			t.Error("the own zone was never drawn")
 		}
 	}
--- a/decide/outlier_detection_test.go
+++ b/decide/outlier_detection_test.go
@@ -9,9 +9,9 @@
 // A dead process that refuses connections at once, and so always has capacity, gets little.
 func TestDeadEndpointIsEjected(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
-	dead := w.countRefusedConnections(500, 100_000, func(id string) bool { return id == "s0" })
-	if dead > 20 {
-		t.Errorf("%d of 500 requests met the dead server, want 20 or fewer", dead)
+	refused := w.countRefusedConnections(500, 100_000, func(id string) bool { return id == "s0" })
+	if refused > 20 {
+		t.Errorf("%d of 500 requests met the dead server, want 20 or fewer", refused)
 	}
 }
 
@@ -20,18 +20,18 @@
 func TestHungEndpointIsEjectedAndRestored(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	hung := true
-	answer := func(f *trackedAttempt) (Result, bool) {
-		return Succeeded, w.now-f.sent >= 200_000 && (f.server.ID != "s0" || !hung)
+	outcome := func(a *trackedAttempt) (Result, bool) {
+		return Succeeded, w.now-a.sentAt >= 200_000 && (a.endpoint.ID != "s0" || !hung)
 	}
-	w.traffic(300, answer)
+	w.sendTraffic(300, outcome)
 	if w.countActions("log endpoint_ejected") == 0 {
 		t.Error("the server answers nothing and was not ejected")
 	}
 	hung = false
-	for _, f := range slices.Clone(w.inFlight) {
-		w.endAttempt(f, Reset)
+	for _, a := range slices.Clone(w.inFlight) {
+		w.endAttempt(a, Reset)
 	}
-	w.traffic(1700, answer)
+	w.sendTraffic(1700, outcome)
 	if w.countActions("log endpoint_restored") == 0 || w.b.knownEndpoints["s0"].ejectedForAll {
 		t.Error("the server answers again but was not brought back")
 	}
@@ -41,22 +41,22 @@
 }
 
 // An endpoint that fails one class still serves the others.
-func TestErrorsEjectFromOneClass(t *testing.T) {
+func TestErrorsEjectFromTheirClassOnly(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	failed, served := 0, 0
 	for i := range 600 {
 		class := i % 2
-		w.request(fmt.Sprint("r", i), class, 2*second)
+		w.sendRequest(fmt.Sprint("r", i), class, 2*second)
 		for len(w.inFlight) > 0 {
-			f := w.inFlight[0]
-			if f.server.ID < "s2" && class == 1 {
+			a := w.inFlight[0]
+			if a.endpoint.ID < "s2" && class == 1 {
 				failed++
-				w.endAttempt(f, Errored)
+				w.endAttempt(a, Errored)
 			} else {
-				if f.server.ID < "s2" {
+				if a.endpoint.ID < "s2" {
 					served++
 				}
-				w.endAttempt(f, Succeeded)
+				w.endAttempt(a, Succeeded)
 			}
 		}
 		w.advance(20_000)
@@ -70,7 +70,7 @@
 }
 
 // failRepeatedly ejects an endpoint from every class.
-func failRepeatedly(b *Balancer, now int64, s *endpointState, cause Result) {
+func ejectFromAllClasses(b *Balancer, now int64, s *endpointState, cause Result) {
 	for i := range s.ejections {
 		s.ejections[i].lastFailure = cause
 		b.eject(now, s, i)
@@ -80,25 +80,25 @@
 // When nearly all fail there is a common cause: a quarter of the endpoints stays.
 func TestCommonCauseDoesNotEjectAll(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(8)...)
-	w.traffic(200, func(*trackedAttempt) (Result, bool) { return Errored, true })
-	well := 0
+	w.sendTraffic(200, func(*trackedAttempt) (Result, bool) { return Errored, true })
+	healthy := 0
 	for _, s := range w.b.endpoints {
 		if !s.ejections[0].ejected {
-			well++
+			healthy++
 		}
 	}
-	if well < 2 {
-		t.Errorf("%d of 8 servers left in the draw, want 2", well)
+	if healthy < 2 {
+		t.Errorf("%d of 8 servers left in the draw, want 2", healthy)
 	}
 }
 
 // An endpoint never used counts as heard of when it was listed, so that one failure and a good trial put it
 // in no slow start.
-func TestEndpointNeverUsedIsNotSilent(t *testing.T) {
+func TestUnusedEndpointIsRestoredWithoutSlowStart(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	s := w.b.endpoints[0]
 	w.b.updateEjection(w.now, 0, s, ConnectFailed)
-	failRepeatedly(w.b, w.now, s, ConnectFailed)
+	ejectFromAllClasses(w.b, w.now, s, ConnectFailed)
 	w.b.updateEjection(w.now+second, 0, s, Succeeded)
 	if s.ejectedForAll || s.slowStartSince != 0 {
 		t.Errorf("ejected %v, slow start since %d, want neither", s.ejectedForAll, s.slowStartSince)
@@ -109,22 +109,22 @@
 // retry.
 func TestLostZoneIsEjectedCompletely(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
-	rejected := w.countRefusedConnections(600, 20_000, func(id string) bool { return id != "s0" })
-	if rejected > 120 {
-		t.Errorf("%d rejected connections at nine dead servers in 6 s, want 120 or fewer", rejected)
+	refused := w.countRefusedConnections(600, 20_000, func(id string) bool { return id != "s0" })
+	if refused > 120 {
+		t.Errorf("%d rejected connections at nine dead servers in 6 s, want 120 or fewer", refused)
 	}
 }
 
 // An endpoint restored after silence is in slow start with the initial limit.
-func TestRestoredAfterSilenceIsInSlowStart(t *testing.T) {
+func TestRestartedEndpointGetsInitialLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	s := w.b.endpoints[0]
 	s.concurrencyLimit = 0.1
-	failRepeatedly(w.b, w.now, s, TimedOut)
+	ejectFromAllClasses(w.b, w.now, s, TimedOut)
 	w.b.updateEjection(w.now+3*second, 0, s, Succeeded)
 	assertNear(t, "limit after silence", s.concurrencyLimit, 4, 1e-9)
-	again := Endpoint{ID: "s1", Capacity: 1, Zone: "z1", StartedAt: w.now}
+	restarted := Endpoint{ID: "s1", Capacity: 1, Zone: "z1", StartedAt: w.now}
 	w.b.endpoints[1].concurrencyLimit = 0.1
-	w.sendEndpoints(false, again)
+	w.updateEndpoints(false, restarted)
 	assertNear(t, "limit of a new process", w.b.knownEndpoints["s1"].concurrencyLimit, 4, 1e-9)
 }
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -6,14 +6,14 @@
 )
 
 // A request that an endpoint finds invalid fails at once, without a retry and without blame to the endpoint.
-func TestInvalidRequestFailsAtOnce(t *testing.T) {
+func TestInvalidRequestIsNotRetried(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	before := w.b.retryBudget.tokens
 	for i := range 6 {
-		r := w.request(fmt.Sprint("bad", i), 0, 2*second)
+		r := w.sendRequest(fmt.Sprint("bad", i), 0, 2*second)
 		w.endAttempt(w.inFlight[0], InvalidRequest)
-		if r.answered != "fail" || len(r.attempts) != 1 {
-			t.Fatalf("answered %q after %d attempts", r.answered, len(r.attempts))
+		if r.answer != "fail" || len(r.attempts) != 1 {
+			t.Fatalf("answered %q after %d attempts", r.answer, len(r.attempts))
 		}
 	}
 	if w.b.retryBudget.tokens != before || w.countActions("log endpoint_ejected") != 0 || w.b.endpoints[0].logWeight != 0 {
@@ -23,11 +23,11 @@
 
 func TestStartedStreamIsNotRetried(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
-	r := w.request("a", 5, 2*second)
+	r := w.sendRequest("a", 5, 2*second)
 	w.b.OnStreamStarted(w.now, "a", 0)
-	r.attempts[0].expires, r.deadline = w.now+100*second, w.now+100*second
+	r.attempts[0].expiresAt, r.deadline = w.now+100*second, w.now+100*second
 	w.advance(5 * second)
-	r.answered = "stream"
+	r.answer = "stream"
 	w.endAttempt(r.attempts[0], Reset)
 	if len(r.attempts) != 1 || len(w.b.openRequests) != 0 {
 		t.Errorf("%d attempts, %d requests open, want one and none", len(r.attempts), len(w.b.openRequests))
@@ -36,13 +36,13 @@
 
 // An objective of 400 ms extended by 3 times the work hint: 100 ms of work 700 ms, 900 ms of work no more
 // than the deadline of 2 s, without a hint the class's own.
-func TestObjectiveGrowsWithWorkHint(t *testing.T) {
+func TestWorkHintExtendsLatencyObjective(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].ObjectivePerWork = 3
 	w := newWorkload(t, set, testEndpoints(3)...)
 	for work, want := range map[int64]int64{0: 400_000, 100_000: 700_000, 900_000: 2 * second} {
 		id := fmt.Sprint("r", work)
-		w.take(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, WorkHint: work})
+		w.submit(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, WorkHint: work})
 		if got := w.b.openRequests[id].latencyObjective; got != want {
 			t.Errorf("objective with %d us of work: %d, want %d", work, got, want)
 		}
@@ -50,14 +50,14 @@
 }
 
 // An answer that has started takes no capacity: the work of its endpoint is done.
-func TestStartedStreamTakesNoCapacity(t *testing.T) {
+func TestStartedStreamReleasesCapacity(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
-	r := w.request("long", 0, 2*second)
-	s := w.b.knownEndpoints[r.attempts[0].server.ID]
+	r := w.sendRequest("long", 0, 2*second)
+	s := w.b.knownEndpoints[r.attempts[0].endpoint.ID]
 	if s.inFlight != 1 || w.b.inFlight != 1 {
 		t.Fatal(s.inFlight, w.b.inFlight)
 	}
-	r.answered = "served"
+	r.answer = "served"
 	w.b.OnStreamStarted(w.now, "long", 0)
 	w.b.OnStreamStarted(w.now, "long", 0)
 	if s.inFlight != 0 || w.b.inFlight != 0 || s.ejections[0].inFlight != 0 {
@@ -73,30 +73,30 @@
 // sent; if none was it is retried.
 func TestUnbufferedBodyIsSentOnce(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
-	once := func(id string, spent bool) *trackedRequest {
-		r := w.take(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, BodyUnbuffered: true})
-		if got := r.attempts[0].expires - w.now; got != 2*second {
+	failFirstAttempt := func(id string, bodyConsumed bool) *trackedRequest {
+		r := w.submit(Request{ID: id, Tenant: -1, TimeLeft: 2 * second, BodyUnbuffered: true})
+		if got := r.attempts[0].expiresAt - w.now; got != 2*second {
 			t.Fatalf("%s: %d of %d µs", id, got, 2*second)
 		}
-		f := r.attempts[0]
-		f.ended = true
+		a := r.attempts[0]
+		a.ended = true
 		w.inFlight = w.inFlight[:0]
-		if spent {
-			r.answered = "" // the module has to answer it
+		if bodyConsumed {
+			r.answer = "" // the module has to answer it
 		}
-		w.b.OnOutcome(w.now, Outcome{Request: id, Server: f.server.ID, Result: ConnectFailed, BodyConsumed: spent})
+		w.b.OnOutcome(w.now, Outcome{Request: id, Server: a.endpoint.ID, Result: ConnectFailed, BodyConsumed: bodyConsumed})
 		return r
 	}
-	if r := once("gone", true); len(r.attempts) != 1 || r.answered != "reject" {
-		t.Fatalf("%d attempts, %q", len(r.attempts), r.answered)
+	if r := failFirstAttempt("gone", true); len(r.attempts) != 1 || r.answer != "reject" {
+		t.Fatalf("%d attempts, %q", len(r.attempts), r.answer)
 	}
-	if r := once("kept", false); len(r.attempts) != 2 || r.answered != "" {
-		t.Fatalf("%d attempts, %q", len(r.attempts), r.answered)
+	if r := failFirstAttempt("kept", false); len(r.attempts) != 2 || r.answer != "" {
+		t.Fatalf("%d attempts, %q", len(r.attempts), r.answer)
 	}
 }
 
 // Latencies are compared by what the work hint makes likely: half of the time is in proportion to the work.
-func TestWorkFactor(t *testing.T) {
+func TestWorkFactorFollowsWorkHint(t *testing.T) {
 	c := newClassState(Class{LatencyObjective: second})
 	assertNear(t, "without a hint", c.workFactor(0), 1, 0)
 	assertNear(t, "the first", c.workFactor(1000), 1, 1e-9)
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -6,30 +6,30 @@
 	"testing"
 )
 
-func TestExtremeSettingsAndReports(t *testing.T) {
+func TestMinimalSettingsAndInvalidReports(t *testing.T) {
 	set := Settings{Classes: []Class{{Name: "bare"}}}
 	if err := set.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	w := newWorkload(t, set, Endpoint{ID: "s0"}, Endpoint{ID: "s1", Capacity: math.Inf(1)})
 	for i := range 100 {
-		r := w.request(fmt.Sprint("r", i), 0, second)
-		for len(r.attempts) > 0 && r.answered == "" && len(w.inFlight) > 0 {
+		r := w.sendRequest(fmt.Sprint("r", i), 0, second)
+		for len(r.attempts) > 0 && r.answer == "" && len(w.inFlight) > 0 {
 			w.endAttempt(r.attempts[len(r.attempts)-1], Saturated)
 		}
-		if r.answered == "" {
+		if r.answer == "" {
 			w.advance(2 * second)
 		}
 		w.b.OnHealthCheck(w.now, HealthCheck{Server: "nobody", Load: &LoadReport{InFlight: math.NaN()}})
 	}
-	w.sendEndpoints(true)
-	if r := w.request("last", 0, second); r.answered != "reject" {
-		t.Errorf("with nobody listed: %q, want reject", r.answered)
+	w.updateEndpoints(true)
+	if r := w.sendRequest("last", 0, second); r.answer != "reject" {
+		t.Errorf("with nobody listed: %q, want reject", r.answer)
 	}
 }
 
-func TestValidate(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+func TestValidateRejectsInvalidSettings(t *testing.T) {
+	for name, invalidate := range map[string]func(*Settings){
 		"no classes":       func(s *Settings) { s.Classes = nil },
 		"negative window":  func(s *Settings) { s.Classes[0].DedupWindow = -1 },
 		"negative aim":     func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
@@ -41,7 +41,7 @@
 		"tenant":           func(s *Settings) { s.Tenants = []Tenant{{Name: "x", Allowance: -1}} },
 	} {
 		set := testSettings()
-		spoil(&set)
+		invalidate(&set)
 		if set.Validate() == nil {
 			t.Errorf("%s: accepted", name)
 		}
--- a/decide/settings_update_test.go
+++ b/decide/settings_update_test.go
@@ -7,7 +7,7 @@
 )
 
 // settingsWith are test settings with other classes.
-func settingsWith(classes ...Class) Settings {
+func settingsWithClasses(classes ...Class) Settings {
 	set := testSettings()
 	set.Classes = classes
 	return set
@@ -23,7 +23,7 @@
 func TestUpdateSettingsKeepsEstimates(t *testing.T) {
 	set := testSettings()
 	w := newWorkload(t, set, testEndpoints(4)...)
-	w.traffic(200, func(f *trackedAttempt) (Result, bool) { return Succeeded, w.now-f.sent >= 20_000 })
+	w.sendTraffic(200, func(a *trackedAttempt) (Result, bool) { return Succeeded, w.now-a.sentAt >= 20_000 })
 	weights, limits := map[string]float64{}, map[string]float64{}
 	for id, s := range w.b.knownEndpoints {
 		weights[id], limits[id] = s.logWeight, s.concurrencyLimit
@@ -32,7 +32,7 @@
 	fresh := Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: 100_000, Deadline: second}
 	slower := set.Classes[0]
 	slower.Deadline *= 2
-	w.updateSettings(settingsWith(fresh, slower))
+	w.updateSettings(settingsWithClasses(fresh, slower))
 	for id, s := range w.b.knownEndpoints {
 		if s.logWeight != weights[id] || s.concurrencyLimit != limits[id] || len(s.ejections) != 2 {
 			t.Errorf("%s: log %v was %v, limit %v was %v, %d classes", id, s.logWeight, weights[id], s.concurrencyLimit, limits[id], len(s.ejections))
@@ -53,8 +53,8 @@
 	set.Limits.MaxAttempts = 3
 	w := newWorkload(t, set, testEndpoints(4)...)
 	name := set.Classes[0].Name
-	old := w.request("old", 0, 2*second)
-	next := settingsWith(Class{Name: name, PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second, Semantics: AtMostOnce})
+	old := w.sendRequest("old", 0, 2*second)
+	next := settingsWithClasses(Class{Name: name, PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second, Semantics: AtMostOnce})
 	next.Limits.MaxAttempts = 1
 	w.b.UpdateSettings(w.now, next) // the checker of the world goes by the old settings: the open request does
 	for len(old.attempts) < 3 {
@@ -65,26 +65,26 @@
 		}
 	}
 	w.endAttempt(old.attempts[2], Errored)
-	if old.answered != "reject" {
-		t.Fatalf("a safe request was %q", old.answered)
+	if old.answer != "reject" {
+		t.Fatalf("a safe request was %q", old.answer)
 	}
 	w.set = next
-	fresh := w.request("new", 0, 2*second)
+	fresh := w.sendRequest("new", 0, 2*second)
 	w.endAttempt(fresh.attempts[0], Errored)
-	if len(fresh.attempts) != 1 || fresh.answered != "fail" {
-		t.Fatalf("a request of now: %d attempts, %q", len(fresh.attempts), fresh.answered)
+	if len(fresh.attempts) != 1 || fresh.answer != "fail" {
+		t.Fatalf("a request of now: %d attempts, %q", len(fresh.attempts), fresh.answer)
 	}
 }
 
 // A class that is dropped is forgotten when its last request ends, not before. Its failures until then are
 // its own.
-func TestDroppedClassIsForgotten(t *testing.T) {
+func TestRemovedClassIsDroppedAfterItsLastRequest(t *testing.T) {
 	set := testSettings()
 	a, z := Class{Name: "a", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second}, Class{Name: "z", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second}
 	set.Classes = []Class{a, z}
 	w := newWorkload(t, set, testEndpoints(4)...)
-	open := w.request("open", 0, 2*second)
-	w.updateSettings(settingsWith(z))
+	open := w.sendRequest("open", 0, 2*second)
+	w.updateSettings(settingsWithClasses(z))
 	w.advance(second)
 	if len(w.b.classes) != 2 || w.b.openRequests["open"].Class != 1 {
 		t.Fatalf("%d classes while a request is open, its class %d", len(w.b.classes), w.b.openRequests["open"].Class)
@@ -99,14 +99,14 @@
 			t.Errorf("%s: health %+v", id, s.ejections)
 		}
 	}
-	w.traffic(50, func(_ *trackedAttempt) (Result, bool) { return Succeeded, true })
+	w.sendTraffic(50, func(_ *trackedAttempt) (Result, bool) { return Succeeded, true })
 }
 
 // An endpoint that is ejected from every class is not tried anew for a new one.
-func TestEjectedEndpointStaysSoForNewClass(t *testing.T) {
+func TestEjectedEndpointIsEjectedFromNewClass(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
-	w.traffic(200, func(f *trackedAttempt) (Result, bool) {
-		if f.server.ID == "s0" {
+	w.sendTraffic(200, func(a *trackedAttempt) (Result, bool) {
+		if a.endpoint.ID == "s0" {
 			return ConnectFailed, true
 		}
 		return Succeeded, true
@@ -115,7 +115,7 @@
 		t.Fatal("the dead server is in the draw")
 	}
 	set := testSettings()
-	w.updateSettings(settingsWith(append(set.Classes, Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second})...))
+	w.updateSettings(settingsWithClasses(append(set.Classes, Class{Name: "fresh", PriorityWeight: 1, LatencyObjective: second, Deadline: 2 * second})...))
 	s := w.b.knownEndpoints["s0"]
 	if h := s.ejections[len(s.ejections)-1]; !h.ejected || !s.ejectedForAll {
 		t.Fatalf("%+v", h)
@@ -123,7 +123,7 @@
 }
 
 // Tenants are matched by name.
-func TestUpdatedTenants(t *testing.T) {
+func TestTenantCountsAreMatchedByName(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{"a", 1}, {"b", 1}}
 	w := newWorkload(t, set, testEndpoints(2)...)
@@ -137,11 +137,11 @@
 
 // The same settings again change no decision, and fifty updates leave nothing behind.
 func TestUpdateToSameSettingsChangesNothing(t *testing.T) {
-	play := func(retune bool) []string {
+	runTraffic := func(update bool) []string {
 		w := newWorkload(t, testSettings(), testEndpoints(5)...)
 		for i := range 50 {
-			w.traffic(4, func(f *trackedAttempt) (Result, bool) { return Succeeded, w.now-f.sent >= 15_000 })
-			if retune {
+			w.sendTraffic(4, func(a *trackedAttempt) (Result, bool) { return Succeeded, w.now-a.sentAt >= 15_000 })
+			if update {
 				w.updateSettings(testSettings())
 				if n := len(w.b.classes); n != len(testSettings().Classes) {
 					t.Fatalf("turn %d: %d classes", i, n)
@@ -150,7 +150,7 @@
 		}
 		return w.actions
 	}
-	a, b := play(false), play(true)
+	a, b := runTraffic(false), runTraffic(true)
 	if fmt.Sprint(a) != fmt.Sprint(b) {
 		t.Fatal("decisions differ")
 	}
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -12,9 +12,9 @@
 	w := newWorkload(t, testSettings(), list...)
 	w.advance(second)
 	cold := Endpoint{ID: "new", Capacity: 1, Zone: "z0", StartedAt: w.now}
-	w.sendEndpoints(false, cold)
+	w.updateEndpoints(false, cold)
 	for i := range 400 { // a jam: everything turned away, many sends, no answers
-		r := w.request(fmt.Sprint("r", i), 0, second)
+		r := w.sendRequest(fmt.Sprint("r", i), 0, second)
 		for range 4 {
 			if n := len(r.attempts); n > 0 {
 				w.endAttempt(r.attempts[n-1], Saturated)
@@ -39,7 +39,7 @@
 // However many balancers share the traffic and however unevenly, what all of them send to an endpoint that
 // has just started stays, in any window of the rule, under the overload factor times its share of what a warm
 // one gets.
-func TestSlowStartOfManyBalancersTogether(t *testing.T) {
+func TestSlowStartBoundHoldsForAllBalancersTogether(t *testing.T) {
 	for _, n := range []int{1, 10, 1000} {
 		for _, skew := range []float64{0, 0.3} {
 			t.Run(fmt.Sprint(n, " balancers, skew ", skew), func(t *testing.T) {
@@ -48,22 +48,22 @@
 				set.KeyAffinity = n == 10 // all servers are met, as homes
 				const servers, perSecond = 20, 800
 				c := newCluster(n, set, skew, testEndpoints(servers))
-				c.keys = 300
+				c.keyCount = 300
 				c.run(6, perSecond)
 				start := c.now
-				times := c.sendsToStartingServer(8, perSecond)
+				times := c.sendsToStartingEndpoint(8, perSecond)
 				window := set.Rules.OverloadWindow
 				for i, at := range times {
-					in := 0
+					sends := 0
 					for _, other := range times[i:] {
 						if other-at < window {
-							in++
+							sends++
 						}
 					}
-					part := set.Rules.SlowStartMinShare + (1-set.Rules.SlowStartMinShare)*float64(at-start)/float64(set.Rules.SlowStartWindow)
-					budget := set.Rules.OverloadFactor * part * perSecond / servers * float64(window) / float64(second)
-					if float64(in) > budget {
-						t.Fatalf("%d sends within a window from %.2f s after the start, budget %.1f", in,
+					share := set.Rules.SlowStartMinShare + (1-set.Rules.SlowStartMinShare)*float64(at-start)/float64(set.Rules.SlowStartWindow)
+					budget := set.Rules.OverloadFactor * share * perSecond / servers * float64(window) / float64(second)
+					if float64(sends) > budget {
+						t.Fatalf("%d sends within a window from %.2f s after the start, budget %.1f", sends,
 							float64(at-start)/1e6, budget)
 					}
 				}
@@ -77,12 +77,12 @@
 
 // With key affinity the throughput of the subset counts apart from the rest. A warm endpoint gets 20 a
 // second; over 8 s from 0.3 to 1 of it are 104, and a random first part of one send.
-func TestSlowStartShareFromSubset(t *testing.T) {
+func TestSlowStartRateFollowsSubsetThroughput(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
 	c := newCluster(80, set, 0, testEndpoints(60))
 	c.run(6, 1200)
-	if n := len(c.sendsToStartingServer(8, 1200)); n < 52 || n > 208 {
+	if n := len(c.sendsToStartingEndpoint(8, 1200)); n < 52 || n > 208 {
 		t.Errorf("a server in slow start got %d sends in its warm-up, want 104 or so", n)
 	}
 }
@@ -90,11 +90,11 @@
 // A warm endpoint gives 10 answers a second, so 100 ms after its start (0.3 of its capacity) one in slow
 // start has earned 0.3 sends where twice its capacity would overload it, and 0.9 where six times would: half
 // of that.
-func TestSlowStartMayUseHalfOfOverload(t *testing.T) {
+func TestSlowStartUsesHalfOfOverloadFactor(t *testing.T) {
 	for factor, want := range map[float64]float64{2: 0.3, 6: 0.9} {
 		set := testSettings()
 		set.Rules.OverloadFactor = factor
-		b := newCluster(2, set, 0, testEndpoints(4)).bs[0]
+		b := newCluster(2, set, 0, testEndpoints(4)).balancers[0]
 		s, now := b.endpoints[0], 2000*second
 		b.rates.perCapacity[1], s.slowStartSince, s.slowStartTokens = 10/float64(second), now-1, expiringTokenBucket{updatedAt: now - second/10}
 		b.slowStartAdmits(now, s)
@@ -104,10 +104,10 @@
 
 // A balancer that has just started gives an endpoint in slow start its share within seconds: 20 balancers of
 // 40 a second at 10 endpoints make 80 a second a warm endpoint.
-func TestNewBalancerServesSlowStartSoon(t *testing.T) {
+func TestNewBalancerSendsToEndpointInSlowStart(t *testing.T) {
 	c := newCluster(20, testSettings(), 0, testEndpoints(10))
 	c.run(1, 800)
-	if n := len(c.sendsToStartingServer(2, 800)); n < 30 {
+	if n := len(c.sendsToStartingEndpoint(2, 800)); n < 30 {
 		t.Errorf("a server in slow start got %d sends within 2 s of a start, want 60 or so", n)
 	}
 }
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -8,23 +8,23 @@
 // 1,000 balancers and 200 endpoints leave minSubset endpoints to each; all subsets together have an endpoint
 // 15 times, so none is without and none has over three times that. With two balancers every endpoint is in
 // both subsets.
-func TestSubsetsOfManyBalancers(t *testing.T) {
+func TestSubsetsCoverAllEndpointsEvenly(t *testing.T) {
 	c := newCluster(1000, testSettings(), 0, testEndpoints(200))
-	held := map[string]int{}
-	for _, b := range c.bs {
+	subsetsWith := map[string]int{}
+	for _, b := range c.balancers {
 		if len(b.subset) != minSubset {
 			t.Fatalf("%d in the subset, want %d", len(b.subset), minSubset)
 		}
 		for _, s := range b.subset {
-			held[s.ID]++
+			subsetsWith[s.ID]++
 		}
 	}
 	for _, s := range testEndpoints(200) {
-		if n := held[s.ID]; n < 1 || n > 45 {
+		if n := subsetsWith[s.ID]; n < 1 || n > 45 {
 			t.Errorf("%s is an arm of %d balancers, want 15 or so", s.ID, n)
 		}
 	}
-	if b := newCluster(2, testSettings(), 0, testEndpoints(12)).bs[0]; len(b.subset) != 12 {
+	if b := newCluster(2, testSettings(), 0, testEndpoints(12)).balancers[0]; len(b.subset) != 12 {
 		t.Errorf("%d endpoints in the subset of 12 servers at two balancers, want all", len(b.subset))
 	}
 }
@@ -32,18 +32,18 @@
 // An ejected endpoint is replaced by the next of the balancer's order and comes back to its place; a change
 // of the list far away in the order moves none.
 func TestEjectedEndpointIsReplacedInSubset(t *testing.T) {
-	b := newCluster(1000, testSettings(), 0, testEndpoints(200)).bs[0]
-	now, before := 1000*second, slices.Clone(b.subset)
-	for _, s := range before[1:] {
+	b := newCluster(1000, testSettings(), 0, testEndpoints(200)).balancers[0]
+	now, original := 1000*second, slices.Clone(b.subset)
+	for _, s := range original[1:] {
 		s.successesThisSecond, s.lastSuccessAt = 1, now
 	}
-	failRepeatedly(b, now, before[0], TimedOut)
-	if n := len(b.subset); n != len(before)+1 || !slices.Equal(b.subset[:len(before)], before) {
+	ejectFromAllClasses(b, now, original[0], TimedOut)
+	if n := len(b.subset); n != len(original)+1 || !slices.Equal(b.subset[:len(original)], original) {
 		t.Errorf("%d in the subset after one fell ill, want the same and one more", n)
 	}
-	b.restore(now, before[0], 0)
+	b.restore(now, original[0], 0)
 	b.OnEndpoints(now, []Endpoint{{ID: b.endpoints[100].ID, Capacity: 1, Phase: Removed}}, false)
-	if !slices.Equal(b.subset, before) {
+	if !slices.Equal(b.subset, original) {
 		t.Error("the subset is not the same after the return and a change elsewhere")
 	}
 }
@@ -63,7 +63,7 @@
 }
 
 // More traffic wants a larger subset, a smaller one where open connections have a price.
-func TestSubsetSizeByTraffic(t *testing.T) {
+func TestSubsetSizeFollowsTrafficAndConnectionPrice(t *testing.T) {
 	for _, c := range []struct {
 		price, rate float64
 		want        int
--- a/decide/workload_test.go
+++ b/decide/workload_test.go
@@ -9,40 +9,40 @@
 // workload drives one balancer with legal orders of events, and is no model of servers: it records what a
 // host would know and fails the test at the first action that breaks one of the rules.
 type workload struct {
-	t               testing.TB
-	set             Settings
-	b               *Balancer
-	now             int64
-	requests        map[string]*trackedRequest
-	unanswered      []*trackedRequest
-	inFlight        []*trackedAttempt
-	timers          []pendingTimer
-	phase           map[string]Endpoint
-	warmAt          map[string]int64 // when a server is warm
-	sends           map[string][]int64
-	recentSuccesses []int64 // times of the last second's answers
-	bestSecond      int     // answers in the best second
-	actions         []string
-	failed          bool
-	requestsSent    int // requests of traffic
-	requestTimes    []int64
-	retryTimes      []int64 // times of attempts beyond a request's first
+	t                     testing.TB
+	set                   Settings
+	b                     *Balancer
+	now                   int64
+	requests              map[string]*trackedRequest
+	unanswered            []*trackedRequest
+	inFlight              []*trackedAttempt
+	timers                []pendingTimer
+	endpoints             map[string]Endpoint
+	warmAt                map[string]int64 // when a server is warm
+	slowStartSends        map[string][]int64
+	recentSuccesses       []int64 // times of the last second's answers
+	maxSuccessesPerSecond int     // answers in the best second
+	actions               []string
+	failed                bool
+	requestsSent          int // requests of traffic
+	requestTimes          []int64
+	retryTimes            []int64 // times of attempts beyond a request's first
 }
 
 type trackedRequest struct {
 	Request
 	deadline int64
-	answered string
+	answer   string
 	attempts []*trackedAttempt
 }
 
 type trackedAttempt struct {
-	r             *trackedRequest
-	n             int
-	server        Endpoint
-	sent, expires int64
-	ended         bool
-	result        Result
+	request           *trackedRequest
+	index             int
+	endpoint          Endpoint
+	sentAt, expiresAt int64
+	ended             bool
+	result            Result
 }
 
 type pendingTimer struct{ at, token int64 }
@@ -50,20 +50,20 @@
 func newWorkload(t testing.TB, set Settings, servers ...Endpoint) *workload {
 	w := &workload{t: t, set: set, now: 1000 * second}
 	w.restart()
-	w.sendEndpoints(true, servers...)
+	w.updateEndpoints(true, servers...)
 	return w
 }
 
 // restart is a kill and a new start: what was in flight is for the clients to retry.
 func (w *workload) restart() {
 	w.requests, w.unanswered, w.inFlight, w.timers = map[string]*trackedRequest{}, nil, nil, nil
-	w.phase, w.warmAt, w.sends = map[string]Endpoint{}, map[string]int64{}, map[string][]int64{}
+	w.endpoints, w.warmAt, w.slowStartSends = map[string]Endpoint{}, map[string]int64{}, map[string][]int64{}
 	w.requestTimes, w.retryTimes = nil, nil
 	w.b = New(w.set, 7, w)
 	w.b.Start(w.now)
 }
 
-func (w *workload) violation(format string, args ...any) {
+func (w *workload) reportViolation(format string, args ...any) {
 	w.failed = true
 	w.t.Errorf("at %.3f s: %s", float64(w.now)/1e6, fmt.Sprintf(format, args...))
 }
@@ -72,30 +72,30 @@
 	w.actions = append(w.actions, fmt.Sprintf("%d ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *workload) sendEndpoints(whole bool, servers ...Endpoint) {
-	if whole {
-		for id, s := range w.phase {
+func (w *workload) updateEndpoints(complete bool, servers ...Endpoint) {
+	if complete {
+		for id, s := range w.endpoints {
 			s.Phase = Removed
-			w.phase[id] = s
+			w.endpoints[id] = s
 		}
 	}
 	for _, s := range servers {
-		if old, ok := w.phase[s.ID]; !ok || s.StartedAt > old.StartedAt {
+		if old, ok := w.endpoints[s.ID]; !ok || s.StartedAt > old.StartedAt {
 			if s.StartedAt > 0 {
 				w.warmAt[s.ID] = s.StartedAt + w.set.Rules.SlowStartWindow
 			}
 		}
-		w.phase[s.ID] = s
+		w.endpoints[s.ID] = s
 	}
-	w.b.OnEndpoints(w.now, servers, whole)
+	w.b.OnEndpoints(w.now, servers, complete)
 }
 
-func (w *workload) request(id string, class int, left int64) *trackedRequest {
-	return w.take(Request{ID: id, Class: class, Tenant: -1, TimeLeft: left, Key: "k" + id})
+func (w *workload) sendRequest(id string, class int, timeLeft int64) *trackedRequest {
+	return w.submit(Request{ID: id, Class: class, Tenant: -1, TimeLeft: timeLeft, Key: "k" + id})
 }
 
 // take records a request and gives it to the balancer.
-func (w *workload) take(in Request) *trackedRequest {
+func (w *workload) submit(in Request) *trackedRequest {
 	r := &trackedRequest{Request: in, deadline: w.now + in.TimeLeft}
 	w.requests[in.ID] = r
 	w.unanswered = append(w.unanswered, r)
@@ -105,14 +105,14 @@
 }
 
 // traffic sends n requests of the first class 10 ms apart and ends the attempts that answer gives a result.
-func (w *workload) traffic(n int, answer func(f *trackedAttempt) (Result, bool)) {
+func (w *workload) sendTraffic(n int, outcome func(a *trackedAttempt) (Result, bool)) {
 	for range n {
 		w.requestsSent++
-		w.request(fmt.Sprint("r", w.requestsSent), 0, 2*second)
+		w.sendRequest(fmt.Sprint("r", w.requestsSent), 0, 2*second)
 		w.advance(10_000)
-		for _, f := range slices.Clone(w.inFlight) {
-			if result, ok := answer(f); ok {
-				w.endAttempt(f, result)
+		for _, a := range slices.Clone(w.inFlight) {
+			if result, ok := outcome(a); ok {
+				w.endAttempt(a, result)
 			}
 		}
 	}
@@ -120,42 +120,42 @@
 
 // countRefusedConnections plays traffic of n requests before servers of which the dead refuse connections at
 // once and the others answer after some time. It counts the connections refused.
-func (w *workload) countRefusedConnections(n int, answerAfter int64, dead func(id string) bool) (rejected int) {
-	w.traffic(n, func(f *trackedAttempt) (Result, bool) {
-		if dead(f.server.ID) {
-			rejected++
+func (w *workload) countRefusedConnections(n int, answerAfter int64, refuses func(id string) bool) (refused int) {
+	w.sendTraffic(n, func(a *trackedAttempt) (Result, bool) {
+		if refuses(a.endpoint.ID) {
+			refused++
 			return ConnectFailed, true
 		}
-		return Succeeded, w.now-f.sent >= answerAfter
+		return Succeeded, w.now-a.sentAt >= answerAfter
 	})
-	return rejected
+	return refused
 }
 
 // endAttempt ends an attempt; a success closes its request.
-func (w *workload) endAttempt(f *trackedAttempt, result Result) {
-	if f.ended {
+func (w *workload) endAttempt(a *trackedAttempt, result Result) {
+	if a.ended {
 		return
 	}
-	f.ended, f.result = true, result
-	w.inFlight = slices.DeleteFunc(w.inFlight, func(g *trackedAttempt) bool { return g == f })
-	closed := f.r.answered != ""
+	a.ended, a.result = true, result
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(g *trackedAttempt) bool { return g == a })
+	closed := a.request.answer != ""
 	if result == Succeeded {
 		w.recentSuccesses = append(w.recentSuccesses, w.now)
 		for w.now-w.recentSuccesses[0] > second {
 			w.recentSuccesses = w.recentSuccesses[1:]
 		}
-		w.bestSecond = max(w.bestSecond, len(w.recentSuccesses))
+		w.maxSuccessesPerSecond = max(w.maxSuccessesPerSecond, len(w.recentSuccesses))
 		if !closed {
-			closed, f.r.answered = true, "served"
+			closed, a.request.answer = true, "served"
 		}
 	}
-	w.b.OnOutcome(w.now, Outcome{Request: f.r.ID, Attempt: f.n, Server: f.server.ID, Result: result,
-		Latency: w.now - f.sent, RequestAnswered: closed})
+	w.b.OnOutcome(w.now, Outcome{Request: a.request.ID, Attempt: a.index, Server: a.endpoint.ID, Result: result,
+		Latency: w.now - a.sentAt, RequestAnswered: closed})
 }
 
-func (w *workload) disconnect(r *trackedRequest) {
-	if r.answered == "" {
-		r.answered = "gone"
+func (w *workload) disconnectClient(r *trackedRequest) {
+	if r.answer == "" {
+		r.answer = "gone"
 	}
 	w.b.OnClientDisconnected(w.now, r.ID)
 }
@@ -165,9 +165,9 @@
 	const tick = 5000
 	for end := w.now + d; w.now < end; {
 		w.now = min(w.now+tick, end)
-		for _, f := range slices.Clone(w.inFlight) {
-			if f.expires <= w.now {
-				w.endAttempt(f, TimedOut)
+		for _, a := range slices.Clone(w.inFlight) {
+			if a.expiresAt <= w.now {
+				w.endAttempt(a, TimedOut)
 			}
 		}
 		due := slices.Clone(w.timers)
@@ -183,33 +183,33 @@
 
 // checkDeadlines is rule 1: one answer before the deadline and its slack.
 func (w *workload) checkDeadlines() {
-	w.unanswered = slices.DeleteFunc(w.unanswered, func(r *trackedRequest) bool { return r.answered != "" })
+	w.unanswered = slices.DeleteFunc(w.unanswered, func(r *trackedRequest) bool { return r.answer != "" })
 	for _, r := range w.unanswered {
-		if r.answered == "" && w.now > r.deadline+w.set.Rules.AnswerSlack {
-			w.violation("rule 1: %s has no answer %d us after its deadline", r.ID, w.now-r.deadline)
-			r.answered = "overdue"
+		if r.answer == "" && w.now > r.deadline+w.set.Rules.AnswerSlack {
+			w.reportViolation("rule 1: %s has no answer %d us after its deadline", r.ID, w.now-r.deadline)
+			r.answer = "overdue"
 		}
 	}
 }
 
 // isSafe is rule 2, worked out from the records: may server run r again, or may r be rejected (nil)?
-func (w *workload) isSafe(r *trackedRequest, server *Endpoint) bool {
+func (w *workload) repeatIsSafe(r *trackedRequest, server *Endpoint) bool {
 	c := w.set.Classes[r.Class]
-	for _, f := range r.attempts {
-		if f.ended && f.result.NeverRan() {
+	for _, a := range r.attempts {
+		if a.ended && a.result.NeverRan() {
 			continue
 		}
 		switch c.Semantics {
 		case AtMostOnce:
 			return false
 		case IdempotencyKeyed:
-			if w.now-f.sent >= c.DedupWindow || server == nil && c.DedupScope != ScopeAll {
+			if w.now-a.sentAt >= c.DedupWindow || server == nil && c.DedupScope != ScopeAll {
 				return false
 			}
-			if server != nil && c.DedupScope == ScopeZone && server.Zone != f.server.Zone {
+			if server != nil && c.DedupScope == ScopeZone && server.Zone != a.endpoint.Zone {
 				return false
 			}
-			if server != nil && c.DedupScope == ScopeCell && server.Cell != f.server.Cell {
+			if server != nil && c.DedupScope == ScopeCell && server.Cell != a.endpoint.Cell {
 				return false
 			}
 		}
@@ -219,32 +219,32 @@
 
 func (w *workload) SendAttempt(id, server string, timeout int64) {
 	w.record("send %s %s %d", id, server, timeout)
-	r, s := w.requests[id], w.phase[server]
-	if r == nil || r.answered != "" || w.now >= r.deadline {
-		w.violation("rule 1: send for a request that is over: %s", id)
+	r, s := w.requests[id], w.endpoints[server]
+	if r == nil || r.answer != "" || w.now >= r.deadline {
+		w.reportViolation("rule 1: send for a request that is over: %s", id)
 		return
 	}
 	if s.ID == "" || s.Phase != InService {
-		w.violation("rule 3: send to %q in phase %d", server, s.Phase)
+		w.reportViolation("rule 3: send to %q in phase %d", server, s.Phase)
 	}
-	if !w.isSafe(r, &s) {
-		w.violation("rule 2: %s may run twice at %s", id, server)
+	if !w.repeatIsSafe(r, &s) {
+		w.reportViolation("rule 2: %s may run twice at %s", id, server)
 	}
-	for _, f := range r.attempts {
-		if !f.ended && !w.set.Limits.Hedging {
-			w.violation("rule 2: two attempts out for %s", id)
+	for _, a := range r.attempts {
+		if !a.ended && !w.set.Limits.Hedging {
+			w.reportViolation("rule 2: two attempts out for %s", id)
 		}
 	}
 	w.checkSlowStart(server)
 	if len(r.attempts) > 0 {
 		w.checkAttemptBudget(id)
 	}
-	f := &trackedAttempt{r: r, n: len(r.attempts), server: s, sent: w.now, expires: min(w.now+timeout, r.deadline)}
+	a := &trackedAttempt{request: r, index: len(r.attempts), endpoint: s, sentAt: w.now, expiresAt: min(w.now+timeout, r.deadline)}
 	if timeout <= 0 {
-		f.expires = r.deadline
+		a.expiresAt = r.deadline
 	}
-	r.attempts = append(r.attempts, f)
-	w.inFlight = append(w.inFlight, f)
+	r.attempts = append(r.attempts, a)
+	w.inFlight = append(w.inFlight, a)
 }
 
 // checkSlowStart is this balancer's part of rule 4: in any window no more than one send, or than the answers
@@ -254,13 +254,13 @@
 		return
 	}
 	window := w.set.Rules.OverloadWindow
-	sends := append(w.sends[server], w.now)
+	sends := append(w.slowStartSends[server], w.now)
 	for len(sends) > 0 && w.now-sends[0] >= window {
 		sends = sends[1:]
 	}
-	w.sends[server] = sends
-	if allowed := max(1, float64(w.bestSecond)*float64(window)/float64(second)); float64(len(sends)) > allowed {
-		w.violation("rule 4: %d sends to cold %s within its window, %.1f allowed", len(sends), server, allowed)
+	w.slowStartSends[server] = sends
+	if allowed := max(1, float64(w.maxSuccessesPerSecond)*float64(window)/float64(second)); float64(len(sends)) > allowed {
+		w.reportViolation("rule 4: %d sends to cold %s within its window, %.1f allowed", len(sends), server, allowed)
 	}
 }
 
@@ -281,35 +281,35 @@
 	}
 	sent, allowed := within(w.retryTimes), rules.AttemptBudgetMin+rules.AttemptBudgetRatio*within(w.requestTimes)
 	if sent > allowed {
-		w.violation("rule 5: %s got the %.0fth retries, %.1f allowed", id, sent, allowed)
+		w.reportViolation("rule 5: %s got the %.0fth retries, %.1f allowed", id, sent, allowed)
 	}
 }
 
 func (w *workload) CancelAttempt(id string, n int) {
 	w.record("cancel %s %d", id, n)
 	if !w.set.Limits.Cancel || w.requests[id] == nil || n >= len(w.requests[id].attempts) {
-		w.violation("cancel of %s %d", id, n)
+		w.reportViolation("cancel of %s %d", id, n)
 	}
 }
 
-func (w *workload) answer(id, how string) *trackedRequest {
-	w.record("%s %s", how, id)
+func (w *workload) recordAnswer(id, answer string) *trackedRequest {
+	w.record("%s %s", answer, id)
 	r := w.requests[id]
-	if r == nil || r.answered != "" {
-		w.violation("rule 1: %s for %s, which is over", how, id)
+	if r == nil || r.answer != "" {
+		w.reportViolation("rule 1: %s for %s, which is over", answer, id)
 		return nil
 	}
-	r.answered = how
+	r.answer = answer
 	return r
 }
 
 func (w *workload) Reject(id string, _ int64) {
-	if r := w.answer(id, "reject"); r != nil && !w.isSafe(r, nil) {
-		w.violation("rule 2: %s rejected, but it may have run", id)
+	if r := w.recordAnswer(id, "reject"); r != nil && !w.repeatIsSafe(r, nil) {
+		w.reportViolation("rule 2: %s rejected, but it may have run", id)
 	}
 }
 
-func (w *workload) Fail(id string) { w.answer(id, "fail") }
+func (w *workload) Fail(id string) { w.recordAnswer(id, "fail") }
 
 func (w *workload) CheckHealth(s string) { w.record("probe %s", s) }
 
@@ -317,7 +317,7 @@
 
 func (w *workload) SendGossip(p int, message []byte) {
 	if w.record("tell %d %x", p, message); !w.set.Limits.Gossip || p >= w.set.BalancerCount || p == w.set.BalancerIndex || len(message) > 256 {
-		w.violation("message of %d bytes to %d", len(message), p)
+		w.reportViolation("message of %d bytes to %d", len(message), p)
 	}
 }
 
