--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -20,7 +20,7 @@
 		if r.answer == "" {
 			w.advance(2 * second)
 		}
-		w.b.OnHealthCheck(w.now, HealthCheck{Server: "nobody", Load: &LoadReport{InFlight: math.NaN()}})
+		w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "nobody", Load: &LoadReport{InFlight: math.NaN()}})
 	}
 	w.updateEndpoints(true)
 	if r := w.sendRequest("last", 0, second); r.answer != "reject" {
