--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// BenchmarkRequest is one request of a balancer among 800 before 250 endpoints, with key affinity and
-// without.
+// BenchmarkRequest measures one request and its outcome at one of 800 balancers with 250 endpoints, with and
+// without key affinity.
 func BenchmarkRequest(b *testing.B) {
 	for _, keyAffinity := range []bool{false, true} {
-		b.Run(fmt.Sprint("warm keys ", keyAffinity), func(b *testing.B) {
+		b.Run(fmt.Sprint("key affinity ", keyAffinity), func(b *testing.B) {
 			set := testSettings()
 			set.KeyAffinity, set.BalancerCount = keyAffinity, 800
 			balancer := New(set, 1, noActions{})
--- a/decide/cluster_test.go
+++ b/decide/cluster_test.go
@@ -5,22 +5,22 @@
 	"math/rand/v2"
 )
 
-// cluster hosts many balancers before one set of endpoints that answer everything after the same time. It is
-// no model of endpoints: it counts what all balancers together send to each.
+// cluster runs many balancers in front of one list of endpoints and counts the attempts that all balancers
+// send to each endpoint. It does not model endpoints: by default every attempt is answered after 60 ms.
 type cluster struct {
 	now            int64
 	balancers      []*Balancer
-	trafficWeights []float64 // of each balancer's part of the traffic
+	trafficWeights []float64 // share of the traffic by balancer, relative to weightSum
 	weightSum      float64
 	rng            *rand.Rand
 	pending        []clusterAttempt
 	attemptsSent   int
 	requestsSent   int
-	onSend         func(server string) // told of each send
-	busyUntil      map[string]int64    // when each server has done what it holds; nil: answers take 60 ms whatever is held
-	keyCount       int                 // that requests ask for; 0: none
-	answerCounts   map[bool]int        // answers of late: within the aim or not
-	answersBlocked bool                // no answer comes
+	onSend         func(server string) // called for each attempt sent
+	busyUntil      map[string]int64    // when each endpoint finishes its queue; nil: every answer takes 60 ms
+	keyCount       int                 // number of distinct request keys; 0: requests have no key
+	answerCounts   map[bool]int        // recent answers: true within the latency objective, false late
+	answersBlocked bool                // endpoints send no answers
 }
 
 type clusterAttempt struct {
@@ -32,7 +32,7 @@
 	answerAt int64
 }
 
-// noActions carries out nothing.
+// noActions ignores all actions of a Balancer.
 type noActions struct{}
 
 func (noActions) SendAttempt(string, string, int64) {}
@@ -55,7 +55,7 @@
 
 func (noActions) SendGossip(int, []byte) {}
 
-// clusterActions are one balancer's Actions: only its sends count.
+// clusterActions records the attempts that one balancer sends and ignores its other actions.
 type clusterActions struct {
 	noActions
 	cluster       *cluster
@@ -65,7 +65,7 @@
 
 func (m *clusterActions) SendAttempt(request, server string, _ int64) {
 	answerAt := m.cluster.now + 60_000
-	if m.cluster.busyUntil != nil { // one after the other, 30 ms each, and 30 ms on the way
+	if m.cluster.busyUntil != nil { // one attempt at a time, 30 ms each, plus 30 ms of network time
 		answerAt = max(m.cluster.now, m.cluster.busyUntil[server]) + 30_000
 		m.cluster.busyUntil[server] = answerAt
 		answerAt += 30_000
@@ -78,12 +78,13 @@
 	}
 }
 
-// newCluster makes n balancers; skew 0 spreads traffic evenly, more gives most of it to the first ones.
+// newCluster starts n balancers. With skew 0 all balancers get the same traffic; a larger skew gives most of
+// it to the first balancers.
 func newCluster(n int, set Settings, skew float64, servers []Endpoint) *cluster {
 	return newSeededCluster(0, n, set, skew, servers)
 }
 
-// newSeededCluster does so with seeds of its own.
+// newSeededCluster is newCluster with seeds derived from seed.
 func newSeededCluster(seed uint64, n int, set Settings, skew float64, servers []Endpoint) *cluster {
 	c := &cluster{now: 1000 * second, rng: rand.New(rand.NewPCG(3, 3+seed))}
 	for i := range n {
@@ -98,7 +99,7 @@
 	return c
 }
 
-// join starts one balancer.
+// startBalancer starts balancer index of n with the given endpoint list.
 func (c *cluster) startBalancer(seed uint64, index, n int, set Settings, servers []Endpoint) *Balancer {
 	set.BalancerIndex, set.BalancerCount = index, n
 	m := &clusterActions{cluster: c, attemptCounts: map[string]int{}}
@@ -108,7 +109,7 @@
 	return m.balancer
 }
 
-// run plays so many requests a second; each attempt is answered after 60 ms.
+// run sends perSecond requests per second for a number of seconds.
 func (c *cluster) run(seconds, perSecond int) {
 	for end := c.now + int64(seconds)*second; c.now < end; {
 		c.step(perSecond * clusterTick / int(second))
@@ -117,7 +118,8 @@
 
 const clusterTick = 5000 // µs
 
-// step lets a tick pass: answers come, unless they are held up, then so many requests.
+// step advances time by one tick, delivers the answers that are due unless answersBlocked is set, and sends
+// new requests.
 func (c *cluster) step(requests int) {
 	c.now += clusterTick
 	var stillPending []clusterAttempt
@@ -150,7 +152,7 @@
 	}
 }
 
-// sendRequest gives a request to balancer i.
+// sendRequest sends a request to balancer i.
 func (c *cluster) sendRequest(i int) {
 	c.requestsSent++
 	r := Request{ID: fmt.Sprint("r", c.requestsSent), Tenant: -1, TimeLeft: 2 * second}
@@ -160,8 +162,8 @@
 	c.balancers[i].OnRequest(c.now, r)
 }
 
-// sendsToStartingServer lists an endpoint that starts now, and returns the times of what is sent to it in
-// some seconds.
+// sendsToStartingEndpoint adds an endpoint that starts now to the list, runs the traffic, and returns the
+// times of the attempts sent to the new endpoint.
 func (c *cluster) sendsToStartingEndpoint(seconds, perSecond int) (times []int64) {
 	c.onSend = func(id string) {
 		if id == "cold" {
--- a/decide/fuzz_test.go
+++ b/decide/fuzz_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// playFuzzInput turns bytes into a legal order of events and returns the actions taken.
+// playFuzzInput turns bytes into a valid sequence of events and returns the actions of the balancer.
 func playFuzzInput(t testing.TB, data []byte) []string {
 	set := testSettings()
 	if len(data) > 0 {
@@ -23,16 +23,16 @@
 	endpointCount := 1
 	if len(data) > 1 {
 		endpointCount = int(data[1] % 9)
-		if data[1] >= 240 { // a large fleet before one of many balancers
+		if data[1] >= 240 { // many endpoints, shared by 500 balancers
 			endpointCount, set.BalancerCount = 100*int(data[1]-238), 500
 		}
 	}
 	w := newWorkload(t, set, testEndpoints(endpointCount)...)
-	start := w.now // two minutes of clock are enough for one order, or the search stalls on jumps
+	start := w.now // at most two minutes of simulated time per input: clock jumps would slow the fuzzing down
 	for i := 2; i+1 < len(data) && !w.failed && w.now-start < 120*second; i += 2 {
 		w.applyFuzzOperation(i, data[i], int(data[i+1]))
 	}
-	w.advance(3 * second) // everything taken is answered by then
+	w.advance(3 * second) // past every deadline: each request must have its answer
 	return w.actions
 }
 
@@ -47,7 +47,7 @@
 	case 9, 10:
 		w.advance(int64(arg) * 1000)
 	case 11:
-		w.advance(int64(arg) * 20_000) // a jump of the clock
+		w.advance(int64(arg) * 20_000) // a jump of up to 5 s
 	case 12:
 		ids := make([]string, 0, len(w.requests))
 		for id := range w.requests {
@@ -71,14 +71,14 @@
 			w.updateEndpoints(true, testEndpoints(arg%7)...)
 		}
 	case 15:
-		if arg%8 == 1 && len(w.b.endpoints) > 0 { // another tells of its attempts, or of nonsense
+		if arg%8 == 1 && len(w.b.endpoints) > 0 { // a gossip message of another balancer, perhaps damaged
 			s := *w.b.endpoints[arg%len(w.b.endpoints)]
 			s.inFlight = arg / 16
 			message := slices.Clone(w.b.encodeGossip(&s))
 			message[arg%len(message)] ^= byte(arg & 32)
 			w.b.OnGossip(w.now, arg%3, message)
 		}
-		if arg%8 == 2 { // another budget of attempts, or none
+		if arg%8 == 2 { // a settings update with another attempt budget, or none
 			set := w.set
 			set.Rules.AttemptBudgetWindow = []int64{0, 1, 777_777, 3 * second, 10 * second, 60 * second}[arg/8%6]
 			set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio = 0, 0
@@ -94,6 +94,7 @@
 	}
 }
 
+// FuzzOrders checks the five rules for random sequences of events.
 func FuzzOrders(f *testing.F) {
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -114,7 +115,7 @@
 	})
 }
 
-// Identical events give identical actions.
+// The same seed and the same events lead to the same actions, so that a run can be reproduced.
 func TestIdenticalEventsGiveIdenticalActions(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	data := make([]byte, 3000)
@@ -123,9 +124,9 @@
 	}
 	a, b := playFuzzInput(t, data), playFuzzInput(t, data)
 	if !slices.Equal(a, b) {
-		t.Error("the same events gave other actions")
+		t.Error("the same events gave different actions in two runs")
 	}
 	if len(a) < 300 {
-		t.Errorf("only %d actions: the order exercised too little", len(a))
+		t.Errorf("got %d actions, want at least 300: the events exercise too little", len(a))
 	}
 }
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -173,7 +173,7 @@
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	w.sendTraffic(50, func(*trackedAttempt) (Result, bool) { return Succeeded, true })
 	w.b.OnGossip(w.now, 1, []byte{gossipVersion | 1, 0, 0, 0, 0})
-	if slices.ContainsFunc(w.actions, func(a string) bool { return strings.Contains(a, " tell ") }) || len(w.b.gossip.peers) > 0 {
+	if slices.ContainsFunc(w.actions, func(a string) bool { return strings.Contains(a, " gossip ") }) || len(w.b.gossip.peers) > 0 {
 		t.Error("messages were sent or heard where the settings permit none")
 	}
 }
--- a/decide/tail_latency_test.go
+++ b/decide/tail_latency_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// tailSimulation plays some balancers before servers whose times are drawn: how slow an answer is has nothing
-// to do with what is in flight, unless the servers have places. It counts what becomes of requests.
+// tailSimulation runs some balancers in front of servers whose response times are drawn at random. A response
+// time does not depend on the number of attempts in flight unless the servers limit their concurrency. The
+// simulation counts the answers of requests.
 type tailSimulation struct {
 	now          int64
 	rng          *rand.Rand
@@ -17,23 +18,23 @@
 	serverIndex  map[string]int
 	servers      []tailServer
 	requests     map[string]*tailRequest
-	events       []tailEvent // by time
+	events       []tailEvent // ordered by time
 	requestCount int
 	answerCounts map[string]int
-	earnedValue  float64 // earned of worth 1 each: whole within the aim, LateValueShare after
+	earnedValue  float64 // sum over requests: 1 for an answer within the latency objective, LateValueShare for a later one
 }
 
-// tailServer draws its times from a list, each as likely; places 0: any number at once.
+// tailServer draws its response times from a list with equal probability.
 type tailServer struct {
 	responseTimes      []int64 // µs
 	concurrency        int
-	slotFreeAt         []int64 // when each place is free
-	laterResponseTimes []int64 // the times from changeAt on; nil: the same
-	laterConcurrency   int     // places from then on; 0: as many
-	initialBacklog     int64   // of work that it holds at the start, µs for each place
+	slotFreeAt         []int64 // when each slot is free
+	laterResponseTimes []int64 // response times from changeAtSeconds on; nil: no change
+	laterConcurrency   int     // concurrency from changeAtSeconds on; 0: no change
+	initialBacklog     int64   // work queued at the start, in µs per slot
 }
 
-const changeAtSeconds = 10 // s
+const changeAtSeconds = 10
 
 type tailRequest struct {
 	request   Request
@@ -47,7 +48,7 @@
 	run func()
 }
 
-// tailActions carries out what one balancer does.
+// tailActions carries out the actions of one balancer.
 type tailActions struct {
 	noActions
 	sim   *tailSimulation
@@ -125,7 +126,8 @@
 	}
 }
 
-// tailSettings are two classes with objectives of 200 and 400 ms, deadlines of 2 s, and 0.3 for late answers.
+// tailSettings has two classes with latency objectives of 200 and 400 ms, deadlines of 2 s, and a value of
+// 0.3 for late answers.
 func tailSettings() Settings {
 	set := testSettings()
 	set.Classes = []Class{
@@ -135,7 +137,7 @@
 	return set
 }
 
-// playTails has n balancers take so many requests a second together, for some seconds.
+// runTailSimulation sends perSecond requests per second to n balancers together for some seconds.
 func runTailSimulation(n int, perSecond, seconds float64, seed uint64, servers ...tailServer) *tailSimulation {
 	t := &tailSimulation{now: 1000 * second, rng: rand.New(rand.NewPCG(seed, 5)), serverIndex: map[string]int{}, servers: servers, requests: map[string]*tailRequest{}, answerCounts: map[string]int{}}
 	var list []Endpoint
@@ -182,44 +184,46 @@
 	return serversWithTimes(times, times, times, times)
 }
 
+// minEarned is the share of the value earned by limits that fell with each late answer, in the cases where
+// capacity is short; 0 elsewhere.
 var tailCases = []struct {
 	name      string
 	perSecond float64
 	servers   func() []tailServer
-	minEarned float64 // where room is short: what was earned by limits that fell with each late answer
+	minEarned float64
 }{
-	{"20 50 100 100", 200, func() []tailServer { return identicalServers(20_000, 50_000, 100_000, 100_000) }, 0},
-	{"50 nine in ten, 400", 200, func() []tailServer {
+	{"20, 50, 100 or 100 ms", 200, func() []tailServer { return identicalServers(20_000, 50_000, 100_000, 100_000) }, 0},
+	{"50 ms, one in ten 400 ms", 200, func() []tailServer {
 		return identicalServers(50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 400_000)
 	}, 0},
-	{"50 50 250 250", 200, func() []tailServer { return identicalServers(50_000, 50_000, 250_000, 250_000) }, 0},
-	{"50 four in five, 400", 200, func() []tailServer { return identicalServers(50_000, 50_000, 50_000, 50_000, 400_000) }, 0},
-	{"250 always", 200, func() []tailServer { return identicalServers(250_000) }, 0},
-	{"20 50 100 400", 200, func() []tailServer { return identicalServers(20_000, 50_000, 100_000, 400_000) }, 0},
-	{"10 50 600", 200, func() []tailServer { return identicalServers(10_000, 50_000, 600_000) }, 0},
-	{"one server of four 400", 200, func() []tailServer {
+	{"50, 50, 250 or 250 ms", 200, func() []tailServer { return identicalServers(50_000, 50_000, 250_000, 250_000) }, 0},
+	{"50 ms, one in five 400 ms", 200, func() []tailServer { return identicalServers(50_000, 50_000, 50_000, 50_000, 400_000) }, 0},
+	{"always 250 ms", 200, func() []tailServer { return identicalServers(250_000) }, 0},
+	{"20, 50, 100 or 400 ms", 200, func() []tailServer { return identicalServers(20_000, 50_000, 100_000, 400_000) }, 0},
+	{"10, 50 or 600 ms", 200, func() []tailServer { return identicalServers(10_000, 50_000, 600_000) }, 0},
+	{"one server of four 400 ms", 200, func() []tailServer {
 		return serversWithTimes([]int64{50_000}, []int64{50_000}, []int64{50_000}, []int64{400_000})
 	}, 0},
-	{"a tail that comes", 200, func() []tailServer {
+	{"tail latency appears", 200, func() []tailServer {
 		return modifyServers(identicalServers(50_000), func(s *tailServer) { s.laterResponseTimes = []int64{50_000, 50_000, 400_000} })
 	}, 0},
-	{"a tail that goes", 200, func() []tailServer {
+	{"tail latency disappears", 200, func() []tailServer {
 		return modifyServers(identicalServers(50_000, 50_000, 400_000), func(s *tailServer) { s.laterResponseTimes = []int64{50_000} })
 	}, 0},
-	{"two places of 50, offered 140", 140, func() []tailServer { return limitedServers(2, 50_000) }, 0},
-	{"two places of 50, offered 200", 200, func() []tailServer { return limitedServers(2, 50_000) }, 0.752},
-	{"two places of 50, offered 400", 400, func() []tailServer { return limitedServers(2, 50_000) }, 0.381},
-	{"the same, a jam at the start", 200, func() []tailServer {
+	{"concurrency 2, 50 ms, 140 requests/s", 140, func() []tailServer { return limitedServers(2, 50_000) }, 0},
+	{"concurrency 2, 50 ms, 200 requests/s", 200, func() []tailServer { return limitedServers(2, 50_000) }, 0.752},
+	{"concurrency 2, 50 ms, 400 requests/s", 400, func() []tailServer { return limitedServers(2, 50_000) }, 0.381},
+	{"concurrency 2, 50 ms, 200 requests/s, initial backlog", 200, func() []tailServer {
 		return modifyServers(limitedServers(2, 50_000), func(s *tailServer) { s.initialBacklog = second })
 	}, 0.702},
-	{"six of 50 and 400, offered 100", 100, func() []tailServer { return limitedServers(6, 50_000, 50_000, 50_000, 50_000, 400_000) }, 0},
-	{"six of 50 and 400, offered 300", 300, func() []tailServer { return limitedServers(6, 50_000, 50_000, 50_000, 50_000, 400_000) }, 0.582},
-	{"six, then two of 50 and 400", 120, func() []tailServer {
+	{"concurrency 6, one in five 400 ms, 100 requests/s", 100, func() []tailServer { return limitedServers(6, 50_000, 50_000, 50_000, 50_000, 400_000) }, 0},
+	{"concurrency 6, one in five 400 ms, 300 requests/s", 300, func() []tailServer { return limitedServers(6, 50_000, 50_000, 50_000, 50_000, 400_000) }, 0.582},
+	{"concurrency drops from 6 to 2, one in five 400 ms", 120, func() []tailServer {
 		return modifyServers(limitedServers(6, 50_000, 50_000, 50_000, 50_000, 400_000), func(s *tailServer) { s.laterConcurrency = 2 })
 	}, 0.568},
 }
 
-// limitedServers are four servers that take so many at once.
+// limitedServers returns four servers that process up to concurrency requests at once.
 func limitedServers(concurrency int, times ...int64) []tailServer {
 	servers := identicalServers(times...)
 	for i := range servers {
@@ -235,23 +239,24 @@
 	return servers
 }
 
-// Where answers are slow by nature hardly anything is rejected, and where capacity is short the limits hold:
-// what is earned may fall by chance alone. Figures are of the simulation, and the same at each run.
+// Hardly any request is rejected if answers are slow for reasons other than load, and the limits still hold
+// if capacity is short: the value earned may fall by chance alone. The simulation is deterministic.
 func TestLimitsDistinguishTailFromCongestion(t *testing.T) {
 	for _, c := range tailCases {
 		got := runTailSimulation(3, c.perSecond, 30, 1, c.servers()...)
 		total := float64(got.answerCounts["served"] + got.answerCounts["refused"] + got.answerCounts["failed"])
 		if rejected := float64(got.answerCounts["refused"]) / total; c.minEarned == 0 && rejected > 0.01 {
-			t.Errorf("%s: %.1f%% rejected", c.name, 100*rejected)
+			t.Errorf("%s: %.1f%% of the requests rejected, want at most 1%%", c.name, 100*rejected)
 		}
 		if earned := got.earnedValue / total; earned < c.minEarned-0.02 {
-			t.Errorf("%s: %.1f%% earned, %.1f%% before", c.name, 100*earned, 100*c.minEarned)
+			t.Errorf("%s: %.1f%% of the value earned, want at least %.1f%% less 2 points", c.name, 100*earned, 100*c.minEarned)
 		}
 	}
 }
 
-// BenchmarkTails measures how much is rejected, and earned, where answers are slow by nature and where
-// capacity is short: three balancers and sixty, four servers, 30 s. docs/limits.md has its figures.
+// BenchmarkTails reports the shares of rejected requests and of earned value if answers are slow for reasons
+// other than load and if capacity is short, for 3 and for 60 balancers with four servers over 30 s.
+// docs/limits.md lists its figures.
 func BenchmarkTails(b *testing.B) {
 	for _, c := range tailCases {
 		for _, n := range []int{3, 60} {
--- a/decide/workload_test.go
+++ b/decide/workload_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// workload drives one balancer with legal orders of events, and is no model of servers: it records what a
-// host would know and fails the test at the first action that breaks one of the rules.
+// workload drives one balancer with valid sequences of events. It does not model endpoints: it keeps the
+// records that a host has, and fails the test when an action breaks one of the five rules in the package
+// comment.
 type workload struct {
 	t                     testing.TB
 	set                   Settings
@@ -18,15 +19,15 @@
 	inFlight              []*trackedAttempt
 	timers                []pendingTimer
 	endpoints             map[string]Endpoint
-	warmAt                map[string]int64 // when a server is warm
+	warmAt                map[string]int64 // end of the slow start, by endpoint
 	slowStartSends        map[string][]int64
-	recentSuccesses       []int64 // times of the last second's answers
-	maxSuccessesPerSecond int     // answers in the best second
+	recentSuccesses       []int64 // times of the successes within the last second
+	maxSuccessesPerSecond int     // most successes within any second
 	actions               []string
 	failed                bool
-	requestsSent          int // requests of traffic
+	requestsSent          int // by sendTraffic
 	requestTimes          []int64
-	retryTimes            []int64 // times of attempts beyond a request's first
+	retryTimes            []int64 // times of the attempts beyond the first of each request
 }
 
 type trackedRequest struct {
@@ -54,7 +55,8 @@
 	return w
 }
 
-// restart is a kill and a new start: what was in flight is for the clients to retry.
+// restart replaces the balancer as a killed and restarted process would. Requests that were open are dropped:
+// their clients have to retry them.
 func (w *workload) restart() {
 	w.requests, w.unanswered, w.inFlight, w.timers = map[string]*trackedRequest{}, nil, nil, nil
 	w.endpoints, w.warmAt, w.slowStartSends = map[string]Endpoint{}, map[string]int64{}, map[string][]int64{}
@@ -94,7 +96,7 @@
 	return w.submit(Request{ID: id, Class: class, Tenant: -1, TimeLeft: timeLeft, Key: "k" + id})
 }
 
-// take records a request and gives it to the balancer.
+// submit records a request and passes it to the balancer.
 func (w *workload) submit(in Request) *trackedRequest {
 	r := &trackedRequest{Request: in, deadline: w.now + in.TimeLeft}
 	w.requests[in.ID] = r
@@ -104,7 +106,8 @@
 	return r
 }
 
-// traffic sends n requests of the first class 10 ms apart and ends the attempts that answer gives a result.
+// sendTraffic sends n requests of the first class 10 ms apart, and ends each attempt for which outcome
+// returns a result.
 func (w *workload) sendTraffic(n int, outcome func(a *trackedAttempt) (Result, bool)) {
 	for range n {
 		w.requestsSent++
@@ -118,8 +121,8 @@
 	}
 }
 
-// countRefusedConnections plays traffic of n requests before servers of which the dead refuse connections at
-// once and the others answer after some time. It counts the connections refused.
+// countRefusedConnections sends n requests and returns the number of refused connections. Endpoints for which
+// refuses is true refuse connections at once; the others answer after answerAfter µs.
 func (w *workload) countRefusedConnections(n int, answerAfter int64, refuses func(id string) bool) (refused int) {
 	w.sendTraffic(n, func(a *trackedAttempt) (Result, bool) {
 		if refuses(a.endpoint.ID) {
@@ -131,7 +134,7 @@
 	return refused
 }
 
-// endAttempt ends an attempt; a success closes its request.
+// endAttempt ends an attempt; a success answers its request.
 func (w *workload) endAttempt(a *trackedAttempt, result Result) {
 	if a.ended {
 		return
@@ -160,7 +163,8 @@
 	w.b.OnClientDisconnected(w.now, r.ID)
 }
 
-// advance lets time pass in ticks; attempts expire and timers end in it.
+// advance moves the clock by d in ticks, times out the attempts that expire, and runs the timers that are
+// due.
 func (w *workload) advance(d int64) {
 	const tick = 5000
 	for end := w.now + d; w.now < end; {
@@ -181,18 +185,19 @@
 	}
 }
 
-// checkDeadlines is rule 1: one answer before the deadline and its slack.
+// checkDeadlines checks rule 1: every request is answered before its deadline plus the slack.
 func (w *workload) checkDeadlines() {
 	w.unanswered = slices.DeleteFunc(w.unanswered, func(r *trackedRequest) bool { return r.answer != "" })
 	for _, r := range w.unanswered {
 		if r.answer == "" && w.now > r.deadline+w.set.Rules.AnswerSlack {
-			w.reportViolation("rule 1: %s has no answer %d us after its deadline", r.ID, w.now-r.deadline)
+			w.reportViolation("rule 1: request %s has no answer %d us after its deadline", r.ID, w.now-r.deadline)
 			r.answer = "overdue"
 		}
 	}
 }
 
-// isSafe is rule 2, worked out from the records: may server run r again, or may r be rejected (nil)?
+// repeatIsSafe checks rule 2 by the recorded attempts: it reports whether endpoint server may run r, or, if
+// server is nil, whether r may be rejected.
 func (w *workload) repeatIsSafe(r *trackedRequest, server *Endpoint) bool {
 	c := w.set.Classes[r.Class]
 	for _, a := range r.attempts {
@@ -221,18 +226,18 @@
 	w.record("send %s %s %d", id, server, timeout)
 	r, s := w.requests[id], w.endpoints[server]
 	if r == nil || r.answer != "" || w.now >= r.deadline {
-		w.reportViolation("rule 1: send for a request that is over: %s", id)
+		w.reportViolation("rule 1: attempt sent for request %s, which is unknown, answered or past its deadline", id)
 		return
 	}
 	if s.ID == "" || s.Phase != InService {
-		w.reportViolation("rule 3: send to %q in phase %d", server, s.Phase)
+		w.reportViolation("rule 3: attempt sent to endpoint %q in phase %d, want an endpoint in service", server, s.Phase)
 	}
 	if !w.repeatIsSafe(r, &s) {
-		w.reportViolation("rule 2: %s may run twice at %s", id, server)
+		w.reportViolation("rule 2: request %s may take effect twice at endpoint %s", id, server)
 	}
 	for _, a := range r.attempts {
 		if !a.ended && !w.set.Limits.Hedging {
-			w.reportViolation("rule 2: two attempts out for %s", id)
+			w.reportViolation("rule 2: two attempts in flight for request %s without hedging", id)
 		}
 	}
 	w.checkSlowStart(server)
@@ -247,8 +252,9 @@
 	w.inFlight = append(w.inFlight, a)
 }
 
-// checkSlowStart is this balancer's part of rule 4: in any window no more than one send, or than the answers
-// that it got from all servers in its best second would make in that time.
+// checkSlowStart checks this balancer's part of rule 4: in any overload window an endpoint in slow start gets
+// at most one attempt, or as many attempts as all endpoints together answered, at the rate of their best
+// second.
 func (w *workload) checkSlowStart(server string) {
 	if w.now >= w.warmAt[server] {
 		return
@@ -260,11 +266,11 @@
 	}
 	w.slowStartSends[server] = sends
 	if allowed := max(1, float64(w.maxSuccessesPerSecond)*float64(window)/float64(second)); float64(len(sends)) > allowed {
-		w.reportViolation("rule 4: %d sends to cold %s within its window, %.1f allowed", len(sends), server, allowed)
+		w.reportViolation("rule 4: %d attempts to endpoint %s in slow start within one window, want at most %.1f", len(sends), server, allowed)
 	}
 }
 
-// checkAttemptBudget is rule 5, counted exactly.
+// checkAttemptBudget checks rule 5 with an exact count of requests and retries.
 func (w *workload) checkAttemptBudget(id string) {
 	w.retryTimes = append(w.retryTimes, w.now)
 	rules := w.set.Rules
@@ -281,14 +287,14 @@
 	}
 	sent, allowed := within(w.retryTimes), rules.AttemptBudgetMin+rules.AttemptBudgetRatio*within(w.requestTimes)
 	if sent > allowed {
-		w.reportViolation("rule 5: %s got the %.0fth retries, %.1f allowed", id, sent, allowed)
+		w.reportViolation("rule 5: retry of request %s is number %.0f in the budget window, want at most %.1f", id, sent, allowed)
 	}
 }
 
 func (w *workload) CancelAttempt(id string, n int) {
 	w.record("cancel %s %d", id, n)
 	if !w.set.Limits.Cancel || w.requests[id] == nil || n >= len(w.requests[id].attempts) {
-		w.reportViolation("cancel of %s %d", id, n)
+		w.reportViolation("unexpected cancel of request %s, attempt %d", id, n)
 	}
 }
 
@@ -296,7 +302,7 @@
 	w.record("%s %s", answer, id)
 	r := w.requests[id]
 	if r == nil || r.answer != "" {
-		w.reportViolation("rule 1: %s for %s, which is over", answer, id)
+		w.reportViolation("rule 1: answer %s for request %s, which is unknown or already answered", answer, id)
 		return nil
 	}
 	r.answer = answer
@@ -305,7 +311,7 @@
 
 func (w *workload) Reject(id string, _ int64) {
 	if r := w.recordAnswer(id, "reject"); r != nil && !w.repeatIsSafe(r, nil) {
-		w.reportViolation("rule 2: %s rejected, but it may have run", id)
+		w.reportViolation("rule 2: request %s was rejected although it may have run", id)
 	}
 }
 
@@ -316,8 +322,8 @@
 func (w *workload) WatchEndpoints(on bool) { w.record("watch %v", on) }
 
 func (w *workload) SendGossip(p int, message []byte) {
-	if w.record("tell %d %x", p, message); !w.set.Limits.Gossip || p >= w.set.BalancerCount || p == w.set.BalancerIndex || len(message) > 256 {
-		w.reportViolation("message of %d bytes to %d", len(message), p)
+	if w.record("gossip %d %x", p, message); !w.set.Limits.Gossip || p >= w.set.BalancerCount || p == w.set.BalancerIndex || len(message) > 256 {
+		w.reportViolation("invalid gossip message of %d bytes to balancer %d", len(message), p)
 	}
 }
 
@@ -329,6 +335,7 @@
 	w.timers = append(w.timers, pendingTimer{w.now + in, tok})
 }
 
+// countActions counts the recorded actions by name, or by name and first argument ("send a").
 func (w *workload) countActions(prefix string) (n int) {
 	for _, a := range w.actions {
 		var at int64
@@ -341,7 +348,7 @@
 	return n
 }
 
-// testSettings has a class of each kind that the wire knows.
+// testSettings has one class for each combination of semantics and deduplication scope, and one for streams.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
