--- a/decide/attempt_budget_test.go
+++ b/decide/attempt_budget_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// withAttemptBudget are test settings with an attempt budget.
+// withAttemptBudget returns test settings with an attempt budget.
 func withAttemptBudget(minimum, ratio float64, window int64) Settings {
 	set := testSettings()
 	set.Rules.AttemptBudgetMin, set.Rules.AttemptBudgetRatio, set.Rules.AttemptBudgetWindow = minimum, ratio, window
 	return set
 }
 
-// However an attempt ends, a retry needs a place in the attempt budget, which the workload counts exactly. A
-// request that may not be sent again has its answer at once. Most retries here follow saturated endpoints,
-// which need no retry token.
+// However an attempt ends, a retry needs room in the attempt budget, which the workload counts exactly. A
+// request that may not be retried is answered at once. Most retries here follow saturated endpoints and need
+// no retry token.
 func TestRetriesStayWithinAttemptBudget(t *testing.T) {
 	for _, failure := range []Result{Saturated, ConnectFailed, Errored, Reset, TimedOut, NotSent} {
 		for _, set := range []Settings{withAttemptBudget(3, 0.15, 10*second), withAttemptBudget(0, 0.05, 5*second), withAttemptBudget(2, 0, 10*second),
@@ -29,20 +29,20 @@
 					}
 					w.endAttempt(a, result)
 					if left := w.b.attemptBudgetRemaining(w.now); left < 1 && a.request.answer == "" && a.request.attempts[len(a.request.attempts)-1].ended {
-						t.Fatalf("%s is held, though %v retries are left", a.request.ID, left)
+						t.Fatalf("request %s has no answer and no attempt in flight with %v retries left in the budget", a.request.ID, left)
 					}
 				}
 				w.advance(20_000)
 			}
 			if rules := set.Rules; len(w.retryTimes) == 0 && rules.AttemptBudgetMin+rules.AttemptBudgetRatio > 0 {
-				t.Errorf("%v: no retries at all under %+v", failure, rules)
+				t.Errorf("attempts ending with %v: no retries with rules %+v", failure, rules)
 			}
 		}
 	}
 }
 
-// A new window, longer or where there was none, adds no attempts (the workload remembers all of them), and
-// the same window again takes none away.
+// A new budget window, whether longer or the first one, allows no additional attempts (the workload counts
+// all of them), and an update to the same window takes no attempts away.
 func TestSettingsUpdateNeverIncreasesAttemptBudget(t *testing.T) {
 	w := newWorkload(t, withAttemptBudget(4, 0.2, 2*second), testEndpoints(6)...)
 	for i := range 400 {
@@ -65,13 +65,13 @@
 		}
 		before := w.b.attemptBudgetRemaining(w.now)
 		if w.updateSettings(w.set); w.b.attemptBudgetRemaining(w.now) != before {
-			t.Fatalf("the same settings again: %v, was %v", w.b.attemptBudgetRemaining(w.now), before)
+			t.Fatalf("attempts left after an update to the same settings: got %v, want %v", w.b.attemptBudgetRemaining(w.now), before)
 		}
 	}
 }
 
-// Two processes of an upgrade have one fixed part of the budget between them: the new one goes by its own
-// requests alone until the old one's attempts have left the window.
+// During an upgrade the fixed part of the budget belongs to the old process. The new process has the part for
+// its own requests alone until the attempts of the old one have left the window.
 func TestProcessesOfAnUpgradeShareOneBudgetFloor(t *testing.T) {
 	w := newWorkload(t, withAttemptBudget(3, 0.1, 10*second), testEndpoints(4)...)
 	w.b.SetPeerProcessActive(w.now, true)
@@ -82,19 +82,19 @@
 		}
 	}
 	if len(w.retryTimes) > 0 {
-		t.Fatalf("%d retries for 5 requests beside another process", len(w.retryTimes))
+		t.Fatalf("%d retries for 5 requests while another process is active, want 0", len(w.retryTimes))
 	}
 	w.advance(9 * second)
 	w.b.SetPeerProcessActive(w.now, false)
 	if w.advance(9 * second); w.b.attemptBudgetRemaining(w.now) > 0 {
-		t.Fatalf("%v left while the other process counts", w.b.attemptBudgetRemaining(w.now))
+		t.Fatalf("%v attempts left while attempts of the other process are in the window, want 0", w.b.attemptBudgetRemaining(w.now))
 	}
 	if w.advance(second); w.b.attemptBudgetRemaining(w.now) < 3 {
-		t.Fatalf("%v left alone", w.b.attemptBudgetRemaining(w.now))
+		t.Fatalf("%v attempts left after attempts of the other process have left the window, want at least 3", w.b.attemptBudgetRemaining(w.now))
 	}
 }
 
-// A clock that steps back neither forgets retries nor adds attempts, and the counts keep their size.
+// A clock that steps back neither drops retries nor adds attempts, and the size of the counts stays fixed.
 func TestBackwardClockKeepsAttemptBudgetCounts(t *testing.T) {
 	var n attemptBudget
 	n.setWindow(10 * second)
--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Live capacities count with their peak, at the median of a kind of machine; absurd ones change nothing.
+// Live capacities count with their peak, at the median of the machine kind. Extreme figures change nothing.
 func TestLiveCapacityIsMedianPeakOfMachineKind(t *testing.T) {
 	set := testSettings()
 	set.CapacityListed, set.CapacityFollowsLoad = true, true
@@ -14,16 +14,16 @@
 		{ID: "d", MachineKind: "small", Capacity: 1}}
 	w := newWorkload(t, set, list...)
 	for _, extreme := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300, 0.4, 1e8} {
-		list[0].Capacity, list[3].Capacity = 0.5, min(extreme, 1) // loads swing
+		list[0].Capacity, list[3].Capacity = 0.5, min(extreme, 1) // load lowers the live capacities
 		list[1].Capacity = extreme
 		w.updateEndpoints(false, list...)
-		assertNear(t, fmt.Sprint("big against small after ", extreme), w.b.knownEndpoints["a"].Capacity/w.b.knownEndpoints["d"].Capacity, 3, 1e-9)
+		assertNear(t, fmt.Sprint("capacity of big relative to small after a listed capacity of ", extreme), w.b.knownEndpoints["a"].Capacity/w.b.knownEndpoints["d"].Capacity, 3, 1e-9)
 	}
 }
 
-// Endpoints listed alike differ in capacity by the latency that they report: 100, 100 and 400 ms have a mean
-// of 200, so capacities are as 2, 2 and 0.5. One that reports none counts as its kind. Absurd reports change
-// nothing.
+// Endpoints with equal listed capacities get different ones by the latency that they report: 100, 100 and 400
+// ms have a mean of 200 ms, so the capacities are as 2, 2 and 0.5. An endpoint without a report counts as the
+// mean of its machine kind. Invalid reports change nothing.
 func TestCapacityFollowsReportedLatency(t *testing.T) {
 	list := testEndpoints(4)
 	list[2].MachineKind, list[3].MachineKind = "old", "old"
@@ -37,8 +37,8 @@
 	w.b.recordLoadReport(w.b.knownEndpoints["s0"], nil)
 	w.b.scaleBySpeed()
 	for id, want := range map[string]float64{"s0": 1.6, "s1": 1.6, "s2": 0.4, "s3": 0.4} {
-		assertNear(t, "size of "+id, w.b.knownEndpoints[id].Capacity, want, 1e-9)
+		assertNear(t, "capacity of "+id, w.b.knownEndpoints[id].Capacity, want, 1e-9)
 	}
 	w.updateEndpoints(true, list...)
-	assertNear(t, "size after the list again", w.b.knownEndpoints["s2"].Capacity, 0.4, 1e-9)
+	assertNear(t, "capacity of s2 after the list is sent again", w.b.knownEndpoints["s2"].Capacity, 0.4, 1e-9)
 }
--- a/decide/concurrency_limit_test.go
+++ b/decide/concurrency_limit_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Attempts at endpoints that don't respond take no capacity of the others.
+// Attempts at unresponsive endpoints do not count against the pool limit.
 func TestUnresponsiveEndpointsDoNotUsePoolLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
 	w.b.pool.limit = 0.3
@@ -17,17 +17,17 @@
 	w.advance(50_000)
 	w.sendRequest("early", 0, 2*second)
 	if n := w.countActions("send"); n != 3 {
-		t.Fatalf("%d sent with capacity for three", n)
+		t.Fatalf("%d attempts sent with capacity for 3, want 3", n)
 	}
-	w.advance(200_000) // past the latency mark
+	w.advance(200_000) // past the p95 latency
 	w.sendRequest("late", 0, 2*second)
 	if n := w.countActions("send late"); n != 1 {
-		t.Error("a request is not sent while silent servers hold all capacity")
+		t.Error("request was not sent while all attempts in flight are at unresponsive endpoints")
 	}
 }
 
-// A busy balancer goes by the limits of its endpoints and not by the pool limit; a saturated endpoint doesn't
-// lower the pool limit.
+// A busy balancer is bounded by the limits of its endpoints and not by the pool limit. A saturated endpoint
+// does not lower the pool limit.
 func TestPoolLimitAppliesToQuietBalancersOnly(t *testing.T) {
 	for perSecond, want := range map[float64]int{0.5: 1, 20: 4} {
 		w := newWorkload(t, testSettings(), testEndpoints(10)...)
@@ -36,18 +36,19 @@
 			w.sendRequest(fmt.Sprint("r", i), 0, 2*second)
 		}
 		if n := w.countActions("send"); n != want {
-			t.Errorf("%v answers a second from each server: %d sent with capacity for one, want %d", perSecond, n, want)
+			t.Errorf("%v answers per second from each endpoint: %d attempts sent with a pool limit of 1 attempt, want %d", perSecond, n, want)
 		}
 		w.endAttempt(w.inFlight[0], Saturated)
-		assertNear(t, "pool limit after a full server", w.b.pool.limit, 0.1, 0)
+		assertNear(t, "pool limit after a saturated endpoint", w.b.pool.limit, 0.1, 0)
 	}
 }
 
-// Late answers that come together leave a busy balancer a part of its pool limit: with n in flight each
-// lowers it by 0.6/n, or by 0.15 with four or less, from forty down to one to 0.13 of it.
+// A burst of late answers leaves a busy balancer part of its pool limit. With n attempts in flight each late
+// answer lowers the limit by 0.6/n, and by 0.15 with four or fewer; from forty in flight down to one that
+// leaves 0.13 of it.
 func TestBurstOfLateAnswersKeepsPartOfPoolLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
-	w.sendRequest("quick", 0, 2*second) // so that it is known how quick answers are at ease
+	w.sendRequest("quick", 0, 2*second) // sets the latency baseline without congestion
 	w.advance(20_000)
 	w.endAttempt(w.inFlight[0], Succeeded)
 	w.b.pool.limit = 20
@@ -55,37 +56,36 @@
 		w.sendRequest(fmt.Sprint("r", i), 0, 2*second)
 	}
 	if n := len(w.inFlight); n != 40 {
-		t.Fatalf("%d out, want 40", n)
+		t.Fatalf("%d attempts in flight, want 40", n)
 	}
 	before := w.b.pool.limit
 	w.advance(350_000)
 	for len(w.inFlight) > 0 {
 		w.endAttempt(w.inFlight[0], Succeeded)
 	}
-	assertNear(t, "part of the capacity kept", w.b.pool.limit/before, 0.13, 0.03)
+	assertNear(t, "part of the pool limit left", w.b.pool.limit/before, 0.13, 0.03)
 }
 
-// A late answer lowers what may be in flight at all endpoints together, at once; early ones that find the
-// limit in use raise it.
+// A late answer lowers the pool limit at once. Early answers raise it while the limit is in use.
 func TestLateAnswersLowerPoolLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
 	_, before := w.b.poolCapacity(w.now)
 	w.sendRequest("slow", 0, 2*second)
-	w.advance(350_000) // past 3/4 of the aim
+	w.advance(350_000) // past 3/4 of the latency objective
 	w.endAttempt(w.inFlight[0], Succeeded)
 	_, after := w.b.poolCapacity(w.now)
-	assertNear(t, "capacity after a late answer", after/before, 0.85, 1e-9)
+	assertNear(t, "pool capacity after a late answer", after/before, 0.85, 1e-9)
 	w.b.pool.limit = 0.1
 	for i := range 5 {
 		w.sendRequest(fmt.Sprint("quick", i), 0, 2*second)
 		w.advance(20_000)
 		w.endAttempt(w.inFlight[0], Succeeded)
 	}
-	assertNear(t, "pool limit after five early ones", w.b.pool.limit, 0.1*math.Pow(1.05, 5), 1e-9)
+	assertNear(t, "pool limit after five early answers", w.b.pool.limit, 0.1*math.Pow(1.05, 5), 1e-9)
 }
 
-// Where every answer is late, limits fall below one, and what is in flight falls with them: many small
-// balancers with one attempt at every endpoint would keep them overloaded.
+// If every answer is late, limits fall below one and so do the attempts in flight. Otherwise many small
+// balancers with one attempt at every endpoint each would keep the endpoints overloaded.
 func TestPersistentLateAnswersReduceAttemptsInFlight(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(20)...)
 	maxInFlight := 0
@@ -102,12 +102,12 @@
 		}
 	}
 	if maxInFlight >= 10 {
-		t.Errorf("%d attempts out at 20 servers that all answer late, want under 10", maxInFlight)
+		t.Errorf("%d attempts in flight at 20 endpoints that all answer late, want fewer than 10", maxInFlight)
 	}
 }
 
-// Attempts that time out one by one at endpoints whose other answers are early cut no limit; where answers
-// are late, a timeout does.
+// A single timeout at an endpoint whose other answers are early does not cut the limit. A timeout after late
+// answers does.
 func TestSingleTimeoutKeepsConcurrencyLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	s, c := w.b.endpoints[0], w.b.classes[0]
@@ -119,27 +119,27 @@
 	}
 	end(Succeeded, 1000)
 	if f := end(TimedOut, c.Deadline); f != 1 {
-		t.Errorf("a time-out after an early answer moved the limit by %v", f)
+		t.Errorf("limit after a timeout that follows an early answer: changed by the factor %v, want 1", f)
 	}
 	end(Succeeded, c.LatencyObjective)
 	if f := end(TimedOut, c.Deadline); f >= 1 {
-		t.Errorf("a time-out after a late answer moved the limit by %v", f)
+		t.Errorf("limit after a timeout that follows a late answer: changed by the factor %v, want less than 1", f)
 	}
 }
 
-// Of the initial limit of 8 for all, each of nine balancers that share an endpoint has a ninth.
+// Each of nine balancers that share an endpoint starts with a ninth of the initial limit of 8.
 func TestInitialLimitIsDividedAmongBalancers(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 9
 	w := newWorkload(t, set, testEndpoints(2)...)
-	assertNear(t, "start limit", w.b.endpoints[0].concurrencyLimit, 8.0/9, 1e-9)
+	assertNear(t, "initial limit", w.b.endpoints[0].concurrencyLimit, 8.0/9, 1e-9)
 }
 
-// Quiet balancers together send less when four of ten endpoints leave, so that nearly all answers are early:
-// 36 endpoints do 1,200 a second of the 1,600 asked for.
+// When four of ten endpoints drain, quiet balancers together send less, so that nearly all answers stay
+// early: 36 endpoints serve 1,200 of the 1,600 requests per second.
 func TestQuietBalancersReduceLoadWhenEndpointsDrain(t *testing.T) {
 	set := testSettings()
-	set.KeyAffinity = true // each balancer meets all servers, as keys' homes
+	set.KeyAffinity = true // each balancer uses all endpoints, as preferred replicas
 	c := newCluster(80, set, 0, testEndpoints(60))
 	c.busyUntil, c.keyCount = map[string]int64{}, 300
 	c.run(6, 1600)
@@ -154,12 +154,12 @@
 	c.answerCounts = map[bool]int{}
 	c.run(6, 1600)
 	if early, late := c.answerCounts[true], c.answerCounts[false]; early < 6*900 || late > early/4 {
-		t.Errorf("%d answers within the objective and %d late in 6 s, want 5400 or more and few late", early, late)
+		t.Errorf("%d answers within the latency objective and %d late in 6 s, want at least 5400 and at most a quarter as many late", early, late)
 	}
 }
 
-// An endpoint that rejects early and answers in time keeps its limit, unless an attempt budget makes retries
-// scarce.
+// An endpoint that rejects some requests while its answers are early keeps its limit, unless an attempt
+// budget makes retries scarce.
 func TestSaturationCutsLimitOfFastEndpointOnlyWithAttemptBudget(t *testing.T) {
 	for _, c := range []struct {
 		window int64
@@ -176,7 +176,7 @@
 		before := s.concurrencyLimit
 		w.endAttempt(w.sendRequest("b", 0, second).attempts[0], Saturated)
 		if kept := s.concurrencyLimit >= before; kept != c.kept {
-			t.Errorf("span %d: limit %v, was %v", c.window, s.concurrencyLimit, before)
+			t.Errorf("attempt budget window %d us: limit %v after a saturated answer, was %v before", c.window, s.concurrencyLimit, before)
 		}
 	}
 }
--- a/decide/tail_latency_test.go
+++ b/decide/tail_latency_test.go
@@ -24,7 +24,8 @@
 	earnedValue  float64 // sum over requests: 1 for an answer within the latency objective, LateValueShare for a later one
 }
 
-// tailServer draws its response times from a list with equal probability.
+// tailServer draws its response times from a list with equal probability. With concurrency 0 it processes any
+// number of requests at once.
 type tailServer struct {
 	responseTimes      []int64 // µs
 	concurrency        int
