--- a/decide/attempt_budget_test.go
+++ b/decide/attempt_budget_test.go
@@ -102,9 +102,9 @@
 		n.slot(1000*second+i*37%(5*second)).retries++
 	}
 	if _, retries := n.counts(990 * second); retries != 100_000 {
-		t.Fatal(retries)
+		t.Fatalf("%d retries counted at a clock that stepped back, want 100000", retries)
 	}
 	if _, retries := n.counts(1016 * second); retries != 0 {
-		t.Fatal(retries)
+		t.Fatalf("%d retries counted after the window, want 0", retries)
 	}
 }
--- a/decide/endpoint_list_test.go
+++ b/decide/endpoint_list_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Rule 3: draining, removed and unlisted endpoints get nothing, however the list says so.
+// Rule 3: endpoints that are draining, removed or missing from a complete list get no attempts.
 func TestUnavailableEndpointsGetNoAttempts(t *testing.T) {
 	for name, update := range map[string]func(*workload, []Endpoint){
 		"draining": func(w *workload, l []Endpoint) { l[0].Phase = Draining; w.updateEndpoints(false, l[0]) },
@@ -19,7 +19,7 @@
 			r := w.sendRequest(fmt.Sprint("r", i), 0, second)
 			w.endAttempt(r.attempts[0], Succeeded)
 			if r.attempts[0].endpoint.ID != "s1" {
-				t.Errorf("%s: sent to %s", name, r.attempts[0].endpoint.ID)
+				t.Errorf("%s endpoint s0: attempt sent to %s, want s1", name, r.attempts[0].endpoint.ID)
 			}
 		}
 	}
@@ -28,11 +28,11 @@
 func TestRequestIsRejectedWithoutEndpoints(t *testing.T) {
 	w := newWorkload(t, testSettings())
 	if r := w.sendRequest("a", 0, second); r.answer != "reject" {
-		t.Errorf("answer %q, want reject", r.answer)
+		t.Errorf("answer %q without endpoints, want reject", r.answer)
 	}
 }
 
-// What is known of endpoints that left long ago is dropped.
+// The state of endpoints that were removed long ago is dropped.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	for i := range 50 {
@@ -41,12 +41,12 @@
 		w.now += 2 * second
 	}
 	if n := len(w.b.knownEndpoints); n > int(removedRetention/(2*second))+2 {
-		t.Errorf("%d servers remembered of 53, one of them listed", n)
+		t.Errorf("%d endpoints remembered of 53 with 1 listed, want only those removed within removedRetention", n)
 	}
 }
 
-// A list that grows from one endpoint to a thousand, repeats entries, shrinks to none and comes back is used
-// in full at any length.
+// A list that grows from one endpoint to a thousand, repeats entries, shrinks to none and grows again is used
+// at each length.
 func TestEndpointListOfAnyLengthIsUsed(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 500
@@ -56,18 +56,18 @@
 		list := testEndpoints(n)
 		w.updateEndpoints(true, append(list, list...)...)
 		if len(w.b.endpoints) != n || len(w.b.subset) > max(n, 3*minSubset) || n > 0 && len(w.b.subset) == 0 {
-			t.Fatalf("%d listed: %d servers kept, %d in the subset", n, len(w.b.endpoints), len(w.b.subset))
+			t.Fatalf("%d endpoints listed: %d kept and %d in the subset", n, len(w.b.endpoints), len(w.b.subset))
 		}
 		before := w.countActions("send")
 		w.sendTraffic(50, outcome)
-		if got := w.countActions("send") - before; n > 0 && got < 20 { // limits start at a part of one send for 500 balancers and grow
-			t.Errorf("%d listed: %d sends for 50 requests", n, got)
+		if got := w.countActions("send") - before; n > 0 && got < 20 { // with 500 balancers limits start below one attempt and grow
+			t.Errorf("%d endpoints listed: %d attempts for 50 requests, want at least 20", n, got)
 		}
 	}
 }
 
-// A balancer count that is absent, or wrong by a factor of ten, still keeps rule 4 for all together, and
-// requests are served.
+// If the configured balancer count is missing or wrong by a factor of ten, rule 4 still holds for all
+// balancers together, and requests are served.
 func TestWrongBalancerCountKeepsSlowStartBound(t *testing.T) {
 	for _, configured := range []int{0, 5, 500} {
 		set := testSettings()
@@ -79,16 +79,16 @@
 		}
 		c.run(5, perSecond)
 		if c.attemptsSent < 3*perSecond {
-			t.Errorf("told %d: %d attempts for %d requests", configured, c.attemptsSent, c.requestsSent)
+			t.Errorf("balancer count set to %d: %d attempts for %d requests, want attempts for at least 3 of 5 s of traffic", configured, c.attemptsSent, c.requestsSent)
 		}
 		sends := len(c.sendsToStartingEndpoint(2, perSecond))
 		if maxSends := set.Rules.OverloadFactor * set.Rules.SlowStartMinShare * perSecond / servers * 2; float64(sends) > maxSends {
-			t.Errorf("told %d: %d sends to a server in slow start in its first window, budget %.0f", configured, sends, maxSends)
+			t.Errorf("balancer count set to %d: %d attempts to an endpoint in the first window of its slow start, want at most %.0f", configured, sends, maxSends)
 		}
 	}
 }
 
-// An infinite or absurd listed capacity counts as one: it would leave nothing to the others.
+// An infinite or excessive listed capacity counts as one. Otherwise the other endpoints would get nothing.
 func TestExcessiveListedCapacityCountsAsOne(t *testing.T) {
 	set := testSettings()
 	set.CapacityListed = true
@@ -96,6 +96,6 @@
 	list[0].Capacity, list[1].Capacity = math.Inf(1), 1e300
 	w := newWorkload(t, set, list...)
 	for _, s := range w.b.endpoints {
-		assertNear(t, "size of "+s.ID, s.Capacity, 1, 1e-9)
+		assertNear(t, "capacity of "+s.ID, s.Capacity, 1, 1e-9)
 	}
 }
--- a/decide/endpoint_poll_test.go
+++ b/decide/endpoint_poll_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// After a failed poll the next begins within 4.5 s of its start, however large the fleet and however often it
-// failed. That leaves 1.5 s of the 6 s in which a change has to be in force.
+// After a failed poll the next one starts within 4.5 s of its start, whatever the fleet size and the number
+// of failures. That leaves 1.5 s of the 6 s in which a change has to be in force.
 func TestNextPollStartsWithinMaxDelay(t *testing.T) {
 	for _, balancers := range []int{1, 30, 300, 18_000} {
 		for _, waited := range []int64{0, 1000, second, 2_500_000, 4_400_000, 30 * second} {
@@ -19,7 +19,7 @@
 				for b.pollFailures = range 20 {
 					delay := b.pollBackoff(waited)
 					if delay < minPollSpanMicros/10 || delay > max(minPollSpanMicros, 4_500_000-waited) {
-						t.Fatalf("%d balancers, failure %d after %d us: asks in %d us", balancers, b.pollFailures, waited, delay)
+						t.Fatalf("%d balancers, failure %d after %d us: next poll in %d us, want it within 4.5 s of the start of the failed poll", balancers, b.pollFailures, waited, delay)
 					}
 				}
 			}
@@ -27,8 +27,8 @@
 	}
 }
 
-// A list service that returns to a fleet whose polls all failed at once gets n/(0.9 x delay) calls a second
-// at most, or those of its slots, in each window but for chance.
+// If all polls of a fleet of n fail at once, the list service gets at most n/(0.9 x delay) polls per second
+// afterwards, or the rate of the poll slots, in each window, with an allowance for chance.
 func TestRetriedPollsOfFleetAreSpread(t *testing.T) {
 	const window, span = second / 2, 60 * second
 	for _, n := range []int{80, 300, 3000} {
@@ -49,7 +49,7 @@
 				maxCalls := expected + 4*math.Sqrt(expected)
 				for i, got := range calls[:span/window] {
 					if float64(got) > maxCalls {
-						t.Errorf("%d calls in half a second, at %.1f s; at most %.0f", got, float64(i)/2, maxCalls)
+						t.Errorf("%d polls in the half second from %.1f s, want at most %.0f", got, float64(i)/2, maxCalls)
 					}
 				}
 			})
@@ -64,22 +64,22 @@
 		w.timers = nil
 		w.b.OnPollFailed(w.now, 0)
 		if delay := w.timers[0].at - w.now; delay <= 0 || delay > w.set.Rules.PollInterval/2 {
-			t.Errorf("asks again in %d us", delay)
+			t.Errorf("next poll in %d us, want it within half the poll interval", delay)
 		}
 		w.advance(5 * second)
 	}
 	if got := w.countActions("watch") - polls; got != 12 {
-		t.Errorf("asked %d times after 12 failures", got)
+		t.Errorf("%d polls after 12 failed polls, want 12", got)
 	}
 }
 
-// listService works through polls in turn, also through those that were given up, and rejects polls while its
-// queue is full.
+// listService answers polls in order, including polls that were abandoned, and rejects polls while its queue
+// is full.
 type listService struct {
 	now      int64
 	hosts    []*pollingHost
 	pending  []*pollCall
-	workDone float64 // of the first one
+	workDone float64 // share of the first pending poll that is done
 }
 
 type pollCall struct {
@@ -88,13 +88,13 @@
 	abandoned bool
 }
 
-// pollingHost is one balancer's Actions before a listService: only its polls and timers count.
+// pollingHost is the Actions of one balancer that polls a listService. It handles polls and timers only.
 type pollingHost struct {
 	noActions
 	service   *listService
 	balancer  *Balancer
 	timers    []pendingTimer
-	servedAt  int64 // when its call was; 0: not yet
+	servedAt  int64 // time of its last answered poll; 0: none
 	pollTimes []int64
 }
 
@@ -107,7 +107,7 @@
 	c.service.pending = append(c.service.pending, &pollCall{host: c, startedAt: c.service.now})
 }
 
-// run lets time pass before a service that takes so many polls a second and queues so many.
+// run advances time for a service that answers perSecond polls per second and queues up to queueLimit.
 func (q *listService) run(seconds int64, perSecond float64, queueLimit int) {
 	const tick, callTimeout = 10_000, 2 * second
 	for end := q.now + seconds*second; q.now < end; q.now += tick {
@@ -138,8 +138,8 @@
 	}
 }
 
-// 80 balancers that start together are all served: a service of 15 polls a second takes 5.3 s for them if
-// none is wasted on a poll that was given up.
+// 80 balancers that start at the same time all get the list. A service of 15 polls per second takes 5.3 s for
+// them if it spends no time on abandoned polls.
 func TestBalancersStartedTogetherAllGetEndpointList(t *testing.T) {
 	for _, known := range [][]Endpoint{testEndpoints(60), nil} {
 		service := &listService{now: 1000 * second}
@@ -153,7 +153,7 @@
 			service.hosts = append(service.hosts, host)
 		}
 		start, late, deadlineSeconds := service.now, 0, int64(14)
-		if len(known) == 0 { // those ask at once, and most in vain
+		if len(known) == 0 { // these poll at once, and most polls fail
 			deadlineSeconds = 18
 		}
 		service.run(20, 15, 80)
@@ -162,11 +162,11 @@
 				late++
 			}
 			if len(known) == 0 && host.pollTimes[0]-start > second/10 {
-				t.Errorf("one that knows no server asks after %d us", host.pollTimes[0]-start)
+				t.Errorf("first poll of a balancer without endpoints after %d us, want it within 0.1 s", host.pollTimes[0]-start)
 			}
 		}
 		if late > 0 {
-			t.Errorf("%d servers known: %d of 80 balancers have no list after %d s", len(known), late, deadlineSeconds)
+			t.Errorf("%d endpoints known at the start: %d of 80 balancers without a list after %d s, want 0", len(known), late, deadlineSeconds)
 		}
 	}
 }
--- a/decide/exp3_test.go
+++ b/decide/exp3_test.go
@@ -13,13 +13,14 @@
 	}
 }
 
-// newPlainRequest is a request of the first class without attempts.
+// newPlainRequest returns a request of the first class without attempts.
 func newPlainRequest(b *Balancer) *request {
 	c := b.classes[0]
 	return &request{class: c, classRules: c.Class, maxAttempts: b.settings.Limits.MaxAttempts}
 }
 
-// The paper's formula: weights 1, 2, 1 give (1-0.07)*2/4 + 0.07/3 = 0.488333.
+// The draw follows the formula of the paper: weights 1, 2, 1 give (1-0.07)*2/4 + 0.07/3 = 0.488333 for the
+// second arm.
 func TestDrawProbability(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	w.b.knownEndpoints["s1"].setLogWeight(math.Log(2))
@@ -31,11 +32,12 @@
 		seen[s.ID] = p
 	}
 	for i, p := range want {
-		assertNear(t, fmt.Sprint("p of s", i), seen[fmt.Sprint("s", i)], p, 1e-6)
+		assertNear(t, fmt.Sprint("draw probability of s", i), seen[fmt.Sprint("s", i)], p, 1e-6)
 	}
 }
 
-// An endpoint of listed capacity 4 beside two of 1 counts as four arms of six: scaled to 2, 0.5, 0.5.
+// An endpoint of listed capacity 4 together with two of capacity 1 counts as four of six arms; the scaled
+// capacities are 2, 0.5 and 0.5.
 func TestCapacityCountsAsArms(t *testing.T) {
 	set := testSettings()
 	set.CapacityListed = true
@@ -45,14 +47,15 @@
 	w.b.collectCandidates(w.now, newPlainRequest(w.b), nil)
 	for range 200 {
 		if s, p := w.b.sampleCandidate(3, 3, nil); s.ID == "s0" {
-			assertNear(t, "p of the big server", p, 4.0/6, 1e-9)
+			assertNear(t, "draw probability of the large endpoint", p, 4.0/6, 1e-9)
 			return
 		}
 	}
-	t.Error("the big server was never drawn")
+	t.Error("the large endpoint was not drawn in 200 draws")
 }
 
-// A payoff of 1 drawn with probability 0.5 among 3 adds 0.07*1/(0.5*3) = 0.046667; one of 0 adds nothing.
+// A payoff of 1 drawn with probability 0.5 among 3 arms adds 0.07*1/(0.5*3) = 0.046667 to the log-weight, a
+// payoff of 0 adds nothing, and the log-weights of the other arms stay.
 func TestOnlyDrawnEndpointLearns(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	s := w.b.endpoints[0]
@@ -61,12 +64,12 @@
 	w.b.updateWeight(&attempt{endpoint: s, probability: 0.5}, 0)
 	assertNear(t, "log-weight after a failure", s.logWeight, 0.0466667, 1e-6)
 	for _, other := range w.b.endpoints[1:] {
-		assertNear(t, "log-weight of a server not drawn", other.logWeight, 0, 0)
+		assertNear(t, "log-weight of an endpoint that was not drawn", other.logWeight, 0, 0)
 	}
 }
 
-// Arms that give half an answer a second move a weight three times as far as the paper has it, ones that give
-// 2.5 twice, ones that give 10 as far.
+// The learning rate is three times that of the paper for arms with half an answer per second, twice for 2.5
+// answers per second, and that of the paper for 10.
 func TestQuietBalancersLearnFaster(t *testing.T) {
 	for perSecond, want := range map[int]float64{2: 3 * gamma, 10: 2 * gamma, 40: gamma} {
 		w := newWorkload(t, testSettings(), testEndpoints(4)...)
@@ -77,17 +80,18 @@
 			w.b.endpoints[0].successesThisSecond += perSecond % 4
 			w.b.onSecond(w.now)
 		}
-		assertNear(t, fmt.Sprint("rate at ", perSecond, " answers a second"), w.b.learningRate, want, 0.01*want)
+		assertNear(t, fmt.Sprint("learning rate at ", perSecond, " answers per second"), w.b.learningRate, want, 0.01*want)
 	}
 }
 
-// With a baseline of 100 ms, answers within 60 ms earn all and one of 120 ms earns half, long before the
-// objective of 400 ms. A request whose objective is extended to twice the class's may take twice as long.
+// With a baseline of 100 ms an answer within 60 ms has the payoff 1 and one of 120 ms the payoff 0.5, long
+// before the latency objective of 400 ms. If the objective of a request is extended to twice that of its
+// class, its answer may take twice as long.
 func TestPayoffFallsWithLatency(t *testing.T) {
 	class := &classState{Class: Class{LatencyObjective: 400_000}, baselineP90: 100_000}
 	c := &request{latencyObjective: 400_000, class: class, classRules: class.Class}
 	long := &request{latencyObjective: 800_000, class: class, classRules: class.Class}
-	assertNear(t, "payoff of a long one", long.payoff(Outcome{Result: Succeeded, Latency: 240_000}), 0.5, 1e-12)
+	assertNear(t, "payoff with an extended objective", long.payoff(Outcome{Result: Succeeded, Latency: 240_000}), 0.5, 1e-12)
 	for _, v := range []struct {
 		result  Result
 		latency int64
@@ -105,12 +109,13 @@
 		w.sendRequest("a", 0, second)
 		w.endAttempt(w.inFlight[0], result)
 		if s := w.b.endpoints[0]; s.logWeight != 0 || s.ejections[0].consecutiveFailures != 0 {
-			t.Errorf("result %d moved log %v, failures %d", result, s.logWeight, s.ejections[0].consecutiveFailures)
+			t.Errorf("result %d: log-weight %v and %d failures in a row, want 0 and 0", result, s.logWeight, s.ejections[0].consecutiveFailures)
 		}
 	}
 }
 
-// At a fixed seed 20,000 draws lie within 0.015 (over four standard deviations) of the formula.
+// At a fixed seed the frequencies of 20,000 draws are within 0.015 of the formula, which is over four
+// standard deviations.
 func TestDrawFrequenciesMatchProbabilities(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	for i, s := range w.b.endpoints {
@@ -126,19 +131,20 @@
 		hits[s.ID]++
 	}
 	for _, s := range w.b.endpoints {
-		assertNear(t, "share of "+s.ID, float64(hits[s.ID])/float64(n), 0.93*s.weight/sum+0.07/4, 0.015)
+		assertNear(t, "share of draws of "+s.ID, float64(hits[s.ID])/float64(n), 0.93*s.weight/sum+0.07/4, 0.015)
 	}
 }
 
-// Log-weights keep 0.9 of their distance from the mean each second. A quiet balancer's decay by its answers:
-// two answers at two endpoints keep 0.98, none keep all, a thousand no less than 0.9.
+// Each second the log-weights keep at least 0.9 of their distance from the mean. A quiet balancer's weights
+// decay by its answers: two answers at two endpoints keep 0.98, no answers keep all, and a thousand answers
+// keep 0.9.
 func TestLogWeightsDecayTowardsMean(t *testing.T) {
 	for answers, want := range map[int]float64{0: 1, 2: 0.98, 1000: 0.9} {
 		w := newWorkload(t, testSettings(), testEndpoints(2)...)
 		w.b.endpoints[0].setLogWeight(1)
 		w.b.rates.successesThisSecond = answers
 		w.b.onSecond(w.now)
-		assertNear(t, fmt.Sprint("distance kept after ", answers), w.b.endpoints[0].logWeight-w.b.endpoints[1].logWeight, want, 1e-9)
+		assertNear(t, fmt.Sprint("distance of log-weights kept, by answers: ", answers), w.b.endpoints[0].logWeight-w.b.endpoints[1].logWeight, want, 1e-9)
 	}
 }
 
@@ -153,7 +159,7 @@
 		seen[a.endpoint.ID] = true
 	}
 	if len(seen) != 3 {
-		t.Errorf("three attempts met %d servers", len(seen))
+		t.Errorf("three attempts went to %d endpoints, want 3", len(seen))
 	}
 }
 
@@ -170,20 +176,21 @@
 		}
 	}
 	if idleDraws < 95 {
-		t.Errorf("%d of 100 draws went to the server with capacity, want 95 or more", idleDraws)
+		t.Errorf("%d of 100 draws picked the idle endpoint, want at least 95", idleDraws)
 	}
 }
 
-// A limit of 0.1 counts as a tenth of an arm, so p = 0.93*0.1/1.1 + 0.07/2 = 0.119545.
+// A concurrency limit of 0.1 counts as a tenth of an arm, so the draw probability is 0.93*0.1/1.1 + 0.07/2 =
+// 0.119545.
 func TestLimitBelowOneLowersDrawWeight(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	congested := w.b.endpoints[0]
 	congested.concurrencyLimit = 0.1
 	for range 400 {
 		if s, p := w.b.drawEndpoint(w.now, newPlainRequest(w.b)); s == congested {
-			assertNear(t, "p of the jammed server", p, 0.93*0.1/1.1+0.07/2, 1e-9)
+			assertNear(t, "draw probability of the congested endpoint", p, 0.93*0.1/1.1+0.07/2, 1e-9)
 			return
 		}
 	}
-	t.Error("the jammed server was never drawn: its floor is gone")
+	t.Error("the congested endpoint was not drawn in 400 draws, want draws by the exploration share")
 }
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// gossipLink carries the messages of balancers to each other at once.
+// gossipLink delivers the messages of a balancer to the others at once, unless lost is set.
 type gossipLink struct {
 	noActions
 	sender    int
@@ -28,7 +28,7 @@
 	}
 }
 
-// gossipingBalancers know of each other and of the endpoints.
+// newGossipingBalancers starts n balancers that know the endpoints and have gossiped their subsets.
 func newGossipingBalancers(t *testing.T, n, servers int) (balancers []*Balancer, now *int64, lost *bool, sent *int) {
 	t.Helper()
 	balancers, now, lost, sent = make([]*Balancer, n), new(int64), new(bool), new(int)
@@ -38,7 +38,7 @@
 		set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount, set.BalancerIndex = true, true, n, i
 		balancers[i] = New(set, uint64(i+1), gossipLink{sender: i, balancers: balancers, now: now, lost: lost, sent: sent})
 	}
-	for range 2 { // the second time all are known
+	for range 2 { // in the second round all balancers know each other
 		for _, b := range balancers {
 			b.gossip.nextSendAt = 0
 			b.OnEndpoints(*now, testEndpoints(servers), true)
@@ -47,7 +47,8 @@
 	return balancers, now, lost, sent
 }
 
-// What one balancer sends counts at those that share the endpoint until it ends.
+// An attempt of one balancer counts as in flight at the balancers that share the endpoint until the attempt
+// ends.
 func TestGossipSharesAttemptsInFlight(t *testing.T) {
 	balancers, now, _, _ := newGossipingBalancers(t, 3, 3)
 	balancers[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: second})
@@ -60,17 +61,17 @@
 	id := balancers[0].endpoints[busy].ID
 	for i, b := range balancers[1:] {
 		if got := b.totalInFlight(*now, b.knownEndpoints[id]); got != 1 {
-			t.Errorf("balancer %d knows of %v held at %s, want 1", i+1, got, id)
+			t.Errorf("balancer %d counts %v attempts in flight at %s, want 1", i+1, got, id)
 		}
 	}
 	balancers[0].OnOutcome(*now, Outcome{Request: "a", Server: id, Result: Succeeded, Latency: 1000, RequestAnswered: true})
 	if got := balancers[1].totalInFlight(*now, balancers[1].knownEndpoints[id]); got != 0 {
-		t.Errorf("after the end %v held, want 0", got)
+		t.Errorf("after the end of the attempt %v attempts in flight, want 0", got)
 	}
 }
 
-// A count whose end is lost is forgotten after a second. Where no message comes at all, each takes the others
-// to have as much in flight as itself.
+// A count is dropped after a second if the message that ends it is lost. If no messages arrive at all, a
+// balancer assumes that the others have as many attempts in flight as itself.
 func TestInFlightEstimateWhenGossipIsLost(t *testing.T) {
 	balancers, now, lost, _ := newGossipingBalancers(t, 4, 2)
 	balancers[0].OnRequest(*now, Request{ID: "a", Tenant: -1, TimeLeft: 3 * second})
@@ -78,7 +79,7 @@
 	s := balancers[1].endpoints[0]
 	*now += gossipLossTimeout + 1
 	if s.inFlight = 1; balancers[1].totalInFlight(*now, s) != balancers[1].balancersPerEndpoint() || balancers[1].balancersPerEndpoint() != 4 {
-		t.Errorf("messages lost with one out: %v held, want 4", balancers[1].totalInFlight(*now, s))
+		t.Errorf("estimate with 1 own attempt in flight and no messages: %v attempts in flight, want 4", balancers[1].totalInFlight(*now, s))
 	}
 	s.inFlight = 0
 	*lost, *now = false, *now+second
@@ -88,12 +89,12 @@
 		sum += balancers[1].totalInFlight(*now, s)
 	}
 	if sum != 1 {
-		t.Errorf("%v held after one old message and one new, want 1", sum)
+		t.Errorf("%v attempts in flight after an expired and a new message, want 1", sum)
 	}
 }
 
-// Messages that are empty, damaged, of another version, old, repeated, from the balancer itself or from
-// nobody, or about endpoints that aren't listed, change nothing.
+// Messages that are empty, damaged, of another version, old or repeated, that come from the balancer itself
+// or an unknown sender, or that name unlisted endpoints change nothing.
 func TestInvalidGossipIsIgnored(t *testing.T) {
 	balancers, now, _, _ := newGossipingBalancers(t, 3, 3)
 	b := balancers[0]
@@ -101,10 +102,10 @@
 	valid := slices.Clone(balancers[1].encodeGossip(balancers[1].endpoints[0]))
 	invalid := map[string][]byte{"empty": {}, "cut short": valid[:len(valid)-1], "over-long": append(slices.Clone(valid), make([]byte, 300)...),
 		"head alone": valid[:1]}
-	for bit := range 8 * len(valid) { // any one bit turned over in an entry or the version
+	for bit := range 8 * len(valid) { // one flipped bit in an entry or the version
 		message := slices.Clone(valid)
 		message[bit/8] ^= 1 << (bit % 8)
-		if bit/8 == 0 && bit%8 < 6 || bit/8 == 1 { // the number and the idle time are covered by the entry's check
+		if bit/8 == 0 && bit%8 < 6 || bit/8 == 1 { // the check bits of an entry cover the sequence number and the idle time
 			continue
 		}
 		invalid[fmt.Sprint("bit ", bit)] = message
@@ -121,19 +122,19 @@
 		before := state()
 		if ok, _ := b.handleGossip(*now, 1, message); !ok {
 			if state() != before {
-				t.Errorf("%s: state changed to %s", name, state())
+				t.Errorf("%s message: state changed to %s, want no change", name, state())
 			}
 		} else if accepted++; !strings.HasPrefix(name, "bit") {
-			t.Errorf("%s: taken for a message", name)
+			t.Errorf("%s message was accepted, want it ignored", name)
 		}
 	}
-	if accepted > len(invalid)/8 { // four bits of check let one in sixteen through
-		t.Errorf("%d of %d damaged messages were taken", accepted, len(invalid))
+	if accepted > len(invalid)/8 { // four check bits accept one of sixteen
+		t.Errorf("%d of %d damaged messages were accepted, want at most an eighth", accepted, len(invalid))
 	}
 	before := state()
 	for _, from := range []int{0, -1, 3, math.MaxInt} {
 		if b.OnGossip(*now, from, valid); state() != before {
-			t.Errorf("from %d: state changed", from)
+			t.Errorf("message from balancer %d changed the state, want it ignored", from)
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -146,7 +147,7 @@
 	}
 	for _, s := range b.endpoints {
 		if inFlight := b.totalInFlight(*now, s); inFlight > 2*maxGossipInFlight || len(s.peerLoads) > 2 {
-			t.Errorf("random messages: %v held, %d sharers", inFlight, len(s.peerLoads))
+			t.Errorf("after random messages: %v attempts in flight and %d sharing balancers, want at most the limits of two peers", inFlight, len(s.peerLoads))
 		}
 	}
 }
@@ -164,38 +165,38 @@
 	b.OnGossip(*now, 1, old)
 	b.OnGossip(*now, 1, newest)
 	if got := b.totalInFlight(*now, b.endpoints[0]); got != 2 {
-		t.Errorf("%v held, want the 2 of the newest message", got)
+		t.Errorf("%v attempts in flight, want the 2 of the newest message", got)
 	}
 }
 
-// Without Limits.Gossip no balancer sends or handles a message.
+// Without Limits.Gossip a balancer neither sends nor handles messages.
 func TestNoGossipUnlessEnabled(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	w.sendTraffic(50, func(*trackedAttempt) (Result, bool) { return Succeeded, true })
 	w.b.OnGossip(w.now, 1, []byte{gossipVersion | 1, 0, 0, 0, 0})
 	if slices.ContainsFunc(w.actions, func(a string) bool { return strings.Contains(a, " gossip ") }) || len(w.b.gossip.peers) > 0 {
-		t.Error("messages were sent or heard where the settings permit none")
+		t.Error("gossip messages were sent or handled, want none without Limits.Gossip")
 	}
 }
 
-// A message goes to no more balancers than the CPU of its receivers allows: 8 ms / 0.4 ms = 20, 24 at the
-// most; and to no more than 16,000 for all balancers together: of 2,000 each to 8.
+// A message goes to as many balancers as the CPU limit of the receivers allows, 8 ms / 0.4 ms = 20, and to at
+// most 24. The fan-out of all balancers together is at most 16,000, so each of 2,000 balancers sends to 8.
 func TestGossipFanoutIsBounded(t *testing.T) {
 	for cpu, want := range map[int64]int{0: 24, 8000: 20, 500_000: 24, 1: 1} {
 		set := testSettings()
 		set.Limits.DecisionCPU = cpu
 		if got := New(set, 1, noActions{}).gossipFanout(); got != want {
-			t.Errorf("CPU %d: to %d, want %d", cpu, got, want)
+			t.Errorf("CPU limit %d us/s: fan-out %d, want %d", cpu, got, want)
 		}
 	}
 	set := testSettings()
 	set.BalancerCount = 2000
 	if got := New(set, 1, noActions{}).gossipFanout(); got != 8 {
-		t.Errorf("2,000 balancers: to %d, want 8", got)
+		t.Errorf("2,000 balancers: fan-out %d, want 8", got)
 	}
 }
 
-// An endpoint that has not answered for the p95 latency gets nothing new.
+// An endpoint that has not answered for the p95 latency gets no new attempts.
 func TestUnresponsiveEndpointGetsNoAttemptWithGossip(t *testing.T) {
 	set := testSettings()
 	set.Limits.Gossip = true
@@ -203,11 +204,11 @@
 	w.sendRequest("a", 0, 2*second)
 	w.advance(250_000)
 	if r := w.sendRequest("b", 0, 2*second); len(r.attempts) > 0 {
-		t.Error("sent to a server silent for 250 ms, where answers are taken to need 200 ms")
+		t.Error("attempt sent to an endpoint without an answer for 250 ms at a p95 latency of 200 ms, want none")
 	}
 }
 
-// Of eight that share an endpoint and hear that it has capacity, about two dispatch their queue.
+// Of eight balancers that share an endpoint and hear of its free capacity, about two dispatch their queue.
 func TestFewBalancersDispatchOnGossipedCapacity(t *testing.T) {
 	dispatched := 0
 	for seed := range uint64(200) {
@@ -224,13 +225,13 @@
 		b.OnGossip(now, 1, peer.encodeGossip(s))
 		b.OnRequest(now, Request{ID: "a", Tenant: -1, TimeLeft: second})
 		if len(b.queue) != 1 {
-			t.Fatal("the request does not wait")
+			t.Fatal("the request is not queued")
 		}
 		s.inFlight = 0
 		b.OnGossip(now+1000, 1, peer.encodeGossip(s))
 		dispatched += b.endpoints[0].inFlight
 	}
 	if dispatched < 25 || dispatched > 85 { // a quarter of 200
-		t.Errorf("%d of 200 took the capacity, want about 50", dispatched)
+		t.Errorf("%d of 200 balancers dispatched a request, want about 50", dispatched)
 	}
 }
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -57,7 +57,7 @@
 	r := w.sendRequest("long", 0, 2*second)
 	s := w.b.knownEndpoints[r.attempts[0].endpoint.ID]
 	if s.inFlight != 1 || w.b.inFlight != 1 {
-		t.Fatal(s.inFlight, w.b.inFlight)
+		t.Fatalf("before the stream: %d attempts in flight at the endpoint and %d in total, want 1", s.inFlight, w.b.inFlight)
 	}
 	r.answer = "served"
 	w.b.OnStreamStarted(w.now, "long", 0)
