--- a/decide/idle_connections_test.go
+++ b/decide/idle_connections_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An attempt without an answer on an idle connection closes it; after two of them connections idle for as
-// long are closed before a send. Slow answers close none.
+// An attempt without an answer on an idle connection closes the connection. After two of them, connections
+// that were idle for as long are closed before a send. Slow answers close no connection.
 func TestSuspectIdleConnectionsAreClosed(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	serve := func(id string) { w.endAttempt(w.sendRequest(id, 0, 2*second).attempts[0], Succeeded) }
@@ -20,34 +20,34 @@
 	}
 	serve("a")
 	w.advance(second)
-	serve("b") // idle for a second and still good
+	serve("b") // the connection was idle for a second and still works
 	if countCloses() != 0 {
-		t.Fatal("a connection was closed without cause")
+		t.Fatal("an idle connection that works was closed")
 	}
 	assertCloses := func(n int, when string) {
 		if t.Helper(); countCloses() != n {
-			t.Errorf("%d closes %s, want %d", countCloses(), when, n)
+			t.Errorf("%d connections closed %s, want %d", countCloses(), when, n)
 		}
 	}
-	loseAttempt := func(id string) { // and one more, on a new connection
+	loseAttempt := func(id string) { // the next request uses a new connection
 		w.advance(second)
 		if r := w.sendRequest(id, 0, 300_000); len(r.attempts) != 1 {
-			t.Fatal("not sent")
+			t.Fatal("the request on the idle connection was not sent")
 		}
 		w.advance(400_000)
 		serve(id + " again")
 	}
 	loseAttempt("c")
-	assertCloses(1, "after a lost attempt")
+	assertCloses(1, "after an attempt without an answer")
 	w.advance(900_000)
 	serve("d")
-	assertCloses(1, "as long idle again: the server may have been slow")
+	assertCloses(1, "after as long an idle time again, since one attempt may just have been slow")
 	loseAttempt("e")
-	assertCloses(2, "after another lost attempt")
+	assertCloses(2, "after another attempt without an answer")
 	w.advance(700_000) // under 0.8 of the second
 	serve("f")
-	assertCloses(2, "under the time that two have lost")
+	assertCloses(2, "after an idle time below that of both attempts")
 	w.advance(900_000)
 	serve("g")
-	assertCloses(3, "after longer idling")
+	assertCloses(3, "after a longer idle time")
 }
--- a/decide/key_affinity_test.go
+++ b/decide/key_affinity_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Every balancer with the same list prefers the same replica for a key, whatever its seed.
+// Balancers with the same endpoint list prefer the same replica for a key, whatever their seeds.
 func TestBalancersAgreeOnPreferredReplica(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
@@ -16,16 +16,17 @@
 		key := fmt.Sprint("key", i)
 		a, b := w.b.preferredReplica(&request{affinityHash: hash(key) | 1}), other.b.preferredReplica(&request{affinityHash: hash(key) | 1})
 		if a.ID != b.ID {
-			t.Fatalf("%s is preferred at %s and at %s", key, a.ID, b.ID)
+			t.Fatalf("preferred replica of %s: %s at one balancer and %s at the other, want the same", key, a.ID, b.ID)
 		}
 		seen[a.ID] = true
 	}
 	if len(seen) != 9 {
-		t.Errorf("200 keys have homes on %d of 9 servers", len(seen))
+		t.Errorf("200 keys have preferred replicas on %d endpoints, want all 9", len(seen))
 	}
 }
 
-// Of ten equal endpoints the preferred one weighs 20 beside 9, p = 0.93*20/29 + 0.07/10 = 0.648379.
+// Of ten equal endpoints the preferred one has the weight 20 and the others together 9, so its draw
+// probability is 0.93*20/29 + 0.07/10 = 0.648379.
 func TestPreferredReplicaWeighsTwiceTheSubset(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
@@ -35,15 +36,15 @@
 	preferred := w.b.preferredReplica(r)
 	for range 100 {
 		if s, p := w.b.drawEndpoint(w.now, r); s == preferred {
-			assertNear(t, "p of the preferred replica", p, 0.93*20/29+0.07/10, 1e-9)
+			assertNear(t, "draw probability of the preferred replica", p, 0.93*20/29+0.07/10, 1e-9)
 			return
 		}
 	}
-	t.Error("the preferred replica was never drawn")
+	t.Error("the preferred replica was not drawn in 100 draws")
 }
 
-// A key with a tenth of 2,000 requests at 50 endpoints gets 1 + 2*50*200/2020 = 10 replicas; a key asked for
-// twice has one, and balancers agree on them.
+// A key with a tenth of 2,000 requests at 50 endpoints gets 1 + 2*50*200/2020 = 10 replicas, a key with two
+// requests has one, and balancers agree on the replicas.
 func TestHotKeyHasSeveralReplicas(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
@@ -61,12 +62,12 @@
 		}
 	}
 	if n := len(replicas[0]); n < 5 || n > 11 {
-		t.Errorf("the hot key has %d homes, want 5 to 11", n)
+		t.Errorf("the hot key has %d replicas, want 5 to 11", n)
 	}
 	if !maps.Equal(replicas[0], replicas[1]) {
-		t.Errorf("one balancer has the hot key preferred at %v, the other at %v", replicas[0], replicas[1])
+		t.Errorf("replicas of the hot key: %v at one balancer and %v at the other, want the same", replicas[0], replicas[1])
 	}
 	if a, b := balancers[0].affinityReplica("once"), balancers[0].affinityReplica("once"); a != b {
-		t.Error("a rare key has two homes")
+		t.Error("a key with two requests has two replicas, want one")
 	}
 }
--- a/decide/key_outliers_test.go
+++ b/decide/key_outliers_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// driveKeyedTraffic sends one request in four for the key "lock", whose attempts end as given after so long,
-// among others that are answered in 10 ms, and counts what of each was rejected without an attempt.
+// sendKeyedTraffic sends n requests. One in four has the key "lock", and its attempts end with result after
+// latency µs; all other requests are answered within 10 ms. It returns how many requests of the key and how
+// many others were answered without an attempt.
 func sendKeyedTraffic(w *workload, n int, result Result, latency int64) (lockRejected, othersRejected int) {
 	var all []*trackedRequest
 	for i := range n {
@@ -37,8 +38,9 @@
 	return lockRejected, othersRejected
 }
 
-// Requests of a key that fails at every endpoint, by a lock, a slow client or an invalid request, are partly
-// rejected. No other request is, no endpoint is ejected, and it ends when the answers are good again.
+// A key whose requests fail at every endpoint, because of a lock, a slow client or an invalid request, has
+// part of its requests rejected. No other request is rejected and no endpoint is ejected, and the rejections
+// end once its answers are good again.
 func TestKeyFailingAtAllEndpointsIsAnOutlier(t *testing.T) {
 	for _, c := range []struct {
 		result  Result
@@ -48,21 +50,21 @@
 		sendKeyedTraffic(w, 400, Succeeded, 0)
 		lock, others := sendKeyedTraffic(w, 1000, c.result, c.latency)
 		if lock < 100 || others > 10 {
-			t.Errorf("%+v: %d of 250 rejected for the key, %d of 750 others", c, lock, others)
+			t.Errorf("%+v: %d of 250 requests of the key rejected, want at least 100; %d of 750 others, want at most 10", c, lock, others)
 		}
 		for id, s := range w.b.knownEndpoints {
 			if s.ejectedForAll || s.concurrencyLimit < 1 {
-				t.Errorf("%+v: %s ejected %v, limit %v", c, id, s.ejectedForAll, s.concurrencyLimit)
+				t.Errorf("%+v: endpoint %s: ejected %v and limit %v, want false and at least 1", c, id, s.ejectedForAll, s.concurrencyLimit)
 			}
 		}
 		sendKeyedTraffic(w, 3000, Succeeded, 0)
 		if lock, _ = sendKeyedTraffic(w, 400, Succeeded, 0); lock > 0 {
-			t.Errorf("%+v: %d of 100 rejected though all is well again", c, lock)
+			t.Errorf("%+v: %d of 100 requests of the key rejected after its recovery, want 0", c, lock)
 		}
 	}
 }
 
-// Where all keys fail alike none is an outlier: endpoints are at fault.
+// If all keys fail equally, no key is an outlier: the endpoints are at fault.
 func TestEndpointFaultsMakeNoKeyAnOutlier(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(6)...)
 	for i := range 600 {
@@ -76,12 +78,13 @@
 	}
 	for i := range w.b.keys.slots {
 		if w.b.keys.slots[i].rejectRatio > 0.5 {
-			t.Fatalf("slot %d is rejected at %v", i, w.b.keys.slots[i].rejectRatio)
+			t.Fatalf("slot %d has a reject ratio of %v, want at most 0.5", i, w.b.keys.slots[i].rejectRatio)
 		}
 	}
 }
 
-// A request of an outlier key may hold one of few response buffers for half its objective at most.
+// If response buffers are limited, a request of an outlier key may hold one for at most half of its latency
+// objective.
 func TestOutlierKeysGetShortTimeouts(t *testing.T) {
 	for maxBuffered, want := range map[int]int64{0: 2 * second, 1: 200_000} {
 		set := testSettings()
@@ -90,7 +93,7 @@
 		r := &request{Request: Request{Key: "k"}, class: w.b.classes[4], classRules: w.b.classes[4].Class, latencyObjective: 400_000,
 			deadline: w.now + 2*second, arrivedAt: w.now, maxAttempts: 4, keyStats: &keyStats{rejectRatio: 0.5}}
 		if got := w.b.attemptTimeout(w.now, r); got != want {
-			t.Errorf("%d held: %d, want %d", maxBuffered, got, want)
+			t.Errorf("timeout with MaxBufferedResponses %d: got %d us, want %d us", maxBuffered, got, want)
 		}
 	}
 }
--- a/decide/load_reports_test.go
+++ b/decide/load_reports_test.go
@@ -4,27 +4,27 @@
 	"testing"
 )
 
-// loadReport is a report with some figures; the others are absent.
+// newLoadReport returns a report with the given figures; the others are absent.
 func newLoadReport(inFlight, queue, latency float64) *LoadReport {
 	return &LoadReport{InFlight: inFlight, QueueLength: queue, Utilization: -1, ServiceTimeMs: latency, RequestRate: -1, ErrorRate: -1}
 }
 
-// An endpoint that reports three times the mean in flight weighs a quarter of what it would at the mean:
-// ((1+1)/(3+1)) squared. A queue counts by its root, so less.
+// An endpoint that reports three times the mean of requests in flight has a quarter of its weight at the
+// mean: ((1+1)/(3+1)) squared. A queue counts with its square root, so less.
 func TestDrawWeightFollowsReportedInFlight(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	w.b.loadReports.meanInFlight = 1
 	a, q := w.b.knownEndpoints["s0"], w.b.knownEndpoints["s1"]
 	w.b.recordLoadReport(a, newLoadReport(3, -1, -1))
 	w.b.loadReports.meanInFlight = 1
-	assertNear(t, "ease of one that holds three", w.b.loadWeight(a), 0.25, 1e-9)
+	assertNear(t, "load weight at 3 requests in flight", w.b.loadWeight(a), 0.25, 1e-9)
 	w.b.recordLoadReport(q, newLoadReport(-1, 3, -1))
 	w.b.loadReports.meanInFlight = 1
-	assertNear(t, "ease of one where three wait", w.b.loadWeight(q), 1, 1e-9)
+	assertNear(t, "load weight at a queue of 3 requests", w.b.loadWeight(q), 1, 1e-9)
 }
 
-// Health checks go to the subset, where load is reported to them alone, and cost two thousandths of the
-// objective at most, in each row over two minutes.
+// Health checks go to the subset if endpoints report load to health checks alone. In each case they cost at
+// most two thousandths of the service objective over two minutes.
 func TestHealthCheckRateFollowsPrice(t *testing.T) {
 	for _, c := range []struct {
 		fromHealthChecks, allowed bool
@@ -39,22 +39,22 @@
 		w.advance(120*second - int64(120*c.rate)*10_000)
 		checks := w.countActions("probe")
 		if c.wantChecks != (checks > 0) {
-			t.Errorf("%+v: %d probes", c, checks)
+			t.Errorf("%+v: %d health checks", c, checks)
 		}
-		maxChecks := 6 + 6*120.0 // once a second at the most
+		maxChecks := 6 + 6*120.0 // at most one per second
 		if c.price > 0 {
 			maxChecks = min(maxChecks, 12+healthCheckSpend*120*c.rate/c.price*1.2)
 		}
 		if float64(checks) > maxChecks {
-			t.Errorf("%+v: %d probes, at most %.0f wanted", c, checks, maxChecks)
+			t.Errorf("%+v: %d health checks, want at most %.0f", c, checks, maxChecks)
 		}
 	}
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "nobody", Result: Succeeded, Load: newLoadReport(1, -1, 5)})
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "s0", Result: TimedOut, Load: newLoadReport(1, -1, 5)})
 	if w.b.knownEndpoints["s0"].reportedLatencyMs != 0 {
-		t.Error("a health check that failed set a latency")
+		t.Error("the load report of a failed health check was used")
 	}
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "s0", Result: Succeeded, Load: newLoadReport(1, -1, 5)})
-	assertNear(t, "latency reported to a health check", w.b.knownEndpoints["s0"].reportedLatencyMs, 5, 1e-9)
+	assertNear(t, "latency in ms reported to a health check", w.b.knownEndpoints["s0"].reportedLatencyMs, 5, 1e-9)
 }
--- a/decide/outlier_detection_test.go
+++ b/decide/outlier_detection_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// A dead process that refuses connections at once, and so always has capacity, gets little.
+// A dead process refuses connections at once, so it always has free capacity. Its endpoint gets few attempts.
 func TestDeadEndpointIsEjected(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	refused := w.countRefusedConnections(500, 100_000, func(id string) bool { return id == "s0" })
 	if refused > 20 {
-		t.Errorf("%d of 500 requests met the dead server, want 20 or fewer", refused)
+		t.Errorf("%d of 500 requests had an attempt at the dead endpoint, want at most 20", refused)
 	}
 }
 
-// A hung endpoint is ejected after two timeouts in a row. A trial restores it, in slow start, once it
-// answers.
+// A hung endpoint is ejected after two timeouts in a row. Once it answers again, a trial restores it, in slow
+// start.
 func TestHungEndpointIsEjectedAndRestored(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	hung := true
@@ -25,7 +25,7 @@
 	}
 	w.sendTraffic(300, outcome)
 	if w.countActions("log endpoint_ejected") == 0 {
-		t.Error("the server answers nothing and was not ejected")
+		t.Error("an endpoint that sends no answers was not ejected")
 	}
 	hung = false
 	for _, a := range slices.Clone(w.inFlight) {
@@ -33,14 +33,14 @@
 	}
 	w.sendTraffic(1700, outcome)
 	if w.countActions("log endpoint_restored") == 0 || w.b.knownEndpoints["s0"].ejectedForAll {
-		t.Error("the server answers again but was not brought back")
+		t.Error("an endpoint that answers again was not restored")
 	}
 	if w.b.knownEndpoints["s0"].slowStartSince == 0 {
-		t.Error("a server back from a long silence counts as in slow start")
+		t.Error("an endpoint restored after a long silence is not in slow start")
 	}
 }
 
-// An endpoint that fails one class still serves the others.
+// An endpoint that fails the requests of one class still serves the other classes.
 func TestErrorsEjectFromTheirClassOnly(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(4)...)
 	failed, served := 0, 0
@@ -62,14 +62,14 @@
 		w.advance(20_000)
 	}
 	if served < 36 {
-		t.Errorf("two of four servers fail one class and got %d of 300 requests of the other", served)
+		t.Errorf("two of four endpoints fail one class and served %d of 300 requests of the other, want at least 36", served)
 	}
 	if failed > 60 {
-		t.Errorf("%d of 300 requests met servers that fail their class", failed)
+		t.Errorf("%d of 300 requests had an attempt at an endpoint that fails their class, want at most 60", failed)
 	}
 }
 
-// failRepeatedly ejects an endpoint from every class.
+// ejectFromAllClasses ejects an endpoint from every class.
 func ejectFromAllClasses(b *Balancer, now int64, s *endpointState, cause Result) {
 	for i := range s.ejections {
 		s.ejections[i].lastFailure = cause
@@ -77,7 +77,7 @@
 	}
 }
 
-// When nearly all fail there is a common cause: a quarter of the endpoints stays.
+// If nearly all endpoints fail, they have a common cause, and a quarter of them is not ejected.
 func TestCommonCauseDoesNotEjectAll(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(8)...)
 	w.sendTraffic(200, func(*trackedAttempt) (Result, bool) { return Errored, true })
@@ -88,12 +88,12 @@
 		}
 	}
 	if healthy < 2 {
-		t.Errorf("%d of 8 servers left in the draw, want 2", healthy)
+		t.Errorf("%d of 8 endpoints not ejected, want at least 2", healthy)
 	}
 }
 
-// An endpoint never used counts as heard of when it was listed, so that one failure and a good trial put it
-// in no slow start.
+// The silence of an endpoint that was never used counts from the time it was listed, so a failure and a
+// successful trial do not put it into slow start.
 func TestUnusedEndpointIsRestoredWithoutSlowStart(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	s := w.b.endpoints[0]
@@ -105,26 +105,27 @@
 	}
 }
 
-// With a zone lost, all of its endpoints are ejected while others answer: one that stayed would get every
-// retry.
+// If a zone is lost, all of its endpoints are ejected while others answer. An endpoint that stayed would get
+// every retry.
 func TestLostZoneIsEjectedCompletely(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(10)...)
 	refused := w.countRefusedConnections(600, 20_000, func(id string) bool { return id != "s0" })
 	if refused > 120 {
-		t.Errorf("%d rejected connections at nine dead servers in 6 s, want 120 or fewer", refused)
+		t.Errorf("%d refused connections at nine dead endpoints in 6 s, want at most 120", refused)
 	}
 }
 
-// An endpoint restored after silence is in slow start with the initial limit.
+// An endpoint that is restored after a silence, or listed with a new process, starts again with the initial
+// limit.
 func TestRestartedEndpointGetsInitialLimit(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(3)...)
 	s := w.b.endpoints[0]
 	s.concurrencyLimit = 0.1
 	ejectFromAllClasses(w.b, w.now, s, TimedOut)
 	w.b.updateEjection(w.now+3*second, 0, s, Succeeded)
-	assertNear(t, "limit after silence", s.concurrencyLimit, 4, 1e-9)
+	assertNear(t, "concurrency limit after a silence", s.concurrencyLimit, 4, 1e-9)
 	restarted := Endpoint{ID: "s1", Capacity: 1, Zone: "z1", StartedAt: w.now}
 	w.b.endpoints[1].concurrencyLimit = 0.1
 	w.updateEndpoints(false, restarted)
-	assertNear(t, "limit of a new process", w.b.knownEndpoints["s1"].concurrencyLimit, 4, 1e-9)
+	assertNear(t, "concurrency limit of a new process", w.b.knownEndpoints["s1"].concurrencyLimit, 4, 1e-9)
 }
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// With the least settings that are valid, an infinite capacity and invalid load reports, requests are still
+// answered.
 func TestMinimalSettingsAndInvalidReports(t *testing.T) {
 	set := Settings{Classes: []Class{{Name: "bare"}}}
 	if err := set.Validate(); err != nil {
@@ -24,7 +26,7 @@
 	}
 	w.updateEndpoints(true)
 	if r := w.sendRequest("last", 0, second); r.answer != "reject" {
-		t.Errorf("with nobody listed: %q, want reject", r.answer)
+		t.Errorf("without endpoints: answer %q, want reject", r.answer)
 	}
 }
 
@@ -32,18 +34,18 @@
 	for name, invalidate := range map[string]func(*Settings){
 		"no classes":       func(s *Settings) { s.Classes = nil },
 		"negative window":  func(s *Settings) { s.Classes[0].DedupWindow = -1 },
-		"negative aim":     func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
-		"worth not number": func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
-		"cold share":       func(s *Settings) { s.Rules.SlowStartMinShare = 2 },
-		"negative rule":    func(s *Settings) { s.Rules.OverloadWindow = -1 },
-		"negative limit":   func(s *Settings) { s.Limits.MaxAttempts = -1 },
-		"nameless class":   func(s *Settings) { s.Classes[0].Name = "" },
+		"negative latency objective":     func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"priority weight not a number": func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
+		"slow start share above one":       func(s *Settings) { s.Rules.SlowStartMinShare = 2 },
+		"negative overload window":    func(s *Settings) { s.Rules.OverloadWindow = -1 },
+		"negative attempt limit":   func(s *Settings) { s.Limits.MaxAttempts = -1 },
+		"class without a name":   func(s *Settings) { s.Classes[0].Name = "" },
 		"tenant":           func(s *Settings) { s.Tenants = []Tenant{{Name: "x", Allowance: -1}} },
 	} {
 		set := testSettings()
 		invalidate(&set)
 		if set.Validate() == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: Validate returned no error", name)
 		}
 	}
 }
--- a/decide/slow_start_fleet_test.go
+++ b/decide/slow_start_fleet_test.go
@@ -6,22 +6,23 @@
 	"testing"
 )
 
-// slowStartCluster counts what a whole cluster sends to endpoints in slow start.
+// slowStartCluster counts the attempts that a whole cluster sends to endpoints in slow start.
 type slowStartCluster struct {
 	*cluster
 	set            Settings
 	seed           uint64
-	warmEndpoints  int              // that are warm from the first
-	warmRate       float64          // requests a second that a warm server takes
-	startedAt      map[string]int64 // start of each cold server
+	warmEndpoints  int              // number of endpoints that are warm from the start
+	warmRate       float64          // requests per second of a warm endpoint
+	startedAt      map[string]int64 // start time by endpoint in slow start
 	slowStartSends map[string][]int64
-	requestDebt    float64 // part of a request that the traffic is behind
+	requestDebt    float64 // fraction of a request not sent yet
 }
 
-// newSlowStartCluster makes a cluster before warm endpoints that take so much each, and lets it learn.
+// newSlowStartCluster starts a cluster with warm endpoints that get warmRate requests per second each, and
+// runs it until the balancers have measured the rate.
 func newSlowStartCluster(seed uint64, balancers, warm int, warmRate, skew float64, keys int) *slowStartCluster {
 	set := testSettings()
-	set.Rules.OverloadWindow, set.Rules.SlowStartWindow = second, 20*second // the more windows a warm-up has, the more can be saved in it
+	set.Rules.OverloadWindow, set.Rules.SlowStartWindow = second, 20*second // a slow start of many windows leaves room to save up tokens
 	set.KeyAffinity = keys > 0
 	f := &slowStartCluster{set: set, seed: seed, warmEndpoints: warm, warmRate: warmRate, startedAt: map[string]int64{}, slowStartSends: map[string][]int64{}}
 	f.cluster = newSeededCluster(seed+1, balancers, set, skew, testEndpoints(warm))
@@ -35,7 +36,7 @@
 	return f
 }
 
-// play lets time pass with so many times the traffic that gives each warm endpoint its rate.
+// runAtLoad advances time with load times the traffic that gives each warm endpoint its rate.
 func (f *slowStartCluster) runAtLoad(seconds, load float64) {
 	for end := f.now + int64(seconds*1e6); f.now < end; {
 		f.requestDebt += load * f.warmRate * f.warmCount() * clusterTick / float64(second)
@@ -47,7 +48,7 @@
 
 func (f *slowStartCluster) warmCount() float64 { return float64(f.warmEndpoints) }
 
-// all gives each balancer so many requests in one moment.
+// sendFromEach sends count requests to each balancer at once.
 func (f *slowStartCluster) sendFromEach(count int) {
 	for i := range f.balancers {
 		for range count {
@@ -56,7 +57,7 @@
 	}
 }
 
-// bursts gives each balancer so many requests at once, again and again, as often as makes up the traffic.
+// runBursts sends count requests to each balancer at once, as often as gives the usual traffic.
 func (f *slowStartCluster) runBursts(seconds, count float64) {
 	gap := count * float64(len(f.balancers)) / (f.warmRate * f.warmCount())
 	for ; seconds > 0; seconds -= gap {
@@ -65,7 +66,7 @@
 	}
 }
 
-// begin starts endpoints now and names them, for the caller to list.
+// startEndpoints returns n endpoints that start now. The caller adds them to the lists of the balancers.
 func (f *slowStartCluster) startEndpoints(n int) (list []Endpoint) {
 	for i := range n {
 		id := fmt.Sprint("cold", i)
@@ -81,10 +82,11 @@
 	}
 }
 
-// most is the fullest window of an endpoint in slow start as a part of its bound, of windows that begin with
-// any send: N + 2 root of N + 2, where N is what the settings allow for what a warm endpoint takes, by the
-// part of its slow start that has passed as the window begins. got is what they had of N over the whole slow
-// start.
+// fullestWindow returns as peak the largest number of attempts that an endpoint in slow start gets in a
+// window, as a part of its bound, over the windows that begin with an attempt. The bound is N + 2*sqrt(N) +
+// 2, where N is what the settings allow at the rate of a warm endpoint for the part of the slow start that
+// has passed when the window begins. share is the number of attempts over the whole slow start as a part of
+// N.
 func (f *slowStartCluster) fullestWindow() (peak, share float64) {
 	rules := f.set.Rules
 	for id, times := range f.slowStartSends {
@@ -113,10 +115,10 @@
 	return peak, share
 }
 
-// ramps are what may bring the sends of a cluster together.
+// slowStartScenarios are traffic patterns that may make the balancers of a cluster send at the same time.
 var slowStartScenarios = []struct {
 	name string
-	skew float64 // 0: all balancers have the same part of the traffic
+	skew float64 // 0: all balancers get the same traffic
 	run  func(f *slowStartCluster)
 }{
 	{"steady", 0, func(f *slowStartCluster) {
@@ -130,17 +132,17 @@
 		f.sendFromEach(4)
 		f.runAtLoad(5, 1)
 	}},
-	{"bursts of one each", 0, func(f *slowStartCluster) {
+	{"bursts of one request per balancer", 0, func(f *slowStartCluster) {
 		f.updateEndpoints(f.startEndpoints(1))
 		f.runBursts(20, 1)
 	}},
-	{"a burst after long calm", 0, func(f *slowStartCluster) {
+	{"burst after steady traffic", 0, func(f *slowStartCluster) {
 		f.updateEndpoints(f.startEndpoints(1))
 		f.runAtLoad(16, 1)
 		f.sendFromEach(4)
 		f.runAtLoad(2, 1)
 	}},
-	{"restarted with the server", 0, func(f *slowStartCluster) {
+	{"balancers restart with the endpoint", 0, func(f *slowStartCluster) {
 		f.pending = nil
 		list := append(testEndpoints(f.warmEndpoints), f.startEndpoints(1)...)
 		for i := range f.balancers {
@@ -150,7 +152,7 @@
 		f.runAtLoad(2, 2)
 		f.runAtLoad(18, 1)
 	}},
-	{"a jam that ends", 0, func(f *slowStartCluster) {
+	{"answers blocked for a time", 0, func(f *slowStartCluster) {
 		f.updateEndpoints(f.startEndpoints(1))
 		for range 5 {
 			f.runAtLoad(2, 1)
@@ -160,21 +162,21 @@
 			f.runAtLoad(0.8, 0.5)
 		}
 	}},
-	{"one with most traffic", 5, func(f *slowStartCluster) {
+	{"one balancer with most traffic", 5, func(f *slowStartCluster) {
 		f.updateEndpoints(f.startEndpoints(1))
 		f.runAtLoad(10, 1)
 		f.runAtLoad(2, 0)
 		f.sendFromEach(4)
 		f.runAtLoad(8, 1)
 	}},
-	{"several cold", 0, func(f *slowStartCluster) {
+	{"several endpoints in slow start", 0, func(f *slowStartCluster) {
 		f.updateEndpoints(f.startEndpoints(4))
 		f.runAtLoad(10, 1)
 		f.runAtLoad(2, 0)
 		f.sendFromEach(4)
 		f.runAtLoad(8, 1)
 	}},
-	{"told at other times", 0, func(f *slowStartCluster) {
+	{"lists updated at different times", 0, func(f *slowStartCluster) {
 		list := f.startEndpoints(1)
 		for i := range f.balancers {
 			f.balancers[i].OnEndpoints(f.now, list, false)
@@ -183,7 +185,7 @@
 		f.sendFromEach(4)
 		f.runAtLoad(18, 1)
 	}},
-	{"the others drain", 0, func(f *slowStartCluster) {
+	{"warm endpoints drain", 0, func(f *slowStartCluster) {
 		f.updateEndpoints(f.startEndpoints(1))
 		f.runAtLoad(12, 1)
 		list := testEndpoints(f.warmEndpoints)
@@ -194,7 +196,7 @@
 		f.sendFromEach(4)
 		f.runAtLoad(5, 0.5)
 	}},
-	{"the others hang", 0, func(f *slowStartCluster) {
+	{"warm endpoints hang", 0, func(f *slowStartCluster) {
 		f.updateEndpoints(f.startEndpoints(1))
 		f.runAtLoad(14, 1)
 		f.answersBlocked = true
@@ -202,10 +204,11 @@
 	}},
 }
 
-// However many balancers share the traffic, no window has more than N + 2 root of N + 2 sends, N being what
-// the settings allow as the window begins. At an overload factor of 3 all together earn N/2 in a window where
-// warm endpoints do all they can, and hold what a window earned, so N may come in one on average, after a
-// lull at the worst. Each earns at times of its own, so the sum strays by root of N at the most.
+// However many balancers share the traffic, no overload window has more than N + 2*sqrt(N) + 2 attempts,
+// where N is what the settings allow when the window begins. At an overload factor of 3 all balancers
+// together earn N/2 tokens in a window while warm endpoints work at capacity, and keep the tokens of one
+// window. So N attempts may come in a window on average, at worst after a lull. Each balancer earns tokens at
+// its own times, so the sum deviates by at most sqrt(N).
 func TestFleetStaysWithinSlowStartBound(t *testing.T) {
 	for _, c := range slowStartScenarios {
 		for n, seeds := range map[int]int{20: 3, 30: 3, 300: 1} {
@@ -219,7 +222,7 @@
 						f := newSlowStartCluster(seed, n, params.servers, params.rate, c.skew, params.keys)
 						c.run(f)
 						if peak, _ := f.fullestWindow(); peak > 1 {
-							t.Errorf("%d servers that take %v a second, seed %d: %.2f of what one in slow start may get in a window",
+							t.Errorf("%d warm endpoints at %v requests per second, seed %d: an endpoint in slow start got %.2f of its bound in one window, want at most 1",
 								params.servers, params.rate, seed, peak)
 						}
 					}
@@ -229,8 +232,9 @@
 	}
 }
 
-// Tokens that expire are not lost to an endpoint that is asked for: with ample traffic it gets as much as
-// from balancers that save up (0.14 and 0.12 of N, three times what it can do), with little a part of it.
+// Expiring tokens cost an endpoint no traffic if there is enough of it: it gets as much as from balancers
+// that save tokens up (0.14 and 0.12 of N, which is three times what it can process). With little traffic it
+// gets a part of that.
 func TestEndpointInSlowStartGetsTraffic(t *testing.T) {
 	for _, params := range []struct {
 		balancers, servers int
@@ -244,14 +248,14 @@
 			sum += share / 6
 		}
 		if sum < params.minShare {
-			t.Errorf("%d balancers, %d servers that take %v a second: one in slow start got %.2f of its budget, want %.2f",
+			t.Errorf("%d balancers, %d warm endpoints at %v requests per second: an endpoint in slow start got %.2f of its budget, want at least %.2f",
 				params.balancers, params.servers, params.rate, sum, params.minShare)
 		}
 	}
 }
 
-// A token lasts for a time, is one at the most, and the next comes when it would have come without it,
-// whatever the traffic: one each 100 µs, for 30.
+// A token expires, at most one is held, and the next one comes at its time whatever the traffic. Here a token
+// comes every 100 µs and lasts for 30 µs.
 func TestSlowStartTokensExpire(t *testing.T) {
 	bucket := expiringTokenBucket{tokens: 0.5}
 	for _, step := range []struct {
@@ -259,17 +263,17 @@
 		want bool
 	}{{0, false}, {49, false}, {51, true}, {79, true}, {81, false}, {149, false}, {151, true}, {351, true}, {399, false}} {
 		if got := bucket.take(step.now, 0.01, 30); got != step.want {
-			t.Errorf("at %d: holds one: %v, want %v", step.now, got, step.want)
+			t.Errorf("at %d us: bucket holds a token: %v, want %v", step.now, got, step.want)
 		}
 	}
 	bucket.take(451, 0.01, 30)
 	if bucket.tokens--; bucket.take(452, 0.01, 30) {
-		t.Error("it is spent twice")
+		t.Error("a token was spent twice")
 	}
 	if !bucket.take(551, 0.01, 30) {
-		t.Error("the next does not come at its time")
+		t.Error("the next token did not come 100 us after the last one")
 	}
-	if bucket.take(10_000_049, 0.01, 300); bucket.tokens > 2 { // holds for longer than it takes to earn one
-		t.Errorf("%v tokens after a lull, want one and a part", bucket.tokens)
+	if bucket.take(10_000_049, 0.01, 300); bucket.tokens > 2 { // the lifetime is longer than the time to earn a token
+		t.Errorf("%v tokens after a lull, want at most 2", bucket.tokens)
 	}
 }
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// 1,000 balancers and 200 endpoints leave minSubset endpoints to each; all subsets together have an endpoint
-// 15 times, so none is without and none has over three times that. With two balancers every endpoint is in
-// both subsets.
+// With 1,000 balancers and 200 endpoints each balancer has minSubset endpoints. An endpoint is in 15 subsets
+// on average, in one at least, and in at most three times the average. With two balancers every endpoint is
+// in both subsets.
 func TestSubsetsCoverAllEndpointsEvenly(t *testing.T) {
 	c := newCluster(1000, testSettings(), 0, testEndpoints(200))
 	subsetsWith := map[string]int{}
 	for _, b := range c.balancers {
 		if len(b.subset) != minSubset {
-			t.Fatalf("%d in the subset, want %d", len(b.subset), minSubset)
+			t.Fatalf("subset of %d endpoints, want %d", len(b.subset), minSubset)
 		}
 		for _, s := range b.subset {
 			subsetsWith[s.ID]++
@@ -21,16 +21,16 @@
 	}
 	for _, s := range testEndpoints(200) {
 		if n := subsetsWith[s.ID]; n < 1 || n > 45 {
-			t.Errorf("%s is an arm of %d balancers, want 15 or so", s.ID, n)
+			t.Errorf("endpoint %s is in the subsets of %d balancers, want about 15 (1 to 45)", s.ID, n)
 		}
 	}
 	if b := newCluster(2, testSettings(), 0, testEndpoints(12)).balancers[0]; len(b.subset) != 12 {
-		t.Errorf("%d endpoints in the subset of 12 servers at two balancers, want all", len(b.subset))
+		t.Errorf("subset of %d of 12 endpoints with two balancers, want all", len(b.subset))
 	}
 }
 
-// An ejected endpoint is replaced by the next of the balancer's order and comes back to its place; a change
-// of the list far away in the order moves none.
+// An ejected endpoint is replaced by the next one in the balancer's order and returns to its place when it is
+// restored. A change of the list elsewhere in the order moves no endpoint of the subset.
 func TestEjectedEndpointIsReplacedInSubset(t *testing.T) {
 	b := newCluster(1000, testSettings(), 0, testEndpoints(200)).balancers[0]
 	now, original := 1000*second, slices.Clone(b.subset)
@@ -39,17 +39,17 @@
 	}
 	ejectFromAllClasses(b, now, original[0], TimedOut)
 	if n := len(b.subset); n != len(original)+1 || !slices.Equal(b.subset[:len(original)], original) {
-		t.Errorf("%d in the subset after one fell ill, want the same and one more", n)
+		t.Errorf("subset of %d endpoints after an ejection, want the previous endpoints and one more", n)
 	}
 	b.restore(now, original[0], 0)
 	b.OnEndpoints(now, []Endpoint{{ID: b.endpoints[100].ID, Capacity: 1, Phase: Removed}}, false)
 	if !slices.Equal(b.subset, original) {
-		t.Error("the subset is not the same after the return and a change elsewhere")
+		t.Error("the subset differs after the endpoint was restored and the list changed elsewhere")
 	}
 }
 
-// However long the list, the subset stays small with gossip, since each draw looks at what all balancers have
-// in flight at each endpoint.
+// With gossip the subset stays small for any length of the list, since each draw reads what all balancers
+// have in flight at each endpoint.
 func TestSubsetStaysSmallWithGossip(t *testing.T) {
 	set := testSettings()
 	set.EndpointsPushed, set.Limits.Gossip, set.BalancerCount = true, true, 400
@@ -57,12 +57,12 @@
 	for servers, want := range map[int]int{57: 2, 119: 4, 436: 8} {
 		b.OnEndpoints(1000*second, testEndpoints(servers), true)
 		if got := b.subsetSize(); got != want {
-			t.Errorf("%d servers: subset of %d, want %d", servers, got, want)
+			t.Errorf("%d endpoints: subset of %d, want %d", servers, got, want)
 		}
 	}
 }
 
-// More traffic wants a larger subset, a smaller one where open connections have a price.
+// More traffic needs a larger subset. A price of open connections makes it smaller.
 func TestSubsetSizeFollowsTrafficAndConnectionPrice(t *testing.T) {
 	for _, c := range []struct {
 		price, rate float64
@@ -72,7 +72,7 @@
 		set.ConnectionPrice, set.BalancerCount = c.price, 1000
 		w := newWorkload(t, set, testEndpoints(60)...)
 		if w.b.rates.requests = c.rate; w.b.subsetSize() != c.want {
-			t.Errorf("price %v, %v requests a second: subset of %d, want %d", c.price, c.rate, w.b.subsetSize(), c.want)
+			t.Errorf("price %v and %v requests per second: subset of %d, want %d", c.price, c.rate, w.b.subsetSize(), c.want)
 		}
 	}
 }
