--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -32,15 +32,15 @@
 
 func TestValidateRejectsInvalidSettings(t *testing.T) {
 	for name, invalidate := range map[string]func(*Settings){
-		"no classes":       func(s *Settings) { s.Classes = nil },
-		"negative window":  func(s *Settings) { s.Classes[0].DedupWindow = -1 },
-		"negative latency objective":     func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"no classes":                   func(s *Settings) { s.Classes = nil },
+		"negative window":              func(s *Settings) { s.Classes[0].DedupWindow = -1 },
+		"negative latency objective":   func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
 		"priority weight not a number": func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
-		"slow start share above one":       func(s *Settings) { s.Rules.SlowStartMinShare = 2 },
-		"negative overload window":    func(s *Settings) { s.Rules.OverloadWindow = -1 },
-		"negative attempt limit":   func(s *Settings) { s.Limits.MaxAttempts = -1 },
-		"class without a name":   func(s *Settings) { s.Classes[0].Name = "" },
-		"tenant":           func(s *Settings) { s.Tenants = []Tenant{{Name: "x", Allowance: -1}} },
+		"slow start share above one":   func(s *Settings) { s.Rules.SlowStartMinShare = 2 },
+		"negative overload window":     func(s *Settings) { s.Rules.OverloadWindow = -1 },
+		"negative attempt limit":       func(s *Settings) { s.Limits.MaxAttempts = -1 },
+		"class without a name":         func(s *Settings) { s.Classes[0].Name = "" },
+		"tenant":                       func(s *Settings) { s.Tenants = []Tenant{{Name: "x", Allowance: -1}} },
 	} {
 		set := testSettings()
 		invalidate(&set)
