--- a/internal/fleet/audit_replicator.go
+++ b/internal/fleet/audit_replicator.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	cutsPerLease           = 6         // segments that are cut while one lease lasts
+	segmentsPerLease           = 6         // segments that are cut while one lease lasts
 	segmentBatchBytes      = 512 << 10 // of segments sent to a member at a time
 	maxUnacknowledgedBytes = 8 << 20   // of segments that no replica has acknowledged yet
 )
@@ -38,7 +38,7 @@
 	replication      *audit.Replication
 	replicas         []string          // names that store this incarnation's segments
 	seenIncarnations map[string]uint64 // of the replicas, to which all segments were sent
-	droppedLogged    int               // segments whose loss was logged
+	loggedDropped    int               // segments whose loss was logged
 }
 
 // newAuditReplicator makes a replicator, with the segments that the directory has from earlier processes.
@@ -73,7 +73,7 @@
 
 // run replicates until ctx ends.
 func (r *auditReplicator) run(ctx context.Context) {
-	ticker := time.NewTicker(r.fleet.options.Fleet.LeaseDuration / cutsPerLease)
+	ticker := time.NewTicker(r.fleet.options.Fleet.LeaseDuration / segmentsPerLease)
 	defer ticker.Stop()
 	for {
 		select {
@@ -144,9 +144,9 @@
 	if r.directory != nil {
 		r.directory.Flush()
 	}
-	if r.replication.Dropped > r.droppedLogged {
-		eventlog.Warn(eventSegmentsUnreplicated, nil, "segments", r.replication.Dropped-r.droppedLogged)
-		r.droppedLogged = r.replication.Dropped
+	if r.replication.Dropped > r.loggedDropped {
+		eventlog.Warn(eventSegmentsUnreplicated, nil, "segments", r.replication.Dropped-r.loggedDropped)
+		r.loggedDropped = r.replication.Dropped
 	}
 }
 
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -16,8 +16,8 @@
 	maxBatchMessages       = 256     // in a frame
 	maxBatchBytes          = 1 << 20 // of messages in a frame
 
-	// stallMicros without a turn of the coordinator mean that this process was stopped.
-	stallMicros = 100_000
+	// stallThresholdMicros without a turn of the coordinator mean that this process was stopped.
+	stallThresholdMicros = 100_000
 	// staleReadMicros after a stall, requests that are read may still have waited for it.
 	staleReadMicros = 1_000_000
 )
@@ -31,8 +31,8 @@
 	inFlight map[string]*inFlightRequest // by request id
 
 	noQuorumUntil int64 // until then strict requests are rejected without asking the replicas
-	lastTurnAt    int64
-	resumedAt     int64 // when the coordinator last found that the process had been stopped; 0: never
+	lastIterationAt    int64
+	stallDetectedAt     int64 // when the coordinator last found that the process had been stopped; 0: never
 	counts        takeoverCounts
 }
 
@@ -61,16 +61,16 @@
 	countsTicker := time.NewTicker(countsInterval)
 	defer countsTicker.Stop()
 	var logged takeoverCounts
-	for c.lastTurnAt = c.fleet.micros(); ; c.flush() {
+	for c.lastIterationAt = c.fleet.micros(); ; c.flush() {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-c.mailbox:
-			c.noteTurn()
+			c.detectStall()
 			m.handle(c, c.fleet.micros())
 			c.drainMailbox()
 		case <-ticker.C:
-			c.noteTurn()
+			c.detectStall()
 			c.node.Tick(c.fleet.micros())
 		case <-countsTicker.C:
 			if c.counts != logged {
@@ -100,26 +100,26 @@
 		"duplicates", c.counts.duplicates, "records", records, "bytes", bytes, "in_flight", len(c.inFlight))
 }
 
-// noteTurn notes that this process runs, and whether it had been stopped.
-func (c *coordinator) noteTurn() {
+// detectStall notes that this process runs, and whether it had been stopped.
+func (c *coordinator) detectStall() {
 	now := c.fleet.micros()
-	if now-c.lastTurnAt > stallMicros {
-		c.resumedAt = now
+	if now-c.lastIterationAt > stallThresholdMicros {
+		c.stallDetectedAt = now
 	}
-	c.lastTurnAt = now
+	c.lastIterationAt = now
 }
 
 // readsAreFresh reports whether requests are read when they come. Just after a stall they may have waited unread and been resumed
 // elsewhere by their clients: none of them may be rejected.
 func (c *coordinator) readsAreFresh(now int64) bool {
-	return c.resumedAt == 0 || now-c.resumedAt > staleReadMicros
+	return c.stallDetectedAt == 0 || now-c.stallDetectedAt > staleReadMicros
 }
 
 // flush carries out the node's decisions and sends its messages.
 func (c *coordinator) flush() {
 	for events := c.node.TakeEvents(); len(events) > 0; events = c.node.TakeEvents() {
 		for i := range events {
-			c.carryOut(&events[i])
+			c.handleEvent(&events[i])
 		}
 	}
 	messages := c.node.TakeMessages()
@@ -157,14 +157,14 @@
 
 // begin takes a request of a client. waiter gets its outcome.
 func (c *coordinator) begin(now int64, r takeover.Request, waiter chan takeover.Outcome, execute func(takeover.SendPermit) takeover.Result) {
-	if known := c.inFlight[r.ID]; known != nil {
+	if existing := c.inFlight[r.ID]; existing != nil {
 		switch {
-		case known.request.Digest != r.Digest:
+		case existing.request.Digest != r.Digest:
 			waiter <- takeover.Outcome{Kind: takeover.OutcomeIDConflict}
 		case !r.Resume:
 			waiter <- takeover.Outcome{Kind: takeover.OutcomeInFlight}
 		default:
-			known.waiters = append(known.waiters, waiter)
+			existing.waiters = append(existing.waiters, waiter)
 		}
 		return
 	}
@@ -182,7 +182,7 @@
 		c.counts.resumed++
 		c.node.Resume(now, rec)
 	case r.Strict && now < c.noQuorumUntil && c.readsAreFresh(now):
-		c.carryOut(&takeover.Event{Decision: takeover.QuorumUnavailable, ID: r.ID, Record: rec, NeverSent: true, Immediate: true})
+		c.handleEvent(&takeover.Event{Decision: takeover.QuorumUnavailable, ID: r.ID, Record: rec, NeverSent: true, Immediate: true})
 	default:
 		c.counts.begun++
 		c.node.Begin(now, rec)
--- a/internal/fleet/decisions.go
+++ b/internal/fleet/decisions.go
@@ -10,14 +10,14 @@
 // Reasons in final responses. Clients and tests read them.
 const (
 	reasonNoQuorum = "no custody"
-	reasonUnknown  = "may have run: nobody can say"
+	reasonOutcomeUnknown  = "may have run: nobody can say"
 )
 
 // leasePollInterval is between looks at a lease that is not valid at the moment.
 const leasePollInterval = 2 * time.Millisecond
 
-// carryOut carries out one decision of the node.
-func (c *coordinator) carryOut(e *takeover.Event) {
+// handleEvent carries out one decision of the node.
+func (c *coordinator) handleEvent(e *takeover.Event) {
 	r := c.inFlight[e.ID]
 	if r == nil && e.Decision != takeover.OwnerEvicted {
 		return
@@ -64,7 +64,7 @@
 		rejected := takeover.Response{Status: takeover.Rejected, RetryAfter: c.fleet.quorumTimeout, Reason: reasonNoQuorum}
 		c.finish(r, takeover.Outcome{Response: rejected})
 	case takeover.FailRequest:
-		reason := reasonUnknown
+		reason := reasonOutcomeUnknown
 		if e.NeverSent {
 			reason = reasonNoQuorum
 		}
--- a/internal/fleet/fault_injection_on.go
+++ b/internal/fleet/fault_injection_on.go
@@ -15,9 +15,9 @@
 
 // Numbers of faults: below auditFaults one of takeover, below ignoreFenceFault one of audit.
 const (
-	auditFaults      = 10
-	ignoreFenceFault = 20
-	looseGuardFault  = 21
+	auditFaults        = 10
+	ignoreFenceFault   = 20
+	guardOffByOneFault = 21
 )
 
 // faultsOfBuild reads which fault this process is to have.
@@ -29,8 +29,8 @@
 		faults.audit = audit.InjectedFault(n - auditFaults)
 	case n == ignoreFenceFault:
 		faults.ignoreFence = true
-	case n == looseGuardFault:
-		faults.looseGuard = true
+	case n == guardOffByOneFault:
+		faults.guardOffByOne = true
 	}
 	return faults
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -52,7 +52,7 @@
 	takeover    takeover.InjectedFault
 	audit       audit.InjectedFault
 	ignoreFence bool // leases are granted below the rollout plan's fence
-	looseGuard  bool // the rollout guard lets one more member be without a lease than it may
+	guardOffByOne  bool // the rollout guard lets one more member be without a lease than it may
 }
 
 // Fleet is this process's part in its fleet.
@@ -171,7 +171,7 @@
 		go f.replicator.run(ctx)
 	}
 	if slices.Contains(f.voters, f.name) {
-		go f.vote(ctx)
+		go f.runVoter(ctx)
 	}
 	eventlog.Info(eventStarted, "member", f.name, "incarnation", f.self.Load().IncarnationHex(), "address", listener.Addr(),
 		"members", len(f.memberNames), "voters", len(f.voters), "lease_ms", f.options.Fleet.LeaseDuration.Milliseconds())
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -19,7 +19,7 @@
 }
 
 // A lease is valid only while its last grant is, and never after its end.
-func TestLeaseEnds(t *testing.T) {
+func TestLeaseIsValidOnlyWhileGranted(t *testing.T) {
 	l := &Lease{excluded: new(atomic.Bool), start: time.Now().Add(-time.Hour), done: make(chan struct{})}
 	now := int64(time.Hour)
 	if l.Valid() {
@@ -44,7 +44,7 @@
 }
 
 // The response of an execution waits while its owner's lease is not valid for the moment, and no longer than that may last.
-func TestResponseWaitsForTheLease(t *testing.T) {
+func TestResponseWaitsForAValidLease(t *testing.T) {
 	c := &coordinator{fleet: &Fleet{options: &options.Options{Fleet: options.Fleet{LeaseDuration: time.Hour}}}}
 	late := &Lease{excluded: new(atomic.Bool), start: time.Now(), done: make(chan struct{})}
 	time.AfterFunc(20*time.Millisecond, func() { late.extend(0, time.Hour) })
@@ -60,27 +60,27 @@
 
 // A version's settings are requested from a voter first and at every second request, never from the member itself; all other
 // members are asked as well.
-func TestSettingsAreRequestedFromVoters(t *testing.T) {
+func TestSettingsRequestsAlternateBetweenVotersAndAllMembers(t *testing.T) {
 	var names []string
 	for i := range 100 {
 		names = append(names, fmt.Sprintf("n%03d", i))
 	}
 	voters := membership.Voters(names)
 	for _, self := range []string{"n000", "n004", "n099"} {
-		asked := map[string]int{}
-		for asks := range 20_000 {
-			name, ok := settingsSource(voters, names, self, asks, rand.IntN)
+		requestsTo := map[string]int{}
+		for requests := range 20_000 {
+			name, ok := settingsSource(voters, names, self, requests, rand.IntN)
 			if !ok || name == self {
 				t.Fatalf("%s asks %q", self, name)
 			}
-			if asks%2 == 0 && !slices.Contains(voters, name) {
-				t.Fatalf("%s: request %d goes to %s", self, asks, name)
+			if requests%2 == 0 && !slices.Contains(voters, name) {
+				t.Fatalf("%s: request %d goes to %s", self, requests, name)
 			}
-			asked[name]++
+			requestsTo[name]++
 		}
 		for _, name := range names {
-			if want := name != self; (asked[name] > 0) != want {
-				t.Errorf("%s asks %s %d times", self, name, asked[name])
+			if want := name != self; (requestsTo[name] > 0) != want {
+				t.Errorf("%s asks %s %d times", self, name, requestsTo[name])
 			}
 		}
 	}
--- a/internal/fleet/frames.go
+++ b/internal/fleet/frames.go
@@ -27,7 +27,7 @@
 		m := new(membership.Membership)
 		if err = f.codec.Unmarshal(payload, m); err == nil {
 			if err = m.Validate(); err == nil {
-				f.learnMembership(m, nil)
+				f.postMembership(m, nil)
 			}
 		}
 	case protocol.KindSettingsRequest:
--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -16,7 +16,7 @@
 	}
 	a, b := member("a", 1), member("b", 1)
 	rec := takeover.Record{ID: "x", Idempotency: takeover.IdempotentByKey, Owner: b, Epoch: 9, DeadlineAge: 1 << 62, Age: -5, Request: []byte("r")}
-	good, err := c.Marshal([]takeover.Message{
+	seed, err := c.Marshal([]takeover.Message{
 		{Kind: takeover.Write, ID: "x", Ballot: takeover.Ballot{Proposer: b}, Epoch: 2, Record: &rec},
 		{Kind: takeover.Prepare, ID: "x", Ballot: takeover.Ballot{Round: 2, Proposer: b}},
 		{Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "mine", HasRecord: true, Ballot: takeover.Ballot{Round: 1, Proposer: a}},
@@ -24,7 +24,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(seed)
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var all []takeover.Message
 		if c.Unmarshal(in, &all) != nil {
--- a/internal/fleet/member_messages.go
+++ b/internal/fleet/member_messages.go
@@ -19,13 +19,13 @@
 
 func (m grantReceived) handle(f *Fleet) { f.handleGrant(m.from, &m.grant) }
 
-// membershipLearned brings a membership, with the settings of its plan as far as they came with it.
-type membershipLearned struct {
+// membershipReceived brings a membership, with the settings of its plan as far as they came with it.
+type membershipReceived struct {
 	membership *membership.Membership
 	settings   map[string][]byte
 }
 
-func (m membershipLearned) handle(f *Fleet) { f.adoptMembership(m.membership, m.settings) }
+func (m membershipReceived) handle(f *Fleet) { f.adoptMembership(m.membership, m.settings) }
 
 // membershipRequested tells that another member wants the present membership.
 type membershipRequested struct{ from string }
@@ -45,10 +45,10 @@
 
 func (m settingsReceived) handle(f *Fleet) { f.handleSettings(m.text) }
 
-// settingsApplied tells whether a version could be applied.
-type settingsApplied struct {
+// settingsApplyFinished tells whether a version could be applied.
+type settingsApplyFinished struct {
 	version rollout.Version
 	err     error
 }
 
-func (m settingsApplied) handle(f *Fleet) { f.onApplied(m.version, m.err) }
+func (m settingsApplyFinished) handle(f *Fleet) { f.onApplied(m.version, m.err) }
--- a/internal/fleet/membership/lease_table.go
+++ b/internal/fleet/membership/lease_table.go
@@ -9,14 +9,14 @@
 const (
 	// clockSkew is the share of a lease by which two clocks may differ over it.
 	clockSkew = 0.02
-	// stalledTicks without one mean that this process was stopped itself.
-	stalledTicks = 6
+	// stallThresholdTicks without one mean that this process was stopped itself.
+	stallThresholdTicks = 6
 )
 
 // leaseTable is a leader's knowledge of the leases that may be valid. It does no I/O; times are the leader's own clock.
 type leaseTable struct {
 	duration  time.Duration
-	countFrom time.Time // until then an earlier leader, or this one before a stall, may have granted leases that are not known here
+	unknownGrantsUntil time.Time // until then an earlier leader, or this one before a stall, may have granted leases that are not known here
 	lastGrant map[takeover.Member]time.Time
 	evicting  map[takeover.Member]time.Time // since when an eviction is proposed; such a member gets no lease
 	lastTick  time.Time
@@ -24,14 +24,14 @@
 
 // reset begins a term.
 func (t *leaseTable) reset(now time.Time) {
-	t.countFrom, t.lastGrant, t.evicting = now, map[takeover.Member]time.Time{}, map[takeover.Member]time.Time{}
+	t.unknownGrantsUntil, t.lastGrant, t.evicting = now, map[takeover.Member]time.Time{}, map[takeover.Member]time.Time{}
 }
 
-// noteTick notes that time has passed. After a stall of this process, requests that wait for it are not yet known: leases are
+// recordTick notes that time has passed. After a stall of this process, requests that wait for it are not yet known: leases are
 // counted from then on.
-func (t *leaseTable) noteTick(now time.Time, interval time.Duration) {
-	if !t.lastTick.IsZero() && now.Sub(t.lastTick) > stalledTicks*interval {
-		t.countFrom = now
+func (t *leaseTable) recordTick(now time.Time, interval time.Duration) {
+	if !t.lastTick.IsZero() && now.Sub(t.lastTick) > stallThresholdTicks*interval {
+		t.unknownGrantsUntil = now
 	}
 	t.lastTick = now
 }
@@ -59,7 +59,7 @@
 		if t.lastGrant[j.Member].IsZero() { // joined just now, or the term has just begun: it gets the time to ask
 			t.lastGrant[j.Member] = now
 		}
-		from := t.countFrom
+		from := t.unknownGrantsUntil
 		if last := t.lastGrant[j.Member]; last.After(from) {
 			from = last
 		}
--- a/internal/fleet/membership/lease_table_test.go
+++ b/internal/fleet/membership/lease_table_test.go
@@ -6,7 +6,7 @@
 )
 
 // No member is evicted whose lease may still be valid by its own clock, whoever granted it and whatever was stopped meanwhile.
-func TestNoEvictionBeforeTheLeaseEnds(t *testing.T) {
+func TestMemberIsNotEvictedWhileItsLeaseMayBeValid(t *testing.T) {
 	const lease, interval = time.Second, 50 * time.Millisecond
 	a := member("a", 1)
 	m := (&Membership{}).Apply(&Change{Member: a}, nil)
@@ -30,7 +30,7 @@
 				continue
 			}
 			if ms%50 == 0 {
-				table.noteTick(at(ms), interval)
+				table.recordTick(at(ms), interval)
 			}
 			if next < len(c.granted) && ms >= c.granted[next] {
 				table.grant(at(ms), a)
--- a/internal/fleet/membership/log.go
+++ b/internal/fleet/membership/log.go
@@ -172,7 +172,7 @@
 
 // tick does what is due by time, where this member leads.
 func (l *Log) tick(now time.Time) {
-	l.leases.noteTick(now, l.tickInterval)
+	l.leases.recordTick(now, l.tickInterval)
 	if !l.isLeader {
 		return
 	}
@@ -227,7 +227,7 @@
 		if l.membership != before {
 			l.config.OnChange(l.membership, l.settings)
 		}
-		l.noteReadStates(ready.ReadStates)
+		l.recordReadIndex(ready.ReadStates)
 		l.raftNode.Advance(ready)
 		l.answerLeaseRequests()
 	}
@@ -312,8 +312,8 @@
 	l.raftNode.Step(m) // an error means that the message has no effect
 }
 
-// noteReadStates learns at which index the leadership in question is confirmed.
-func (l *Log) noteReadStates(states []raft.ReadState) {
+// recordReadIndex learns at which index the leadership in question is confirmed.
+func (l *Log) recordReadIndex(states []raft.ReadState) {
 	for _, s := range states {
 		if len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) == l.readID && len(l.confirmingRequests) > 0 {
 			l.readIndex = s.Index
--- a/internal/fleet/membership/log_commands.go
+++ b/internal/fleet/membership/log_commands.go
@@ -83,19 +83,19 @@
 		return
 	}
 	l.membership = l.membership.Apply(&Change{Command: c}, l.config.MemberNames)
-	l.settings = settingsAfter(l.settings, next, c)
+	l.settings = settingsOfPlan(l.settings, next, c)
 	if !recovered {
 		eventlog.Info(eventCommandApplied, "epoch", l.membership.Epoch, "command", c.Kind, "target", next.Target, "fence", next.Fence,
 			"share_permille", next.Share, "pause_reason", next.PauseReason, "name", c.Name, "author", c.Author, "reason", c.Reason)
 	}
 }
 
-// settingsAfter returns the settings of the versions of a plan, after the command that led to it.
-func settingsAfter(before map[string][]byte, plan *rollout.Plan, c *rollout.Command) map[string][]byte {
+// settingsOfPlan returns the settings of the versions of a plan, after the command that led to it.
+func settingsOfPlan(previous map[string][]byte, plan *rollout.Plan, c *rollout.Command) map[string][]byte {
 	after := map[string][]byte{}
 	for _, v := range plan.Versions {
 		digest := string(v.Digest[:])
-		if settings, ok := before[digest]; ok {
+		if settings, ok := previous[digest]; ok {
 			after[digest] = settings
 		}
 	}
--- a/internal/fleet/membership/log_test.go
+++ b/internal/fleet/membership/log_test.go
@@ -17,7 +17,7 @@
 }
 
 // The lease requests of a tick share one confirmation of leadership, and all of them are granted by it.
-func TestLeaseRequestsOfATickShareAConfirmation(t *testing.T) {
+func TestLeaseRequestsOfATickShareOneLeadershipConfirmation(t *testing.T) {
 	l, err := OpenLog(testConfig(t.TempDir()))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -12,7 +12,7 @@
 }
 
 // The epoch counts changes, and neither a duplicate nor a late change has an effect.
-func TestMembershipChanges(t *testing.T) {
+func TestMembershipAppliesEachChangeOnce(t *testing.T) {
 	m, a1, a2 := &Membership{}, member("a", 1), member("a", 2)
 	for i, c := range []struct {
 		change   Change
@@ -39,13 +39,13 @@
 		m.AddressOf("a", "configured") != "x:1" || m.AddressOf("b", "configured") != "configured" {
 		t.Fatalf("%+v", v)
 	}
-	for _, bad := range []*Membership{
+	for _, invalid := range []*Membership{
 		{Epoch: 1, Members: []JoinedMember{{Member: a1, JoinedEpoch: 2}}},
 		{Epoch: 1, Members: []JoinedMember{{}}},
 		{Epoch: 1, Members: []JoinedMember{{Member: a1}, {Member: a1}}},
 	} {
-		if bad.Validate() == nil {
-			t.Errorf("accepted: %+v", bad)
+		if invalid.Validate() == nil {
+			t.Errorf("accepted: %+v", invalid)
 		}
 	}
 }
--- a/internal/fleet/membership/store_test.go
+++ b/internal/fleet/membership/store_test.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// failing makes the next updates of a store fail so many times.
-func failing(s *store, times int, err error) (attempts *int) {
+// failUpdates makes the next updates of a store fail so many times.
+func failUpdates(s *store, times int, err error) (attempts *int) {
 	attempts = new(int)
 	s.update = func(change func(*bbolt.Tx) error) error {
 		if *attempts++; *attempts <= times {
@@ -26,7 +26,7 @@
 
 // A directory that refuses writes for a while costs time and no entry; save returns only once all is stored. It gives up where the
 // member stops, and at once where the fault is not the operating system's.
-func TestStoreRetriesWhileWritesAreRefused(t *testing.T) {
+func TestStoreRetriesFailedWrites(t *testing.T) {
 	dir := t.TempDir()
 	s, err := openStore(dir, []uint64{1})
 	if err != nil {
@@ -36,19 +36,19 @@
 		return &raft.Ready{Entries: []*raftpb.Entry{{Index: new(index), Term: new(uint64(1)), Data: []byte("entry")}}}
 	}
 	for i, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT} {
-		attempts := failing(s, 3, &os.PathError{Op: "write", Path: dir, Err: errno})
+		attempts := failUpdates(s, 3, &os.PathError{Op: "write", Path: dir, Err: errno})
 		if err := s.save(entryAt(uint64(2 + i))); err != nil || *attempts != 4 {
 			t.Fatalf("%v: %v after %d attempts", errno, err, *attempts)
 		}
 	}
-	attempts := failing(s, 1, errors.New("no bucket"))
+	attempts := failUpdates(s, 1, errors.New("no bucket"))
 	if err := s.save(entryAt(9)); err == nil || *attempts != 1 {
 		t.Fatalf("a fault of the program: %v after %d attempts", err, *attempts)
 	}
 	stop := make(chan struct{})
 	s.stop = stop
 	close(stop)
-	failing(s, 1<<30, syscall.EIO)
+	failUpdates(s, 1<<30, syscall.EIO)
 	if err := s.save(entryAt(9)); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("it does not give up: %v", err)
 	}
@@ -63,7 +63,7 @@
 }
 
 // What was saved is there after a restart, and a disk that can't be written is an error.
-func TestStore(t *testing.T) {
+func TestStoreKeepsStateAcrossRestart(t *testing.T) {
 	dir := t.TempDir()
 	s, err := openStore(dir, []uint64{1, 2, 3})
 	if err != nil {
@@ -72,13 +72,13 @@
 	if _, err := openStore(dir, nil); !errors.Is(err, ErrLogLocked) {
 		t.Fatalf("opened twice: %v", err)
 	}
-	one := func(index, term uint64, data string) *raftpb.Entry {
+	newEntry := func(index, term uint64, data string) *raftpb.Entry {
 		return &raftpb.Entry{Index: new(index), Term: new(term), Data: []byte(data)}
 	}
 	hard := &raftpb.HardState{Term: new(uint64(5)), Vote: new(uint64(2)), Commit: new(uint64(3))}
 	for _, rd := range []raft.Ready{
-		{HardState: hard, Entries: []*raftpb.Entry{one(2, 4, "a"), one(3, 4, "b"), one(4, 4, "lost")}},
-		{Entries: []*raftpb.Entry{one(4, 5, "c"), one(5, 5, "d")}}, // in place of what another leader had sent
+		{HardState: hard, Entries: []*raftpb.Entry{newEntry(2, 4, "a"), newEntry(3, 4, "b"), newEntry(4, 4, "lost")}},
+		{Entries: []*raftpb.Entry{newEntry(4, 5, "c"), newEntry(5, 5, "d")}}, // in place of what another leader had sent
 	} {
 		if err := s.save(&rd); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/membership/stored_test.go
+++ b/internal/fleet/membership/stored_test.go
@@ -37,7 +37,7 @@
 	if err != nil || from != first || last != 11 || hard.GetTerm() != 2 || hard.GetVote() != 1 || hard.GetCommit() != 11 || l.recoveredIndex != 11 {
 		t.Errorf("entries %d to %d, state %v, committed before up to %d: %v", from, last, hard, l.recoveredIndex, err)
 	}
-	if l.appliedIndex != first-1 || !sameJSON(t, l.membership, snapshot) || !reflect.DeepEqual(l.settings, settings) {
+	if l.appliedIndex != first-1 || !equalAsJSON(t, l.membership, snapshot) || !reflect.DeepEqual(l.settings, settings) {
 		t.Errorf("snapshot at %d: %+v %q", l.appliedIndex, l.membership, l.settings)
 	}
 	l.config.MemberNames = []string{"n00", "n01", "n02"}
@@ -55,7 +55,7 @@
 			Versions: []rollout.Version{storedVersion}, Excluded: []string{"n02"}, AppliedIDs: []uint64{7, 8, 9},
 		},
 	}
-	if l.appliedIndex != 11 || changes == 0 || !sameJSON(t, l.membership, final) || !reflect.DeepEqual(l.settings, storedSettingsByDigest) {
+	if l.appliedIndex != 11 || changes == 0 || !equalAsJSON(t, l.membership, final) || !reflect.DeepEqual(l.settings, storedSettingsByDigest) {
 		t.Errorf("entries up to %d, %d changes: %+v %q", l.appliedIndex, changes, l.membership, l.settings)
 	}
 }
@@ -88,7 +88,7 @@
 }
 
 // So is one whose snapshot was written after a version was rolled out.
-func TestStoredSnapshotWithAVersionIsRead(t *testing.T) {
+func TestStoredSnapshotWithRolledOutVersionIsRead(t *testing.T) {
 	l, err := openStored(t, "fleet-2029d41-version.db")
 	if err != nil {
 		t.Fatal(err)
@@ -102,8 +102,8 @@
 	expectStored(t, l, 8, snapshot, storedSettingsByDigest)
 }
 
-// sameJSON compares by exported fields: an empty list equals none.
-func sameJSON(t *testing.T, a, b any) bool {
+// equalAsJSON compares by exported fields: an empty list equals none.
+func equalAsJSON(t *testing.T, a, b any) bool {
 	t.Helper()
 	x, err := json.Marshal(a)
 	if err != nil {
@@ -117,7 +117,7 @@
 }
 
 // A snapshot has the bytes that commit 2029d41 gave it, and they are read as the same value.
-func TestSnapshotBytesStayAsTheyWere(t *testing.T) {
+func TestSnapshotEncodingMatchesGoldenBytes(t *testing.T) {
 	golden, err := os.ReadFile("testdata/snapshot-2029d41.hex")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/membership/voters_test.go
+++ b/internal/fleet/membership/voters_test.go
@@ -8,7 +8,7 @@
 )
 
 // The voters are an odd number of members, up to a bound.
-func TestVoters(t *testing.T) {
+func TestVotersAreAnOddNumberUpToABound(t *testing.T) {
 	for n, want := range map[int]int{1: 1, 2: 1, 3: 3, 4: 3, 5: 5, 9: 5, 300: 5} {
 		var names []string
 		for i := range n {
@@ -21,7 +21,7 @@
 }
 
 // A membership reaches all members in rounds whose number grows with the logarithm of the members, and each forwards it to few.
-func TestTreeDepthGrowsWithTheLogarithm(t *testing.T) {
+func TestForwardingTreeDepthIsLogarithmic(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 9, 300, 1000} {
 		var names []string
 		for i := range n {
@@ -52,8 +52,8 @@
 			}
 		}
 		t.Logf("%d members: %d rounds", n, round)
-		if most := 1 + int(math.Log(float64(n))/math.Log(treeFanout)); round > most {
-			t.Errorf("%d members: %d rounds, at most %d", n, round, most)
+		if limit := 1 + int(math.Log(float64(n))/math.Log(treeFanout)); round > limit {
+			t.Errorf("%d members: %d rounds, at most %d", n, round, limit)
 		}
 	}
 	if TreeChildren([]string{"a"}, "b", 1) != nil {
--- a/internal/fleet/membership_updates.go
+++ b/internal/fleet/membership_updates.go
@@ -13,9 +13,9 @@
 // reopenInterval is between attempts to open the log.
 const reopenInterval = time.Second
 
-// vote keeps the replicated log, as soon as no other process of this sidecar does. A member that can't keep it is a member all
-// the same, but does not vote; the reason is logged whenever it changes.
-func (f *Fleet) vote(ctx context.Context) {
+// runVoter keeps the replicated log, as soon as no other process of this sidecar does. A member that can't keep it is a member all
+// the same, but does not runVoter; the reason is logged whenever it changes.
+func (f *Fleet) runVoter(ctx context.Context) {
 	logged := ""
 	for ctx.Err() == nil {
 		err := f.runLog(ctx)
@@ -38,10 +38,10 @@
 	log, err := membership.OpenLog(membership.Config{
 		Directory: f.options.Fleet.StateDir, Name: f.name, Voters: f.voters, MemberNames: f.memberNames,
 		LeaseDuration: f.options.Fleet.LeaseDuration,
-		Guard:         rollout.Guard{MaxUnleasedPermille: f.options.Audit.MaxUnleasedPermille, OffByOne: f.faults.looseGuard},
+		Guard:         rollout.Guard{MaxUnleasedPermille: f.options.Audit.MaxUnleasedPermille, OffByOne: f.faults.guardOffByOne},
 		IgnoreFence:   f.faults.ignoreFence,
 		Send:          f.send,
-		OnChange:      f.learnMembership,
+		OnChange:      f.postMembership,
 	})
 	if err != nil {
 		return err
@@ -52,9 +52,9 @@
 	return err
 }
 
-// learnMembership adopts a membership if it is newer, with the settings of its plan as far as they came with it.
-func (f *Fleet) learnMembership(m *membership.Membership, settings map[string][]byte) {
-	f.post(membershipLearned{m, settings})
+// postMembership adopts a membership if it is newer, with the settings of its plan as far as they came with it.
+func (f *Fleet) postMembership(m *membership.Membership, settings map[string][]byte) {
+	f.post(membershipReceived{m, settings})
 }
 
 // adoptMembership hands a newer membership to all that depend on it, and to this member's children in the tree of members. On
@@ -64,7 +64,7 @@
 		return
 	}
 	f.membership.Store(m)
-	f.keepSettings(settings)
+	f.storeSettings(settings)
 	f.followPlan()
 	if f.replicator != nil {
 		f.replicator.post(membershipChanged{m})
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -30,7 +30,7 @@
 	rejected     uint64                 // number of the latest version that could not be applied
 	rejectReason string
 
-	known           map[string][]byte // settings of the plan's versions, by digest
+	textByDigest           map[string][]byte // settings of the plan's versions, by digest
 	requestedNumber uint64            // version whose settings are requested
 	requestedAt     time.Time         // of the latest request
 	requests        int               // for that version
@@ -58,7 +58,7 @@
 	if !ok {
 		return
 	}
-	text, ok := f.settings.known[string(v.Digest[:])]
+	text, ok := f.settings.textByDigest[string(v.Digest[:])]
 	if !ok {
 		f.requestSettings(v)
 		return
@@ -66,7 +66,7 @@
 	f.settings.applying = true
 	go func() {
 		err := f.applier.ApplySettings(v.Number, text)
-		f.post(settingsApplied{v, err})
+		f.post(settingsApplyFinished{v, err})
 	}()
 }
 
@@ -123,7 +123,7 @@
 
 // handleSettingsRequest answers a request for settings that are known here.
 func (f *Fleet) handleSettingsRequest(from takeover.Member, digest []byte) {
-	if text, ok := f.settings.known[string(digest)]; ok {
+	if text, ok := f.settings.textByDigest[string(digest)]; ok {
 		f.sendMessage(from.Name, protocol.KindSettings, settingsReply{Settings: text})
 	}
 }
@@ -133,25 +133,25 @@
 	digest := rollout.DigestOf(text)
 	for _, v := range f.membership.Load().Plan.Versions {
 		if v.Digest == digest {
-			f.keepSettings(map[string][]byte{string(digest[:]): text})
+			f.storeSettings(map[string][]byte{string(digest[:]): text})
 			f.followPlan()
 			return
 		}
 	}
 }
 
-// keepSettings adds settings to those that are known, and drops those that the plan does not name any more.
-func (f *Fleet) keepSettings(added map[string][]byte) {
+// storeSettings adds settings to those that are known, and drops those that the plan does not name any more.
+func (f *Fleet) storeSettings(added map[string][]byte) {
 	known := map[string][]byte{}
 	for _, v := range f.membership.Load().Plan.Versions {
 		digest := string(v.Digest[:])
 		if text, ok := added[digest]; ok {
 			known[digest] = text
-		} else if text, ok := f.settings.known[digest]; ok {
+		} else if text, ok := f.settings.textByDigest[digest]; ok {
 			known[digest] = text
 		}
 	}
-	f.settings.known = known
+	f.settings.textByDigest = known
 }
 
 // setExcluded suspends this member's lease, or lets it be valid again.
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -32,11 +32,11 @@
 func sampleRecord() takeover.Record {
 	return takeover.Record{
 		ID: "rec-1", Digest: 11, Class: "class-1", Idempotency: takeover.NotIdempotent, Owner: member("own", 12), Epoch: 13, Age: 14, DeadlineAge: 15,
-		Sent: true, Request: []byte("request"), Seq: 16, Response: sampleAnswer(),
+		Sent: true, Request: []byte("request"), Seq: 16, Response: sampleResponse(),
 	}
 }
 
-func sampleAnswer() takeover.Response {
+func sampleResponse() takeover.Response {
 	return takeover.Response{Status: takeover.ResponseTooLarge, Body: []byte("body"), ContentType: []byte("type"), RetryAfter: 17, Reason: "why"}
 }
 
@@ -116,7 +116,7 @@
 		"stored":             takeover.StoredRequest{Head: []byte("head"), Body: []byte("body"), Tenant: "tenant", Key: "key"},
 		"record":             sampleRecord(),
 		"ballot":             takeover.Ballot{Round: 92, Proposer: member("by", 93)},
-		"answer":             sampleAnswer(),
+		"answer":             sampleResponse(),
 		"seat":               membership.JoinedMember{Member: member("s", 94), JoinedEpoch: 95, FirstIncarnation: true, Address: "c:96"},
 		"standing":           sampleStatus(),
 		"standing-no-leader": &ClusterStatus{Name: "name", Self: member("me", 81), Leader: "leader"},
@@ -125,7 +125,7 @@
 }
 
 // Every type has the bytes on the wire and in the log that commit 2029d41 gave it, and those bytes are read as the same value.
-func TestWireBytesStayAsTheyWere(t *testing.T) {
+func TestWireEncodingMatchesGoldenBytes(t *testing.T) {
 	c, err := protocol.NewCodec()
 	if err != nil {
 		t.Fatal(err)
@@ -166,7 +166,7 @@
 }
 
 // Numbers that go on the wire or into the log are those that members of other builds know.
-func TestWireNumbersStayAsTheyWere(t *testing.T) {
+func TestWireNumbersAreStable(t *testing.T) {
 	for name, c := range map[string]struct{ got, want []int }{
 		"frames": {
 			[]int{
@@ -207,7 +207,7 @@
 }
 
 // What `fleet status --json` prints keeps its keys, their order and its form: operators' scripts read it.
-func TestStatusKeepsItsKeysAsJSON(t *testing.T) {
+func TestStatusJSONMatchesGoldenFile(t *testing.T) {
 	want, err := os.ReadFile("testdata/status-2029d41.json")
 	if err != nil {
 		t.Fatal(err)
