--- a/internal/fleet/admin_client.go
+++ b/internal/fleet/admin_client.go
@@ -11,11 +11,11 @@
 
 const (
 	adminDialTimeout   = 300 * time.Millisecond
-	adminRequestBuffer = 64 << 10 // initial bytes of an encoded request
+	adminRequestBuffer = 64 << 10 // initial capacity in bytes for an encoded request
 )
 
-// SendAdminRequest sends an operator's request to the member at an address and returns its response, with all segments in one. An error
-// means that there is none; what the member says of itself is in the response's Err.
+// SendAdminRequest sends an operator's request to the member at an address and returns its response, with the segments of all
+// partial responses joined. An error means that no response was received; an error of the member itself is in the response's Err.
 func SendAdminRequest(ctx context.Context, address string, memberNames []string, r AdminRequest) (*AdminResponse, error) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
@@ -44,7 +44,7 @@
 	return readAdminResponse(conn, codec)
 }
 
-// readAdminResponse reads responses up to the last, and joins their segments.
+// readAdminResponse reads partial responses up to the last, and joins their segments.
 func readAdminResponse(conn net.Conn, codec *protocol.Codec) (*AdminResponse, error) {
 	var complete AdminResponse
 	for {
--- a/internal/fleet/admin_server.go
+++ b/internal/fleet/admin_server.go
@@ -21,11 +21,11 @@
 	response := AdminResponse{}
 	switch err := f.codec.Unmarshal(payload, &request); {
 	case err != nil:
-		response.Err = fmt.Sprintf("not readable: %v", err)
+		response.Err = fmt.Sprintf("request cannot be decoded: %v", err)
 	case request.FleetID != f.transport.FleetID():
-		response.Err = "this member is of another fleet: its members have other names"
+		response.Err = "this member is of another fleet: the configured member names differ"
 	case f.replicator == nil:
-		response.Err = "this member keeps no account: audit.enabled is false in its options"
+		response.Err = "this member keeps no audit log: audit.enabled is false in its options"
 	default:
 		response = f.answerAdmin(conn, &request)
 	}
@@ -46,7 +46,7 @@
 	return err
 }
 
-// answerAdmin carries out a request and returns the last response to it.
+// answerAdmin processes a request and returns the last response to it. sendSegments sends the earlier ones itself.
 func (f *Fleet) answerAdmin(conn net.Conn, r *AdminRequest) AdminResponse {
 	ctx, cancel := context.WithTimeout(f.ctx, adminTimeout)
 	defer cancel()
@@ -58,13 +58,14 @@
 	case RequestRolloutCommand:
 		return f.answerRolloutCommand(ctx, r.RolloutCommand)
 	}
-	return AdminResponse{Err: fmt.Sprintf("%q is nothing that can be asked", r.Kind)}
+	return AdminResponse{Err: fmt.Sprintf("unknown request kind %q", r.Kind)}
 }
 
-// answerRolloutCommand has an operator's command agreed. Commands of the leader alone are refused.
+// answerRolloutCommand commits an operator's command through the replicated log. Commands that only the leader may issue are
+// rejected.
 func (f *Fleet) answerRolloutCommand(ctx context.Context, c *rollout.Command) AdminResponse {
 	if c == nil || c.Kind > rollout.Readmit {
-		return AdminResponse{Err: "no order of an operator's"}
+		return AdminResponse{Err: "the request has no rollout command that an operator may submit"}
 	}
 	err := f.submitCommand(ctx, c)
 	switch {
@@ -78,7 +79,7 @@
 	return AdminResponse{Err: err.Error()}
 }
 
-// leaderName is the name of who granted the latest lease; empty: nobody has.
+// leaderName returns the name of the member that granted the latest lease; empty: no lease has been granted yet.
 func (f *Fleet) leaderName() string {
 	if leader := f.leader.Load(); leader != nil {
 		return *leader
@@ -86,7 +87,8 @@
 	return ""
 }
 
-// submitCommand checks a command and has it agreed. Settings are validated here, before any other member gets them.
+// submitCommand validates a command and commits it through the replicated log. Settings are validated here, before they reach
+// any other member.
 func (f *Fleet) submitCommand(ctx context.Context, c *rollout.Command) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -106,7 +108,7 @@
 	return log.Submit(ctx, c)
 }
 
-// clusterStatus is what this member knows, and the reports of all members if it leads.
+// clusterStatus returns the status as this member knows it, with the reports of all members if it is the leader.
 func (f *Fleet) clusterStatus(ctx context.Context) *ClusterStatus {
 	m := f.membership.Load()
 	s := &ClusterStatus{Name: f.name, Self: *f.self.Load(), Leader: f.leaderName(), Epoch: m.Epoch, Plan: m.Plan, MemberNames: f.memberNames}
@@ -128,7 +130,7 @@
 	return s
 }
 
-// sendSegments sends the segments that this member stores, its own up to now included, and returns the last response.
+// sendSegments sends the segments that this member stores, including its own up to the present, and returns the last response.
 func (f *Fleet) sendSegments(ctx context.Context, conn net.Conn, name string) AdminResponse {
 	stored := make(chan []audit.SealedSegment, 1)
 	select {
--- a/internal/fleet/audit_replicator.go
+++ b/internal/fleet/audit_replicator.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	segmentsPerLease           = 6         // segments that are cut while one lease lasts
-	segmentBatchBytes      = 512 << 10 // of segments sent to a member at a time
-	maxUnacknowledgedBytes = 8 << 20   // of segments that no replica has acknowledged yet
+	segmentsPerLease       = 6         // segments cut within the duration of a lease
+	segmentBatchBytes      = 512 << 10 // bytes of segments in one frame to a replica
+	maxUnacknowledgedBytes = 8 << 20   // bytes of segments that no replica has acknowledged yet
 )
 
-// segmentAck says that a replica has stored a segment.
+// segmentAck acknowledges that a replica has stored a segment.
 type segmentAck struct {
 	_      struct{}        `cbor:",toarray"`
-	Member takeover.Member // whose segment it is
+	Member takeover.Member // that recorded the segment
 	Index  uint64
 }
 
-// auditReplicator cuts this member's audit events into segments, replicates them to other members, and stores theirs. One
-// goroutine, run, owns all its state.
+// auditReplicator cuts this member's audit events into segments, replicates them to other members, and stores the segments of
+// other members. The goroutine of run owns all its state.
 type auditReplicator struct {
 	fleet            *Fleet
 	codec            *audit.Codec
 	mailbox          chan replicatorMessage
 	store            *audit.SegmentStore
-	directory        *segmentfile.Directory // nil: segments are kept in memory alone
+	directory        *segmentfile.Directory // nil: segments are kept in memory only
 	replication      *audit.Replication
-	replicas         []string          // names that store this incarnation's segments
-	seenIncarnations map[string]uint64 // of the replicas, to which all segments were sent
-	loggedDropped    int               // segments whose loss was logged
+	replicas         []string          // names of the members that store this incarnation's segments
+	seenIncarnations map[string]uint64 // latest known incarnation of each replica, by name
+	loggedDropped    int               // value of replication.Dropped when it was last logged
 }
 
-// newAuditReplicator makes a replicator, with the segments that the directory has from earlier processes.
+// newAuditReplicator returns a replicator that stores the segments found in the segment directory.
 func newAuditReplicator(f *Fleet) (*auditReplicator, error) {
 	codec, err := audit.NewCodec()
 	if err != nil {
@@ -57,13 +57,13 @@
 	if dir := f.options.Audit.SegmentDir; dir != "" {
 		r.directory = segmentfile.New(dir, f.options.Audit.MaxDiskBytes, f.codec)
 		for _, segment := range r.directory.Open(self) {
-			r.store.Put(segment) // segments of another fleet are refused, and stay in their file
+			r.store.Put(segment) // segments of another fleet are rejected, and stay in their file
 		}
 	}
 	return r, nil
 }
 
-// chooseReplicas chooses by rendezvous hashing which names store the segments of an incarnation.
+// chooseReplicas selects by rendezvous hashing the members that store the segments of an incarnation.
 func (r *auditReplicator) chooseReplicas(self takeover.Member) {
 	others := slices.DeleteFunc(slices.Clone(r.fleet.memberNames), func(name string) bool { return name == self.Name })
 	id := fmt.Sprintf("%s/%x", self.Name, self.Incarnation)
@@ -71,7 +71,7 @@
 	r.seenIncarnations = map[string]uint64{}
 }
 
-// run replicates until ctx ends.
+// run cuts and replicates segments until ctx ends.
 func (r *auditReplicator) run(ctx context.Context) {
 	ticker := time.NewTicker(r.fleet.options.Fleet.LeaseDuration / segmentsPerLease)
 	defer ticker.Stop()
@@ -88,7 +88,7 @@
 	}
 }
 
-// post hands a message to run's goroutine, or drops it where the mailbox is full: what is not acknowledged is sent again.
+// post sends a message to run's goroutine, or drops it if the mailbox is full: segments that are not acknowledged are sent again.
 func (r *auditReplicator) post(m replicatorMessage) {
 	select {
 	case r.mailbox <- m:
@@ -96,7 +96,7 @@
 	}
 }
 
-// onMembership sends all segments of this incarnation to a replica whose process has restarted, since it has lost them.
+// onMembership queues all segments of this incarnation for a replica whose process has restarted, since it has lost them.
 func (r *auditReplicator) onMembership(m *membership.Membership) {
 	self := *r.fleet.self.Load()
 	latest := map[string]uint64{}
@@ -125,7 +125,8 @@
 	}
 }
 
-// addSegments stores segments of this member and queues them for the replicas. err is why there may be fewer than events.
+// addSegments stores segments of this member and queues them for the replicas. err is the error of cutting them; events may be
+// missing then.
 func (r *auditReplicator) addSegments(segments []audit.SealedSegment, err error) {
 	if err != nil {
 		eventlog.Error(eventSegmentLost, err)
@@ -150,7 +151,7 @@
 	}
 }
 
-// sendDue sends the segments that are to be sent to each replica now, for the first time or again.
+// sendDue sends each replica the segments that are new or due for a resend.
 func (r *auditReplicator) sendDue() {
 	now, resend := r.fleet.micros(), r.fleet.options.Fleet.LeaseDuration.Microseconds()
 	for _, name := range r.fleet.memberNames {
@@ -160,7 +161,7 @@
 	}
 }
 
-// storeSegments stores segments of other members, and acknowledges those that are the sender's own.
+// storeSegments stores segments of other members, and acknowledges those that the sender recorded itself.
 func (r *auditReplicator) storeSegments(from takeover.Member, segments []audit.SealedSegment) {
 	var acks []segmentAck
 	for _, sealed := range segments {
@@ -169,7 +170,7 @@
 		case err == nil && segment.Member.Name == from.Name:
 			acks = append(acks, segmentAck{Member: segment.Member, Index: segment.Index})
 		case err != nil:
-			r.fleet.transport.LogRejected("", from.Name, fmt.Errorf("a segment: %w", err))
+			r.fleet.transport.LogRejected("", from.Name, fmt.Errorf("audit segment: %w", err))
 		}
 	}
 	if len(acks) > 0 {
@@ -177,14 +178,14 @@
 	}
 }
 
-// acknowledge notes what a replica has stored.
+// acknowledge records which segments a replica has stored.
 func (r *auditReplicator) acknowledge(from takeover.Member, acks []segmentAck) {
 	for _, ack := range acks {
 		r.replication.Acknowledge(from.Name, ack.Member, ack.Index)
 	}
 }
 
-// startIncarnation closes the records of the previous incarnation, and starts those of the next.
+// startIncarnation ends the audit records of the previous incarnation, and starts those of the new one.
 func (r *auditReplicator) startIncarnation(self takeover.Member) {
 	r.addSegments(r.fleet.recorder.EndIncarnation(time.Now().UnixMilli(), self))
 	r.sendDue()
--- a/internal/fleet/build.go
+++ b/internal/fleet/build.go
@@ -7,10 +7,10 @@
 
 const (
 	unknownBuild    = "unknown"
-	maxRevisionSize = 12 // characters of a commit's hash
+	maxRevisionSize = 12 // characters of the commit hash
 )
 
-// buildRevision names the program's build: the commit it was built from, else the module's version.
+// buildRevision returns the commit that the program was built from, else the module's version.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -30,10 +30,10 @@
 	node     *takeover.Node
 	inFlight map[string]*inFlightRequest // by request id
 
-	noQuorumUntil int64 // until then strict requests are rejected without asking the replicas
-	lastIterationAt    int64
-	stallDetectedAt     int64 // when the coordinator last found that the process had been stopped; 0: never
-	counts        takeoverCounts
+	noQuorumUntil   int64 // until then strict requests are rejected without asking the replicas
+	lastIterationAt int64
+	stallDetectedAt int64 // when the coordinator last found that the process had been stopped; 0: never
+	counts          takeoverCounts
 }
 
 // takeoverCounts count since the start of the process, for the log.
--- a/internal/fleet/decisions.go
+++ b/internal/fleet/decisions.go
@@ -9,8 +9,8 @@
 
 // Reasons in final responses. Clients and tests read them.
 const (
-	reasonNoQuorum = "no custody"
-	reasonOutcomeUnknown  = "may have run: nobody can say"
+	reasonNoQuorum       = "no custody"
+	reasonOutcomeUnknown = "may have run: nobody can say"
 )
 
 // leasePollInterval is between looks at a lease that is not valid at the moment.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -49,10 +49,10 @@
 
 // injectedFaults are deliberate faults of a build for the laboratory.
 type injectedFaults struct {
-	takeover    takeover.InjectedFault
-	audit       audit.InjectedFault
-	ignoreFence bool // leases are granted below the rollout plan's fence
-	guardOffByOne  bool // the rollout guard lets one more member be without a lease than it may
+	takeover      takeover.InjectedFault
+	audit         audit.InjectedFault
+	ignoreFence   bool // leases are granted below the rollout plan's fence
+	guardOffByOne bool // the rollout guard lets one more member be without a lease than it may
 }
 
 // Fleet is this process's part in its fleet.
--- a/internal/fleet/membership/lease_table.go
+++ b/internal/fleet/membership/lease_table.go
@@ -15,11 +15,11 @@
 
 // leaseTable is a leader's knowledge of the leases that may be valid. It does no I/O; times are the leader's own clock.
 type leaseTable struct {
-	duration  time.Duration
+	duration           time.Duration
 	unknownGrantsUntil time.Time // until then an earlier leader, or this one before a stall, may have granted leases that are not known here
-	lastGrant map[takeover.Member]time.Time
-	evicting  map[takeover.Member]time.Time // since when an eviction is proposed; such a member gets no lease
-	lastTick  time.Time
+	lastGrant          map[takeover.Member]time.Time
+	evicting           map[takeover.Member]time.Time // since when an eviction is proposed; such a member gets no lease
+	lastTick           time.Time
 }
 
 // reset begins a term.
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -30,7 +30,7 @@
 	rejected     uint64                 // number of the latest version that could not be applied
 	rejectReason string
 
-	textByDigest           map[string][]byte // settings of the plan's versions, by digest
+	textByDigest    map[string][]byte // settings of the plan's versions, by digest
 	requestedNumber uint64            // version whose settings are requested
 	requestedAt     time.Time         // of the latest request
 	requests        int               // for that version
