--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -13,30 +13,31 @@
 	coordinatorMailboxSize = 4096
 	countsInterval         = 10 * time.Second // between log lines of the counts
 	minTick                = time.Millisecond
-	maxBatchMessages       = 256     // in a frame
-	maxBatchBytes          = 1 << 20 // of messages in a frame
+	maxBatchMessages       = 256     // takeover messages in one frame
+	maxBatchBytes          = 1 << 20 // bytes of requests and responses in one frame
 
-	// stallThresholdMicros without a turn of the coordinator mean that this process was stopped.
+	// stallThresholdMicros is the time in µs without an iteration of the coordinator's loop after which the process is taken to
+	// have been suspended.
 	stallThresholdMicros = 100_000
-	// staleReadMicros after a stall, requests that are read may still have waited for it.
+	// staleReadMicros is how long after a stall, in µs, the process may still read requests that arrived during the stall.
 	staleReadMicros = 1_000_000
 )
 
-// coordinator runs the takeover protocol of this member. One goroutine, run, owns the node and all requests in flight; times
-// are µs since the start of the process.
+// coordinator runs the takeover protocol of this member. The goroutine of run owns the node and all requests in flight. Times
+// are in µs since the start of the process.
 type coordinator struct {
 	fleet    *Fleet
 	mailbox  chan coordinatorMessage
 	node     *takeover.Node
 	inFlight map[string]*inFlightRequest // by request id
 
-	noQuorumUntil   int64 // until then strict requests are rejected without asking the replicas
+	noQuorumUntil   int64 // until then strict requests are rejected without contacting the replicas
 	lastIterationAt int64
-	stallDetectedAt int64 // when the coordinator last found that the process had been stopped; 0: never
+	stallDetectedAt int64 // end of the latest stall of the process; 0: none
 	counts          takeoverCounts
 }
 
-// takeoverCounts count since the start of the process, for the log.
+// takeoverCounts are numbers of requests since the start of the process, for the log.
 type takeoverCounts struct{ begun, resumed, returned, unavailable, ownershipLost, takenOver, duplicates int64 }
 
 func newCoordinator(f *Fleet) *coordinator {
@@ -46,7 +47,7 @@
 	}
 }
 
-// post hands a message to run's goroutine, or drops it where the mailbox is full.
+// post sends a message to run's goroutine, or drops it if the mailbox is full.
 func (c *coordinator) post(m coordinatorMessage) {
 	select {
 	case c.mailbox <- m:
@@ -54,7 +55,7 @@
 	}
 }
 
-// run coordinates until ctx ends.
+// run processes messages, ticks and the node's decisions until ctx ends.
 func (c *coordinator) run(ctx context.Context) {
 	ticker := time.NewTicker(max(time.Duration(c.fleet.resendInterval)*time.Microsecond/2, minTick))
 	defer ticker.Stop()
@@ -81,7 +82,7 @@
 	}
 }
 
-// drainMailbox handles what has come meanwhile, so that what it sends goes out in the same frames.
+// drainMailbox handles all queued messages, so that the replies to them share frames.
 func (c *coordinator) drainMailbox() {
 	for {
 		select {
@@ -100,7 +101,7 @@
 		"duplicates", c.counts.duplicates, "records", records, "bytes", bytes, "in_flight", len(c.inFlight))
 }
 
-// detectStall notes that this process runs, and whether it had been stopped.
+// detectStall records the time of this iteration, and a stall if too much time has passed since the previous one.
 func (c *coordinator) detectStall() {
 	now := c.fleet.micros()
 	if now-c.lastIterationAt > stallThresholdMicros {
@@ -109,13 +110,13 @@
 	c.lastIterationAt = now
 }
 
-// readsAreFresh reports whether requests are read when they come. Just after a stall they may have waited unread and been resumed
-// elsewhere by their clients: none of them may be rejected.
+// readsAreFresh reports whether requests are read without delay. Just after a stall a request may have waited unread, and its
+// client may have resumed it at another member, so it must not be rejected.
 func (c *coordinator) readsAreFresh(now int64) bool {
 	return c.stallDetectedAt == 0 || now-c.stallDetectedAt > staleReadMicros
 }
 
-// flush carries out the node's decisions and sends its messages.
+// flush processes the node's events and sends its messages.
 func (c *coordinator) flush() {
 	for events := c.node.TakeEvents(); len(events) > 0; events = c.node.TakeEvents() {
 		for i := range events {
@@ -135,7 +136,7 @@
 	}
 }
 
-// sendBatch sends messages to a member in as few frames as their bounds allow.
+// sendBatch sends messages to a member in as few frames as the bounds on a frame allow.
 func (c *coordinator) sendBatch(name string, messages []takeover.Message) {
 	for len(messages) > 0 {
 		n, bytes := 0, 0
@@ -155,7 +156,7 @@
 	}
 }
 
-// begin takes a request of a client. waiter gets its outcome.
+// begin accepts a client's request. Its outcome is sent to waiter.
 func (c *coordinator) begin(now int64, r takeover.Request, waiter chan takeover.Outcome, execute func(takeover.SendPermit) takeover.Result) {
 	if existing := c.inFlight[r.ID]; existing != nil {
 		switch {
@@ -172,7 +173,7 @@
 	rec := takeover.Record{ID: r.ID, Class: r.Class, Idempotency: r.Idempotency, Digest: r.Digest, DeadlineAge: r.Timeout.Microseconds()}
 	if len(r.Stored.Head) > 0 {
 		encoded, err := c.fleet.codec.Marshal(r.Stored)
-		if err != nil { // only its client can have it sent again
+		if err != nil { // without the stored request, only the client can have it sent again
 			eventlog.Warn(eventRequestNotStored, err, "id", r.ID)
 		}
 		rec.Request = encoded
@@ -189,7 +190,7 @@
 	}
 }
 
-// removeWaiter removes a client that has left. A request that only it wanted is given up unless it is executing.
+// removeWaiter removes a client that has disconnected. A request without further waiters is dropped unless it is executing.
 func (c *coordinator) removeWaiter(id string, waiter chan takeover.Outcome) {
 	r := c.inFlight[id]
 	if r == nil {
@@ -201,7 +202,7 @@
 	}
 }
 
-// isExecuting reports whether a request is executing here for a waiter. It asks run's goroutine.
+// isExecuting reports whether a request is executing here for a waiter. It queries run's goroutine.
 func (c *coordinator) isExecuting(id string, waiter chan takeover.Outcome) bool {
 	answer := make(chan bool, 1)
 	c.mailbox <- executingQuery{id, waiter, answer}
--- a/internal/fleet/coordinator_messages.go
+++ b/internal/fleet/coordinator_messages.go
@@ -2,12 +2,12 @@
 
 import "damsonscale/internal/takeover"
 
-// coordinatorMessage is work for the coordinator's goroutine. now is the time at which it is done.
+// coordinatorMessage is work for the coordinator's goroutine. now is the time of processing.
 type coordinatorMessage interface {
 	handle(c *coordinator, now int64)
 }
 
-// beginRequest brings a client's request. waiter gets its outcome.
+// beginRequest carries a client's request. Its outcome is sent to waiter.
 type beginRequest struct {
 	request takeover.Request
 	waiter  chan takeover.Outcome
@@ -16,7 +16,7 @@
 
 func (m beginRequest) handle(c *coordinator, now int64) { c.begin(now, m.request, m.waiter, m.execute) }
 
-// waiterLeft tells that a client does not wait for its outcome any more.
+// waiterLeft reports that a client no longer waits for the outcome of its request.
 type waiterLeft struct {
 	id     string
 	waiter chan takeover.Outcome
@@ -36,12 +36,12 @@
 	m.answer <- r != nil && r.executing && r.hasWaiter(m.waiter)
 }
 
-// freshReadsQuery asks whether requests are read when they come.
+// freshReadsQuery asks whether requests are read without delay; see readsAreFresh.
 type freshReadsQuery struct{ answer chan bool }
 
 func (m freshReadsQuery) handle(c *coordinator, now int64) { m.answer <- c.readsAreFresh(now) }
 
-// executionEnded brings the result of an execution, and the lease under which it was permitted.
+// executionEnded carries the result of an execution, and the lease that permitted it.
 type executionEnded struct {
 	request *inFlightRequest
 	lease   takeover.Lease
@@ -52,7 +52,7 @@
 	c.onExecuted(now, m.request, m.lease, m.result)
 }
 
-// messagesReceived brings messages of another member. done is closed once they are handled.
+// messagesReceived carries messages of another member. done is closed once they are handled.
 type messagesReceived struct {
 	from     takeover.Member
 	messages []takeover.Message
@@ -66,12 +66,12 @@
 	}
 }
 
-// viewChanged brings a newer membership.
+// viewChanged carries a newer membership.
 type viewChanged struct{ view *takeover.View }
 
 func (m viewChanged) handle(c *coordinator, now int64) { c.node.ApplyView(now, m.view) }
 
-// rejoined tells that this process has a new incarnation.
+// rejoined reports that this process has a new incarnation.
 type rejoined struct{ self takeover.Member }
 
 func (m rejoined) handle(c *coordinator, _ int64) { c.node.Rejoin(m.self) }
--- a/internal/fleet/decisions.go
+++ b/internal/fleet/decisions.go
@@ -7,16 +7,16 @@
 	"damsonscale/internal/takeover"
 )
 
-// Reasons in final responses. Clients and tests read them.
+// Reasons in final responses. Clients and tests match them.
 const (
 	reasonNoQuorum       = "no custody"
 	reasonOutcomeUnknown = "may have run: nobody can say"
 )
 
-// leasePollInterval is between looks at a lease that is not valid at the moment.
+// leasePollInterval is the interval of checks whether a lease has become valid again.
 const leasePollInterval = 2 * time.Millisecond
 
-// handleEvent carries out one decision of the node.
+// handleEvent acts on one decision of the node.
 func (c *coordinator) handleEvent(e *takeover.Event) {
 	r := c.inFlight[e.ID]
 	if r == nil && e.Decision != takeover.OwnerEvicted {
@@ -40,7 +40,7 @@
 	case takeover.DuplicateID:
 		c.counts.duplicates++
 		c.finish(r, takeover.Outcome{Kind: takeover.OutcomeIDConflict})
-	case takeover.OwnershipLost: // an execution ends by the end of its lease
+	case takeover.OwnershipLost: // an execution is aborted when its lease ends
 		c.counts.ownershipLost++
 		c.finish(r, takeover.Outcome{Kind: takeover.OutcomeCloseConnection})
 	case takeover.OwnerEvicted:
@@ -48,7 +48,7 @@
 	}
 }
 
-// onQuorumUnavailable sends, rejects or fails a request for which there is no quorum.
+// onQuorumUnavailable sends, rejects or fails a request whose record could not be stored at a quorum.
 func (c *coordinator) onQuorumUnavailable(r *inFlightRequest, e *takeover.Event) {
 	c.counts.unavailable++
 	now := c.fleet.micros()
@@ -81,8 +81,9 @@
 	}
 }
 
-// fallbackFor tells what to do with a request for which there is no quorum. One that is idempotent by key, but not for as long as
-// its timeout at every server, is treated as strict: two members that don't know of each other might both send it.
+// fallbackFor returns how to treat a request whose record could not be stored at a quorum. A request that is idempotent by key is
+// treated as strict if some server may forget the key before the request's timeout: two members unaware of each other might both
+// send it.
 func fallbackFor(r *takeover.Request, e *takeover.Event) takeover.Fallback {
 	fallback := e.Fallback(r.Strict)
 	if fallback != takeover.SendWithoutRecord || r.Idempotency != takeover.IdempotentByKey || r.DedupWindow >= r.Timeout {
@@ -94,12 +95,12 @@
 	return fallback
 }
 
-// priorSendAge is how long ago another member may have sent a request; never 0, which means that none has.
+// priorSendAge returns how long ago another member may have sent a request. It is at least 1, since 0 means that none has.
 func priorSendAge(e *takeover.Event) time.Duration {
 	return max(1, time.Duration(e.Record.Age)*time.Microsecond)
 }
 
-// execute starts the execution of a request, in a goroutine of its own.
+// execute starts the execution of a request in a new goroutine.
 func (c *coordinator) execute(r *inFlightRequest, permit takeover.SendPermit) {
 	if r.executing {
 		return
@@ -114,7 +115,8 @@
 	}()
 }
 
-// onExecuted stores the response of an execution, if this member still owns the request, and returns it to those who wait.
+// onExecuted stores the response of an execution, if the request is still in flight and its lease is valid, and returns the
+// response to the waiters.
 func (c *coordinator) onExecuted(now int64, r *inFlightRequest, lease takeover.Lease, result takeover.Result) {
 	id := r.request.ID
 	if c.inFlight[id] != r {
@@ -127,8 +129,8 @@
 	c.finish(r, takeover.Outcome{Response: result.Response, LiveResponse: result.LiveResponse, Lease: lease})
 }
 
-// awaitLease waits for a lease that is not valid at the moment until it is, or has ended. An owner that remains a member must not
-// drop a response for want of a lease, since nobody else may take the request over.
+// awaitLease waits until a lease is valid or has ended, for two lease durations at most. An owner that remains a member must not
+// drop a response because its lease is briefly invalid, since no other member may take over the request.
 func (c *coordinator) awaitLease(lease takeover.Lease) {
 	end := time.Now().Add(2 * c.fleet.options.Fleet.LeaseDuration)
 	for !lease.Valid() && time.Now().Before(end) {
@@ -140,7 +142,7 @@
 	}
 }
 
-// finish ends a request that is in flight with an outcome for all that wait for it.
+// finish removes a request from those in flight and sends its outcome to all waiters.
 func (c *coordinator) finish(r *inFlightRequest, o takeover.Outcome) {
 	delete(c.inFlight, r.request.ID)
 	c.discard(r.finish(o))
@@ -152,7 +154,7 @@
 	}
 }
 
-// takeOver resumes a request that an evicted member was permitted to send, without its client.
+// takeOver resumes, without its client, a request that an evicted member was permitted to send.
 func (c *coordinator) takeOver(e *takeover.Event) {
 	if c.inFlight[e.ID] != nil {
 		return
--- a/internal/fleet/fault_injection_off.go
+++ b/internal/fleet/fault_injection_off.go
@@ -2,5 +2,6 @@
 
 package fleet
 
-// faultsOfBuild is empty: deliberate faults exist only in builds with the tag "planted", for the laboratory's tests of itself.
+// faultsOfBuild returns no faults: faults are injected only in builds with the tag "planted", by which the lab checks that its
+// tests detect them.
 func faultsOfBuild() injectedFaults { return injectedFaults{} }
--- a/internal/fleet/fault_injection_on.go
+++ b/internal/fleet/fault_injection_on.go
@@ -10,17 +10,18 @@
 	"damsonscale/internal/takeover"
 )
 
-// faultVariable names the environment variable whose number chooses the fault of a build with the tag "planted".
+// faultVariable is the environment variable with the number of the fault to inject, in builds with the tag "planted".
 const faultVariable = "DAMSONSCALE_PLANT"
 
-// Numbers of faults: below auditFaults one of takeover, below ignoreFenceFault one of audit.
+// Numbers of faults. Numbers below auditFaults are takeover.InjectedFault; numbers from there to below ignoreFenceFault are
+// audit.InjectedFault after subtraction of auditFaults.
 const (
 	auditFaults        = 10
 	ignoreFenceFault   = 20
 	guardOffByOneFault = 21
 )
 
-// faultsOfBuild reads which fault this process is to have.
+// faultsOfBuild returns the fault that the environment selects.
 func faultsOfBuild() (faults injectedFaults) {
 	switch n, _ := strconv.Atoi(os.Getenv(faultVariable)); {
 	case n < auditFaults:
