--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,48 +19,48 @@
 )
 
 const (
-	mailboxSize    = 1024                  // messages to runLeaseRenewal's or the replicator's goroutine
+	mailboxSize    = 1024                  // messages queued for runLeaseRenewal or for the audit replicator
 	rebindInterval = 50 * time.Millisecond // between attempts to listen at the configured address
 )
 
-// Intervals within one lease.
+// Numbers of intervals within the duration of a lease.
 const (
 	leaseRequestsPerLease    = 5
 	quorumTimeoutsPerLease   = 2
 	takeoverStaggersPerLease = 2
 	resendsPerLease          = 20
-	minResendMicros          = 5000 // however short the lease is
+	minResendMicros          = 5000 // lower bound, for short leases
 )
 
-// Hooks are what a fleet needs of the client side. They may be called from any goroutine.
+// Hooks are the functions of the frontend that a fleet calls. They may be called from any goroutine.
 type Hooks interface {
-	// ResumeOrphan prepares the execution of a recorded request that no client is waiting for.
+	// ResumeOrphan returns a function that executes a recorded request for which no client is waiting.
 	ResumeOrphan(rec *takeover.Record, stored *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error)
-	// DiscardResponse ends a live response that no client is left to read.
+	// DiscardResponse closes a live response that no client will read.
 	DiscardResponse(live any)
 }
 
-// SettingsApplier puts versions of the settings in force. Its methods may be called from any goroutine.
+// SettingsApplier applies versions of the settings. Its methods may be called from any goroutine.
 type SettingsApplier interface {
-	ApplySettings(number uint64, text []byte) error // completely, or not at all
-	ValidateSettings(text []byte) error             // returns what ApplySettings would
+	ApplySettings(number uint64, text []byte) error // atomically: after an error the previous version stays in force
+	ValidateSettings(text []byte) error             // returns the error that ApplySettings would return
 	CloseIdleConnections()
 }
 
-// injectedFaults are deliberate faults of a build for the laboratory.
+// injectedFaults are deliberate faults of a lab build.
 type injectedFaults struct {
 	takeover      takeover.InjectedFault
 	audit         audit.InjectedFault
-	ignoreFence   bool // leases are granted below the rollout plan's fence
-	guardOffByOne bool // the rollout guard lets one more member be without a lease than it may
+	ignoreFence   bool // leases are granted to members below the rollout plan's fence
+	guardOffByOne bool // the rollout guard allows one member too many without a lease
 }
 
-// Fleet is this process's part in its fleet.
+// Fleet is this process's membership of its fleet.
 type Fleet struct {
 	name                string
 	options             *options.Options
 	memberNames         []string
-	sortedNames         []string          // the same in order: the first ones vote
+	sortedNames         []string          // memberNames in sorted order; the voters are the first of them
 	configuredAddresses map[string]string // by member name
 	voters              []string
 	build               string
@@ -75,25 +75,25 @@
 	codec       *protocol.Codec
 	transport   *transport.Transport
 	coordinator *coordinator
-	recorder    *audit.SegmentWriter // nil, like replicator, without audit records
+	recorder    *audit.SegmentWriter // nil if audit records are disabled, like replicator
 	replicator  *auditReplicator
 
-	ctx           context.Context    // of Start
-	mailbox       chan memberMessage // of runLeaseRenewal's goroutine
-	settings      settingsState      // of runLeaseRenewal's goroutine
-	listenAddress string             // told to the other members where it is not the configured one
+	ctx           context.Context    // passed to Start
+	mailbox       chan memberMessage // received by runLeaseRenewal's goroutine
+	settings      settingsState      // owned by runLeaseRenewal's goroutine
+	listenAddress string             // sent to the other members if it differs from the configured address; else empty
 
 	self       atomic.Pointer[takeover.Member]
 	lease      atomic.Pointer[Lease]
 	membership atomic.Pointer[membership.Membership]
-	leader     atomic.Pointer[string]         // who granted the latest lease
-	log        atomic.Pointer[membership.Log] // nil unless this member votes at present
-	excluded   atomic.Bool                    // the rollout plan, as far as it is known here, does not let this member act
+	leader     atomic.Pointer[string]         // name of the member that granted the latest lease
+	log        atomic.Pointer[membership.Log] // nil unless this member currently votes
+	excluded   atomic.Bool                    // the latest known rollout plan does not let this member act
 	leaving    atomic.Bool
 }
 
-// New makes a member. maxRequestAge is the longest deadline of a class, which counts unless the options set another. Nothing is
-// listened to or sent before Start.
+// New creates a member. maxRequestAge is the longest deadline of a class; the options may override it. The member neither listens
+// nor sends before Start.
 func New(opts *options.Options, name string, maxRequestAge time.Duration, hooks Hooks, applier SettingsApplier) (*Fleet, error) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
@@ -135,7 +135,7 @@
 	return f, nil
 }
 
-// takeoverConfig is the configuration of the takeover protocol.
+// takeoverConfig returns the configuration of the takeover protocol.
 func (f *Fleet) takeoverConfig() takeover.Config {
 	opts, lease := &f.options.Takeover, f.options.Fleet.LeaseDuration.Microseconds()
 	return takeover.Config{
@@ -145,13 +145,13 @@
 	}
 }
 
-// micros is the time in µs since the start of this process.
+// micros returns the time in µs since the start of this process.
 func (f *Fleet) micros() int64 { return time.Since(f.start).Microseconds() }
 
-// Start serves the fleet until ctx ends. It returns once it listens, or with an error that names the address.
+// Start runs the member until ctx ends. It returns once the member listens, or an error that names the address option.
 func (f *Fleet) Start(ctx context.Context) error {
 	listener, err := net.Listen("tcp", f.options.Fleet.Address)
-	if err != nil { // another process of this sidecar may have the address: the members are told of a second one
+	if err != nil { // another process of this sidecar may hold the address: listen at another port, which the join announces
 		host, _, splitErr := net.SplitHostPort(f.options.Fleet.Address)
 		if splitErr != nil {
 			return fmt.Errorf("fleet.address: %w", splitErr)
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// listenAtConfiguredAddress listens at the configured address as well, as soon as the process that has it ends: the members
-// learn a second address only from this process's join, and that may need its own vote.
+// listenAtConfiguredAddress listens at the configured address too, once the process that holds it exits. The other members learn
+// the second address only from this process's join, and committing the join may need this member's vote.
 func (f *Fleet) listenAtConfiguredAddress(ctx context.Context) {
 	for ctx.Err() == nil {
 		if listener, err := net.Listen("tcp", f.options.Fleet.Address); err == nil {
@@ -194,7 +194,7 @@
 	}
 }
 
-// post hands a message to runLeaseRenewal's goroutine. It blocks while the mailbox is full.
+// post sends a message to runLeaseRenewal's goroutine. It blocks while the mailbox is full.
 func (f *Fleet) post(m memberMessage) {
 	select {
 	case f.mailbox <- m:
@@ -202,7 +202,7 @@
 	}
 }
 
-// send sends a frame to a member, or drops it; to this one without the transport.
+// send sends a frame to a member, or drops it. A frame to this member itself bypasses the transport.
 func (f *Fleet) send(name string, kind protocol.Kind, payload []byte) {
 	if name == f.name {
 		go f.handleFrame(*f.self.Load(), kind, payload)
@@ -218,7 +218,7 @@
 	}
 }
 
-// AuditRecorder records the audit events of this member; nil: they are not recorded.
+// AuditRecorder returns the recorder of this member's audit events; nil: events are not recorded.
 func (f *Fleet) AuditRecorder() auditevent.Recorder {
 	if f.recorder == nil {
 		return nil
@@ -226,5 +226,5 @@
 	return f.recorder
 }
 
-// SettingsDigest identifies settings in audit events.
+// SettingsDigest returns the digest that identifies settings in audit events.
 func (f *Fleet) SettingsDigest(text []byte) uint64 { return audit.Digest(text) }
--- a/internal/fleet/frames.go
+++ b/internal/fleet/frames.go
@@ -9,8 +9,8 @@
 	"damsonscale/internal/takeover"
 )
 
-// handleFrame decodes a frame of another member, or of this one, and hands it to the goroutine that owns what it concerns. It
-// is called by the transport, one frame of a connection at a time.
+// handleFrame decodes a frame from a member, possibly this one, and posts it to the mailbox of the goroutine that processes its
+// kind. The transport calls it for one frame of a connection at a time.
 func (f *Fleet) handleFrame(from takeover.Member, kind protocol.Kind, payload []byte) {
 	var err error
 	switch kind {
@@ -52,7 +52,7 @@
 	}
 }
 
-// handleLogFrame handles the frames that voters take.
+// handleLogFrame passes on the frames for the replicated log. A member that does not currently vote ignores them.
 func (f *Fleet) handleLogFrame(from takeover.Member, kind protocol.Kind, payload []byte) error {
 	log := f.log.Load()
 	switch kind {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// handleAuditFrame handles the frames by which audit segments are replicated.
+// handleAuditFrame handles the frames of audit segment replication.
 func (f *Fleet) handleAuditFrame(from takeover.Member, kind protocol.Kind, payload []byte) error {
 	if kind == protocol.KindSegments {
 		var segments []audit.SealedSegment
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// handleTakeover hands takeover messages to the coordinator, and waits until they are handled, so that a member that floods
-// waits for itself. A sender that knows a later epoch is asked for its membership first.
+// handleTakeover posts takeover messages to the coordinator and waits until they are handled, so that a sender that floods this
+// member is slowed down by its own backlog. If the sender knows a later epoch, its membership is requested first.
 func (f *Fleet) handleTakeover(from takeover.Member, messages []takeover.Message) {
 	latest := uint64(0)
 	for i := range messages {
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -10,11 +10,11 @@
 	"damsonscale/internal/takeover"
 )
 
-// leaveGrace is how long Leave waits for its audit records to be closed, and for its frames to be sent.
+// leaveGrace bounds the wait of Leave for the end of its audit records, and is the time that it gives its frames to be sent.
 const leaveGrace = 100 * time.Millisecond
 
-// newIncarnation draws a number that distinguishes this process from all others of its name, and ends the lease of the previous
-// incarnation. The new lease is not valid yet.
+// newIncarnation draws a random number that distinguishes this incarnation from all others of its name, and ends the lease of
+// the previous incarnation. The new lease is not valid until it is granted.
 func (f *Fleet) newIncarnation() error {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// onEvicted rejoins with a new incarnation after this one was evicted. On runLeaseRenewal's goroutine.
+// onEvicted rejoins with a new incarnation after the eviction of the current one. It runs on runLeaseRenewal's goroutine.
 func (f *Fleet) onEvicted() {
 	old := *f.self.Load()
 	if err := f.newIncarnation(); err != nil {
@@ -44,13 +44,13 @@
 	f.requestLease()
 }
 
-// Leave ends the membership of a process that has ended its work, so that the others take over what is left at once. It may be
-// lost: the lease's end has the same effect later.
+// Leave ends the membership of a process that shuts down, so that other members take over its remaining requests at once. If
+// the frames are lost, the member is evicted when its lease has expired.
 func (f *Fleet) Leave() {
 	f.leaving.Store(true)
 	payload, err := f.codec.Marshal(*f.self.Load())
 	if err == nil {
-		err = f.newIncarnation() // what follows belongs to no member: the audit records of the old one end here
+		err = f.newIncarnation() // ends the audit records of the old incarnation; the new one never joins
 	}
 	if err != nil {
 		return
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -7,18 +7,18 @@
 	"damsonscale/internal/takeover"
 )
 
-// Lease is one incarnation's permission to act. It lasts from the moment at which it was requested, by this process's own
-// clock. Its methods may be called from any goroutine.
+// Lease is an incarnation's permission to act. Its duration counts from the time of the request, by this process's own clock.
+// Its methods may be called from any goroutine.
 type Lease struct {
-	start      time.Time    // of the process: times are counted from here by the monotonic clock
+	start      time.Time    // start of the process; the origin of times, by the monotonic clock
 	validUntil atomic.Int64 // ns since start; 0: never granted
 	ended      atomic.Bool
-	done       chan struct{} // closed once the incarnation was evicted
-	excluded   *atomic.Bool  // while the rollout plan, as far as it is known here, does not let this process act
+	done       chan struct{} // closed when the lease ends
+	excluded   *atomic.Bool  // the latest known rollout plan does not let this process act
 	fault      takeover.InjectedFault
 }
 
-// Done is closed once the lease has ended for good.
+// Done returns a channel that is closed when the lease ends permanently.
 func (l *Lease) Done() <-chan struct{} { return l.done }
 
 func (l *Lease) end() {
@@ -27,7 +27,7 @@
 	}
 }
 
-// Valid reports whether this process may act now. It is called immediately before bytes are written.
+// Valid reports whether this process may act now. Callers check it immediately before they write bytes.
 func (l *Lease) Valid() bool {
 	if l.fault == takeover.IgnoreLease {
 		return true
@@ -35,7 +35,7 @@
 	return !l.ended.Load() && !l.excluded.Load() && int64(time.Since(l.start)) < l.validUntil.Load()
 }
 
-// extend takes a grant for a request of that time, in ns since start. An older grant that comes late changes nothing.
+// extend applies a grant for a request made at requestedAt, in ns since start. A late grant of an older request has no effect.
 func (l *Lease) extend(requestedAt int64, duration time.Duration) {
 	l.validUntil.Store(max(l.validUntil.Load(), requestedAt+int64(duration)))
 }
--- a/internal/fleet/lease_renewal.go
+++ b/internal/fleet/lease_renewal.go
@@ -9,10 +9,10 @@
 	"damsonscale/internal/fleet/protocol"
 )
 
-// unleasedRequestFactor is how much more often a member without a valid lease requests one.
+// unleasedRequestFactor is the factor by which a member without a valid lease requests one more often.
 const unleasedRequestFactor = 4
 
-// runLeaseRenewal requests leases and handles what is posted, until ctx ends.
+// runLeaseRenewal requests leases and handles posted messages until ctx ends.
 func (f *Fleet) runLeaseRenewal(ctx context.Context) {
 	interval := f.options.Fleet.LeaseDuration / leaseRequestsPerLease
 	next := time.NewTimer(0)
@@ -35,7 +35,8 @@
 	}
 }
 
-// requestLease asks the leader for a lease, or all voters while the leader is not known or has not answered for half a lease.
+// requestLease requests a lease from the leader, or from all voters if the leader is unknown or less than half of the lease is
+// left.
 func (f *Fleet) requestLease() {
 	if f.leaving.Load() {
 		return
@@ -56,7 +57,7 @@
 	}
 }
 
-// handleGrant takes a leader's reply. On runLeaseRenewal's goroutine.
+// handleGrant handles a leader's reply to a lease request. It runs on runLeaseRenewal's goroutine.
 func (f *Fleet) handleGrant(from string, g *membership.LeaseGrant) {
 	self := *f.self.Load()
 	if g.Member != self {
--- a/internal/fleet/member_messages.go
+++ b/internal/fleet/member_messages.go
@@ -11,7 +11,7 @@
 	handle(f *Fleet)
 }
 
-// grantReceived brings a leader's reply to a lease request.
+// grantReceived carries a leader's reply to a lease request.
 type grantReceived struct {
 	from  string
 	grant membership.LeaseGrant
@@ -19,7 +19,7 @@
 
 func (m grantReceived) handle(f *Fleet) { f.handleGrant(m.from, &m.grant) }
 
-// membershipReceived brings a membership, with the settings of its plan as far as they came with it.
+// membershipReceived carries a membership, with those settings of its plan that are available.
 type membershipReceived struct {
 	membership *membership.Membership
 	settings   map[string][]byte
@@ -27,12 +27,12 @@
 
 func (m membershipReceived) handle(f *Fleet) { f.adoptMembership(m.membership, m.settings) }
 
-// membershipRequested tells that another member wants the present membership.
+// membershipRequested reports that another member requests the current membership.
 type membershipRequested struct{ from string }
 
 func (m membershipRequested) handle(f *Fleet) { f.sendMembership(m.from) }
 
-// settingsRequested tells that another member wants settings.
+// settingsRequested reports that another member requests settings.
 type settingsRequested struct {
 	from   takeover.Member
 	digest []byte
@@ -40,12 +40,12 @@
 
 func (m settingsRequested) handle(f *Fleet) { f.handleSettingsRequest(m.from, m.digest) }
 
-// settingsReceived brings settings that this member has requested.
+// settingsReceived carries settings that this member has requested.
 type settingsReceived struct{ text []byte }
 
 func (m settingsReceived) handle(f *Fleet) { f.handleSettings(m.text) }
 
-// settingsApplyFinished tells whether a version could be applied.
+// settingsApplyFinished carries the outcome of applying a version.
 type settingsApplyFinished struct {
 	version rollout.Version
 	err     error
--- a/internal/fleet/membership_updates.go
+++ b/internal/fleet/membership_updates.go
@@ -10,7 +10,7 @@
 	"damsonscale/internal/rollout"
 )
 
-// reopenInterval is between attempts to open the log.
+// reopenInterval is the interval of attempts to open the log.
 const reopenInterval = time.Second
 
 // runVoter keeps the replicated log, as soon as no other process of this sidecar does. A member that can't keep it is a member all
@@ -33,7 +33,7 @@
 	}
 }
 
-// runLog opens the log and keeps it until ctx ends or it fails.
+// runLog opens the log and runs it until ctx ends or the log fails.
 func (f *Fleet) runLog(ctx context.Context) error {
 	log, err := membership.OpenLog(membership.Config{
 		Directory: f.options.Fleet.StateDir, Name: f.name, Voters: f.voters, MemberNames: f.memberNames,
@@ -52,13 +52,14 @@
 	return err
 }
 
-// postMembership adopts a membership if it is newer, with the settings of its plan as far as they came with it.
+// postMembership posts a membership to runLeaseRenewal's goroutine, which adopts it if it is newer. settings are those settings
+// of its plan that are available, by digest.
 func (f *Fleet) postMembership(m *membership.Membership, settings map[string][]byte) {
 	f.post(membershipReceived{m, settings})
 }
 
-// adoptMembership hands a newer membership to all that depend on it, and to this member's children in the tree of members. On
-// runLeaseRenewal's goroutine.
+// adoptMembership replaces the membership by a newer one, passes it to the coordinator and the audit replicator, and forwards it
+// to this member's children in the tree of members. It runs on runLeaseRenewal's goroutine.
 func (f *Fleet) adoptMembership(m *membership.Membership, settings map[string][]byte) {
 	if m.Epoch <= f.membership.Load().Epoch {
 		return
--- a/internal/fleet/replicator_messages.go
+++ b/internal/fleet/replicator_messages.go
@@ -13,13 +13,13 @@
 	handle(r *auditReplicator)
 }
 
-// membershipChanged brings a newer membership.
+// membershipChanged carries a newer membership.
 type membershipChanged struct{ membership *membership.Membership }
 
 func (m membershipChanged) handle(r *auditReplicator) { r.onMembership(m.membership) }
 
-// incarnationStarted tells that this process has a new incarnation. done is closed once the records of the previous one are
-// closed; nil: nobody waits for that.
+// incarnationStarted reports that this process has a new incarnation. done, if not nil, is closed once the audit records of the
+// previous incarnation have ended.
 type incarnationStarted struct {
 	self takeover.Member
 	done chan struct{}
@@ -32,7 +32,7 @@
 	}
 }
 
-// segmentsReceived brings segments of another member.
+// segmentsReceived carries segments from another member.
 type segmentsReceived struct {
 	from     takeover.Member
 	segments []audit.SealedSegment
@@ -40,7 +40,7 @@
 
 func (m segmentsReceived) handle(r *auditReplicator) { r.storeSegments(m.from, m.segments) }
 
-// acksReceived brings a replica's acknowledgements.
+// acksReceived carries a replica's acknowledgements.
 type acksReceived struct {
 	from takeover.Member
 	acks []segmentAck
@@ -48,7 +48,8 @@
 
 func (m acksReceived) handle(r *auditReplicator) { r.acknowledge(m.from, m.acks) }
 
-// segmentsQuery asks for the segments of a name that are stored here, this member's own up to now included.
+// segmentsQuery asks for the segments of the named member that are stored here, including this member's own up to the present.
+// An empty name means all members.
 type segmentsQuery struct {
 	name   string
 	answer chan []audit.SealedSegment
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -7,8 +7,9 @@
 	"damsonscale/internal/takeover"
 )
 
-// Execute replicates a request, executes it with execute if this member is its owner, and returns what its client is to be
-// told. clientGone is closed when the client leaves. It blocks until the outcome is there or the request's timeout is over.
+// Execute replicates a request, executes it with execute if this member is its owner, and returns the outcome for its client.
+// clientGone is closed when the client disconnects. Execute blocks until there is an outcome, the client has disconnected or the
+// request has timed out.
 func (f *Fleet) Execute(r takeover.Request, clientGone <-chan struct{}, execute func(takeover.SendPermit) takeover.Result) takeover.Outcome {
 	waiter := make(chan takeover.Outcome, 1)
 	timeout := time.NewTimer(r.Timeout)
@@ -24,7 +25,7 @@
 			return o
 		case <-clientGone:
 			waiting = false
-		case <-timeout.C: // a request that is executing has until its body has come, and its timeout after that
+		case <-timeout.C: // a request that is executing may take up to MaxDuration, since its body may still be arriving
 			if waiting = r.MaxDuration > r.Timeout && f.coordinator.isExecuting(r.ID, waiter); waiting {
 				timeout.Reset(r.MaxDuration - r.Timeout)
 				r.MaxDuration = 0
@@ -34,7 +35,7 @@
 		}
 	}
 	f.coordinator.post(waiterLeft{r.ID, waiter})
-	select { // the outcome may have come at the same time
+	select { // the outcome may have arrived at the same time
 	case o := <-waiter:
 		return o
 	default:
@@ -42,8 +43,8 @@
 	}
 }
 
-// ReplicationPolicy is whether requests of a class are replicated before they are sent: as the options have it, else by their
-// idempotency.
+// ReplicationPolicy returns whether and how requests of a class are replicated before they are sent: by the options if they name
+// the class, else by the idempotency.
 func (f *Fleet) ReplicationPolicy(class string, i takeover.Idempotency) options.ReplicationPolicy {
 	if policy, ok := f.options.Takeover.PolicyByClass[class]; ok {
 		return policy
@@ -57,7 +58,7 @@
 	return options.NoReplication
 }
 
-// RequiredLease is the lease without which no request at all is accepted or sent; nil: none is required.
+// RequiredLease returns the lease without which no request at all is accepted or sent; nil: none is required.
 func (f *Fleet) RequiredLease() takeover.Lease {
 	if f.replicator == nil {
 		return nil
@@ -65,8 +66,8 @@
 	return f.lease.Load()
 }
 
-// MayReject reports whether a request that was read just now had not waited unread: the client of one that had may have
-// resumed it elsewhere, so that a rejection would be wrong.
+// MayReject reports whether a request that was read just now may be rejected. After a stall of this process a request may have
+// waited unread, and its client may have resumed it at another member, so a rejection would be wrong.
 func (f *Fleet) MayReject() bool {
 	answer := make(chan bool, 1)
 	select {
@@ -77,5 +78,5 @@
 	}
 }
 
-// MaxRequestAge is how long a request's record may be needed: the longest deadline of a class.
+// MaxRequestAge returns the longest time for which a request's record may be needed: by default the longest deadline of a class.
 func (f *Fleet) MaxRequestAge() time.Duration { return f.maxRequestAge }
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -12,38 +12,40 @@
 )
 
 const (
-	// maxReasonBytes bounds the reason that a report has.
+	// maxReasonBytes bounds the reason for a rejection in a report.
 	maxReasonBytes = 300
-	// countsDelay is how long answers after the adoption of a version are not counted for it: they belong to requests that had
-	// waited before, as in a member that was stopped for a while.
+	// countsDelay is the time after the adoption of a version for which responses are not counted for it. They may belong to a
+	// backlog of earlier requests: a suspended process adopts the version together with its backlog on resuming, and counting
+	// those responses could pause the rollout of a sound version.
 	countsDelay = time.Second
 )
 
-// settingsState is what this member knows of the rollout plan's settings. runLeaseRenewal's goroutine owns it.
+// settingsState is this member's state of the rollout plan's settings. runLeaseRenewal's goroutine owns it.
 type settingsState struct {
-	active       uint64 // number of the version in force; 0: this member's own file
-	digest       uint64 // of that version
+	active       uint64 // number of the version in force; 0: the member's own settings file
+	digest       uint64 // first 8 bytes of the digest of the version in force
 	activeSince  time.Time
-	previous     uint64                 // number of the version in force before
-	baseline     *rollout.ServiceCounts // answers under the active version that are not counted; nil: not known yet
+	previous     uint64                 // number of the version that was in force before
+	baseline     *rollout.ServiceCounts // responses under the active version that are not counted; nil: not known yet
 	applying     bool                   // a version is being applied
 	rejected     uint64                 // number of the latest version that could not be applied
 	rejectReason string
 
 	textByDigest    map[string][]byte // settings of the plan's versions, by digest
-	requestedNumber uint64            // version whose settings are requested
-	requestedAt     time.Time         // of the latest request
-	requests        int               // for that version
+	requestedNumber uint64            // version whose settings are being requested
+	requestedAt     time.Time         // time of the latest request
+	requests        int               // requests made for that version
 }
 
-// settingsReply answers a request for a version's settings.
+// settingsReply is the reply to a request for a version's settings.
 type settingsReply struct {
 	_        struct{} `cbor:",toarray"`
 	Settings []byte
 }
 
-// followPlan applies the version that the plan has for this member, and suspends the lease while the plan does not let this
-// member act. Version numbers only grow, since leases are granted for the reported one. On runLeaseRenewal's goroutine.
+// followPlan applies the version that the plan assigns to this member, and suspends the lease while the plan does not let this
+// member act. The active version number never decreases, since leases are granted for the reported one. followPlan runs on
+// runLeaseRenewal's goroutine.
 func (f *Fleet) followPlan() {
 	if f.replicator == nil {
 		return
@@ -70,7 +72,7 @@
 	}()
 }
 
-// onApplied notes the outcome of ApplySettings, and reports it to the leader with a lease request at once.
+// onApplied records the outcome of ApplySettings, and reports it to the leader at once with a lease request.
 func (f *Fleet) onApplied(v rollout.Version, err error) {
 	s := &f.settings
 	s.applying = false
@@ -85,7 +87,7 @@
 	f.requestLease()
 }
 
-// requestSettings asks another member for the settings of a version, at most twice per interval of lease requests.
+// requestSettings requests the settings of a version from another member, at most twice per interval of lease requests.
 func (f *Fleet) requestSettings(v rollout.Version) {
 	s := &f.settings
 	if s.requestedNumber != v.Number {
@@ -103,9 +105,9 @@
 	f.send(name, protocol.KindSettingsRequest, v.Digest[:])
 }
 
-// settingsSource chooses whom a member asks for settings after so many requests in vain: in turn one of the voters, who have
-// them with the log, and one of all members, who may be reachable where the voters are not. draw returns a random number
-// below its argument. It is false where there is no other member.
+// settingsSource selects the member from which to request settings after a number of unanswered requests. It alternates between
+// a random voter, since voters have the settings from the log, and a random member, which may be reachable when no voter is.
+// draw returns a random number below its argument. ok is false if there is no other member.
 func settingsSource(voters, memberNames []string, self string, requests int, draw func(int) int) (name string, ok bool) {
 	for _, candidates := range [][]string{voters, memberNames} {
 		if requests%2 == 1 {
@@ -121,14 +123,14 @@
 	return "", false
 }
 
-// handleSettingsRequest answers a request for settings that are known here.
+// handleSettingsRequest replies to a request for settings if they are known here.
 func (f *Fleet) handleSettingsRequest(from takeover.Member, digest []byte) {
 	if text, ok := f.settings.textByDigest[string(digest)]; ok {
 		f.sendMessage(from.Name, protocol.KindSettings, settingsReply{Settings: text})
 	}
 }
 
-// handleSettings takes settings that the plan names, and ignores others.
+// handleSettings stores received settings if they belong to a version of the plan, and ignores others.
 func (f *Fleet) handleSettings(text []byte) {
 	digest := rollout.DigestOf(text)
 	for _, v := range f.membership.Load().Plan.Versions {
@@ -140,7 +142,7 @@
 	}
 }
 
-// storeSettings adds settings to those that are known, and drops those that the plan does not name any more.
+// storeSettings adds settings to the known ones, and drops those of versions that are no longer in the plan.
 func (f *Fleet) storeSettings(added map[string][]byte) {
 	known := map[string][]byte{}
 	for _, v := range f.membership.Load().Plan.Versions {
@@ -154,7 +156,7 @@
 	f.settings.textByDigest = known
 }
 
-// setExcluded suspends this member's lease, or lets it be valid again.
+// setExcluded suspends this member's lease or ends the suspension. A suspension also closes idle connections.
 func (f *Fleet) setExcluded(excluded bool) {
 	if f.excluded.Swap(excluded) == excluded {
 		return
@@ -167,7 +169,7 @@
 	}
 }
 
-// rolloutReport is what this member reports to the leader with each lease request.
+// rolloutReport returns the report that this member sends to the leader with each lease request.
 func (f *Fleet) rolloutReport() (r rollout.Report) {
 	s := &f.settings
 	if f.replicator == nil {
@@ -191,8 +193,8 @@
 	return r
 }
 
-// updateBaseline sets from which counts on the answers under the active version are reported. Counts below the baseline are
-// those of a new incarnation, which starts from 0.
+// updateBaseline sets the counts from which responses under the active version are reported. Counts below the baseline belong to
+// a new incarnation, which counts from 0.
 func (s *settingsState) updateBaseline(current rollout.ServiceCounts) {
 	if s.baseline != nil && (current.Served < s.baseline.Served || current.Answered < s.baseline.Answered) {
 		s.baseline = nil
