--- a/cmd/damsonscale-fleet/main.go
+++ b/cmd/damsonscale-fleet/main.go
@@ -1,5 +1,5 @@
-// Command damsonscale-fleet is damsonscale as a member of a fleet. Nobody starts it by hand: damsonscale becomes it where
-// its options want a fleet.
+// Command damsonscale-fleet is damsonscale with fleet membership. Users do not start it directly: damsonscale executes it if its
+// options configure a fleet.
 package main
 
 import (
--- a/internal/fleet/membership/lease_table.go
+++ b/internal/fleet/membership/lease_table.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// clockSkew is the share of a lease by which two clocks may differ over it.
+	// clockSkew is the fraction of a lease's duration by which two clocks may drift apart during a lease.
 	clockSkew = 0.02
-	// stallThresholdTicks without one mean that this process was stopped itself.
+	// stallThresholdTicks is the number of missed tick intervals after which this process is taken to have been suspended.
 	stallThresholdTicks = 6
 )
 
-// leaseTable is a leader's knowledge of the leases that may be valid. It does no I/O; times are the leader's own clock.
+// leaseTable is a leader's record of the leases that may be valid. It does no I/O; times are by the leader's own clock.
 type leaseTable struct {
 	duration           time.Duration
-	unknownGrantsUntil time.Time // until then an earlier leader, or this one before a stall, may have granted leases that are not known here
+	unknownGrantsUntil time.Time // until then leases may have been granted that are not recorded here: by an earlier leader, or to requests unread in a stall
 	lastGrant          map[takeover.Member]time.Time
-	evicting           map[takeover.Member]time.Time // since when an eviction is proposed; such a member gets no lease
+	evicting           map[takeover.Member]time.Time // when the eviction was proposed; such a member gets no lease
 	lastTick           time.Time
 }
 
-// reset begins a term.
+// reset clears the table at the start of a leader's term.
 func (t *leaseTable) reset(now time.Time) {
 	t.unknownGrantsUntil, t.lastGrant, t.evicting = now, map[takeover.Member]time.Time{}, map[takeover.Member]time.Time{}
 }
 
-// recordTick notes that time has passed. After a stall of this process, requests that wait for it are not yet known: leases are
-// counted from then on.
+// recordTick records the time of a tick. After a stall of this process lease requests may still wait unread, so no member is
+// evicted before a full lease has passed since the stall.
 func (t *leaseTable) recordTick(now time.Time, interval time.Duration) {
 	if !t.lastTick.IsZero() && now.Sub(t.lastTick) > stallThresholdTicks*interval {
 		t.unknownGrantsUntil = now
@@ -36,7 +36,7 @@
 	t.lastTick = now
 }
 
-// grant reports whether a member may have a lease now, and notes that it got one.
+// grant reports whether a member may get a lease now, and if so records the grant.
 func (t *leaseTable) grant(now time.Time, m takeover.Member) bool {
 	if !t.evicting[m].IsZero() {
 		return false
@@ -45,8 +45,8 @@
 	return true
 }
 
-// expired lists the members whose last lease is over by any clock, and notes that their eviction is proposed. One whose
-// eviction was not agreed within a lease is listed again.
+// expired returns the members whose last lease has expired by any clock, and records that their eviction is proposed. A member
+// whose eviction was not committed within a lease's duration is returned again.
 func (t *leaseTable) expired(now time.Time, membership *Membership) (members []takeover.Member) {
 	for m := range t.lastGrant {
 		if !membership.Contains(m) {
@@ -56,7 +56,7 @@
 	}
 	longest := t.duration + time.Duration(float64(t.duration)*clockSkew)
 	for _, j := range membership.Members {
-		if t.lastGrant[j.Member].IsZero() { // joined just now, or the term has just begun: it gets the time to ask
+		if t.lastGrant[j.Member].IsZero() { // just joined, or the term has just begun: allow a full lease to send a request
 			t.lastGrant[j.Member] = now
 		}
 		from := t.unknownGrantsUntil
--- a/internal/fleet/membership/log.go
+++ b/internal/fleet/membership/log.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	compactAfterEntries = 1000 // entries behind a snapshot before the next one is taken
+	compactAfterEntries = 1000 // entries after a snapshot before the next one is taken
 	mailboxSize         = 256
 	electionTicks       = 10
 	heartbeatTicks      = 2
 	ticksPerLease       = 20
 	minTickInterval     = 5 * time.Millisecond
-	maxMessageBytes     = 64 << 10 // of entries in a raft message
-	maxInflightMessages = 64       // raft messages to a voter that it has not acknowledged
+	maxMessageBytes     = 64 << 10 // bytes of entries in a raft message
+	maxInflightMessages = 64       // unacknowledged raft messages to a voter
 )
 
-// Config is what a log is opened with.
+// Config is the configuration of a log.
 type Config struct {
 	Directory     string // of the stored log
 	Name          string // of this member, one of Voters
 	Voters        []string
-	MemberNames   []string // all configured ones
+	MemberNames   []string // of all configured members
 	LeaseDuration time.Duration
 	Guard         rollout.Guard
 	IgnoreFence   bool // an injected fault: leases are granted to members that the plan excludes
 
 	// Send sends a frame to a member, or drops it. It must not block.
 	Send func(name string, kind protocol.Kind, payload []byte)
-	// OnChange is told each new membership with the settings of its plan, by digest. Neither may be modified.
+	// OnChange is called with each new membership and the settings of its plan by digest. It must not modify either.
 	OnChange func(m *Membership, settings map[string][]byte)
 }
 
@@ -50,7 +50,7 @@
 	config       Config
 	codec        *protocol.Codec
 	tickInterval time.Duration
-	mailbox      chan logMessage // of Run's goroutine, which owns all below
+	mailbox      chan logMessage // received by Run's goroutine, which owns all fields below
 
 	store          *store
 	raftNode       *raft.RawNode
@@ -61,19 +61,19 @@
 	recoveredIndex uint64 // entries up to this one were committed before this process started
 	isLeader       bool
 
-	// Of a leader, from the beginning of its term.
+	// State of a leader since the start of its term.
 	leases             leaseTable
-	joining            map[takeover.Member]time.Time // when a join was last proposed
-	waitingRequests    []LeaseRequest                // for the next confirmation of leadership
-	confirmingRequests []LeaseRequest                // for the one in flight
-	readID             uint64                        // of the confirmation in flight
-	readIndex          uint64                        // index that has to be applied before it counts; 0: not known yet
+	joining            map[takeover.Member]time.Time // when the member's join was last proposed
+	waitingRequests    []LeaseRequest                // waiting for the next confirmation of leadership
+	confirmingRequests []LeaseRequest                // waiting for the confirmation in flight
+	readID             uint64                        // id of the confirmation in flight
+	readIndex          uint64                        // index that has to be applied before the requests are granted; 0: not confirmed yet
 	controller         rollout.Controller
 	reports            map[string]rollout.ReceivedReport // by member name
 	pendingCommands    map[uint64]func(error)            // replies to submitted commands, by command id
 }
 
-// OpenLog opens the stored log, which it creates if there is none. It returns ErrLogLocked while another process has it open.
+// OpenLog opens the stored log, or creates it if there is none. It returns ErrLogLocked while another process has the log open.
 func OpenLog(config Config) (*Log, error) {
 	var ids []uint64
 	for i := range config.Voters {
@@ -96,12 +96,12 @@
 	}
 	if err := l.recover(); err != nil {
 		s.close()
-		return nil, fmt.Errorf("the fleet's log: %w", err)
+		return nil, fmt.Errorf("membership log: %w", err)
 	}
 	return l, nil
 }
 
-// recover restores what is stored, and starts the raft node from it.
+// recover restores the stored state, and starts the raft node from it.
 func (l *Log) recover() error {
 	if hard, _, err := l.store.InitialState(); err == nil {
 		l.recoveredIndex = hard.GetCommit()
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// post hands a message to Run's goroutine, or drops it where the mailbox is full: whoever needs it sends it again.
+// post sends a message to Run's goroutine, or drops it if the mailbox is full: members and raft repeat their messages.
 func (l *Log) post(m logMessage) {
 	select {
 	case l.mailbox <- m:
@@ -143,13 +143,13 @@
 	}
 }
 
-// Run keeps the log until ctx ends, and closes its store. It returns an error where the log can't be kept any longer.
+// Run runs the log until ctx ends, and closes its store. It returns an error if the log can't continue.
 func (l *Log) Run(ctx context.Context) (err error) {
 	l.store.stop = ctx.Done()
 	defer l.store.close()
 	defer func() {
 		if p := recover(); p != nil { // raft panics on a broken invariant; this member then stops voting
-			err = fmt.Errorf("the fleet's log: %v", p)
+			err = fmt.Errorf("membership log: %v", p)
 		}
 	}()
 	ticker := time.NewTicker(l.tickInterval)
@@ -170,7 +170,7 @@
 	}
 }
 
-// tick does what is due by time, where this member leads.
+// tick proposes evictions and the rollout controller's commands, and confirms leadership, if this member is the leader.
 func (l *Log) tick(now time.Time) {
 	l.leases.recordTick(now, l.tickInterval)
 	if !l.isLeader {
@@ -187,7 +187,7 @@
 	l.confirmLeadership()
 }
 
-// propose appends a change to the log, where this member leads.
+// propose proposes a change as a log entry, which only the leader can do.
 func (l *Log) propose(c *Change) error {
 	data, err := l.codec.Marshal(c)
 	if err == nil {
@@ -200,7 +200,7 @@
 	return err
 }
 
-// processReady carries out what raft has ready, in its order: store first, then send, then apply what is committed.
+// processReady processes raft's Ready in the required order: store the state, then send messages, then apply committed entries.
 func (l *Log) processReady() error {
 	for l.raftNode.HasReady() {
 		ready := l.raftNode.Ready()
@@ -234,7 +234,7 @@
 	return l.compact()
 }
 
-// setLeader begins or ends this member's term as the leader.
+// setLeader starts or ends this member's term as the leader.
 func (l *Log) setLeader(leads bool) {
 	if leads == l.isLeader {
 		return
@@ -261,7 +261,7 @@
 	}
 	recovered := e.GetIndex() <= l.recoveredIndex
 	var c Change
-	if err := l.codec.Unmarshal(e.GetData(), &c); err != nil { // of a newer build: it changes nothing here
+	if err := l.codec.Unmarshal(e.GetData(), &c); err != nil { // written by a newer build: the entry has no effect here
 		eventlog.Error(eventEntryUnreadable, err, "index", e.GetIndex())
 		return
 	}
@@ -280,7 +280,7 @@
 	}
 }
 
-// sendRaft sends a raft message to the voter that it is for.
+// sendRaft sends a raft message to the voter that it is addressed to.
 func (l *Log) sendRaft(m *raftpb.Message) {
 	if m.GetTo() == 0 || m.GetTo() > uint64(len(l.config.Voters)) {
 		return
@@ -290,12 +290,12 @@
 		return
 	}
 	l.config.Send(l.config.Voters[m.GetTo()-1], protocol.KindRaft, payload)
-	if m.GetType() == raftpb.MsgSnap { // raft sends it again where it is lost
+	if m.GetType() == raftpb.MsgSnap { // raft sends it again if it is lost
 		l.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
 
-// HandleRaft takes a raft message of another voter.
+// HandleRaft accepts an encoded raft message from another voter.
 func (l *Log) HandleRaft(from string, payload []byte) {
 	l.post(raftMessage{from, payload})
 }
@@ -312,7 +312,7 @@
 	l.raftNode.Step(m) // an error means that the message has no effect
 }
 
-// recordReadIndex learns at which index the leadership in question is confirmed.
+// recordReadIndex records the index at which the leadership confirmation in flight has succeeded.
 func (l *Log) recordReadIndex(states []raft.ReadState) {
 	for _, s := range states {
 		if len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) == l.readID && len(l.confirmingRequests) > 0 {
@@ -321,7 +321,7 @@
 	}
 }
 
-// compact replaces the applied entries by a snapshot once there are many, to bound the log.
+// compact replaces the applied entries by a snapshot once there are compactAfterEntries, to bound the log.
 func (l *Log) compact() error {
 	first, err := l.store.FirstIndex()
 	if err != nil || l.appliedIndex < first+compactAfterEntries {
--- a/internal/fleet/membership/log_commands.go
+++ b/internal/fleet/membership/log_commands.go
@@ -10,20 +10,20 @@
 	"damsonscale/internal/rollout"
 )
 
-// Errors of a submitted command.
+// Errors that Submit returns.
 var (
-	// ErrNotLeader: another member has to be asked.
-	ErrNotLeader = errors.New("this member does not lead")
-	// ErrLeaderChanged: the command may be agreed all the same.
-	ErrLeaderChanged = errors.New("the fleet has changed its leader: whether this was agreed is not known here")
-	// ErrTimeout: the command may be agreed all the same.
-	ErrTimeout = errors.New("not agreed in time: too few members can be reached, or it may still be agreed; ask for the status")
-	// ErrBusy: the command was not submitted.
-	ErrBusy = errors.New("this member has too much to do")
+	// ErrNotLeader means that the command has to be submitted to another member.
+	ErrNotLeader = errors.New("this member is not the leader")
+	// ErrLeaderChanged means that the command may still be committed.
+	ErrLeaderChanged = errors.New("the leader changed: this member does not know whether the command was committed")
+	// ErrTimeout means that the command may still be committed.
+	ErrTimeout = errors.New("not committed in time: too few voters can be reached, or the command may still be committed; check the fleet's status")
+	// ErrBusy means that the command was not submitted.
+	ErrBusy = errors.New("this member is overloaded")
 )
 
-// Submit appends an operator's command to the log and waits until it is applied or ctx ends. It returns one of the errors
-// above, or why the plan does not allow the command.
+// Submit appends an operator's command to the log and waits until it is applied or ctx ends. It returns one of the errors above,
+// or the reason why the plan does not allow the command.
 func (l *Log) Submit(ctx context.Context, c *rollout.Command) error {
 	done := make(chan error, 1)
 	select {
@@ -39,7 +39,7 @@
 	}
 }
 
-// submit proposes a command. reply is called once and must not block.
+// submit proposes a command. It calls reply once with the outcome; reply must not block.
 func (l *Log) submit(c *rollout.Command, reply func(error)) {
 	if !l.isLeader {
 		reply(ErrNotLeader)
@@ -50,8 +50,8 @@
 	}
 }
 
-// proposeCommand checks a command against the plan as of now, so that the operator is told at once what is wrong with it, and
-// proposes it. Without an error reply follows when the command is applied.
+// proposeCommand validates a command against the current plan, so that the operator gets an error at once, and proposes it. If it
+// returns no error, reply is called when the command is applied.
 func (l *Log) proposeCommand(c *rollout.Command, reply func(error)) error {
 	if _, err := l.membership.Plan.Apply(c, l.config.MemberNames, l.membership.Names()); err != nil {
 		return err
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// applyCommand applies a committed command, and keeps the settings of the versions that the plan has then.
+// applyCommand applies a committed command, and retains the settings of the versions in the resulting plan.
 func (l *Log) applyCommand(c *rollout.Command, recovered bool) {
 	next, err := l.membership.Plan.Apply(c, l.config.MemberNames, l.membership.Names())
 	if reply := l.pendingCommands[c.ID]; reply != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// settingsOfPlan returns the settings of the versions of a plan, after the command that led to it.
+// settingsOfPlan returns the settings of a plan's versions, given the previous settings and the command that led to the plan.
 func settingsOfPlan(previous map[string][]byte, plan *rollout.Plan, c *rollout.Command) map[string][]byte {
 	after := map[string][]byte{}
 	for _, v := range plan.Versions {
@@ -106,14 +106,14 @@
 	return after
 }
 
-// Status is what a voter knows as the leader, if it leads.
+// Status is a voter's state as the leader; empty if the voter is not the leader.
 type Status struct {
 	IsLeader   bool
 	Reports    map[string]rollout.ReceivedReport // by member name
 	WaitReason string                            // why the rollout does not progress
 }
 
-// Status returns the status of this voter; false: it had too much to do until ctx ended.
+// Status returns the status of this voter, or false if ctx ends before there is a reply.
 func (l *Log) Status(ctx context.Context) (Status, bool) {
 	answer := make(chan Status, 1)
 	select {
--- a/internal/fleet/membership/log_leases.go
+++ b/internal/fleet/membership/log_leases.go
@@ -9,11 +9,11 @@
 	"damsonscale/internal/takeover"
 )
 
-// maxWaitingRequests bounds the lease requests that wait for the next confirmation; members repeat theirs.
+// maxWaitingRequests bounds the lease requests that wait for the next confirmation of leadership; members repeat dropped ones.
 const maxWaitingRequests = 4 * mailboxSize
 
-// HandleLeaseRequest takes a member's request for a lease. Only the leader replies. A member whose process has not joined yet
-// joins first, and gets its lease by a later request.
+// HandleLeaseRequest accepts a member's request for a lease. Only the leader replies. The request of a process that has not joined
+// yet makes it join; a later request then gets the lease.
 func (l *Log) HandleLeaseRequest(r LeaseRequest) {
 	l.post(leaseRequested{r})
 }
@@ -38,9 +38,9 @@
 	}
 }
 
-// confirmLeadership asks a quorum whether this member still leads, once for all requests that wait: a lease is granted only
-// if it did after the request came. It is called at each tick, not at each request, so that the rounds of confirmation do not
-// grow with the members.
+// confirmLeadership starts one confirmation by a quorum that this member is still the leader, for all waiting requests: a lease is
+// granted only if leadership is confirmed after the request arrived. It is called at each tick rather than for each request, so
+// that the number of confirmation rounds does not grow with the number of members.
 func (l *Log) confirmLeadership() {
 	if len(l.confirmingRequests) > 0 || len(l.waitingRequests) == 0 {
 		return
@@ -50,8 +50,8 @@
 	l.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, l.readID))
 }
 
-// answerLeaseRequests replies to the requests for which leadership is confirmed, by the membership at that moment or later: the
-// plan may exclude a member since its request came.
+// answerLeaseRequests replies to the requests for which leadership is confirmed. It checks them against the membership again, since
+// a member may have been evicted or excluded after its request arrived.
 func (l *Log) answerLeaseRequests() {
 	if l.readIndex == 0 || l.appliedIndex < l.readIndex {
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-// mayLease reports whether the rollout plan lets a member act on what it has reported.
+// mayLease reports whether the rollout plan lets a member act under the version that it has reported as active.
 func (l *Log) mayLease(r *LeaseRequest) bool {
 	return l.config.IgnoreFence || l.membership.Plan.MayLease(r.Member.Name, r.Report.Active)
 }
@@ -84,7 +84,7 @@
 	}
 }
 
-// HandleLeave evicts a member at its own word that it has ended its work.
+// HandleLeave evicts a member that has announced its shutdown, before its lease expires.
 func (l *Log) HandleLeave(m takeover.Member) {
 	l.post(memberLeft{m})
 }
--- a/internal/fleet/membership/log_messages.go
+++ b/internal/fleet/membership/log_messages.go
@@ -10,7 +10,7 @@
 	handle(l *Log)
 }
 
-// raftMessage brings an encoded message of another voter.
+// raftMessage carries an encoded raft message from another voter.
 type raftMessage struct {
 	from    string
 	payload []byte
@@ -18,17 +18,17 @@
 
 func (m raftMessage) handle(l *Log) { l.stepRaft(m.from, m.payload) }
 
-// leaseRequested brings a member's request for a lease.
+// leaseRequested carries a member's request for a lease.
 type leaseRequested struct{ request LeaseRequest }
 
 func (m leaseRequested) handle(l *Log) { l.handleLeaseRequest(m.request) }
 
-// memberLeft tells that a member has ended its work.
+// memberLeft reports that a member has announced its shutdown.
 type memberLeft struct{ member takeover.Member }
 
 func (m memberLeft) handle(l *Log) { l.handleLeave(m.member) }
 
-// commandSubmitted brings an operator's command. done has space for its outcome.
+// commandSubmitted carries an operator's command. done is buffered for the outcome.
 type commandSubmitted struct {
 	command *rollout.Command
 	done    chan error
@@ -36,7 +36,7 @@
 
 func (m commandSubmitted) handle(l *Log) { l.submit(m.command, func(err error) { m.done <- err }) }
 
-// statusQuery asks what this voter knows. answer has space for it.
+// statusQuery asks for this voter's status. answer is buffered for it.
 type statusQuery struct{ answer chan Status }
 
 func (m statusQuery) handle(l *Log) { m.answer <- l.status() }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -10,36 +10,36 @@
 	"damsonscale/internal/takeover"
 )
 
-// maxEvictedPerName bounds the evicted incarnations that are known of each name.
+// maxEvictedPerName bounds the evicted incarnations that are recorded for each name.
 const maxEvictedPerName = 16
 
-// ErrInvalid is a membership that no log can have led to.
+// ErrInvalid means that no sequence of log entries leads to a membership.
 var ErrInvalid = errors.New("invalid membership")
 
-// Change is an entry of the log. With Command it changes the rollout plan, else who is a member.
+// Change is an entry of the log. With Command it changes the rollout plan; otherwise Member joins or is evicted.
 type Change struct {
 	_       struct{} `cbor:",toarray"`
-	Evict   bool     // else Member joins
+	Evict   bool     // Member is evicted; false: Member joins
 	Member  takeover.Member
-	Address string // where it listens; empty: where the options say
+	Address string // at which Member listens; empty: its configured address
 	Command *rollout.Command
 }
 
-// JoinedMember is a member of the fleet.
+// JoinedMember is a current member of the fleet.
 type JoinedMember struct {
 	_                struct{} `cbor:",toarray"`
 	Member           takeover.Member
 	JoinedEpoch      uint64
-	FirstIncarnation bool // no process of its name was a member before
+	FirstIncarnation bool // no process of this name was a member before
 	Address          string
 }
 
-// Membership is what the log says up to an epoch. It is immutable.
+// Membership is the state after the log's changes up to an epoch. It is immutable.
 type Membership struct {
 	_       struct{} `cbor:",toarray"`
 	Epoch   uint64
 	Members []JoinedMember      // in the order of joining
-	Evicted map[string][]uint64 // by name the latest evicted incarnations
+	Evicted map[string][]uint64 // latest evicted incarnations by name, oldest first
 	Plan    rollout.Plan
 }
 
@@ -55,7 +55,7 @@
 	return slices.Contains(m.Evicted[member.Name], member.Incarnation)
 }
 
-// Names are the names of the members, in the order of joining.
+// Names returns the names of the members in the order of joining.
 func (m *Membership) Names() (names []string) {
 	for _, j := range m.Members {
 		names = append(names, j.Member.Name)
@@ -68,8 +68,8 @@
 	return len(m.Evicted[name]) > 0 || slices.ContainsFunc(m.Members, func(j JoinedMember) bool { return j.Member.Name == name })
 }
 
-// Apply returns the membership after a change: m itself where the change has no effect. configuredNames are the names of all
-// members, joined or not, of which a plan's shares are counted.
+// Apply returns the membership after a change, or m itself if the change has no effect. configuredNames are the names of all
+// configured members, joined or not; a plan's share is a share of them.
 func (m *Membership) Apply(c *Change, configuredNames []string) *Membership {
 	if c.Command != nil {
 		plan, err := m.Plan.Apply(c.Command, configuredNames, m.Names())
@@ -101,7 +101,7 @@
 	return next
 }
 
-// View is the membership in the terms of package takeover.
+// View returns the membership in the form that package takeover uses.
 func (m *Membership) View() *takeover.View {
 	v := &takeover.View{Epoch: m.Epoch, Members: make(map[takeover.Member]takeover.MemberInfo, len(m.Members))}
 	for _, j := range m.Members {
@@ -110,7 +110,7 @@
 	return v
 }
 
-// AddressOf returns where the process of a name listens that joined first, else the configured address.
+// AddressOf returns the address of the first joined process of a name, or configured if there is none or it announced no address.
 func (m *Membership) AddressOf(name, configured string) string {
 	for _, j := range m.Members {
 		if j.Member.Name == name {
@@ -123,7 +123,7 @@
 	return configured
 }
 
-// Validate returns ErrInvalid for a membership that no log can have led to.
+// Validate returns ErrInvalid if no sequence of log entries leads to this membership.
 func (m *Membership) Validate() error {
 	seen := map[takeover.Member]bool{}
 	for _, j := range m.Members {
--- a/internal/fleet/membership/messages.go
+++ b/internal/fleet/membership/messages.go
@@ -9,22 +9,22 @@
 type LeaseRequest struct {
 	_           struct{} `cbor:",toarray"`
 	Member      takeover.Member
-	RequestedAt int64  // by the member's own clock, in ns; comes back with the grant
-	Address     string // where the member listens; empty: where the options say
+	RequestedAt int64  // by the member's own clock, in ns; the grant returns it
+	Address     string // at which the member listens; empty: its configured address
 	Report      rollout.Report
 }
 
-// LeaseGrant is a leader's reply. The lease lasts from RequestedAt on, unless Evicted or Excluded refuse it.
+// LeaseGrant is a leader's reply to a LeaseRequest. The lease counts from RequestedAt; with Evicted or Excluded it is refused.
 type LeaseGrant struct {
 	_           struct{} `cbor:",toarray"`
 	Member      takeover.Member
 	RequestedAt int64
 	Epoch       uint64
-	Evicted     bool // the member was evicted: its process has to rejoin with a new incarnation
-	Excluded    bool // by the rollout plan as of Epoch the member may not act
+	Evicted     bool // the member was evicted and has to rejoin with a new incarnation
+	Excluded    bool // the rollout plan as of Epoch does not let the member act
 }
 
-// snapshot replaces the entries of the log up to an index.
+// snapshot is the state that replaces the log's entries up to an index.
 type snapshot struct {
 	_          struct{} `cbor:",toarray"`
 	Membership *Membership
--- a/internal/fleet/membership/raft_logger.go
+++ b/internal/fleet/membership/raft_logger.go
@@ -7,8 +7,8 @@
 	"damsonscale/internal/eventlog"
 )
 
-// raftLogger is raft's logger: errors go into the program's log, and what raft panics with is recovered in Log.Run. What it
-// says of normal operation is left out, since the log has events of its own for it.
+// raftLogger is raft's logger. Errors go to the program's event log, and raft's panics are recovered in Log.Run. Messages of lower
+// levels are dropped, since package membership logs its own events for normal operation.
 type raftLogger struct{}
 
 // Debug is dropped.
--- a/internal/fleet/membership/store.go
+++ b/internal/fleet/membership/store.go
@@ -20,28 +20,28 @@
 
 const (
 	storeFile         = "fleet.db"
-	lockTimeout       = 20 * time.Millisecond // for another process of this sidecar to release the file
-	persistRetryDelay = 50 * time.Millisecond // after a write that the operating system refused
-	maxIndex          = 1 << 63               // above that of any entry
+	lockTimeout       = 20 * time.Millisecond // for another process of this sidecar to release the file lock
+	persistRetryDelay = 50 * time.Millisecond // after a write that failed with an error of the operating system
+	maxIndex          = 1 << 63               // above the index of any entry
 )
 
 // ErrLogLocked is returned while another process of this sidecar has the stored log open.
-var ErrLogLocked = errors.New("another process of this sidecar keeps the fleet's log")
+var ErrLogLocked = errors.New("another process of this sidecar has the membership log open")
 
 var (
-	entriesBucket = []byte("entries") // by index, big endian
+	entriesBucket = []byte("entries") // raft entries by index, big endian
 	stateBucket   = []byte("state")
 	hardKey       = []byte("hard")
 	snapshotKey   = []byte("snapshot")
 )
 
-// store keeps raft's state in memory and in a bbolt file. What save has returned for is synced.
+// store keeps raft's state in memory and in a bbolt file. Once save has returned, its data is synced to disk.
 type store struct {
 	*raft.MemoryStorage
 	db *bbolt.DB
 
-	stop   <-chan struct{}                   // closed when failed writes are not to be retried any more; nil: never
-	update func(func(*bbolt.Tx) error) error // replaces the database's in tests; nil: the database's
+	stop   <-chan struct{}                   // once closed, failed writes are no longer retried; nil: never closed
+	update func(func(*bbolt.Tx) error) error // replaces db.Update in tests; nil: db.Update
 }
 
 // openStore opens the stored log of a voter, or creates it. All voters start from the same empty log.
@@ -64,7 +64,7 @@
 	return s, nil
 }
 
-// load reads what is stored into memory.
+// load reads the stored state into memory.
 func (s *store) load(voters []uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		entries, err := tx.CreateBucketIfNotExists(entriesBucket)
@@ -95,7 +95,7 @@
 	})
 }
 
-// loadSnapshot reads the snapshot, or makes the one that all logs start from.
+// loadSnapshot reads the snapshot, or returns the initial one that all voters start from.
 func loadSnapshot(state *bbolt.Bucket, voters []uint64) (*raftpb.Snapshot, error) {
 	encoded := state.Get(snapshotKey)
 	if encoded == nil {
@@ -110,7 +110,7 @@
 	return snapshot, nil
 }
 
-// loadHardState reads the term, vote and commit index, or makes those that all logs start from.
+// loadHardState reads the term, vote and commit index, or returns the initial ones that all voters start from.
 func loadHardState(state *bbolt.Bucket) (*raftpb.HardState, error) {
 	encoded := state.Get(hardKey)
 	if encoded == nil {
@@ -123,7 +123,7 @@
 	return hardState, nil
 }
 
-// loadEntries reads the entries behind an index.
+// loadEntries reads the entries after an index.
 func loadEntries(bucket *bbolt.Bucket, index uint64) (entries []*raftpb.Entry, err error) {
 	err = bucket.ForEach(func(_, encoded []byte) error {
 		e := new(raftpb.Entry)
@@ -138,9 +138,9 @@
 	return entries, err
 }
 
-// persist makes an update, and retries it while the operating system refuses the write: a directory may fail for a while. Raft
-// must not send what is not stored, so this blocks the log's goroutine; meanwhile another voter leads and this member's lease
-// ends. It returns an error once stop is closed, and at once for a fault that is not the operating system's.
+// persist makes an update, and retries it while writes fail with an error of the operating system, since such a failure may be
+// temporary. Raft must not send messages before their state is stored, so persist blocks the log's goroutine; another voter then
+// becomes the leader and this member's lease expires. It returns an error once stop is closed, and at once for any other error.
 func (s *store) persist(change func(*bbolt.Tx) error) error {
 	update := s.db.Update
 	if s.update != nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-// save stores what raft needs to have on disk before its messages are sent.
+// save stores the state that raft needs on disk before its messages are sent.
 func (s *store) save(ready *raft.Ready) error {
 	hasHardState, hasSnapshot := !raft.IsEmptyHardState(ready.HardState), !raft.IsEmptySnap(ready.Snapshot)
 	if !hasHardState && !hasSnapshot && len(ready.Entries) == 0 {
@@ -187,7 +187,7 @@
 	return s.Append(ready.Entries)
 }
 
-// writeReady writes what raft has ready in a transaction.
+// writeReady writes the hard state, snapshot and entries of a Ready in a transaction.
 func writeReady(tx *bbolt.Tx, ready *raft.Ready) error {
 	entries, state := tx.Bucket(entriesBucket), tx.Bucket(stateBucket)
 	if !raft.IsEmptyHardState(ready.HardState) {
@@ -203,7 +203,7 @@
 			return err
 		}
 	}
-	if len(ready.Entries) > 0 { // they replace all entries from their index on
+	if len(ready.Entries) > 0 { // the new entries replace all stored ones from their first index on
 		if err := deleteEntries(entries, ready.Entries[0].GetIndex(), maxIndex); err != nil {
 			return err
 		}
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// compact replaces the entries up to an index by a snapshot with this data.
+// compact replaces the entries up to an index by a snapshot with the given data.
 func (s *store) compact(index uint64, conf *raftpb.ConfState, data []byte) error {
 	snapshot, err := s.CreateSnapshot(index, conf, data)
 	if err != nil {
@@ -246,7 +246,7 @@
 	return b.Put(k, text)
 }
 
-// deleteEntries deletes the entries from one index to another, both included.
+// deleteEntries deletes the entries from one index to another, both inclusive.
 func deleteEntries(b *bbolt.Bucket, from, to uint64) error {
 	var old [][]byte
 	c := b.Cursor()
--- a/internal/fleet/membership/voters.go
+++ b/internal/fleet/membership/voters.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// maxVoters bounds the voters: more would make agreement slower without surviving losses that matter.
+// maxVoters bounds the number of voters. More voters would slow down commits, and five already survive the loss of two.
 const maxVoters = 5
 
-// Voters are the members that keep the log: the first names in order, an odd number of them, since an even number survives no
-// more losses than one fewer.
+// Voters returns the names of the members that replicate the log: the first in sorted order. Their number is odd, since an even
+// number of voters survives no more losses than the odd number below it.
 func Voters(memberNames []string) []string {
 	sorted := slices.Sorted(slices.Values(memberNames))
 	n := min(len(sorted), maxVoters)
 	return sorted[:n-(n+1)%2]
 }
 
-// treeFanout is to how many others each member forwards a new membership.
+// treeFanout is the number of members to which each member forwards a new membership.
 const treeFanout = 4
 
-// TreeChildren lists to whom a member forwards a new membership: its children in a tree over all names in order, without the
-// voters, who have it from the log. Where a member is down, those below it learn from their lease's grant that there is a
-// later epoch, and ask for it.
+// TreeChildren returns the members to which a member forwards a new membership: its children in a tree over the sorted names,
+// without the voters, which get the membership from the log. If a member is down, its descendants see the later epoch in their
+// next lease grant, and request the membership.
 func TreeChildren(sortedNames []string, name string, voters int) []string {
 	index := slices.Index(sortedNames, name)
 	if index < 0 {
--- a/internal/fleet/protocol/codec.go
+++ b/internal/fleet/protocol/codec.go
@@ -2,7 +2,7 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Bounds of what is decoded.
+// Bounds on decoded data.
 const (
 	maxArrayElements = 1 << 16
 	maxMapPairs      = 1 << 12
@@ -16,7 +16,7 @@
 	encode       cbor.EncMode
 }
 
-// NewCodec makes a codec.
+// NewCodec returns a codec.
 func NewCodec() (*Codec, error) {
 	options := cbor.DecOptions{
 		MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNestedLevels,
@@ -38,9 +38,9 @@
 // Marshal encodes a value.
 func (c *Codec) Marshal(v any) ([]byte, error) { return c.encode.Marshal(v) }
 
-// Unmarshal decodes data into v. Data that exceeds the bounds, has unknown fields or bytes behind its end is an error.
+// Unmarshal decodes data into v. It returns an error for data that exceeds the bounds or has unknown fields or trailing bytes.
 func (c *Codec) Unmarshal(data []byte, v any) error { return c.decode.Unmarshal(data, v) }
 
-// UnmarshalStored is Unmarshal for snapshots of the membership log: their map of settings has raw digests as text keys, which are
-// no valid UTF-8.
+// UnmarshalStored is Unmarshal for snapshots of the membership log. Their settings have raw digests as text keys, which need not be
+// valid UTF-8.
 func (c *Codec) UnmarshalStored(data []byte, v any) error { return c.decodeStored.Unmarshal(data, v) }
--- a/internal/fleet/protocol/doc.go
+++ b/internal/fleet/protocol/doc.go
@@ -1,3 +1,3 @@
-// Package protocol has what all parts of a fleet's members agree on: the kinds of frames that they send to each other, the
-// encoding of payloads, and the number that tells fleets apart.
+// Package protocol defines the parts of the protocol between a fleet's members that all packages share: the kinds of frames, the
+// encoding of payloads, and the identifier of a fleet.
 package protocol
--- a/internal/fleet/protocol/fleet_id.go
+++ b/internal/fleet/protocol/fleet_id.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FleetID tells fleets apart: it is a hash of the configured members' names, in any order.
+// FleetID returns the identifier of a fleet: a hash of the configured members' names, whatever their order.
 func FleetID(memberNames []string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
