--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -8,7 +8,7 @@
 	"damsonscale/internal/takeover"
 )
 
-// Whatever messages a member sends, the memory of a replica stays bounded and nothing panics.
+// Arbitrary messages from a member neither make a replica panic nor exceed its memory bounds, and all records expire.
 func FuzzTakeoverMessages(f *testing.F) {
 	c, err := protocol.NewCodec()
 	if err != nil {
@@ -40,7 +40,7 @@
 			n.Handle(5, b, &all[i])
 		}
 		if records, bytes := n.Usage(); records > 8 || bytes > 4096 {
-			t.Fatalf("%d records of %d bytes", records, bytes)
+			t.Fatalf("%d records with %d bytes, want at most 8 records with 4096 bytes", records, bytes)
 		}
 		for now := int64(10); now < 10_000; now += 100 {
 			n.Tick(now)
@@ -48,7 +48,7 @@
 			n.TakeEvents()
 		}
 		if records, bytes := n.Usage(); records != 0 || bytes != 0 {
-			t.Fatalf("%d records of %d bytes are stored forever", records, bytes)
+			t.Fatalf("%d records with %d bytes have not expired, want none", records, bytes)
 		}
 	})
 }
--- a/internal/fleet/membership/lease_table.go
+++ b/internal/fleet/membership/lease_table.go
@@ -16,7 +16,7 @@
 // leaseTable is a leader's record of the leases that may be valid. It does no I/O; times are by the leader's own clock.
 type leaseTable struct {
 	duration           time.Duration
-	unknownGrantsUntil time.Time // until then leases may have been granted that are not recorded here: by an earlier leader, or to requests unread in a stall
+	unknownGrantsUntil time.Time // an earlier leader, or this one before a stall, may have granted unrecorded leases until then
 	lastGrant          map[takeover.Member]time.Time
 	evicting           map[takeover.Member]time.Time // when the eviction was proposed; such a member gets no lease
 	lastTick           time.Time
--- a/internal/fleet/membership/log_test.go
+++ b/internal/fleet/membership/log_test.go
@@ -8,7 +8,7 @@
 	"damsonscale/internal/fleet/protocol"
 )
 
-// testConfig is that of the only voter of a fleet, whose messages go nowhere.
+// testConfig returns the configuration of a fleet's only voter. Its messages are discarded.
 func testConfig(directory string) Config {
 	return Config{
 		Directory: directory, Name: "n00", Voters: []string{"n00"}, LeaseDuration: time.Second,
@@ -16,7 +16,7 @@
 	}
 }
 
-// The lease requests of a tick share one confirmation of leadership, and all of them are granted by it.
+// All lease requests of a tick share one confirmation of leadership, and are granted once it succeeds.
 func TestLeaseRequestsOfATickShareOneLeadershipConfirmation(t *testing.T) {
 	l, err := OpenLog(testConfig(t.TempDir()))
 	if err != nil {
@@ -29,34 +29,34 @@
 			granted[name]++
 		}
 	}
-	do := func(f func()) {
+	processAfter := func(f func()) {
 		t.Helper()
 		f()
 		if err := l.processReady(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	do(func() { l.raftNode.Campaign() })
+	processAfter(func() { l.raftNode.Campaign() })
 	const members = 30
 	for i := range members {
 		l.config.MemberNames = append(l.config.MemberNames, fmt.Sprintf("n%02d", i))
 	}
 	for range 3 {
-		request := func() {
+		requestLeases := func() {
 			for i, name := range l.config.MemberNames {
-				do(func() { l.handleLeaseRequest(LeaseRequest{Member: member(name, uint64(i+1)), RequestedAt: 1}) })
+				processAfter(func() { l.handleLeaseRequest(LeaseRequest{Member: member(name, uint64(i+1)), RequestedAt: 1}) })
 			}
 		}
-		request()
+		requestLeases()
 		if len(l.membership.Names()) < members {
-			request() // the first requests were to join
+			requestLeases() // the first requests make the members join
 		}
 		before := l.readID
 		clear(granted)
-		request()
-		do(func() { l.tick(time.Now()) })
+		requestLeases()
+		processAfter(func() { l.tick(time.Now()) })
 		if confirmations := l.readID - before; confirmations != 1 || len(granted) != members {
-			t.Errorf("%d confirmations for the requests of %d members, of which %d have a grant", confirmations, members, len(granted))
+			t.Errorf("got %d confirmations for the requests of %d members, of which %d got a grant; want 1 confirmation and a grant for each", confirmations, members, len(granted))
 		}
 	}
 }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -6,18 +6,19 @@
 	"damsonscale/internal/takeover"
 )
 
-// member is a member of that name and incarnation.
+// member returns a member with a name and an incarnation.
 func member(name string, n uint64) takeover.Member {
 	return takeover.Member{Name: name, Incarnation: n}
 }
 
-// The epoch counts changes, and neither a duplicate nor a late change has an effect.
+// Each effective change increments the epoch by one. A duplicate or late change has no effect, and no change modifies the old
+// membership.
 func TestMembershipAppliesEachChangeOnce(t *testing.T) {
 	m, a1, a2 := &Membership{}, member("a", 1), member("a", 2)
 	for i, c := range []struct {
 		change   Change
 		epoch    uint64
-		isMember bool // after it
+		isMember bool // whether the change's member is a member after it
 	}{
 		{Change{Member: a1}, 1, true},
 		{Change{Member: a1}, 1, true},
@@ -30,14 +31,14 @@
 		old := *m
 		next := m.Apply(&c.change, nil)
 		if next.Epoch != c.epoch || next.Contains(c.change.Member) != c.isMember || m.Epoch != old.Epoch || len(m.Members) != len(old.Members) {
-			t.Fatalf("change %d: %+v of %+v", i, next, old)
+			t.Fatalf("change %d: got %+v from %+v", i, next, old)
 		}
 		m = next
 	}
 	v := m.View()
 	if s := v.Members[a2]; len(v.Members) != 1 || s.JoinedEpoch != 2 || s.FirstIncarnation ||
 		m.AddressOf("a", "configured") != "x:1" || m.AddressOf("b", "configured") != "configured" {
-		t.Fatalf("%+v", v)
+		t.Fatalf("got view %+v, want only %v, joined at epoch 2, not its first incarnation, at address x:1", v, a2)
 	}
 	for _, invalid := range []*Membership{
 		{Epoch: 1, Members: []JoinedMember{{Member: a1, JoinedEpoch: 2}}},
@@ -45,7 +46,7 @@
 		{Epoch: 1, Members: []JoinedMember{{Member: a1}, {Member: a1}}},
 	} {
 		if invalid.Validate() == nil {
-			t.Errorf("accepted: %+v", invalid)
+			t.Errorf("Validate accepted the invalid membership %+v", invalid)
 		}
 	}
 }
--- a/internal/fleet/membership/stored_test.go
+++ b/internal/fleet/membership/stored_test.go
@@ -14,7 +14,7 @@
 	"damsonscale/internal/rollout"
 )
 
-// openStored opens a copy of a log in testdata.
+// openStored opens a copy of a stored log in testdata.
 func openStored(t *testing.T, file string) (*Log, error) {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", file))
@@ -28,17 +28,18 @@
 	return OpenLog(testConfig(dir))
 }
 
-// expectStored checks what a log of testdata has: in its snapshot, whose entries end before first, and in the entries behind it.
+// expectStored checks the content of a log from testdata: its snapshot, after which first is the first entry, and the membership
+// after its entries.
 func expectStored(t *testing.T, l *Log, first uint64, snapshot *Membership, settings map[string][]byte) {
 	t.Helper()
 	from, _ := l.store.FirstIndex()
 	last, _ := l.store.LastIndex()
 	hard, _, err := l.store.InitialState()
 	if err != nil || from != first || last != 11 || hard.GetTerm() != 2 || hard.GetVote() != 1 || hard.GetCommit() != 11 || l.recoveredIndex != 11 {
-		t.Errorf("entries %d to %d, state %v, committed before up to %d: %v", from, last, hard, l.recoveredIndex, err)
+		t.Errorf("got entries %d to %d, hard state %v, recovered index %d, error %v; want entries %d to 11, term 2, vote 1, commit and recovered index 11", from, last, hard, l.recoveredIndex, err, first)
 	}
 	if l.appliedIndex != first-1 || !equalAsJSON(t, l.membership, snapshot) || !reflect.DeepEqual(l.settings, settings) {
-		t.Errorf("snapshot at %d: %+v %q", l.appliedIndex, l.membership, l.settings)
+		t.Errorf("snapshot at index %d: got membership %+v, settings %q; want index %d, %+v, %q", l.appliedIndex, l.membership, l.settings, first-1, snapshot, settings)
 	}
 	l.config.MemberNames = []string{"n00", "n01", "n02"}
 	changes := 0
@@ -56,11 +57,11 @@
 		},
 	}
 	if l.appliedIndex != 11 || changes == 0 || !equalAsJSON(t, l.membership, final) || !reflect.DeepEqual(l.settings, storedSettingsByDigest) {
-		t.Errorf("entries up to %d, %d changes: %+v %q", l.appliedIndex, changes, l.membership, l.settings)
+		t.Errorf("entries applied up to %d, %d calls of OnChange: got membership %+v, settings %q; want index 11, %+v, %q", l.appliedIndex, changes, l.membership, l.settings, final, storedSettingsByDigest)
 	}
 }
 
-// The version that was rolled out in the logs of testdata.
+// Settings and version that are rolled out in the logs of testdata.
 var (
 	storedSettings         = []byte(`{"settings": {}}`)
 	storedDigest           = rollout.DigestOf(storedSettings)
@@ -68,7 +69,7 @@
 	storedSettingsByDigest = map[string][]byte{string(storedDigest[:]): storedSettings}
 )
 
-// storedSnapshot is the membership in the snapshots of testdata, but for the version.
+// storedSnapshot returns the membership in the snapshots of testdata, without the rolled out version.
 func storedSnapshot() *Membership {
 	return &Membership{
 		Epoch:   4,
@@ -77,7 +78,7 @@
 	}
 }
 
-// A log that commit 2029d41 wrote, with a snapshot and entries behind it, is read completely.
+// A log written by commit 2029d41, with a snapshot and later entries, is read completely.
 func TestStoredLogIsRead(t *testing.T) {
 	l, err := openStored(t, "fleet-2029d41.db")
 	if err != nil {
@@ -87,7 +88,7 @@
 	expectStored(t, l, 7, storedSnapshot(), map[string][]byte{})
 }
 
-// So is one whose snapshot was written after a version was rolled out.
+// A log written by commit 2029d41 whose snapshot has a rolled out version is read completely.
 func TestStoredSnapshotWithRolledOutVersionIsRead(t *testing.T) {
 	l, err := openStored(t, "fleet-2029d41-version.db")
 	if err != nil {
@@ -102,7 +103,7 @@
 	expectStored(t, l, 8, snapshot, storedSettingsByDigest)
 }
 
-// equalAsJSON compares by exported fields: an empty list equals none.
+// equalAsJSON compares the JSON encodings of two values, in which an empty list may equal nil.
 func equalAsJSON(t *testing.T, a, b any) bool {
 	t.Helper()
 	x, err := json.Marshal(a)
@@ -116,7 +117,7 @@
 	return bytes.Equal(x, y)
 }
 
-// A snapshot has the bytes that commit 2029d41 gave it, and they are read as the same value.
+// A snapshot is encoded to the same bytes as by commit 2029d41, and those bytes decode to the same value.
 func TestSnapshotEncodingMatchesGoldenBytes(t *testing.T) {
 	golden, err := os.ReadFile("testdata/snapshot-2029d41.hex")
 	if err != nil {
@@ -137,9 +138,9 @@
 	want := JoinedMember{Member: member("m", 72), JoinedEpoch: 73, FirstIncarnation: true, Address: "x:1"}
 	if s.Membership.Epoch != 71 || !reflect.DeepEqual(s.Membership.Members, []JoinedMember{want}) || s.Membership.Plan.Fence != 57 ||
 		!reflect.DeepEqual(s.Membership.Evicted, map[string][]uint64{"gone": {74, 75}}) || string(s.Settings["digest"]) != "text" {
-		t.Errorf("%+v", s)
+		t.Errorf("golden bytes decoded to %+v", s)
 	}
 	if encoded, err := codec.Marshal(s); err != nil || !bytes.Equal(encoded, old) {
-		t.Errorf("%x, not %x: %v", encoded, old, err)
+		t.Errorf("snapshot encoded to %x, want %x; error %v", encoded, old, err)
 	}
 }
--- a/internal/fleet/membership_updates.go
+++ b/internal/fleet/membership_updates.go
@@ -13,8 +13,8 @@
 // reopenInterval is the interval of attempts to open the log.
 const reopenInterval = time.Second
 
-// runVoter keeps the replicated log, as soon as no other process of this sidecar does. A member that can't keep it is a member all
-// the same, but does not runVoter; the reason is logged whenever it changes.
+// runVoter runs the replicated log until ctx ends, and reopens it after a failure or while another process of this sidecar has it
+// open. Without the log this process is still a member, but does not vote; the reason is logged whenever it changes.
 func (f *Fleet) runVoter(ctx context.Context) {
 	logged := ""
 	for ctx.Err() == nil {
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -18,8 +18,8 @@
 	"damsonscale/internal/takeover"
 )
 
-// wireGolden has one line for each sample: its name, after the type's name in commit 2029d41, and in hexadecimal what that commit
-// writes for it.
+// wireGolden has one line for each sample: its name, derived from the type's name in commit 2029d41, and the bytes in hexadecimal
+// that this commit encodes it to.
 const wireGolden = "testdata/wire-2029d41.hex"
 
 func sampleDigest(first byte) (d rollout.Digest) {
@@ -86,8 +86,8 @@
 	}
 }
 
-// wireSamples are values of every type that members and operators send to each other or that the log stores. Each field is
-// set in one of them, and no two fields of a type have the same value in all of them.
+// wireSamples returns values of every type that members and operators exchange or that the log stores. Each field is set in some
+// sample, and no two fields of a type have equal values in all samples, so swapped fields are detected.
 func wireSamples() map[string]any {
 	return map[string]any{
 		"leave":              member("leaver", 3),
@@ -124,7 +124,8 @@
 	}
 }
 
-// Every type has the bytes on the wire and in the log that commit 2029d41 gave it, and those bytes are read as the same value.
+// Every type is encoded, on the wire and in the log, to the same bytes as by commit 2029d41, and those bytes decode to the same
+// value.
 func TestWireEncodingMatchesGoldenBytes(t *testing.T) {
 	c, err := protocol.NewCodec()
 	if err != nil {
@@ -142,7 +143,7 @@
 	}
 	samples := wireSamples()
 	if len(golden) != len(samples) {
-		t.Errorf("%d samples, and bytes of %d", len(samples), len(golden))
+		t.Errorf("got %d samples, but golden bytes for %d", len(samples), len(golden))
 	}
 	for name, sample := range samples {
 		text, err := c.Marshal(sample)
@@ -150,7 +151,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if got := hex.EncodeToString(text); got != golden[name] {
-			t.Errorf("%s: writes\n%s, not\n%s", name, got, golden[name])
+			t.Errorf("%s: encoded to\n%s, want\n%s", name, got, golden[name])
 		}
 		old, err := hex.DecodeString(golden[name])
 		if err != nil {
@@ -158,14 +159,14 @@
 		}
 		read := reflect.New(reflect.TypeOf(sample))
 		if err := c.Unmarshal(old, read.Interface()); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: golden bytes cannot be decoded: %v", name, err)
 		} else if !reflect.DeepEqual(read.Elem().Interface(), sample) {
-			t.Errorf("%s: reads\n%+v, not\n%+v", name, read.Elem().Interface(), sample)
+			t.Errorf("%s: golden bytes decoded to\n%+v, want\n%+v", name, read.Elem().Interface(), sample)
 		}
 	}
 }
 
-// Numbers that go on the wire or into the log are those that members of other builds know.
+// Numbers on the wire and in the log are the same as in other builds of the program.
 func TestWireNumbersAreStable(t *testing.T) {
 	for name, c := range map[string]struct{ got, want []int }{
 		"frames": {
@@ -186,7 +187,7 @@
 		"verdicts": {
 			[]int{int(takeover.NoResponse), int(takeover.Served), int(takeover.Rejected), int(takeover.Failed), int(takeover.ResponseTooLarge)}, []int{0, 1, 2, 3, 4},
 		},
-		"faults on purpose": {
+		"injected faults": {
 			[]int{
 				int(takeover.NoFault), int(takeover.IgnoreLease), int(takeover.SendBeforeQuorum), int(takeover.InvertMembership), int(takeover.ForgetResponse),
 			},
@@ -195,18 +196,18 @@
 		"protocol": {[]int{protocol.Version, frame.Version}, []int{2, 2}},
 	} {
 		if !reflect.DeepEqual(c.got, c.want) {
-			t.Errorf("%s: %v, not %v", name, c.got, c.want)
+			t.Errorf("%s: got numbers %v, want %v", name, c.got, c.want)
 		}
 	}
 	if RequestStatus != "status" || RequestRolloutCommand != "order" || RequestSegments != "segments" {
-		t.Error("an operator's request has another word")
+		t.Error("an AdminRequestKind has another value on the wire")
 	}
 	if got := protocol.FleetID([]string{"b", "a", "c"}); got != 0xaff0f2a2f8b32731 {
-		t.Errorf("the fleet of a, b and c is %#x", got)
+		t.Errorf("FleetID of members a, b and c is %#x, want 0xaff0f2a2f8b32731", got)
 	}
 }
 
-// What `fleet status --json` prints keeps its keys, their order and its form: operators' scripts read it.
+// The output of `fleet status --json` keeps its keys, their order and its format, since operators' scripts read it.
 func TestStatusJSONMatchesGoldenFile(t *testing.T) {
 	want, err := os.ReadFile("testdata/status-2029d41.json")
 	if err != nil {
@@ -219,6 +220,6 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("prints\n%s, not\n%s", got.String(), want)
+		t.Errorf("status printed as\n%s, want\n%s", got.String(), want)
 	}
 }
