--- a/internal/fleet/audit_replicator.go
+++ b/internal/fleet/audit_replicator.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// replicateAll queues all segments of an incarnation for a replica.
+// replicateAll queues all stored segments of this member's incarnation for a replica.
 func (r *auditReplicator) replicateAll(self takeover.Member, replica string) {
 	for _, sealed := range r.store.Segments(self.Name) {
 		if segment, err := r.codec.Open(r.fleet.transport.FleetID(), &sealed); err == nil && segment.Member == self {
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -11,7 +11,7 @@
 
 const (
 	coordinatorMailboxSize = 4096
-	countsInterval         = 10 * time.Second // between log lines of the counts
+	countsInterval         = 10 * time.Second // interval of the log lines with the counts
 	minTick                = time.Millisecond
 	maxBatchMessages       = 256     // takeover messages in one frame
 	maxBatchBytes          = 1 << 20 // bytes of requests and responses in one frame
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,7 +20,7 @@
 
 const (
 	mailboxSize    = 1024                  // messages queued for runLeaseRenewal or for the audit replicator
-	rebindInterval = 50 * time.Millisecond // between attempts to listen at the configured address
+	rebindInterval = 50 * time.Millisecond // interval of attempts to listen at the configured address
 )
 
 // Numbers of intervals within the duration of a lease.
--- a/internal/fleet/inflight.go
+++ b/internal/fleet/inflight.go
@@ -6,7 +6,7 @@
 	"damsonscale/internal/takeover"
 )
 
-// inFlightRequest is a request that this member owns or wants to own. The coordinator's goroutine owns it.
+// inFlightRequest is a request that this member owns or tries to own. Only the coordinator's goroutine accesses it.
 type inFlightRequest struct {
 	request   takeover.Request
 	execute   func(takeover.SendPermit) takeover.Result
--- a/internal/fleet/membership/log.go
+++ b/internal/fleet/membership/log.go
@@ -31,13 +31,13 @@
 
 // Config is the configuration of a log.
 type Config struct {
-	Directory     string // of the stored log
+	Directory     string // that contains the stored log
 	Name          string // of this member, one of Voters
 	Voters        []string
 	MemberNames   []string // of all configured members
 	LeaseDuration time.Duration
 	Guard         rollout.Guard
-	IgnoreFence   bool // an injected fault: leases are granted to members that the plan excludes
+	IgnoreFence   bool // injected fault: leases are granted to members that the plan excludes
 
 	// Send sends a frame to a member, or drops it. It must not block.
 	Send func(name string, kind protocol.Kind, payload []byte)
@@ -122,7 +122,7 @@
 	return err
 }
 
-// restore adopts the data of a snapshot.
+// restore replaces the membership and settings by those of a snapshot.
 func (l *Log) restore(data []byte) error {
 	if len(data) == 0 {
 		return nil
--- a/internal/fleet/membership/raft_logger.go
+++ b/internal/fleet/membership/raft_logger.go
@@ -11,22 +11,22 @@
 // levels are dropped, since package membership logs its own events for normal operation.
 type raftLogger struct{}
 
-// Debug is dropped.
+// Debug discards a message.
 func (raftLogger) Debug(...any) {}
 
-// Debugf is dropped.
+// Debugf discards a message.
 func (raftLogger) Debugf(string, ...any) {}
 
-// Info is dropped.
+// Info discards a message.
 func (raftLogger) Info(...any) {}
 
-// Infof is dropped.
+// Infof discards a message.
 func (raftLogger) Infof(string, ...any) {}
 
-// Warning is dropped.
+// Warning discards a message.
 func (raftLogger) Warning(...any) {}
 
-// Warningf is dropped.
+// Warningf discards a message.
 func (raftLogger) Warningf(string, ...any) {}
 
 // Error logs an error.
@@ -37,14 +37,14 @@
 	eventlog.Error(eventRaftError, fmt.Errorf(format, v...))
 }
 
-// Fatal panics.
+// Fatal panics with the message.
 func (raftLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-// Fatalf panics.
+// Fatalf panics with the message.
 func (raftLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
-// Panic panics.
+// Panic panics with the message.
 func (raftLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
 
-// Panicf panics.
+// Panicf panics with the message.
 func (raftLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/fleet/membership/store.go
+++ b/internal/fleet/membership/store.go
@@ -25,7 +25,7 @@
 	maxIndex          = 1 << 63               // above the index of any entry
 )
 
-// ErrLogLocked is returned while another process of this sidecar has the stored log open.
+// ErrLogLocked means that another process of this sidecar has the stored log open.
 var ErrLogLocked = errors.New("another process of this sidecar has the membership log open")
 
 var (
--- a/internal/fleet/protocol/kind.go
+++ b/internal/fleet/protocol/kind.go
@@ -14,7 +14,7 @@
 
 // Kinds of frames. The numbers are part of the wire format.
 const (
-	KindHello             Kind = 0  // transport's hello, the first frame of a connection between members
+	KindHello             Kind = 0  // the transport's hello, the first frame of a connection between members
 	KindRaft              Kind = 1  // a raft message, protobuf, between voters
 	KindTakeover          Kind = 2  // []takeover.Message
 	KindLeaseRequest      Kind = 3  // membership.LeaseRequest, to voters
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -148,14 +148,14 @@
 	for name, sample := range samples {
 		text, err := c.Marshal(sample)
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: sample cannot be encoded: %v", name, err)
 		}
 		if got := hex.EncodeToString(text); got != golden[name] {
 			t.Errorf("%s: encoded to\n%s, want\n%s", name, got, golden[name])
 		}
 		old, err := hex.DecodeString(golden[name])
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: golden file has invalid hexadecimal: %v", name, err)
 		}
 		read := reflect.New(reflect.TypeOf(sample))
 		if err := c.Unmarshal(old, read.Interface()); err != nil {
