--- a/internal/fleet/membership/log.go
+++ b/internal/fleet/membership/log.go
@@ -67,7 +67,7 @@
 	waitingRequests    []LeaseRequest                // waiting for the next confirmation of leadership
 	confirmingRequests []LeaseRequest                // waiting for the confirmation in flight
 	readID             uint64                        // id of the confirmation in flight
-	readIndex          uint64                        // index that has to be applied before the requests are granted; 0: not confirmed yet
+	readIndex          uint64                        // index to be applied before the requests are granted; 0: not confirmed yet
 	controller         rollout.Controller
 	reports            map[string]rollout.ReceivedReport // by member name
 	pendingCommands    map[uint64]func(error)            // replies to submitted commands, by command id
