--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -13,7 +13,7 @@
 // maxEvictedPerName bounds the evicted incarnations that are recorded for each name.
 const maxEvictedPerName = 16
 
-// ErrInvalid means that no sequence of log entries leads to a membership.
+// ErrInvalid means that a membership is inconsistent, so that no log can have produced it.
 var ErrInvalid = errors.New("invalid membership")
 
 // Change is an entry of the log. With Command it changes the rollout plan; otherwise Member joins or is evicted.
@@ -123,7 +123,8 @@
 	return configured
 }
 
-// Validate returns ErrInvalid if no sequence of log entries leads to this membership.
+// Validate returns ErrInvalid for a membership that has a member without a name, a duplicate member, a member that joined after
+// Epoch, or an invalid plan.
 func (m *Membership) Validate() error {
 	seen := map[takeover.Member]bool{}
 	for _, j := range m.Members {
