--- a/internal/fleet/fuzz_test.go
+++ b/internal/fleet/fuzz_test.go
@@ -8,7 +8,7 @@
 	"damsonscale/internal/takeover"
 )
 
-// Whatever messages a member sends, the memory of a replica stays bounded and nothing panics.
+// Arbitrary messages from a member neither make a replica panic nor exceed its memory bounds, and all records expire.
 func FuzzTakeoverMessages(f *testing.F) {
 	c, err := protocol.NewCodec()
 	if err != nil {
@@ -16,7 +16,7 @@
 	}
 	a, b := member("a", 1), member("b", 1)
 	rec := takeover.Record{ID: "x", Idempotency: takeover.IdempotentByKey, Owner: b, Epoch: 9, DeadlineAge: 1 << 62, Age: -5, Request: []byte("r")}
-	good, err := c.Marshal([]takeover.Message{
+	seed, err := c.Marshal([]takeover.Message{
 		{Kind: takeover.Write, ID: "x", Ballot: takeover.Ballot{Proposer: b}, Epoch: 2, Record: &rec},
 		{Kind: takeover.Prepare, ID: "x", Ballot: takeover.Ballot{Round: 2, Proposer: b}},
 		{Kind: takeover.Promised, ReplyTo: takeover.Prepare, ID: "mine", HasRecord: true, Ballot: takeover.Ballot{Round: 1, Proposer: a}},
@@ -24,7 +24,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(seed)
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var all []takeover.Message
 		if c.Unmarshal(in, &all) != nil {
@@ -40,7 +40,7 @@
 			n.Handle(5, b, &all[i])
 		}
 		if records, bytes := n.Usage(); records > 8 || bytes > 4096 {
-			t.Fatalf("%d records of %d bytes", records, bytes)
+			t.Fatalf("%d records with %d bytes, want at most 8 records with 4096 bytes", records, bytes)
 		}
 		for now := int64(10); now < 10_000; now += 100 {
 			n.Tick(now)
@@ -48,7 +48,7 @@
 			n.TakeEvents()
 		}
 		if records, bytes := n.Usage(); records != 0 || bytes != 0 {
-			t.Fatalf("%d records of %d bytes are stored forever", records, bytes)
+			t.Fatalf("%d records with %d bytes have not expired, want none", records, bytes)
 		}
 	})
 }
