--- a/cmd/damsonscale/builds_test.go
+++ b/cmd/damsonscale/builds_test.go
@@ -61,7 +61,7 @@
 // startBuild starts a build's program with an admin API before a server.
 func startBuild(t *testing.T, h http.HandlerFunc, build func(map[string]any)) *program {
 	t.Helper()
-	p, _ := oneWith(t, h, func(c map[string]any) {
+	p, _ := startWithServerAndConfig(t, h, func(c map[string]any) {
 		withAdmin(t)(c)
 		build(c)
 	})
@@ -90,23 +90,23 @@
 
 func upgradeWithConnections(t *testing.T, from, to func(map[string]any)) {
 	p := startBuild(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, from)
-	kept := p.dial(t)
-	if s, last := kept.look(t); s != 200 || last {
-		t.Fatal(s, last)
+	keepAlive := p.dial(t)
+	if s, closing := keepAlive.sendRequest(t); s != 200 || closing {
+		t.Fatal(s, closing)
 	}
 	next := handOver(t, p, to)
 	if p.executable(t) == next.executable(t) {
 		t.Fatalf("both processes are %s", p.executable(t))
 	}
 	eventually(t, "the end of the old one's accepting", func() bool { return strings.Contains(p.log.String(), "event=term") })
-	if s, last := kept.look(t); s != 200 || !last {
-		t.Fatalf("a kept connection: %d, last %t", s, last)
+	if s, closing := keepAlive.sendRequest(t); s != 200 || !closing {
+		t.Fatalf("a kept connection: %d, last %t", s, closing)
 	}
 	if err := <-p.done; err != nil {
 		t.Fatal(err, p.log.String())
 	}
-	if s, last := next.dial(t).look(t); s != 200 || last {
-		t.Fatal(s, last)
+	if s, closing := next.dial(t).sendRequest(t); s != 200 || closing {
+		t.Fatal(s, closing)
 	}
 	if strings.Contains(p.log.String()+next.log.String(), "event=handover_failed") {
 		t.Fatal(p.log.String(), next.log.String())
@@ -114,11 +114,11 @@
 }
 
 func upgradeWithStream(t *testing.T, from, to func(map[string]any)) {
-	body, goOn := pattern(300_000), make(chan bool)
-	p := scripted(t, func(_ *http.Request, conn net.Conn) {
+	body, resume := pattern(300_000), make(chan bool)
+	p := startWithScriptedServer(t, func(_ *http.Request, conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n")
 		conn.Write(body[:100_000])
-		<-goOn
+		<-resume
 		conn.Write(body[100_000:])
 		io.WriteString(conn, "\r\n0\r\nT: u\r\n\r\n")
 	}, func(c map[string]any) {
@@ -140,7 +140,7 @@
 	if err := <-p.done; err != nil { // it does not wait for the server
 		t.Fatal(err)
 	}
-	close(goOn)
+	close(resume)
 	rest, err := io.ReadAll(resp.Body)
 	if got = append(got, rest...); err != nil || !bytes.Equal(got, body) {
 		t.Fatalf("%d bytes, %v\n%s", len(got), err, next.log.String())
@@ -148,18 +148,18 @@
 }
 
 func upgradeWithRequestInFlight(t *testing.T, from, to func(map[string]any)) {
-	came, finish := make(chan bool, 4), make(chan bool)
+	arrived, finish := make(chan bool, 4), make(chan bool)
 	p := startBuild(t, func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
+		arrived <- true
 		<-finish
 		io.WriteString(w, "yes")
 	}, from)
 	const text = "POST /once HTTP/1.1\r\nHost: h\r\nReq-Id: same\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 0\r\n\r\n"
 	first := p.dial(t)
 	io.WriteString(first, text)
-	<-came
+	<-arrived
 	next := handOver(t, p, to)
-	p.expect(t, "event=term")
+	p.waitForLog(t, "event=term")
 	eventually(t, "409 for the same id", func() bool {
 		second := next.dial(t)
 		io.WriteString(second, text)
--- a/cmd/damsonscale/descriptors_test.go
+++ b/cmd/damsonscale/descriptors_test.go
@@ -20,16 +20,16 @@
 )
 
 // outage is a discovery that is down in one way, and comes back at the same address.
-type outage struct {
-	addr string
-	fd   int
-	how  string
-	back atomic.Bool
-	list string        // that it tells once it is back
-	told chan struct{} // closed when the first call after its return was told the list
-	once sync.Once
-	all  atomic.Int64 // calls before the return
-	more atomic.Int64 // calls since
+type discoveryOutage struct {
+	addr              string
+	fd                int
+	mode              string
+	restored          atomic.Bool
+	list              string        // that it tells once it is back
+	listSent          chan struct{} // closed when the first call after its return was told the list
+	once              sync.Once
+	callsDuringOutage atomic.Int64 // calls before the return
+	callsAfterOutage  atomic.Int64 // calls since
 }
 
 // Ways of being down.
@@ -40,13 +40,13 @@
 	fails    = "fails"    // answers 503
 )
 
-func newOutage(t *testing.T, how string) *outage {
+func newDiscoveryOutage(t *testing.T, mode string) *discoveryOutage {
 	t.Helper()
 	fd, addr := standin.Bound(t, 0) // it keeps its port and refuses
-	o := &outage{addr: addr, fd: fd, how: how, told: make(chan struct{})}
-	if how == refuses {
+	o := &discoveryOutage{addr: addr, fd: fd, mode: mode, listSent: make(chan struct{})}
+	if mode == refuses {
 		t.Cleanup(func() {
-			if !o.back.Load() {
+			if !o.restored.Load() {
 				syscall.Close(fd)
 			}
 		})
@@ -56,7 +56,7 @@
 	return o
 }
 
-func (o *outage) listen(t *testing.T) {
+func (o *discoveryOutage) listen(t *testing.T) {
 	t.Helper()
 	if err := syscall.Listen(o.fd, 128); err != nil {
 		t.Fatal(err)
@@ -76,22 +76,22 @@
 			}
 			go func() {
 				defer c.Close()
-				o.serve(c, o.back.Load())
+				o.serve(c, o.restored.Load())
 			}()
 		}
 	}()
 }
 
 // serve answers one call, which came when discovery was back or not.
-func (o *outage) serve(c net.Conn, back bool) {
+func (o *discoveryOutage) serve(c net.Conn, restored bool) {
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
 	}
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	if back {
-		o.more.Add(1)
+	if restored {
+		o.callsAfterOutage.Add(1)
 		fmt.Fprintf(c, "%s%x\r\n%s\r\n", head, len(o.list), o.list)
-		o.once.Do(func() { close(o.told) })
+		o.once.Do(func() { close(o.listSent) })
 		for { // the empty lines of a list that does not change
 			time.Sleep(time.Second)
 			if _, err := io.WriteString(c, "1\r\n\n\r\n"); err != nil {
@@ -99,8 +99,8 @@
 			}
 		}
 	}
-	o.all.Add(1)
-	switch o.how {
+	o.callsDuringOutage.Add(1)
+	switch o.mode {
 	case fails:
 		standin.Say(c, 503, "", "")
 	case trickles:
@@ -116,25 +116,25 @@
 }
 
 // comeBack has it tell a list from the next call on.
-func (o *outage) comeBack(t *testing.T, l list) {
+func (o *discoveryOutage) restore(t *testing.T, l list) {
 	t.Helper()
 	text, _ := json.Marshal(l)
 	o.list = string(text) + "\n"
-	o.back.Store(true)
-	if o.how == refuses {
+	o.restored.Store(true)
+	if o.mode == refuses {
 		o.listen(t)
 	}
 }
 
 // crowd is idle clients of three kinds: such that never send a byte, that send half a request, and that were served once and
 // rest. Each comes again as soon as it is closed.
-type crowd struct {
-	came   atomic.Int64 // connections
-	closed atomic.Int64 // of them
+type idleClients struct {
+	arrived atomic.Int64 // connections
+	closed  atomic.Int64 // of them
 }
 
-func gather(t *testing.T, addr string, size int) *crowd {
-	k, stop := &crowd{}, make(chan struct{})
+func startIdleClients(t *testing.T, addr string, size int) *idleClients {
+	k, stop := &idleClients{}, make(chan struct{})
 	var wg sync.WaitGroup
 	t.Cleanup(func() {
 		close(stop)
@@ -145,7 +145,7 @@
 		go func() {
 			defer wg.Done()
 			for {
-				k.rest(addr, i%3, stop)
+				k.holdConnection(addr, i%3, stop)
 				select {
 				case <-stop:
 					return
@@ -158,22 +158,22 @@
 }
 
 // rest holds one connection until the other side, or stop, ends it.
-func (k *crowd) rest(addr string, kind int, stop <-chan struct{}) {
+func (k *idleClients) holdConnection(addr string, kind int, stop <-chan struct{}) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	over := make(chan struct{})
-	defer close(over)
+	ended := make(chan struct{})
+	defer close(ended)
 	go func() {
 		select {
 		case <-stop:
 			c.Close()
-		case <-over:
+		case <-ended:
 		}
 	}()
-	k.came.Add(1)
+	k.arrived.Add(1)
 	switch kind {
 	case 1:
 		io.WriteString(c, "GET /look HTTP/1.1\r\nHost: h\r\nReq-")
@@ -185,7 +185,7 @@
 }
 
 // anew makes a request as a client that has just come.
-func anew(_ *program, r *http.Request) (status int, body string, took time.Duration) {
+func doOnNewConnection(_ *program, r *http.Request) (status int, body string, took time.Duration) {
 	began := time.Now()
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 	resp, err := c.Do(r)
@@ -198,48 +198,48 @@
 }
 
 // A process whose limit is lowered while it runs stays up, and serves once descriptors are free again.
-func TestDescriptorsTakenAway(t *testing.T) {
-	p, _ := one(t, func(_ http.ResponseWriter, _ *http.Request) {})
-	few := syscall.Rlimit{Cur: 16, Max: 256}
+func TestSurvivesLoweredDescriptorLimit(t *testing.T) {
+	p, _ := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) {})
+	lowered := syscall.Rlimit{Cur: 16, Max: 256}
 	if _, _, e := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(p.cmd.Process.Pid), syscall.RLIMIT_NOFILE,
-		uintptr(unsafe.Pointer(&few)), 0, 0, 0); e != 0 {
+		uintptr(unsafe.Pointer(&lowered)), 0, 0, 0); e != 0 {
 		t.Fatal(e)
 	}
-	p.survives(t, 40)
+	p.checkSurvivesIdleConnections(t, 40)
 }
 
-const listTerm = 6 * time.Second // after its return what discovery has to tell counts as told
+const listDeadline = 6 * time.Second // after its return what discovery has to tell counts as told
 
 // Idle clients may fill the descriptors while discovery is down: at its return its list is taken in time, health answers, servers
 // are reached and a new client is served. Guards against a call to discovery, or a dial to a server, that finds no descriptor.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	const enough = 0 // descriptors: as many as the program is told of
+func TestDiscoveryRecoveryWithIdleClients(t *testing.T) {
+	const asConfigured = 0 // descriptors: as many as the program is told of
 	for _, c := range []struct {
-		how         string
+		mode        string
 		pushed      bool
 		known       bool // servers were known before, and connections to them rest
-		door        bool
+		admin       bool
 		sockets     int
 		descriptors int
 	}{
-		{refuses, false, false, false, 64, enough},
-		{refuses, false, true, true, 64, enough},
-		{refuses, true, true, false, 64, enough},
-		{hangs, false, true, false, 64, enough},
-		{hangs, true, false, true, 64, enough},
-		{trickles, false, true, false, 64, enough},
-		{trickles, true, true, false, 64, enough},
-		{fails, false, false, false, 64, enough},
+		{refuses, false, false, false, 64, asConfigured},
+		{refuses, false, true, true, 64, asConfigured},
+		{refuses, true, true, false, 64, asConfigured},
+		{hangs, false, true, false, 64, asConfigured},
+		{hangs, true, false, true, 64, asConfigured},
+		{trickles, false, true, false, 64, asConfigured},
+		{trickles, true, true, false, 64, asConfigured},
+		{fails, false, false, false, 64, asConfigured},
 		{refuses, false, true, false, 64, 40},
 		{refuses, true, false, true, 64, 40},
 		{hangs, false, true, true, 64, 40},
 		{hangs, true, true, false, 64, 32},
 		{trickles, false, false, false, 64, 32},
 	} {
-		name := fmt.Sprintf("%s,pushed=%t,known=%t,door=%t,%d of %d", c.how, c.pushed, c.known, c.door, c.descriptors, c.sockets)
+		name := fmt.Sprintf("%s,pushed=%t,known=%t,door=%t,%d of %d", c.mode, c.pushed, c.known, c.admin, c.descriptors, c.sockets)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := newOutage(t, c.how)
+			d := newDiscoveryOutage(t, c.mode)
 			var before *list
 			var hosts []host
 			for i := range 3 {
@@ -252,85 +252,85 @@
 			if c.known {
 				before = &list{Seq: 7, Whole: true, Hosts: hosts}
 			}
-			door := ""
+			admin := ""
 			p := start(t, d.addr, before, func(conf map[string]any) {
 				conf["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": c.sockets}
 				conf["descriptors"] = c.sockets
-				if c.descriptors != enough {
+				if c.descriptors != asConfigured {
 					conf["descriptors"] = c.descriptors
 				}
 				if c.pushed {
 					conf["settings"] = json.RawMessage(strings.Replace(settings, `"on_request"`, `"pushed"`, 1))
 				}
-				if c.door {
-					door = freeAddr(t)
-					conf["admin"] = door
+				if c.admin {
+					admin = freeAddr(t)
+					conf["admin"] = admin
 				}
 			})
-			p.expect(t, "event=start")
+			p.waitForLog(t, "event=start")
 			if c.known {
 				p.waitReady(t)
 				var wg sync.WaitGroup
 				for range 24 { // as many at once leave connections to servers that rest
-					r := request(t, p.addr, "GET", "/look", "")
+					r := newRequest(t, p.addr, "GET", "/look", "")
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						if s, body, _ := anew(p, r); s != 200 || body != "before" {
+						if s, body, _ := doOnNewConnection(p, r); s != 200 || body != "before" {
 							t.Errorf("before the crowd: %d %s", s, body)
 						}
 					}()
 				}
 				wg.Wait()
 			}
-			k := gather(t, p.addr, 5*c.sockets/4)
-			eventually(t, "a crowd past the limit", func() bool { return k.came.Load() > int64(5*c.sockets/4) })
+			k := startIdleClients(t, p.addr, 5*c.sockets/4)
+			eventually(t, "a crowd past the limit", func() bool { return k.arrived.Load() > int64(5*c.sockets/4) })
 			time.Sleep(3 * time.Second) // some calls fail meanwhile
 			if c.known {
-				if s, body, took := anew(p, request(t, p.addr, "GET", "/look", "")); s != 200 || body != "before" {
+				if s, body, took := doOnNewConnection(p, newRequest(t, p.addr, "GET", "/look", "")); s != 200 || body != "before" {
 					t.Errorf("a new client while discovery is down: %d %s after %v", s, body, took)
 				}
 			}
 			next := standin.NewServer(t, func(c *net.TCPConn, _ *http.Request) bool { return standin.Say(c, 200, "", "next") })
-			back := time.Now()
-			d.comeBack(t, list{Seq: 9, Whole: true, Hosts: []host{hostAt("next", next.Addr, "Ready")}})
+			restored := time.Now()
+			d.restore(t, list{Seq: 9, Whole: true, Hosts: []host{hostAt("next", next.Addr, "Ready")}})
 			select {
-			case <-d.told:
+			case <-d.listSent:
 			case <-time.After(testTimeout):
 				t.Fatalf("discovery was not called\n%s", p.log.String())
 			}
-			called := time.Since(back)
-			if called > listTerm {
+			called := time.Since(restored)
+			if called > listDeadline {
 				t.Errorf("told %v after the return", called)
 			}
 			var ready, served int
 			var body string
 			var health, took time.Duration
 			eventually(t, "ready", func() bool {
-				ready, _, health = anew(p, request(t, p.addr, "GET", "/health/ready", ""))
+				ready, _, health = doOnNewConnection(p, newRequest(t, p.addr, "GET", "/health/ready", ""))
 				return ready == 200
 			})
 			eventually(t, "the new list", func() bool {
-				served, body, took = anew(p, request(t, p.addr, "GET", "/look", ""))
+				served, body, took = doOnNewConnection(p, newRequest(t, p.addr, "GET", "/look", ""))
 				return body == "next"
 			})
 			if served != 200 {
 				t.Errorf("a new client: %d %s", served, body)
 			}
-			if c.door {
-				if s, text, _ := anew(p, request(t, door, "GET", "/healthcheck", "")); s != 200 {
+			if c.admin {
+				if s, text, _ := doOnNewConnection(p, newRequest(t, admin, "GET", "/healthcheck", "")); s != 200 {
 					t.Errorf("the door: %d %s", s, text)
 				}
 			}
 			if log := p.log.String(); strings.Contains(log, "too many open files") {
 				t.Errorf("out of descriptors:\n%s", log)
 			}
-			if n := d.more.Load(); n != 1 {
+			if n := d.callsAfterOutage.Load(); n != 1 {
 				t.Errorf("%d calls after the return, one was to be enough\n%s", n, p.log.String())
 			}
 			t.Logf("called %v after the return (%d calls before), health after %v, a request after %v; %d idle connections came, %d were closed",
-				called.Round(time.Millisecond), d.all.Load(), health.Round(time.Millisecond), took.Round(time.Millisecond),
-				k.came.Load(), k.closed.Load())
+				called.Round(time.Millisecond), d.callsDuringOutage.Load(), health.Round(time.Millisecond), took.Round(time.Millisecond),
+				k.arrived.Load(), k.closed.Load())
 		})
 	}
 }
--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -30,10 +30,10 @@
 		main()
 		return
 	case runPlain:
-		plain()
+		runPlainServer()
 		return
 	case runBurner:
-		burn()
+		burnCPU()
 		return
 	}
 	os.Exit(m.Run())
@@ -74,27 +74,27 @@
 
 // discovery is a stand-in that writes to each watch what the test puts into lines.
 type discovery struct {
-	addr    string
-	lines   chan string
-	watches chan string // the query of each watch
-	hangUp  chan bool
+	addr       string
+	lines      chan string
+	watches    chan string // the query of each watch
+	closeWatch chan bool
 }
 
 func startDiscovery(t *testing.T) *discovery {
-	d := &discovery{lines: make(chan string), watches: make(chan string, 64), hangUp: make(chan bool)}
+	d := &discovery{lines: make(chan string), watches: make(chan string, 64), closeWatch: make(chan bool)}
 	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		d.watches <- r.URL.RawQuery
 		w.WriteHeader(http.StatusOK)
 		w.(http.Flusher).Flush()
-		beat := time.NewTicker(2 * time.Second)
-		defer beat.Stop()
+		heartbeat := time.NewTicker(2 * time.Second)
+		defer heartbeat.Stop()
 		for {
 			select {
 			case <-r.Context().Done():
 				return
-			case <-d.hangUp:
+			case <-d.closeWatch:
 				return
-			case <-beat.C:
+			case <-heartbeat.C:
 				io.WriteString(w, "\n")
 			case l := <-d.lines:
 				io.WriteString(w, l+"\n")
@@ -105,7 +105,7 @@
 	return d
 }
 
-func (d *discovery) tell(t *testing.T, l list) {
+func (d *discovery) sendList(t *testing.T, l list) {
 	t.Helper()
 	text, _ := json.Marshal(l)
 	d.write(t, string(text))
@@ -162,7 +162,7 @@
 }
 
 // expect waits for a piece of the program's log.
-func (p *program) expect(t *testing.T, piece string) {
+func (p *program) waitForLog(t *testing.T, piece string) {
 	t.Helper()
 	eventually(t, piece, func() bool { return strings.Contains(p.log.String(), piece) })
 }
@@ -255,14 +255,14 @@
 	return resp.StatusCode
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("never came: %s", condition)
 }
 
 func (p *program) waitReady(t *testing.T) {
@@ -270,15 +270,15 @@
 	eventually(t, "ready", func() bool { return p.status("/health/ready") == 200 })
 }
 
-var ids atomic.Int64
+var requestIDs atomic.Int64
 
-func request(t *testing.T, addr, method, path, body string) *http.Request {
+func newRequest(t *testing.T, addr, method, path, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set("Req-Id", fmt.Sprintf("%016x", ids.Add(1)))
+	r.Header.Set("Req-Id", fmt.Sprintf("%016x", requestIDs.Add(1)))
 	r.Header.Set("Req-Owner", "t")
 	r.Header.Set("Req-Deadline-Ms", "20000")
 	if method == "POST" {
@@ -287,7 +287,7 @@
 	return r
 }
 
-func do(t *testing.T, r *http.Request) (int, string) {
+func doRequest(t *testing.T, r *http.Request) (int, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -302,16 +302,18 @@
 }
 
 // look makes a safe request and returns what came of it.
-func (p *program) look(t *testing.T) (status int, body string) {
+func (p *program) sendRequest(t *testing.T) (status int, body string) {
 	t.Helper()
-	return do(t, request(t, p.addr, "GET", "/look", ""))
+	return doRequest(t, newRequest(t, p.addr, "GET", "/look", ""))
 }
 
 // one starts a sidecar with one known server.
-func one(t *testing.T, h http.HandlerFunc) (*program, *discovery) { return oneWith(t, h, nil) }
+func startWithServer(t *testing.T, h http.HandlerFunc) (*program, *discovery) {
+	return startWithServerAndConfig(t, h, nil)
+}
 
 // oneWith does so after a change to the configuration.
-func oneWith(t *testing.T, h http.HandlerFunc, change func(map[string]any)) (*program, *discovery) {
+func startWithServerAndConfig(t *testing.T, h http.HandlerFunc, change func(map[string]any)) (*program, *discovery) {
 	d := startDiscovery(t)
 	addr := serveHTTP(t, h)
 	p := start(t, d.addr, &list{Seq: 41, Whole: true, Hosts: []host{hostAt("s1", addr, "Ready")}}, change)
@@ -319,7 +321,7 @@
 	return p, d
 }
 
-func TestReadyOnceAListIsKnown(t *testing.T) {
+func TestReadyAfterFirstEndpointList(t *testing.T) {
 	d := startDiscovery(t)
 	server := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })
 	p := start(t, d.addr, nil, nil)
@@ -330,9 +332,9 @@
 	if q := <-d.watches; q != "watch=1" {
 		t.Fatalf("asked with %q", q)
 	}
-	d.tell(t, list{Seq: 1, Whole: true, Hosts: []host{hostAt("s1", server, "Ready")}})
+	d.sendList(t, list{Seq: 1, Whole: true, Hosts: []host{hostAt("s1", server, "Ready")}})
 	p.waitReady(t)
-	if s, body := p.look(t); s != 200 || body != "yes" {
+	if s, body := p.sendRequest(t); s != 200 || body != "yes" {
 		t.Fatal(s, body)
 	}
 }
@@ -344,7 +346,7 @@
 		head              http.Header
 	}
 	got := make(chan seen, 1)
-	p, d := one(t, func(w http.ResponseWriter, r *http.Request) {
+	p, d := startWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		got <- seen{r.Method, r.RequestURI, string(b), r.Header}
 		w.Header().Set("Content-Type", "application/x-clip")
@@ -355,7 +357,7 @@
 	}
 	body := strings.Repeat("\x00b\r\n", 16384)
 	uri := "/make//a/../b%2Fc?obj=7f%20a&x=%zz&obj=2"
-	r := request(t, p.addr, "POST", "/", body)
+	r := newRequest(t, p.addr, "POST", "/", body)
 	r.URL.Opaque = uri
 	r.Header["X-odd-CASE"] = []string{"Kept as it is"}
 	r.Header.Set("Connection", "X-Hop")
@@ -384,7 +386,7 @@
 }
 
 // raw writes bytes on a new connection and returns the status of the first answer; 0: none.
-func raw(t *testing.T, addr, text string) int {
+func sendRaw(t *testing.T, addr, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -402,9 +404,9 @@
 }
 
 // Bad input gets a 4xx that is no refusal, and no server sees any of it.
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsGet4xx(t *testing.T) {
 	var attempts atomic.Int64
-	p, _ := one(t, func(_ http.ResponseWriter, _ *http.Request) { attempts.Add(1) })
+	p, _ := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) { attempts.Add(1) })
 	const head = "Host: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 900\r\n"
 	for name, text := range map[string]string{
 		"no HTTP":              "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
@@ -438,7 +440,7 @@
 		"endless head":         "GET /look HTTP/1.1\r\n" + head + "A: " + strings.Repeat("x", 20000) + "\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if s := raw(t, p.addr, text); s < 400 || s > 499 || s == 429 {
+			if s := sendRaw(t, p.addr, text); s < 400 || s > 499 || s == 429 {
 				t.Fatalf("answered %d", s)
 			}
 		})
@@ -446,39 +448,39 @@
 	if n := attempts.Load(); n != 0 {
 		t.Fatalf("%d attempts", n)
 	}
-	if s, _ := p.look(t); s != 200 {
+	if s, _ := p.sendRequest(t); s != 200 {
 		t.Fatalf("a good request afterwards: %d", s)
 	}
 }
 
 // Two requests of one id could not be told apart: the second one is turned down, and not as a refusal.
-func TestDuplicateID(t *testing.T) {
-	came, on := make(chan bool, 2), make(chan bool)
-	p, _ := one(t, func(_ http.ResponseWriter, _ *http.Request) {
-		came <- true
-		<-on
+func TestDuplicateRequestIDGets409(t *testing.T) {
+	arrived, finish := make(chan bool, 2), make(chan bool)
+	p, _ := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) {
+		arrived <- true
+		<-finish
 	})
-	r := request(t, p.addr, "GET", "/look", "")
+	r := newRequest(t, p.addr, "GET", "/look", "")
 	first := make(chan int)
 	go func() {
-		s, _ := do(t, r.Clone(r.Context()))
+		s, _ := doRequest(t, r.Clone(r.Context()))
 		first <- s
 	}()
-	<-came
-	if s, _ := do(t, r); s != 409 {
+	<-arrived
+	if s, _ := doRequest(t, r); s != 409 {
 		t.Fatalf("the second: %d", s)
 	}
-	close(on)
+	close(finish)
 	if s := <-first; s != 200 {
 		t.Fatalf("the first: %d", s)
 	}
 }
 
 // A client that leaves takes its attempt with it.
-func TestClientDisconnects(t *testing.T) {
-	came, gone := make(chan bool, 1), make(chan bool, 1)
-	p, _ := one(t, func(_ http.ResponseWriter, r *http.Request) {
-		came <- true
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	arrived, gone := make(chan bool, 1), make(chan bool, 1)
+	p, _ := startWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		arrived <- true
 		<-r.Context().Done()
 		gone <- true
 	})
@@ -486,8 +488,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	request(t, p.addr, "GET", "/look", "").Write(c)
-	<-came
+	newRequest(t, p.addr, "GET", "/look", "").Write(c)
+	<-arrived
 	c.Close()
 	select {
 	case <-gone:
@@ -497,16 +499,16 @@
 }
 
 // A server that says nothing costs its client no more than the time it gave: the answer comes in time.
-func TestSilentServerIsAnsweredInTime(t *testing.T) {
+func TestUnresponsiveServerFailsByDeadlineWithoutRetry(t *testing.T) {
 	var attempts atomic.Int64
-	p, _ := one(t, func(_ http.ResponseWriter, r *http.Request) {
+	p, _ := startWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		attempts.Add(1)
 		<-r.Context().Done()
 	})
-	r := request(t, p.addr, "POST", "/once", "x")
+	r := newRequest(t, p.addr, "POST", "/once", "x")
 	r.Header.Set("Req-Deadline-Ms", "1500")
 	// An effect that may have happened is not refused, which would call for another try, and not tried again.
-	if s, _ := do(t, r); s != 502 && s != 504 {
+	if s, _ := doRequest(t, r); s != 502 && s != 504 {
 		t.Fatalf("answered %d", s)
 	}
 	if n := attempts.Load(); n != 1 {
@@ -515,16 +517,16 @@
 }
 
 // Once the list says that a server drains, nothing new goes to it; what it has is finished.
-func TestDrainingServerGetsNothingNew(t *testing.T) {
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	d := startDiscovery(t)
 	var drained atomic.Bool
 	var late atomic.Int64
-	came, finish := make(chan bool, 64), make(chan bool)
+	arrived, finish := make(chan bool, 64), make(chan bool)
 	old := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		if drained.Load() {
 			late.Add(1)
 		}
-		came <- true
+		arrived <- true
 		<-finish
 		io.WriteString(w, "old")
 	})
@@ -533,18 +535,18 @@
 	p.waitReady(t)
 	first := make(chan string)
 	go func() {
-		_, body := p.look(t)
+		_, body := p.sendRequest(t)
 		first <- body
 	}()
-	<-came
-	d.tell(t, list{Seq: 2, Hosts: []host{hostAt("s2", other, "Ready"), hostAt("s1", old, "Terminating")}})
+	<-arrived
+	d.sendList(t, list{Seq: 2, Hosts: []host{hostAt("s2", other, "Ready"), hostAt("s1", old, "Terminating")}})
 	eventually(t, "answers of the other alone", func() bool {
-		s, body := p.look(t)
+		s, body := p.sendRequest(t)
 		return s == 200 && body == "new"
 	})
 	drained.Store(true)
 	for range 50 {
-		if s, body := p.look(t); s != 200 || body != "new" {
+		if s, body := p.sendRequest(t); s != 200 || body != "new" {
 			t.Fatal(s, body)
 		}
 	}
@@ -558,11 +560,11 @@
 }
 
 // A watch that ends is asked for again from where it was; one that sends garbage, for the whole list.
-func TestWatchComesBack(t *testing.T) {
-	p, d := one(t, func(_ http.ResponseWriter, _ *http.Request) {})
+func TestEndpointWatchIsReopened(t *testing.T) {
+	p, d := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) {})
 	<-d.watches
-	d.tell(t, list{Seq: 44, Hosts: []host{}})
-	d.hangUp <- true
+	d.sendList(t, list{Seq: 44, Hosts: []host{}})
+	d.closeWatch <- true
 	if q := <-d.watches; q != "watch=1&from=44" {
 		t.Fatalf("asked again with %q", q)
 	}
@@ -575,17 +577,17 @@
 			t.Fatalf("asked after garbage with %q", q)
 		}
 	}
-	if s, _ := p.look(t); s != 200 {
+	if s, _ := p.sendRequest(t); s != 200 {
 		t.Fatalf("the list held is lost: %d", s)
 	}
 }
 
 // After SIGTERM what is taken is answered, clients that still come are served, and the program exits with 0.
-func TestTerm(t *testing.T) {
-	came, finish := make(chan bool, 8), make(chan bool)
-	p, _ := one(t, func(w http.ResponseWriter, r *http.Request) {
+func TestSIGTERMDrainsAndExits(t *testing.T) {
+	arrived, finish := make(chan bool, 8), make(chan bool)
+	p, _ := startWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/look/slow" {
-			came <- true
+			arrived <- true
 			<-finish
 		}
 		io.WriteString(w, "yes")
@@ -595,19 +597,19 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if s, body := do(t, request(t, p.addr, "GET", "/look/slow", "")); s != 200 || body != "yes" {
+			if s, body := doRequest(t, newRequest(t, p.addr, "GET", "/look/slow", "")); s != 200 || body != "yes" {
 				t.Error(s, body)
 			}
 		}()
 	}
 	for range 4 {
-		<-came
+		<-arrived
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	eventually(t, "word of the drain", func() bool { return p.status("/health/ready") == 503 })
 	time.Sleep(150 * time.Millisecond) // clients go on coming for that long and more
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := c.Do(request(t, p.addr, "GET", "/look", ""))
+	resp, err := c.Do(newRequest(t, p.addr, "GET", "/look", ""))
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("a client that came after SIGTERM: %v %v", resp, err)
 	}
@@ -625,7 +627,7 @@
 }
 
 // The place is free for the next one at once, and one that starts while the last still ends waits for it.
-func TestAddressStillInUse(t *testing.T) {
+func TestStartWaitsForListenAddress(t *testing.T) {
 	d := startDiscovery(t)
 	server := serveHTTP(t, func(_ http.ResponseWriter, _ *http.Request) {})
 	var ln net.Listener
@@ -642,18 +644,18 @@
 
 // SIGHUP moves the watch to the address that the file then names, also where PROXY_DISCOVERY named the first one;
 // the old list counts until the new address speaks. A faulty file changes nothing.
-func TestReload(t *testing.T) {
-	yes := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })
+func TestReloadMovesDiscovery(t *testing.T) {
+	respondingYes := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })
 	other := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "other") })
 	first, second := startDiscovery(t), startDiscovery(t)
-	p := start(t, first.addr, &list{Seq: 41, Whole: true, Hosts: []host{hostAt("s1", yes, "Ready")}},
+	p := start(t, first.addr, &list{Seq: 41, Whole: true, Hosts: []host{hostAt("s1", respondingYes, "Ready")}},
 		func(c map[string]any) { c["environment"] = "PROXY_DISCOVERY=" + first.addr })
 	p.waitReady(t)
 	if q := <-first.watches; q != "watch=1&from=41" {
 		t.Fatalf("asked with %q", q)
 	}
 	served := func() string {
-		_, body := p.look(t)
+		_, body := p.sendRequest(t)
 		return body
 	}
 	p.reload(t, "nowhere")
@@ -664,12 +666,12 @@
 	if got := served(); got != "yes" {
 		t.Fatalf("the old list is lost: %q", got)
 	}
-	second.tell(t, list{Seq: 3, Whole: true, Hosts: []host{hostAt("s2", other, "Ready")}})
+	second.sendList(t, list{Seq: 3, Whole: true, Hosts: []host{hostAt("s2", other, "Ready")}})
 	eventually(t, "the new list", func() bool { return served() == "other" })
 	third := startDiscovery(t)
 	p.reload(t, third.addr)
 	<-third.watches
-	third.tell(t, list{Seq: 9, Whole: true, Hosts: []host{hostAt("s1", yes, "Ready")}})
+	third.sendList(t, list{Seq: 9, Whole: true, Hosts: []host{hostAt("s1", respondingYes, "Ready")}})
 	eventually(t, "the list of a second reload", func() bool { return served() == "yes" })
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-p.done; err != nil {
@@ -678,36 +680,36 @@
 }
 
 // A faulty file is logged by its key, and so are changed keys that count from the next start on.
-func TestReloadNamesKeys(t *testing.T) {
-	p, d := one(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })
+func TestReloadLogsConfigKeys(t *testing.T) {
+	p, d := startWithServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })
 	<-d.watches
 	p.reload(t, "nowhere")
-	p.expect(t, "event=reload_failed err=\"config: discovery: expected address:port")
+	p.waitForLog(t, "event=reload_failed err=\"config: discovery: expected address:port")
 	p.conf["limits"] = map[string]any{"cores": 2.0, "memory_mb": 192, "sockets": 256}
 	p.reload(t, d.addr)
-	p.expect(t, "needs_restart=limits")
-	if s, body := p.look(t); s != 200 || body != "yes" {
+	p.waitForLog(t, "needs_restart=limits")
+	if s, body := p.sendRequest(t); s != 200 || body != "yes" {
 		t.Fatal(s, body)
 	}
 }
 
 // A reload in a drain ends nothing: what is taken is still answered.
 func TestReloadWhileDraining(t *testing.T) {
-	came, finish := make(chan bool, 1), make(chan bool)
-	p, d := one(t, func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
+	arrived, finish := make(chan bool, 1), make(chan bool)
+	p, d := startWithServer(t, func(w http.ResponseWriter, _ *http.Request) {
+		arrived <- true
 		<-finish
 		io.WriteString(w, "yes")
 	})
 	<-d.watches
 	answered := make(chan string, 1)
 	go func() {
-		_, body := p.look(t)
+		_, body := p.sendRequest(t)
 		answered <- body
 	}()
-	<-came
+	<-arrived
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.expect(t, "event=terminating")
+	p.waitForLog(t, "event=terminating")
 	second := startDiscovery(t)
 	p.reload(t, second.addr)
 	<-second.watches
@@ -721,8 +723,8 @@
 }
 
 // One that polls on new connections does not keep the program from ending.
-func TestTermWhilePolled(t *testing.T) {
-	p, _ := one(t, func(_ http.ResponseWriter, _ *http.Request) {})
+func TestSIGTERMExitsDespiteNewConnections(t *testing.T) {
+	p, _ := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) {})
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	for end := time.Now().Add(testTimeout / 2); ; time.Sleep(20 * time.Millisecond) { // less than the longest deadline
 		c, err := net.Dial("tcp", p.addr)
@@ -739,7 +741,7 @@
 	}
 }
 
-func TestFaultyConfigIsNamed(t *testing.T) {
+func TestInvalidConfigFailsStart(t *testing.T) {
 	p := start(t, "nowhere", nil, nil)
 	if err := <-p.done; err == nil {
 		t.Fatal("started")
@@ -751,10 +753,10 @@
 
 // More clients than sockets: idle ones make room, and everyone is answered.
 func TestMoreClientsThanSockets(t *testing.T) {
-	p, _ := oneWith(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
+	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
 		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 48}
 	})
-	var kept []net.Conn
+	var keepAlive []net.Conn
 	for range 100 {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
@@ -762,49 +764,49 @@
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(testTimeout))
-		kept = append(kept, c)
-		request(t, p.addr, "GET", "/look", "").Write(c)
+		keepAlive = append(keepAlive, c)
+		newRequest(t, p.addr, "GET", "/look", "").Write(c)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("connection %d: %v %v", len(kept), resp, err)
+			t.Fatalf("connection %d: %v %v", len(keepAlive), resp, err)
 		}
 	}
 }
 
 // A process that may hold fewer descriptors than it was told stays up, and serves once there is room.
-func TestOutOfDescriptors(t *testing.T) {
-	p, _ := oneWith(t, func(_ http.ResponseWriter, _ *http.Request) {}, func(c map[string]any) {
+func TestSurvivesDescriptorExhaustion(t *testing.T) {
+	p, _ := startWithServerAndConfig(t, func(_ http.ResponseWriter, _ *http.Request) {}, func(c map[string]any) {
 		c["descriptors"] = 24
 	})
-	p.survives(t, 40)
+	p.checkSurvivesIdleConnections(t, 40)
 }
 
 // survives holds so many idle connections for a moment: the program stays up meanwhile, and serves once they are gone.
-func (p *program) survives(t *testing.T, idle int) {
+func (p *program) checkSurvivesIdleConnections(t *testing.T, idle int) {
 	t.Helper()
-	var held []net.Conn
+	var conns []net.Conn
 	for range idle {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, c)
+		conns = append(conns, c)
 	}
 	select {
 	case err := <-p.done:
 		t.Fatalf("exit: %v\n%s", err, p.log.String())
 	case <-time.After(200 * time.Millisecond):
 	}
-	for _, c := range held {
+	for _, c := range conns {
 		c.Close()
 	}
-	if s, _ := p.look(t); s != 200 {
+	if s, _ := p.sendRequest(t); s != 200 {
 		t.Fatalf("afterwards: %d", s)
 	}
 }
 
 // client sends one request at a time on one connection, as an application does, until stop.
-type client struct {
+type keepAliveClient struct {
 	addr string
 	c    net.Conn
 	br   *bufio.Reader
@@ -812,8 +814,8 @@
 }
 
 // call sends r and reads its answer; on a connection that was closed between requests it sends once more.
-func (k *client) call(r *http.Request) (int, error) {
-	for again := false; ; again = true {
+func (k *keepAliveClient) call(r *http.Request) (int, error) {
+	for retried := false; ; retried = true {
 		if k.c == nil {
 			c, err := net.Dial("tcp", k.addr)
 			if err != nil {
@@ -827,7 +829,7 @@
 		if err != nil {
 			k.c.Close()
 			k.c = nil
-			if k.used && !again {
+			if k.used && !retried {
 				continue
 			}
 			return 0, err
@@ -843,8 +845,8 @@
 }
 
 // Clients that go on for a while after SIGTERM, on old connections and on new ones, lose nothing.
-func TestTermUnderTraffic(t *testing.T) {
-	p, _ := one(t, func(w http.ResponseWriter, _ *http.Request) {
+func TestSIGTERMUnderTrafficLosesNoRequest(t *testing.T) {
+	p, _ := startWithServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(3 * time.Millisecond)
 		io.WriteString(w, strings.Repeat("x", 5000))
 	})
@@ -855,13 +857,13 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			k := &client{addr: p.addr}
+			k := &keepAliveClient{addr: p.addr}
 			for {
 				at := term.Load()
 				if at != 0 && k.c == nil && time.Now().UnixMilli() > at+250 {
 					return // no new connection that late
 				}
-				if s, err := k.call(request(t, p.addr, "GET", "/look", "")); err != nil || s != 200 && s != 503 {
+				if s, err := k.call(newRequest(t, p.addr, "GET", "/look", "")); err != nil || s != 200 && s != 503 {
 					t.Errorf("client %d, %d ms after SIGTERM: %d %v", i, time.Now().UnixMilli()-at, s, err)
 					return
 				}
@@ -881,7 +883,7 @@
 
 // The watch judges what is served and says so in the log; what is served does not change. Faulty settings of a watch
 // end the start and name the key.
-func TestWatch(t *testing.T) {
+func TestShadowSettingsAreCompared(t *testing.T) {
 	watched := func(every float64, weights string) func(map[string]any) {
 		return func(c map[string]any) {
 			set := map[string]any{}
@@ -892,13 +894,13 @@
 			c["watch"] = map[string]any{"settings": set, "every_s": every}
 		}
 	}
-	p, _ := oneWith(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, watched(0.1, "live"))
+	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, watched(0.1, "live"))
 	for range 20 {
-		if s, body := p.look(t); s != 200 || body != "yes" {
+		if s, body := p.sendRequest(t); s != 200 || body != "yes" {
 			t.Fatal(s, body)
 		}
 	}
-	p.expect(t, "event=shadow_compared compared=20 server=0 send=0 reject=0 fail=0 timeout=0 hedge=0 close=0 gossip=0")
+	p.waitForLog(t, "event=shadow_compared compared=20 server=0 send=0 reject=0 fail=0 timeout=0 hedge=0 close=0 gossip=0")
 	faulty := start(t, startDiscovery(t).addr, nil, watched(0.1, "guessed"))
 	if err := <-faulty.done; err == nil || !strings.Contains(faulty.log.String(), "watch.settings: WeightSource") {
 		t.Errorf("a faulty watch: %v %s", err, faulty.log.String())
--- a/cmd/damsonscale/operations_test.go
+++ b/cmd/damsonscale/operations_test.go
@@ -38,12 +38,12 @@
 }
 
 // clientLine is a client's connection that tells of its end.
-type clientLine struct {
+type clientConn struct {
 	net.Conn
 	br *bufio.Reader
 }
 
-func (p *program) dial(t *testing.T) *clientLine {
+func (p *program) dial(t *testing.T) *clientConn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -51,13 +51,13 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(testTimeout))
-	return &clientLine{c, bufio.NewReader(c)}
+	return &clientConn{c, bufio.NewReader(c)}
 }
 
 // look makes a safe request on the connection.
-func (c *clientLine) look(t *testing.T) (status int, last bool) {
+func (c *clientConn) sendRequest(t *testing.T) (status int, closing bool) {
 	t.Helper()
-	r := request(t, "h", "GET", "/look", "")
+	r := newRequest(t, "h", "GET", "/look", "")
 	if err := r.Write(c); err != nil {
 		t.Fatal(err)
 	}
@@ -70,15 +70,15 @@
 }
 
 // A drained sidecar says no, serves what still comes, ends its connections and is back after the drain.
-func TestDrainIsUndone(t *testing.T) {
-	p, _ := oneWith(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
+func TestAdminDrainAndUndrain(t *testing.T) {
+	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
 	if s := p.callAdmin(t, "GET", "/healthcheck"); s != 200 {
 		t.Fatal(s)
 	}
 	used, idle, unused := p.dial(t), p.dial(t), p.dial(t)
-	for _, c := range []*clientLine{used, idle} {
-		if s, last := c.look(t); s != 200 || last {
-			t.Fatal(s, last)
+	for _, c := range []*clientConn{used, idle} {
+		if s, closing := c.sendRequest(t); s != 200 || closing {
+			t.Fatal(s, closing)
 		}
 	}
 	if s := p.callAdmin(t, "POST", "/healthcheck/fail"); s != 200 {
@@ -87,16 +87,16 @@
 	if s := p.status("/health/ready"); s != 503 {
 		t.Fatalf("ready while drained: %d", s)
 	}
-	if s, last := used.look(t); s != 200 || !last {
-		t.Fatalf("a request in a drain: %d, last %t", s, last)
+	if s, closing := used.sendRequest(t); s != 200 || !closing {
+		t.Fatalf("a request in a drain: %d, last %t", s, closing)
 	}
-	for name, c := range map[string]*clientLine{"idle": idle, "unused": unused} {
+	for name, c := range map[string]*clientConn{"idle": idle, "unused": unused} {
 		if b, err := io.ReadAll(c.br); err != nil || len(b) > 0 {
 			t.Fatalf("%s connection: %q %v", name, b, err)
 		}
 	}
-	if s, last := p.dial(t).look(t); s != 200 || !last {
-		t.Fatalf("a new connection in a drain: %d, last %t", s, last)
+	if s, closing := p.dial(t).sendRequest(t); s != 200 || !closing {
+		t.Fatalf("a new connection in a drain: %d, last %t", s, closing)
 	}
 	for _, call := range []string{"ok", "fail", "ok"} {
 		if s := p.callAdmin(t, "POST", "/healthcheck/"+call); s != 200 {
@@ -106,14 +106,14 @@
 	if s := p.status("/health/ready"); s != 200 {
 		t.Fatalf("after the drain: %d", s)
 	}
-	if s, last := p.dial(t).look(t); s != 200 || last {
-		t.Fatalf("after the drain: %d, last %t", s, last)
+	if s, closing := p.dial(t).sendRequest(t); s != 200 || closing {
+		t.Fatalf("after the drain: %d, last %t", s, closing)
 	}
 }
 
 // The admin API answers while clients take every socket.
 func TestAdminAnswersWhileClientsTakeAllSockets(t *testing.T) {
-	p, _ := oneWith(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
+	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
 		withAdmin(t)(c)
 		c["limits"].(map[string]any)["sockets"], c["descriptors"] = 64, 64
 	})
@@ -180,8 +180,8 @@
 
 // In an upgrade no request meets a closed door: clients that open a connection for each request, and clients that keep
 // theirs, are served all the while, and the old process ends. Twice in a row.
-func TestUpgradeLosesNothing(t *testing.T) {
-	p, _ := oneWith(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
+func TestUpgradeLosesNoRequest(t *testing.T) {
+	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
 	p.waitHealthy(t)
 	stop, failed := make(chan bool), make(chan string, 64)
 	var clients sync.WaitGroup
@@ -194,7 +194,7 @@
 					return
 				default:
 				}
-				resp, err := client.Do(request(t, p.addr, "GET", "/look", ""))
+				resp, err := client.Do(newRequest(t, p.addr, "GET", "/look", ""))
 				if err != nil {
 					failed <- err.Error()
 					return
@@ -208,9 +208,9 @@
 			}
 		})
 	}
-	kept := p.dial(t)
-	if s, last := kept.look(t); s != 200 || last {
-		t.Fatal(s, last)
+	keepAlive := p.dial(t)
+	if s, closing := keepAlive.sendRequest(t); s != 200 || closing {
+		t.Fatal(s, closing)
 	}
 	old := p
 	for range 2 {
@@ -218,15 +218,15 @@
 		next.waitHealthy(t)
 		old.cmd.Process.Signal(syscall.SIGTERM)
 		eventually(t, "the end of the old one's accepting", func() bool { return strings.Contains(old.log.String(), "event=terminating") })
-		if s, last := kept.look(t); s != 200 || !last {
-			t.Fatalf("a kept connection: %d, last %t", s, last)
+		if s, closing := keepAlive.sendRequest(t); s != 200 || !closing {
+			t.Fatalf("a kept connection: %d, last %t", s, closing)
 		}
 		if err := <-old.done; err != nil {
 			t.Fatal(err, old.log.String())
 		}
-		kept = next.dial(t)
-		if s, last := kept.look(t); s != 200 || last {
-			t.Fatal(s, last)
+		keepAlive = next.dial(t)
+		if s, closing := keepAlive.sendRequest(t); s != 200 || closing {
+			t.Fatal(s, closing)
 		}
 		old = next
 	}
@@ -239,29 +239,29 @@
 }
 
 // One that starts beside and dies before it serves, or starts again, changes nothing for the one that is there.
-func TestUpgradeWhereTheSuccessorDies(t *testing.T) {
-	p, d := oneWith(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
+func TestUpgradeWhenOneProcessDies(t *testing.T) {
+	p, d := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
 	p.waitHealthy(t)
 	p.conf["known"] = nil // the new one must ask before it can serve
 	for range 2 {
 		next := p.startSuccessor(t)
-		p.expect(t, "event=handover_successor state=starting")
-		next.expect(t, "event=start")
+		p.waitForLog(t, "event=handover_successor state=starting")
+		next.waitForLog(t, "event=start")
 		next.cmd.Process.Kill()
 		<-next.done
-		if s, _ := p.look(t); s != 200 {
+		if s, _ := p.sendRequest(t); s != 200 {
 			t.Fatal(s)
 		}
 	}
 	next := p.startSuccessor(t)
-	next.expect(t, "event=start")
+	next.waitForLog(t, "event=start")
 	p.cmd.Process.Kill() // the old one dies in the middle: the new one takes what comes
 	<-p.done
 	eventually(t, "an answer", func() bool { return p.status("/health/ready") == 503 })
 	addr := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "new") })
-	d.tell(t, list{Seq: 50, Whole: true, Hosts: []host{hostAt("s2", addr, "Ready")}})
+	d.sendList(t, list{Seq: 50, Whole: true, Hosts: []host{hostAt("s2", addr, "Ready")}})
 	next.waitHealthy(t)
-	if s, body := next.look(t); s != 200 || body != "new" {
+	if s, body := next.sendRequest(t); s != 200 || body != "new" {
 		t.Fatal(s, body)
 	}
 }
@@ -269,7 +269,7 @@
 // A file where the processes meet that is no hand-over's changes nothing: the address is shared, and the log says so.
 func TestUpgradeWithoutHandover(t *testing.T) {
 	dir := t.TempDir()
-	p, _ := oneWith(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
+	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
 		withAdmin(t)(c)
 		c["environment"] = "TMPDIR=" + dir
 	})
@@ -287,19 +287,19 @@
 	p.conf["environment"] = "TMPDIR=" + dir
 	next := p.startSuccessor(t)
 	next.waitHealthy(t)
-	next.expect(t, "address_shared=true")
+	next.waitForLog(t, "address_shared=true")
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-p.done; err != nil {
 		t.Fatal(err)
 	}
-	if s, _ := next.look(t); s != 200 {
+	if s, _ := next.sendRequest(t); s != 200 {
 		t.Fatal(s)
 	}
 }
 
 // A drain goes on in the process that follows, and is ended there.
 func TestUpgradeWhileDrained(t *testing.T) {
-	p, _ := oneWith(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
+	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
 	p.waitHealthy(t)
 	p.callAdmin(t, "POST", "/healthcheck/fail")
 	next := p.startSuccessor(t)
@@ -318,15 +318,15 @@
 // A reload takes other classes: a new one is served, a dropped one is not, and a request that is open keeps its rules.
 // A broken file then changes nothing.
 func TestReloadChangesSettings(t *testing.T) {
-	var tries atomic.Int64
-	came, finish := make(chan bool, 8), make(chan bool)
-	p, d := one(t, func(w http.ResponseWriter, r *http.Request) {
+	var attempts atomic.Int64
+	arrived, finish := make(chan bool, 8), make(chan bool)
+	p, d := startWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasPrefix(r.URL.Path, "/look") {
 			io.WriteString(w, "yes")
 			return
 		}
-		if tries.Add(1) == 1 {
-			came <- true
+		if attempts.Add(1) == 1 {
+			arrived <- true
 			<-finish
 			w.WriteHeader(500) // safe under the settings it came with: it is tried again
 			return
@@ -336,7 +336,7 @@
 	<-d.watches
 	answer := make(chan string, 1)
 	go func() {
-		resp, err := http.DefaultClient.Do(request(t, p.addr, "GET", "/look", ""))
+		resp, err := http.DefaultClient.Do(newRequest(t, p.addr, "GET", "/look", ""))
 		if err != nil {
 			answer <- err.Error()
 			return
@@ -345,11 +345,11 @@
 		b, _ := io.ReadAll(resp.Body)
 		answer <- resp.Status + " " + string(b)
 	}()
-	<-came
+	<-arrived
 	turn := strings.NewReplacer(`"look","Semantics":"idempotent"`, `"look","Semantics":"at_most_once"`, `"make"`, `"put"`)
 	p.conf["settings"] = json.RawMessage(turn.Replace(settings))
 	p.reload(t, d.addr)
-	p.expect(t, "event=config_reloaded version=2 settings_changed=true")
+	p.waitForLog(t, "event=config_reloaded version=2 settings_changed=true")
 	finish <- true
 	if a := <-answer; a != "200 OK again" {
 		t.Fatalf("the open request: %q", a)
@@ -360,7 +360,7 @@
 			method, path string
 			want         int
 		}{{"POST", "/put", 200}, {"POST", "/make", 404}, {"GET", "/look", 405}, {"POST", "/look", 200}} {
-			if s, body := do(t, request(t, p.addr, c.method, c.path, "x")); s != c.want {
+			if s, body := doRequest(t, newRequest(t, p.addr, c.method, c.path, "x")); s != c.want {
 				t.Errorf("%s %s: %d %s", c.method, c.path, s, body)
 			}
 		}
@@ -368,15 +368,15 @@
 	check()
 	p.conf["settings"] = json.RawMessage(strings.Replace(settings, `"MaxAttempts":4`, `"MaxAttempts":0`, 1))
 	p.reload(t, "127.0.0.1:1")
-	p.expect(t, "event=reload_failed err=\"config: settings.Limits.MaxAttempts")
+	p.waitForLog(t, "event=reload_failed err=\"config: settings.Limits.MaxAttempts")
 	check()
 }
 
 // A request that the old process still has under way is not run again by the new one under the same id.
-func TestRequestIDsInFlightInAnUpgrade(t *testing.T) {
-	came, finish := make(chan bool, 4), make(chan bool)
-	p, _ := oneWith(t, func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
+func TestDuplicateRequestIDAcrossUpgradeGets409(t *testing.T) {
+	arrived, finish := make(chan bool, 4), make(chan bool)
+	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) {
+		arrived <- true
 		<-finish
 		io.WriteString(w, "yes")
 	}, withAdmin(t))
@@ -384,11 +384,11 @@
 	const text = "POST /once HTTP/1.1\r\nHost: h\r\nReq-Id: same\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 0\r\n\r\n"
 	first := p.dial(t)
 	io.WriteString(first, text)
-	<-came
+	<-arrived
 	next := p.startSuccessor(t)
 	next.waitHealthy(t)
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.expect(t, "event=terminating")
+	p.waitForLog(t, "event=terminating")
 	eventually(t, "409 for the same id", func() bool {
 		second := next.dial(t)
 		io.WriteString(second, text)
--- a/cmd/damsonscale/races_test.go
+++ b/cmd/damsonscale/races_test.go
@@ -45,14 +45,14 @@
 		"with reloads before": {syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM},
 	} {
 		t.Run(name, func(t *testing.T) {
-			came, finish := make(chan bool, 1), make(chan bool)
-			p, _ := one(t, func(w http.ResponseWriter, _ *http.Request) {
-				came <- true
+			arrived, finish := make(chan bool, 1), make(chan bool)
+			p, _ := startWithServer(t, func(w http.ResponseWriter, _ *http.Request) {
+				arrived <- true
 				<-finish
 				io.WriteString(w, "yes")
 			})
 			answered := make(chan int, 1)
-			r := request(t, p.addr, "GET", "/look", "")
+			r := newRequest(t, p.addr, "GET", "/look", "")
 			go func() {
 				status := 0
 				if resp, err := http.DefaultClient.Do(r); err == nil {
@@ -61,9 +61,9 @@
 				}
 				answered <- status
 			}()
-			<-came
+			<-arrived
 			p.signal(signals...)
-			p.expect(t, "event=terminating")
+			p.waitForLog(t, "event=terminating")
 			p.signal(signals[len(signals)-1])
 			close(finish)
 			if s := <-answered; s != 200 {
@@ -76,14 +76,14 @@
 
 // A reload while a request is under way drops its class and makes another of the same name unsafe: what is under way keeps its
 // rules, and what comes next has the new ones.
-func TestReloadDuringARequest(t *testing.T) {
-	came, finish := make(chan string, 4), make(chan bool)
-	p, _ := one(t, func(w http.ResponseWriter, r *http.Request) {
-		came <- r.Header.Get("Req-Id")
+func TestRequestKeepsItsSettingsAcrossReload(t *testing.T) {
+	arrived, finish := make(chan string, 4), make(chan bool)
+	p, _ := startWithServer(t, func(w http.ResponseWriter, r *http.Request) {
+		arrived <- r.Header.Get("Req-Id")
 		<-finish
 		io.WriteString(w, "yes")
 	})
-	r := request(t, p.addr, "POST", "/make", "x")
+	r := newRequest(t, p.addr, "POST", "/make", "x")
 	answered := make(chan int, 1)
 	go func() {
 		resp, err := http.DefaultClient.Do(r)
@@ -94,27 +94,27 @@
 		resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	<-came
+	<-arrived
 	p.conf["settings"] = json.RawMessage(strings.NewReplacer(`"Name":"look"`, `"Name":"gaze"`,
 		`"Semantics":"deduplicated"`, `"Semantics":"at_most_once"`).Replace(settings))
 	p.configure(t)
 	p.signal(syscall.SIGHUP)
-	p.expect(t, "event=config_reloaded version=2")
-	if s, _ := do(t, request(t, p.addr, "GET", "/look", "")); s != 404 {
+	p.waitForLog(t, "event=config_reloaded version=2")
+	if s, _ := doRequest(t, newRequest(t, p.addr, "GET", "/look", "")); s != 404 {
 		t.Errorf("a class that is none any more: %d", s)
 	}
 	close(finish)
 	if s := <-answered; s != 200 {
 		t.Errorf("under way across the reload: %d", s)
 	}
-	if s, _ := do(t, request(t, p.addr, "POST", "/make", "x")); s != 200 {
+	if s, _ := doRequest(t, newRequest(t, p.addr, "POST", "/make", "x")); s != 200 {
 		t.Errorf("after the reload: %d", s)
 	}
 }
 
 // What comes pushed from an agent goes before what the program was given as known, before its first request.
-func TestPushedEndpointsCountFromTheStart(t *testing.T) {
-	gone := deadAddr(t)
+func TestPushedListReplacesKnownListAtStart(t *testing.T) {
+	gone := refusingAddr(t)
 	here := standin.NewServer(t, standin.Yes)
 	agent := standin.NewDiscovery(t, func(w *standin.Watch) {
 		w.Begin()
@@ -125,7 +125,7 @@
 		c["settings"] = json.RawMessage(strings.Replace(settings, `"on_request"`, `"pushed"`, 1))
 	})
 	p.waitReady(t)
-	if s, _ := p.look(t); s != 200 {
+	if s, _ := p.sendRequest(t); s != 200 {
 		t.Fatal(s, p.log.String())
 	}
 	if strings.Contains(p.log.String(), "s1") {
--- a/cmd/damsonscale/slow_start_test.go
+++ b/cmd/damsonscale/slow_start_test.go
@@ -27,21 +27,21 @@
 	addr, name string
 	born       time.Time
 	mu         sync.Mutex
-	came       []float64 // s since its start
+	arrived    []float64 // s since its start
 }
 
-func startCold(t *testing.T, name string) *coldServer {
+func startColdServer(t *testing.T, name string) *coldServer {
 	s := &coldServer{name: name, born: time.Now()}
 	s.addr = serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
-		s.came = append(s.came, time.Since(s.born).Seconds())
+		s.arrived = append(s.arrived, time.Since(s.born).Seconds())
 		s.mu.Unlock()
 		io.WriteString(w, "yes")
 	})
 	return s
 }
 
-func (s *coldServer) listed() host {
+func (s *coldServer) listEntry() host {
 	h := hostAt(s.name, s.addr, "Ready")
 	h.Born = s.born.UnixMilli()
 	return h
@@ -50,14 +50,14 @@
 // judge counts every window that begins with a request, by the server's own clock. What is held up on a busy machine
 // comes later, and so together: a hold-up adds what is earned in it, at most the mean of so much time, and the bound
 // leaves room for one about as long as a window. It returns how many came.
-func (s *coldServer) judge(t *testing.T) (came int) {
+func (s *coldServer) checkSlowStart(t *testing.T) (arrived int) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	most, share := 0, 0.0
-	for i, at := range s.came {
+	for i, at := range s.arrived {
 		n := 0
-		for n < len(s.came)-i && s.came[i+n]-at < windowSeconds {
+		for n < len(s.arrived)-i && s.arrived[i+n]-at < windowSeconds {
 			n++
 		}
 		budget := overloadFactor * min(1, slowStartMinShare+(1-slowStartMinShare)*at/slowStartSeconds) * warmRate * windowSeconds
@@ -67,39 +67,39 @@
 		}
 		share = max(share, float64(n)/bound)
 	}
-	t.Logf("%s: %d requests, %d in its fullest window, %.2f of the bound", s.name, len(s.came), most, share)
-	return len(s.came)
+	t.Logf("%s: %d requests, %d in its fullest window, %.2f of the bound", s.name, len(s.arrived), most, share)
+	return len(s.arrived)
 }
 
 // rampFleet is some sidecars, each with a discovery of its own, before the same servers.
-type rampFleet struct {
-	t      *testing.T
-	all    []*program
-	lists  []*discovery
-	warm   []host
-	client *http.Client
-	calls  sync.WaitGroup
-	next   int
+type testFleet struct {
+	t           *testing.T
+	sidecars    []*program
+	discoveries []*discovery
+	warm        []host
+	client      *http.Client
+	calls       sync.WaitGroup
+	next        int
 }
 
 // startRamp starts the program so many times before two warm servers and others that it knows of.
-func startRamp(t *testing.T, n int, others ...host) *rampFleet {
-	f := &rampFleet{t: t, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
+func startFleet(t *testing.T, n int, others ...host) *testFleet {
+	f := &testFleet{t: t, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 	for i := range 2 {
-		f.warm = append(f.warm, hostAt(fmt.Sprint("warm", i), serveHTTP(t, yes), "Ready"))
+		f.warm = append(f.warm, hostAt(fmt.Sprint("warm", i), serveHTTP(t, respondYes), "Ready"))
 	}
 	edit := strings.NewReplacer(`"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, n), `"ColdFrom":0.5,"ColdUs":5000000`,
 		fmt.Sprintf(`"ColdFrom":%v,"ColdUs":%.0f`, slowStartMinShare, slowStartSeconds*1e6), `"FallUs":3000000`,
 		fmt.Sprintf(`"FallUs":%.0f`, windowSeconds*1e6))
 	for i := range n {
 		d := startDiscovery(t)
-		f.lists = append(f.lists, d)
-		f.all = append(f.all, start(t, d.addr, &list{Seq: 41, Whole: true, Hosts: append(others, f.warm...)}, func(c map[string]any) {
+		f.discoveries = append(f.discoveries, d)
+		f.sidecars = append(f.sidecars, start(t, d.addr, &list{Seq: 41, Whole: true, Hosts: append(others, f.warm...)}, func(c map[string]any) {
 			c["name"], c["seed"] = fmt.Sprint("n", i), fmt.Sprintf("%016x", i+1)
 			c["settings"] = json.RawMessage(strings.Replace(edit.Replace(settings), `"Me":0`, fmt.Sprintf(`"Me":%d`, i), 1))
 		}))
 	}
-	for _, p := range f.all {
+	for _, p := range f.sidecars {
 		p.waitReady(t)
 	}
 	t.Cleanup(f.calls.Wait)
@@ -107,8 +107,8 @@
 }
 
 // call makes a request of one of them and does not wait for its answer.
-func (f *rampFleet) call(p *program) {
-	r := request(f.t, p.addr, "GET", "/look", "")
+func (f *testFleet) sendAsync(p *program) {
+	r := newRequest(f.t, p.addr, "GET", "/look", "")
 	f.calls.Add(1)
 	go func() {
 		defer f.calls.Done()
@@ -122,76 +122,76 @@
 }
 
 // play makes requests for so many seconds, as many as the warm servers can do, of those in turn.
-func (f *rampFleet) play(seconds float64, of ...*program) {
+func (f *testFleet) sendSteadily(seconds float64, targets ...*program) {
 	gap := time.Duration(float64(time.Second) / (warmRate * float64(len(f.warm))))
 	for end := time.Now().Add(time.Duration(seconds * 1e9)); time.Now().Before(end); time.Sleep(gap) {
-		f.call(of[f.next%len(of)])
+		f.sendAsync(targets[f.next%len(targets)])
 		f.next++
 	}
 }
 
 // burst makes so many requests of each at once.
-func (f *rampFleet) burst(each int) {
-	for _, p := range f.all {
+func (f *testFleet) burst(each int) {
+	for _, p := range f.sidecars {
 		for range each {
-			f.call(p)
+			f.sendAsync(p)
 		}
 	}
 }
 
 // tell gives one of them its list.
-func (f *rampFleet) tell(i, seq int, hosts ...host) {
-	f.lists[i].tell(f.t, list{Seq: seq, Whole: true, Hosts: hosts})
+func (f *testFleet) sendList(i, seq int, hosts ...host) {
+	f.discoveries[i].sendList(f.t, list{Seq: seq, Whole: true, Hosts: hosts})
 }
 
 // Many processes together stay within a cold server's slow start. The servers count what comes in every window.
-func TestColdServersUnderManyProcesses(t *testing.T) {
+func TestSlowStartAcrossManySidecars(t *testing.T) {
 	for _, n := range []int{20, 30} {
-		came := 0
+		arrived := 0
 		t.Run(fmt.Sprint(n, " processes, the others drain"), func(t *testing.T) {
-			f := startRamp(t, n)
-			f.play(0.5, f.all...)
-			cold := startCold(t, "cold")
-			for i := range f.all {
-				f.tell(i, 42, append([]host{cold.listed()}, f.warm...)...)
+			f := startFleet(t, n)
+			f.sendSteadily(0.5, f.sidecars...)
+			cold := startColdServer(t, "cold")
+			for i := range f.sidecars {
+				f.sendList(i, 42, append([]host{cold.listEntry()}, f.warm...)...)
 			}
-			f.play(5, f.all...)
-			for i := range f.all {
-				f.tell(i, 43, cold.listed())
+			f.sendSteadily(5, f.sidecars...)
+			for i := range f.sidecars {
+				f.sendList(i, 43, cold.listEntry())
 			}
 			f.burst(4)
-			f.play(0.5, f.all...)
-			came += cold.judge(t)
+			f.sendSteadily(0.5, f.sidecars...)
+			arrived += cold.checkSlowStart(t)
 		})
 		t.Run(fmt.Sprint(n, " processes that start with the server"), func(t *testing.T) {
-			cold := startCold(t, "cold")
-			f := startRamp(t, n, cold.listed())
+			cold := startColdServer(t, "cold")
+			f := startFleet(t, n, cold.listEntry())
 			f.burst(2)
-			f.play(3, f.all...)
-			came += cold.judge(t)
+			f.sendSteadily(3, f.sidecars...)
+			arrived += cold.checkSlowStart(t)
 		})
 		t.Run(fmt.Sprint(n, " processes, one with most of the traffic, told at other times of three cold ones, a lull"), func(t *testing.T) {
-			f := startRamp(t, n)
-			f.play(1, f.all...)
+			f := startFleet(t, n)
+			f.sendSteadily(1, f.sidecars...)
 			var colds []*coldServer
 			hosts := f.warm
 			for i := range 3 {
-				colds = append(colds, startCold(t, fmt.Sprint("cold", i)))
-				hosts = append(hosts[:len(hosts):len(hosts)], colds[i].listed())
+				colds = append(colds, startColdServer(t, fmt.Sprint("cold", i)))
+				hosts = append(hosts[:len(hosts):len(hosts)], colds[i].listEntry())
 			}
-			for i := range f.all {
-				f.tell(i, 42, hosts...)
-				f.play(1/float64(n), f.all[0], f.all[0], f.all[0], f.all[i])
+			for i := range f.sidecars {
+				f.sendList(i, 42, hosts...)
+				f.sendSteadily(1/float64(n), f.sidecars[0], f.sidecars[0], f.sidecars[0], f.sidecars[i])
 			}
-			f.play(2, append(f.all[:n:n], f.all[0], f.all[0], f.all[0])...)
+			f.sendSteadily(2, append(f.sidecars[:n:n], f.sidecars[0], f.sidecars[0], f.sidecars[0])...)
 			time.Sleep(time.Second)
 			f.burst(3)
-			f.play(1, f.all...)
+			f.sendSteadily(1, f.sidecars...)
 			for _, c := range colds {
-				came += c.judge(t)
+				arrived += c.checkSlowStart(t)
 			}
 		})
-		if came == 0 {
+		if arrived == 0 {
 			t.Errorf("%d processes sent cold servers nothing at all", n)
 		}
 	}
--- a/cmd/damsonscale/stream_test.go
+++ b/cmd/damsonscale/stream_test.go
@@ -18,7 +18,7 @@
 )
 
 // script is a server that answers each connection's first request by hand.
-func script(t *testing.T, serve func(r *http.Request, c net.Conn)) string {
+func serveScripted(t *testing.T, serve func(r *http.Request, c net.Conn)) string {
 	t.Helper()
 	return standin.Listen(t, func(c *net.TCPConn, _ int) {
 		c.SetDeadline(time.Now().Add(testTimeout))
@@ -29,10 +29,10 @@
 }
 
 // scripted starts a sidecar with one known server that answers by hand.
-func scripted(t *testing.T, serve func(r *http.Request, c net.Conn), change func(map[string]any)) *program {
+func startWithScriptedServer(t *testing.T, serve func(r *http.Request, c net.Conn), change func(map[string]any)) *program {
 	t.Helper()
 	d := startDiscovery(t)
-	addr := script(t, serve)
+	addr := serveScripted(t, serve)
 	p := start(t, d.addr, &list{Seq: 41, Whole: true, Hosts: []host{hostAt("s1", addr, "Ready")}}, change)
 	p.waitReady(t)
 	return p
@@ -48,9 +48,9 @@
 }
 
 // Bodies and answers of far more than the memory granted pass through whole, many at once.
-func TestLongBodiesAndAnswers(t *testing.T) {
+func TestLargeBodiesUseBoundedMemory(t *testing.T) {
 	body := pattern(8 << 20)
-	p, _ := oneWith(t, func(w http.ResponseWriter, r *http.Request) {
+	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, r *http.Request) {
 		got, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Equal(got, body) {
 			w.WriteHeader(500)
@@ -61,7 +61,7 @@
 	failed := make(chan error, 8)
 	for i := range cap(failed) {
 		go func() {
-			r := request(t, p.addr, "POST", "/make", "")
+			r := newRequest(t, p.addr, "POST", "/make", "")
 			r.Body = io.NopCloser(bytes.NewReader(body))
 			if r.ContentLength = int64(len(body)); i%2 == 0 {
 				r.ContentLength = -1 // in chunks
@@ -96,23 +96,23 @@
 }
 
 // A client is answered as the server goes on: the first bytes of a long answer come while the server still waits.
-func TestAnswerBeginsWithItsFirstBytes(t *testing.T) {
+func TestResponseIsStreamed(t *testing.T) {
 	for name, head := range map[string]string{
 		"long": "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", "chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n",
 		"to its end": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			first, goOn := pattern(70000)[:5], make(chan bool)
-			p := scripted(t, func(_ *http.Request, c net.Conn) {
+			first, resume := pattern(70000)[:5], make(chan bool)
+			p := startWithScriptedServer(t, func(_ *http.Request, c net.Conn) {
 				io.WriteString(c, head)
 				c.Write(first)
-				<-goOn
+				<-resume
 				c.Write(pattern(70000)[5:])
 				if name == "chunked" {
 					io.WriteString(c, "\r\n0\r\nTrailer: x\r\n\r\n")
 				}
 			}, nil)
-			resp, err := http.DefaultClient.Do(request(t, p.addr, "GET", "/look", ""))
+			resp, err := http.DefaultClient.Do(newRequest(t, p.addr, "GET", "/look", ""))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -121,7 +121,7 @@
 			if _, err := io.ReadFull(resp.Body, got); err != nil || !bytes.Equal(got, first) {
 				t.Fatalf("%q %v", got, err)
 			}
-			close(goOn)
+			close(resume)
 			rest, err := io.ReadAll(resp.Body)
 			if err != nil || !bytes.Equal(rest, pattern(70000)[5:]) {
 				t.Fatalf("%d bytes, %v", len(rest), err)
@@ -131,16 +131,16 @@
 }
 
 // An answer that has begun and then breaks is cut so that the client can tell, and nothing is sent a second time.
-func TestBrokenAnswerIsCutOff(t *testing.T) {
+func TestBrokenResponseIsTruncatedAndNotRetried(t *testing.T) {
 	for name, c := range map[string]struct{ head, version string }{
 		"long":        {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", "1.1"},
 		"chunked":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n", "1.1"},
 		"to HTTP/1.0": {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", "1.0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var tries atomic.Int64
-			p := scripted(t, func(_ *http.Request, conn net.Conn) {
-				tries.Add(1)
+			var attempts atomic.Int64
+			p := startWithScriptedServer(t, func(_ *http.Request, conn net.Conn) {
+				attempts.Add(1)
 				io.WriteString(conn, c.head)
 				conn.Write(pattern(100000))
 			}, nil)
@@ -153,7 +153,7 @@
 			if got, err := io.ReadAll(resp.Body); err == nil {
 				t.Fatalf("%d bytes passed for a whole answer", len(got))
 			}
-			if n := tries.Load(); n != 1 {
+			if n := attempts.Load(); n != 1 {
 				t.Fatalf("%d attempts", n)
 			}
 		})
@@ -167,25 +167,25 @@
 		want   int
 		status int
 	}{{60_000, 2, 200}, {200_000, 1, 502}} {
-		var tries atomic.Int64
-		p, _ := one(t, func(w http.ResponseWriter, r *http.Request) {
+		var attempts atomic.Int64
+		p, _ := startWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
-			if tries.Add(1) == 1 || n != int64(c.size) {
+			if attempts.Add(1) == 1 || n != int64(c.size) {
 				w.WriteHeader(500)
 			}
 		})
-		r := request(t, p.addr, "POST", "/make", strings.Repeat("x", c.size))
-		s, _ := do(t, r)
-		if int(tries.Load()) != c.want || s != c.status && (c.status == 200 || s < 500) {
-			t.Errorf("%d bytes: %d attempts, want %d; answered %d, want %d", c.size, tries.Load(), c.want, s, c.status)
+		r := newRequest(t, p.addr, "POST", "/make", strings.Repeat("x", c.size))
+		s, _ := doRequest(t, r)
+		if int(attempts.Load()) != c.want || s != c.status && (c.status == 200 || s < 500) {
+			t.Errorf("%d bytes: %d attempts, want %d; answered %d, want %d", c.size, attempts.Load(), c.want, s, c.status)
 		}
 	}
 }
 
 // All that HTTP/1.1 allows of a request is taken, in pieces cut anywhere, two requests in one go among them.
-func TestFormsOfRequests(t *testing.T) {
+func TestAcceptedRequestForms(t *testing.T) {
 	const head = "Host: h\r\nReq-Id: a%d\r\nReq-Deadline-Ms: 20000\r\nIdempotency-Key: k\r\n"
-	p, _ := one(t, func(w http.ResponseWriter, r *http.Request) {
+	p, _ := startWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s %q %s", r.Method, r.RequestURI, b, r.Header.Get("X-Hop"))
 	})
@@ -241,8 +241,8 @@
 }
 
 // A client that sends half a long body and no more is told or cut off, and holds no server for good.
-func TestStalledBody(t *testing.T) {
-	p := scripted(t, func(r *http.Request, _ net.Conn) { io.Copy(io.Discard, r.Body) }, nil)
+func TestStalledRequestBodyGets408(t *testing.T) {
+	p := startWithScriptedServer(t, func(r *http.Request, _ net.Conn) { io.Copy(io.Discard, r.Body) }, nil)
 	conn := p.dial(t)
 	io.WriteString(conn, "POST /make HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 900\r\nIdempotency-Key: k\r\n"+
 		"Content-Length: 300000\r\n\r\n"+strings.Repeat("x", 100000))
@@ -253,7 +253,7 @@
 }
 
 // In an upgrade a long answer that is under way goes on in the process that follows, and comes whole; the old one ends.
-func TestStreamGoesOnInAnUpgrade(t *testing.T) {
+func TestStreamedResponseSurvivesUpgrade(t *testing.T) {
 	body := pattern(300_000)
 	for name, c := range map[string]struct{ head, tail, version string }{
 		"length":     {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", "", "1.1"},
@@ -262,11 +262,11 @@
 		"HTTP/1.0":   {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", "", "1.0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			goOn := make(chan bool)
-			p := scripted(t, func(_ *http.Request, conn net.Conn) {
+			resume := make(chan bool)
+			p := startWithScriptedServer(t, func(_ *http.Request, conn net.Conn) {
 				io.WriteString(conn, c.head)
 				conn.Write(body[:100_000])
-				<-goOn
+				<-resume
 				conn.Write(body[100_000:])
 				io.WriteString(conn, c.tail)
 			}, withAdmin(t))
@@ -287,7 +287,7 @@
 			if err := <-p.done; err != nil { // it does not wait for the server
 				t.Fatal(err)
 			}
-			close(goOn)
+			close(resume)
 			rest, err := io.ReadAll(resp.Body)
 			if got = append(got, rest...); err != nil || !bytes.Equal(got, body) {
 				t.Fatalf("%d bytes, %v\n%s", len(got), err, next.log.String())
