--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -23,7 +23,8 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// TestMain lets the test's own binary be the program: the tests start it and speak to it on loopback.
+// TestMain runs the test binary in the role that DAMSONSCALE_RUN_MAIN names, so that tests can start it as the program and talk to
+// it on loopback.
 func TestMain(m *testing.M) {
 	switch os.Getenv("DAMSONSCALE_RUN_MAIN") {
 	case "1":
@@ -39,7 +40,7 @@
 	os.Exit(m.Run())
 }
 
-const testTimeout = 30 * time.Second // before a test that waits for something gives up
+const testTimeout = 30 * time.Second // limit on every wait in a test
 
 const settings = `{"Balancers":1,"Me":0,"Zone":"z","RegistryMode":"on_request","WeightSource":"nominal","TickUs":5000,
 "Services":[
@@ -72,11 +73,11 @@
 	return host{Host: name, Dial: addr, Site: "z", Health: health, Share: 1}
 }
 
-// discovery is a stand-in that writes to each watch what the test puts into lines.
+// discovery is a fake discovery service. It writes the lines that a test sends to lines, each to one of the open watches.
 type discovery struct {
 	addr       string
 	lines      chan string
-	watches    chan string // the query of each watch
+	watches    chan string // query string of each watch request
 	closeWatch chan bool
 }
 
@@ -116,7 +117,7 @@
 	select {
 	case d.lines <- line:
 	case <-time.After(testTimeout):
-		t.Fatal("nobody watches")
+		t.Fatalf("no open watch took the line %q within %v", line, testTimeout)
 	}
 }
 
@@ -131,19 +132,19 @@
 	return ln.Addr().String()
 }
 
-// program is a started sidecar.
+// program is a started sidecar process.
 type program struct {
 	cmd            *exec.Cmd
 	conf           map[string]any
-	path           string // of the configuration
+	path           string // path of the configuration file
 	addr           string
-	maxDescriptors string // descriptors
-	executablePath string // empty: the test's own binary
+	maxDescriptors string // limit on open descriptors, set by ulimit
+	executablePath string // empty: the test binary
 	log            logBuffer
 	done           chan error
 }
 
-// logBuffer is the program's log, readable while it runs.
+// logBuffer collects the program's log and can be read while the program runs.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -161,14 +162,14 @@
 	return j.text.String()
 }
 
-// expect waits for a piece of the program's log.
+// waitForLog waits until the program's log contains piece.
 func (p *program) waitForLog(t *testing.T, piece string) {
 	t.Helper()
-	eventually(t, piece, func() bool { return strings.Contains(p.log.String(), piece) })
+	eventually(t, "the log to contain "+piece, func() bool { return strings.Contains(p.log.String(), piece) })
 }
 
-// freeAddr is an address for a program, which shares it: it stays bound here, and nobody listens, so
-// that no stand-in of another test is given the port before the program has it.
+// freeAddr returns a loopback address for a program to listen on. The test keeps the port bound, without listening and with
+// SO_REUSEPORT, so that no stand-in of another test gets the port before the program binds it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	fd, addr := standin.Bound(t, 0, unix.SO_REUSEADDR, unix.SO_REUSEPORT)
@@ -190,11 +191,11 @@
 	if change != nil {
 		change(conf)
 	}
-	if n, ok := conf["descriptors"]; ok { // fewer than it is told of
+	if n, ok := conf["descriptors"]; ok { // limit of the process, may be lower than limits.sockets
 		p.maxDescriptors = fmt.Sprint(n)
 		delete(conf, "descriptors")
 	}
-	if exe, ok := conf["executable"]; ok { // another build
+	if exe, ok := conf["executable"]; ok { // path of another build
 		p.executablePath = exe.(string)
 		delete(conf, "executable")
 	}
@@ -204,7 +205,7 @@
 	return p
 }
 
-// run starts the process in one of its roles.
+// run starts the process in the given role (a value of DAMSONSCALE_RUN_MAIN).
 func (p *program) run(t *testing.T, role string) {
 	t.Helper()
 	exe := os.Args[0]
@@ -225,7 +226,7 @@
 	p.cmd, p.done = cmd, done
 }
 
-// configure writes the configuration's file.
+// configure writes the configuration file.
 func (p *program) configure(t *testing.T) {
 	t.Helper()
 	text, _ := json.Marshal(p.conf)
@@ -234,7 +235,7 @@
 	}
 }
 
-// reload names another discovery in the file and tells the program.
+// reload changes the discovery address in the configuration file and sends SIGHUP.
 func (p *program) reload(t *testing.T, discovery string) {
 	t.Helper()
 	p.conf["discovery"] = discovery
@@ -244,7 +245,7 @@
 	}
 }
 
-// status returns the answer's status to a GET, 0 where there is none.
+// status returns the response status of a GET, or 0 if there is no response.
 func (p *program) status(path string) int {
 	resp, err := http.Get("http://" + p.addr + path)
 	if err != nil {
@@ -262,12 +263,12 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", condition)
+	t.Fatalf("timed out waiting for: %s", condition)
 }
 
 func (p *program) waitReady(t *testing.T) {
 	t.Helper()
-	eventually(t, "ready", func() bool { return p.status("/health/ready") == 200 })
+	eventually(t, "/health/ready to return 200", func() bool { return p.status("/health/ready") == 200 })
 }
 
 var requestIDs atomic.Int64
@@ -301,18 +302,18 @@
 	return resp.StatusCode, string(body)
 }
 
-// look makes a safe request and returns what came of it.
+// sendRequest sends a GET of an idempotent class and returns the response.
 func (p *program) sendRequest(t *testing.T) (status int, body string) {
 	t.Helper()
 	return doRequest(t, newRequest(t, p.addr, "GET", "/look", ""))
 }
 
-// one starts a sidecar with one known server.
+// startWithServer starts a sidecar that knows one server, which h handles.
 func startWithServer(t *testing.T, h http.HandlerFunc) (*program, *discovery) {
 	return startWithServerAndConfig(t, h, nil)
 }
 
-// oneWith does so after a change to the configuration.
+// startWithServerAndConfig is startWithServer with a change to the configuration.
 func startWithServerAndConfig(t *testing.T, h http.HandlerFunc, change func(map[string]any)) (*program, *discovery) {
 	d := startDiscovery(t)
 	addr := serveHTTP(t, h)
@@ -325,21 +326,22 @@
 	d := startDiscovery(t)
 	server := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })
 	p := start(t, d.addr, nil, nil)
-	eventually(t, "an answer", func() bool { return p.status("/health/ready") != 0 })
+	eventually(t, "a response from /health/ready", func() bool { return p.status("/health/ready") != 0 })
 	if s := p.status("/health/ready"); s != 503 {
-		t.Fatalf("ready without a list: %d", s)
+		t.Fatalf("/health/ready returned %d before the first endpoint list, want 503", s)
 	}
 	if q := <-d.watches; q != "watch=1" {
-		t.Fatalf("asked with %q", q)
+		t.Fatalf("first watch has query %q, want %q", q, "watch=1")
 	}
 	d.sendList(t, list{Seq: 1, Whole: true, Hosts: []host{hostAt("s1", server, "Ready")}})
 	p.waitReady(t)
 	if s, body := p.sendRequest(t); s != 200 || body != "yes" {
-		t.Fatal(s, body)
+		t.Fatalf("got status %d and body %q, want 200 and \"yes\"", s, body)
 	}
 }
 
-// What goes on is what came: method, path, query, id, key, body and further headers.
+// The server receives the client's method, path, query, request id, idempotency key, body and other headers unchanged; headers that
+// Connection names are removed.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	type seen struct {
 		method, uri, body string
@@ -353,7 +355,7 @@
 		w.Write(bytes.Repeat([]byte{0, 1, 255}, 20000))
 	})
 	if q := <-d.watches; q != "watch=1&from=41" {
-		t.Fatalf("watched with %q", q)
+		t.Fatalf("first watch has query %q, want %q", q, "watch=1&from=41")
 	}
 	body := strings.Repeat("\x00b\r\n", 16384)
 	uri := "/make//a/../b%2Fc?obj=7f%20a&x=%zz&obj=2"
@@ -369,23 +371,24 @@
 	answer, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if resp.StatusCode != 200 || len(answer) != 60000 || resp.Header.Get("Content-Type") != "application/x-clip" {
-		t.Fatal(resp.StatusCode, len(answer), resp.Header)
+		t.Fatalf("got status %d, %d bytes of body and headers %v, want 200, 60000 bytes and Content-Type application/x-clip",
+			resp.StatusCode, len(answer), resp.Header)
 	}
 	s := <-got
 	if s.method != "POST" || s.uri != uri || s.body != body {
-		t.Fatalf("%s %s, %d bytes", s.method, s.uri, len(s.body))
+		t.Fatalf("server got %s %s with %d bytes of body, want POST %s with the client's %d bytes", s.method, s.uri, len(s.body), uri, len(body))
 	}
 	for _, name := range []string{"Req-Id", "Req-Owner", "Idempotency-Key"} {
 		if s.head.Get(name) != r.Header.Get(name) {
-			t.Errorf("%s: %q", name, s.head.Get(name))
+			t.Errorf("server got %s: %q, want %q", name, s.head.Get(name), r.Header.Get(name))
 		}
 	}
 	if s.head.Get("X-Odd-Case") != "Kept as it is" || s.head.Get("X-Hop") != "" || len(s.head["Req-Deadline-Ms"]) != 1 {
-		t.Errorf("headers: %v", s.head)
+		t.Errorf("server got headers %v, want X-Odd-Case kept, X-Hop removed and one Req-Deadline-Ms", s.head)
 	}
 }
 
-// raw writes bytes on a new connection and returns the status of the first answer; 0: none.
+// sendRaw writes text on a new connection and returns the status of the first response, or 0 if there is none.
 func sendRaw(t *testing.T, addr, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -403,57 +406,57 @@
 	return resp.StatusCode
 }
 
-// Bad input gets a 4xx that is no refusal, and no server sees any of it.
+// A malformed request gets a 4xx status other than 429, which would invite a retry, and no server receives any part of it.
 func TestInvalidRequestsGet4xx(t *testing.T) {
 	var attempts atomic.Int64
 	p, _ := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) { attempts.Add(1) })
 	const head = "Host: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 900\r\n"
 	for name, text := range map[string]string{
-		"no HTTP":              "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
-		"no version":           "GET /look\r\n\r\n",
-		"header without colon": "GET /look HTTP/1.1\r\n" + head + "oops\r\n\r\n",
-		"folded header":        "GET /look HTTP/1.1\r\n" + head + "A: b\r\n c: d\r\n\r\n",
-		"space before colon":   "GET /look HTTP/1.1\r\n" + head + "Content-Length : 5\r\n\r\n",
-		"unknown class":        "GET /nope HTTP/1.1\r\n" + head + "\r\n",
-		"no class":             "GET / HTTP/1.1\r\n" + head + "\r\n",
-		"no id":                "GET /look HTTP/1.1\r\nHost: h\r\nReq-Deadline-Ms: 900\r\n\r\n",
-		"two ids":              "GET /look HTTP/1.1\r\n" + head + "Req-Id: a2\r\n\r\n",
-		"endless id":           "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: " + strings.Repeat("a", 999) + "\r\nReq-Deadline-Ms: 900\r\n\r\n",
-		"no deadline":          "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\n\r\n",
-		"two deadlines":        "GET /look HTTP/1.1\r\n" + head + "Req-Deadline-Ms: 1\r\n\r\n",
-		"deadline no number":   "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: soon\r\n\r\n",
-		"deadline zero":        "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 0\r\n\r\n",
-		"deadline negative":    "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: -5\r\n\r\n",
-		"deadline absurd":      "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 99999999999999999999\r\n\r\n",
-		"wrong method":         "PUT /look HTTP/1.1\r\n" + head + "Content-Length: 0\r\n\r\n",
-		"HEAD":                 "HEAD /look HTTP/1.1\r\n" + head + "\r\n",
-		"keyed as safe":        "GET /make HTTP/1.1\r\n" + head + "\r\n",
-		"safe as keyed":        "POST /look HTTP/1.1\r\n" + head + "Content-Length: 0\r\n\r\n",
-		"keyed without key":    "POST /make HTTP/1.1\r\n" + head + "Content-Length: 0\r\n\r\n",
-		"body too large":       "POST /once HTTP/1.1\r\n" + head + "Content-Length: 60000000\r\n\r\n" + strings.Repeat("x", 65537),
-		"body cut off":         "POST /once HTTP/1.1\r\n" + head + "Content-Length: 50000\r\n\r\n" + strings.Repeat("x", 40000),
-		"chunk cut off":        "POST /once HTTP/1.1\r\n" + head + "Transfer-Encoding: chunked\r\n\r\n1ffff\r\n" + strings.Repeat("x", 60000),
-		"chunk size absurd":    "POST /once HTTP/1.1\r\n" + head + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffffffff\r\n",
-		"length no number":     "POST /once HTTP/1.1\r\n" + head + "Content-Length: many\r\n\r\n",
-		"two lengths":          "POST /once HTTP/1.1\r\n" + head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nxx",
-		"both framings":        "POST /once HTTP/1.1\r\n" + head + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"endless head":         "GET /look HTTP/1.1\r\n" + head + "A: " + strings.Repeat("x", 20000) + "\r\n\r\n",
+		"not HTTP":                    "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
+		"no version":                  "GET /look\r\n\r\n",
+		"header without colon":        "GET /look HTTP/1.1\r\n" + head + "oops\r\n\r\n",
+		"folded header":               "GET /look HTTP/1.1\r\n" + head + "A: b\r\n c: d\r\n\r\n",
+		"space before colon":          "GET /look HTTP/1.1\r\n" + head + "Content-Length : 5\r\n\r\n",
+		"unknown class":               "GET /nope HTTP/1.1\r\n" + head + "\r\n",
+		"no class in path":            "GET / HTTP/1.1\r\n" + head + "\r\n",
+		"no id":                       "GET /look HTTP/1.1\r\nHost: h\r\nReq-Deadline-Ms: 900\r\n\r\n",
+		"two ids":                     "GET /look HTTP/1.1\r\n" + head + "Req-Id: a2\r\n\r\n",
+		"overlong id":                 "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: " + strings.Repeat("a", 999) + "\r\nReq-Deadline-Ms: 900\r\n\r\n",
+		"no deadline":                 "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\n\r\n",
+		"two deadlines":               "GET /look HTTP/1.1\r\n" + head + "Req-Deadline-Ms: 1\r\n\r\n",
+		"deadline not a number":       "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: soon\r\n\r\n",
+		"deadline zero":               "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 0\r\n\r\n",
+		"deadline negative":           "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: -5\r\n\r\n",
+		"deadline overflow":           "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 99999999999999999999\r\n\r\n",
+		"wrong method":                "PUT /look HTTP/1.1\r\n" + head + "Content-Length: 0\r\n\r\n",
+		"HEAD":                        "HEAD /look HTTP/1.1\r\n" + head + "\r\n",
+		"GET of a deduplicated class": "GET /make HTTP/1.1\r\n" + head + "\r\n",
+		"POST of an idempotent class": "POST /look HTTP/1.1\r\n" + head + "Content-Length: 0\r\n\r\n",
+		"no idempotency key":          "POST /make HTTP/1.1\r\n" + head + "Content-Length: 0\r\n\r\n",
+		"body too large":              "POST /once HTTP/1.1\r\n" + head + "Content-Length: 60000000\r\n\r\n" + strings.Repeat("x", 65537),
+		"truncated body":              "POST /once HTTP/1.1\r\n" + head + "Content-Length: 50000\r\n\r\n" + strings.Repeat("x", 40000),
+		"truncated chunk":             "POST /once HTTP/1.1\r\n" + head + "Transfer-Encoding: chunked\r\n\r\n1ffff\r\n" + strings.Repeat("x", 60000),
+		"chunk size overflow":         "POST /once HTTP/1.1\r\n" + head + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffffffff\r\n",
+		"length not a number":         "POST /once HTTP/1.1\r\n" + head + "Content-Length: many\r\n\r\n",
+		"two lengths":                 "POST /once HTTP/1.1\r\n" + head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nxx",
+		"length and chunked":          "POST /once HTTP/1.1\r\n" + head + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"overlong head":               "GET /look HTTP/1.1\r\n" + head + "A: " + strings.Repeat("x", 20000) + "\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			if s := sendRaw(t, p.addr, text); s < 400 || s > 499 || s == 429 {
-				t.Fatalf("answered %d", s)
+				t.Fatalf("got status %d, want 4xx other than 429", s)
 			}
 		})
 	}
 	if n := attempts.Load(); n != 0 {
-		t.Fatalf("%d attempts", n)
+		t.Fatalf("servers got %d attempts for malformed requests, want 0", n)
 	}
 	if s, _ := p.sendRequest(t); s != 200 {
-		t.Fatalf("a good request afterwards: %d", s)
+		t.Fatalf("a valid request after the malformed ones got status %d, want 200", s)
 	}
 }
 
-// Two requests of one id could not be told apart: the second one is turned down, and not as a refusal.
+// A second request with the id of one in flight could not be told apart from it. It gets 409, a status that does not invite a retry.
 func TestDuplicateRequestIDGets409(t *testing.T) {
 	arrived, finish := make(chan bool, 2), make(chan bool)
 	p, _ := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) {
@@ -468,15 +471,15 @@
 	}()
 	<-arrived
 	if s, _ := doRequest(t, r); s != 409 {
-		t.Fatalf("the second: %d", s)
+		t.Fatalf("second request with the same id got status %d, want 409", s)
 	}
 	close(finish)
 	if s := <-first; s != 200 {
-		t.Fatalf("the first: %d", s)
+		t.Fatalf("first request got status %d, want 200", s)
 	}
 }
 
-// A client that leaves takes its attempt with it.
+// When a client closes its connection, the sidecar cancels the attempt for it.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	arrived, gone := make(chan bool, 1), make(chan bool, 1)
 	p, _ := startWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -493,12 +496,12 @@
 	c.Close()
 	select {
 	case <-gone:
-	case <-time.After(testTimeout / 2): // less than the request's own time
-		t.Fatal("the attempt was not called back")
+	case <-time.After(testTimeout / 2): // shorter than the request's deadline
+		t.Fatalf("attempt was not cancelled within %v of the client's disconnect", testTimeout/2)
 	}
 }
 
-// A server that says nothing costs its client no more than the time it gave: the answer comes in time.
+// A server that never responds delays its client no longer than the request's deadline.
 func TestUnresponsiveServerFailsByDeadlineWithoutRetry(t *testing.T) {
 	var attempts atomic.Int64
 	p, _ := startWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -507,16 +510,16 @@
 	})
 	r := newRequest(t, p.addr, "POST", "/once", "x")
 	r.Header.Set("Req-Deadline-Ms", "1500")
-	// An effect that may have happened is not refused, which would call for another try, and not tried again.
+	// The attempt may have had an effect: a 503 would invite the client to retry, and the sidecar must not retry it either.
 	if s, _ := doRequest(t, r); s != 502 && s != 504 {
-		t.Fatalf("answered %d", s)
+		t.Fatalf("got status %d, want 502 or 504", s)
 	}
 	if n := attempts.Load(); n != 1 {
-		t.Fatalf("%d attempts", n)
+		t.Fatalf("server got %d attempts of an at_most_once request, want 1", n)
 	}
 }
 
-// Once the list says that a server drains, nothing new goes to it; what it has is finished.
+// Once the list marks a server as Terminating, it gets no new requests, and its requests in flight complete.
 func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	d := startDiscovery(t)
 	var drained atomic.Bool
@@ -540,49 +543,49 @@
 	}()
 	<-arrived
 	d.sendList(t, list{Seq: 2, Hosts: []host{hostAt("s2", other, "Ready"), hostAt("s1", old, "Terminating")}})
-	eventually(t, "answers of the other alone", func() bool {
+	eventually(t, "a response from the server that does not drain", func() bool {
 		s, body := p.sendRequest(t)
 		return s == 200 && body == "new"
 	})
 	drained.Store(true)
 	for range 50 {
 		if s, body := p.sendRequest(t); s != 200 || body != "new" {
-			t.Fatal(s, body)
+			t.Fatalf("got status %d and body %q, want 200 and \"new\"", s, body)
 		}
 	}
 	close(finish)
 	if body := <-first; body != "old" {
-		t.Fatalf("what the draining server had: %q", body)
+		t.Fatalf("request in flight at the draining server got body %q, want \"old\"", body)
 	}
 	if late.Load() != 0 {
-		t.Fatal("the draining server got something new")
+		t.Fatalf("draining server got %d new requests, want 0", late.Load())
 	}
 }
 
-// A watch that ends is asked for again from where it was; one that sends garbage, for the whole list.
+// A watch that ends is reopened from the last version seen. After invalid data the sidecar asks for the complete list.
 func TestEndpointWatchIsReopened(t *testing.T) {
 	p, d := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) {})
 	<-d.watches
 	d.sendList(t, list{Seq: 44, Hosts: []host{}})
 	d.closeWatch <- true
 	if q := <-d.watches; q != "watch=1&from=44" {
-		t.Fatalf("asked again with %q", q)
+		t.Fatalf("watch after version 44 has query %q, want %q", q, "watch=1&from=44")
 	}
-	// The list that stops in its middle comes last: that watch is heard on beside the next, and would take what the stand-in
-	// says to one watch alone.
+	// The truncated list comes last: the sidecar keeps reading from that watch in parallel with the next one, and would
+	// take a line that the fake sends to one watch only.
 	for _, garbage := range []string{`{"seq":45,"hosts":[{"host":"","dial":"x"}]}`, "\x00\xff", `[1]`,
 		`{"seq":46,"whole":true,"hosts":[{"host":"s1","dial":"","health":"Ready"}]}`, `{"seq":`} {
 		d.write(t, garbage)
 		if q := <-d.watches; q != "watch=1" {
-			t.Fatalf("asked after garbage with %q", q)
+			t.Fatalf("watch after invalid data %q has query %q, want %q", garbage, q, "watch=1")
 		}
 	}
 	if s, _ := p.sendRequest(t); s != 200 {
-		t.Fatalf("the list held is lost: %d", s)
+		t.Fatalf("request after invalid data got status %d, want 200 from the list known before", s)
 	}
 }
 
-// After SIGTERM what is taken is answered, clients that still come are served, and the program exits with 0.
+// After SIGTERM the program completes requests in flight, serves clients that still connect, and exits with 0.
 func TestSIGTERMDrainsAndExits(t *testing.T) {
 	arrived, finish := make(chan bool, 8), make(chan bool)
 	p, _ := startWithServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -598,7 +601,7 @@
 		go func() {
 			defer wg.Done()
 			if s, body := doRequest(t, newRequest(t, p.addr, "GET", "/look/slow", "")); s != 200 || body != "yes" {
-				t.Error(s, body)
+				t.Errorf("request in flight at SIGTERM: got status %d and body %q, want 200 and \"yes\"", s, body)
 			}
 		}()
 	}
@@ -606,12 +609,12 @@
 		<-arrived
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	eventually(t, "word of the drain", func() bool { return p.status("/health/ready") == 503 })
-	time.Sleep(150 * time.Millisecond) // clients go on coming for that long and more
+	eventually(t, "/health/ready to return 503 after SIGTERM", func() bool { return p.status("/health/ready") == 503 })
+	time.Sleep(150 * time.Millisecond) // clients keep connecting for at least this long
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Do(newRequest(t, p.addr, "GET", "/look", ""))
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("a client that came after SIGTERM: %v %v", resp, err)
+		t.Fatalf("new connection after SIGTERM: got %v, error %v, want status 200", resp, err)
 	}
 	resp.Body.Close()
 	close(finish)
@@ -619,14 +622,14 @@
 	select {
 	case err := <-p.done:
 		if err != nil {
-			t.Fatalf("exit: %v\n%s", err, p.log.String())
+			t.Fatalf("process exited with %v, want 0\n%s", err, p.log.String())
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("did not exit")
+		t.Fatalf("process did not exit within %v of SIGTERM", testTimeout)
 	}
 }
 
-// The place is free for the next one at once, and one that starts while the last still ends waits for it.
+// A program whose listen address is still held by an exiting predecessor waits, and starts as soon as the address is free.
 func TestStartWaitsForListenAddress(t *testing.T) {
 	d := startDiscovery(t)
 	server := serveHTTP(t, func(_ http.ResponseWriter, _ *http.Request) {})
@@ -637,13 +640,13 @@
 			t.Fatal(err)
 		}
 	})
-	time.Sleep(100 * time.Millisecond) // the program meets the address in use, if it is quick
+	time.Sleep(100 * time.Millisecond) // time for the program to find the address in use
 	ln.Close()
 	p.waitReady(t)
 }
 
-// SIGHUP moves the watch to the address that the file then names, also where PROXY_DISCOVERY named the first one;
-// the old list counts until the new address speaks. A faulty file changes nothing.
+// SIGHUP moves the watch to the discovery address in the file, even if PROXY_DISCOVERY set the first one. The old list applies until
+// the new address sends one. An invalid file changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
 	respondingYes := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })
 	other := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "other") })
@@ -652,7 +655,7 @@
 		func(c map[string]any) { c["environment"] = "PROXY_DISCOVERY=" + first.addr })
 	p.waitReady(t)
 	if q := <-first.watches; q != "watch=1&from=41" {
-		t.Fatalf("asked with %q", q)
+		t.Fatalf("first watch has query %q, want %q", q, "watch=1&from=41")
 	}
 	served := func() string {
 		_, body := p.sendRequest(t)
@@ -660,26 +663,26 @@
 	}
 	p.reload(t, "nowhere")
 	p.reload(t, second.addr)
-	if q := <-second.watches; q != "watch=1" { // the versions of one service mean nothing to another
-		t.Fatalf("asked the new address with %q", q)
+	if q := <-second.watches; q != "watch=1" { // one service's versions mean nothing to another
+		t.Fatalf("first watch at the new address has query %q, want %q", q, "watch=1")
 	}
 	if got := served(); got != "yes" {
-		t.Fatalf("the old list is lost: %q", got)
+		t.Fatalf("before the new address sends a list, got body %q, want \"yes\" from the old list", got)
 	}
 	second.sendList(t, list{Seq: 3, Whole: true, Hosts: []host{hostAt("s2", other, "Ready")}})
-	eventually(t, "the new list", func() bool { return served() == "other" })
+	eventually(t, "the list of the new address", func() bool { return served() == "other" })
 	third := startDiscovery(t)
 	p.reload(t, third.addr)
 	<-third.watches
 	third.sendList(t, list{Seq: 9, Whole: true, Hosts: []host{hostAt("s1", respondingYes, "Ready")}})
-	eventually(t, "the list of a second reload", func() bool { return served() == "yes" })
+	eventually(t, "the list of the address of the second reload", func() bool { return served() == "yes" })
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-p.done; err != nil {
-		t.Fatalf("exit: %v", err)
+		t.Fatalf("process exited with %v, want 0", err)
 	}
 }
 
-// A faulty file is logged by its key, and so are changed keys that count from the next start on.
+// A reload logs the key of an invalid value, and the changed keys that apply only after a restart.
 func TestReloadLogsConfigKeys(t *testing.T) {
 	p, d := startWithServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") })
 	<-d.watches
@@ -689,11 +692,11 @@
 	p.reload(t, d.addr)
 	p.waitForLog(t, "needs_restart=limits")
 	if s, body := p.sendRequest(t); s != 200 || body != "yes" {
-		t.Fatal(s, body)
+		t.Fatalf("got status %d and body %q, want 200 and \"yes\"", s, body)
 	}
 }
 
-// A reload in a drain ends nothing: what is taken is still answered.
+// A reload during a drain does not end the drain early: requests in flight still complete.
 func TestReloadWhileDraining(t *testing.T) {
 	arrived, finish := make(chan bool, 1), make(chan bool)
 	p, d := startWithServer(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -715,43 +718,43 @@
 	<-second.watches
 	close(finish)
 	if body := <-answered; body != "yes" {
-		t.Fatalf("answered %q", body)
+		t.Fatalf("request in flight got body %q, want \"yes\"", body)
 	}
 	if err := <-p.done; err != nil {
-		t.Fatalf("exit: %v", err)
+		t.Fatalf("process exited with %v, want 0", err)
 	}
 }
 
-// One that polls on new connections does not keep the program from ending.
+// A client that keeps opening connections does not keep the program from exiting after SIGTERM.
 func TestSIGTERMExitsDespiteNewConnections(t *testing.T) {
 	p, _ := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) {})
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	for end := time.Now().Add(testTimeout / 2); ; time.Sleep(20 * time.Millisecond) { // less than the longest deadline
+	for end := time.Now().Add(testTimeout / 2); ; time.Sleep(20 * time.Millisecond) { // shorter than the longest deadline
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			break
 		}
 		c.Close()
 		if time.Now().After(end) {
-			t.Fatal("still accepting")
+			t.Fatalf("still accepting connections %v after SIGTERM", testTimeout/2)
 		}
 	}
 	if err := <-p.done; err != nil {
-		t.Fatalf("exit: %v", err)
+		t.Fatalf("process exited with %v, want 0", err)
 	}
 }
 
 func TestInvalidConfigFailsStart(t *testing.T) {
 	p := start(t, "nowhere", nil, nil)
 	if err := <-p.done; err == nil {
-		t.Fatal("started")
+		t.Fatal("program started with an invalid discovery address")
 	}
 	if !strings.Contains(p.log.String(), "discovery: expected address:port") {
-		t.Fatalf("said %q", p.log.String())
+		t.Fatalf("log does not name the key discovery: %q", p.log.String())
 	}
 }
 
-// More clients than sockets: idle ones make room, and everyone is answered.
+// With more client connections than the limit on sockets, idle ones are closed to make room and every request is served.
 func TestMoreClientsThanSockets(t *testing.T) {
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
 		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 48}
@@ -768,12 +771,12 @@
 		newRequest(t, p.addr, "GET", "/look", "").Write(c)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("connection %d: %v %v", len(keepAlive), resp, err)
+			t.Fatalf("connection %d: got %v, error %v, want status 200", len(keepAlive), resp, err)
 		}
 	}
 }
 
-// A process that may hold fewer descriptors than it was told stays up, and serves once there is room.
+// A process whose descriptor limit is below the configured limit on sockets keeps running, and serves once descriptors are free.
 func TestSurvivesDescriptorExhaustion(t *testing.T) {
 	p, _ := startWithServerAndConfig(t, func(_ http.ResponseWriter, _ *http.Request) {}, func(c map[string]any) {
 		c["descriptors"] = 24
@@ -781,7 +784,8 @@
 	p.checkSurvivesIdleConnections(t, 40)
 }
 
-// survives holds so many idle connections for a moment: the program stays up meanwhile, and serves once they are gone.
+// checkSurvivesIdleConnections opens idle connections and closes them after 200 ms: the program must not exit, and must serve
+// afterwards.
 func (p *program) checkSurvivesIdleConnections(t *testing.T, idle int) {
 	t.Helper()
 	var conns []net.Conn
@@ -794,18 +798,18 @@
 	}
 	select {
 	case err := <-p.done:
-		t.Fatalf("exit: %v\n%s", err, p.log.String())
+		t.Fatalf("process exited with %v under %d idle connections\n%s", err, idle, p.log.String())
 	case <-time.After(200 * time.Millisecond):
 	}
 	for _, c := range conns {
 		c.Close()
 	}
 	if s, _ := p.sendRequest(t); s != 200 {
-		t.Fatalf("afterwards: %d", s)
+		t.Fatalf("request after %d idle connections closed got status %d, want 200", idle, s)
 	}
 }
 
-// client sends one request at a time on one connection, as an application does, until stop.
+// keepAliveClient sends one request at a time on one connection, as an application does.
 type keepAliveClient struct {
 	addr string
 	c    net.Conn
@@ -813,7 +817,7 @@
 	used bool
 }
 
-// call sends r and reads its answer; on a connection that was closed between requests it sends once more.
+// call sends r and reads the response. If a reused connection was closed between requests, it sends r once more on a new one.
 func (k *keepAliveClient) call(r *http.Request) (int, error) {
 	for retried := false; ; retried = true {
 		if k.c == nil {
@@ -844,13 +848,13 @@
 	}
 }
 
-// Clients that go on for a while after SIGTERM, on old connections and on new ones, lose nothing.
+// Clients that keep sending for a while after SIGTERM, on existing and new connections, lose no request.
 func TestSIGTERMUnderTrafficLosesNoRequest(t *testing.T) {
 	p, _ := startWithServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(3 * time.Millisecond)
 		io.WriteString(w, strings.Repeat("x", 5000))
 	})
-	var term atomic.Int64 // when SIGTERM was sent
+	var term atomic.Int64 // Unix ms of SIGTERM, 0 before it
 	var answered atomic.Int64
 	var wg sync.WaitGroup
 	for i := range 12 {
@@ -861,10 +865,10 @@
 			for {
 				at := term.Load()
 				if at != 0 && k.c == nil && time.Now().UnixMilli() > at+250 {
-					return // no new connection that late
+					return // no new connection more than 250 ms after SIGTERM
 				}
 				if s, err := k.call(newRequest(t, p.addr, "GET", "/look", "")); err != nil || s != 200 && s != 503 {
-					t.Errorf("client %d, %d ms after SIGTERM: %d %v", i, time.Now().UnixMilli()-at, s, err)
+					t.Errorf("client %d, %d ms after SIGTERM: got status %d, error %v, want 200 or 503", i, time.Now().UnixMilli()-at, s, err)
 					return
 				}
 				answered.Add(1)
@@ -872,17 +876,17 @@
 			}
 		}()
 	}
-	eventually(t, "traffic", func() bool { return answered.Load() > 100 })
+	eventually(t, "more than 100 responses", func() bool { return answered.Load() > 100 })
 	term.Store(time.Now().UnixMilli())
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	wg.Wait()
 	if err := <-p.done; err != nil {
-		t.Fatalf("exit: %v\n%s", err, p.log.String())
+		t.Fatalf("process exited with %v, want 0\n%s", err, p.log.String())
 	}
 }
 
-// The watch judges what is served and says so in the log; what is served does not change. Faulty settings of a watch
-// end the start and name the key.
+// Settings under watch are compared with the ones in force in shadow mode: the result is logged and requests are served as before.
+// Invalid settings under watch end the start with an error that names the key.
 func TestShadowSettingsAreCompared(t *testing.T) {
 	watched := func(every float64, weights string) func(map[string]any) {
 		return func(c map[string]any) {
@@ -897,12 +901,13 @@
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, watched(0.1, "live"))
 	for range 20 {
 		if s, body := p.sendRequest(t); s != 200 || body != "yes" {
-			t.Fatal(s, body)
+			t.Fatalf("got status %d and body %q, want 200 and \"yes\"", s, body)
 		}
 	}
 	p.waitForLog(t, "event=shadow_compared compared=20 server=0 send=0 reject=0 fail=0 timeout=0 hedge=0 close=0 gossip=0")
 	faulty := start(t, startDiscovery(t).addr, nil, watched(0.1, "guessed"))
 	if err := <-faulty.done; err == nil || !strings.Contains(faulty.log.String(), "watch.settings: WeightSource") {
-		t.Errorf("a faulty watch: %v %s", err, faulty.log.String())
+		t.Errorf("start with invalid watch settings: exit %v, want an error that names watch.settings: WeightSource; log:\n%s",
+			err, faulty.log.String())
 	}
 }
