--- a/cmd/damsonscale/builds_test.go
+++ b/cmd/damsonscale/builds_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// otherBuild names the variable with the path of another build of the program, with which this one has to hand over both
-// ways.
+// otherBuild is the environment variable with the path of another build of the program. The tests upgrade from that build to this
+// one and back.
 const otherBuild = "OTHER_BUILD"
 
-// Two builds of the program hand over to each other, both ways: a kept connection is served in turn by both, a stream
-// goes on in the new process, a request in flight is not run twice, and a drain goes on. Without OTHER_BUILD the other
+// Two builds of the program upgrade to each other, in both directions. A keep-alive connection is served by both in turn, a streamed
+// response continues in the new process, a request in flight is not run twice, and a drain continues. Without OTHER_BUILD the other
 // build is a copy of this one.
 func TestUpgradeBetweenBuilds(t *testing.T) {
 	other := os.Getenv(otherBuild)
@@ -44,7 +44,7 @@
 	}
 }
 
-// copyOfThisBuild returns the path of a copy of this program.
+// copyOfThisBuild returns the path of a copy of the test binary.
 func copyOfThisBuild(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(os.Args[0])
@@ -58,7 +58,7 @@
 	return path
 }
 
-// startBuild starts a build's program with an admin API before a server.
+// startBuild starts a build of the program with an admin API and one server that h handles.
 func startBuild(t *testing.T, h http.HandlerFunc, build func(map[string]any)) *program {
 	t.Helper()
 	p, _ := startWithServerAndConfig(t, h, func(c map[string]any) {
@@ -69,7 +69,7 @@
 	return p
 }
 
-// executable returns the path of the program that the process runs.
+// executable returns the path of the executable that the process runs.
 func (p *program) executable(t *testing.T) string {
 	t.Helper()
 	path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", p.cmd.Process.Pid))
@@ -79,7 +79,7 @@
 	return path
 }
 
-// handOver starts another build beside p, and ends p once the other serves.
+// handOver starts build to as the successor of p, and sends SIGTERM to p once the successor is healthy.
 func handOver(t *testing.T, p *program, to func(map[string]any)) *program {
 	t.Helper()
 	next := p.startSuccessorWith(t, to)
@@ -92,24 +92,24 @@
 	p := startBuild(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, from)
 	keepAlive := p.dial(t)
 	if s, closing := keepAlive.sendRequest(t); s != 200 || closing {
-		t.Fatal(s, closing)
+		t.Fatalf("old process, keep-alive connection: got status %d, close %t, want 200 without close", s, closing)
 	}
 	next := handOver(t, p, to)
 	if p.executable(t) == next.executable(t) {
-		t.Fatalf("both processes are %s", p.executable(t))
+		t.Fatalf("old and new process both run %s, want two executables", p.executable(t))
 	}
-	eventually(t, "the end of the old one's accepting", func() bool { return strings.Contains(p.log.String(), "event=term") })
+	eventually(t, "the old process to stop accepting", func() bool { return strings.Contains(p.log.String(), "event=term") })
 	if s, closing := keepAlive.sendRequest(t); s != 200 || !closing {
-		t.Fatalf("a kept connection: %d, last %t", s, closing)
+		t.Fatalf("keep-alive connection after SIGTERM: got status %d, close %t, want 200 with close", s, closing)
 	}
 	if err := <-p.done; err != nil {
-		t.Fatal(err, p.log.String())
+		t.Fatalf("old process exited with %v, want 0\n%s", err, p.log.String())
 	}
 	if s, closing := next.dial(t).sendRequest(t); s != 200 || closing {
-		t.Fatal(s, closing)
+		t.Fatalf("new process: got status %d, close %t, want 200 without close", s, closing)
 	}
 	if strings.Contains(p.log.String()+next.log.String(), "event=handover_failed") {
-		t.Fatal(p.log.String(), next.log.String())
+		t.Fatalf("event=handover_failed in a log; old process:\n%s\nnew process:\n%s", p.log.String(), next.log.String())
 	}
 }
 
@@ -130,20 +130,20 @@
 	fmt.Fprintf(conn, "GET /look HTTP/1.1\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 20000\r\n\r\n")
 	resp, err := http.ReadResponse(conn.br, nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatal(resp, err)
+		t.Fatalf("got response %v, error %v, want status 200", resp, err)
 	}
 	got := make([]byte, 50_000)
 	if _, err := io.ReadFull(resp.Body, got); err != nil {
 		t.Fatal(err)
 	}
 	next := handOver(t, p, to)
-	if err := <-p.done; err != nil { // it does not wait for the server
-		t.Fatal(err)
+	if err := <-p.done; err != nil { // the old process does not wait for the server
+		t.Fatalf("old process exited with %v, want 0", err)
 	}
 	close(resume)
 	rest, err := io.ReadAll(resp.Body)
 	if got = append(got, rest...); err != nil || !bytes.Equal(got, body) {
-		t.Fatalf("%d bytes, %v\n%s", len(got), err, next.log.String())
+		t.Fatalf("client got %d bytes, error %v, want the server's %d bytes; new process:\n%s", len(got), err, len(body), next.log.String())
 	}
 }
 
@@ -160,20 +160,20 @@
 	<-arrived
 	next := handOver(t, p, to)
 	p.waitForLog(t, "event=term")
-	eventually(t, "409 for the same id", func() bool {
+	eventually(t, "409 for a request with the id of the one in flight", func() bool {
 		second := next.dial(t)
 		io.WriteString(second, text)
-		second.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // before the notice has come it is accepted, and waits
+		second.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // accepted and blocked until the new process learns of the id
 		resp, err := http.ReadResponse(second.br, nil)
 		second.Close()
 		return err == nil && resp.StatusCode == 409
 	})
 	close(finish)
 	if resp, err := http.ReadResponse(first.br, nil); err != nil || resp.StatusCode != 200 {
-		t.Fatal(resp, err)
+		t.Fatalf("request in flight: got response %v, error %v, want status 200", resp, err)
 	}
 	if err := <-p.done; err != nil {
-		t.Fatal(err)
+		t.Fatalf("old process exited with %v, want 0", err)
 	}
 }
 
@@ -182,10 +182,10 @@
 	p.callAdmin(t, "POST", "/healthcheck/fail")
 	next := handOver(t, p, to)
 	if err := <-p.done; err != nil {
-		t.Fatal(err)
+		t.Fatalf("old process exited with %v, want 0", err)
 	}
 	if s := next.status("/health/ready"); s != 503 {
-		t.Fatal(s)
+		t.Fatalf("/health/ready of the new process returned %d, want 503 as the drain continues", s)
 	}
 	next.callAdmin(t, "POST", "/healthcheck/ok")
 	next.waitReady(t)
--- a/cmd/damsonscale/operations_test.go
+++ b/cmd/damsonscale/operations_test.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// withAdmin gives a configuration an operators' door.
+// withAdmin returns a configuration change that sets an admin address.
 func withAdmin(t *testing.T) func(map[string]any) {
 	return func(c map[string]any) { c["admin"] = freeAddr(t) }
 }
 
-// callAdmin makes one call at the door and returns its status.
+// callAdmin sends one request to the admin API and returns the response status.
 func (p *program) callAdmin(t *testing.T, method, path string) int {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+p.conf["admin"].(string)+path, nil)
@@ -37,7 +37,7 @@
 	return resp.StatusCode
 }
 
-// clientLine is a client's connection that tells of its end.
+// clientConn is a client connection that reports whether a response closes it.
 type clientConn struct {
 	net.Conn
 	br *bufio.Reader
@@ -54,7 +54,7 @@
 	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// look makes a safe request on the connection.
+// sendRequest sends a GET of an idempotent class on the connection. closing is true if the response has Connection: close.
 func (c *clientConn) sendRequest(t *testing.T) (status int, closing bool) {
 	t.Helper()
 	r := newRequest(t, "h", "GET", "/look", "")
@@ -69,49 +69,50 @@
 	return resp.StatusCode, resp.Close
 }
 
-// A drained sidecar says no, serves what still comes, ends its connections and is back after the drain.
+// A drained sidecar fails its readiness check, serves requests that still arrive, closes its connections, and returns to normal when
+// the drain is undone.
 func TestAdminDrainAndUndrain(t *testing.T) {
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
 	if s := p.callAdmin(t, "GET", "/healthcheck"); s != 200 {
-		t.Fatal(s)
+		t.Fatalf("GET /healthcheck returned %d, want 200", s)
 	}
 	used, idle, unused := p.dial(t), p.dial(t), p.dial(t)
 	for _, c := range []*clientConn{used, idle} {
 		if s, closing := c.sendRequest(t); s != 200 || closing {
-			t.Fatal(s, closing)
+			t.Fatalf("before the drain: got status %d, close %t, want 200 without close", s, closing)
 		}
 	}
 	if s := p.callAdmin(t, "POST", "/healthcheck/fail"); s != 200 {
-		t.Fatal(s)
+		t.Fatalf("POST /healthcheck/fail returned %d, want 200", s)
 	}
 	if s := p.status("/health/ready"); s != 503 {
-		t.Fatalf("ready while drained: %d", s)
+		t.Fatalf("/health/ready returned %d while drained, want 503", s)
 	}
 	if s, closing := used.sendRequest(t); s != 200 || !closing {
-		t.Fatalf("a request in a drain: %d, last %t", s, closing)
+		t.Fatalf("keep-alive connection while drained: got status %d, close %t, want 200 with close", s, closing)
 	}
 	for name, c := range map[string]*clientConn{"idle": idle, "unused": unused} {
 		if b, err := io.ReadAll(c.br); err != nil || len(b) > 0 {
-			t.Fatalf("%s connection: %q %v", name, b, err)
+			t.Fatalf("%s connection while drained: read %q, error %v, want it closed without data", name, b, err)
 		}
 	}
 	if s, closing := p.dial(t).sendRequest(t); s != 200 || !closing {
-		t.Fatalf("a new connection in a drain: %d, last %t", s, closing)
+		t.Fatalf("new connection while drained: got status %d, close %t, want 200 with close", s, closing)
 	}
 	for _, call := range []string{"ok", "fail", "ok"} {
 		if s := p.callAdmin(t, "POST", "/healthcheck/"+call); s != 200 {
-			t.Fatal(call, s)
+			t.Fatalf("POST /healthcheck/%s returned %d, want 200", call, s)
 		}
 	}
 	if s := p.status("/health/ready"); s != 200 {
-		t.Fatalf("after the drain: %d", s)
+		t.Fatalf("/health/ready returned %d after the drain, want 200", s)
 	}
 	if s, closing := p.dial(t).sendRequest(t); s != 200 || closing {
-		t.Fatalf("after the drain: %d, last %t", s, closing)
+		t.Fatalf("new connection after the drain: got status %d, close %t, want 200 without close", s, closing)
 	}
 }
 
-// The admin API answers while clients take every socket.
+// The admin API responds while client connections take up every socket.
 func TestAdminAnswersWhileClientsTakeAllSockets(t *testing.T) {
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
 		withAdmin(t)(c)
@@ -121,11 +122,11 @@
 		p.dial(t)
 	}
 	if s := p.callAdmin(t, "POST", "/healthcheck/fail"); s != 200 {
-		t.Fatal(s)
+		t.Fatalf("POST /healthcheck/fail returned %d, want 200", s)
 	}
 }
 
-// An operators' address that can't be had is named.
+// An admin address that is in use ends the start with an error that names it.
 func TestAdminAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,17 +135,18 @@
 	defer taken.Close()
 	p := start(t, "127.0.0.1:1", nil, func(c map[string]any) { c["admin"] = taken.Addr().String() })
 	if err := <-p.done; err == nil || !strings.Contains(p.log.String(), "admin "+taken.Addr().String()) {
-		t.Fatalf("%v %s", err, p.log.String())
+		t.Fatalf("exit %v, want an error that names admin %s; log:\n%s", err, taken.Addr(), p.log.String())
 	}
 }
 
-// startSuccessor starts the program a second time beside p: the same addresses, another door, the same folder.
+// startSuccessor starts a second process as the successor of p, with the same listen address, another admin address and the same
+// handover directory.
 func (p *program) startSuccessor(t *testing.T) *program {
 	t.Helper()
 	return p.startSuccessorWith(t, nil)
 }
 
-// startSuccessorWith does so after a change to the configuration.
+// startSuccessorWith is startSuccessor with a change to the configuration.
 func (p *program) startSuccessorWith(t *testing.T, change func(map[string]any)) *program {
 	t.Helper()
 	conf := map[string]any{}
@@ -165,10 +167,10 @@
 	return next
 }
 
-// waitHealthy waits until the program's door says that it can serve.
+// waitHealthy waits until the program's admin API reports that it can serve.
 func (p *program) waitHealthy(t *testing.T) {
 	t.Helper()
-	eventually(t, "yes at the door", func() bool {
+	eventually(t, "GET /healthcheck to return 200", func() bool {
 		resp, err := http.Get("http://" + p.conf["admin"].(string) + "/healthcheck")
 		if err != nil {
 			return false
@@ -178,8 +180,8 @@
 	})
 }
 
-// In an upgrade no request meets a closed door: clients that open a connection for each request, and clients that keep
-// theirs, are served all the while, and the old process ends. Twice in a row.
+// In two upgrades in a row no request fails, neither from clients that open a connection for each request nor on keep-alive
+// connections, and each old process exits.
 func TestUpgradeLosesNoRequest(t *testing.T) {
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
 	p.waitHealthy(t)
@@ -210,23 +212,23 @@
 	}
 	keepAlive := p.dial(t)
 	if s, closing := keepAlive.sendRequest(t); s != 200 || closing {
-		t.Fatal(s, closing)
+		t.Fatalf("first process, keep-alive connection: got status %d, close %t, want 200 without close", s, closing)
 	}
 	old := p
 	for range 2 {
 		next := old.startSuccessor(t)
 		next.waitHealthy(t)
 		old.cmd.Process.Signal(syscall.SIGTERM)
-		eventually(t, "the end of the old one's accepting", func() bool { return strings.Contains(old.log.String(), "event=terminating") })
+		eventually(t, "the old process to stop accepting", func() bool { return strings.Contains(old.log.String(), "event=terminating") })
 		if s, closing := keepAlive.sendRequest(t); s != 200 || !closing {
-			t.Fatalf("a kept connection: %d, last %t", s, closing)
+			t.Fatalf("keep-alive connection after SIGTERM: got status %d, close %t, want 200 with close", s, closing)
 		}
 		if err := <-old.done; err != nil {
-			t.Fatal(err, old.log.String())
+			t.Fatalf("old process exited with %v, want 0\n%s", err, old.log.String())
 		}
 		keepAlive = next.dial(t)
 		if s, closing := keepAlive.sendRequest(t); s != 200 || closing {
-			t.Fatal(s, closing)
+			t.Fatalf("new process: got status %d, close %t, want 200 without close", s, closing)
 		}
 		old = next
 	}
@@ -234,15 +236,16 @@
 	clients.Wait()
 	close(failed)
 	for f := range failed {
-		t.Error(f)
+		t.Errorf("request during an upgrade failed: %s, want status 200", f)
 	}
 }
 
-// One that starts beside and dies before it serves, or starts again, changes nothing for the one that is there.
+// A successor that dies before it can serve, twice, does not disturb the running process. If the running process dies first, the
+// starting successor takes over the connections that arrive.
 func TestUpgradeWhenOneProcessDies(t *testing.T) {
 	p, d := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
 	p.waitHealthy(t)
-	p.conf["known"] = nil // the new one must ask before it can serve
+	p.conf["known"] = nil // the successor needs a list from discovery before it can serve
 	for range 2 {
 		next := p.startSuccessor(t)
 		p.waitForLog(t, "event=handover_successor state=starting")
@@ -250,23 +253,24 @@
 		next.cmd.Process.Kill()
 		<-next.done
 		if s, _ := p.sendRequest(t); s != 200 {
-			t.Fatal(s)
+			t.Fatalf("request after the successor died: got status %d, want 200", s)
 		}
 	}
 	next := p.startSuccessor(t)
 	next.waitForLog(t, "event=start")
-	p.cmd.Process.Kill() // the old one dies in the middle: the new one takes what comes
+	p.cmd.Process.Kill() // the old process dies during the handover
 	<-p.done
-	eventually(t, "an answer", func() bool { return p.status("/health/ready") == 503 })
+	eventually(t, "/health/ready of the successor to return 503", func() bool { return p.status("/health/ready") == 503 })
 	addr := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "new") })
 	d.sendList(t, list{Seq: 50, Whole: true, Hosts: []host{hostAt("s2", addr, "Ready")}})
 	next.waitHealthy(t)
 	if s, body := next.sendRequest(t); s != 200 || body != "new" {
-		t.Fatal(s, body)
+		t.Fatalf("successor: got status %d and body %q, want 200 and \"new\"", s, body)
 	}
 }
 
-// A file where the processes meet that is no hand-over's changes nothing: the address is shared, and the log says so.
+// A stale regular file in place of the handover socket does not prevent an upgrade: both processes share the listen address, and the
+// log says so.
 func TestUpgradeWithoutHandover(t *testing.T) {
 	dir := t.TempDir()
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
@@ -276,7 +280,7 @@
 	p.waitHealthy(t)
 	left, err := filepath.Glob(filepath.Join(dir, "damsonscale-*.sock"))
 	if err != nil || len(left) != 1 {
-		t.Fatal(left, err)
+		t.Fatalf("found handover sockets %v, error %v, want exactly 1", left, err)
 	}
 	if err := os.Remove(left[0]); err != nil {
 		t.Fatal(err)
@@ -290,14 +294,14 @@
 	next.waitForLog(t, "address_shared=true")
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-p.done; err != nil {
-		t.Fatal(err)
+		t.Fatalf("old process exited with %v, want 0", err)
 	}
 	if s, _ := next.sendRequest(t); s != 200 {
-		t.Fatal(s)
+		t.Fatalf("request to the new process: got status %d, want 200", s)
 	}
 }
 
-// A drain goes on in the process that follows, and is ended there.
+// A drain continues in the new process and can be undone there.
 func TestUpgradeWhileDrained(t *testing.T) {
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
 	p.waitHealthy(t)
@@ -306,17 +310,17 @@
 	next.waitHealthy(t)
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-p.done; err != nil {
-		t.Fatal(err)
+		t.Fatalf("old process exited with %v, want 0", err)
 	}
 	if s := next.status("/health/ready"); s != 503 {
-		t.Fatal(s)
+		t.Fatalf("/health/ready of the new process returned %d, want 503 as the drain continues", s)
 	}
 	next.callAdmin(t, "POST", "/healthcheck/ok")
 	next.waitReady(t)
 }
 
-// A reload takes other classes: a new one is served, a dropped one is not, and a request that is open keeps its rules.
-// A broken file then changes nothing.
+// After a reload an added class is served and a removed one is not, and a request in flight keeps the semantics it arrived with. A
+// reload with invalid settings changes nothing.
 func TestReloadChangesSettings(t *testing.T) {
 	var attempts atomic.Int64
 	arrived, finish := make(chan bool, 8), make(chan bool)
@@ -328,7 +332,7 @@
 		if attempts.Add(1) == 1 {
 			arrived <- true
 			<-finish
-			w.WriteHeader(500) // safe under the settings it came with: it is tried again
+			w.WriteHeader(500) // the request is idempotent under the settings it arrived with and is retried
 			return
 		}
 		io.WriteString(w, "again")
@@ -352,7 +356,7 @@
 	p.waitForLog(t, "event=config_reloaded version=2 settings_changed=true")
 	finish <- true
 	if a := <-answer; a != "200 OK again" {
-		t.Fatalf("the open request: %q", a)
+		t.Fatalf("request in flight across the reload: got %q, want \"200 OK again\"", a)
 	}
 	check := func() {
 		t.Helper()
@@ -361,7 +365,7 @@
 			want         int
 		}{{"POST", "/put", 200}, {"POST", "/make", 404}, {"GET", "/look", 405}, {"POST", "/look", 200}} {
 			if s, body := doRequest(t, newRequest(t, p.addr, c.method, c.path, "x")); s != c.want {
-				t.Errorf("%s %s: %d %s", c.method, c.path, s, body)
+				t.Errorf("%s %s: got status %d and body %q, want %d", c.method, c.path, s, body, c.want)
 			}
 		}
 	}
@@ -372,7 +376,7 @@
 	check()
 }
 
-// A request that the old process still has under way is not run again by the new one under the same id.
+// The new process rejects a request whose id is in flight in the old process, so that the request is not run twice.
 func TestDuplicateRequestIDAcrossUpgradeGets409(t *testing.T) {
 	arrived, finish := make(chan bool, 4), make(chan bool)
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -389,19 +393,19 @@
 	next.waitHealthy(t)
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.waitForLog(t, "event=terminating")
-	eventually(t, "409 for the same id", func() bool {
+	eventually(t, "409 for a request with the id of the one in flight", func() bool {
 		second := next.dial(t)
 		io.WriteString(second, text)
-		second.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // before the word has come it is taken, and waits
+		second.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // accepted and blocked until the new process learns of the id
 		resp, err := http.ReadResponse(second.br, nil)
 		second.Close()
 		return err == nil && resp.StatusCode == 409
 	})
 	close(finish)
 	if resp, err := http.ReadResponse(first.br, nil); err != nil || resp.StatusCode != 200 {
-		t.Fatal(resp, err)
+		t.Fatalf("request in flight: got response %v, error %v, want status 200", resp, err)
 	}
 	if err := <-p.done; err != nil {
-		t.Fatal(err)
+		t.Fatalf("old process exited with %v, want 0", err)
 	}
 }
--- a/cmd/damsonscale/races_test.go
+++ b/cmd/damsonscale/races_test.go
@@ -23,14 +23,15 @@
 	select {
 	case err := <-p.done:
 		if err != nil {
-			t.Fatalf("exit: %v\n%s", err, p.log.String())
+			t.Fatalf("process exited with %v, want 0\n%s", err, p.log.String())
 		}
 	case <-time.After(testTimeout):
-		t.Fatalf("did not exit\n%s", p.log.String())
+		t.Fatalf("process did not exit within %v\n%s", testTimeout, p.log.String())
 	}
 }
 
-// Signals that cross a start, a reload or one another: the program ends as told, with 0, and answers what it has taken.
+// SIGTERM and SIGHUP that arrive during the start, during a reload or right after each other: the program completes the request in
+// flight and exits with 0.
 func TestOverlappingSignals(t *testing.T) {
 	t.Run("before the first list", func(t *testing.T) {
 		called := make(chan bool, 8)
@@ -67,15 +68,15 @@
 			p.signal(signals[len(signals)-1])
 			close(finish)
 			if s := <-answered; s != 200 {
-				t.Fatal(s, p.log.String())
+				t.Fatalf("request in flight: got status %d, want 200\n%s", s, p.log.String())
 			}
 			p.waitExit(t)
 		})
 	}
 }
 
-// A reload while a request is under way drops its class and makes another of the same name unsafe: what is under way keeps its
-// rules, and what comes next has the new ones.
+// A reload during a request renames one class and makes the class of that request at_most_once. The request in flight keeps the old
+// settings, and later requests get the new ones.
 func TestRequestKeepsItsSettingsAcrossReload(t *testing.T) {
 	arrived, finish := make(chan string, 4), make(chan bool)
 	p, _ := startWithServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -101,18 +102,18 @@
 	p.signal(syscall.SIGHUP)
 	p.waitForLog(t, "event=config_reloaded version=2")
 	if s, _ := doRequest(t, newRequest(t, p.addr, "GET", "/look", "")); s != 404 {
-		t.Errorf("a class that is none any more: %d", s)
+		t.Errorf("request of a removed class: got status %d, want 404", s)
 	}
 	close(finish)
 	if s := <-answered; s != 200 {
-		t.Errorf("under way across the reload: %d", s)
+		t.Errorf("request in flight across the reload: got status %d, want 200", s)
 	}
 	if s, _ := doRequest(t, newRequest(t, p.addr, "POST", "/make", "x")); s != 200 {
-		t.Errorf("after the reload: %d", s)
+		t.Errorf("request after the reload: got status %d, want 200", s)
 	}
 }
 
-// What comes pushed from an agent goes before what the program was given as known, before its first request.
+// A list pushed by an agent replaces the configured known list before the first request is sent.
 func TestPushedListReplacesKnownListAtStart(t *testing.T) {
 	gone := refusingAddr(t)
 	here := standin.NewServer(t, standin.Yes)
@@ -126,9 +127,9 @@
 	})
 	p.waitReady(t)
 	if s, _ := p.sendRequest(t); s != 200 {
-		t.Fatal(s, p.log.String())
+		t.Fatalf("got status %d, want 200\n%s", s, p.log.String())
 	}
 	if strings.Contains(p.log.String(), "s1") {
-		t.Fatalf("the known server was used:\n%s", p.log.String())
+		t.Fatalf("log mentions s1, a server of the known list only:\n%s", p.log.String())
 	}
 }
