--- a/cmd/damsonscale/descriptors_test.go
+++ b/cmd/damsonscale/descriptors_test.go
@@ -19,30 +19,30 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// outage is a discovery that is down in one way, and comes back at the same address.
+// discoveryOutage is a fake discovery service that is down in a given mode, and can be restored at the same address.
 type discoveryOutage struct {
 	addr              string
 	fd                int
 	mode              string
 	restored          atomic.Bool
-	list              string        // that it tells once it is back
-	listSent          chan struct{} // closed when the first call after its return was told the list
+	list              string        // sent to each call after the outage
+	listSent          chan struct{} // closed once the first call after the outage has been sent the list
 	once              sync.Once
-	callsDuringOutage atomic.Int64 // calls before the return
-	callsAfterOutage  atomic.Int64 // calls since
+	callsDuringOutage atomic.Int64 // calls accepted during the outage
+	callsAfterOutage  atomic.Int64 // calls accepted after the outage
 }
 
-// Ways of being down.
+// Modes of an outage.
 const (
 	refuses  = "refuses"
-	hangs    = "hangs"    // takes calls and says nothing
-	trickles = "trickles" // begins its answer byte by byte
-	fails    = "fails"    // answers 503
+	hangs    = "hangs"    // accepts calls and never responds
+	trickles = "trickles" // sends the head of its response one byte every 200 ms
+	fails    = "fails"    // responds with status 503
 )
 
 func newDiscoveryOutage(t *testing.T, mode string) *discoveryOutage {
 	t.Helper()
-	fd, addr := standin.Bound(t, 0) // it keeps its port and refuses
+	fd, addr := standin.Bound(t, 0) // the port stays bound and refuses connections until listen
 	o := &discoveryOutage{addr: addr, fd: fd, mode: mode, listSent: make(chan struct{})}
 	if mode == refuses {
 		t.Cleanup(func() {
@@ -82,7 +82,7 @@
 	}()
 }
 
-// serve answers one call, which came when discovery was back or not.
+// serve handles one call; restored says whether it arrived after the outage.
 func (o *discoveryOutage) serve(c net.Conn, restored bool) {
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
@@ -92,7 +92,7 @@
 		o.callsAfterOutage.Add(1)
 		fmt.Fprintf(c, "%s%x\r\n%s\r\n", head, len(o.list), o.list)
 		o.once.Do(func() { close(o.listSent) })
-		for { // the empty lines of a list that does not change
+		for { // the empty lines that keep an unchanged watch alive
 			time.Sleep(time.Second)
 			if _, err := io.WriteString(c, "1\r\n\n\r\n"); err != nil {
 				return
@@ -115,7 +115,7 @@
 	}
 }
 
-// comeBack has it tell a list from the next call on.
+// restore ends the outage: later calls are sent l.
 func (o *discoveryOutage) restore(t *testing.T, l list) {
 	t.Helper()
 	text, _ := json.Marshal(l)
@@ -126,11 +126,11 @@
 	}
 }
 
-// crowd is idle clients of three kinds: such that never send a byte, that send half a request, and that were served once and
-// rest. Each comes again as soon as it is closed.
+// idleClients are clients of three kinds: they send nothing, half a request, or one request whose response they read and then stay
+// idle. Each reconnects as soon as its connection is closed.
 type idleClients struct {
-	arrived atomic.Int64 // connections
-	closed  atomic.Int64 // of them
+	arrived atomic.Int64 // connections opened
+	closed  atomic.Int64 // connections closed
 }
 
 func startIdleClients(t *testing.T, addr string, size int) *idleClients {
@@ -157,7 +157,7 @@
 	return k
 }
 
-// rest holds one connection until the other side, or stop, ends it.
+// holdConnection keeps one connection open until the sidecar closes it or stop is closed.
 func (k *idleClients) holdConnection(addr string, kind int, stop <-chan struct{}) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -184,7 +184,7 @@
 	k.closed.Add(1)
 }
 
-// anew makes a request as a client that has just come.
+// doOnNewConnection sends r on a connection of its own.
 func doOnNewConnection(_ *program, r *http.Request) (status int, body string, took time.Duration) {
 	began := time.Now()
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
@@ -197,27 +197,28 @@
 	return resp.StatusCode, string(text), time.Since(began)
 }
 
-// A process whose limit is lowered while it runs stays up, and serves once descriptors are free again.
+// A process whose descriptor limit is lowered while it runs keeps running, and serves once descriptors are free again.
 func TestSurvivesLoweredDescriptorLimit(t *testing.T) {
 	p, _ := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) {})
 	lowered := syscall.Rlimit{Cur: 16, Max: 256}
 	if _, _, e := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(p.cmd.Process.Pid), syscall.RLIMIT_NOFILE,
 		uintptr(unsafe.Pointer(&lowered)), 0, 0, 0); e != 0 {
-		t.Fatal(e)
+		t.Fatalf("prlimit: %v", e)
 	}
 	p.checkSurvivesIdleConnections(t, 40)
 }
 
-const listDeadline = 6 * time.Second // after its return what discovery has to tell counts as told
+const listDeadline = 6 * time.Second // from the end of the outage until the sidecar must have called discovery
 
-// Idle clients may fill the descriptors while discovery is down: at its return its list is taken in time, health answers, servers
-// are reached and a new client is served. Guards against a call to discovery, or a dial to a server, that finds no descriptor.
+// Idle clients may take all descriptors while discovery is down. Once discovery is back, the sidecar must get its list in time, answer
+// health checks, reach servers and serve a new client. The test guards against a call to discovery, or a dial to a server, for which
+// no descriptor is left.
 func TestDiscoveryRecoveryWithIdleClients(t *testing.T) {
-	const asConfigured = 0 // descriptors: as many as the program is told of
+	const asConfigured = 0 // the descriptor limit equals the configured limit on sockets
 	for _, c := range []struct {
 		mode        string
 		pushed      bool
-		known       bool // servers were known before, and connections to them rest
+		known       bool // the sidecar starts with a known list and has idle connections to its servers
 		admin       bool
 		sockets     int
 		descriptors int
@@ -236,7 +237,7 @@
 		{hangs, true, true, false, 64, 32},
 		{trickles, false, false, false, 64, 32},
 	} {
-		name := fmt.Sprintf("%s,pushed=%t,known=%t,door=%t,%d of %d", c.mode, c.pushed, c.known, c.admin, c.descriptors, c.sockets)
+		name := fmt.Sprintf("%s,pushed=%t,known=%t,admin=%t,%d of %d descriptors", c.mode, c.pushed, c.known, c.admin, c.descriptors, c.sockets)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := newDiscoveryOutage(t, c.mode)
@@ -271,24 +272,24 @@
 			if c.known {
 				p.waitReady(t)
 				var wg sync.WaitGroup
-				for range 24 { // as many at once leave connections to servers that rest
+				for range 24 { // concurrent requests leave idle connections to the servers
 					r := newRequest(t, p.addr, "GET", "/look", "")
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
 						if s, body, _ := doOnNewConnection(p, r); s != 200 || body != "before" {
-							t.Errorf("before the crowd: %d %s", s, body)
+							t.Errorf("before the idle clients: got status %d and body %q, want 200 and \"before\"", s, body)
 						}
 					}()
 				}
 				wg.Wait()
 			}
 			k := startIdleClients(t, p.addr, 5*c.sockets/4)
-			eventually(t, "a crowd past the limit", func() bool { return k.arrived.Load() > int64(5*c.sockets/4) })
-			time.Sleep(3 * time.Second) // some calls fail meanwhile
+			eventually(t, "more idle connections than the limit on sockets", func() bool { return k.arrived.Load() > int64(5*c.sockets/4) })
+			time.Sleep(3 * time.Second) // long enough for some calls to discovery to fail
 			if c.known {
 				if s, body, took := doOnNewConnection(p, newRequest(t, p.addr, "GET", "/look", "")); s != 200 || body != "before" {
-					t.Errorf("a new client while discovery is down: %d %s after %v", s, body, took)
+					t.Errorf("new client during the outage: got status %d and body %q after %v, want 200 and \"before\"", s, body, took)
 				}
 			}
 			next := standin.NewServer(t, func(c *net.TCPConn, _ *http.Request) bool { return standin.Say(c, 200, "", "next") })
@@ -297,38 +298,38 @@
 			select {
 			case <-d.listSent:
 			case <-time.After(testTimeout):
-				t.Fatalf("discovery was not called\n%s", p.log.String())
+				t.Fatalf("discovery was not called within %v of its return\n%s", testTimeout, p.log.String())
 			}
 			called := time.Since(restored)
 			if called > listDeadline {
-				t.Errorf("told %v after the return", called)
+				t.Errorf("discovery was called %v after its return, want at most %v", called, listDeadline)
 			}
 			var ready, served int
 			var body string
 			var health, took time.Duration
-			eventually(t, "ready", func() bool {
+			eventually(t, "/health/ready to return 200", func() bool {
 				ready, _, health = doOnNewConnection(p, newRequest(t, p.addr, "GET", "/health/ready", ""))
 				return ready == 200
 			})
-			eventually(t, "the new list", func() bool {
+			eventually(t, "a response from the server of the new list", func() bool {
 				served, body, took = doOnNewConnection(p, newRequest(t, p.addr, "GET", "/look", ""))
 				return body == "next"
 			})
 			if served != 200 {
-				t.Errorf("a new client: %d %s", served, body)
+				t.Errorf("new client after the outage: got status %d and body %q, want 200 and \"next\"", served, body)
 			}
 			if c.admin {
 				if s, text, _ := doOnNewConnection(p, newRequest(t, admin, "GET", "/healthcheck", "")); s != 200 {
-					t.Errorf("the door: %d %s", s, text)
+					t.Errorf("GET /healthcheck of the admin API: got status %d and body %q, want 200", s, text)
 				}
 			}
 			if log := p.log.String(); strings.Contains(log, "too many open files") {
-				t.Errorf("out of descriptors:\n%s", log)
+				t.Errorf("the process ran out of descriptors:\n%s", log)
 			}
 			if n := d.callsAfterOutage.Load(); n != 1 {
-				t.Errorf("%d calls after the return, one was to be enough\n%s", n, p.log.String())
+				t.Errorf("discovery got %d calls after its return, want 1\n%s", n, p.log.String())
 			}
-			t.Logf("called %v after the return (%d calls before), health after %v, a request after %v; %d idle connections came, %d were closed",
+			t.Logf("discovery called %v after its return (%d calls before); health check took %v, request %v; %d idle connections opened, %d closed",
 				called.Round(time.Millisecond), d.callsDuringOutage.Load(), health.Round(time.Millisecond), took.Round(time.Millisecond),
 				k.arrived.Load(), k.closed.Load())
 		})
--- a/cmd/damsonscale/disconnect_test.go
+++ b/cmd/damsonscale/disconnect_test.go
@@ -18,11 +18,11 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// pause stops the program, and returns once none of its threads runs.
+// pause stops the program with SIGSTOP, and returns once all of its threads are stopped.
 func (p *program) pause(t *testing.T) {
 	t.Helper()
 	p.signal(syscall.SIGSTOP)
-	eventually(t, "a program that stands still", func() bool {
+	eventually(t, "all threads of the program to stop", func() bool {
 		tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 		for _, task := range tasks {
 			stat, err := os.ReadFile(task)
@@ -34,7 +34,7 @@
 	})
 }
 
-// hasLeft tells, by the system's own word, that the end of a client's connection has come to the program.
+// hasSeenClose reports whether the kernel has delivered the end of a client's connection to the program, by /proc/net/tcp.
 func (p *program) hasSeenClose(t *testing.T, client net.Addr) bool {
 	t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
@@ -48,10 +48,10 @@
 			return f[3] == closeWait
 		}
 	}
-	return true // reset
+	return true // no entry: the connection was reset
 }
 
-// inTable is an address as /proc/net/tcp has it.
+// procNetAddr returns addr in the format of /proc/net/tcp.
 func procNetAddr(t *testing.T, addr string) string {
 	t.Helper()
 	a, err := net.ResolveTCPAddr("tcp4", addr)
@@ -62,15 +62,15 @@
 	return fmt.Sprintf("%08X:%04X", binary.BigEndian.Uint32(host), a.Port)
 }
 
-// disconnectingClient is a client that leaves before it has its answer.
+// disconnectingClient is a client that disconnects before it gets its response.
 type disconnectingClient struct {
 	*net.TCPConn
 	id, class string
-	reset     bool // it leaves by a reset
-	pipelined bool // it has sent more in advance than is read on
+	reset     bool // it closes the connection with a reset
+	pipelined bool // it sends more bytes after its request than the sidecar reads ahead
 }
 
-// leavers are one for each way of leaving.
+// newDisconnectingClients connects one client for each combination of reset and pipelined.
 func (p *program) newDisconnectingClients(t *testing.T, class string) (all []*disconnectingClient) {
 	t.Helper()
 	for way := range 4 {
@@ -79,12 +79,12 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		all = append(all, &disconnectingClient{c.(*net.TCPConn), fmt.Sprint("leaver-", way), class, way%2 == 1, way >= 2})
+		all = append(all, &disconnectingClient{c.(*net.TCPConn), fmt.Sprint("client-", way), class, way%2 == 1, way >= 2})
 	}
 	return all
 }
 
-// requestText is its request with so many bytes of body.
+// requestText returns the client's request with a body of the given size in bytes.
 func (l *disconnectingClient) requestText(id string, body int) string {
 	head := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nReq-Owner: t\r\nReq-Id: %s\r\nReq-Deadline-Ms: 20000\r\nContent-Length: %d\r\n", l.class, id, body)
 	switch l.class {
@@ -96,7 +96,7 @@
 	return head + "\r\n" + strings.Repeat("b", body)
 }
 
-// asks sends its request, and what it sends in advance.
+// send writes text, followed by the pipelined bytes if the client sends any.
 func (l *disconnectingClient) send(t *testing.T, text string) {
 	t.Helper()
 	if l.pipelined {
@@ -109,7 +109,7 @@
 
 const settleDelay = 50 * time.Millisecond
 
-// askAll has all of them ask.
+// sendAll sends the request of every client.
 func sendAll(t *testing.T, all []*disconnectingClient) {
 	t.Helper()
 	for _, l := range all {
@@ -117,7 +117,7 @@
 	}
 }
 
-// leave has them leave a program that stands still, and returns once the end of each has come to it.
+// disconnect closes all clients while the program is stopped, and returns once the kernel has delivered the end of each connection.
 func (p *program) disconnect(t *testing.T, all []*disconnectingClient) {
 	t.Helper()
 	for _, l := range all {
@@ -127,20 +127,20 @@
 		l.Close()
 	}
 	for _, l := range all {
-		eventually(t, "the end of "+l.id, func() bool { return p.hasSeenClose(t, l.LocalAddr()) })
+		eventually(t, "the program to see the disconnect of "+l.id, func() bool { return p.hasSeenClose(t, l.LocalAddr()) })
 	}
 }
 
-// waitingPlace is a place where requests wait while the program stands still.
+// waitScenario is a state in which requests wait in the program, and what ends that wait.
 type waitScenario struct {
 	p              *program
-	s              *standin.Server                              // whose record counts
-	attemptsBefore int                                          // times that a leaver came to it before it left
-	unblock        func(*testing.T, []*disconnectingClient)     // what it waits for comes; nil: nothing more has to
-	send           func(t *testing.T, _ []*disconnectingClient) // nil: each asks, and has a moment to come to its place
+	s              *standin.Server                              // the server whose attempts are counted
+	attemptsBefore int                                          // attempts for each client before it disconnects
+	unblock        func(*testing.T, []*disconnectingClient)     // ends the wait; nil: resuming the program is enough
+	send           func(t *testing.T, _ []*disconnectingClient) // sends the requests; nil: sendAll, then settleDelay
 }
 
-// before starts a program with one server at the address that dial makes of the stand-in's.
+// startProgram starts a program that knows one server, at address dial, with one edit to its settings.
 func (s *setup) startProgram(t *testing.T, _ *standin.Server, dial, oldSettings, newSettings string) *program {
 	t.Helper()
 	p := start(t, startDiscovery(t).addr, &list{Seq: 41, Whole: true, Hosts: []host{hostAt("s1", dial, "Ready")}}, func(c map[string]any) {
@@ -151,10 +151,10 @@
 	return p
 }
 
-// stage is how a program is started.
+// setup holds the environment in which a program is started.
 type setup struct{ environment string }
 
-// unread has them ask a program that stands still already.
+// unreadRequest sends the requests to a program that is stopped already.
 func (s *setup) unreadRequest(t *testing.T) *waitScenario {
 	server := standin.NewServer(t, standin.Yes)
 	w := &waitScenario{p: s.startProgram(t, server, server.Addr, "", ""), s: server}
@@ -165,7 +165,7 @@
 	return w
 }
 
-// kept is the same on connections, to both sides, that have carried a request.
+// unreadRequestOnKeepAlive is unreadRequest on keep-alive connections, on the client's side and on the server's.
 func (s *setup) unreadRequestOnKeepAlive(t *testing.T) *waitScenario {
 	w := s.unreadRequest(t)
 	w.send = func(t *testing.T, all []*disconnectingClient) {
@@ -173,7 +173,7 @@
 			io.WriteString(l, l.requestText("before-"+l.id, 0))
 			resp, err := http.ReadResponse(bufio.NewReader(l), nil)
 			if err != nil || resp.StatusCode != 200 {
-				t.Fatal(resp, err)
+				t.Fatalf("first request on %s: got response %v, error %v, want status 200", l.id, resp, err)
 			}
 		}
 		w.p.pause(t)
@@ -182,7 +182,7 @@
 	return w
 }
 
-// halfBody has them send the rest of a body to a program that stands still.
+// halfReadBody sends the second part of each body to a program that is stopped.
 func (s *setup) halfReadBody(t *testing.T) *waitScenario {
 	w := s.unreadRequest(t)
 	const body, first = 20 << 10, 12 << 10
@@ -199,7 +199,7 @@
 	return w
 }
 
-// behindColdServer has them wait in the module for the ration of a behindColdServer server, until the list has another one.
+// behindColdServer keeps the requests waiting in the balancer for the slow start ration of a cold server, until the list has another server.
 func (s *setup) behindColdServer(t *testing.T) *waitScenario {
 	cold, server := standin.NewServer(t, standin.Yes), standin.NewServer(t, standin.Yes)
 	d, h := startDiscovery(t), hostAt("s1", cold.Addr, "Ready")
@@ -216,7 +216,7 @@
 		next := list{Seq: 42, Hosts: []host{hostAt("s2", server.Addr, "Ready")}}
 		d.sendList(t, next)
 		text, _ := json.Marshal(next)
-		go func() { // a program that stood still for long finds its watch silent, and opens another
+		go func() { // a program stopped for long finds its watch silent and opens another, which must get the list too
 			for {
 				select {
 				case <-d.watches:
@@ -233,7 +233,7 @@
 	}}
 }
 
-// duringDial has them wait for connections to come up.
+// duringDial keeps the requests waiting for connections to the server.
 func (s *setup) duringDial(t *testing.T) *waitScenario {
 	server := standin.NewServer(t, standin.Yes)
 	addr, accept := standin.Crowded(t, server.Addr)
@@ -241,11 +241,11 @@
 	return &waitScenario{p: p, s: server, unblock: func(*testing.T, []*disconnectingClient) { accept() }}
 }
 
-// tries has them out at a server that says, once they have left, that they never ran, or hangs up.
+// betweenAttempts keeps one attempt of each request at a server, which ends it with answer once the clients have disconnected.
 func (s *setup) betweenAttempts(t *testing.T, answer func(*net.TCPConn) bool) *waitScenario {
 	release := make(chan bool)
 	server := standin.NewServer(t, func(c *net.TCPConn, r *http.Request) bool {
-		if !strings.HasPrefix(r.Header.Get("Req-Id"), "leaver") {
+		if !strings.HasPrefix(r.Header.Get("Req-Id"), "client") {
 			return standin.Yes(c, r)
 		}
 		<-release
@@ -256,7 +256,7 @@
 	w.send = func(t *testing.T, all []*disconnectingClient) {
 		sendAll(t, all)
 		for _, l := range all {
-			eventually(t, l.id+" at the server", func() bool { return server.Got(l.id) == 1 })
+			eventually(t, "the attempt of "+l.id+" to reach the server", func() bool { return server.Got(l.id) == 1 })
 		}
 	}
 	return w
@@ -270,34 +270,34 @@
 	return s.betweenAttempts(t, func(*net.TCPConn) bool { return false })
 }
 
-// No attempt, first or further, begins for a client that has left, wherever its request was when it left. The program stands
-// still while the clients leave and what their requests wait for comes, as one does that lacks processor time: then the two
-// lie before it at once, and which it sees first is not the test's to say. Guards against an attempt that goes before the
-// goroutine that watches its client, and against an end behind bytes that nobody reads.
+// No attempt, first or later, starts for a client that has disconnected, whatever its request waits for at that time. The program is
+// stopped while the clients disconnect and the wait ends, as happens to a process short of CPU time: when it resumes, both events are
+// pending and it may see either one first. The test guards against an attempt that starts before the goroutine that watches the
+// client has run, and against a disconnect that is not noticed because unread bytes precede it.
 func TestNoAttemptForDisconnectedClients(t *testing.T) {
 	for _, scenario := range []struct {
 		name  string
 		begin func(*setup, *testing.T) *waitScenario
 	}{
 		{"not read yet", (*setup).unreadRequest},
-		{"not read yet, on kept connections", (*setup).unreadRequestOnKeepAlive},
+		{"not read yet, on keep-alive connections", (*setup).unreadRequestOnKeepAlive},
 		{"half a body read", (*setup).halfReadBody},
-		{"behind a cold server's ration", (*setup).behindColdServer},
-		{"for a dial", (*setup).duringDial},
-		{"between two tries, declined", (*setup).betweenAttemptsDeclined},
-		{"between two tries, hung up", (*setup).betweenAttemptsClosed},
+		{"waiting for a cold server's ration", (*setup).behindColdServer},
+		{"waiting for a dial", (*setup).duringDial},
+		{"between two attempts, first declined", (*setup).betweenAttemptsDeclined},
+		{"between two attempts, first closed", (*setup).betweenAttemptsClosed},
 	} {
 		for environment, classes := range map[string][]string{"GOMAXPROCS=1": {"look", "make", "once"}, "GOMAXPROCS=4": {"make"}} {
 			for _, class := range classes {
 				t.Run(scenario.name+"/"+environment+"/"+class, func(t *testing.T) {
-					t.Parallel() // each waits for a drain
+					t.Parallel() // each case waits for a drain
 					w := scenario.begin(&setup{environment}, t)
 					all := w.p.newDisconnectingClients(t, class)
 					if w.send != nil {
 						w.send(t, all)
 					} else {
 						sendAll(t, all)
-						time.Sleep(settleDelay) // where they are by then decides what is tested, not the verdict
+						time.Sleep(settleDelay) // decides only which state is tested, not whether the test passes
 					}
 					w.p.pause(t)
 					w.p.disconnect(t, all)
@@ -305,12 +305,12 @@
 						w.unblock(t, all)
 					}
 					w.p.signal(syscall.SIGCONT)
-					eventually(t, "a usual request served", func() bool { status, _ := w.p.sendRequest(t); return status == 200 })
+					eventually(t, "a request to be served after the program resumes", func() bool { status, _ := w.p.sendRequest(t); return status == 200 })
 					w.p.signal(syscall.SIGTERM)
-					w.p.waitExit(t) // nothing comes after that
+					w.p.waitExit(t) // no attempt can follow
 					for _, l := range all {
 						if n := w.s.Got(l.id); n != w.attemptsBefore {
-							t.Errorf("%s (reset %v, behind %v) came %d times, want %d", l.id, l.reset, l.pipelined, n, w.attemptsBefore)
+							t.Errorf("%s (reset %v, pipelined %v): server got %d attempts, want %d", l.id, l.reset, l.pipelined, n, w.attemptsBefore)
 						}
 					}
 				})
