--- a/cmd/damsonscale/slow_start_test.go
+++ b/cmd/damsonscale/slow_start_test.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// What the fleet's settings allow a cold server, and what a warm one takes.
+// Slow start settings of the fleet, and the capacity of a warm server.
 const (
-	slowStartMinShare = 0.9  // of its capacity at its start
-	slowStartSeconds  = 20.0 // s
+	slowStartMinShare = 0.9  // share of its capacity that a server gets at its start
+	slowStartSeconds  = 20.0 // duration of slow start in s
 	overloadFactor    = 3.0
-	windowSeconds     = 0.5 // s
-	warmRate          = 6.0 // requests a second that a warm server can do
+	windowSeconds     = 0.5 // in s
+	warmRate          = 6.0 // requests per second that a warm server can handle
 )
 
-// coldServer is a stand-in that writes down when requests came.
+// coldServer is a server that records when requests arrive.
 type coldServer struct {
 	addr, name string
 	born       time.Time
 	mu         sync.Mutex
-	arrived    []float64 // s since its start
+	arrived    []float64 // seconds since born
 }
 
 func startColdServer(t *testing.T, name string) *coldServer {
@@ -47,9 +47,9 @@
 	return h
 }
 
-// judge counts every window that begins with a request, by the server's own clock. What is held up on a busy machine
-// comes later, and so together: a hold-up adds what is earned in it, at most the mean of so much time, and the bound
-// leaves room for one about as long as a window. It returns how many came.
+// checkSlowStart checks the number of requests in every window that begins with a request, by the server's own clock, and returns the
+// number of all requests. Requests delayed by a busy machine arrive later and bunched: a delay adds at most the mean number of requests
+// of its duration, and the bound leaves room for a delay of about one window.
 func (s *coldServer) checkSlowStart(t *testing.T) (arrived int) {
 	t.Helper()
 	s.mu.Lock()
@@ -63,15 +63,15 @@
 		budget := overloadFactor * min(1, slowStartMinShare+(1-slowStartMinShare)*at/slowStartSeconds) * warmRate * windowSeconds
 		bound := budget + 2*math.Sqrt(budget) + 2
 		if most = max(most, n); float64(n) > bound {
-			t.Errorf("%s got %d requests within %.1f s from %.2f s after its start, %.1f allowed", s.name, n, windowSeconds, at, bound)
+			t.Errorf("%s got %d requests within %.1f s from %.2f s after its start, want at most %.1f", s.name, n, windowSeconds, at, bound)
 		}
 		share = max(share, float64(n)/bound)
 	}
-	t.Logf("%s: %d requests, %d in its fullest window, %.2f of the bound", s.name, len(s.arrived), most, share)
+	t.Logf("%s: %d requests, at most %d in a window, at most %.2f of the bound", s.name, len(s.arrived), most, share)
 	return len(s.arrived)
 }
 
-// rampFleet is some sidecars, each with a discovery of its own, before the same servers.
+// testFleet is a number of sidecars with the same servers, each with its own discovery service.
 type testFleet struct {
 	t           *testing.T
 	sidecars    []*program
@@ -82,7 +82,7 @@
 	next        int
 }
 
-// startRamp starts the program so many times before two warm servers and others that it knows of.
+// startFleet starts n sidecars that know two warm servers and the given others.
 func startFleet(t *testing.T, n int, others ...host) *testFleet {
 	f := &testFleet{t: t, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 	for i := range 2 {
@@ -106,7 +106,7 @@
 	return f
 }
 
-// call makes a request of one of them and does not wait for its answer.
+// sendAsync sends a request to p and does not wait for the response.
 func (f *testFleet) sendAsync(p *program) {
 	r := newRequest(f.t, p.addr, "GET", "/look", "")
 	f.calls.Add(1)
@@ -114,14 +114,14 @@
 		defer f.calls.Done()
 		ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 		defer stop()
-		if resp, err := f.client.Do(r.WithContext(ctx)); err == nil { // or refused, or gone: only what servers get counts
+		if resp, err := f.client.Do(r.WithContext(ctx)); err == nil { // failures do not matter: the servers count what they get
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
 	}()
 }
 
-// play makes requests for so many seconds, as many as the warm servers can do, of those in turn.
+// sendSteadily sends requests to the targets in turn for the given time, at the rate that the warm servers can handle.
 func (f *testFleet) sendSteadily(seconds float64, targets ...*program) {
 	gap := time.Duration(float64(time.Second) / (warmRate * float64(len(f.warm))))
 	for end := time.Now().Add(time.Duration(seconds * 1e9)); time.Now().Before(end); time.Sleep(gap) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// burst makes so many requests of each at once.
+// burst sends that many requests to each sidecar at once.
 func (f *testFleet) burst(each int) {
 	for _, p := range f.sidecars {
 		for range each {
@@ -139,16 +139,16 @@
 	}
 }
 
-// tell gives one of them its list.
+// sendList sends one sidecar a complete list.
 func (f *testFleet) sendList(i, seq int, hosts ...host) {
 	f.discoveries[i].sendList(f.t, list{Seq: seq, Whole: true, Hosts: hosts})
 }
 
-// Many processes together stay within a cold server's slow start. The servers count what comes in every window.
+// Many sidecars together do not exceed a cold server's slow start limit. The servers count the requests in every window.
 func TestSlowStartAcrossManySidecars(t *testing.T) {
 	for _, n := range []int{20, 30} {
 		arrived := 0
-		t.Run(fmt.Sprint(n, " processes, the others drain"), func(t *testing.T) {
+		t.Run(fmt.Sprint(n, " processes, the warm servers are removed"), func(t *testing.T) {
 			f := startFleet(t, n)
 			f.sendSteadily(0.5, f.sidecars...)
 			cold := startColdServer(t, "cold")
@@ -170,7 +170,7 @@
 			f.sendSteadily(3, f.sidecars...)
 			arrived += cold.checkSlowStart(t)
 		})
-		t.Run(fmt.Sprint(n, " processes, one with most of the traffic, told at other times of three cold ones, a lull"), func(t *testing.T) {
+		t.Run(fmt.Sprint(n, " processes, one with most of the traffic, lists with three cold servers at different times, a pause"), func(t *testing.T) {
 			f := startFleet(t, n)
 			f.sendSteadily(1, f.sidecars...)
 			var colds []*coldServer
@@ -192,7 +192,7 @@
 			}
 		})
 		if arrived == 0 {
-			t.Errorf("%d processes sent cold servers nothing at all", n)
+			t.Errorf("%d processes sent no request to any cold server", n)
 		}
 	}
 }
--- a/cmd/damsonscale/startup_test.go
+++ b/cmd/damsonscale/startup_test.go
@@ -20,13 +20,13 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// What the test's own binary may be besides the program.
+// Roles of the test binary other than the program.
 const (
 	runPlain  = "plain"
 	runBurner = "burner"
 )
 
-// runPlainServer listens and answers, and does nothing else: what the machine asks of any process that starts.
+// runPlainServer answers every request and does nothing else. Its start shows how long the machine takes to start any process.
 func runPlainServer() {
 	ok := http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) {})
 	if err := http.ListenAndServe(os.Getenv("PROXY_LISTEN"), ok); err != nil {
@@ -36,7 +36,7 @@
 
 const maxBurnTime = time.Minute
 
-// burn keeps all cores busy until its input ends, a minute at most.
+// burnCPU keeps all cores busy until standard input ends, for maxBurnTime at most.
 func burnCPU() {
 	for range runtime.NumCPU() {
 		go func() {
@@ -52,12 +52,12 @@
 	io.Copy(io.Discard, os.Stdin)
 }
 
-// keepBusy has another process use all cores.
+// keepBusy starts another process that keeps all cores busy until the test ends.
 func keepBusy(t *testing.T) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "DAMSONSCALE_RUN_MAIN="+runBurner)
-	in, err := cmd.StdinPipe() // it ends with this process
+	in, err := cmd.StdinPipe() // also ends with this process
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,8 @@
 	})
 }
 
-// listing is the address of a list service that works through its calls in turn, so long each; 0: it serves all at once.
+// startRegistry starts a registry that handles one call at a time, each for the given duration, and returns its address. With each of
+// 0 it handles all calls at once.
 func startRegistry(t *testing.T, each time.Duration, l list) string {
 	r := standin.NewRegistry(t, standin.Good)
 	r.List(int64(l.Seq), encodeList(&l))
@@ -81,23 +82,23 @@
 }
 
 const (
-	sidecarCount      = 30                // processes
-	plainCount        = 6                 // plain ones that start among them
-	readyDeadline     = 10 * time.Second  // within which nine in ten of those restarted are ready
-	plainReadyLimit   = readyDeadline / 3 // for a plain process: the machine is no measure then
-	maxRounds         = 3                 // of a case at most
+	sidecarCount      = 30                // sidecars that are restarted
+	plainCount        = 6                 // plain processes that are restarted among them
+	readyDeadline     = 10 * time.Second  // nine in ten restarted sidecars must be ready within this time
+	plainReadyLimit   = readyDeadline / 3 // a plain process that takes longer shows that the machine is too slow
+	maxRounds         = 3                 // rounds of a case before the test fails
 	readyPollInterval = 20 * time.Millisecond
 )
 
-// begun is one start.
+// processStart is one start of a process.
 type processStart struct {
 	p     *program
 	plain bool
-	took  time.Duration // until it was ready; 0: never
-	cpu   time.Duration // that it had used by then
+	took  time.Duration // time until the process was ready; 0: it never was
+	cpu   time.Duration // CPU time used by then
 }
 
-// await asks until the process says that it is ready.
+// pollReady polls /health/ready until it returns 200, and records the time since the start.
 func (b *processStart) pollReady(since time.Time) {
 	for time.Since(since) < testTimeout {
 		c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
@@ -112,7 +113,7 @@
 	}
 }
 
-// cpuTime is the processor time of a process.
+// cpuTime returns the CPU time that a process has used.
 func cpuTime(pid int) (sum time.Duration) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, task := range tasks {
@@ -125,13 +126,13 @@
 	return sum
 }
 
-// restart ends processes by a signal and starts each anew once it has ended; of a plain one only the start counts. They live
-// until t ends. started is called once all are started.
+// restartAll ends processes with a signal and restarts each one as soon as it has exited. The new processes run until t ends. started is
+// called once all of them have been started.
 func restartAll(t *testing.T, all []*program, by syscall.Signal, started func()) []*processStart {
 	t.Helper()
 	for _, p := range all {
 		if err := p.cmd.Process.Signal(by); err != nil {
-			t.Errorf("it had ended before: %v\n%s", err, p.log.String())
+			t.Errorf("process had exited before signal %v: %v\n%s", by, err, p.log.String())
 		}
 	}
 	out, done := make([]*processStart, len(all)), make(chan bool)
@@ -139,7 +140,7 @@
 		select {
 		case <-p.done:
 		case <-time.After(testTimeout):
-			t.Fatalf("did not end\n%s", p.log.String())
+			t.Fatalf("process did not exit within %v of the signal\n%s", testTimeout, p.log.String())
 		}
 		out[i] = &processStart{p: p, plain: p.path == ""}
 		role := "1"
@@ -160,18 +161,18 @@
 	return out
 }
 
-// quantile is the smallest that so large a part does not exceed.
+// quantile returns the value below which the given part of sorted lies.
 func quantile(sorted []time.Duration, part float64) time.Duration {
 	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))].Round(time.Millisecond)
 }
 
-// Nine in ten restarted processes are ready within 10 s, all of them in the end, on a busy machine, whatever discovery does. Where
-// more are late, and a plain process that started among them was too, the machine is no measure: such a play is void and played
-// again; after three the test fails.
+// On a busy machine, nine in ten restarted sidecars are ready within 10 s and all of them become ready, whatever state discovery is in.
+// If more are late, and so is a plain process restarted among them, the machine is too slow to tell: the round is void and repeated.
+// After three void rounds the test fails.
 func TestRestartedProcessesBecomeReadyInTime(t *testing.T) {
 	server := standin.NewServer(t, standin.Yes)
 	l := list{Seq: 41, Whole: true, Hosts: []host{hostAt("s1", server.Addr, "Ready")}}
-	const quick, overbooked = 0, 110 * time.Millisecond // of work for a call: thirty fill more than a call's patience
+	const quickCall, slowCall = 0, 110 * time.Millisecond // work per call; thirty calls in turn exceed the timeout of a call
 	var all []*program
 	for i := range sidecarCount {
 		p := start(t, refusingAddr(t), &l, func(c map[string]any) {
@@ -191,28 +192,28 @@
 	}
 	keepBusy(t)
 	idle := func() {}
-	overloaded := func(t *testing.T) (string, func()) { return startRegistry(t, overbooked, l), idle }
+	overloaded := func(t *testing.T) (string, func()) { return startRegistry(t, slowCall, l), idle }
 	down := func(t *testing.T) (string, func()) { return refusingAddr(t), idle }
 	for _, c := range []struct {
 		name      string
 		discovery func(t *testing.T) (addr string, started func())
-		known     bool // what was known before stands in the configuration
+		known     bool // the configuration has a known list
 		pushed    bool
-		rolling   bool // a tenth at a time, by SIGTERM; else all are killed at once
+		rolling   bool // restarts by SIGTERM in ten waves; false: SIGKILL to all at once
 	}{
 		{"at once, down", down, true, false, false},
-		{"at once, overbooked", overloaded, true, false, false},
-		{"at once, overbooked, nothing known", overloaded, false, false, false},
+		{"at once, overloaded", overloaded, true, false, false},
+		{"at once, overloaded, no known list", overloaded, false, false, false},
 		{"at once, pushed, hangs", func(t *testing.T) (string, func()) { return newDiscoveryOutage(t, hangs).addr, idle }, true, true, false},
-		{"at once, down for 1 s, nothing known", func(t *testing.T) (string, func()) {
+		{"at once, down for 1 s, no known list", func(t *testing.T) (string, func()) {
 			o := newDiscoveryOutage(t, refuses)
 			return o.addr, func() {
-				time.Sleep(time.Second) // the processes go on meanwhile
+				time.Sleep(time.Second) // the processes keep starting in this time
 				o.restore(t, l)
 			}
 		}, false, false, false},
-		{"rolling, up, nothing known", func(t *testing.T) (string, func()) { return startRegistry(t, quick, l), idle }, false, false, true},
-		{"rolling, overbooked", overloaded, true, false, true},
+		{"rolling, up, no known list", func(t *testing.T) (string, func()) { return startRegistry(t, quickCall, l), idle }, false, false, true},
+		{"rolling, overloaded", overloaded, true, false, true},
 	} {
 		parent := t
 		t.Run(c.name, func(t *testing.T) {
@@ -255,17 +256,17 @@
 					return
 				}
 				if !plainWereLate(t, starts) {
-					t.Fatal("plain processes were not late")
+					t.Fatal("too many sidecars were late, but no plain process was")
 				}
 				if round == maxRounds {
-					t.Fatalf("void %d times: plain processes are late on this machine too", maxRounds)
+					t.Fatalf("%d void rounds: plain processes were late too, so this machine is too slow for the test", maxRounds)
 				}
 			}
 		})
 	}
 }
 
-// void tells whether plain processes were late.
+// plainWereLate reports whether a plain process took longer than plainReadyLimit.
 func plainWereLate(t *testing.T, starts []*processStart) bool {
 	var plain []time.Duration
 	for _, b := range starts {
@@ -277,11 +278,11 @@
 		}
 	}
 	slices.Sort(plain)
-	t.Logf("plain processes: p50 %v, most %v", quantile(plain, 0.5), quantile(plain, 1))
+	t.Logf("plain processes ready after: p50 %v, max %v", quantile(plain, 0.5), quantile(plain, 1))
 	return quantile(plain, 1) > plainReadyLimit
 }
 
-// inTime tells whether nine in ten were ready in time. One that is never ready is no matter of time.
+// readyInTime reports whether nine in ten sidecars were ready within readyDeadline. A sidecar that never gets ready fails the test.
 func readyInTime(t *testing.T, starts []*processStart) bool {
 	t.Helper()
 	var times, cpus []time.Duration
@@ -291,18 +292,18 @@
 		case b.plain:
 			continue
 		case b.took == 0:
-			t.Fatalf("never ready\n%s", b.p.log.String())
+			t.Fatalf("sidecar was never ready\n%s", b.p.log.String())
 		case b.took > readyDeadline:
 			late++
 		}
 		times, cpus = append(times, b.took), append(cpus, b.cpu)
 	}
 	if len(times) != sidecarCount {
-		t.Fatalf("%d starts of %d", len(times), sidecarCount)
+		t.Fatalf("got %d sidecar starts, want %d", len(times), sidecarCount)
 	}
 	slices.Sort(times)
 	slices.Sort(cpus)
-	t.Logf("ready: p50 %v, p90 %v, most %v, %d late; processor time until then: p50 %v, most %v", quantile(times, 0.5),
+	t.Logf("sidecars ready after: p50 %v, p90 %v, max %v, %d late; CPU time until ready: p50 %v, max %v", quantile(times, 0.5),
 		quantile(times, 0.9), quantile(times, 1), late, quantile(cpus, 0.5), quantile(cpus, 1))
 	return late*10 <= sidecarCount
 }
