--- a/cmd/damsonscale/builds_test.go
+++ b/cmd/damsonscale/builds_test.go
@@ -114,7 +114,7 @@
 }
 
 func upgradeWithStream(t *testing.T, from, to func(map[string]any)) {
-	body, resume := pattern(300_000), make(chan bool)
+	body, resume := patternBytes(300_000), make(chan bool)
 	p := startWithScriptedServer(t, func(_ *http.Request, conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n")
 		conn.Write(body[:100_000])
--- a/cmd/damsonscale/stream_test.go
+++ b/cmd/damsonscale/stream_test.go
@@ -17,7 +17,7 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// script is a server that answers each connection's first request by hand.
+// serveScripted starts a server that calls serve with the first request of each connection, and returns its address.
 func serveScripted(t *testing.T, serve func(r *http.Request, c net.Conn)) string {
 	t.Helper()
 	return standin.Listen(t, func(c *net.TCPConn, _ int) {
@@ -28,7 +28,7 @@
 	})
 }
 
-// scripted starts a sidecar with one known server that answers by hand.
+// startWithScriptedServer starts a sidecar that knows one server, which serve writes the responses of.
 func startWithScriptedServer(t *testing.T, serve func(r *http.Request, c net.Conn), change func(map[string]any)) *program {
 	t.Helper()
 	d := startDiscovery(t)
@@ -38,8 +38,8 @@
 	return p
 }
 
-// pattern is n bytes of which each part differs from the others.
-func pattern(n int) []byte {
+// patternBytes returns n bytes in which every section differs from the others.
+func patternBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i>>8) ^ byte(i*7)
@@ -47,9 +47,9 @@
 	return b
 }
 
-// Bodies and answers of far more than the memory granted pass through whole, many at once.
+// Request and response bodies far larger than the memory limit pass through complete, many at once.
 func TestLargeBodiesUseBoundedMemory(t *testing.T) {
-	body := pattern(8 << 20)
+	body := patternBytes(8 << 20)
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, r *http.Request) {
 		got, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Equal(got, body) {
@@ -64,14 +64,14 @@
 			r := newRequest(t, p.addr, "POST", "/make", "")
 			r.Body = io.NopCloser(bytes.NewReader(body))
 			if r.ContentLength = int64(len(body)); i%2 == 0 {
-				r.ContentLength = -1 // in chunks
+				r.ContentLength = -1 // sent in chunks
 			}
 			resp, err := http.DefaultClient.Do(r)
 			if err == nil {
 				defer resp.Body.Close()
 				var got []byte
 				if got, err = io.ReadAll(resp.Body); err == nil && (resp.StatusCode != 200 || !bytes.Equal(got, body)) {
-					err = fmt.Errorf("answered %d with %d bytes", resp.StatusCode, len(got))
+					err = fmt.Errorf("got status %d and %d bytes, want 200 and the %d bytes sent", resp.StatusCode, len(got), len(body))
 				}
 			}
 			failed <- err
@@ -90,24 +90,24 @@
 	for line := range strings.SplitSeq(string(status), "\n") {
 		fmt.Sscanf(line, "VmHWM: %d kB", &peak)
 	}
-	if peak > 128<<10 { // eight bodies and as many answers are 128 MB; the race detector takes its part besides
-		t.Errorf("%d kB of memory", peak)
+	if peak > 128<<10 { // the request and response bodies take 128 MB in total; includes the race detector's overhead
+		t.Errorf("peak memory is %d kB, want at most %d kB", peak, 128<<10)
 	}
 }
 
-// A client is answered as the server goes on: the first bytes of a long answer come while the server still waits.
+// Responses are streamed: the client gets the first bytes of a long response while the server has not sent the rest.
 func TestResponseIsStreamed(t *testing.T) {
 	for name, head := range map[string]string{
 		"long": "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", "chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n",
 		"to its end": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			first, resume := pattern(70000)[:5], make(chan bool)
+			first, resume := patternBytes(70000)[:5], make(chan bool)
 			p := startWithScriptedServer(t, func(_ *http.Request, c net.Conn) {
 				io.WriteString(c, head)
 				c.Write(first)
 				<-resume
-				c.Write(pattern(70000)[5:])
+				c.Write(patternBytes(70000)[5:])
 				if name == "chunked" {
 					io.WriteString(c, "\r\n0\r\nTrailer: x\r\n\r\n")
 				}
@@ -119,18 +119,19 @@
 			defer resp.Body.Close()
 			got := make([]byte, 5)
 			if _, err := io.ReadFull(resp.Body, got); err != nil || !bytes.Equal(got, first) {
-				t.Fatalf("%q %v", got, err)
+				t.Fatalf("first bytes: got %q, error %v, want %q", got, err, first)
 			}
 			close(resume)
 			rest, err := io.ReadAll(resp.Body)
-			if err != nil || !bytes.Equal(rest, pattern(70000)[5:]) {
-				t.Fatalf("%d bytes, %v", len(rest), err)
+			if err != nil || !bytes.Equal(rest, patternBytes(70000)[5:]) {
+				t.Fatalf("rest of the body: got %d bytes, error %v, want the server's %d bytes", len(rest), err, 70000-5)
 			}
 		})
 	}
 }
 
-// An answer that has begun and then breaks is cut so that the client can tell, and nothing is sent a second time.
+// If a server breaks off during a response, the client's response is truncated so that the client notices, and the request is not
+// retried.
 func TestBrokenResponseIsTruncatedAndNotRetried(t *testing.T) {
 	for name, c := range map[string]struct{ head, version string }{
 		"long":        {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", "1.1"},
@@ -142,25 +143,25 @@
 			p := startWithScriptedServer(t, func(_ *http.Request, conn net.Conn) {
 				attempts.Add(1)
 				io.WriteString(conn, c.head)
-				conn.Write(pattern(100000))
+				conn.Write(patternBytes(100000))
 			}, nil)
 			conn := p.dial(t)
 			fmt.Fprintf(conn, "GET /look HTTP/%s\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 20000\r\n\r\n", c.version)
 			resp, err := http.ReadResponse(conn.br, nil)
 			if err != nil || resp.StatusCode != 200 {
-				t.Fatal(resp, err)
+				t.Fatalf("got response %v, error %v, want status 200", resp, err)
 			}
 			if got, err := io.ReadAll(resp.Body); err == nil {
-				t.Fatalf("%d bytes passed for a whole answer", len(got))
+				t.Fatalf("truncated response of %d bytes was read without an error", len(got))
 			}
 			if n := attempts.Load(); n != 1 {
-				t.Fatalf("%d attempts", n)
+				t.Fatalf("server got %d attempts, want 1", n)
 			}
 		})
 	}
 }
 
-// A body that is held is sent again after a failure that allows it; one of which a part has gone is not.
+// A body that is buffered in full is sent again by a retry. A request whose body is partly sent and not buffered is not retried.
 func TestOnlyABufferedBodyIsRetried(t *testing.T) {
 	for _, c := range []struct {
 		size   int
@@ -177,12 +178,12 @@
 		r := newRequest(t, p.addr, "POST", "/make", strings.Repeat("x", c.size))
 		s, _ := doRequest(t, r)
 		if int(attempts.Load()) != c.want || s != c.status && (c.status == 200 || s < 500) {
-			t.Errorf("%d bytes: %d attempts, want %d; answered %d, want %d", c.size, attempts.Load(), c.want, s, c.status)
+			t.Errorf("%d bytes of body: got %d attempts, want %d; got status %d, want %d", c.size, attempts.Load(), c.want, s, c.status)
 		}
 	}
 }
 
-// All that HTTP/1.1 allows of a request is taken, in pieces cut anywhere, two requests in one go among them.
+// All forms of a request that HTTP/1.1 allows are accepted, also split into pieces at any byte, and two requests in one write.
 func TestAcceptedRequestForms(t *testing.T) {
 	const head = "Host: h\r\nReq-Id: a%d\r\nReq-Deadline-Ms: 20000\r\nIdempotency-Key: k\r\n"
 	p, _ := startWithServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -210,10 +211,10 @@
 			}
 			resp, err := http.ReadResponse(conn.br, nil)
 			if err != nil {
-				t.Fatalf("%s in pieces of %d: %v", name, piece, err)
+				t.Fatalf("%s in pieces of %d bytes: %v", name, piece, err)
 			}
 			if b, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(b) != c.want {
-				t.Errorf("%s in pieces of %d: %d %q %v, want %q", name, piece, resp.StatusCode, b, err, c.want)
+				t.Errorf("%s in pieces of %d bytes: got status %d, body %q, error %v, want 200 and %q", name, piece, resp.StatusCode, b, err, c.want)
 			}
 			conn.Close()
 		}
@@ -226,21 +227,21 @@
 			t.Fatal(err)
 		}
 		if b, _ := io.ReadAll(resp.Body); string(b) != want {
-			t.Errorf("%q, want %q", b, want)
+			t.Errorf("pipelined request: got body %q, want %q", b, want)
 		}
 	}
 	fmt.Fprintf(conn, "POST /make HTTP/1.1\r\n"+head+"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n", 1003)
 	if line, err := conn.br.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100") {
-		t.Fatal(line, err)
+		t.Fatalf("after Expect: 100-continue: got line %q, error %v, want status 100", line, err)
 	}
 	conn.br.ReadString('\n')
 	io.WriteString(conn, "ok")
 	if resp, err := http.ReadResponse(conn.br, nil); err != nil || resp.StatusCode != 200 {
-		t.Fatal(resp, err)
+		t.Fatalf("after the body: got response %v, error %v, want status 200", resp, err)
 	}
 }
 
-// A client that sends half a long body and no more is told or cut off, and holds no server for good.
+// A client that stops sending in the middle of a long body gets 408 and does not occupy a server indefinitely.
 func TestStalledRequestBodyGets408(t *testing.T) {
 	p := startWithScriptedServer(t, func(r *http.Request, _ net.Conn) { io.Copy(io.Discard, r.Body) }, nil)
 	conn := p.dial(t)
@@ -248,13 +249,13 @@
 		"Content-Length: 300000\r\n\r\n"+strings.Repeat("x", 100000))
 	resp, err := http.ReadResponse(conn.br, nil)
 	if err != nil || resp.StatusCode != 408 {
-		t.Fatal(resp, err)
+		t.Fatalf("got response %v, error %v, want status 408", resp, err)
 	}
 }
 
-// In an upgrade a long answer that is under way goes on in the process that follows, and comes whole; the old one ends.
+// In an upgrade, a streamed response continues in the new process and arrives complete, and the old process exits.
 func TestStreamedResponseSurvivesUpgrade(t *testing.T) {
-	body := pattern(300_000)
+	body := patternBytes(300_000)
 	for name, c := range map[string]struct{ head, tail, version string }{
 		"length":     {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", "", "1.1"},
 		"chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n", "\r\n0\r\nT: u\r\n\r\n", "1.1"},
@@ -275,7 +276,7 @@
 			fmt.Fprintf(conn, "GET /look HTTP/%s\r\nHost: h\r\nReq-Id: a1\r\nReq-Deadline-Ms: 20000\r\n\r\n", c.version)
 			resp, err := http.ReadResponse(conn.br, nil)
 			if err != nil || resp.StatusCode != 200 {
-				t.Fatal(resp, err)
+				t.Fatalf("got response %v, error %v, want status 200", resp, err)
 			}
 			got := make([]byte, 50_000)
 			if _, err := io.ReadFull(resp.Body, got); err != nil {
@@ -284,13 +285,13 @@
 			next := p.startSuccessor(t)
 			next.waitHealthy(t)
 			p.cmd.Process.Signal(syscall.SIGTERM)
-			if err := <-p.done; err != nil { // it does not wait for the server
-				t.Fatal(err)
+			if err := <-p.done; err != nil { // the old process does not wait for the server
+				t.Fatalf("old process exited with %v, want 0", err)
 			}
 			close(resume)
 			rest, err := io.ReadAll(resp.Body)
 			if got = append(got, rest...); err != nil || !bytes.Equal(got, body) {
-				t.Fatalf("%d bytes, %v\n%s", len(got), err, next.log.String())
+				t.Fatalf("client got %d bytes, error %v, want the server's %d bytes; new process:\n%s", len(got), err, len(body), next.log.String())
 			}
 		})
 	}
