--- a/cmd/damsonscale/descriptors_test.go
+++ b/cmd/damsonscale/descriptors_test.go
@@ -208,7 +208,7 @@
 	p.checkSurvivesIdleConnections(t, 40)
 }
 
-const listDeadline = 6 * time.Second // from the end of the outage until the sidecar must have called discovery
+const listDeadline = 6 * time.Second // from the end of the outage until discovery must have sent the sidecar its list
 
 // Idle clients may take all descriptors while discovery is down. Once discovery is back, the sidecar must get its list in time, answer
 // health checks, reach servers and serve a new client. The test guards against a call to discovery, or a dial to a server, for which
@@ -302,7 +302,7 @@
 			}
 			called := time.Since(restored)
 			if called > listDeadline {
-				t.Errorf("discovery was called %v after its return, want at most %v", called, listDeadline)
+				t.Errorf("discovery sent its list %v after its return, want at most %v", called, listDeadline)
 			}
 			var ready, served int
 			var body string
--- a/cmd/damsonscale/disconnect_test.go
+++ b/cmd/damsonscale/disconnect_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-const settleDelay = 50 * time.Millisecond
+const settleDelay = 50 * time.Millisecond // for sent bytes to reach the state under test
 
 // sendAll sends the request of every client.
 func sendAll(t *testing.T, all []*disconnectingClient) {
@@ -199,7 +199,8 @@
 	return w
 }
 
-// behindColdServer keeps the requests waiting in the balancer for the slow start ration of a cold server, until the list has another server.
+// behindColdServer keeps the requests waiting in the balancer for the slow start ration of a cold server, until the list has another
+// server.
 func (s *setup) behindColdServer(t *testing.T) *waitScenario {
 	cold, server := standin.NewServer(t, standin.Yes), standin.NewServer(t, standin.Yes)
 	d, h := startDiscovery(t), hostAt("s1", cold.Addr, "Ready")
@@ -305,7 +306,7 @@
 						w.unblock(t, all)
 					}
 					w.p.signal(syscall.SIGCONT)
-					eventually(t, "a request to be served after the program resumes", func() bool { status, _ := w.p.sendRequest(t); return status == 200 })
+					eventually(t, "a request to be served after the resume", func() bool { status, _ := w.p.sendRequest(t); return status == 200 })
 					w.p.signal(syscall.SIGTERM)
 					w.p.waitExit(t) // no attempt can follow
 					for _, l := range all {
--- a/cmd/damsonscale/discovery_faults_test.go
+++ b/cmd/damsonscale/discovery_faults_test.go
@@ -87,7 +87,8 @@
 		deadline = first // the process started with an old list
 	}
 	if at.After(deadline) {
-		d.events = append(d.events, fmt.Sprintf("%.2f VIOLATION: a request to the removed server %.2f s after discovery had the removal and was reachable",
+		d.events = append(d.events, fmt.Sprintf(
+			"%.2f VIOLATION: a request to the removed server %.2f s after discovery had the removal and was reachable",
 			at.Sub(d.began).Seconds(), at.Sub(since).Seconds()))
 	}
 }
--- a/cmd/damsonscale/discovery_outage_test.go
+++ b/cmd/damsonscale/discovery_outage_test.go
@@ -129,8 +129,8 @@
 	})
 }
 
-// Servers that close connections right after the handshake, or decline every request, make no idempotent request fail. An
-// at_most_once request runs at most once.
+// If some servers close connections right after the handshake and others decline every request, the healthy server still serves every
+// idempotent request, and an at_most_once request runs at most once.
 func TestServersThatCloseOrDeclineRequests(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
--- a/cmd/damsonscale/endpoint_updates_test.go
+++ b/cmd/damsonscale/endpoint_updates_test.go
@@ -136,7 +136,8 @@
 	time.Sleep(time.Until(a.reachableAt.Add(updateDeadline + stopSendingGrace)))
 	last := time.Unix(0, a.leaving.last.Load()).Sub(a.reachableAt)
 	if last > updateDeadline {
-		t.Errorf("%s, %s: the removed server got a request %v after the change, want at most %v\n%s", name, a.name, last, updateDeadline, a.log.String())
+		t.Errorf("%s, %s: the removed server got a request %v after the change, want at most %v\n%s",
+			name, a.name, last, updateDeadline, a.log.String())
 	}
 	close(a.stop)
 	if n := a.failedRequests.Load(); n > 0 {
@@ -160,7 +161,8 @@
 	if ok {
 		time.Sleep(time.Until(at.Add(stopSendingGrace + 500*time.Millisecond)))
 		if last := time.Unix(0, a.leaving.last.Load()).Sub(at); last > stopSendingGrace {
-			t.Errorf("%s: the removed server got a request %v after the sidecar received the change, want at most %v", a.name, last, stopSendingGrace)
+			t.Errorf("%s: the removed server got a request %v after the sidecar received the change, want at most %v",
+				a.name, last, stopSendingGrace)
 		}
 	}
 	close(a.stop)
@@ -376,7 +378,8 @@
 				time.Sleep(time.Until(a.reachableAt.Add(updateDeadline + stopSendingGrace)))
 				close(a.stop)
 				if last := time.Unix(0, a.leaving.last.Load()).Sub(a.reachableAt); last > stopSendingGrace {
-					t.Errorf("%s: the removed server got a request %v after the start, want at most %v\n%s", a.name, last, stopSendingGrace, a.log.String())
+					t.Errorf("%s: the removed server got a request %v after the start, want at most %v\n%s",
+						a.name, last, stopSendingGrace, a.log.String())
 				}
 				if n := a.failedRequests.Load(); n > 0 {
 					t.Errorf("%s: %d requests failed, want 0", a.name, n)
--- a/cmd/damsonscale/main.go
+++ b/cmd/damsonscale/main.go
@@ -1,4 +1,4 @@
-// Command damsonscale is one sidecar: it serves its client on sockets and sends each request to a server.
+// Command damsonscale is a sidecar load balancer: it accepts a client's HTTP requests and forwards each one to a server.
 package main
 
 import "damsonscale/internal/app"
--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -42,6 +42,7 @@
 
 const testTimeout = 30 * time.Second // limit on every wait in a test
 
+// settings has one class of each kind: look is idempotent, make is deduplicated and once is at_most_once.
 const settings = `{"Balancers":1,"Me":0,"Zone":"z","RegistryMode":"on_request","WeightSource":"nominal","TickUs":5000,
 "Services":[
  {"Name":"look","Semantics":"idempotent","AimUs":2000000,"DeadlineUs":20000000,"LateShare":0.3,"Worth":1},
@@ -53,6 +54,7 @@
 "Guarantees":{"AnswerSlackUs":20000,"AskEveryUs":10000000,"StopSendingWithinUs":2000000,"ColdFrom":0.5,"ColdUs":5000000,
  "OverloadFactor":3,"FallUs":3000000}}`
 
+// host is a server in an endpoint list as discovery sends it.
 type host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -63,6 +65,7 @@
 	Born   int64   `json:"born_ms"`
 }
 
+// list is an endpoint list, or an update of one if Whole is false.
 type list struct {
 	Seq   int    `json:"seq"`
 	Whole bool   `json:"whole"`
@@ -81,6 +84,7 @@
 	closeWatch chan bool
 }
 
+// startDiscovery starts a discovery service whose watches stay silent, apart from a heartbeat every 2 s, until a test sends a line.
 func startDiscovery(t *testing.T) *discovery {
 	d := &discovery{lines: make(chan string), watches: make(chan string, 64), closeWatch: make(chan bool)}
 	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -177,6 +181,8 @@
 	return addr
 }
 
+// start writes a configuration and starts the program with it. change may edit the configuration first; its keys descriptors,
+// executable and environment set the descriptor limit, the executable and an environment variable of the process.
 func start(t *testing.T, discoveryAddr string, known *list, change func(map[string]any)) *program {
 	t.Helper()
 	p := &program{addr: freeAddr(t), maxDescriptors: "256"}
@@ -256,6 +262,7 @@
 	return resp.StatusCode
 }
 
+// eventually polls ok until it returns true; the test fails after testTimeout.
 func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -273,6 +280,7 @@
 
 var requestIDs atomic.Int64
 
+// newRequest returns a request with an id of its own and, for a POST, an idempotency key.
 func newRequest(t *testing.T, addr, method, path, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
--- a/cmd/damsonscale/slow_start_test.go
+++ b/cmd/damsonscale/slow_start_test.go
@@ -170,7 +170,7 @@
 			f.sendSteadily(3, f.sidecars...)
 			arrived += cold.checkSlowStart(t)
 		})
-		t.Run(fmt.Sprint(n, " processes, one with most of the traffic, lists with three cold servers at different times, a pause"), func(t *testing.T) {
+		t.Run(fmt.Sprint(n, " processes, uneven traffic, lists at different times, three cold servers, a pause"), func(t *testing.T) {
 			f := startFleet(t, n)
 			f.sendSteadily(1, f.sidecars...)
 			var colds []*coldServer
--- a/cmd/damsonscale/stream_test.go
+++ b/cmd/damsonscale/stream_test.go
@@ -90,7 +90,7 @@
 	for line := range strings.SplitSeq(string(status), "\n") {
 		fmt.Sscanf(line, "VmHWM: %d kB", &peak)
 	}
-	if peak > 128<<10 { // the request and response bodies take 128 MB in total; includes the race detector's overhead
+	if peak > 128<<10 { // 8 requests and responses of 8 MB take 128 MB if buffered; leaves room for the race detector
 		t.Errorf("peak memory is %d kB, want at most %d kB", peak, 128<<10)
 	}
 }
