--- a/cmd/damsonscale/stream_test.go
+++ b/cmd/damsonscale/stream_test.go
@@ -99,7 +99,7 @@
 func TestResponseIsStreamed(t *testing.T) {
 	for name, head := range map[string]string{
 		"long": "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", "chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n",
-		"to its end": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\n",
+		"until close": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, resume := patternBytes(70000)[:5], make(chan bool)
@@ -134,9 +134,9 @@
 // retried.
 func TestBrokenResponseIsTruncatedAndNotRetried(t *testing.T) {
 	for name, c := range map[string]struct{ head, version string }{
-		"long":        {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", "1.1"},
-		"chunked":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n", "1.1"},
-		"to HTTP/1.0": {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", "1.0"},
+		"long":            {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", "1.1"},
+		"chunked":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n", "1.1"},
+		"HTTP/1.0 client": {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n", "1.0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var attempts atomic.Int64
@@ -194,11 +194,11 @@
 	for name, c := range map[string]struct{ text, want string }{
 		"chunks with extensions and trailers": {"POST /make?obj=1 HTTP/1.1\r\n" + head +
 			"Transfer-Encoding: chunked\r\n\r\n1;x=y\r\na\r\n2 \r\nbc\r\n0\r\nT: u\r\n\r\n", `POST /make?obj=1 "abc" `},
-		"no body":       {"POST /make HTTP/1.1\r\n" + head + "\r\n", `POST /make "" `},
-		"empty chunks":  {"POST /make HTTP/1.1\r\n" + head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", `POST /make "" `},
-		"absolute form": {"GET http://app.svc:80/look?obj=7 HTTP/1.1\r\n" + head + "\r\n", `GET /look?obj=7 "" `},
-		"a token":       {"GET /look HTTP/1.1\r\n" + head + "X-Hop: secret\r\nConnection: a, X-Hop\r\n\r\n", `GET /look "" `},
-		"HTTP/1.0":      {"GET /look HTTP/1.0\r\n" + head + "\r\n", `GET /look "" `},
+		"no body":                    {"POST /make HTTP/1.1\r\n" + head + "\r\n", `POST /make "" `},
+		"empty chunks":               {"POST /make HTTP/1.1\r\n" + head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", `POST /make "" `},
+		"absolute form":              {"GET http://app.svc:80/look?obj=7 HTTP/1.1\r\n" + head + "\r\n", `GET /look?obj=7 "" `},
+		"header named in Connection": {"GET /look HTTP/1.1\r\n" + head + "X-Hop: secret\r\nConnection: a, X-Hop\r\n\r\n", `GET /look "" `},
+		"HTTP/1.0":                   {"GET /look HTTP/1.0\r\n" + head + "\r\n", `GET /look "" `},
 	} {
 		for _, piece := range []int{1, 7, 1 << 20} {
 			conn := p.dial(t)
@@ -257,10 +257,10 @@
 func TestStreamedResponseSurvivesUpgrade(t *testing.T) {
 	body := patternBytes(300_000)
 	for name, c := range map[string]struct{ head, tail, version string }{
-		"length":     {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", "", "1.1"},
-		"chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n", "\r\n0\r\nT: u\r\n\r\n", "1.1"},
-		"to the end": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "", "1.1"},
-		"HTTP/1.0":   {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", "", "1.0"},
+		"length":          {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", "", "1.1"},
+		"chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n493e0\r\n", "\r\n0\r\nT: u\r\n\r\n", "1.1"},
+		"until close":     {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "", "1.1"},
+		"HTTP/1.0 client": {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", "", "1.0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			resume := make(chan bool)
