--- a/internal/fleet/membership_updates.go
+++ b/internal/fleet/membership_updates.go
@@ -10,12 +10,12 @@
 	"damsonscale/internal/rollout"
 )
 
-// reopenInterval is between attempts to open the log.
+// reopenInterval is the interval of attempts to open the log.
 const reopenInterval = time.Second
 
-// vote keeps the replicated log, as soon as no other process of this sidecar does. A member that can't keep it is a member all
-// the same, but does not vote; the reason is logged whenever it changes.
-func (f *Fleet) vote(ctx context.Context) {
+// runVoter runs the replicated log until ctx ends, and reopens it after a failure or while another process of this sidecar has it
+// open. Without the log this process is still a member, but does not vote; the reason is logged whenever it changes.
+func (f *Fleet) runVoter(ctx context.Context) {
 	logged := ""
 	for ctx.Err() == nil {
 		err := f.runLog(ctx)
@@ -33,15 +33,15 @@
 	}
 }
 
-// runLog opens the log and keeps it until ctx ends or it fails.
+// runLog opens the log and runs it until ctx ends or the log fails.
 func (f *Fleet) runLog(ctx context.Context) error {
 	log, err := membership.OpenLog(membership.Config{
 		Directory: f.options.Fleet.StateDir, Name: f.name, Voters: f.voters, MemberNames: f.memberNames,
 		LeaseDuration: f.options.Fleet.LeaseDuration,
-		Guard:         rollout.Guard{MaxUnleasedPermille: f.options.Audit.MaxUnleasedPermille, OffByOne: f.faults.looseGuard},
+		Guard:         rollout.Guard{MaxUnleasedPermille: f.options.Audit.MaxUnleasedPermille, OffByOne: f.faults.guardOffByOne},
 		IgnoreFence:   f.faults.ignoreFence,
 		Send:          f.send,
-		OnChange:      f.learnMembership,
+		OnChange:      f.postMembership,
 	})
 	if err != nil {
 		return err
@@ -52,19 +52,20 @@
 	return err
 }
 
-// learnMembership adopts a membership if it is newer, with the settings of its plan as far as they came with it.
-func (f *Fleet) learnMembership(m *membership.Membership, settings map[string][]byte) {
-	f.post(membershipLearned{m, settings})
+// postMembership posts a membership to runLeaseRenewal's goroutine, which adopts it if it is newer. settings are those settings
+// of its plan that are available, by digest.
+func (f *Fleet) postMembership(m *membership.Membership, settings map[string][]byte) {
+	f.post(membershipReceived{m, settings})
 }
 
-// adoptMembership hands a newer membership to all that depend on it, and to this member's children in the tree of members. On
-// runLeaseRenewal's goroutine.
+// adoptMembership replaces the membership by a newer one, passes it to the coordinator and the audit replicator, and forwards it
+// to this member's children in the tree of members. It runs on runLeaseRenewal's goroutine.
 func (f *Fleet) adoptMembership(m *membership.Membership, settings map[string][]byte) {
 	if m.Epoch <= f.membership.Load().Epoch {
 		return
 	}
 	f.membership.Store(m)
-	f.keepSettings(settings)
+	f.storeSettings(settings)
 	f.followPlan()
 	if f.replicator != nil {
 		f.replicator.post(membershipChanged{m})
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -7,16 +7,17 @@
 	"damsonscale/decide"
 )
 
-// parseLoad reads a load report in text form, "TEXT name=value, name=value", from a header or from a health check's
-// body; nil where there is none. Unknown names, and values that are no numbers, are skipped.
+// parseLoad parses a load report of the form "TEXT name=value, name=value" from a header or the body of a health check.
+// It returns nil if there is no report. Unknown names and values that are not non-negative numbers are skipped; fields
+// that are not reported are -1.
 func parseLoad(text []byte) *decide.LoadReport {
 	rest := bytes.TrimPrefix(bytes.TrimSpace(text), []byte("TEXT "))
 	if !bytes.Contains(rest, []byte{'='}) {
 		return nil
 	}
-	l := &decide.LoadReport{InFlight: -1, Queue: -1, Busy: -1, LatencyMs: -1, Rate: -1, ErrorRate: -1}
+	l := &decide.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1, ServiceTimeMs: -1, RequestRate: -1, ErrorRate: -1}
 	fields := map[string]*float64{
-		"inflight": &l.InFlight, "queue": &l.Queue, "util": &l.Busy, "latency_ms": &l.LatencyMs, "qps": &l.Rate,
+		"inflight": &l.InFlight, "queue": &l.QueueLength, "util": &l.Utilization, "latency_ms": &l.ServiceTimeMs, "qps": &l.RequestRate,
 		"eps": &l.ErrorRate,
 	}
 	for pair := range bytes.SplitSeq(rest, []byte{','}) {
