--- a/decide/admission.go
+++ b/decide/admission.go
@@ -10,14 +10,14 @@
 	if r.isKeyOutlier() && b.rng.Float64() < r.keyStats.rejectRatio {
 		return false
 	}
-	return !r.hopelesslyLate()
+	return !r.cannotMeetObjective()
 }
 
-// hopelesslyLate reports whether a late answer is worth nothing and the answer would be late: its client has
+// cannotMeetObjective reports whether a late answer is worth nothing and the answer would be late: its client has
 // waited so long on earlier attempts. Such retries would only prolong an overload.
-func (r *request) hopelesslyLate() bool {
-	left := r.latencyObjective - r.elapsedBeforeArrival
-	return r.class.LateValueShare == 0 && float64(left) < r.class.latencyMedian
+func (r *request) cannotMeetObjective() bool {
+	remaining := r.latencyObjective - r.elapsedBeforeArrival
+	return r.class.LateValueShare == 0 && float64(remaining) < r.class.latencyMedian
 }
 
 // rejectOrFail answers r at once: with a rejection where a new attempt of the client is harmless, else as
--- a/decide/attempt_timeout.go
+++ b/decide/attempt_timeout.go
@@ -13,16 +13,16 @@
 // could still be answered within the latency objective, else all the time that is left. A timeout whose retry
 // would be late only adds work, since endpoints go on with what was given up.
 func (b *Balancer) attemptTimeout(now int64, r *request) int64 {
-	left := r.deadline - now
+	remaining := r.deadline - now
 	if r.isKeyOutlier() && b.settings.Limits.MaxBufferedResponses > 0 {
-		left = min(left, max(minAttemptTimeout, int64(outlierTimeoutShare*float64(r.latencyObjective))))
+		remaining = min(remaining, max(minAttemptTimeout, int64(outlierTimeoutShare*float64(r.latencyObjective))))
 	}
 	timeout := max(int64(timeoutP95Factor*r.class.latencyP95), minAttemptTimeout)
-	last := len(r.attempts) >= r.maxAttempts || r.classRules.Stream || r.BodyUnbuffered ||
-		r.classRules.Semantics == AtMostOnce
+	last := len(r.attempts) >= r.maxAttempts || r.classAtArrival.Stream || r.BodyUnbuffered ||
+		r.classAtArrival.Semantics == AtMostOnce
 	retryWouldBeLate := now-r.arrivedAt+timeout+int64(r.class.latencyMedian) > r.latencyObjective
-	if last || timeout >= left || retryWouldBeLate {
-		return left
+	if last || timeout >= remaining || retryWouldBeLate {
+		return remaining
 	}
 	return timeout
 }
--- a/decide/candidates.go
+++ b/decide/candidates.go
@@ -20,14 +20,14 @@
 // collectCandidates fills b.candidates with the endpoints that an attempt of r may go to: those of the subset
 // and its preferred replica. Those that the request has tried already count only where no other is eligible.
 func (b *Balancer) collectCandidates(now int64, r *request, preferred *endpointState) bool {
-	for _, again := range []bool{false, true} {
+	for _, alreadyAttempted := range []bool{false, true} {
 		b.candidates = b.candidates[:0]
 		for _, s := range b.subset {
-			if s != preferred && b.eligible(now, r, s) && r.attempted(s) == again {
+			if s != preferred && b.eligible(now, r, s) && r.attempted(s) == alreadyAttempted {
 				b.candidates = append(b.candidates, s)
 			}
 		}
-		if preferred != nil && b.eligible(now, r, preferred) && r.attempted(preferred) == again {
+		if preferred != nil && b.eligible(now, r, preferred) && r.attempted(preferred) == alreadyAttempted {
 			b.candidates = append(b.candidates, preferred)
 		}
 		if len(b.candidates) > 0 {
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -51,18 +51,18 @@
 // scaleBySpeed corrects the capacities by the reported latencies beside their mean: machines that are listed
 // alike may differ. An endpoint that reports none counts as the mean of its kind, else of all.
 func (b *Balancer) scaleBySpeed() {
-	kinds, all := b.reportedLatencies()
+	kinds, all := b.meanServiceTimes()
 	sum := 0.0
 	for _, s := range b.endpoints {
 		speed := 1.0
 		if all.count > 0 {
-			latency := s.reportedLatencyMs
-			if kind := kinds[s.MachineKind]; latency == 0 && kind.count > 0 {
-				latency = kind.value()
-			} else if latency == 0 {
-				latency = all.value()
+			serviceTime := s.reportedServiceTimeMs
+			if kind := kinds[s.MachineKind]; serviceTime == 0 && kind.count > 0 {
+				serviceTime = kind.value()
+			} else if serviceTime == 0 {
+				serviceTime = all.value()
 			}
-			speed = min(max(all.value()/latency, 1/maxSpeedRatio), maxSpeedRatio)
+			speed = min(max(all.value()/serviceTime, 1/maxSpeedRatio), maxSpeedRatio)
 		}
 		s.Capacity = s.baseCapacity * speed
 		sum += s.Capacity
@@ -79,13 +79,13 @@
 
 func (m mean) value() float64 { return m.sum / m.count }
 
-// reportedLatencies averages the latencies reported, in ms, by kind of machine and over all.
-func (b *Balancer) reportedLatencies() (kinds map[string]mean, all mean) {
+// meanServiceTimes averages the latencies reported, in ms, by kind of machine and over all.
+func (b *Balancer) meanServiceTimes() (kinds map[string]mean, all mean) {
 	kinds = map[string]mean{}
 	for _, s := range b.endpoints {
-		if s.reportedLatencyMs > 0 {
-			kinds[s.MachineKind] = kinds[s.MachineKind].add(s.reportedLatencyMs)
-			all = all.add(s.reportedLatencyMs)
+		if s.reportedServiceTimeMs > 0 {
+			kinds[s.MachineKind] = kinds[s.MachineKind].add(s.reportedServiceTimeMs)
+			all = all.add(s.reportedServiceTimeMs)
 		}
 	}
 	return kinds, all
--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -46,10 +46,10 @@
 	if o.Result == Succeeded {
 		s.lastAnswerEarly = early
 	}
-	classUnloaded, endpointUnloaded := b.unloadedLatency(c, s, o)
+	classUnloaded, endpointUnloaded := b.atUnloadedLatency(c, s, o)
 	if b.gossipEnabled() {
-		withinShare := o.Result == Succeeded && float64(o.Latency) <= earlyShare*float64(c.LatencyObjective)
-		b.adaptPoolLimit(now, s, withinShare || classUnloaded, o.Result)
+		withinEarlyShare := o.Result == Succeeded && float64(o.Latency) <= earlyShare*float64(c.LatencyObjective)
+		b.adaptPoolLimit(now, s, withinEarlyShare || classUnloaded, o.Result)
 		return
 	}
 	b.adaptPoolLimit(now, s, early || classUnloaded, o.Result)
@@ -90,11 +90,11 @@
 // adaptEndpointLimit moves the limit of the endpoint that answered, where there is no gossip.
 func (b *Balancer) adaptEndpointLimit(now int64, c *classState, a *attempt, o Outcome, early bool) {
 	s := a.endpoint
-	rejectionsCost := b.settings.Rules.AttemptBudgetWindow > 0
+	rejectionUsesBudget := b.settings.Rules.AttemptBudgetWindow > 0
 	switch {
 	case o.Result != Succeeded && o.Result != TimedOut && o.Result != Saturated:
 		// Other failures say nothing of congestion.
-	case s.lastAnswerEarly && (o.Result == TimedOut || o.Result == Saturated && !rejectionsCost):
+	case s.lastAnswerEarly && (o.Result == TimedOut || o.Result == Saturated && !rejectionUsesBudget):
 		// A lone loss, or an endpoint that rejects early by design, is no congestion. Where an attempt budget
 		// makes each rejection cost a retry, the limit is cut all the same.
 	case !early:
--- a/decide/congestion.go
+++ b/decide/congestion.go
@@ -29,11 +29,11 @@
 	return o.Result != Errored && o.Result != TimedOut && float64(o.Latency) <= late
 }
 
-// unloadedLatency takes in the latency of an answer of s, and reports whether the quickest answers are as
+// atUnloadedLatency takes in the latency of an answer of s, and reports whether the quickest answers are as
 // quick as ever: those of the class, and also those of s. Congestion would delay them too, so a late answer
 // is then slow by nature. Where load is reported or gossiped that is better evidence, and a few answers come
 // too late: both are false.
-func (b *Balancer) unloadedLatency(c *classState, s *endpointState, o Outcome) (class, endpoint bool) {
+func (b *Balancer) atUnloadedLatency(c *classState, s *endpointState, o Outcome) (class, endpoint bool) {
 	if o.Result != Succeeded {
 		return false, false
 	}
--- a/decide/endpoint_list.go
+++ b/decide/endpoint_list.go
@@ -40,8 +40,8 @@
 	slowStartSince  int64 // 0: never
 	slowStartTokens expiringTokenBucket
 
-	reportedInFlight  float64 // requests
-	reportedLatencyMs float64 // of work there, without waiting; 0: not reported
+	reportedInFlight      float64 // requests
+	reportedServiceTimeMs float64 // of work there, without waiting; 0: not reported
 
 	idleSince         int64 // when the connection to it fell idle; 0: none is open
 	connectionSuspect bool  // an attempt got no answer and none came since
--- a/decide/endpoint_poll.go
+++ b/decide/endpoint_poll.go
@@ -42,13 +42,13 @@
 // it, give or take a tenth, so that the polls of a fleet stay spread. The time counts from the start of the
 // failed poll.
 func (b *Balancer) pollBackoff(waited int64) int64 {
-	longest := b.boundByPollInterval(maxPollDelayMicros)
+	maxDelay := b.boundByPollInterval(maxPollDelayMicros)
 	span := b.pollSpan() * math.Exp2(float64(b.pollFailures))
-	left := max(minPollSpanMicros, longest*(0.9+0.1*b.rng.Float64())-float64(waited))
-	if b.pollFailures > 0 && span >= longest {
-		return int64(left)
+	untilMaxDelay := max(minPollSpanMicros, maxDelay*(0.9+0.1*b.rng.Float64())-float64(waited))
+	if b.pollFailures > 0 && span >= maxDelay {
+		return int64(untilMaxDelay)
 	}
-	return int64(min(left, min(span, longest)*(0.1+0.9*b.rng.Float64())))
+	return int64(min(untilMaxDelay, min(span, maxDelay)*(0.1+0.9*b.rng.Float64())))
 }
 
 // pollSpan is the time in which each balancer has a slot for its first poll, in µs.
--- a/decide/exp3.go
+++ b/decide/exp3.go
@@ -107,7 +107,7 @@
 		return 0
 	}
 	full := fullPayoffShare * r.class.baselineP90 * float64(r.latencyObjective)
-	return min(1, full/float64(r.classRules.LatencyObjective*max(1, o.Latency)))
+	return min(1, full/float64(r.classAtArrival.LatencyObjective*max(1, o.Latency)))
 }
 
 // decayWeights lets the log-weights return to their mean, once a second.
--- a/decide/exp3_test.go
+++ b/decide/exp3_test.go
@@ -16,7 +16,7 @@
 // newPlainRequest is a request of the first class without attempts.
 func newPlainRequest(b *Balancer) *request {
 	c := b.classes[0]
-	return &request{class: c, classRules: c.Class, maxAttempts: b.settings.Limits.MaxAttempts}
+	return &request{class: c, classAtArrival: c.Class, maxAttempts: b.settings.Limits.MaxAttempts}
 }
 
 // The paper's formula: weights 1, 2, 1 give (1-0.07)*2/4 + 0.07/3 = 0.488333.
@@ -85,8 +85,8 @@
 // objective of 400 ms. A request whose objective is extended to twice the class's may take twice as long.
 func TestPayoff(t *testing.T) {
 	class := &classState{Class: Class{LatencyObjective: 400_000}, baselineP90: 100_000}
-	c := &request{latencyObjective: 400_000, class: class, classRules: class.Class}
-	long := &request{latencyObjective: 800_000, class: class, classRules: class.Class}
+	c := &request{latencyObjective: 400_000, class: class, classAtArrival: class.Class}
+	long := &request{latencyObjective: 800_000, class: class, classAtArrival: class.Class}
 	assertNear(t, "payoff of a long one", long.payoff(Outcome{Result: Succeeded, Latency: 240_000}), 0.5, 1e-12)
 	for _, v := range []struct {
 		result  Result
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -91,8 +91,8 @@
 	b.actions.SendGossip(-1, b.encodeGossip(b.subset...))
 }
 
-// subsetChanged brings the next message to all forward, to that long after the last one.
-func (g *gossipState) subsetChanged(interval int64) {
+// advanceNextSend brings the next message to all forward, to that long after the last one.
+func (g *gossipState) advanceNextSend(interval int64) {
 	g.nextSendAt = min(g.nextSendAt, g.lastSentAt+interval)
 }
 
@@ -133,7 +133,7 @@
 		b.idle.observeGossiped(from, idle)
 	}
 	if describesSubset(message) {
-		b.dropPeerLoads(peer, from, message)
+		b.removeUnlistedPeerLoads(peer, from, message)
 	}
 	for tag, inFlight := range gossipEntries(message) {
 		if s := b.gossip.endpointsByTag[tag]; s != nil {
@@ -143,10 +143,10 @@
 	return true, newSharer
 }
 
-// dropPeerLoads forgets a balancer at the endpoints that its message, of its whole subset, doesn't mention.
-func (b *Balancer) dropPeerLoads(peer *peerState, from int, message []byte) {
+// removeUnlistedPeerLoads forgets a balancer at the endpoints that its message, of its whole subset, doesn't mention.
+func (b *Balancer) removeUnlistedPeerLoads(peer *peerState, from int, message []byte) {
 	peer.endpoints = slices.DeleteFunc(peer.endpoints, func(s *endpointState) bool {
-		if mentions(message, s) {
+		if hasGossipEntry(message, s) {
 			return false
 		}
 		s.peerLoads = slices.DeleteFunc(s.peerLoads, func(load peerLoad) bool { return load.peer == from })
--- a/decide/gossip_message.go
+++ b/decide/gossip_message.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// mentions reports whether a valid message has an entry of s.
-func mentions(m []byte, s *endpointState) bool {
+// hasGossipEntry reports whether a valid message has an entry of s.
+func hasGossipEntry(m []byte, s *endpointState) bool {
 	for tag := range gossipEntries(m) {
 		if tag == s.gossipTag() {
 			return true
--- a/decide/health_checks.go
+++ b/decide/health_checks.go
@@ -3,8 +3,8 @@
 
 package decide
 
-// healthCheckSpend is the part of the service objective that health checks may cost.
-const healthCheckSpend = 0.002
+// maxHealthCheckCost is the part of the service objective that health checks may cost.
+const maxHealthCheckCost = 0.002
 
 // checkHealth checks the subset, once a second at most, and as seldom as the price asks for.
 func (b *Balancer) checkHealth(now int64) {
@@ -12,7 +12,7 @@
 		return
 	}
 	price := float64(second*int64(len(b.subset))) * b.settings.HealthCheckPrice
-	interval := price / (healthCheckSpend * max(1, b.rates.requests))
+	interval := price / (maxHealthCheckCost * max(1, b.rates.requests))
 	if float64(now-b.lastHealthCheckAt) < interval {
 		return
 	}
--- a/decide/idempotency.go
+++ b/decide/idempotency.go
@@ -8,13 +8,13 @@
 // repeatIsSafe reports whether a send to s can't cause the effect a second time.
 func (r *request) repeatIsSafe(now int64, s *endpointState) bool {
 	first := r.firstPossiblyExecuted()
-	if first == nil || r.classRules.Semantics == Idempotent {
+	if first == nil || r.classAtArrival.Semantics == Idempotent {
 		return true
 	}
-	if r.classRules.Semantics == AtMostOnce || now-first.sentAt >= r.classRules.DedupWindow {
+	if r.classAtArrival.Semantics == AtMostOnce || now-first.sentAt >= r.classAtArrival.DedupWindow {
 		return false
 	}
-	switch r.classRules.DedupScope {
+	switch r.classAtArrival.DedupScope {
 	case ScopeZone:
 		return s.Zone == first.zone
 	case ScopeCell:
@@ -27,11 +27,11 @@
 // endpoint.
 func (r *request) rejectIsSafe(now int64) bool {
 	first := r.firstPossiblyExecuted()
-	if first == nil || r.classRules.Semantics == Idempotent {
+	if first == nil || r.classAtArrival.Semantics == Idempotent {
 		return true
 	}
-	return r.classRules.Semantics == IdempotencyKeyed && r.classRules.DedupScope == ScopeAll &&
-		now-first.sentAt < r.classRules.DedupWindow
+	return r.classAtArrival.Semantics == IdempotencyKeyed && r.classAtArrival.DedupScope == ScopeAll &&
+		now-first.sentAt < r.classAtArrival.DedupWindow
 }
 
 // firstPossiblyExecuted returns the first attempt that may have run, or nil. An attempt in flight may have.
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -10,7 +10,7 @@
 	// silentCancelMicros without an answer before a cancel: the connection may be lost.
 	silentCancelMicros = second / 4
 
-	unknownIdleMicros = 1e16
+	unlimitedIdleMicros = 1e16
 )
 
 // idleConnections is what is known of how long connections may be idle, in µs. Each source has to name a
@@ -24,12 +24,12 @@
 
 func newIdleConnections() idleConnections {
 	return idleConnections{
-		safeTime: unknownIdleMicros, observedBound: unknownIdleMicros, gossipedBound: unknownIdleMicros,
+		safeTime: unlimitedIdleMicros, observedBound: unlimitedIdleMicros, gossipedBound: unlimitedIdleMicros,
 	}
 }
 
-// observeSilent takes in an attempt without an answer on a connection that had been idle.
-func (k *idleConnections) observeSilent(idle int64) {
+// observeUnanswered takes in an attempt without an answer on a connection that had been idle.
+func (k *idleConnections) observeUnanswered(idle int64) {
 	bound := safeIdleShare * float64(idle)
 	k.safeTime = min(k.safeTime, max(bound, k.observedBound))
 	k.observedBound = bound
@@ -72,8 +72,8 @@
 	if o.Result == ConnectFailed {
 		s.idleSince = 0
 	}
-	silent := o.Result == TimedOut || o.Result == Cancelled && now-a.sentAt > silentCancelMicros
-	if !silent {
+	unanswered := o.Result == TimedOut || o.Result == Cancelled && now-a.sentAt > silentCancelMicros
+	if !unanswered {
 		s.connectionSuspect = false
 		return
 	}
@@ -82,6 +82,6 @@
 	}
 	s.connectionSuspect = true
 	if a.connectionIdle > 0 {
-		b.idle.observeSilent(a.connectionIdle)
+		b.idle.observeUnanswered(a.connectionIdle)
 	}
 }
--- a/decide/key_affinity.go
+++ b/decide/key_affinity.go
@@ -9,8 +9,8 @@
 	// replicasPerShare is how many more replicas a key has for each mean endpoint's share of the requests
 	// that ask for it, so that no endpoint gets a hot key alone.
 	replicasPerShare = 2.0
-	// minKeyRequests is added to the requests that a key's share is taken of, of which there may be few.
-	minKeyRequests = 20.0
+	// keyRequestsPrior is added to the requests that a key's share is taken of, of which there may be few.
+	keyRequestsPrior = 20.0
 	// affinityBoost times the weight of the whole subset is the weight of the preferred replica. With more, a
 	// slow one would keep its keys.
 	affinityBoost = 2.0
@@ -25,9 +25,9 @@
 	stats := b.keyStatsFor(key)
 	stats.requests++
 	b.keys.requests++
-	total := b.keys.requests + minKeyRequests
-	more := int(replicasPerShare * float64(len(b.endpoints)) * stats.requests / total)
-	return mixBits(hash(key)+uint64(b.rng.IntN(1+more))) | 1
+	total := b.keys.requests + keyRequestsPrior
+	extraReplicas := int(replicasPerShare * float64(len(b.endpoints)) * stats.requests / total)
+	return mixBits(hash(key)+uint64(b.rng.IntN(1+extraReplicas))) | 1
 }
 
 // preferredReplica is the endpoint that r prefers, or nil: by weighted rendezvous hashing over all listed
--- a/decide/key_outliers.go
+++ b/decide/key_outliers.go
@@ -75,9 +75,9 @@
 
 // isOutlier reports whether a key has more bad answers than chance explains at the ratio of all other keys.
 func (k *keyStats) isOutlier(total *keyStats) bool {
-	others := (total.badAnswers - k.badAnswers + 1) / (total.answers - k.answers + 2)
-	deviation := math.Sqrt(k.answers * others * (1 - others))
-	return k.badAnswers-k.answers*others > outlierDeviations*deviation+1
+	othersRatio := (total.badAnswers - k.badAnswers + 1) / (total.answers - k.answers + 2)
+	deviation := math.Sqrt(k.answers * othersRatio * (1 - othersRatio))
+	return k.badAnswers-k.answers*othersRatio > outlierDeviations*deviation+1
 }
 
 // decayKeyStats lets the counts fade and the rejection ease, once a second.
--- a/decide/key_outliers_test.go
+++ b/decide/key_outliers_test.go
@@ -87,7 +87,7 @@
 		set := testSettings()
 		set.Limits.MaxBufferedResponses = held
 		w := newWorkload(t, set, testEndpoints(3)...)
-		r := &request{Request: Request{Key: "k"}, class: w.b.classes[4], classRules: w.b.classes[4].Class, latencyObjective: 400_000,
+		r := &request{Request: Request{Key: "k"}, class: w.b.classes[4], classAtArrival: w.b.classes[4].Class, latencyObjective: 400_000,
 			deadline: w.now + 2*second, arrivedAt: w.now, maxAttempts: 4, keyStats: &keyStats{rejectRatio: 0.5}}
 		if got := w.b.attemptTimeout(w.now, r); got != want {
 			t.Errorf("%d held: %d, want %d", held, got, want)
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -21,7 +21,7 @@
 	maxP15Step        = 0.6
 	p15StepsPerSecond = 5.0 // sum of the steps of all answers of a second
 
-	answerRateStep = 0.3 // of the rate of answers, each second
+	answerRateSmoothing = 0.3 // of the rate of answers, each second
 )
 
 // classState is a class with what was learned of it.
@@ -89,7 +89,7 @@
 		c.onTimeAnswers *= requestRetention
 		c.baselineP90 *= baselineGrowth
 		c.baselineP15 *= baselineGrowth
-		c.answerRate += answerRateStep * (c.answersThisSecond - c.answerRate)
+		c.answerRate += answerRateSmoothing * (c.answersThisSecond - c.answerRate)
 		c.answersThisSecond = 0
 	}
 }
--- a/decide/load_reports.go
+++ b/decide/load_reports.go
@@ -5,12 +5,12 @@
 import "math"
 
 const (
-	meanInFlightReports = 20.0 // that the mean is averaged over, about
-	reportedLatencyStep = 0.25 // a report after few requests is rough
+	meanInFlightWindow   = 20.0 // that the mean is averaged over, about
+	serviceTimeSmoothing = 0.25 // a report after few requests is rough
 
 	// Larger figures are taken for mistakes.
-	maxReportedInFlight  = 1e6
-	maxReportedLatencyMs = 1e6
+	maxReportedInFlight      = 1e6
+	maxReportedServiceTimeMs = 1e6
 )
 
 // loadReports is what all reports together say.
@@ -31,15 +31,15 @@
 	}
 	if inFlight >= 0 && inFlight < maxReportedInFlight {
 		s.reportedInFlight = inFlight
-		b.loadReports.meanInFlight += (inFlight - b.loadReports.meanInFlight) / meanInFlightReports
+		b.loadReports.meanInFlight += (inFlight - b.loadReports.meanInFlight) / meanInFlightWindow
 	}
-	if !(report.ServiceTimeMs > 0 && report.ServiceTimeMs < maxReportedLatencyMs) {
+	if !(report.ServiceTimeMs > 0 && report.ServiceTimeMs < maxReportedServiceTimeMs) {
 		return
 	}
-	if s.reportedLatencyMs == 0 {
-		s.reportedLatencyMs = report.ServiceTimeMs
+	if s.reportedServiceTimeMs == 0 {
+		s.reportedServiceTimeMs = report.ServiceTimeMs
 	}
-	s.reportedLatencyMs += (report.ServiceTimeMs - s.reportedLatencyMs) * reportedLatencyStep
+	s.reportedServiceTimeMs += (report.ServiceTimeMs - s.reportedServiceTimeMs) * serviceTimeSmoothing
 }
 
 // loadWeight is the factor of s in the draw for what it reports to have in flight, beside the mean. It is
--- a/decide/load_reports_test.go
+++ b/decide/load_reports_test.go
@@ -43,7 +43,7 @@
 		}
 		most := 6 + 6*120.0 // once a second at the most
 		if c.price > 0 {
-			most = min(most, 12+healthCheckSpend*120*c.rate/c.price*1.2)
+			most = min(most, 12+maxHealthCheckCost*120*c.rate/c.price*1.2)
 		}
 		if float64(probes) > most {
 			t.Errorf("%+v: %d probes, at most %.0f wanted", c, probes, most)
@@ -52,9 +52,9 @@
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "nobody", Result: Succeeded, Load: loadReport(1, -1, 5)})
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "s0", Result: TimedOut, Load: loadReport(1, -1, 5)})
-	if w.b.knownEndpoints["s0"].reportedLatencyMs != 0 {
+	if w.b.knownEndpoints["s0"].reportedServiceTimeMs != 0 {
 		t.Error("a health check that failed set a latency")
 	}
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "s0", Result: Succeeded, Load: loadReport(1, -1, 5)})
-	assertNear(t, "latency reported to a health check", w.b.knownEndpoints["s0"].reportedLatencyMs, 5, 1e-9)
+	assertNear(t, "latency reported to a health check", w.b.knownEndpoints["s0"].reportedServiceTimeMs, 5, 1e-9)
 }
--- a/decide/locality.go
+++ b/decide/locality.go
@@ -5,9 +5,9 @@
 const (
 	// zoneBoostPerPrice is how much more weight an endpoint of the own zone gets for each unit of the price.
 	zoneBoostPerPrice = 400.0 / 3
-	// zoneRankFactor divides the weight for the order of the subset: up to it the own zone doesn't come
+	// zoneRankDivisor divides the weight for the order of the subset: up to it the own zone doesn't come
 	// first.
-	zoneRankFactor = 3.4
+	zoneRankDivisor = 3.4
 )
 
 // zoneWeight is the factor of an endpoint of that zone in the draw.
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -15,8 +15,8 @@
 
 // queueDeadline is when r, which arrives now, may wait no longer.
 func queueDeadline(r *request) int64 {
-	left := max(0, r.latencyObjective-r.elapsedBeforeArrival)
-	return min(r.arrivedAt+int64(maxQueueShare*float64(left)), r.deadline)
+	remaining := max(0, r.latencyObjective-r.elapsedBeforeArrival)
+	return min(r.arrivedAt+int64(maxQueueShare*float64(remaining)), r.deadline)
 }
 
 // enqueue queues r by priority, newest first among equals. It rejects those of the lowest priority that, at
@@ -28,8 +28,8 @@
 	}
 	b.queue = slices.Insert(b.queue, at, r)
 	b.actions.SetTimer(r.queueDeadline-now, timerQueue)
-	longest := max(minQueueLength, b.rates.successes*maxQueueShare*float64(r.latencyObjective))
-	for float64(len(b.queue)) > longest {
+	maxLength := max(minQueueLength, b.rates.successes*maxQueueShare*float64(r.latencyObjective))
+	for float64(len(b.queue)) > maxLength {
 		last := b.queue[len(b.queue)-1]
 		b.queue = b.queue[:len(b.queue)-1]
 		b.rejectOrFail(now, last)
--- a/decide/request.go
+++ b/decide/request.go
@@ -6,7 +6,7 @@
 type request struct {
 	Request
 	class                *classState
-	classRules           Class // as they were when the request arrived
+	classAtArrival       Class // as they were when the request arrived
 	maxAttempts          int
 	arrivedAt            int64
 	deadline             int64
@@ -42,15 +42,15 @@
 func (b *Balancer) newRequest(now int64, in Request) *request {
 	class := b.classes[in.Class]
 	r := &request{
-		Request:      in,
-		class:        class,
-		classRules:   class.Class,
-		maxAttempts:  b.settings.Limits.MaxAttempts,
-		arrivedAt:    now,
-		priority:     class.priority,
-		affinityHash: b.affinityReplica(in.Key),
-		keyStats:     b.keyStatsFor(in.Key),
-		priorAttempt: newPriorAttempt(now, in.PriorAttemptAge),
+		Request:        in,
+		class:          class,
+		classAtArrival: class.Class,
+		maxAttempts:    b.settings.Limits.MaxAttempts,
+		arrivedAt:      now,
+		priority:       class.priority,
+		affinityHash:   b.affinityReplica(in.Key),
+		keyStats:       b.keyStatsFor(in.Key),
+		priorAttempt:   newPriorAttempt(now, in.PriorAttemptAge),
 	}
 	objective := float64(class.LatencyObjective) + class.ObjectivePerWork*float64(max(0, in.WorkHint))
 	r.latencyObjective = int64(min(objective, float64(class.Deadline)))
--- a/decide/retry_budget.go
+++ b/decide/retry_budget.go
@@ -7,14 +7,14 @@
 	retryTokensPerSuccess = 0.15 // so retries add less than a sixth to the work, however many attempts fail
 	maxRetryTokens        = 10.0 // saved up for the first moments of a fault
 
-	// Retries are scarce with fewer than scarceRetries left in the attempt budget. One is then made only if
+	// Retries are scarce with fewer than scarceRetryThreshold left in the attempt budget. One is then made only if
 	// its priority, in parts of the mean, times its chance of success times the retries left is at least
 	// scarceRetryValue.
-	scarceRetries    = 8.0
-	scarceRetryValue = 0.5
+	scarceRetryThreshold = 8.0
+	minScarceRetryValue  = 0.5
 
 	initialSuccessRate = 0.5
-	successRateRetries = 20.0 // that a rate is averaged over, about
+	successRateWindow  = 20.0 // that a rate is averaged over, about
 )
 
 // retryBudget holds the tokens for retries of attempts that may have run, and how well retries do.
@@ -46,9 +46,9 @@
 // acquireRetry reports whether r may retry after an attempt, and pays for it. A retry of an attempt that
 // never ran needs no token, since it cost the endpoints next to nothing.
 func (b *Balancer) acquireRetry(now int64, r *request, a *attempt) bool {
-	left := b.attemptBudgetRemaining(now)
-	value := b.retryBudget.successRates[a.result] * r.priority * left
-	if value < scarceRetryValue*b.meanPriority && left < scarceRetries {
+	remaining := b.attemptBudgetRemaining(now)
+	value := b.retryBudget.successRates[a.result] * r.priority * remaining
+	if value < minScarceRetryValue*b.meanPriority && remaining < scarceRetryThreshold {
 		return false
 	}
 	return a.result.NeverRan() || b.retryBudget.withdraw()
@@ -64,5 +64,5 @@
 		success = 1
 	}
 	rate := &b.retryBudget.successRates[r.attempts[o.Attempt-1].result]
-	*rate += (success - *rate) / successRateRetries
+	*rate += (success - *rate) / successRateWindow
 }
--- a/decide/retry_budget_test.go
+++ b/decide/retry_budget_test.go
@@ -24,8 +24,8 @@
 			t.Errorf("not tried again with %v left", b.attemptBudgetRemaining(w.now))
 		}
 	}
-	assertNear(t, "odds after one more that failed", retrySuccessRateAfter(b, Errored, Errored), 0.01*(1-1/successRateRetries), 1e-9)
-	assertNear(t, "odds after one that helped", retrySuccessRateAfter(b, Saturated, Succeeded), 0.9+0.1/successRateRetries, 1e-9)
+	assertNear(t, "odds after one more that failed", retrySuccessRateAfter(b, Errored, Errored), 0.01*(1-1/successRateWindow), 1e-9)
+	assertNear(t, "odds after one that helped", retrySuccessRateAfter(b, Saturated, Succeeded), 0.9+0.1/successRateWindow, 1e-9)
 }
 
 func retrySuccessRateAfter(b *Balancer, cause, result Result) float64 {
--- a/decide/settings_update.go
+++ b/decide/settings_update.go
@@ -57,7 +57,7 @@
 		r.Class = slices.Index(b.classes, r.class)
 	}
 	for s := range b.referencedEndpoints() {
-		s.moveEjections(old, b.classes)
+		s.remapEjections(old, b.classes)
 	}
 	b.updatePriorities()
 	b.updateSubset(now)
@@ -77,16 +77,16 @@
 	return endpoints
 }
 
-// moveEjections sorts the ejection states of s by the new list of classes. An endpoint that is ejected from
+// remapEjections sorts the ejection states of s by the new list of classes. An endpoint that is ejected from
 // every class is so from a new one.
-func (s *endpointState) moveEjections(old, classes []*classState) {
-	was := s.ejections
+func (s *endpointState) remapEjections(old, classes []*classState) {
+	oldStates := s.ejections
 	s.ejections = make([]ejectionState, len(classes))
 	for i, c := range classes {
 		if at := slices.Index(old, c); at >= 0 {
-			s.ejections[i] = was[at]
+			s.ejections[i] = oldStates[at]
 		} else if s.ejectedForAll {
-			s.ejections[i] = was[0]
+			s.ejections[i] = oldStates[0]
 			s.ejections[i].inFlight = 0
 		}
 	}
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -9,9 +9,9 @@
 import "math"
 
 const (
-	// overloadShare of what would overload an endpoint (Rules.OverloadFactor) may be sent where that is more
+	// slowStartOverloadShare of what would overload an endpoint (Rules.OverloadFactor) may be sent where that is more
 	// than its share: else it would idle while warm ones are late.
-	overloadShare = 0.5
+	slowStartOverloadShare = 0.5
 
 	minTokenLifetimeShare = 0.1    // of the overload window, where the overload factor leaves no room
 	defaultOverloadWindow = second // where none is set
@@ -44,7 +44,7 @@
 		s.slowStartTokens.availability = 1
 		return true
 	}
-	share *= max(1, b.settings.Rules.OverloadFactor*overloadShare)
+	share *= max(1, b.settings.Rules.OverloadFactor*slowStartOverloadShare)
 	rate := share * b.rates.perCapacity[s.throughputGroup()] * s.Capacity
 	return s.slowStartTokens.take(now, rate, b.slowStartTokenLifetime())
 }
@@ -58,9 +58,9 @@
 		window = float64(defaultOverloadWindow)
 	}
 	if factor == 0 {
-		factor = 1 / overloadShare
+		factor = 1 / slowStartOverloadShare
 	}
-	return window * max(minTokenLifetimeShare, factor/max(1, factor*overloadShare)-1)
+	return window * max(minTokenLifetimeShare, factor/max(1, factor*slowStartOverloadShare)-1)
 }
 
 // expiringTokenBucket holds one token, which expires when it isn't used. The next comes when it would have
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -18,8 +18,8 @@
 	requestRatePerPricedEndpoint = 16.0 // where open connections have a price
 
 	// Balancers that have an endpoint in their subset, on average: with fewer some endpoints get nothing.
-	coverage           = 8.0
-	coverageWithGossip = 14.0
+	minBalancersPerEndpoint           = 8.0
+	minBalancersPerEndpointWithGossip = 14.0
 
 	// maxCoverageSubset bounds the subset that coverage asks for, with gossip, where each draw looks at what
 	// all balancers have in flight.
@@ -31,17 +31,17 @@
 
 // subsetSize is how many endpoints the subset should have that are not ejected.
 func (b *Balancer) subsetSize() int {
-	least, balancers, maxCover := float64(minSubset), coverage, math.Inf(1)
+	minSize, minBalancers, maxCoverageSize := float64(minSubset), minBalancersPerEndpoint, math.Inf(1)
 	if b.gossipEnabled() {
-		least, balancers, maxCover = minSubsetWithGossip, coverageWithGossip, maxCoverageSubset
+		minSize, minBalancers, maxCoverageSize = minSubsetWithGossip, minBalancersPerEndpointWithGossip, maxCoverageSubset
 	}
 	perEndpoint := requestRatePerEndpoint
 	if b.settings.ConnectionPrice > 0 {
 		perEndpoint = requestRatePerPricedEndpoint
 	}
 	endpoints := float64(len(b.endpoints))
-	cover := min(balancers*(endpoints/float64(max(1, b.settings.BalancerCount))), maxCover)
-	return int(min(max(least, b.rates.requests/perEndpoint, cover), endpoints))
+	coverageSize := min(minBalancers*(endpoints/float64(max(1, b.settings.BalancerCount))), maxCoverageSize)
+	return int(min(max(minSize, b.rates.requests/perEndpoint, coverageSize), endpoints))
 }
 
 // updateSubset takes the first endpoints in service by this balancer's order. Ejected ones stay in it for
@@ -56,7 +56,7 @@
 			continue
 		}
 		if joined {
-			b.gossip.subsetChanged(b.gossipChangeInterval())
+			b.gossip.advanceNextSend(b.gossipChangeInterval())
 		}
 		b.subset = append(b.subset, s)
 		if !s.ejectedForAll {
@@ -69,7 +69,7 @@
 // few. Those of the own zone come first in part, see locality.go.
 func (b *Balancer) subsetRank(s *endpointState, zone string) uint64 {
 	rank := mixBits(s.idHash ^ b.subsetSeed)
-	return uint64(float64(rank) / max(1, b.zoneWeight(zone)/zoneRankFactor))
+	return uint64(float64(rank) / max(1, b.zoneWeight(zone)/zoneRankDivisor))
 }
 
 // sortEndpoints puts the list in this balancer's order.
--- a/decide/utilization.go
+++ b/decide/utilization.go
@@ -33,9 +33,9 @@
 	if s.inFlight == 0 {
 		return false
 	}
-	patience := 0.0
+	longestP95 := 0.0
 	for _, c := range b.classes {
-		patience = max(patience, c.latencyP95)
+		longestP95 = max(longestP95, c.latencyP95)
 	}
-	return float64(now-s.silentSince) > patience
+	return float64(now-s.silentSince) > longestP95
 }
--- a/decide/work_hint.go
+++ b/decide/work_hint.go
@@ -3,8 +3,8 @@
 package decide
 
 const (
-	meanWorkStep = 0.02 // of the mean hint, for each request
-	workShare    = 0.5  // of a request's time that is in proportion to its work
+	meanWorkSmoothing     = 0.02 // of the mean hint, for each request
+	workProportionalShare = 0.5  // of a request's time that is in proportion to its work
 )
 
 // workFactor takes in a hint and is how many times longer than the mean a request with that much work takes.
@@ -16,6 +16,6 @@
 	if c.meanWork == 0 {
 		c.meanWork = float64(work)
 	}
-	c.meanWork += (float64(work) - c.meanWork) * meanWorkStep
-	return 1 - workShare + workShare*float64(work)/c.meanWork
+	c.meanWork += (float64(work) - c.meanWork) * meanWorkSmoothing
+	return 1 - workProportionalShare + workProportionalShare*float64(work)/c.meanWork
 }
