--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -197,7 +197,7 @@
 		b.rates.successesThisSecond++
 		// Measured to the start of the answer: a stream ends later.
 		if a.sentAt+o.Latency-r.arrivedAt+r.elapsedBeforeArrival <= r.latencyObjective {
-			r.class.onTimeAnswers++
+			r.class.onTimeResponses++
 		}
 		a.endpoint.successesThisSecond++
 		b.retryBudget.deposit()
--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -44,7 +44,7 @@
 		b.counters.late++
 	}
 	if o.Result == Succeeded {
-		s.lastAnswerEarly = early
+		s.lastResponseEarly = early
 	}
 	classUnloaded, endpointUnloaded := b.atUnloadedLatency(c, s, o)
 	if b.gossipEnabled() {
@@ -94,7 +94,7 @@
 	switch {
 	case o.Result != Succeeded && o.Result != TimedOut && o.Result != Saturated:
 		// Other failures say nothing of congestion.
-	case s.lastAnswerEarly && (o.Result == TimedOut || o.Result == Saturated && !rejectionUsesBudget):
+	case s.lastResponseEarly && (o.Result == TimedOut || o.Result == Saturated && !rejectionUsesBudget):
 		// A lone loss, or an endpoint that rejects early by design, is no congestion. Where an attempt budget
 		// makes each rejection cost a retry, the limit is cut all the same.
 	case !early:
--- a/decide/congestion.go
+++ b/decide/congestion.go
@@ -14,9 +14,9 @@
 	// that slow down under load lose work before answers come near it.
 	congestedP90Factor = 1.6
 
-	unloadedFactor    = 1.5 // times its baseline, up to which the quickest answers show no congestion
-	minTailAnswerRate = 4.0 // answers of a class per second, from which on they show congestion in time
-	endpointP15Step   = 0.3
+	unloadedFactor      = 1.5 // times its baseline, up to which the quickest answers show no congestion
+	minTailResponseRate = 4.0 // answers of a class per second, from which on they show congestion in time
+	endpointP15Step     = 0.3
 )
 
 // isEarly reports whether an outcome shows no congestion by its latency.
@@ -43,7 +43,7 @@
 	}
 	s.latencyP15Ratio = stepP15(s.latencyP15Ratio, ratio, endpointP15Step)
 	class = !b.loadReports.seen && !b.gossipEnabled() &&
-		max(c.answerRate, c.answersThisSecond) >= minTailAnswerRate &&
+		max(c.responseRate, c.responsesThisSecond) >= minTailResponseRate &&
 		c.latencyP15 <= unloadedFactor*c.baselineP15
 	return class, class && s.latencyP15Ratio <= unloadedFactor
 }
--- a/decide/endpoint_list.go
+++ b/decide/endpoint_list.go
@@ -29,10 +29,10 @@
 	lastSuccessAt       int64
 	silentSince         int64 // its latest answer, or the first send after it if that is later
 
-	concurrencyLimit float64 // own attempts that may be in flight
-	limitCutAt       int64   // 0: no late answer yet
-	lastAnswerEarly  bool
-	latencyP15Ratio  float64 // the quickest answers, in parts of the class's baselineP15; 0: none yet
+	concurrencyLimit  float64 // own attempts that may be in flight
+	limitCutAt        int64   // 0: no late answer yet
+	lastResponseEarly bool
+	latencyP15Ratio   float64 // the quickest answers, in parts of the class's baselineP15; 0: none yet
 
 	ejections     []ejectionState // by class
 	ejectedForAll bool            // from every class
--- a/decide/exp3.go
+++ b/decide/exp3.go
@@ -17,8 +17,8 @@
 	// all.
 	fullPayoffShare = 0.6
 
-	minWeightRetention = 0.9  // of a log-weight's distance from the mean, kept each second at least
-	retentionPerAnswer = 0.98 // the same for each answer of an arm: quiet balancers forget slowly
+	minWeightRetention   = 0.9  // of a log-weight's distance from the mean, kept each second at least
+	retentionPerResponse = 0.98 // the same for each answer of an arm: quiet balancers forget slowly
 
 	maxLogWeight = 30.0 // beyond it a sum of weights loses the small ones
 
@@ -112,8 +112,8 @@
 
 // decayWeights lets the log-weights return to their mean, once a second.
 func (b *Balancer) decayWeights() {
-	answersPerArm := float64(b.rates.successesThisSecond) / float64(max(1, len(b.subset)))
-	keep := max(minWeightRetention, math.Pow(retentionPerAnswer, answersPerArm))
+	responsesPerArm := float64(b.rates.successesThisSecond) / float64(max(1, len(b.subset)))
+	keep := max(minWeightRetention, math.Pow(retentionPerResponse, responsesPerArm))
 	mean := b.meanLogWeight()
 	for _, s := range b.endpoints {
 		s.setLogWeight((s.logWeight - mean) * keep)
@@ -122,8 +122,8 @@
 
 // updateLearningRate sets the rate by how many answers an arm gives.
 func (b *Balancer) updateLearningRate() {
-	answersPerArm := b.rates.perCapacity[groupSubset] * float64(second)
-	b.learningRate = gamma * min(max(1, busyThroughput/answersPerArm), maxLearningBoost)
+	responsesPerArm := b.rates.perCapacity[groupSubset] * float64(second)
+	b.learningRate = gamma * min(max(1, busyThroughput/responsesPerArm), maxLearningBoost)
 }
 
 // meanLogWeight is that of the subset, where a new endpoint starts.
--- a/decide/key_outliers.go
+++ b/decide/key_outliers.go
@@ -21,15 +21,15 @@
 	minPassRatio = 0.05 // to see when the reason is gone
 	passRecovery = 1.03 // factor of the ratio each second
 
-	keyAnswerRetention = 0.9 // of the counts of answers, each second
+	keyResponseRetention = 0.9 // of the counts of answers, each second
 )
 
 // keyStats counts the recent requests and answers of the keys of one slot.
 type keyStats struct {
-	requests    float64 // counted only with key affinity
-	answers     float64
-	badAnswers  float64
-	rejectRatio float64 // of its requests, on arrival
+	requests     float64 // counted only with key affinity
+	responses    float64
+	badResponses float64
+	rejectRatio  float64 // of its requests, on arrival
 }
 
 // keyTable holds the statistics of all keys.
@@ -58,14 +58,14 @@
 	if k == nil || !bad && o.Result != Succeeded {
 		return false
 	}
-	k.answers++
-	total.answers++
+	k.responses++
+	total.responses++
 	if !bad {
 		k.rejectRatio = 1 - min(1, (1-k.rejectRatio)*passIncrease)
 		return false
 	}
-	k.badAnswers++
-	total.badAnswers++
+	k.badResponses++
+	total.badResponses++
 	if !k.isOutlier(total) {
 		return false
 	}
@@ -75,20 +75,20 @@
 
 // isOutlier reports whether a key has more bad answers than chance explains at the ratio of all other keys.
 func (k *keyStats) isOutlier(total *keyStats) bool {
-	othersRatio := (total.badAnswers - k.badAnswers + 1) / (total.answers - k.answers + 2)
-	deviation := math.Sqrt(k.answers * othersRatio * (1 - othersRatio))
-	return k.badAnswers-k.answers*othersRatio > outlierDeviations*deviation+1
+	othersRatio := (total.badResponses - k.badResponses + 1) / (total.responses - k.responses + 2)
+	deviation := math.Sqrt(k.responses * othersRatio * (1 - othersRatio))
+	return k.badResponses-k.responses*othersRatio > outlierDeviations*deviation+1
 }
 
 // decayKeyStats lets the counts fade and the rejection ease, once a second.
 func (b *Balancer) decayKeyStats() {
-	b.keys.total.answers *= keyAnswerRetention
-	b.keys.total.badAnswers *= keyAnswerRetention
+	b.keys.total.responses *= keyResponseRetention
+	b.keys.total.badResponses *= keyResponseRetention
 	for i := range b.keys.slots {
 		k := &b.keys.slots[i]
 		k.requests *= requestRetention
-		k.answers *= keyAnswerRetention
-		k.badAnswers *= keyAnswerRetention
+		k.responses *= keyResponseRetention
+		k.badResponses *= keyResponseRetention
 		if k.rejectRatio > 0 {
 			k.rejectRatio = 1 - min(1, (1-k.rejectRatio)*passRecovery)
 		}
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -21,7 +21,7 @@
 	maxP15Step        = 0.6
 	p15StepsPerSecond = 5.0 // sum of the steps of all answers of a second
 
-	answerRateSmoothing = 0.3 // of the rate of answers, each second
+	responseRateSmoothing = 0.3 // of the rate of answers, each second
 )
 
 // classState is a class with what was learned of it.
@@ -30,7 +30,7 @@
 	priority         float64 // see priority.go
 	maxFirstTimeLeft int64   // the longest time left that a first attempt of a client came with
 	requests         float64 // recent
-	onTimeAnswers    float64 // recent ones within the latency objective
+	onTimeResponses  float64 // recent ones within the latency objective
 	meanWork         float64 // of the work hints; 0: none came
 
 	latencyP95    float64
@@ -40,9 +40,9 @@
 	latencyP15    float64
 	baselineP15   float64 // the lowest latencyP15 of late: that of an answer that waited for nothing
 
-	samples           float64
-	answerRate        float64 // per second
-	answersThisSecond float64
+	samples             float64
+	responseRate        float64 // per second
+	responsesThisSecond float64
 }
 
 // newClassState starts the estimates of a class from its latency objective.
@@ -76,8 +76,8 @@
 	if c.samples++; c.samples == 1 {
 		c.latencyP15, c.baselineP15 = latency, float64(c.LatencyObjective)
 	}
-	c.answersThisSecond++
-	step := max(minP15Step, p15StepsPerSecond/max(1, c.answerRate), p15StepsPerSecond/c.samples)
+	c.responsesThisSecond++
+	step := max(minP15Step, p15StepsPerSecond/max(1, c.responseRate), p15StepsPerSecond/c.samples)
 	c.latencyP15 = stepP15(c.latencyP15, latency, min(maxP15Step, step))
 	c.baselineP15 = min(c.baselineP15, c.latencyP15)
 }
@@ -86,11 +86,11 @@
 func (b *Balancer) decayClassStatistics() {
 	for _, c := range b.classes {
 		c.requests *= requestRetention
-		c.onTimeAnswers *= requestRetention
+		c.onTimeResponses *= requestRetention
 		c.baselineP90 *= baselineGrowth
 		c.baselineP15 *= baselineGrowth
-		c.answerRate += answerRateSmoothing * (c.answersThisSecond - c.answerRate)
-		c.answersThisSecond = 0
+		c.responseRate += responseRateSmoothing * (c.responsesThisSecond - c.responseRate)
+		c.responsesThisSecond = 0
 	}
 }
 
--- a/decide/priority.go
+++ b/decide/priority.go
@@ -15,7 +15,7 @@
 	for _, c := range classes {
 		weight += c.PriorityWeight * c.requests
 		requests += c.requests
-		if c.onTimeAnswers*worst.requests < worst.onTimeAnswers*c.requests {
+		if c.onTimeResponses*worst.requests < worst.onTimeResponses*c.requests {
 			worst = c
 		}
 	}
