--- a/decide/api.go
+++ b/decide/api.go
@@ -1,56 +1,56 @@
 package decide
 
-// The events of a Balancer, a method each:
+// A Balancer has one method for each event:
 //
 //	Start                 once, before any other
-//	OnRequest             a request arrived; it is owed one final answer
+//	OnRequest             a request arrived; it must get exactly one final response
 //	OnOutcome             an attempt ended
-//	OnStreamStarted       a streamed answer began
-//	OnClientDisconnected  a client left
-//	OnEndpoints           the endpoint list, or its changes
-//	OnPollFailed          a poll of the list failed, or the watch ended
+//	OnStreamStarted       a streamed response began
+//	OnClientDisconnected  a client closed its connection
+//	OnEndpoints           the complete endpoint list or changes to it arrived
+//	OnPollFailed          a poll of the endpoint list failed, or its watch ended
 //	OnHealthCheck         a health check ended
-//	OnGossip              another balancer's message
-//	OnTimer               a timer ended
-//	UpdateSettings        other settings are in force
-//	SetPeerProcessActive  another process of this sidecar serves too, or no longer
-//	FollowAttempt         in shadow evaluation: what the serving balancer sent
+//	OnGossip              a message of another balancer arrived
+//	OnTimer               a timer fired
+//	UpdateSettings        the settings changed
+//	SetPeerProcessActive  another process of this sidecar started or stopped serving
+//	FollowAttempt         shadow evaluation: the serving balancer sent an attempt
 
-// Phase is an endpoint's state as listed.
+// Phase is the state of an endpoint in the endpoint list.
 type Phase uint8
 
 // The phases of an endpoint.
 const (
 	InService Phase = iota
 	Draining        // gets no new attempts
-	Removed         // no longer listed
+	Removed         // no longer in the endpoint list
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID          string
-	Capacity    float64 // relative, see Settings.CapacityListed
+	Capacity    float64 // relative to other endpoints; used only with Settings.CapacityListed
 	Zone        string
 	MachineKind string // empty: unknown
-	Cell        int64
-	StartedAt   int64 // latest start of its process; 0: long ago
+	Cell        int64  // cell that it belongs to, see ScopeCell
+	StartedAt   int64  // when its process last started, µs; 0: long ago
 	Phase       Phase
 }
 
-// Request is one that a client sent.
+// Request is a client's request.
 type Request struct {
 	ID              string
 	Class           int    // index into Settings.Classes
 	Tenant          int    // index into Settings.Tenants; -1: none
-	TimeLeft        int64  // until its deadline; negative: the class's Deadline
-	Key             string // for affinity and outliers; empty: none
-	IsRetry         bool   // the client says that it sends it again
-	WorkHint        int64  // how much work it is, in units of the client's; 0: unknown
-	PriorAttemptAge int64  // since another balancer may have sent it; 0: none has
-	BodyUnbuffered  bool   // once part of its body has been sent it can't be sent again
+	TimeLeft        int64  // µs until its deadline; negative: use the class's Deadline
+	Key             string // for key affinity and outlier detection; empty: none
+	IsRetry         bool   // the client marked it as a retry
+	WorkHint        int64  // amount of work, in a unit of the client's choice; 0: unknown
+	PriorAttemptAge int64  // µs since another balancer may have sent an attempt; 0: none was sent
+	BodyUnbuffered  bool   // its body can't be sent again after part of it has been sent
 }
 
-// Result is how an attempt ended. The simulator adapter reads results by their number.
+// Result is how an attempt ended. The simulator adapter decodes results by number.
 type Result uint8
 
 // The results of an attempt.
@@ -63,10 +63,10 @@
 	Reset          Result = 5 // may have run
 	Cancelled      Result = 6 // may have run
 	NotSent        Result = 7 // never ran
-	InvalidRequest Result = 8 // may have run; the endpoint finds the request itself at fault
+	InvalidRequest Result = 8 // may have run; the endpoint rejected the request as invalid
 )
 
-// String is the result's name in log lines.
+// String returns the name of the result in log lines.
 func (r Result) String() string {
 	names := [...]string{
 		"succeeded", "error", "saturated", "timeout", "connect", "reset",
@@ -78,60 +78,62 @@
 	return "unknown"
 }
 
-// NeverRan reports whether the result proves that the attempt had no effect.
+// NeverRan reports whether the result proves that the endpoint never ran the attempt.
 func (r Result) NeverRan() bool { return r == Saturated || r == ConnectFailed || r == NotSent }
 
-// LoadReport is what an endpoint reports of itself. A negative figure is absent.
+// LoadReport is the load that an endpoint reports about itself. Negative values are absent.
 type LoadReport struct {
 	InFlight, QueueLength float64 // requests
 	Utilization           float64 // share of its capacity
-	ServiceTimeMs         float64 // of work there without waiting, in ms
+	ServiceTimeMs         float64 // time to process a request without queueing, ms
 	RequestRate           float64 // requests per second
 	ErrorRate             float64 // errors per second
 }
 
 // Outcome is the end of one attempt. Each attempt has exactly one.
 type Outcome struct {
-	Request         string
-	Attempt         int // from 0 in the order of the sends
-	Server          string
+	Request         string // ID of the request
+	Attempt         int    // index of the attempt in the request, from 0
+	Server          string // ID of the endpoint
 	Result          Result
-	Latency         int64 // to the start of the answer
-	RequestAnswered bool  // the client has its final answer
-	BodyConsumed    bool  // part of the request's body was sent and it can't be sent again
+	Latency         int64 // µs until the start of the response
+	RequestAnswered bool  // the client has received its final response
+	BodyConsumed    bool  // part of the request's body was sent, and the body can't be sent again
 	Load            *LoadReport
 }
 
 // HealthCheckOutcome is the end of one health check.
 type HealthCheckOutcome struct {
-	Server  string
+	Server  string // ID of the endpoint
 	Result  Result
-	Latency int64
+	Latency int64 // µs until the health check ended
 	Load    *LoadReport
 }
 
-// Actions are what a Balancer asks its host to do. The Balancer calls them during an event; they must not
-// block, and must not call back into it.
+// Actions are the operations that a Balancer asks its host to carry out. The Balancer calls them while it
+// handles an event. They must not block and must not call back into the Balancer.
 type Actions interface {
-	// SendAttempt sends the request's next attempt and ends it after the timeout, in µs.
+	// SendAttempt sends the request's next attempt to the server and ends it after the timeout, in µs.
 	SendAttempt(request, server string, timeout int64)
-	// CancelAttempt cancels one in flight. Its Outcome still comes.
+	// CancelAttempt cancels an attempt in flight. Its Outcome is still reported.
 	CancelAttempt(request string, attempt int)
-	// Reject is a final answer: the client may send the request again, after retryAfter µs if that isn't 0.
+	// Reject gives the final response to a request that the client may send again, after retryAfter µs
+	// unless that is 0.
 	Reject(request string, retryAfter int64)
-	// Fail is a final answer that promises nothing.
+	// Fail gives the final response to a request without saying whether it ran.
 	Fail(request string)
 	// CheckHealth starts a health check.
 	CheckHealth(server string)
-	// SendGossip sends a message to another balancer, or with -1 to all. The message is valid during the call
-	// only.
+	// SendGossip sends a message to the balancer with index peer, or to all balancers if peer is -1. The
+	// message is valid only during the call.
 	SendGossip(peer int, message []byte)
-	// CloseIdleConnections makes the server's next attempt open a connection.
+	// CloseIdleConnections closes the idle connections to the server, so that its next attempt opens a new
+	// one.
 	CloseIdleConnections(server string)
-	// WatchEndpoints polls the endpoint list and watches its changes from then on.
+	// WatchEndpoints polls the endpoint list and then watches it for changes.
 	WatchEndpoints(on bool)
-	// SetTimer calls OnTimer with the token after so many µs.
+	// SetTimer calls OnTimer with the token after in µs.
 	SetTimer(in int64, token int64)
-	// Log writes a line: the name of an event, then fields as key=value.
+	// Log writes a log line: the name of an event, then fields as key=value.
 	Log(line string)
 }
--- a/decide/attempt_budget.go
+++ b/decide/attempt_budget.go
@@ -1,20 +1,22 @@
-// Rule 5: in any time window the attempts beyond the first of each request are at most a fixed number and a
-// part of the requests that arrived in it (Rules.AttemptBudgetMin, Ratio and Window). Every send but a
-// request's first asks for it, however the attempt before ended, and whether or not a retry token was needed.
+// Rule 5, the attempt budget: in any time window, the attempts beyond the first of each request number at
+// most AttemptBudgetMin + AttemptBudgetRatio * the requests that arrived in the window (see Rules). Every
+// send except a request's first counts against the budget, however the previous attempt ended and whether
+// or not it needed a retry token.
 
 package decide
 
 import "math"
 
 const (
-	// attemptBudgetSlots is the number of slots that a window is cut into.
+	// attemptBudgetSlots is the number of slots that a window is divided into. The budget can fall short of
+	// the exact one by the share of one slot.
 	attemptBudgetSlots = 64
-	// defaultAttemptBudgetWindow is counted where no budget is set, so that one set later finds its past
-	// known.
+	// defaultAttemptBudgetWindow is the window that is counted while no budget is set, so that a budget set
+	// later starts with the recent history.
 	defaultAttemptBudgetWindow = 10 * second
 )
 
-// attemptBudgetRemaining is how many attempts beyond a request's first may be sent now.
+// attemptBudgetRemaining returns how many attempts beyond a request's first may be sent now.
 func (b *Balancer) attemptBudgetRemaining(now int64) float64 {
 	rules := &b.settings.Rules
 	if rules.AttemptBudgetWindow == 0 {
@@ -24,8 +26,9 @@
 	return b.attemptBudgetFloor(now) + rules.AttemptBudgetRatio*float64(requests) - float64(retries)
 }
 
-// attemptBudgetFloor is the part of the budget that doesn't depend on requests. While two processes of one
-// sidecar serve it belongs to the older one, until that one's attempts have left the window.
+// attemptBudgetFloor returns the part of the budget that doesn't depend on the number of requests. While
+// two processes of one sidecar serve, the older process has this part. The newer one gets it after the
+// older one has stopped and its attempts have left the window.
 func (b *Balancer) attemptBudgetFloor(now int64) float64 {
 	if b.peerProcessActive || now < b.peerAttemptsExpireAt {
 		return 0
@@ -33,7 +36,8 @@
 	return b.settings.Rules.AttemptBudgetMin
 }
 
-// SetPeerProcessActive takes in whether another process of this sidecar serves too, as during an upgrade.
+// SetPeerProcessActive records whether another process of this sidecar is also serving, as during an
+// upgrade.
 func (b *Balancer) SetPeerProcessActive(now int64, active bool) {
 	if b.peerProcessActive && !active {
 		b.peerAttemptsExpireAt = now + b.settings.Rules.AttemptBudgetWindow
@@ -41,21 +45,23 @@
 	b.peerProcessActive = active
 }
 
-// attemptBudget counts requests and retries in a sliding window, in slots of time. A slot that is only partly
-// within the window counts with its retries and without its requests, so the budget is never exceeded, and
-// falls short of the exact one by a slot's part. Its size doesn't depend on traffic or window. The zero value
-// is ready after setWindow.
+// attemptBudget counts requests and retries in a sliding window that is divided into slots of time. For a
+// slot that is only partly inside the window, all retries count and no requests do, so the budget is never
+// exceeded but can be smaller than the exact one. Memory use doesn't depend on traffic or on the window.
+// The zero value is ready after setWindow.
 type attemptBudget struct {
+	// Times are in µs.
 	window, slotWidth int64
-	slots             [attemptBudgetSlots + 1]attemptBudgetSlot
-	firstSeenAt       int64
-	latestAt          int64
-	incompleteUntil   int64 // until then the window reaches back further than the slots that were counted
+	slots             [attemptBudgetSlots + 1]attemptBudgetSlot // ring, by slot number
+	firstSeenAt       int64                                     // first event; 0: none yet
+	latestAt          int64                                     // latest time seen
+	// incompleteUntil is the time from which the counts cover the whole window.
+	incompleteUntil int64 // until this time, the window begins before the counts do
 }
 
 type attemptBudgetSlot struct{ number, requests, retries int64 }
 
-// slot is the slot of the present. A clock that steps back counts as standing still.
+// slot returns the slot of the current time. If the clock steps back, time counts as standing still.
 func (n *attemptBudget) slot(now int64) *attemptBudgetSlot {
 	if n.firstSeenAt == 0 {
 		n.firstSeenAt = now
@@ -69,9 +75,9 @@
 	return s
 }
 
-// setWindow changes the window. Retries of the old window count as sent now, and its requests don't count.
-// Where the new window reaches back further than what was counted, nothing is allowed until it no longer
-// does. So a change of settings never adds attempts.
+// setWindow changes the length of the window. Retries in the old window count as if sent now, and its
+// requests don't count. If the new window begins before the counts do, no retry is allowed until the counts
+// cover it. A change of settings therefore never allows extra attempts.
 func (n *attemptBudget) setWindow(window int64) {
 	if window <= 0 {
 		window = defaultAttemptBudgetWindow
@@ -97,7 +103,7 @@
 	_, n.slot(old.latestAt).retries = old.counts(old.latestAt)
 }
 
-// counts returns the requests and the retries in the window that ends now.
+// counts returns the numbers of requests and of retries in the window that ends now.
 func (n *attemptBudget) counts(now int64) (requests, retries int64) {
 	if now < n.incompleteUntil {
 		return 0, math.MaxInt32
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -1,5 +1,5 @@
-// The state of a Balancer and the way of each event through the rules. The rules are in the other files;
-// doc.go says where.
+// The state of a Balancer, and the handling of each event. The rules are in the other files; doc.go lists
+// them.
 
 package decide
 
@@ -7,28 +7,29 @@
 
 // Tokens of the Balancer's timers. They are part of the simulator's protocol.
 const (
-	timerSecond      = 0 // rates are measured and old counts decay
-	timerQueue       = 1 // a request has reached its queue deadline
-	timerPoll        = 2 // the endpoint list is polled
-	timerInitialPoll = 3 // the first poll is scheduled, after a list cached by the host is applied
+	timerSecond      = 0 // once per second: rates are measured and old counts decay
+	timerQueue       = 1 // a queued request has reached its queue deadline
+	timerPoll        = 2 // the endpoint list is due to be polled
+	timerInitialPoll = 3 // schedules the first poll, after the host has applied its cached endpoint list
 )
 
-// Balancer decides for one sidecar. It knows only what its events told it. It is not safe for concurrent use.
+// Balancer makes the decisions of one sidecar. It knows only what its events report. It is not safe for
+// concurrent use.
 type Balancer struct {
 	settings Settings
 	actions  Actions
 	rng      *rand.Rand
 
-	endpoints      []*endpointState          // listed, in the order of their subsetRank
-	knownEndpoints map[string]*endpointState // by ID; includes those removed lately
-	subset         []*endpointState          // those it draws from, see subset.go
-	subsetSeed     uint64                    // of the order of endpoints
+	endpoints      []*endpointState          // in the endpoint list, sorted by subsetRank
+	knownEndpoints map[string]*endpointState // by ID; includes recently removed ones
+	subset         []*endpointState          // endpoints that it draws from, see subset.go
+	subsetSeed     uint64                    // determines the order of endpoints
 	candidates     []*endpointState          // scratch space of collectCandidates
 
-	classes      []*classState       // of the settings, then those that only open requests have
+	classes      []*classState       // those of the settings, then removed ones that open requests still use
 	openRequests map[string]*request // by ID
 	queue        []*request          // waiting for capacity, highest priority first
-	inFlight     int                 // own attempts in flight
+	inFlight     int                 // this balancer's attempts in flight
 
 	rates        trafficRates
 	pool         poolState
@@ -36,23 +37,23 @@
 
 	retryBudget          retryBudget
 	attemptBudget        attemptBudget
-	peerProcessActive    bool  // another process of this sidecar serves too
-	peerAttemptsExpireAt int64 // when the attempts of the last such process leave the window
+	peerProcessActive    bool  // another process of this sidecar is also serving
+	peerAttemptsExpireAt int64 // when the attempts of the last such process leave the budget window
 
-	meanPriority   float64   // of recent requests
-	tenantRequests []float64 // recent requests by tenant
+	meanPriority   float64   // mean over recent requests
+	tenantRequests []float64 // recent requests of each tenant
 	keys           keyTable
 	loadReports    loadReports
 	idle           idleConnections
 	gossip         gossipState
 
 	lastHealthCheckAt int64
-	pollFailures      int // failed polls of the endpoint list in a row
+	pollFailures      int // consecutive failed polls of the endpoint list
 	counters          summaryCounters
 }
 
-// New makes a balancer that knows no endpoint yet. The settings must be valid, see Settings.Validate. The
-// host calls Start before any other method.
+// New returns a Balancer that knows no endpoints yet. The settings must be valid, see Settings.Validate.
+// The host must call Start before any other method.
 func New(set Settings, seed uint64, act Actions) *Balancer {
 	b := &Balancer{
 		actions:        act,
@@ -68,14 +69,16 @@
 	}
 	b.applySettings(set)
 	if b.gossipEnabled() {
-		// After a restart it draws from the same endpoints, which its peers know of.
+		// The seed depends on the index alone, so that after a restart the balancer has the same subset,
+		// which its peers already know.
 		b.subsetSeed = mixBits(uint64(set.BalancerIndex) + 1)
 		b.pool.limit = initialLimit / 2
 	}
 	return b
 }
 
-// Start sets the first timers: the one for each second, and the first poll where endpoints are not pushed.
+// Start sets the once-per-second timer and, unless the endpoint list is pushed, the timer of the first
+// poll.
 func (b *Balancer) Start(now int64) {
 	b.counters.since = now
 	b.actions.SetTimer(second, timerSecond)
@@ -84,7 +87,7 @@
 	}
 }
 
-// OnRequest takes a request: it is sent, queued, or answered at once.
+// OnRequest handles a new request: it sends an attempt, queues the request, or answers it immediately.
 func (b *Balancer) OnRequest(now int64, in Request) {
 	r := b.newRequest(now, in)
 	if b.overQuota(in.Tenant) {
@@ -101,7 +104,7 @@
 	b.sendOrEnqueue(now, r, len(b.queue) > 0)
 }
 
-// sendOrEnqueue sends an attempt of r, queues r where only capacity is missing, or answers it.
+// sendOrEnqueue sends an attempt of r, queues r if only capacity is missing, or answers it.
 func (b *Balancer) sendOrEnqueue(now int64, r *request, othersQueued bool) {
 	if !othersQueued && b.trySend(now, r) {
 		return
@@ -113,7 +116,7 @@
 	}
 }
 
-// trySend sends an attempt of r if one is allowed now and some endpoint can take it.
+// trySend sends an attempt of r if an attempt is allowed now and some endpoint can take it.
 func (b *Balancer) trySend(now int64, r *request) bool {
 	if !b.canAttempt(now, r) || b.saturated(now) {
 		return false
@@ -126,7 +129,7 @@
 	return true
 }
 
-// send starts one attempt at s, which was drawn with that probability.
+// send starts an attempt at s, which was drawn with the given probability.
 func (b *Balancer) send(now int64, r *request, s *endpointState, probability float64) {
 	a := attempt{endpoint: s, zone: s.Zone, cell: s.Cell, sentAt: now, probability: probability}
 	if s.inFlight == 0 {
@@ -147,8 +150,8 @@
 	b.actions.SendAttempt(r.ID, s.ID, b.attemptTimeout(now, r))
 }
 
-// OnOutcome takes the end of an attempt: the estimates learn from it, and the request is answered or retried.
-// A second outcome of the same attempt, or one of an unknown request, is ignored.
+// OnOutcome handles the end of an attempt: it updates the estimates, and answers or retries the request. It
+// ignores a second outcome of the same attempt and outcomes of unknown requests.
 func (b *Balancer) OnOutcome(now int64, o Outcome) {
 	r := b.openRequests[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
@@ -172,7 +175,7 @@
 	case o.RequestAnswered:
 		b.finish(r)
 	case r.inFlight > 0:
-	case o.Result == InvalidRequest: // any endpoint would find the same, so a retry would be wasted
+	case o.Result == InvalidRequest: // every endpoint would reject it, so a retry would be wasted
 		b.actions.Fail(r.ID)
 		b.finish(r)
 	case !o.BodyConsumed && !keyAtFault && now < r.deadline && b.acquireRetry(now, r, a):
@@ -183,8 +186,8 @@
 	b.dispatchQueued(now)
 }
 
-// observeOutcome updates what is known of the endpoint. An attempt that was cancelled or not sent, or whose
-// request is invalid, says nothing of its endpoint but that it is alive and what load it reports.
+// observeOutcome updates the state of the endpoint. An attempt that was cancelled or not sent, or whose
+// request is invalid, updates only the load report and, if the endpoint responded, silentSince.
 func (b *Balancer) observeOutcome(now int64, r *request, a *attempt, o Outcome) {
 	if o.Result == Succeeded || o.Result == Errored || o.Result == Saturated || o.Result == InvalidRequest {
 		a.endpoint.silentSince = now
@@ -195,7 +198,7 @@
 	}
 	if o.Result == Succeeded {
 		b.rates.successesThisSecond++
-		// Measured to the start of the answer: a stream ends later.
+		// Latency is measured to the start of the response, since a stream may end much later.
 		if a.sentAt+o.Latency-r.arrivedAt+r.elapsedBeforeArrival <= r.latencyObjective {
 			r.class.onTimeResponses++
 		}
@@ -210,9 +213,9 @@
 	b.updateWeight(a, r.payoff(o))
 }
 
-// OnStreamStarted takes the start of a streamed answer of attempt n. The request gets no further attempt, and
-// the attempt no longer counts as in flight at its endpoint: its work is done, and a slow client must not
-// take the place of other requests.
+// OnStreamStarted handles the start of the streamed response to attempt n. The request gets no further
+// attempt. The attempt stops counting as in flight, since the endpoint has done its work and a slow client
+// must not block other requests.
 func (b *Balancer) OnStreamStarted(now int64, id string, n int) {
 	if r := b.openRequests[id]; r != nil && !r.ended && n < len(r.attempts) {
 		r.streamStarted = true
@@ -222,14 +225,14 @@
 	}
 }
 
-// OnClientDisconnected ends a request whose client left.
+// OnClientDisconnected closes a request whose client has disconnected.
 func (b *Balancer) OnClientDisconnected(_ int64, id string) {
 	if r := b.openRequests[id]; r != nil && !r.ended {
 		b.finish(r)
 	}
 }
 
-// OnTimer takes the end of a timer that Actions.SetTimer was asked for, with its token.
+// OnTimer handles a timer that was set by Actions.SetTimer; token identifies it.
 func (b *Balancer) OnTimer(now, token int64) {
 	switch token {
 	case timerSecond:
@@ -239,7 +242,7 @@
 	case timerPoll:
 		b.actions.WatchEndpoints(true)
 	case timerInitialPoll:
-		if len(b.endpoints) == 0 { // nothing can be served before the first list
+		if len(b.endpoints) == 0 { // no request can be served without a list
 			b.actions.WatchEndpoints(true)
 		} else {
 			b.actions.SetTimer(b.initialPollDelay(), timerPoll)
@@ -247,7 +250,7 @@
 	}
 }
 
-// onSecond does what is due each second.
+// onSecond does the periodic work, once per second.
 func (b *Balancer) onSecond(now int64) {
 	b.actions.SetTimer(second, timerSecond)
 	b.growSafeIdleTime()
--- a/decide/candidates.go
+++ b/decide/candidates.go
@@ -1,24 +1,24 @@
-// Whether a request may have an attempt now, and which endpoints may take it.
+// Whether a request may have an attempt now, and which endpoints are eligible for it.
 
 package decide
 
 import "slices"
 
-// canAttempt reports whether an attempt of r is allowed, whatever the endpoint: it has time and attempts
-// left, none is in flight, and the attempt budget has one for a retry.
+// canAttempt reports whether r may have another attempt, regardless of the endpoint: its deadline has not
+// passed, it has attempts left and none in flight, and the attempt budget allows a retry.
 func (b *Balancer) canAttempt(now int64, r *request) bool {
 	return !r.ended && !r.streamStarted && now < r.deadline && r.inFlight == 0 &&
 		len(r.attempts) < r.maxAttempts && (!r.hasPriorAttempt() || b.attemptBudgetRemaining(now) >= 1)
 }
 
-// hasPermittedEndpoint reports whether r lacks only capacity: some endpoint of the subset could take it
-// without a second effect.
+// hasPermittedEndpoint reports whether some endpoint of the subset may take r without the risk of running
+// it twice. If so, r can wait in the queue for capacity.
 func (b *Balancer) hasPermittedEndpoint(now int64, r *request) bool {
 	return slices.ContainsFunc(b.subset, func(s *endpointState) bool { return r.repeatIsSafe(now, s) })
 }
 
-// collectCandidates fills b.candidates with the endpoints that an attempt of r may go to: those of the subset
-// and its preferred replica. Those that the request has tried already count only where no other is eligible.
+// collectCandidates fills b.candidates with the eligible endpoints: those of the subset and the preferred
+// replica of r. Endpoints that have already had an attempt of r are used only if no other one is eligible.
 func (b *Balancer) collectCandidates(now int64, r *request, preferred *endpointState) bool {
 	for _, alreadyAttempted := range []bool{false, true} {
 		b.candidates = b.candidates[:0]
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -1,17 +1,18 @@
-// The capacity of each endpoint: the listed one, corrected by how fast the endpoint reports to work. The mean
-// is one.
+// The capacity of each endpoint: the listed capacity, corrected by the service time that the endpoint
+// reports. Capacities are scaled to a mean of 1.
 
 package decide
 
 import "slices"
 
 const (
-	maxListedCapacity = 1e9 // a larger one counts as one: sums of a fleet of them would be inexact
-	maxSpeedRatio     = 8.0 // to the mean, up or down
+	maxListedCapacity = 1e9 // larger values count as 1, since sums over a fleet of them would lose precision
+	maxSpeedRatio     = 8.0 // bound of an endpoint's speed relative to the mean, in both directions
 )
 
-// scaleCapacities derives the capacities from the list. A listed one that moves with the endpoint's load
-// counts with its peak, at the median of the machine's kind, so that balancers don't follow it all at once.
+// scaleCapacities derives the capacities from the endpoint list. If listed capacities follow the load, an
+// endpoint counts with its peak, or with the median peak of its machine kind. Otherwise all balancers would
+// move their traffic at the same time.
 func (b *Balancer) scaleCapacities() {
 	peaks := b.peaksByKind()
 	sum := 0.0
@@ -31,7 +32,8 @@
 	b.scaleBySpeed()
 }
 
-// peaksByKind lists the peaks of each kind of machine in order; none where listed capacities don't move.
+// peaksByKind returns the sorted peak capacities of each machine kind, or none if listed capacities don't
+// follow the load.
 func (b *Balancer) peaksByKind() map[string][]float64 {
 	peaks := map[string][]float64{}
 	if !b.settings.CapacityFollowsLoad {
@@ -48,8 +50,9 @@
 	return peaks
 }
 
-// scaleBySpeed corrects the capacities by the reported latencies beside their mean: machines that are listed
-// alike may differ. An endpoint that reports none counts as the mean of its kind, else of all.
+// scaleBySpeed corrects the capacities by the reported service times relative to their mean, since machines
+// with the same listed capacity may differ in speed. An endpoint that reports no service time gets the mean
+// of its machine kind, or of all endpoints.
 func (b *Balancer) scaleBySpeed() {
 	kinds, all := b.meanServiceTimes()
 	sum := 0.0
@@ -72,14 +75,15 @@
 	}
 }
 
-// mean is an average in the making.
+// mean accumulates an average.
 type mean struct{ sum, count float64 }
 
 func (m mean) add(value float64) mean { return mean{m.sum + value, m.count + 1} }
 
 func (m mean) value() float64 { return m.sum / m.count }
 
-// meanServiceTimes averages the latencies reported, in ms, by kind of machine and over all.
+// meanServiceTimes returns the mean of the reported service times, in ms, by machine kind and over all
+// endpoints.
 func (b *Balancer) meanServiceTimes() (kinds map[string]mean, all mean) {
 	kinds = map[string]mean{}
 	for _, s := range b.endpoints {
--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -1,42 +1,46 @@
-// How many attempts may be in flight: at one endpoint, and at all of them together.
+// Limits on the attempts in flight, at one endpoint and at all endpoints together.
 //
-// The pool limit is the number of attempts per unit of capacity; all answers move it, so that a quiet
-// balancer learns from each of its few answers. Without gossip it bounds the own attempts at all endpoints,
-// and each endpoint has a limit of its own besides. With gossip it bounds what all balancers together have in
-// flight at each endpoint.
+// The pool limit is a number of attempts per unit of capacity. Every response moves it, so that a quiet
+// balancer learns from each of its few responses. Without gossip, it bounds this balancer's attempts at all
+// endpoints, and each endpoint has its own limit as well. With gossip, it bounds the attempts of all
+// balancers at each endpoint.
 //
-// Limits grow while they are in use and answers are early, and shrink with late answers. The ratio of the two
-// steps sets the share of late answers at which a limit rests.
+// Limits grow while they are in use and responses are early, and shrink with late responses. The ratio of
+// the two steps sets the share of late responses at which a limit settles: at a smaller share the limits
+// waste capacity, at a larger share more congestion ends in overload.
 
 package decide
 
 const (
-	// initialLimit is the first guess: attempts in flight of all balancers together, per unit of capacity.
+	// initialLimit is the number of attempts in flight, of all balancers together and per unit of capacity,
+	// that a balancer starts with.
 	initialLimit = 8.0
-	// minLimit is below one, so that many balancers together may have less than one attempt each at an
-	// endpoint.
+	// minLimit is below 1 because the limits of all endpoints add up to the attempts that a balancer may
+	// have in flight. With many balancers, each one then uses an endpoint only part of the time.
 	minLimit = 0.1
 
-	initialLimitIncrease = 1.10 // factor for an early answer before the first late one
-	limitIncrease        = 1.02 // factor for an early answer; rests where one answer in five is late
-	limitDecrease        = 0.92 // factor for a late answer
-	saturationCut        = 0.6  // factor when an endpoint is saturated or an attempt took the whole objective
+	initialLimitIncrease = 1.10 // factor per early response until the first late one: the start is a guess
+	limitIncrease        = 1.02 // factor per early response; the limit settles at one late response in five
+	limitDecrease        = 0.92 // factor per late response
+	// saturationCut is the factor when an endpoint is saturated or an attempt takes the whole latency
+	// objective. The cut is large because a single such failure is plain evidence of overload.
+	saturationCut = 0.6
 
-	poolIncrease           = 0.05  // part for an early answer; rests where one answer in four is late
-	poolIncreaseWithGossip = 0.015 // the same; rests where one answer in eleven is late
-	poolDecrease           = 0.15  // part for a late answer
-	// fullStepInFlight own attempts in flight: with more, each answer moves the pool limit by less, so that
-	// one burst of late answers doesn't leave a busy balancer without capacity.
+	poolIncrease           = 0.05  // share added per early response; settles at one late response in four
+	poolIncreaseWithGossip = 0.015 // share added per early response; settles at one late in eleven
+	poolDecrease           = 0.15  // share removed per late response
+	// fullStepInFlight is the number of own attempts in flight above which each response moves the pool
+	// limit by less, so that one burst of late responses doesn't leave a busy balancer without capacity.
 	fullStepInFlight = 4.0
 )
 
-// poolState is the limit of what is in flight at all endpoints.
+// poolState is the limit on the attempts in flight at all endpoints.
 type poolState struct {
 	limit          float64 // attempts per unit of capacity
-	congestionSeen bool    // some answer was late
+	congestionSeen bool    // a response has been late
 }
 
-// adaptLimits takes in whether an answer was early or late.
+// adaptLimits classifies an outcome as early or late and moves the limits accordingly.
 func (b *Balancer) adaptLimits(now int64, c *classState, a *attempt, o Outcome) {
 	s := a.endpoint
 	early := o.Result == Succeeded && b.isEarly(c, o)
@@ -48,7 +52,8 @@
 	}
 	classUnloaded, endpointUnloaded := b.atUnloadedLatency(c, s, o)
 	if b.gossipEnabled() {
-		withinEarlyShare := o.Result == Succeeded && float64(o.Latency) <= earlyShare*float64(c.LatencyObjective)
+		withinEarlyShare := o.Result == Succeeded &&
+			float64(o.Latency) <= earlyShare*float64(c.LatencyObjective)
 		b.adaptPoolLimit(now, s, withinEarlyShare || classUnloaded, o.Result)
 		return
 	}
@@ -56,9 +61,10 @@
 	b.adaptEndpointLimit(now, c, a, o, early || endpointUnloaded)
 }
 
-// adaptPoolLimit moves the pool limit by an answer of s.
+// adaptPoolLimit moves the pool limit by an outcome of an attempt at s.
 func (b *Balancer) adaptPoolLimit(now int64, s *endpointState, early bool, result Result) {
-	// With gossip one endpoint's answer tells of the attempts of all balancers there.
+	// With gossip, a response reflects the attempts of all balancers at its endpoint, so it moves the limit
+	// by a full step.
 	step, increase, minimum := 1.0, poolIncreaseWithGossip, 1.0
 	if !b.gossipEnabled() {
 		step = min(1, fullStepInFlight/float64(b.inFlight+1))
@@ -69,7 +75,7 @@
 	case !early && result == Succeeded:
 		b.pool.limit = max(minimum, b.pool.limit*(1-poolDecrease*step))
 		b.pool.congestionSeen = true
-	case !early: // a failure tells of its endpoint alone
+	case !early: // a failure concerns only its endpoint
 	case b.poolLimitUnused(now, s):
 	case !b.pool.congestionSeen:
 		b.pool.limit *= initialLimitIncrease
@@ -78,7 +84,8 @@
 	}
 }
 
-// poolLimitUnused reports whether two more attempts fit: at s with gossip, else at all endpoints.
+// poolLimitUnused reports whether there is room for two more attempts: at s with gossip, and otherwise at
+// all endpoints together.
 func (b *Balancer) poolLimitUnused(now int64, s *endpointState) bool {
 	inFlight, capacity := b.totalInFlight(now, s), b.pool.limit*s.Capacity
 	if !b.gossipEnabled() {
@@ -87,19 +94,19 @@
 	return inFlight+2 <= capacity
 }
 
-// adaptEndpointLimit moves the limit of the endpoint that answered, where there is no gossip.
+// adaptEndpointLimit moves the limit of the endpoint that responded. It is used without gossip.
 func (b *Balancer) adaptEndpointLimit(now int64, c *classState, a *attempt, o Outcome, early bool) {
 	s := a.endpoint
 	rejectionUsesBudget := b.settings.Rules.AttemptBudgetWindow > 0
 	switch {
 	case o.Result != Succeeded && o.Result != TimedOut && o.Result != Saturated:
-		// Other failures say nothing of congestion.
+		// Other failures are not caused by congestion.
 	case s.lastResponseEarly && (o.Result == TimedOut || o.Result == Saturated && !rejectionUsesBudget):
-		// A lone loss, or an endpoint that rejects early by design, is no congestion. Where an attempt budget
-		// makes each rejection cost a retry, the limit is cut all the same.
+		// A single lost attempt, or an endpoint that rejects early by design, is not congestion. With an
+		// attempt budget, saturation lowers the limit nevertheless, since each one uses up a retry.
 	case !early:
 		b.cutEndpointLimit(now, c, a, o)
-	case float64(s.inFlight+2) <= s.concurrencyLimit: // not in use
+	case float64(s.inFlight+2) <= s.concurrencyLimit: // the limit is not in use
 	case s.limitCutAt == 0:
 		s.concurrencyLimit *= initialLimitIncrease
 	default:
@@ -107,8 +114,8 @@
 	}
 }
 
-// cutEndpointLimit lowers the limit of an endpoint for a late answer or a failure. The large cut is made once
-// for all attempts sent before it.
+// cutEndpointLimit lowers the limit of an endpoint after a late response or a failure. The large cut is
+// made only once for all attempts that were sent before it.
 func (b *Balancer) cutEndpointLimit(now int64, c *classState, a *attempt, o Outcome) {
 	s := a.endpoint
 	congested := o.Result == Saturated || o.Result == TimedOut && o.Latency >= c.LatencyObjective
@@ -120,15 +127,15 @@
 	s.limitCutAt = max(s.limitCutAt, 1)
 }
 
-// resetLimit gives s this balancer's part of the initial limit: what was learned of an earlier process
-// doesn't hold.
+// resetLimit sets the limit of s to this balancer's share of the initial limit, since estimates from a
+// previous process of the endpoint no longer apply.
 func (b *Balancer) resetLimit(s *endpointState) {
 	s.concurrencyLimit = max(minLimit, initialLimit*s.Capacity/b.balancersPerEndpoint())
 	s.limitCutAt = 0
 }
 
-// concurrencyBound is how many attempts may be in flight at s: of all balancers with gossip, else of this
-// one.
+// concurrencyBound returns how many attempts may be in flight at s: those of all balancers with gossip, and
+// otherwise those of this balancer.
 func (b *Balancer) concurrencyBound(s *endpointState) float64 {
 	if b.gossipEnabled() {
 		return max(1, b.pool.limit*s.Capacity)
@@ -136,9 +143,9 @@
 	return s.concurrencyLimit
 }
 
-// saturated reports whether no more attempts may be in flight at all endpoints together. A busy balancer goes
-// by the sum of its endpoints' limits, a quiet one by the pool limit. With gossip the bound of each endpoint
-// is enough, unless the messages are lost and what others have in flight is guessed.
+// saturated reports whether no further attempt may be in flight, whatever the endpoint. A busy balancer
+// uses the sum of its endpoints' limits, a quiet one the pool limit. With gossip the bound of each endpoint
+// suffices, unless messages are lost and the attempts of other balancers have to be estimated.
 func (b *Balancer) saturated(now int64) bool {
 	if b.gossipEnabled() {
 		if !b.gossipLost(now) {
@@ -151,7 +158,8 @@
 	return inFlight >= max(1, capacity)
 }
 
-// sumOfLimits adds up the limits of the endpoints in use: those of the subset, and those that keys prefer.
+// sumOfLimits adds up the limits of the endpoints in use: those of the subset, and the preferred replicas
+// of keys.
 func (b *Balancer) sumOfLimits() (sum float64) {
 	for _, s := range b.endpoints {
 		if s.inSubset || s.successesThisSecond+s.inFlight > 0 {
@@ -161,9 +169,9 @@
 	return sum
 }
 
-// poolCapacity is how many attempts may be in flight at all endpoints that respond, by the pool limit, and
-// how many are. Attempts at endpoints that don't respond count in neither, so that they don't take the place
-// of others.
+// poolCapacity returns the number of attempts in flight at all responsive endpoints, and how many the pool
+// limit allows there. Unresponsive endpoints count in neither number, so that attempts stuck there don't
+// use up the capacity of other endpoints.
 func (b *Balancer) poolCapacity(now int64) (inFlight, capacity float64) {
 	usable := 0.0
 	for _, s := range b.endpoints {
--- a/decide/congestion.go
+++ b/decide/congestion.go
@@ -1,25 +1,26 @@
-// Whether a late answer tells of congestion or is slow by nature (a tail, a slow dependency). Only congestion
-// gets better when less is sent.
+// Distinguishes late responses that are caused by congestion from those that are slow for another reason,
+// such as tail latency or a slow dependency. Sending less helps only against congestion.
 
 package decide
 
 const (
-	// earlyShare of the latency objective: an answer within it is early. Later ones warn while there is time
-	// to act.
+	// earlyShare is the share of the latency objective within which a response is early. It is below 1 so
+	// that late responses warn of congestion while there is time to act.
 	earlyShare = 0.75
-	// earlyShareWithReports takes its place where endpoints report their load: the draw evens out single slow
-	// ones then, so a late answer tells of all.
+	// earlyShareWithReports replaces earlyShare if endpoints report their load. The draw then evens out
+	// single slow endpoints, so a late response is evidence of congestion at all of them.
 	earlyShareWithReports = 0.6
-	// congestedP90Factor times the baseline: later answers are late whatever the objective, since endpoints
-	// that slow down under load lose work before answers come near it.
+	// congestedP90Factor times the p90 baseline is the latency above which a response is late regardless of
+	// the objective, since endpoints that slow down under load lose throughput long before responses
+	// approach the objective.
 	congestedP90Factor = 1.6
 
-	unloadedFactor      = 1.5 // times its baseline, up to which the quickest answers show no congestion
-	minTailResponseRate = 4.0 // answers of a class per second, from which on they show congestion in time
-	endpointP15Step     = 0.3
+	unloadedFactor      = 1.5 // multiple of its baseline up to which the p15 latency shows no congestion
+	minTailResponseRate = 4.0 // responses of a class per second needed for its p15 latency to be timely
+	endpointP15Step     = 0.3 // step of an endpoint's latencyP15Ratio, in log units
 )
 
-// isEarly reports whether an outcome shows no congestion by its latency.
+// isEarly reports whether the latency of an outcome shows no congestion.
 func (b *Balancer) isEarly(c *classState, o Outcome) bool {
 	share := earlyShare
 	if b.loadReports.seen {
@@ -29,10 +30,10 @@
 	return o.Result != Errored && o.Result != TimedOut && float64(o.Latency) <= late
 }
 
-// atUnloadedLatency takes in the latency of an answer of s, and reports whether the quickest answers are as
-// quick as ever: those of the class, and also those of s. Congestion would delay them too, so a late answer
-// is then slow by nature. Where load is reported or gossiped that is better evidence, and a few answers come
-// too late: both are false.
+// atUnloadedLatency records the latency of a response of s, and reports whether the p15 latencies are near
+// their baselines: that of the class, and also that of s. Congestion would raise them as well, so if they
+// are low, a late response is slow for another reason. Both results are false if load is reported or
+// gossiped, which is better evidence, and if responses are too rare to show congestion in time.
 func (b *Balancer) atUnloadedLatency(c *classState, s *endpointState, o Outcome) (class, endpoint bool) {
 	if o.Result != Succeeded {
 		return false, false
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,10 +1,10 @@
-// Package decide holds every decision of one balancer. It does no I/O, reads no clock and starts no
-// goroutine.
+// Package decide makes the load-balancing decisions of one balancer. It does no I/O, reads no clock and
+// starts no goroutines.
 //
-// A host makes a Balancer with New, reports each event by the method for it together with the time, and
-// carries out the Actions that the Balancer calls before that method returns. A Balancer is not safe for
-// concurrent use: one goroutine reports all events. The same seed and the same events lead to the same
-// actions.
+// A host creates a Balancer with New and calls its method for each event, with the current time. The
+// Balancer calls the host's Actions before that method returns, and the host carries them out. A Balancer
+// is not safe for concurrent use: one goroutine must report all events. The same seed and the same events
+// lead to the same actions.
 //
 // # Units
 //
@@ -14,7 +14,7 @@
 //
 // # Where to look
 //
-// The way of each event through the rules: balancer.go.
+// balancer.go shows how each event is handled. The rules are in these files:
 //
 //	Which requests are rejected on arrival?              admission.go, key_outliers.go
 //	Which waiting requests are rejected, and in          queue.go, priority.go, quota.go
@@ -22,7 +22,7 @@
 //	How many attempts may be in flight?                  concurrency_limit.go, congestion.go
 //	Which endpoints are used at all?                     subset.go, locality.go, key_affinity.go
 //	Which may take this attempt?                         candidates.go, draining.go, slow_start.go
-//	Which of these is drawn?                             exp3.go, utilization.go
+//	Which eligible endpoint is chosen?                   exp3.go, utilization.go
 //	When is an endpoint ejected and restored?            outlier_detection.go
 //	Who may retry?                                       candidates.go, retry_budget.go, attempt_budget.go
 //	May a request run twice?                             idempotency.go
@@ -32,18 +32,18 @@
 //	What does a change of the list do?                   endpoint_list.go, capacity.go
 //	When are endpoints health checked?                   health_checks.go
 //	What do load reports change?                         load_reports.go, capacity.go
-//	What do balancers tell each other?                   gossip.go, gossip_message.go
+//	What do balancers report to each other?              gossip.go, gossip_message.go
 //	What does a change of settings do?                   settings_update.go
 //	What is logged?                                      event_log.go
 //
-// The interface is in api.go (events, actions) and settings.go. shadow_follow.go serves a second Balancer
-// that follows the decisions of another one without sending anything.
+// The interface is in api.go (events, actions) and settings.go. shadow_follow.go is for a second Balancer
+// that follows the decisions of the serving one and sends nothing.
 //
-// # The rules it keeps
+// # Rules
 //
-// The deployments that it is built for check five rules, which comments refer to by number:
+// The package guarantees five rules, which comments refer to by number:
 //
-//  1. Each request gets exactly one final answer (balancer.go, request.go).
+//  1. Each request gets exactly one final response (balancer.go, request.go).
 //  2. No request that is not idempotent takes effect twice (idempotency.go).
 //  3. A draining endpoint gets no new attempt (draining.go).
 //  4. An endpoint in slow start is not overloaded by all balancers together (slow_start.go).
--- a/decide/draining.go
+++ b/decide/draining.go
@@ -1,7 +1,7 @@
-// Rule 3: a draining endpoint gets no new attempt from the moment that the list says so. Attempts in flight
-// there go on. Every choice of an endpoint asks inService.
+// Rule 3: a draining endpoint gets no new attempt once the endpoint list says that it is draining. Attempts
+// already in flight continue. Every selection of an endpoint calls inService.
 
 package decide
 
-// inService reports whether new attempts may go to s.
+// inService reports whether s may get new attempts.
 func (s *endpointState) inService() bool { return s.Phase == InService }
--- a/decide/endpoint_list.go
+++ b/decide/endpoint_list.go
@@ -1,54 +1,57 @@
-// What a balancer knows of each endpoint, and how a new list or a change of it is applied.
+// The state that a balancer keeps about each endpoint, and how the endpoint list or a change to it is
+// applied.
 
 package decide
 
 import "slices"
 
-// removedRetention is how long an endpoint that left the list is remembered: a list may be stale for tens of
-// seconds, and bring it back.
+// removedRetention is how long the state of an endpoint is kept after it has left the list. A list can be
+// stale by tens of seconds and bring the endpoint back.
 const removedRetention = 60 * second
 
-// endpointState is what a balancer knows of one endpoint. Its Capacity is scaled, see capacity.go.
+// endpointState is the state that a balancer keeps about one endpoint. Its Capacity is scaled, see
+// capacity.go.
 type endpointState struct {
 	Endpoint
-	idHash    uint64
-	inList    bool
-	removedAt int64 // when it left the list
+	idHash    uint64 // hash of its ID
+	inList    bool   // in the current endpoint list
+	removedAt int64  // when it left the list, µs
 
-	listedCapacity float64 // 0: never listed
-	peakCapacity   float64 // highest listed
-	baseCapacity   float64 // scaled, before the correction by speed
+	listedCapacity float64 // 0: it has never been in the list
+	peakCapacity   float64 // highest listed capacity
+	baseCapacity   float64 // scaled to a mean of 1, before the correction for speed
 
-	subsetRank uint64 // place in this balancer's order
+	subsetRank uint64 // sort key in this balancer's order of endpoints
 	inSubset   bool
-	logWeight  float64 // of EXP3
+	logWeight  float64 // EXP3 weight, as a logarithm
 	weight     float64 // exp(logWeight)
 
-	inFlight            int // own attempts
+	inFlight            int // this balancer's attempts in flight
 	successesThisSecond int
 	lastSuccessAt       int64
-	silentSince         int64 // its latest answer, or the first send after it if that is later
+	silentSince         int64 // time of its latest response, or of the first send after it if that is later
 
-	concurrencyLimit  float64 // own attempts that may be in flight
-	limitCutAt        int64   // 0: no late answer yet
-	lastResponseEarly bool
-	latencyP15Ratio   float64 // the quickest answers, in parts of the class's baselineP15; 0: none yet
+	concurrencyLimit  float64 // limit on this balancer's attempts in flight
+	limitCutAt        int64   // time of the last large cut; 0: no late response yet, 1: only small cuts
+	lastResponseEarly bool    // the last successful response was early
+	latencyP15Ratio   float64 // its p15 latency divided by the class's baselineP15; 0: no response yet
 
-	ejections     []ejectionState // by class
-	ejectedForAll bool            // from every class
+	ejections     []ejectionState // one per class
+	ejectedForAll bool            // ejected from every class
 
-	slowStartSince  int64 // 0: never
+	slowStartSince  int64 // 0: no slow start
 	slowStartTokens expiringTokenBucket
 
-	reportedInFlight      float64 // requests
-	reportedServiceTimeMs float64 // of work there, without waiting; 0: not reported
+	reportedInFlight      float64 // requests in flight that it last reported
+	reportedServiceTimeMs float64 // smoothed, ms; 0: not reported
 
-	idleSince         int64 // when the connection to it fell idle; 0: none is open
-	connectionSuspect bool  // an attempt got no answer and none came since
-	peerLoads         []peerLoad
+	idleSince         int64      // when the connection to it became idle; 0: no connection is open
+	connectionSuspect bool       // an attempt got no response, and none has arrived since
+	peerLoads         []peerLoad // attempts in flight of the other balancers, by their gossip
 }
 
-// OnEndpoints takes the endpoint list: all of it, or its changes.
+// OnEndpoints handles the endpoint list. If complete is set, list is the whole list, and otherwise only its
+// changes.
 func (b *Balancer) OnEndpoints(now int64, list []Endpoint, complete bool) {
 	b.pollFailures = 0
 	if complete {
@@ -70,8 +73,8 @@
 	b.dispatchQueued(now)
 }
 
-// applyList takes over entries and returns the endpoints that are new or were restarted. These are in slow
-// start, and no earlier failure counts.
+// applyList applies list entries and returns the endpoints that are new or were restarted. These begin slow
+// start, and their earlier failures are cleared.
 func (b *Balancer) applyList(now int64, list []Endpoint) (started []*endpointState) {
 	for _, entry := range list {
 		s := b.endpointFor(now, entry)
@@ -89,7 +92,8 @@
 	return started
 }
 
-// endpointFor returns what is known of a listed endpoint. A new one starts with the mean log-weight and load.
+// endpointFor returns the state of a listed endpoint. A new endpoint starts with the mean log-weight and
+// the mean reported load.
 func (b *Balancer) endpointFor(now int64, entry Endpoint) *endpointState {
 	s, known := b.knownEndpoints[entry.ID]
 	if known {
@@ -107,7 +111,7 @@
 	return s
 }
 
-// applyEntry takes over an entry. A capacity that isn't listed, or is absurd, counts as one.
+// applyEntry copies a list entry. The capacity is 1 if capacities are not listed or if it is out of range.
 func (s *endpointState) applyEntry(entry Endpoint, capacityListed bool) {
 	if !capacityListed || !(entry.Capacity > 0 && entry.Capacity <= maxListedCapacity) {
 		entry.Capacity = 1
@@ -118,7 +122,7 @@
 	s.listedCapacity = entry.Capacity
 }
 
-// dropRemoved takes endpoints that have left out of the list.
+// dropRemoved deletes endpoints that have left the list from b.endpoints.
 func (b *Balancer) dropRemoved(now int64) {
 	b.endpoints = slices.DeleteFunc(b.endpoints, func(s *endpointState) bool {
 		if s.Phase == Removed {
@@ -128,7 +132,7 @@
 	})
 }
 
-// forgetRemoved forgets endpoints that left the list long ago.
+// forgetRemoved deletes the state of endpoints that left the list more than removedRetention ago.
 func (b *Balancer) forgetRemoved(now int64) {
 	for id, s := range b.knownEndpoints {
 		if !s.inList && now-s.removedAt > removedRetention {
--- a/decide/exp3.go
+++ b/decide/exp3.go
@@ -1,32 +1,36 @@
-// The draw of an endpoint by EXP3, with the words of the paper (docs/design.md names it): an arm is an
+// The draw of an endpoint by EXP3, in the terms of the paper (docs/design.md names it): an arm is an
 // endpoint of the subset, gamma is the share of exploration, and only the drawn arm learns, by its payoff
-// over the probability of its draw. An endpoint of capacity z counts as z equal arms.
+// divided by the probability of its draw. An endpoint of capacity z counts as z equal arms.
 
 package decide
 
 import "math"
 
 const (
-	gamma = 0.07 // the paper's value
+	gamma = 0.07 // share of exploration, the paper's value
 
-	// maxLearningBoost bounds how much faster than the paper's rate a quiet balancer learns, whose weights
-	// decay before the next answers come.
+	// maxLearningBoost bounds the learning rate of a quiet balancer, as a multiple of the paper's rate. A
+	// quiet balancer learns faster because its weights decay before the next responses arrive.
 	maxLearningBoost = 3.0
 
-	// fullPayoffShare of the baseline of a class's latency, which is about the median: faster answers earn
-	// all.
+	// fullPayoffShare is the share of a class's p90 baseline up to which a latency earns the full payoff.
+	// It is about the median latency.
 	fullPayoffShare = 0.6
 
-	minWeightRetention   = 0.9  // of a log-weight's distance from the mean, kept each second at least
-	retentionPerResponse = 0.98 // the same for each answer of an arm: quiet balancers forget slowly
+	// minWeightRetention and retentionPerResponse set the share of a log-weight's distance from the mean
+	// that is kept each second. Quiet balancers keep more, so that they forget slowly.
+	minWeightRetention   = 0.9  // at least
+	retentionPerResponse = 0.98 // for each response of an arm
 
-	maxLogWeight = 30.0 // beyond it a sum of weights loses the small ones
+	maxLogWeight = 30.0 // beyond it, small weights are lost to rounding in a sum of weights
 
-	maxRedraws = 8 // with more, all endpoints are above the mean utilization and the draw stands
+	// maxRedraws bounds the draws that are repeated. After so many, all endpoints are taken to be above the
+	// mean utilization, and the last draw counts.
+	maxRedraws = 8
 )
 
-// drawEndpoint picks an endpoint for r and returns it with the probability of the draw; nil where none is
-// eligible. A draw that finds an endpoint above the mean utilization is repeated.
+// drawEndpoint draws an endpoint for r and returns it with the probability of the draw, or nil if no
+// endpoint is eligible. It draws again if the endpoint is above the mean utilization.
 func (b *Balancer) drawEndpoint(now int64, r *request) (*endpointState, float64) {
 	preferred := b.preferredReplica(r)
 	if !b.collectCandidates(now, r, preferred) {
@@ -39,7 +43,7 @@
 		s, probability := b.sampleCandidate(weight, capacity, preferred)
 		bound := mean
 		if s == preferred || b.zoneWeight(s.Zone) > 1 && !b.gossipEnabled() {
-			bound = 1/s.Capacity + 2*mean // more may be in flight at these, the paper's bound
+			bound = 1/s.Capacity + 2*mean // the paper's bound: these endpoints may have more in flight
 		}
 		if n == maxRedraws || b.utilization(now, s) <= bound {
 			return s, probability
@@ -50,7 +54,7 @@
 	}
 }
 
-// sampleCandidate draws one of the candidates, whose weight and capacity are these in all.
+// sampleCandidate draws one of the candidates, whose total weight and total capacity are given.
 func (b *Balancer) sampleCandidate(
 	weight, capacity float64, preferred *endpointState,
 ) (*endpointState, float64) {
@@ -64,13 +68,13 @@
 	return b.candidates[len(b.candidates)-1], probability
 }
 
-// drawProbability is the probability that a draw among endpoints of that weight and capacity in all picks s:
-// (1-gamma)*w/sum(w) + gamma/M, with s as s.Capacity arms.
+// drawProbability returns the probability that a draw among endpoints with the given total weight and
+// capacity picks s: (1-gamma)*w/sum(w) + gamma/M, where s counts as s.Capacity arms.
 func (b *Balancer) drawProbability(s, preferred *endpointState, weight, capacity float64) float64 {
 	return (1-gamma)*b.drawWeight(s, preferred)/weight + gamma*s.Capacity/capacity
 }
 
-// totalWeight adds up the weights and the capacity of endpoints.
+// totalWeight returns the total weight and the total capacity of endpoints.
 func (b *Balancer) totalWeight(
 	endpoints []*endpointState, preferred *endpointState,
 ) (weight, capacity float64) {
@@ -81,9 +85,9 @@
 	return weight, capacity
 }
 
-// drawWeight is the weight of s over all its arms, times the factors of the other rules. A concurrency limit
-// below one counts as that part of the weight, or many balancers would take turns at a congested endpoint and
-// keep it so.
+// drawWeight returns the weight of s over all its arms, times the factors of the other rules. A concurrency
+// limit below 1 scales the weight down. Otherwise many balancers would take turns at a congested endpoint
+// and keep it congested.
 func (b *Balancer) drawWeight(s, preferred *endpointState) float64 {
 	w := s.Capacity * s.weight * min(1, b.concurrencyBound(s)) * b.zoneWeight(s.Zone) * b.loadWeight(s) *
 		s.slowStartTokens.weightFactor(len(b.subset))
@@ -99,9 +103,9 @@
 	a.endpoint.setLogWeight(a.endpoint.logWeight + b.learningRate*payoff/(a.probability*arms))
 }
 
-// payoff is 1 for an answer as fast as from an endpoint that is not congested, falls with the latency after
-// that, and is 0 for a failure. It falls before the latency objective, so that slow machines get less before
-// they are late.
+// payoff returns 1 for a response as fast as from an uncongested endpoint, less for a slower one, and 0 for
+// a failure. It falls well before the latency objective, so that slow machines get less traffic before they
+// are late.
 func (r *request) payoff(o Outcome) float64 {
 	if o.Result != Succeeded {
 		return 0
@@ -110,7 +114,7 @@
 	return min(1, full/float64(r.classAtArrival.LatencyObjective*max(1, o.Latency)))
 }
 
-// decayWeights lets the log-weights return to their mean, once a second.
+// decayWeights moves the log-weights towards their mean, once per second.
 func (b *Balancer) decayWeights() {
 	responsesPerArm := float64(b.rates.successesThisSecond) / float64(max(1, len(b.subset)))
 	keep := max(minWeightRetention, math.Pow(retentionPerResponse, responsesPerArm))
@@ -120,13 +124,14 @@
 	}
 }
 
-// updateLearningRate sets the rate by how many answers an arm gives.
+// updateLearningRate sets the learning rate by the responses per second of an arm. From busyThroughput on
+// it is the paper's rate.
 func (b *Balancer) updateLearningRate() {
 	responsesPerArm := b.rates.perCapacity[groupSubset] * float64(second)
 	b.learningRate = gamma * min(max(1, busyThroughput/responsesPerArm), maxLearningBoost)
 }
 
-// meanLogWeight is that of the subset, where a new endpoint starts.
+// meanLogWeight returns the mean log-weight of the subset, which is the initial value of a new endpoint.
 func (b *Balancer) meanLogWeight() (mean float64) {
 	for _, s := range b.subset {
 		mean += s.logWeight / float64(len(b.subset))
@@ -134,7 +139,7 @@
 	return mean
 }
 
-// setLogWeight sets the weight by its logarithm.
+// setLogWeight sets the weight, given as its logarithm.
 func (s *endpointState) setLogWeight(l float64) {
 	s.logWeight = min(max(l, -maxLogWeight), maxLogWeight)
 	s.weight = math.Exp(s.logWeight)
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -1,61 +1,64 @@
-// What balancers tell each other: the attempts that each has in flight at the endpoints of its subset. The
-// bytes of a message are in gossip_message.go.
+// Messages between balancers, which report the attempts that each balancer has in flight at the endpoints
+// of its subset. gossip_message.go describes their encoding.
 //
-// It acts only where Settings.Limits.Gossip is set. That is in the simulator alone: the sidecar carries no
-// messages, and internal/config refuses the setting.
+// Gossip runs only if Settings.Limits.Gossip is set, which happens only in the simulator: the sidecar has
+// no transport for the messages, and internal/config rejects the setting.
 //
-// A message of one endpoint goes to the balancers that share it, at each send and each end of an attempt
-// there. One of the whole subset goes to all balancers now and then, so that they learn who shares what.
+// A message about one endpoint goes to the balancers that share it, at each start and end of an attempt
+// there. A message about the whole subset goes to all balancers from time to time, so that they learn who
+// shares which endpoint.
 
 package decide
 
 import "slices"
 
 const (
-	// peerLoadTTL is how long a count holds: the message that ends it may be lost.
+	// peerLoadTTL is how long a reported count is valid. The message that ends it may be lost.
 	peerLoadTTL = second
-	// peerLoadIntervals of gossipInterval without a message, and a balancer no longer counts as sharing an
-	// endpoint.
+	// peerLoadIntervals is the number of gossip intervals without a message after which a balancer no
+	// longer counts as sharing an endpoint. Up to two messages to all may be lost before that.
 	peerLoadIntervals = 3
-	// gossipLossTimeout without a message of any balancer: the messages are taken to be lost.
+	// gossipLossTimeout is the time without a message from any balancer after which messages are assumed to
+	// be lost.
 	gossipLossTimeout = second / 4
 
-	maxGossipFanout   = 24.0
-	gossipCPUPerPeer  = 400.0    // µs of CPU per second that each receiver needs for each sender
-	fleetGossipFanout = 16_000.0 // of all balancers together, which the links can take
+	maxGossipFanout   = 24.0     // receivers of a message about one endpoint
+	gossipCPUPerPeer  = 400.0    // µs of CPU per second for each receiver
+	fleetGossipFanout = 16_000.0 // sum over all balancers, since the messages of a large fleet fill the links
 
-	// Between two messages to all: from this time up to twice that, longer in a large fleet.
+	// The time between two messages to all is between one and two intervals. It grows with the fleet, since
+	// every balancer has to process each of these messages.
 	minGossipInterval         = 20 * second
 	gossipIntervalPerBalancer = 100 * millisecond
 
-	// The same after the subset has changed.
+	// Shortest time between two messages to all after the subset has changed.
 	minGossipChangeInterval     = 4 * second
-	gossipChangeIntervalPerPair = millisecond / 10 // for each pair of balancers
+	gossipChangeIntervalPerPair = millisecond / 10 // per pair of balancers
 
-	// expectedDispatchers of those that hear of free capacity dispatch their queue, since messages may be
-	// lost.
+	// expectedDispatchers is how many of the balancers that hear of free capacity dispatch their queue, on
+	// average. It is above 1 because messages may be lost.
 	expectedDispatchers = 2.0
 )
 
-// gossipState is what a balancer knows of its peers.
+// gossipState is what a balancer knows about its peers.
 type gossipState struct {
 	peers          []peerState // by balancer index
 	endpointsByTag map[[2]byte]*endpointState
-	lastSentAt     int64 // of messages to all
-	nextSendAt     int64
-	lastReceivedAt int64  // of any message
-	seq            byte   // of the messages sent
+	lastSentAt     int64  // time of the last message to all
+	nextSendAt     int64  // time of the next message to all
+	lastReceivedAt int64  // time of the last message from any balancer
+	seq            byte   // sequence number of the last message sent
 	buffer         []byte // scratch space of encodeGossip
 }
 
-// peerState is what the last message of a balancer said.
+// peerState is the content of a balancer's messages so far.
 type peerState struct {
-	seq        byte
+	seq        byte             // sequence number of the last message received
 	receivedAt int64            // 0: never
-	endpoints  []*endpointState // in its subset
+	endpoints  []*endpointState // those of its subset
 }
 
-// peerLoad is what a balancer has in flight at an endpoint, by its last message.
+// peerLoad is the number of attempts that a balancer has in flight at an endpoint, by its last message.
 type peerLoad struct {
 	peer       int // index of the balancer
 	inFlight   int
@@ -65,12 +68,12 @@
 // gossipEnabled reports whether balancers may send each other messages.
 func (b *Balancer) gossipEnabled() bool { return b.settings.Limits.Gossip }
 
-// gossipLost reports whether messages are taken to be lost.
+// gossipLost reports whether messages are assumed to be lost.
 func (b *Balancer) gossipLost(now int64) bool {
 	return b.gossipEnabled() && now-b.gossip.lastReceivedAt > gossipLossTimeout
 }
 
-// gossipEndpoint sends what is in flight at s to those that share it.
+// gossipEndpoint sends the attempts in flight at s to the balancers that share s.
 func (b *Balancer) gossipEndpoint(s *endpointState) {
 	if !b.gossipEnabled() || !s.inSubset || len(s.peerLoads) == 0 {
 		return
@@ -81,7 +84,7 @@
 	}
 }
 
-// gossipSubset sends the whole subset to all balancers when it is time.
+// gossipSubset sends the attempts in flight at the whole subset to all balancers, if that is due.
 func (b *Balancer) gossipSubset(now int64) {
 	if !b.gossipEnabled() || now < b.gossip.nextSendAt {
 		return
@@ -91,19 +94,19 @@
 	b.actions.SendGossip(-1, b.encodeGossip(b.subset...))
 }
 
-// advanceNextSend brings the next message to all forward, to that long after the last one.
+// advanceNextSend moves the next message to all forward, to at most interval after the last one.
 func (g *gossipState) advanceNextSend(interval int64) {
 	g.nextSendAt = min(g.nextSendAt, g.lastSentAt+interval)
 }
 
-// OnGossip takes another balancer's message. One that is damaged, old, or of an unknown version or sender is
-// ignored.
+// OnGossip handles another balancer's message. It ignores messages that are damaged, out of date, or of an
+// unknown version or sender.
 func (b *Balancer) OnGossip(now int64, from int, message []byte) {
 	if !b.gossipEnabled() {
 		return
 	}
 	accepted, newSharer := b.handleGossip(now, from, message)
-	if newSharer { // it may have been restarted, or have missed the last message to all
+	if newSharer { // the sender may have restarted, or have missed the last message to all
 		b.actions.SendGossip(from, b.encodeGossip(b.subset...))
 	}
 	if !accepted {
@@ -115,7 +118,8 @@
 	}
 }
 
-// handleGossip takes in a message if it is valid. newSharer: the sender is new to an endpoint of the subset.
+// handleGossip applies a message if it is valid. newSharer reports whether the sender is new to an endpoint
+// of the subset.
 func (b *Balancer) handleGossip(now int64, from int, message []byte) (accepted, newSharer bool) {
 	fromPeer := from != b.settings.BalancerIndex && from >= 0 && from < b.settings.BalancerCount
 	if !fromPeer || !validGossip(message) {
@@ -143,7 +147,8 @@
 	return true, newSharer
 }
 
-// removeUnlistedPeerLoads forgets a balancer at the endpoints that its message, of its whole subset, doesn't mention.
+// removeUnlistedPeerLoads removes a balancer from the endpoints that are missing in its message, which
+// describes its whole subset.
 func (b *Balancer) removeUnlistedPeerLoads(peer *peerState, from int, message []byte) {
 	peer.endpoints = slices.DeleteFunc(peer.endpoints, func(s *endpointState) bool {
 		if hasGossipEntry(message, s) {
@@ -154,8 +159,8 @@
 	})
 }
 
-// recordPeerLoad sets what a balancer has in flight at s, and reports whether it is new to an endpoint of the
-// subset.
+// recordPeerLoad records the attempts that a balancer has in flight at s, and reports whether that balancer
+// is new to s and s is in the subset.
 func (b *Balancer) recordPeerLoad(now int64, s *endpointState, from, inFlight int) bool {
 	at := slices.IndexFunc(s.peerLoads, func(load peerLoad) bool { return load.peer == from })
 	added := at < 0
@@ -169,8 +174,9 @@
 	return added && s.inSubset
 }
 
-// insertPeerLoad adds a balancer to those that share s. They are in the order of their indexes, from the one
-// after this balancer's own, so that each sends to others where a message can't go to all.
+// insertPeerLoad adds a balancer to those that share s and returns its position. They are sorted by index,
+// beginning after this balancer's own index. If there are more sharers than a message goes to, each
+// balancer then sends to different ones.
 func (b *Balancer) insertPeerLoad(s *endpointState, from int) int {
 	count := b.settings.BalancerCount
 	distance := func(peer int) int { return (peer - b.settings.BalancerIndex + count) % count }
@@ -182,7 +188,7 @@
 	return at
 }
 
-// expirePeerLoads forgets balancers that have sent nothing for long.
+// expirePeerLoads removes balancers that have sent no message for peerLoadIntervals.
 func (b *Balancer) expirePeerLoads(now int64) {
 	expired := func(load peerLoad) bool { return now-load.receivedAt > peerLoadIntervals*b.gossipInterval() }
 	for _, s := range b.endpoints {
@@ -190,8 +196,8 @@
 	}
 }
 
-// totalInFlight is what all balancers have in flight at s, as far as they told. Where messages are lost the
-// others are taken to have as much as this one.
+// totalInFlight returns the attempts of all balancers in flight at s, as far as they are known. If messages
+// are lost, the other balancers are assumed to have as many as this one.
 func (b *Balancer) totalInFlight(now int64, s *endpointState) float64 {
 	if len(s.peerLoads) == 0 && !b.gossipEnabled() {
 		return float64(s.inFlight)
@@ -205,22 +211,22 @@
 			others += load.inFlight
 		}
 	}
-	// Where more balancers share s than a message goes to, those heard of stand for all.
+	// If more balancers share s than a message goes to, the known counts are extrapolated to all of them.
 	return float64(s.inFlight) + float64(others)*max(1, float64(len(s.peerLoads))/float64(b.gossipFanout()))
 }
 
-// gossipInterval is the least time between two messages to all.
+// gossipInterval returns the minimum time between two messages to all.
 func (b *Balancer) gossipInterval() int64 {
 	return max(minGossipInterval, int64(b.settings.BalancerCount)*gossipIntervalPerBalancer)
 }
 
-// gossipChangeInterval is that time where the subset has changed.
+// gossipChangeInterval returns the minimum time between two messages to all after the subset has changed.
 func (b *Balancer) gossipChangeInterval() int64 {
 	count := int64(b.settings.BalancerCount)
 	return max(minGossipChangeInterval, gossipChangeIntervalPerPair*count*count)
 }
 
-// gossipFanout is how many balancers a message of one endpoint goes to.
+// gossipFanout returns how many balancers receive a message about one endpoint.
 func (b *Balancer) gossipFanout() int {
 	fanout := min(maxGossipFanout, fleetGossipFanout/float64(max(1, b.settings.BalancerCount)))
 	if b.settings.Limits.DecisionCPU > 0 {
--- a/decide/gossip_message.go
+++ b/decide/gossip_message.go
@@ -1,11 +1,12 @@
-// The bytes of a gossip message. Balancers of different versions read each other's, so this format doesn't
-// change without its version.
+// The encoding of a gossip message. Balancers of different versions read each other's messages, so a change
+// of the format needs a new version.
 //
 //	byte 0      version (2 bits), sequence number (6 bits)
 //	byte 1      safe idle time, on a logarithmic scale
 //	3 per entry two bytes of the endpoint's hash; attempts in flight (4 bits), checksum (4 bits)
 //
-// A message with one entry is of that endpoint; one with more, or none, lists the sender's whole subset.
+// A message with one entry describes that endpoint. A message with more entries, or none, describes the
+// sender's whole subset.
 
 package decide
 
@@ -15,24 +16,25 @@
 )
 
 const (
-	gossipVersion = 1 << 6 // in the two high bits
+	gossipVersion = 1 << 6 // in the two high bits of byte 0
 
 	gossipSeqMask = 1<<6 - 1
-	gossipSeqHalf = 1 << 5 // a message is newer than another by less than this
+	gossipSeqHalf = 1 << 5 // a message is newer than another if it is ahead by less than this
 
 	gossipHeaderBytes = 2
 	gossipEntryBytes  = 3
 	maxGossipBytes    = 64
 
-	maxGossipInFlight = 15
+	maxGossipInFlight = 15 // largest count that fits into an entry
 
-	// The safe idle time is gossipIdleUnitMicros * exp(gossipIdleLogStep * byte), steps of a tenth.
+	// The safe idle time is gossipIdleUnitMicros * exp(gossipIdleLogStep * byte): each step adds a tenth.
 	gossipIdleUnitMicros = 50_000
 	gossipIdleLogStep    = 0.09531017980432493 // log(1.1)
-	gossipIdleUnknown    = 255                 // or longer than can be told
+	gossipIdleUnknown    = 255                 // unknown, or too long for the scale
 )
 
-// encodeGossip writes a message of own attempts at endpoints. It is valid until the next one is written.
+// encodeGossip encodes a message with this balancer's attempts in flight at the given endpoints. The
+// message is valid until the next call.
 func (b *Balancer) encodeGossip(endpoints ...*endpointState) []byte {
 	g := &b.gossip
 	g.seq++
@@ -48,7 +50,7 @@
 	return g.buffer
 }
 
-// validGossip reports whether a message is of this version and undamaged.
+// validGossip reports whether a message is undamaged and has this version.
 func validGossip(m []byte) bool {
 	if len(m) < gossipHeaderBytes || len(m) > maxGossipBytes {
 		return false
@@ -64,7 +66,7 @@
 	return true
 }
 
-// gossipChecksum is four bits of FNV-1a.
+// gossipChecksum returns the four high bits of the FNV-1a hash.
 func gossipChecksum(bytes ...byte) byte {
 	sum := uint32(2166136261)
 	for _, c := range bytes {
@@ -73,13 +75,13 @@
 	return byte(sum >> 28)
 }
 
-// gossipSeq is the sequence number of a valid message.
+// gossipSeq returns the sequence number of a valid message.
 func gossipSeq(m []byte) byte { return m[0] & gossipSeqMask }
 
-// newerGossip reports whether a sequence number is newer than another; they wrap around.
+// newerGossip reports whether sequence number seq is newer than another. Sequence numbers wrap around.
 func newerGossip(seq, than byte) bool { return (seq-than-1)&gossipSeqMask < gossipSeqHalf }
 
-// gossipIdleTime is the safe idle time of a valid message, in µs, if its sender knows one.
+// gossipIdleTime returns the safe idle time of a valid message, in µs, if its sender knows one.
 func gossipIdleTime(m []byte) (idle float64, known bool) {
 	if m[1] == gossipIdleUnknown {
 		return 0, false
@@ -87,10 +89,10 @@
 	return gossipIdleUnitMicros * math.Exp(gossipIdleLogStep*float64(m[1])), true
 }
 
-// describesSubset reports whether a valid message lists the sender's whole subset.
+// describesSubset reports whether a valid message describes the sender's whole subset.
 func describesSubset(m []byte) bool { return len(m) != gossipHeaderBytes+gossipEntryBytes }
 
-// gossipEntries yields the tags and the attempts in flight of a valid message, in its order.
+// gossipEntries yields the tag and the attempts in flight of each entry of a valid message.
 func gossipEntries(m []byte) iter.Seq2[[2]byte, int] {
 	return func(yield func([2]byte, int) bool) {
 		for e := gossipHeaderBytes; e < len(m); e += gossipEntryBytes {
@@ -101,7 +103,7 @@
 	}
 }
 
-// hasGossipEntry reports whether a valid message has an entry of s.
+// hasGossipEntry reports whether a valid message has an entry for s.
 func hasGossipEntry(m []byte, s *endpointState) bool {
 	for tag := range gossipEntries(m) {
 		if tag == s.gossipTag() {
@@ -111,13 +113,13 @@
 	return false
 }
 
-// gossipTag stands for s in a message: two bytes of its hash. Of endpoints with the same tag one counts for
-// all.
+// gossipTag identifies s in a message by two bytes of its hash. If several endpoints have the same tag, the
+// entry applies to one of them.
 func (s *endpointState) gossipTag() [2]byte {
 	return [2]byte{byte(s.idHash >> 40), byte(s.idHash >> 32)}
 }
 
-// indexGossipTags finds the listed endpoints by their tags.
+// indexGossipTags rebuilds the index of the listed endpoints by tag.
 func (b *Balancer) indexGossipTags() {
 	clear(b.gossip.endpointsByTag)
 	for _, s := range b.endpoints {
--- a/decide/hash.go
+++ b/decide/hash.go
@@ -1,6 +1,6 @@
 package decide
 
-// hash is FNV-1a. All balancers hash alike, also those of other versions.
+// hash is FNV-1a. All balancers must compute the same hashes, including those of other versions.
 func hash(text string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(text) {
@@ -9,12 +9,12 @@
 	return h
 }
 
-// mixBits spreads a hash over all its bits, as MurmurHash3 ends.
+// mixBits spreads a hash over all its bits; it is the finalizer of MurmurHash3.
 func mixBits(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
-// unitInterval makes a hash a number over 0 and up to 1.
+// unitInterval maps a hash to a number above 0 and up to 1.
 func unitInterval(h uint64) float64 { return float64(mixBits(h)>>11+1) / (1 << 53) }
--- a/decide/health_checks.go
+++ b/decide/health_checks.go
@@ -1,12 +1,14 @@
-// When endpoints are health checked: where they report their load to health checks alone, which cost
-// something. Without them slow machines would get as much as fast ones until they are overloaded.
+// When endpoints are health checked. Health checks are used if endpoints report their load only in them,
+// and they have a price. Without load reports, slow machines would get as much traffic as fast ones until
+// they are overloaded.
 
 package decide
 
-// maxHealthCheckCost is the part of the service objective that health checks may cost.
+// maxHealthCheckCost is the share of the service objective that health checks may cost.
 const maxHealthCheckCost = 0.002
 
-// checkHealth checks the subset, once a second at most, and as seldom as the price asks for.
+// checkHealth starts a health check of every endpoint of the subset, at most once per second and less often
+// if the price requires it.
 func (b *Balancer) checkHealth(now int64) {
 	if !b.settings.LoadFromHealthChecks || !b.settings.Limits.HealthChecks {
 		return
@@ -22,7 +24,8 @@
 	}
 }
 
-// OnHealthCheck takes the end of a health check. It says nothing but the load: a failed one ejects nobody.
+// OnHealthCheck handles the end of a health check. It uses only the load report; a failed check ejects no
+// endpoint.
 func (b *Balancer) OnHealthCheck(_ int64, c HealthCheckOutcome) {
 	if s := b.knownEndpoints[c.Server]; s != nil && c.Result == Succeeded {
 		b.recordLoadReport(s, c.Load)
--- a/decide/idempotency.go
+++ b/decide/idempotency.go
@@ -1,11 +1,12 @@
 // Rule 2: no request that is not idempotent takes effect twice.
 //
-// An attempt whose result doesn't prove the contrary may have run. After it a request is sent again only
-// where the endpoint recognizes the repeat, and is rejected only where a repeat by the client is harmless.
+// An attempt may have run unless its result proves otherwise. After such an attempt, a request is sent
+// again only to an endpoint that recognizes the repeat, and is rejected only if a repeat by the client is
+// harmless.
 
 package decide
 
-// repeatIsSafe reports whether a send to s can't cause the effect a second time.
+// repeatIsSafe reports whether sending r to s can't cause its effect a second time.
 func (r *request) repeatIsSafe(now int64, s *endpointState) bool {
 	first := r.firstPossiblyExecuted()
 	if first == nil || r.classAtArrival.Semantics == Idempotent {
@@ -23,8 +24,8 @@
 	return true
 }
 
-// rejectIsSafe reports whether the client may send the request again, as a rejection invites it to: to any
-// endpoint.
+// rejectIsSafe reports whether the client may send r again to any endpoint, as a rejection invites it to
+// do.
 func (r *request) rejectIsSafe(now int64) bool {
 	first := r.firstPossiblyExecuted()
 	if first == nil || r.classAtArrival.Semantics == Idempotent {
@@ -34,7 +35,7 @@
 		now-first.sentAt < r.classAtArrival.DedupWindow
 }
 
-// firstPossiblyExecuted returns the first attempt that may have run, or nil. An attempt in flight may have.
+// firstPossiblyExecuted returns the first attempt that may have run, including attempts in flight, or nil.
 func (r *request) firstPossiblyExecuted() *attempt {
 	if r.priorAttempt != nil {
 		return r.priorAttempt
--- a/decide/key_affinity.go
+++ b/decide/key_affinity.go
@@ -1,23 +1,24 @@
-// Affinity of keys to endpoints: where an endpoint does keys that it served lately faster, all balancers send
-// a key to the same few endpoints, its preferred replicas, without a word between them.
+// Affinity of keys to endpoints. If an endpoint processes keys faster that it has served recently, all
+// balancers send a key to the same few endpoints, its preferred replicas, without communicating.
 
 package decide
 
 import "math"
 
 const (
-	// replicasPerShare is how many more replicas a key has for each mean endpoint's share of the requests
-	// that ask for it, so that no endpoint gets a hot key alone.
+	// replicasPerShare is the number of additional replicas of a key for each average endpoint's share of
+	// the requests with keys. So no endpoint has to serve a hot key alone.
 	replicasPerShare = 2.0
-	// keyRequestsPrior is added to the requests that a key's share is taken of, of which there may be few.
+	// keyRequestsPrior is added to the total number of requests when a key's share is computed, so that a
+	// few requests don't make a key look hot.
 	keyRequestsPrior = 20.0
-	// affinityBoost times the weight of the whole subset is the weight of the preferred replica. With more, a
-	// slow one would keep its keys.
+	// affinityBoost is the weight of the preferred replica, as a multiple of the weight of the whole
+	// subset. With a larger value, a slow replica would keep its keys.
 	affinityBoost = 2.0
 )
 
-// affinityReplica counts a request for a key and picks one of the key's replicas at random, as a hash; 0: it
-// has none.
+// affinityReplica counts a request for a key and picks one of the key's replicas at random, which it
+// returns as a hash. It returns 0 for a request without affinity.
 func (b *Balancer) affinityReplica(key string) uint64 {
 	if !b.settings.KeyAffinity || key == "" {
 		return 0
@@ -30,8 +31,8 @@
 	return mixBits(hash(key)+uint64(b.rng.IntN(1+extraReplicas))) | 1
 }
 
-// preferredReplica is the endpoint that r prefers, or nil: by weighted rendezvous hashing over all listed
-// endpoints, which all balancers with the same list do alike.
+// preferredReplica returns the endpoint that r prefers, or nil. It uses weighted rendezvous hashing over
+// all listed endpoints, which gives the same result at all balancers with the same list.
 func (b *Balancer) preferredReplica(r *request) (best *endpointState) {
 	if r.affinityHash == 0 {
 		return nil
--- a/decide/key_outliers.go
+++ b/decide/key_outliers.go
@@ -1,45 +1,48 @@
-// Keys whose requests fail for a reason of their own, at any endpoint: a lock behind all endpoints, a client
-// that reads slowly, an invalid request. They would hold the capacity of others and have healthy endpoints
-// ejected. So a bad outcome of such a key doesn't count against the endpoint, the request gets no retry, and
-// part of the key's requests is rejected on arrival until those that pass are answered well.
+// Detection of keys whose requests fail at any endpoint, for a reason of their own: a lock that all
+// endpoints wait for, a client that reads slowly, an invalid request. Such requests would use up the
+// capacity of others and have healthy endpoints ejected. A bad outcome of an outlier key therefore doesn't
+// count against the endpoint, the request is not retried, and a share of the key's requests is rejected on
+// arrival until the admitted ones succeed.
 //
-// It does harm where one key alone overloads its preferred replica.
+// This does harm if a single key overloads its preferred replica.
 
 package decide
 
 import "math"
 
 const (
-	keySlots = 512 // keys are told apart by their hash
+	keySlots = 512 // keys are assigned to slots by their hash
 
-	outlierDeviations = 2.0 // standard deviations, and one answer, above the ratio of all other keys
+	// outlierDeviations is how many standard deviations, plus one response, a key's bad responses must
+	// exceed those expected from the ratio of all other keys. Beyond that, the key itself is at fault.
+	outlierDeviations = 2.0
 
-	// The ratio of a key's requests that pass is multiplied by one of these for each answer. It rests where
-	// one answer in eight is bad.
-	passDecrease = 0.5
-	passIncrease = 1.1
-	minPassRatio = 0.05 // to see when the reason is gone
-	passRecovery = 1.03 // factor of the ratio each second
+	// Each response of a key multiplies the share of its requests that pass by one of these factors. The
+	// share settles where one response in eight is bad.
+	passDecrease = 0.5  // for a bad response
+	passIncrease = 1.1  // for a good response
+	minPassRatio = 0.05 // some requests must pass to detect that the cause is gone
+	passRecovery = 1.03 // factor of the share each second
 
-	keyResponseRetention = 0.9 // of the counts of answers, each second
+	keyResponseRetention = 0.9 // factor of the counts of responses each second
 )
 
-// keyStats counts the recent requests and answers of the keys of one slot.
+// keyStats counts recent requests and responses of the keys in one slot.
 type keyStats struct {
 	requests     float64 // counted only with key affinity
 	responses    float64
 	badResponses float64
-	rejectRatio  float64 // of its requests, on arrival
+	rejectRatio  float64 // share of its requests that are rejected on arrival
 }
 
 // keyTable holds the statistics of all keys.
 type keyTable struct {
 	slots    [keySlots]keyStats
-	requests float64  // of all keys
-	total    keyStats // its answers and badAnswers are those of all keys
+	requests float64  // requests of all keys
+	total    keyStats // responses and badResponses of all keys; the other fields are unused
 }
 
-// keyStatsFor returns the statistics of a key's slot; nil for a request without a key.
+// keyStatsFor returns the statistics of a key's slot, or nil for a request without a key.
 func (b *Balancer) keyStatsFor(key string) *keyStats {
 	if key == "" {
 		return nil
@@ -47,11 +50,11 @@
 	return &b.keys.slots[hash(key)%keySlots]
 }
 
-// isKeyOutlier reports whether requests of its key are being rejected on arrival.
+// isKeyOutlier reports whether requests of r's key are being rejected on arrival.
 func (r *request) isKeyOutlier() bool { return r.keyStats != nil && r.keyStats.rejectRatio > 0 }
 
-// recordKeyResult takes in an outcome, and reports whether it is bad and its key is at fault: the key's
-// answers are bad more often than those of all other keys, past chance.
+// recordKeyResult records an outcome and reports whether it is bad and the key is at fault: the key has
+// significantly more bad responses than all other keys.
 func (b *Balancer) recordKeyResult(r *request, o Outcome) bool {
 	k, total := r.keyStats, &b.keys.total
 	bad := !b.isEarly(r.class, o)
@@ -73,14 +76,15 @@
 	return true
 }
 
-// isOutlier reports whether a key has more bad answers than chance explains at the ratio of all other keys.
+// isOutlier reports whether a key has more bad responses than chance explains at the ratio of all other
+// keys.
 func (k *keyStats) isOutlier(total *keyStats) bool {
 	othersRatio := (total.badResponses - k.badResponses + 1) / (total.responses - k.responses + 2)
 	deviation := math.Sqrt(k.responses * othersRatio * (1 - othersRatio))
 	return k.badResponses-k.responses*othersRatio > outlierDeviations*deviation+1
 }
 
-// decayKeyStats lets the counts fade and the rejection ease, once a second.
+// decayKeyStats decays the counts and lowers the reject ratios, once per second.
 func (b *Balancer) decayKeyStats() {
 	b.keys.total.responses *= keyResponseRetention
 	b.keys.total.badResponses *= keyResponseRetention
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -1,51 +1,52 @@
-// Estimates of a class's latency, all in microseconds. Each is a quantile that moves by a step of its
-// logarithm with each answer: up for an answer above it, down for one below, in the proportion that makes it
-// rest at the quantile.
+// Estimates of a class's latency, in µs. Each estimate is a quantile. Each response moves its logarithm by
+// a step, up if the response is slower and down if it is faster. The ratio of the two steps makes the
+// estimate settle at the quantile.
 
 package decide
 
 import "math"
 
 const (
-	p95Quantile = 0.95
-	p95Step     = 0.2 // so that a fault shows in a few answers
+	p95Quantile = 0.95 // attempt timeouts derive from it
+	p95Step     = 0.2  // large, so that a fault shows within a few responses
 
 	medianStep = 0.04
 
 	p90Quantile    = 0.9
-	p90Step        = 0.05 // so that one burst of late answers doesn't move it far
-	baselineGrowth = 1.01 // each second: a baseline doubles in 70 s, longer than an overload should last
+	p90Step        = 0.05 // small, so that one burst of late responses moves it little
+	baselineGrowth = 1.01 // factor per second: doubles in 70 s, longer than an overload should last
 
 	p15Quantile       = 0.15
 	minP15Step        = 0.03
 	maxP15Step        = 0.6
-	p15StepsPerSecond = 5.0 // sum of the steps of all answers of a second
+	p15StepsPerSecond = 5.0 // sum of the steps of all responses in a second
 
-	responseRateSmoothing = 0.3 // of the rate of answers, each second
+	// responseRateSmoothing is the weight of the last second in the smoothed rate of responses.
+	responseRateSmoothing = 0.3
 )
 
-// classState is a class with what was learned of it.
+// classState is a class and what has been measured of it.
 type classState struct {
 	Class
 	priority         float64 // see priority.go
-	maxFirstTimeLeft int64   // the longest time left that a first attempt of a client came with
+	maxFirstTimeLeft int64   // longest time left, in µs, that a client's first attempt has arrived with
 	requests         float64 // recent
-	onTimeResponses  float64 // recent ones within the latency objective
-	meanWork         float64 // of the work hints; 0: none came
+	onTimeResponses  float64 // recent responses within the latency objective
+	meanWork         float64 // mean of the work hints; 0: none seen
 
 	latencyP95    float64
 	latencyMedian float64
 	latencyP90    float64
-	baselineP90   float64 // the lowest latencyP90 of late: that of endpoints that are not congested
+	baselineP90   float64 // recent minimum of latencyP90: the latency of uncongested endpoints
 	latencyP15    float64
-	baselineP15   float64 // the lowest latencyP15 of late: that of an answer that waited for nothing
+	baselineP15   float64 // recent minimum of latencyP15: the latency without queueing
 
 	samples             float64
-	responseRate        float64 // per second
+	responseRate        float64 // per second, smoothed
 	responsesThisSecond float64
 }
 
-// newClassState starts the estimates of a class from its latency objective.
+// newClassState returns a class whose estimates start from its latency objective.
 func newClassState(c Class) *classState {
 	if c.Deadline == 0 {
 		c.Deadline = defaultDeadline
@@ -61,7 +62,8 @@
 	}
 }
 
-// observeLatency takes in the latency of an answer. A timeout counts as an answer that took that long.
+// observeLatency records the latency of a response. A timeout counts as a response that took as long as the
+// timeout.
 func (c *classState) observeLatency(latency float64) {
 	c.latencyP95 = stepQuantile(c.latencyP95, latency, p95Quantile, p95Step)
 	c.latencyMedian = stepQuantile(c.latencyMedian, latency, 0.5, medianStep)
@@ -70,8 +72,8 @@
 	c.observeP15(latency)
 }
 
-// observeP15 moves the estimate of the quickest answers: within about a second where there are many, by each
-// answer where there are few.
+// observeP15 updates the p15 latency. The estimate adapts within about a second if responses are frequent,
+// and with each response if they are rare.
 func (c *classState) observeP15(latency float64) {
 	if c.samples++; c.samples == 1 {
 		c.latencyP15, c.baselineP15 = latency, float64(c.LatencyObjective)
@@ -82,7 +84,7 @@
 	c.baselineP15 = min(c.baselineP15, c.latencyP15)
 }
 
-// decayClassStatistics lets counts of requests fade and baselines rise, once a second.
+// decayClassStatistics decays the request counts and raises the baselines, once per second.
 func (b *Balancer) decayClassStatistics() {
 	for _, c := range b.classes {
 		c.requests *= requestRetention
@@ -94,7 +96,7 @@
 	}
 }
 
-// stepQuantile moves an estimate of a quantile towards a sample.
+// stepQuantile moves an estimate of a quantile one step towards a sample.
 func stepQuantile(estimate, sample, quantile, step float64) float64 {
 	if sample > estimate {
 		return estimate * math.Exp(step*quantile)
@@ -102,8 +104,8 @@
 	return max(1, estimate*math.Exp(-step*(1-quantile)))
 }
 
-// stepP15 moves an estimate of the quickest answers towards a sample, and never past it, so that a baseline
-// is a latency that some answer had.
+// stepP15 moves an estimate of the p15 latency one step towards a sample, but never past it, so that a
+// baseline is a latency that some response had.
 func stepP15(estimate, sample, step float64) float64 {
 	if sample > estimate {
 		return min(sample, estimate*math.Exp(step*p15Quantile))
--- a/decide/load_reports.go
+++ b/decide/load_reports.go
@@ -1,25 +1,27 @@
-// What endpoints report of their own load, with answers or to health checks.
+// Load that endpoints report about themselves, in responses or in health checks.
 
 package decide
 
 import "math"
 
 const (
-	meanInFlightWindow   = 20.0 // that the mean is averaged over, about
-	serviceTimeSmoothing = 0.25 // a report after few requests is rough
+	meanInFlightWindow = 20.0 // reports that the mean is averaged over, approximately
+	// serviceTimeSmoothing is the weight of a new report in the smoothed service time. It is small because
+	// a report after few requests is inaccurate.
+	serviceTimeSmoothing = 0.25
 
-	// Larger figures are taken for mistakes.
+	// Larger reported values are treated as errors and ignored.
 	maxReportedInFlight      = 1e6
 	maxReportedServiceTimeMs = 1e6
 )
 
-// loadReports is what all reports together say.
+// loadReports summarizes the load reports of all endpoints.
 type loadReports struct {
-	seen         bool    // some endpoint reports its load
-	meanInFlight float64 // requests that an endpoint has in flight
+	seen         bool    // an endpoint has reported its load
+	meanInFlight float64 // mean of the requests in flight at an endpoint
 }
 
-// recordLoadReport takes in a report of s; nil says nothing.
+// recordLoadReport records a load report of s; nil means that there is none.
 func (b *Balancer) recordLoadReport(s *endpointState, report *LoadReport) {
 	if report == nil {
 		return
@@ -27,7 +29,8 @@
 	b.loadReports.seen = true
 	inFlight := report.InFlight
 	if inFlight < 0 && report.QueueLength >= 0 {
-		inFlight = math.Sqrt(1+report.QueueLength) - 1 // a queue says less than what is in flight
+		// This is an estimate, since a queue length says less than the number of requests in flight.
+		inFlight = math.Sqrt(1+report.QueueLength) - 1
 	}
 	if inFlight >= 0 && inFlight < maxReportedInFlight {
 		s.reportedInFlight = inFlight
@@ -42,8 +45,8 @@
 	s.reportedServiceTimeMs += (report.ServiceTimeMs - s.reportedServiceTimeMs) * serviceTimeSmoothing
 }
 
-// loadWeight is the factor of s in the draw for what it reports to have in flight, beside the mean. It is
-// squared and no higher power, since reports are old by the time they count.
+// loadWeight returns the factor of s in the draw for its reported requests in flight relative to the mean.
+// The ratio is squared and not raised to a higher power, since reports are old by the time they are used.
 func (b *Balancer) loadWeight(s *endpointState) float64 {
 	ratio := (b.loadReports.meanInFlight + 1) / (s.reportedInFlight/s.Capacity + 1)
 	return ratio * ratio
--- a/decide/outlier_detection.go
+++ b/decide/outlier_detection.go
@@ -1,8 +1,9 @@
-// When an endpoint is ejected, and when it is restored: by the results of own attempts, apart for each class.
+// When an endpoint is ejected and when it is restored, based on the results of this balancer's attempts and
+// separately for each class.
 //
-// An endpoint is ejected from a class after failures in a row. After its ejection time it has a trial, one
-// attempt at a time; a success restores it and a failure ejects it for longer. An endpoint that is ejected
-// from all classes has one trial at a time over all of them.
+// An endpoint is ejected from a class after consecutive failures. After its ejection time it gets a trial,
+// one attempt at a time. A success restores it, and a failure ejects it for longer. An endpoint that is
+// ejected from all classes gets one trial at a time across all classes.
 
 package decide
 
@@ -12,31 +13,38 @@
 )
 
 const (
-	ejectAfterFailures = 2 // in a row: one may be chance, and a quiet balancer sees few
+	// ejectAfterFailures is the number of consecutive failures that eject an endpoint. A single failure may
+	// be chance, and a quiet balancer sees few.
+	ejectAfterFailures = 2
 
-	// The first ejection, doubled after each failed trial up to the longest; jittered by a quarter.
+	// The duration of the first ejection. It doubles after each failed trial, up to maxEjectionMicros, with
+	// a jitter of a quarter. An endpoint that has recovered is found within the longest duration and its
+	// jitter.
 	baseEjectionMicros = 0.5e6
 	maxEjectionMicros  = 8e6
 
-	// restartAssumedAfter so long without a success: the process may have been restarted, which the list
-	// tells late.
+	// restartAssumedAfter is the time without a success after which an endpoint's process is assumed to
+	// have restarted. The endpoint list may report a restart late.
 	restartAssumedAfter = 2 * second
 
-	minHealthyShare = 0.25 // of the subset stays; when more look unhealthy they have a common cause
+	// minHealthyShare is the share of the subset that is never ejected. If more endpoints look unhealthy,
+	// they have a common cause.
+	minHealthyShare = 0.25
 )
 
-// ejectionState is what the results of an endpoint's attempts tell of it for one class.
+// ejectionState is the outlier detection state of an endpoint for one class.
 type ejectionState struct {
 	consecutiveFailures int
 	lastFailure         Result
-	ejectionCount       int // in a row
+	ejectionCount       int // consecutive ejections
 	ejected             bool
-	ejectedUntil        int64 // then it may have a trial
-	inFlight            int   // own attempts of this class
+	ejectedUntil        int64 // time from which it may have a trial, µs
+	inFlight            int   // this balancer's attempts of the class in flight
 }
 
-// updateEjection takes in a result of s for a class. An error tells of its class alone, any other failure of
-// all: an endpoint can fail one class and serve the others. Saturation is no failure.
+// updateEjection records a result of s for a class. An error counts only for its class, since an endpoint
+// can fail one class and serve the others. Any other failure counts for all classes. Saturation is not a
+// failure.
 func (b *Balancer) updateEjection(now int64, class int, s *endpointState, result Result) {
 	if result == Saturated {
 		return
@@ -63,7 +71,7 @@
 	}
 }
 
-// eject takes s out of a class, or extends its ejection after a failed trial.
+// eject ejects s from a class, or extends its ejection after a failed trial.
 func (b *Balancer) eject(now int64, s *endpointState, class int) {
 	e := &s.ejections[class]
 	if !e.ejected && !b.mayEject(now, s, class) {
@@ -80,7 +88,8 @@
 	}
 }
 
-// restore takes s back after a successful trial. One that was silent for long is in slow start again.
+// restore ends an ejection after a successful trial. An endpoint that had no success for
+// restartAssumedAfter enters slow start.
 func (b *Balancer) restore(now int64, s *endpointState, class int) {
 	e := &s.ejections[class]
 	silence := now - s.lastSuccessAt
@@ -94,9 +103,9 @@
 	b.updateSubset(now)
 }
 
-// mayEject reports whether s may be ejected from a class: enough of the subset stays, or another endpoint has
-// just answered. In the latter case there is no common cause, and even most of the subset may be lost, as
-// with a zone.
+// mayEject reports whether s may be ejected from a class: enough of the subset remains, or another endpoint
+// has just responded. In the latter case there is no common cause, and most of the subset may be ejected,
+// as after the loss of a zone.
 func (b *Balancer) mayEject(now int64, s *endpointState, class int) bool {
 	healthy := 0
 	for _, other := range b.subset {
@@ -112,7 +121,8 @@
 	return float64(healthy) >= minHealthyShare*float64(len(b.subset))
 }
 
-// admitsTrial reports whether s is not ejected from a class, or may have a trial now.
+// admitsTrial reports whether s may get an attempt of a class: it is not ejected, or it may have a trial
+// now.
 func (s *endpointState) admitsTrial(now int64, class int) bool {
 	e := &s.ejections[class]
 	if !e.ejected {
@@ -121,12 +131,12 @@
 	return now >= e.ejectedUntil && e.inFlight == 0 && !(s.ejectedForAll && s.inFlight > 0)
 }
 
-// ejectedFromAllClasses reports whether no class may use s.
+// ejectedFromAllClasses reports whether s is ejected from every class.
 func (s *endpointState) ejectedFromAllClasses() bool {
 	return !slices.ContainsFunc(s.ejections, func(e ejectionState) bool { return !e.ejected })
 }
 
-// clearFailures forgets failures, for a new process.
+// clearFailures clears all failures, after the endpoint's process has restarted.
 func (s *endpointState) clearFailures() {
 	s.ejectedForAll = false
 	for i := range s.ejections {
--- a/decide/priority.go
+++ b/decide/priority.go
@@ -1,14 +1,15 @@
-// The priority of a class: which requests wait first, are rejected last and get the last retries.
+// The priority of a class. It decides which requests leave the queue first, are rejected last and get
+// scarce retries.
 
 package decide
 
-// requestRetention is the part of the counts of requests kept each second, so that priorities, quotas and the
-// replicas of a key go by about the last minute.
+// requestRetention is the share of the request counts that is kept each second. Priorities, quotas and the
+// replicas of a key therefore reflect about the last minute.
 const requestRetention = 0.98
 
-// updatePriorities sets the priority of each class: what an answer adds to the service objective, by the time
-// it takes. Where the objective weighs the class with the lowest share of answers in time, that class has
-// this weight besides its own; else it would get nothing.
+// updatePriorities sets the priority of each class: what a response adds to the service objective, divided
+// by the time that it takes. If the objective weights the class with the lowest share of responses in time,
+// that class gets this weight in addition to its own. Otherwise it would get no capacity.
 func (b *Balancer) updatePriorities() {
 	classes, objective := b.classes[:len(b.settings.Classes)], &b.settings.Objective
 	weight, requests, worst := 1e-9, 1e-9, b.classes[0]
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -1,26 +1,27 @@
-// The queue of requests that wait for capacity: in what order they go, for how long they wait, and which are
-// rejected when too many wait.
+// The queue of requests that wait for capacity: their order, how long they wait, and which are rejected
+// when too many wait.
 
 package decide
 
 import "slices"
 
 const (
-	// maxQueueShare is the share of its latency objective that a request may wait for its first attempt. The
-	// rest is for the answer.
+	// maxQueueShare is the share of the latency objective that a request may wait for its first attempt.
+	// The rest is for the response.
 	maxQueueShare = 0.35
-	// minQueueLength of requests may wait whatever the throughput, which is not known at the start.
+	// minQueueLength is the number of requests that may wait regardless of the throughput, which is unknown
+	// after a start.
 	minQueueLength = 4.0
 )
 
-// queueDeadline is when r, which arrives now, may wait no longer.
+// queueDeadline returns the time until which r, which arrives now, may wait.
 func queueDeadline(r *request) int64 {
 	remaining := max(0, r.latencyObjective-r.elapsedBeforeArrival)
 	return min(r.arrivedAt+int64(maxQueueShare*float64(remaining)), r.deadline)
 }
 
-// enqueue queues r by priority, newest first among equals. It rejects those of the lowest priority that, at
-// the present throughput, would not be sent in time.
+// enqueue queues r by priority, newest first among requests of equal priority. It rejects requests of the
+// lowest priority that would not be sent in time at the current throughput.
 func (b *Balancer) enqueue(now int64, r *request) {
 	at := len(b.queue)
 	for at > 0 && b.queue[at-1].priority <= r.priority {
@@ -36,8 +37,8 @@
 	}
 }
 
-// dispatchQueued sends queued requests while there is capacity, highest priority first, and answers those
-// that have reached their queue deadline or have no permitted endpoint any more.
+// dispatchQueued sends queued requests while there is capacity, highest priority first. It answers requests
+// that have reached their queue deadline or have no permitted endpoint left.
 func (b *Balancer) dispatchQueued(now int64) {
 	waiting := b.queue
 	b.queue = b.queue[:0]
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -1,10 +1,11 @@
-// Tenants over their quota: their excess requests wait behind others (see Settings.OverQuotaWeight). Nothing
-// is rejected for that alone.
+// Tenants over their quota. Their excess requests wait behind others (see Settings.OverQuotaWeight) but are
+// not rejected for that reason alone.
 
 package decide
 
-// overQuota counts a request of a tenant and reports whether it is one of those over the tenant's quota: as
-// many of them, drawn at random, as its part of the requests seen here exceeds its part of all allowances.
+// overQuota counts a request of a tenant and reports whether the request is over the tenant's quota. The
+// share of such requests, which are chosen at random, is the share by which the tenant's part of the
+// requests exceeds its part of all allowances.
 func (b *Balancer) overQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(b.tenantRequests) {
 		return false
@@ -20,7 +21,7 @@
 	return b.rng.Float64() > fairShare
 }
 
-// decayTenantRequests lets the counts fade, once a second.
+// decayTenantRequests decays the request counts, once per second.
 func (b *Balancer) decayTenantRequests() {
 	for i := range b.tenantRequests {
 		b.tenantRequests[i] *= requestRetention
--- a/decide/request.go
+++ b/decide/request.go
@@ -2,43 +2,43 @@
 
 import "slices"
 
-// request is one that is not answered yet, or has attempts in flight.
+// request is a request that has no final response yet or has attempts in flight.
 type request struct {
 	Request
 	class                *classState
-	classAtArrival       Class // as they were when the request arrived
+	classAtArrival       Class // the class's settings when the request arrived
 	maxAttempts          int
-	arrivedAt            int64
-	deadline             int64
-	latencyObjective     int64   // of its class, extended by the work hint
-	elapsedBeforeArrival int64   // that its client has waited on earlier attempts, where that shows
-	queueDeadline        int64   // when it may wait no longer for its first attempt
+	arrivedAt            int64   // µs
+	deadline             int64   // µs
+	latencyObjective     int64   // objective of its class, extended by the work hint, µs
+	elapsedBeforeArrival int64   // µs that its client has spent on earlier attempts, if that can be inferred
+	queueDeadline        int64   // time until which it may wait for its first attempt, µs
 	priority             float64 // see priority.go
 	attempts             []attempt
-	inFlight             int
+	inFlight             int       // attempts in flight
 	workFactor           float64   // see work_hint.go
-	keyStats             *keyStats // of its key; nil: it has none
-	affinityHash         uint64    // picks its preferred replica; 0: it has none
-	ended                bool      // it has its final answer
+	keyStats             *keyStats // statistics of its key; nil: it has no key
+	affinityHash         uint64    // selects its preferred replica; 0: it has no affinity
+	ended                bool      // it has its final response
 	streamStarted        bool
-	priorAttempt         *attempt // that another balancer may have sent; nil: none
-	followedAttempts     int      // in shadow evaluation: attempts that were really sent
+	priorAttempt         *attempt // attempt that another balancer may have sent; nil: none
+	followedAttempts     int      // shadow evaluation: attempts that were really sent
 }
 
-// attempt is one send. Its endpoint's zone and cell are those at the time of the send.
+// attempt is one send. The zone and cell are those of the endpoint at the time of the send.
 type attempt struct {
 	endpoint       *endpointState
 	zone           string
 	cell           int64
-	sentAt         int64
-	connectionIdle int64   // how long its connection had been idle; 0: in use or new
-	probability    float64 // of the draw that chose the endpoint
+	sentAt         int64   // µs
+	connectionIdle int64   // µs that its connection had been idle; 0: in use or new
+	probability    float64 // probability of the draw that chose the endpoint
 	done           bool
 	released       bool   // it no longer counts as in flight at its endpoint
-	result         Result // once done; until then Succeeded, which may have run
+	result         Result // valid once done is set; until then it is Succeeded, a result that may have run
 }
 
-// newRequest derives what the rules need to know of a request.
+// newRequest creates the state of a request.
 func (b *Balancer) newRequest(now int64, in Request) *request {
 	class := b.classes[in.Class]
 	r := &request{
@@ -57,7 +57,7 @@
 	if r.TimeLeft < 0 {
 		r.TimeLeft = class.Deadline
 	}
-	// A retry comes with the time that its client has left of its deadline; the rest has passed before.
+	// A client's retry arrives with the time left of the client's deadline, so the rest has already passed.
 	if !in.IsRetry {
 		class.maxFirstTimeLeft = max(class.maxFirstTimeLeft, r.TimeLeft)
 	} else if r.TimeLeft < class.maxFirstTimeLeft-b.settings.Rules.AnswerSlack {
@@ -69,8 +69,8 @@
 	return r
 }
 
-// newPriorAttempt is an attempt that another balancer may have sent that long ago; nil for 0. Its endpoint is
-// not known, so its zone and cell are those of none.
+// newPriorAttempt returns an attempt that another balancer may have sent age µs ago, or nil for age 0. Its
+// endpoint is unknown, so its zone and cell match no endpoint.
 func newPriorAttempt(now, age int64) *attempt {
 	if age <= 0 {
 		return nil
@@ -78,16 +78,16 @@
 	return &attempt{sentAt: now - age, zone: "?", cell: -2, done: true, result: Reset}
 }
 
-// hasPriorAttempt reports whether a send would be one beyond the request's first. It would be too where
-// another balancer may have sent that, or a takeover would add attempts.
+// hasPriorAttempt reports whether the next send goes beyond the request's first attempt. An attempt that
+// another balancer may have sent counts, since a takeover would otherwise add attempts.
 func (r *request) hasPriorAttempt() bool { return len(r.attempts) > 0 || r.priorAttempt != nil }
 
-// attempted reports whether an attempt of r has gone to s.
+// attempted reports whether r has already had an attempt at s.
 func (r *request) attempted(s *endpointState) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == s })
 }
 
-// releaseCapacity ends an attempt's count as in flight, once.
+// releaseCapacity stops counting an attempt as in flight. Repeated calls have no effect.
 func (b *Balancer) releaseCapacity(r *request, a *attempt) {
 	if a.released {
 		return
@@ -99,8 +99,8 @@
 	b.inFlight--
 }
 
-// finish closes r, which has its final answer, and cancels its attempts in flight where the settings allow
-// it.
+// finish closes r, which has its final response. It cancels the attempts in flight if the settings allow
+// that.
 func (b *Balancer) finish(r *request) {
 	r.ended = true
 	if r.inFlight == 0 {
--- a/decide/retry_budget.go
+++ b/decide/retry_budget.go
@@ -1,26 +1,27 @@
-// Who may retry: a retry that repeats work needs a token, and one that an attempt budget makes scarce must be
-// worth it.
+// The retry budget. A retry that may repeat work needs a token. If the attempt budget is nearly used up, a
+// retry must also be worth its place.
 
 package decide
 
 const (
-	retryTokensPerSuccess = 0.15 // so retries add less than a sixth to the work, however many attempts fail
-	maxRetryTokens        = 10.0 // saved up for the first moments of a fault
+	retryTokensPerSuccess = 0.15 // so retries add less than a sixth to the load, however many attempts fail
+	maxRetryTokens        = 10.0 // saved up for the start of a fault
 
-	// Retries are scarce with fewer than scarceRetryThreshold left in the attempt budget. One is then made only if
-	// its priority, in parts of the mean, times its chance of success times the retries left is at least
-	// scarceRetryValue.
+	// Retries are scarce if fewer than scarceRetryThreshold remain in the attempt budget. A retry is then
+	// made only if its priority relative to the mean, times its success rate, times the remaining retries
+	// is at least minScarceRetryValue. With more remaining, every retry is made, since the budget would
+	// otherwise go unused.
 	scarceRetryThreshold = 8.0
 	minScarceRetryValue  = 0.5
 
 	initialSuccessRate = 0.5
-	successRateWindow  = 20.0 // that a rate is averaged over, about
+	successRateWindow  = 20.0 // retries that a success rate is averaged over, approximately
 )
 
-// retryBudget holds the tokens for retries of attempts that may have run, and how well retries do.
+// retryBudget holds the tokens for retries of attempts that may have run, and the success rates of retries.
 type retryBudget struct {
 	tokens       float64
-	successRates [InvalidRequest + 1]float64 // of retries, by the result of the attempt before
+	successRates [InvalidRequest + 1]float64 // success rate of retries, by the result of the previous attempt
 }
 
 func newRetryBudget() retryBudget {
@@ -31,10 +32,10 @@
 	return k
 }
 
-// deposit earns a part of a token for a successful attempt.
+// deposit adds the share of a token that a successful attempt earns.
 func (k *retryBudget) deposit() { k.tokens = min(k.tokens+retryTokensPerSuccess, maxRetryTokens) }
 
-// withdraw takes a token if there is one.
+// withdraw takes a token and reports whether there was one.
 func (k *retryBudget) withdraw() bool {
 	if k.tokens < 1 {
 		return false
@@ -43,8 +44,8 @@
 	return true
 }
 
-// acquireRetry reports whether r may retry after an attempt, and pays for it. A retry of an attempt that
-// never ran needs no token, since it cost the endpoints next to nothing.
+// acquireRetry reports whether r may retry after an attempt, and takes a token if it needs one. A retry of
+// an attempt that never ran needs none, since that attempt cost the endpoints almost nothing.
 func (b *Balancer) acquireRetry(now int64, r *request, a *attempt) bool {
 	remaining := b.attemptBudgetRemaining(now)
 	value := b.retryBudget.successRates[a.result] * r.priority * remaining
@@ -54,7 +55,7 @@
 	return a.result.NeverRan() || b.retryBudget.withdraw()
 }
 
-// recordRetryResult takes in how a retry ended.
+// recordRetryResult updates the success rate if the attempt was a retry.
 func (b *Balancer) recordRetryResult(r *request, o Outcome) {
 	if o.Attempt == 0 {
 		return
--- a/decide/settings_update.go
+++ b/decide/settings_update.go
@@ -1,16 +1,16 @@
-// What a change of settings keeps: everything that was learned of classes and tenants with the same name, and
-// for open requests the rules that they arrived under.
+// Changes of settings. State of classes and tenants whose name stays is kept, and open requests keep the
+// rules under which they arrived.
 
 package decide
 
 import "slices"
 
 const (
-	defaultMaxAttempts = 4           // of a request, where no limit is set
-	defaultDeadline    = 60 * second // of a class that sets none
+	defaultMaxAttempts = 4           // attempts of a request, if no limit is set
+	defaultDeadline    = 60 * second // deadline of a class that sets none
 )
 
-// applySettings takes settings over.
+// applySettings replaces the settings and fills in defaults.
 func (b *Balancer) applySettings(set Settings) {
 	if set.Limits.MaxAttempts == 0 {
 		set.Limits.MaxAttempts = defaultMaxAttempts
@@ -38,9 +38,9 @@
 	b.attemptBudget.setWindow(set.Rules.AttemptBudgetWindow)
 }
 
-// UpdateSettings puts other settings in force. Open requests keep the rules that they arrived under, and
-// their class until they end, also where the settings no longer have it. The settings must be valid, see
-// Settings.Validate.
+// UpdateSettings replaces the settings. Open requests keep the rules under which they arrived. They also
+// keep their class until they end, even if the settings no longer contain it. The settings must be valid,
+// see Settings.Validate.
 func (b *Balancer) UpdateSettings(now int64, set Settings) {
 	old := b.classes
 	b.applySettings(set)
@@ -63,7 +63,7 @@
 	b.updateSubset(now)
 }
 
-// referencedEndpoints are the known endpoints and those that open requests still name.
+// referencedEndpoints returns the known endpoints and those that attempts of open requests refer to.
 func (b *Balancer) referencedEndpoints() map[*endpointState]bool {
 	endpoints := map[*endpointState]bool{}
 	for _, s := range b.knownEndpoints {
@@ -77,8 +77,8 @@
 	return endpoints
 }
 
-// remapEjections sorts the ejection states of s by the new list of classes. An endpoint that is ejected from
-// every class is so from a new one.
+// remapEjections reorders the ejection states of s for a new list of classes. An endpoint that is ejected
+// from every class is also ejected from new classes.
 func (s *endpointState) remapEjections(old, classes []*classState) {
 	oldStates := s.ejections
 	s.ejections = make([]ejectionState, len(classes))
@@ -92,7 +92,8 @@
 	}
 }
 
-// forgetUnusedClasses drops the classes that the settings no longer have, once no open request has one.
+// forgetUnusedClasses drops classes that are no longer in the settings, once no open request uses such a
+// class.
 func (b *Balancer) forgetUnusedClasses() {
 	count := len(b.settings.Classes)
 	if len(b.classes) == count {
--- a/decide/shadow_follow.go
+++ b/decide/shadow_follow.go
@@ -1,14 +1,14 @@
-// Shadow evaluation: a second balancer takes the events of the one that serves, and its decisions are
-// compared and not carried out. What was really sent takes the place of its own choice, so that it learns
-// from real outcomes.
+// Shadow evaluation. A second balancer handles the same events as the serving balancer, and its decisions
+// are compared but not carried out. The attempts that were really sent replace its own choices, so that it
+// learns from real outcomes.
 
 package decide
 
 import "slices"
 
-// FollowAttempt takes in that the serving balancer sent an attempt of a request to a server, or with an empty
-// server that it sent none. An attempt of this balancer's own that was not made is undone. A request that
-// this balancer has answered, and a server that it doesn't know, are ignored.
+// FollowAttempt records that the serving balancer sent an attempt of a request to a server, or with an
+// empty server that it sent none. An attempt of this balancer that was not really sent is undone. Requests
+// that this balancer has already answered and unknown servers are ignored.
 func (b *Balancer) FollowAttempt(now int64, id, server string) {
 	r := b.openRequests[id]
 	if r == nil || r.ended {
@@ -28,7 +28,7 @@
 	}
 }
 
-// undoLastAttempt takes back what send did, but for the budgets and estimates that only an outcome settles.
+// undoLastAttempt reverts send, except for the budgets and estimates that the send has changed.
 func (b *Balancer) undoLastAttempt(r *request) {
 	last := len(r.attempts) - 1
 	s := r.attempts[last].endpoint
@@ -40,7 +40,7 @@
 	r.attempts = r.attempts[:last]
 }
 
-// subsetDrawProbability is about the probability that a draw from the whole subset picks s.
+// subsetDrawProbability returns the approximate probability that a draw from the whole subset picks s.
 func (b *Balancer) subsetDrawProbability(s *endpointState) float64 {
 	weight, capacity := b.totalWeight(b.subset, nil)
 	if !s.inSubset || capacity == 0 {
@@ -49,7 +49,7 @@
 	return b.drawProbability(s, nil, weight, capacity)
 }
 
-// IsOpen reports whether a request has no final answer of this balancer's yet.
+// IsOpen reports whether this balancer has not yet given a request its final response.
 func (b *Balancer) IsOpen(id string) bool {
 	r := b.openRequests[id]
 	return r != nil && !r.ended
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -1,5 +1,6 @@
-// The subset of endpoints that a balancer draws from. With all of a large fleet's endpoints a quiet balancer
-// would meet each once a minute, learn nothing and keep connections to all.
+// The subset of endpoints that a balancer draws from. If it drew from all endpoints of a large fleet, a
+// quiet balancer would use each one about once a minute, learn nothing about it, and keep connections to
+// all.
 
 package decide
 
@@ -10,30 +11,34 @@
 )
 
 const (
-	minSubset           = 3 // enough to spread losses and retries
+	minSubset           = 3 // enough to spread lost attempts and retries
 	minSubsetWithGossip = 2
 
-	// Requests per second for each endpoint of the subset: enough answers to learn from.
+	// A balancer with more traffic uses more endpoints. Each endpoint of the subset should get this many
+	// requests per second, so that its responses are enough to learn from.
 	requestRatePerEndpoint       = 4.0
-	requestRatePerPricedEndpoint = 16.0 // where open connections have a price
+	requestRatePerPricedEndpoint = 16.0 // if open connections have a price
 
-	// Balancers that have an endpoint in their subset, on average: with fewer some endpoints get nothing.
+	// Balancers that should have an endpoint in their subset, on average. With fewer, some endpoints would
+	// get no requests.
 	minBalancersPerEndpoint           = 8.0
 	minBalancersPerEndpointWithGossip = 14.0
 
-	// maxCoverageSubset bounds the subset that coverage asks for, with gossip, where each draw looks at what
-	// all balancers have in flight.
+	// maxCoverageSubset bounds the subset size that minBalancersPerEndpointWithGossip asks for, since each
+	// draw examines the attempts in flight of all balancers at each endpoint.
 	maxCoverageSubset = 8.0
 
-	// maxSubsetFactor times the size bounds the subset with its ejected endpoints. More have a common cause.
+	// maxSubsetFactor bounds the subset including ejected endpoints, as a multiple of its size. If more
+	// endpoints are ejected, they have a common cause.
 	maxSubsetFactor = 3
 )
 
-// subsetSize is how many endpoints the subset should have that are not ejected.
+// subsetSize returns how many endpoints of the subset should not be ejected.
 func (b *Balancer) subsetSize() int {
 	minSize, minBalancers, maxCoverageSize := float64(minSubset), minBalancersPerEndpoint, math.Inf(1)
 	if b.gossipEnabled() {
-		minSize, minBalancers, maxCoverageSize = minSubsetWithGossip, minBalancersPerEndpointWithGossip, maxCoverageSubset
+		minSize, minBalancers, maxCoverageSize =
+			minSubsetWithGossip, minBalancersPerEndpointWithGossip, maxCoverageSubset
 	}
 	perEndpoint := requestRatePerEndpoint
 	if b.settings.ConnectionPrice > 0 {
@@ -44,8 +49,9 @@
 	return int(min(max(minSize, b.rates.requests/perEndpoint, coverageSize), endpoints))
 }
 
-// updateSubset takes the first endpoints in service by this balancer's order. Ejected ones stay in it for
-// their trials and don't count, one in slow start counts for the part that it has warmed up.
+// updateSubset selects the first endpoints in service in this balancer's order. Ejected endpoints stay in
+// the subset for their trials but don't count towards its size. An endpoint in slow start counts with its
+// warm-up fraction.
 func (b *Balancer) updateSubset(now int64) {
 	size, healthy := b.subsetSize(), 0.0
 	b.subset = b.subset[:0]
@@ -65,21 +71,22 @@
 	}
 }
 
-// subsetRank places an endpoint in this balancer's order, by rendezvous hashing: a change of the list moves
-// few. Those of the own zone come first in part, see locality.go.
+// subsetRank returns the sort key of an endpoint in this balancer's order. It uses rendezvous hashing, so
+// that a change of the list moves few endpoints. Endpoints of the balancer's own zone are partly preferred,
+// see locality.go.
 func (b *Balancer) subsetRank(s *endpointState, zone string) uint64 {
 	rank := mixBits(s.idHash ^ b.subsetSeed)
 	return uint64(float64(rank) / max(1, b.zoneWeight(zone)/zoneRankDivisor))
 }
 
-// sortEndpoints puts the list in this balancer's order.
+// sortEndpoints sorts the endpoints in this balancer's order.
 func (b *Balancer) sortEndpoints() {
 	slices.SortFunc(b.endpoints, func(a, other *endpointState) int {
 		return cmp.Compare(a.subsetRank, other.subsetRank)
 	})
 }
 
-// balancersPerEndpoint is how many balancers have an endpoint in their subset, on average.
+// balancersPerEndpoint returns how many balancers have an endpoint in their subset, on average.
 func (b *Balancer) balancersPerEndpoint() float64 {
 	return max(1, float64(b.settings.BalancerCount*b.subsetSize())/float64(max(1, len(b.endpoints))))
 }
--- a/decide/utilization.go
+++ b/decide/utilization.go
@@ -1,9 +1,9 @@
-// How loaded an endpoint is by what is in flight there, and whether it responds.
+// The utilization of an endpoint by attempts in flight, and whether the endpoint is responsive.
 
 package decide
 
-// utilization is the number of attempts in flight at s per unit of its capacity: own ones, or with gossip
-// those of all balancers and one more.
+// utilization returns the number of attempts in flight at s per unit of its capacity. With gossip, it
+// counts the attempts of all balancers plus one, and otherwise those of this balancer.
 func (b *Balancer) utilization(now int64, s *endpointState) float64 {
 	if b.gossipEnabled() {
 		return (b.totalInFlight(now, s) + 1) / s.Capacity
@@ -11,8 +11,9 @@
 	return float64(s.inFlight) / s.Capacity
 }
 
-// meanUtilization is that of the subset. A draw that finds an endpoint above it is repeated: attempts pile up
-// at a paused or slow endpoint before its first answer shows it.
+// meanUtilization returns the mean utilization of the subset. A draw that picks an endpoint above it is
+// repeated, since attempts accumulate at a paused or slow endpoint before its first response reveals the
+// problem.
 func (b *Balancer) meanUtilization(now int64) float64 {
 	capacity, healthy, sum := 0.0, 0.0, 0.0
 	for _, s := range b.subset {
@@ -28,7 +29,8 @@
 	return float64(b.inFlight) / capacity
 }
 
-// unresponsive reports whether attempts at s have had no answer for longer than nearly all answers take.
+// unresponsive reports whether attempts at s have had no response for longer than the p95 latency of every
+// class.
 func (b *Balancer) unresponsive(now int64, s *endpointState) bool {
 	if s.inFlight == 0 {
 		return false
--- a/decide/work_hint.go
+++ b/decide/work_hint.go
@@ -1,14 +1,15 @@
-// Requests whose client hints how much work they are: latencies are compared as if all were of mean size.
+// Work hints: clients may state how much work a request is. Latencies are scaled to those of a request of
+// mean size.
 
 package decide
 
 const (
-	meanWorkSmoothing     = 0.02 // of the mean hint, for each request
-	workProportionalShare = 0.5  // of a request's time that is in proportion to its work
+	meanWorkSmoothing     = 0.02 // weight of a request in the smoothed mean of the hints
+	workProportionalShare = 0.5  // share of a request's latency that is proportional to its work
 )
 
-// workFactor takes in a hint and is how many times longer than the mean a request with that much work takes.
-// Without it large requests would pass for congestion.
+// workFactor records a work hint and returns how many times longer than the mean such a request takes.
+// Without it, large requests would look like congestion.
 func (c *classState) workFactor(work int64) float64 {
 	if work <= 0 {
 		return 1
