--- a/decide/doc.go
+++ b/decide/doc.go
@@ -12,7 +12,7 @@
 // they are int64 or float64. A name that ends in Ms holds milliseconds. A rate says in its comment whether it
 // is per second or per microsecond. Capacity is relative: the mean of the listed endpoints is 1.
 //
-// # Where to look
+// # Files
 //
 // balancer.go shows how each event is handled. The rules are in these files:
 //
@@ -41,7 +41,7 @@
 //
 // # Rules
 //
-// The package guarantees five rules, which comments refer to by number:
+// Deployments check five rules, which comments refer to by number:
 //
 //  1. Each request gets exactly one final response (balancer.go, request.go).
 //  2. No request that is not idempotent takes effect twice (idempotency.go).
--- a/decide/key_affinity.go
+++ b/decide/key_affinity.go
@@ -7,7 +7,7 @@
 
 const (
 	// replicasPerShare is the number of additional replicas of a key for each average endpoint's share of
-	// the requests with keys. So no endpoint has to serve a hot key alone.
+	// the keyed requests that ask for it. So no endpoint has to serve a hot key alone.
 	replicasPerShare = 2.0
 	// keyRequestsPrior is added to the total number of requests when a key's share is computed, so that a
 	// few requests don't make a key look hot.
--- a/decide/outlier_detection.go
+++ b/decide/outlier_detection.go
@@ -27,8 +27,9 @@
 	// have restarted. The endpoint list may report a restart late.
 	restartAssumedAfter = 2 * second
 
-	// minHealthyShare is the share of the subset that is never ejected. If more endpoints look unhealthy,
-	// they have a common cause.
+	// minHealthyShare is the share of the subset that must remain healthy after an ejection, unless another
+	// endpoint has just responded (see mayEject). If more endpoints look unhealthy, they have a common
+	// cause.
 	minHealthyShare = 0.25
 )
 
@@ -88,8 +89,8 @@
 	}
 }
 
-// restore ends an ejection after a successful trial. An endpoint that had no success for
-// restartAssumedAfter enters slow start.
+// restore ends an ejection after a successful trial. An endpoint that was ejected from all classes and had
+// no success for restartAssumedAfter enters slow start.
 func (b *Balancer) restore(now int64, s *endpointState, class int) {
 	e := &s.ejections[class]
 	silence := now - s.lastSuccessAt
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -119,7 +119,8 @@
 		case seen[c.Name]:
 			return fmt.Errorf("settings: class %s: Name is used twice", c.Name)
 		case c.LatencyObjective < 0 || c.Deadline < 0:
-			return fmt.Errorf("settings: class %s: negative objective (AimUs) or deadline (DeadlineUs)", c.Name)
+			return fmt.Errorf("settings: class %s: negative objective (AimUs) or deadline (DeadlineUs)",
+				c.Name)
 		case c.DedupWindow < 0:
 			return fmt.Errorf("settings: class %s: negative window (WindowUs)", c.Name)
 		case !(c.PriorityWeight >= 0) || !(c.LateValueShare >= 0) || !(c.ObjectivePerWork >= 0):
@@ -141,9 +142,11 @@
 	case r.AttemptBudgetWindow < 0:
 		return errors.New("settings: Guarantees.ResendSpanUs is negative")
 	case !(r.AttemptBudgetMin >= 0) || math.IsInf(r.AttemptBudgetMin, 1):
-		return fmt.Errorf("settings: Guarantees.ExtraFloor is %v, want a finite value >= 0", r.AttemptBudgetMin)
+		return fmt.Errorf("settings: Guarantees.ExtraFloor is %v, want a finite value >= 0",
+			r.AttemptBudgetMin)
 	case !(r.AttemptBudgetRatio >= 0) || math.IsInf(r.AttemptBudgetRatio, 1):
-		return fmt.Errorf("settings: Guarantees.ResendRatio is %v, want a finite value >= 0", r.AttemptBudgetRatio)
+		return fmt.Errorf("settings: Guarantees.ResendRatio is %v, want a finite value >= 0",
+			r.AttemptBudgetRatio)
 	case r.AttemptBudgetWindow == 0 && (r.AttemptBudgetRatio > 0 || r.AttemptBudgetMin > 0):
 		return errors.New("settings: Guarantees.ResendRatio or ExtraFloor is set without ResendSpanUs")
 	case l.MaxBufferedResponses < 0:
@@ -151,7 +154,8 @@
 	case !(r.OverloadFactor >= 0):
 		return errors.New("settings: Guarantees.OverloadFactor is not 0 or more")
 	case !(s.Objective.TailLatency >= 0) || math.IsInf(s.Objective.TailLatency, 1):
-		return fmt.Errorf("settings: ScoringMix.Tail is %v, want a finite value >= 0", s.Objective.TailLatency)
+		return fmt.Errorf("settings: ScoringMix.Tail is %v, want a finite value >= 0",
+			s.Objective.TailLatency)
 	case !(tolerated >= 0 && tolerated <= 1):
 		return fmt.Errorf("settings: ScoringMix.BorneMisses is %v, want 0 to 1", tolerated)
 	case l.DecisionCPU < 0:
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -33,7 +33,7 @@
 	maxSubsetFactor = 3
 )
 
-// subsetSize returns how many endpoints of the subset should not be ejected.
+// subsetSize returns the intended number of endpoints in the subset that are not ejected.
 func (b *Balancer) subsetSize() int {
 	minSize, minBalancers, maxCoverageSize := float64(minSubset), minBalancersPerEndpoint, math.Inf(1)
 	if b.gossipEnabled() {
--- a/decide/throughput.go
+++ b/decide/throughput.go
@@ -3,7 +3,7 @@
 package decide
 
 // busyThroughput separates quiet balancers from busy ones, in successes per second at an endpoint of mean
-// capacity. Below it, the responses of a single endpoint are too rare to adapt in time.
+// capacity. Below it, the responses of a single endpoint are too rare to show a change in time.
 const busyThroughput = 5.0
 
 // The groups of endpoints whose throughput is measured apart.
