--- a/decide/congestion.go
+++ b/decide/congestion.go
@@ -5,7 +5,8 @@
 
 const (
 	// earlyShare is the share of the latency objective within which a response is early. It is below 1 so
-	// that late responses warn of congestion while there is time to act.
+	// that late responses warn of congestion while there is time to act. With a smaller share, single slow
+	// endpoints would have requests rejected.
 	earlyShare = 0.75
 	// earlyShareWithReports replaces earlyShare if endpoints report their load. The draw then evens out
 	// single slow endpoints, so a late response is evidence of congestion at all of them.
--- a/decide/outlier_detection.go
+++ b/decide/outlier_detection.go
@@ -17,9 +17,9 @@
 	// be chance, and a quiet balancer sees few.
 	ejectAfterFailures = 2
 
-	// The duration of the first ejection. It doubles after each failed trial, up to maxEjectionMicros, with
-	// a jitter of a quarter. An endpoint that has recovered is found within the longest duration and its
-	// jitter.
+	// The duration of the first ejection, in µs. It doubles after each failed trial, up to
+	// maxEjectionMicros, with a jitter of a quarter. An endpoint that has recovered is found within the
+	// longest duration and its jitter.
 	baseEjectionMicros = 0.5e6
 	maxEjectionMicros  = 8e6
 
