--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -71,7 +71,7 @@
 	w.record(0, one)
 	w.add(w.writer.EndIncarnation(w.now, takeover.Member{Name: "a", Incarnation: 2}))
 	a := codec(t).AssembleTrails(fleet, w.segments, &Query{})
-	if len(a) != 1 || len(a[0].Faults) > 0 || !a[0].Ended || a[0].Last != 20 || len(a[0].Gaps()) > 0 || len(a[0].Events) != 20 {
+	if len(a) != 1 || len(a[0].Faults) > 0 || !a[0].Ended || a[0].LastEvent != 20 || len(a[0].Gaps()) > 0 || len(a[0].Events) != 20 {
 		t.Fatalf("%+v", a)
 	}
 	for i, event := range a[0].Events {
@@ -133,10 +133,10 @@
 				have = append(have, z)
 			}
 			have = append(have, z)
-			for k := seg.First; k <= seg.Last; k++ {
+			for k := seg.FirstEvent; k <= seg.LastEvent; k++ {
 				known[k] = true
 			}
-			last, end = seg.Last, seg.Final
+			last, end = seg.LastEvent, seg.Final
 		}
 		have = rapid.Permutation(have).Draw(r, "order")
 		for _, a := range c.AssembleTrails(fleet, have, &Query{}) {
@@ -146,7 +146,7 @@
 				}
 				continue
 			}
-			if a.Last != last || a.Ended != end || len(a.Faults) > 0 || len(a.Events) != len(known) {
+			if a.LastEvent != last || a.Ended != end || len(a.Faults) > 0 || len(a.Events) != len(known) {
 				t.Fatalf("%+v, last %d, ended %t, %d known", a, last, end, len(known))
 			}
 			for _, event := range a.Events {
@@ -181,7 +181,7 @@
 	for range 3 {
 		other.record(5, 0)
 	}
-	newer, err := c.seal(&Segment{Format: format + 1, Fleet: fleet, Member: takeover.Member{Name: "a"}, Index: 1, First: 1})
+	newer, err := c.seal(&Segment{Format: format + 1, Fleet: fleet, Member: takeover.Member{Name: "a"}, Index: 1, FirstEvent: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 		}
 	}
 	a := c.AssembleTrails(fleet, store.Segments("a"), &Query{})
-	if store.Bytes() > 40_000 || len(a) != 1 || a[0].Last != 3000 || len(a[0].Faults) > 0 || len(a[0].Counts) > maxCounts+1 {
+	if store.Bytes() > 40_000 || len(a) != 1 || a[0].LastEvent != 3000 || len(a[0].Faults) > 0 || len(a[0].Counts) > maxCounts+1 {
 		t.Fatalf("%d bytes, %d trails, %+v", store.Bytes(), len(a), a[0].Faults)
 	}
 	of := map[uint64]uint64{}
@@ -288,8 +288,8 @@
 		if err != nil {
 			return
 		}
-		if all, err := seg.Events(); err == nil && uint64(len(all)) != seg.Last+1-seg.First {
-			t.Fatalf("%d events of %d to %d", len(all), seg.First, seg.Last)
+		if all, err := seg.Events(); err == nil && uint64(len(all)) != seg.LastEvent+1-seg.FirstEvent {
+			t.Fatalf("%d events of %d to %d", len(all), seg.FirstEvent, seg.LastEvent)
 		}
 		c.AssembleTrails(fleet, []SealedSegment{{Encoded: text, Hash: hashOf(text)}}, &Query{})
 	})
--- a/internal/audit/codec.go
+++ b/internal/audit/codec.go
@@ -68,7 +68,7 @@
 		return nil, ErrNewerFormat
 	case s.Fleet != fleet:
 		return nil, ErrOtherFleet
-	case s.Index == 0 || s.First == 0 || s.Last+1 < s.First || s.Member.Name == "":
+	case s.Index == 0 || s.FirstEvent == 0 || s.LastEvent+1 < s.FirstEvent || s.Member.Name == "":
 		return nil, ErrInvalid
 	}
 	return s, nil
--- a/internal/audit/counts.go
+++ b/internal/audit/counts.go
@@ -5,8 +5,8 @@
 // maxCounts bounds the versions that are counted apart. Past it the older half is merged by settings.
 const maxCounts = 128
 
-// Count is how many events of each kind were recorded under a version.
-type Count struct {
+// VersionCounts is how many events of each kind were recorded under a version.
+type VersionCounts struct {
 	_       struct{}                     `cbor:",toarray"`
 	Version auditevent.ConfigVersion     `json:"Version"`
 	ByKind  [auditevent.KindCount]uint64 `json:"Of"`     // by kind less 1
@@ -14,16 +14,16 @@
 }
 
 // of returns the count of a kind.
-func (c *Count) of(k auditevent.Kind) uint64 { return c.ByKind[k-1] }
+func (c *VersionCounts) of(k auditevent.Kind) uint64 { return c.ByKind[k-1] }
 
 // counts reports whether events of a version are counted here.
-func (c *Count) counts(v auditevent.ConfigVersion) bool {
+func (c *VersionCounts) counts(v auditevent.ConfigVersion) bool {
 	return c.Version == v || c.Merged && c.Version.Settings == v.Settings && c.Version.Digest == v.Digest
 }
 
 // counter counts the events of one incarnation. Its owner serializes calls.
 type counter struct {
-	all     []Count
+	all     []VersionCounts
 	indexOf []int // in all, by version id; uncounted: none yet
 }
 
@@ -61,7 +61,7 @@
 	if len(c.all) >= maxCounts {
 		c.mergeOldest()
 	}
-	c.all = append(c.all, Count{Version: v})
+	c.all = append(c.all, VersionCounts{Version: v})
 	return len(c.all) - 1
 }
 
@@ -77,7 +77,7 @@
 
 // mergeOldest merges the older half by settings.
 func (c *counter) mergeOldest() {
-	var merged []Count
+	var merged []VersionCounts
 	for i, one := range c.all {
 		if i < maxCounts/2 {
 			one.Merged = true
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -19,7 +19,7 @@
 
 var (
 	goldenVersion = auditevent.ConfigVersion{Settings: 3, Digest: 0x0102030405060708, ListSeq: 41, Build: "build-7", Protocol: 2}
-	goldenCount   = Count{Version: goldenVersion, ByKind: [auditevent.KindCount]uint64{11, 12, 13, 14, 15, 16, 17, 18, 19, 20}, Merged: true}
+	goldenCount   = VersionCounts{Version: goldenVersion, ByKind: [auditevent.KindCount]uint64{11, 12, 13, 14, 15, 16, 17, 18, 19, 20}, Merged: true}
 )
 
 // Messages have the bytes that commit 2029d41 gave them.
@@ -29,8 +29,8 @@
 		"count":   goldenCount,
 		"stamped": numberedVersion{ID: 9, Version: goldenVersion},
 		"segment": Segment{
-			Format: 1, Fleet: 77, Member: takeover.Member{Name: "a", Incarnation: 31}, Index: 4, First: 100, Last: 109, StartMicros: 123456, CutUnixMillis: 1764756000000,
-			Final: true, PreviousHash: Hash{1, 2, 3}, Counts: []Count{goldenCount}, Versions: []numberedVersion{{ID: 9, Version: goldenVersion}}, Body: []byte{7, 8, 9},
+			Format: 1, Fleet: 77, Member: takeover.Member{Name: "a", Incarnation: 31}, Index: 4, FirstEvent: 100, LastEvent: 109, StartMicros: 123456, CutUnixMillis: 1764756000000,
+			Final: true, PreviousHash: Hash{1, 2, 3}, Counts: []VersionCounts{goldenCount}, Versions: []numberedVersion{{ID: 9, Version: goldenVersion}}, Body: []byte{7, 8, 9},
 		},
 		"sealed":       SealedSegment{Encoded: []byte("text"), Hash: Hash{4, 5, 6}},
 		"sealed list":  []SealedSegment{{Encoded: []byte("text"), Hash: Hash{4, 5, 6}}},
@@ -64,7 +64,7 @@
 	}
 	c := codec(t)
 	for _, a := range c.AssembleTrails(fleetOfDirectory, all, &Query{}) {
-		one := accountText{Member: fmt.Sprintf("%s/%x", a.Member.Name, a.Member.Incarnation), Last: a.Last, Ended: a.Ended, Gaps: fmt.Sprint(a.Gaps()), Faults: a.Faults}
+		one := accountText{Member: fmt.Sprintf("%s/%x", a.Member.Name, a.Member.Incarnation), Last: a.LastEvent, Ended: a.Ended, Gaps: fmt.Sprint(a.Gaps()), Faults: a.Faults}
 		for _, n := range a.Counts {
 			one.Counts = append(one.Counts, fmt.Sprint(n.Version, n.ByKind, n.Merged))
 		}
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -31,13 +31,13 @@
 	Fleet         uint64
 	Member        takeover.Member
 	Index         uint64 // from 1
-	First         uint64 // number of its first event
-	Last          uint64 // number of its last event; First-1: it has none
+	FirstEvent    uint64 // number of its first event
+	LastEvent     uint64 // number of its last event; First-1: it has none
 	StartMicros   int64  // since the start of the process; its events count from there
 	CutUnixMillis int64  // by the member's own clock, for information only; 0: not known
 	Final         bool   // the incarnation ended in good order: no event comes after
 	PreviousHash  Hash   // of the segment before; zero: it is the first
-	Counts        []Count
+	Counts        []VersionCounts
 	Versions      []numberedVersion
 	Body          []byte // events, compressed with S2
 }
@@ -73,18 +73,18 @@
 	r := &reader{rest: body}
 	var events []auditevent.Event
 	at := s.StartMicros
-	for n := s.First; len(r.rest) > 0; n++ {
+	for n := s.FirstEvent; len(r.rest) > 0; n++ {
 		kind := auditevent.Kind(r.byte())
 		version := auditevent.ConfigVersionID(r.uvarint())
 		at += int64(r.uvarint())
 		e := auditevent.Event{Number: n, Kind: kind, Version: versions[version], AtMicros: at, ID: r.field(), Note: r.field()}
-		if r.malformed || n > s.Last {
+		if r.malformed || n > s.LastEvent {
 			break
 		}
 		events = append(events, e)
 	}
-	if r.malformed || uint64(len(events)) != s.Last+1-s.First || len(r.rest) > 0 {
-		return nil, fmt.Errorf("events of segment %d: %d read, %d to %d stated", s.Index, len(events), s.First, s.Last)
+	if r.malformed || uint64(len(events)) != s.LastEvent+1-s.FirstEvent || len(r.rest) > 0 {
+		return nil, fmt.Errorf("events of segment %d: %d read, %d to %d stated", s.Index, len(events), s.FirstEvent, s.LastEvent)
 	}
 	return events, nil
 }
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -19,10 +19,10 @@
 // Trail is what is known of one incarnation of a member.
 type Trail struct {
 	Member        takeover.Member    `json:"Member"` // without a name: the trail holds the faults of segments that could not be opened
-	Known         []EventRange       `json:"Known"`  // events whose segments were read, in order
-	Last          uint64             `json:"Last"`   // number of the last event that is known of, read or counted
+	KnownEvents   []EventRange       `json:"Known"`  // events whose segments were read, in order
+	LastEvent     uint64             `json:"Last"`   // number of the last event that is known of, read or counted
 	Ended         bool               `json:"Ended"`  // the incarnation ended in good order: there are no events after Last
-	Counts        []Count            `json:"Counts"`
+	Counts        []VersionCounts    `json:"Counts"`
 	Faults        []string           `json:"Faults"` // segments that are corrupt or contradict each other
 	Events        []auditevent.Event `json:"Acts"`   // those that the query selects
 	CutUnixMillis int64              `json:"Wall"`   // of its last segment, by the member's own clock; 0: not known
@@ -31,14 +31,14 @@
 // Gaps returns the events up to Last that no segment was read for. Those before the first known event were dropped for lack of space, or lost.
 func (t *Trail) Gaps() (gaps []EventRange) {
 	next := uint64(1)
-	for _, k := range t.Known {
+	for _, k := range t.KnownEvents {
 		if k.First > next {
 			gaps = append(gaps, EventRange{next, k.First - 1})
 		}
 		next = k.Last + 1
 	}
-	if next <= t.Last {
-		gaps = append(gaps, EventRange{next, t.Last})
+	if next <= t.LastEvent {
+		gaps = append(gaps, EventRange{next, t.LastEvent})
 	}
 	return gaps
 }
@@ -117,8 +117,8 @@
 // neither used nor a fault; a segment that names another predecessor, or comes after a final one, is used all the same.
 func follows(previous, l *link) (usable bool, fault string) {
 	switch {
-	case previous == nil && l.Index == 1 && (l.First != 1 || l.PreviousHash != Hash{}):
-		return false, fmt.Sprintf("segment 1 begins with event %d", l.First)
+	case previous == nil && l.Index == 1 && (l.FirstEvent != 1 || l.PreviousHash != Hash{}):
+		return false, fmt.Sprintf("segment 1 begins with event %d", l.FirstEvent)
 	case previous == nil:
 		return true, ""
 	case l.Index == previous.Index && l.hash == previous.hash:
@@ -127,8 +127,8 @@
 		return false, fmt.Sprintf("two segments %d: %v and %v", l.Index, previous.hash, l.hash)
 	case l.Index == previous.Index+1 && l.PreviousHash != previous.hash:
 		return true, fmt.Sprintf("segment %d names %v as the one before, which is %v", l.Index, l.PreviousHash, previous.hash)
-	case l.First <= previous.Last || l.Index == previous.Index+1 && l.First != previous.Last+1:
-		return false, fmt.Sprintf("segment %d begins with event %d, the one before ends with %d", l.Index, l.First, previous.Last)
+	case l.FirstEvent <= previous.LastEvent || l.Index == previous.Index+1 && l.FirstEvent != previous.LastEvent+1:
+		return false, fmt.Sprintf("segment %d begins with event %d, the one before ends with %d", l.Index, l.FirstEvent, previous.LastEvent)
 	case previous.Final:
 		return true, fmt.Sprintf("segment %d comes after the end", l.Index)
 	}
@@ -137,8 +137,8 @@
 
 // add adds a segment that follows those added before.
 func (t *Trail) add(l *link, q *Query) {
-	t.Last, t.Ended, t.Counts, t.CutUnixMillis = l.Last, l.Final, l.Counts, cmp.Or(l.CutUnixMillis, t.CutUnixMillis)
-	if l.Last < l.First {
+	t.LastEvent, t.Ended, t.Counts, t.CutUnixMillis = l.LastEvent, l.Final, l.Counts, cmp.Or(l.CutUnixMillis, t.CutUnixMillis)
+	if l.LastEvent < l.FirstEvent {
 		return
 	}
 	body, err := l.unpack()
@@ -150,10 +150,10 @@
 		t.Faults = append(t.Faults, err.Error())
 		return
 	}
-	if n := len(t.Known); n > 0 && t.Known[n-1].Last+1 == l.First {
-		t.Known[n-1].Last = l.Last
+	if n := len(t.KnownEvents); n > 0 && t.KnownEvents[n-1].Last+1 == l.FirstEvent {
+		t.KnownEvents[n-1].Last = l.LastEvent
 	} else {
-		t.Known = append(t.Known, EventRange{l.First, l.Last})
+		t.KnownEvents = append(t.KnownEvents, EventRange{l.FirstEvent, l.LastEvent})
 	}
 	if q.SinceUnixMillis > 0 && l.CutUnixMillis > 0 && l.CutUnixMillis < q.SinceUnixMillis {
 		return
@@ -173,7 +173,7 @@
 			total += n
 		}
 	}
-	if t.Last > 0 && total != t.Last {
-		t.Faults = append(t.Faults, fmt.Sprintf("%d events counted, %d numbered", total, t.Last))
+	if t.LastEvent > 0 && total != t.LastEvent {
+		t.Faults = append(t.Faults, fmt.Sprintf("%d events counted, %d numbered", total, t.LastEvent))
 	}
 }
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -147,7 +147,7 @@
 // seal cuts the open segment. The caller holds mu.
 func (w *SegmentWriter) seal(unixMillis int64, final bool) {
 	s := &Segment{
-		Format: format, Fleet: w.fleet, Member: w.member, Index: w.index + 1, First: w.first, Last: w.lastNumber, StartMicros: w.start,
+		Format: format, Fleet: w.fleet, Member: w.member, Index: w.index + 1, FirstEvent: w.first, LastEvent: w.lastNumber, StartMicros: w.start,
 		CutUnixMillis: unixMillis, Final: final, PreviousHash: w.previous, Counts: w.counts.all, Body: s2.Encode(nil, w.body),
 	}
 	for _, id := range w.used {
--- a/internal/fleet/membership/log_commands.go
+++ b/internal/fleet/membership/log_commands.go
@@ -86,7 +86,7 @@
 	l.settings = settingsOfPlan(l.settings, next, c)
 	if !recovered {
 		eventlog.Info(eventCommandApplied, "epoch", l.membership.Epoch, "command", c.Kind, "target", next.Target, "fence", next.Fence,
-			"share_permille", next.Share, "pause_reason", next.PauseReason, "name", c.Name, "author", c.Author, "reason", c.Reason)
+			"share_permille", next.SharePermille, "pause_reason", next.PauseReason, "name", c.Name, "author", c.Author, "reason", c.Reason)
 	}
 }
 
--- a/internal/fleet/membership/log_leases.go
+++ b/internal/fleet/membership/log_leases.go
@@ -73,7 +73,7 @@
 
 // mayLease reports whether the rollout plan lets a member act under the version that it has reported as active.
 func (l *Log) mayLease(r *LeaseRequest) bool {
-	return l.config.IgnoreFence || l.membership.Plan.MayLease(r.Member.Name, r.Report.Active)
+	return l.config.IgnoreFence || l.membership.Plan.MayLease(r.Member.Name, r.Report.ActiveVersion)
 }
 
 func (l *Log) sendGrant(r LeaseRequest, g LeaseGrant) {
--- a/internal/fleet/membership/stored_test.go
+++ b/internal/fleet/membership/stored_test.go
@@ -52,7 +52,7 @@
 		Members: []JoinedMember{{Member: member("n00", 100), JoinedEpoch: 1, FirstIncarnation: true}, {Member: member("n01", 201), JoinedEpoch: 6, Address: "127.0.0.1:7201"}},
 		Evicted: map[string][]uint64{"n01": {101}, "n02": {102}},
 		Plan: rollout.Plan{
-			LastNumber: 1, Target: 1, Share: 400, Canaries: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, PauseReason: "seen enough",
+			LastNumber: 1, Target: 1, SharePermille: 400, Canaries: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, PauseReason: "seen enough",
 			Versions: []rollout.Version{storedVersion}, Excluded: []string{"n02"}, AppliedIDs: []uint64{7, 8, 9},
 		},
 	}
@@ -98,7 +98,7 @@
 	snapshot := storedSnapshot()
 	snapshot.Epoch = 5
 	snapshot.Plan = rollout.Plan{
-		LastNumber: 1, Target: 1, Share: 400, Canaries: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, Versions: []rollout.Version{storedVersion}, AppliedIDs: []uint64{7},
+		LastNumber: 1, Target: 1, SharePermille: 400, Canaries: []string{"n02"}, SettleMs: 1000, GraceMs: 2000, Versions: []rollout.Version{storedVersion}, AppliedIDs: []uint64{7},
 	}
 	expectStored(t, l, 8, snapshot, storedSettingsByDigest)
 }
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -175,7 +175,7 @@
 	if f.replicator == nil {
 		return r
 	}
-	r = rollout.Report{Active: s.active, Rejected: s.rejected, RejectReason: s.rejectReason, Digest: s.digest, Build: f.build}
+	r = rollout.Report{ActiveVersion: s.active, RejectedVersion: s.rejected, RejectReason: s.rejectReason, Digest: s.digest, Build: f.build}
 	if len(r.RejectReason) > maxReasonBytes {
 		r.RejectReason = r.RejectReason[:maxReasonBytes]
 	}
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -52,21 +52,21 @@
 
 func sampleReport() rollout.Report {
 	return rollout.Report{
-		Active: 31, Rejected: 32, RejectReason: "could not", Digest: 33, Build: "build", Current: rollout.ServiceCounts{Answered: 34, Served: 35},
+		ActiveVersion: 31, RejectedVersion: 32, RejectReason: "could not", Digest: 33, Build: "build", Current: rollout.ServiceCounts{Answered: 34, Served: 35},
 		Previous: rollout.ServiceCounts{Answered: 36, Served: 37},
 	}
 }
 
 func sampleCommand() *rollout.Command {
 	return &rollout.Command{
-		Kind: rollout.Exclude, ID: 41, Author: "who", Reason: "order why", Settings: []byte("text"), Number: 42, Name: "name", Share: 43,
+		Kind: rollout.Exclude, ID: 41, Author: "who", Reason: "order why", Settings: []byte("text"), Number: 42, Name: "name", SharePermille: 43,
 		SettleMs: 44, GraceMs: 45,
 	}
 }
 
 func samplePlan() rollout.Plan {
 	return rollout.Plan{
-		LastNumber: 51, Target: 52, Base: 53, Share: 54, Canaries: []string{"f1", "f2"}, SettleMs: 55, GraceMs: 56, Fence: 57, PauseReason: "held why",
+		LastNumber: 51, Target: 52, Base: 53, SharePermille: 54, Canaries: []string{"f1", "f2"}, SettleMs: 55, GraceMs: 56, Fence: 57, PauseReason: "held why",
 		Versions: []rollout.Version{{Number: 58, Digest: sampleDigest(1), SizeBytes: 59, Author: "vwho", Reason: "vwhy", RollbackOf: 60}},
 		Excluded: []string{"barred"}, AppliedIDs: []uint64{61, 62},
 	}
--- a/internal/lab/faultinjection/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -35,7 +35,7 @@
 func (p *experiment) runStep(ctx context.Context, start time.Time, n int, s *Step) {
 	sleep(ctx, time.Until(start.Add(ms(s.AtMs))))
 	o := &rollout.Command{
-		Kind: commandKinds[s.Action], ID: uint64(n + 1), Author: "rig", Reason: fmt.Sprintf("step %d", n), Number: s.Number, Share: s.Share, SettleMs: s.SettleMs, GraceMs: s.GraceMs,
+		Kind: commandKinds[s.Action], ID: uint64(n + 1), Author: "rig", Reason: fmt.Sprintf("step %d", n), Number: s.Number, SharePermille: s.Share, SettleMs: s.SettleMs, GraceMs: s.GraceMs,
 	}
 	switch o.Kind {
 	case rollout.RollOut:
@@ -116,7 +116,7 @@
 func overGuard(s *fleet.ClusterStatus) int {
 	out := len(s.Plan.Excluded)
 	for name, t := range s.Reports {
-		if !slices.Contains(s.Plan.Excluded, name) && t.Report.Rejected >= s.Plan.Fence && t.Report.Active < s.Plan.Fence {
+		if !slices.Contains(s.Plan.Excluded, name) && t.Report.RejectedVersion >= s.Plan.Fence && t.Report.ActiveVersion < s.Plan.Fence {
 			out++
 		}
 	}
@@ -146,7 +146,7 @@
 			if st.Status.IsLeader {
 				r.WaitingFor, r.PauseReason = st.Status.WaitReason, st.Status.Plan.PauseReason
 				for _, n := range st.Status.MemberNames {
-					if st.Status.Reports[n].Report.Active < st.Status.Plan.Target {
+					if st.Status.Reports[n].Report.ActiveVersion < st.Status.Plan.Target {
 						r.NotConverged++
 					}
 				}
@@ -232,10 +232,10 @@
 	}
 	act, ok := t.byNumber[ref.Number]
 	switch {
-	case !ok && ref.Number > t.Last && (t.Ended || a.alive[ref.Member]):
-		wrong("the account ends with act %d", t.Last)
+	case !ok && ref.Number > t.LastEvent && (t.Ended || a.alive[ref.Member]):
+		wrong("the account ends with act %d", t.LastEvent)
 	case !ok:
-		for _, k := range t.Known {
+		for _, k := range t.KnownEvents {
 			if ref.Number >= k.First && ref.Number <= k.Last {
 				wrong("no such act, and no gap")
 			}
--- a/internal/lab/faultinjection/timeline.go
+++ b/internal/lab/faultinjection/timeline.go
@@ -175,7 +175,7 @@
 	for i, s := range t.Steps {
 		check(commandKinds[s.Action] != 0, "steps[%d].do: %q is none of rollout, hold, back, out, readmit", i, s.Action)
 		check(s.AtMs >= 0 && s.Via >= 0 && s.Via < t.Processes && s.Member >= 0 && s.Member < t.Processes, "steps[%d]: no such time or member", i)
-		check(s.Action != "rollout" || s.Share >= 1 && s.Share <= rollout.FullShare, "steps[%d].share: %d is not within 1 to %d", i, s.Share, rollout.FullShare)
+		check(s.Action != "rollout" || s.Share >= 1 && s.Share <= rollout.FullSharePermille, "steps[%d].share: %d is not within 1 to %d", i, s.Share, rollout.FullSharePermille)
 		check(s.Settings == ValidSettings || s.Settings == DegradingSettings || s.Settings == UnknownKeySettings, "steps[%d].file: %q is none of falls, unknown", i, s.Settings)
 		for _, who := range s.RejectingMembers {
 			check(who >= 0 && who < t.Processes, "steps[%d].refusers: %d is no member", i, who)
--- a/internal/lab/fleetscale/changes.go
+++ b/internal/lab/fleetscale/changes.go
@@ -19,7 +19,7 @@
 	turn := 0
 	atRate(ctx, r.conf.Changes, func(k int) {
 		o := &rollout.Command{
-			Kind: rollout.RollOut, ID: uint64(at)<<32 | uint64(k+1), Author: "scale", Reason: "a change", Share: rollout.FullShare, GraceMs: 60_000,
+			Kind: rollout.RollOut, ID: uint64(at)<<32 | uint64(k+1), Author: "scale", Reason: "a change", SharePermille: rollout.FullSharePermille, GraceMs: 60_000,
 			Settings: []byte(fmt.Sprintf(`{"settings": %s}`, settings(len(r.layout.members), k+1))),
 		}
 		from := time.Now()
--- a/internal/lab/modelcheck/fence.go
+++ b/internal/lab/modelcheck/fence.go
@@ -124,7 +124,7 @@
 	p := w.plan(n)
 	c := &rollout.Command{Kind: w.conf.Commands[n], ID: uint64(n + 1), Author: "x", Number: p.Target}
 	if c.Kind == rollout.RollOut {
-		c.Settings, c.Share = []byte{byte(n)}, rollout.FullShare
+		c.Settings, c.SharePermille = []byte{byte(n)}, rollout.FullSharePermille
 	}
 	next, err := p.Apply(c, names, names)
 	if err != nil {
--- a/internal/operator/audit.go
+++ b/internal/operator/audit.go
@@ -120,7 +120,7 @@
 	if t.Ended {
 		end = "then it ended in good order"
 	}
-	fmt.Fprintf(s.out, "%s/%x: events 1 to %d, %s; gaps %v\n", t.Member.Name, t.Member.Incarnation, t.Last, end, t.Gaps())
+	fmt.Fprintf(s.out, "%s/%x: events 1 to %d, %s; gaps %v\n", t.Member.Name, t.Member.Incarnation, t.LastEvent, end, t.Gaps())
 	counts := s.table("settings", "digest", "list", "build", "took", "took over", "sent", "unsent", "served", "refused", "failed", "turned away", "doubled", "left")
 	for _, c := range t.Counts {
 		row := table.Row{c.Version.Settings, fmt.Sprintf("%016x", c.Version.Digest), c.Version.ListSeq, c.Version.Build}
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -59,7 +59,7 @@
 		return usageError("--share: %v is not within 0 to 1", c.Share)
 	}
 	return s.send(rollout.Command{
-		Kind: rollout.RollOut, Settings: settings, Share: max(1, int(c.Share*rollout.FullShare)), SettleMs: c.Settle.Milliseconds(),
+		Kind: rollout.RollOut, Settings: settings, SharePermille: max(1, int(c.Share*rollout.FullSharePermille)), SettleMs: c.Settle.Milliseconds(),
 		GraceMs: c.Grace.Milliseconds(), Reason: c.Why,
 	})
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -28,7 +28,7 @@
 	}
 	p := &st.Plan
 	fmt.Fprintf(s.out, "reported by %s (leader: %t), epoch %d, leader %s\n", st.Name, st.IsLeader, st.Epoch, st.Leader)
-	fmt.Fprintf(s.out, "target %d for %.1f%% of the members, others on %d; fence %d; excluded %v\n", p.Target, float64(p.Share)/10, p.Base, p.Fence, p.Excluded)
+	fmt.Fprintf(s.out, "target %d for %.1f%% of the members, others on %d; fence %d; excluded %v\n", p.Target, float64(p.SharePermille)/10, p.Base, p.Fence, p.Excluded)
 	if p.PauseReason != "" {
 		fmt.Fprintf(s.out, "paused: %s\n", p.PauseReason)
 	}
@@ -71,7 +71,7 @@
 		r := &last.Report
 		age := (time.Duration(last.AgeMs) * time.Millisecond).String() + " ago"
 		members.AppendRow(table.Row{
-			name, processes, r.Active, target, r.Active < target, r.Rejected, r.RejectReason, r.Build, r.Current.Answered, r.Current.Served, age,
+			name, processes, r.ActiveVersion, target, r.ActiveVersion < target, r.RejectedVersion, r.RejectReason, r.Build, r.Current.Answered, r.Current.Served, age,
 		})
 	}
 	members.Render()
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -62,8 +62,8 @@
 
 // rollOut makes new settings the target, for a share of the members first.
 func (p *Plan) rollOut(c *Command, names, living []string) {
-	p.Canaries = canaries(p.LastNumber+1, living, max(1, len(names)*c.Share/FullShare))
-	p.setTarget(Version{Digest: DigestOf(c.Settings), SizeBytes: len(c.Settings), Author: c.Author, Reason: c.Reason}, c, c.Share)
+	p.Canaries = canaries(p.LastNumber+1, living, max(1, len(names)*c.SharePermille/FullSharePermille))
+	p.setTarget(Version{Digest: DigestOf(c.Settings), SizeBytes: len(c.Settings), Author: c.Author, Reason: c.Reason}, c, c.SharePermille)
 }
 
 // rollback makes the settings of an earlier version the target for all members, as a new version: numbers only grow.
@@ -76,19 +76,19 @@
 	if old.RollbackOf > 0 {
 		origin = old.RollbackOf
 	}
-	p.setTarget(Version{Digest: old.Digest, SizeBytes: old.SizeBytes, Author: c.Author, Reason: c.Reason, RollbackOf: origin}, c, FullShare)
+	p.setTarget(Version{Digest: old.Digest, SizeBytes: old.SizeBytes, Author: c.Author, Reason: c.Reason, RollbackOf: origin}, c, FullSharePermille)
 	return nil
 }
 
 // setTarget gives a version the next number and makes it the target.
 func (p *Plan) setTarget(v Version, c *Command, share int) {
-	if p.Share == FullShare { // members outside the new share stay on what all members had
+	if p.SharePermille == FullSharePermille { // members outside the new share stay on what all members had
 		p.Base = p.Target
 	}
 	p.LastNumber++
 	v.Number = p.LastNumber
-	p.Target, p.Share, p.SettleMs, p.GraceMs, p.PauseReason = v.Number, share, c.SettleMs, c.GraceMs, ""
-	if share == FullShare {
+	p.Target, p.SharePermille, p.SettleMs, p.GraceMs, p.PauseReason = v.Number, share, c.SettleMs, c.GraceMs, ""
+	if share == FullSharePermille {
 		p.Base, p.Canaries = v.Number, nil
 	}
 	p.Versions = append(p.Versions, v)
@@ -142,8 +142,8 @@
 	if err := p.checkTarget(c); err != nil {
 		return err
 	}
-	chosen := canaries(p.Target, living, max(1, len(names)*p.Share/FullShare))
-	if p.Share == FullShare || slices.Equal(chosen, p.Canaries) {
+	chosen := canaries(p.Target, living, max(1, len(names)*p.SharePermille/FullSharePermille))
+	if p.SharePermille == FullSharePermille || slices.Equal(chosen, p.Canaries) {
 		return ErrNoChange
 	}
 	p.Canaries = chosen
@@ -155,10 +155,10 @@
 	if err := p.checkTarget(c); err != nil {
 		return err
 	}
-	if p.Share == FullShare {
+	if p.SharePermille == FullSharePermille {
 		return ErrNoChange
 	}
-	p.Share, p.Canaries = FullShare, nil
+	p.SharePermille, p.Canaries = FullSharePermille, nil
 	return nil
 }
 
@@ -167,10 +167,10 @@
 	if err := p.checkTarget(c); err != nil {
 		return err
 	}
-	if p.Fence >= c.Number || p.Share < FullShare {
+	if p.Fence >= c.Number || p.SharePermille < FullSharePermille {
 		return ErrNoChange
 	}
-	p.Fence, p.Share, p.Canaries = c.Number, FullShare, nil
+	p.Fence, p.SharePermille, p.Canaries = c.Number, FullSharePermille, nil
 	return nil
 }
 
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -12,7 +12,7 @@
 	maxReasonBytes   = 300       // of a reason, or an author's name
 	maxWaitMs        = 86_400_000
 
-	FullShare = 1000 // share of all members, in thousandths
+	FullSharePermille = 1000 // share of all members, in thousandths
 )
 
 // Kind says what a command does. Kinds are stored in the fleet's log by number.
@@ -40,17 +40,17 @@
 
 // Command is an entry of the fleet's log that changes the plan: order and types of its fields stay.
 type Command struct {
-	_        struct{} `cbor:",toarray"`
-	Kind     Kind
-	ID       uint64 // chosen by the sender, so that a command that is sent twice is applied once
-	Author   string
-	Reason   string
-	Settings []byte // with RollOut
-	Number   uint64 // with Rollback, Promote, Fence, ReselectCanaries: the version; with Pause: the target, 0 for any
-	Name     string // with Exclude, Readmit
-	Share    int    // with RollOut: thousandths of the members that adopt it first
-	SettleMs int64  // with RollOut: how long all canaries must have acted on it before it is promoted
-	GraceMs  int64  // with RollOut and Rollback: from the promotion to the fence, for members that have not adopted it
+	_             struct{} `cbor:",toarray"`
+	Kind          Kind
+	ID            uint64 // chosen by the sender, so that a command that is sent twice is applied once
+	Author        string
+	Reason        string
+	Settings      []byte // with RollOut
+	Number        uint64 // with Rollback, Promote, Fence, ReselectCanaries: the version; with Pause: the target, 0 for any
+	Name          string // with Exclude, Readmit
+	SharePermille int    // with RollOut: thousandths of the members that adopt it first
+	SettleMs      int64  // with RollOut: how long all canaries must have acted on it before it is promoted
+	GraceMs       int64  // with RollOut and Rollback: from the promotion to the fence, for members that have not adopted it
 }
 
 // Check reports what is wrong with a command by itself, whatever the plan.
@@ -66,8 +66,8 @@
 		return errors.New("a command without an id")
 	case c.Kind == RollOut && (len(c.Settings) == 0 || len(c.Settings) > MaxSettingsBytes):
 		return fmt.Errorf("settings of %d bytes, expected 1 to %d", len(c.Settings), MaxSettingsBytes)
-	case c.Kind == RollOut && (c.Share < 1 || c.Share > FullShare):
-		return fmt.Errorf("share: %d is not within 1 to %d thousandths", c.Share, FullShare)
+	case c.Kind == RollOut && (c.SharePermille < 1 || c.SharePermille > FullSharePermille):
+		return fmt.Errorf("share: %d is not within 1 to %d thousandths", c.SharePermille, FullSharePermille)
 	case c.SettleMs < 0 || c.GraceMs < 0 || c.SettleMs > maxWaitMs || c.GraceMs > maxWaitMs:
 		return errors.New("settle and grace: expected 0 to a day")
 	case (c.Kind == Exclude || c.Kind == Readmit) && c.Name == "":
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -25,7 +25,7 @@
 
 // Allows reports whether so many of all members may be without a lease.
 func (g Guard) Allows(unleased, all int) bool {
-	limit := all * g.MaxUnleasedPermille / FullShare
+	limit := all * g.MaxUnleasedPermille / FullSharePermille
 	if g.OffByOne {
 		limit++
 	}
@@ -53,7 +53,7 @@
 func WithoutLease(fence uint64, excluded, names []string, reports map[string]ReceivedReport, now time.Time) (unleased []string) {
 	for _, name := range names {
 		r, ok := reports[name]
-		if !ok || !r.fresh(now) || r.Active < fence || slices.Contains(excluded, name) {
+		if !ok || !r.fresh(now) || r.ActiveVersion < fence || slices.Contains(excluded, name) {
 			unleased = append(unleased, name)
 		}
 	}
@@ -78,7 +78,7 @@
 // Step returns the command that is due, or nil, with WaitReason if the rollout waits. names are all members, living those with a process; now
 // is the leader's clock, and reports are those received in this term.
 func (c *Controller) Step(now time.Time, p *Plan, names, living []string, reports map[string]ReceivedReport) *Command {
-	if c.plan == nil || c.plan.Target != p.Target || c.plan.Share != p.Share {
+	if c.plan == nil || c.plan.Target != p.Target || c.plan.SharePermille != p.SharePermille {
 		c.stableSince, c.proposedAt = time.Time{}, time.Time{}
 	}
 	c.plan, c.WaitReason = p, ""
@@ -88,7 +88,7 @@
 	if reason := c.pauseReason(p, names, reports, now); reason != "" {
 		return c.propose(now, Pause, p.Target, reason)
 	}
-	if p.Share < FullShare {
+	if p.SharePermille < FullSharePermille {
 		return c.stepCanaries(now, p, living, reports)
 	}
 	return c.stepAll(now, p, names, reports)
@@ -150,15 +150,15 @@
 		if !ok || !r.fresh(now) {
 			continue
 		}
-		if r.Rejected == p.Target {
+		if r.RejectedVersion == p.Target {
 			rejecting, reason = append(rejecting, name), r.RejectReason
 		}
-		if r.Active == p.Target {
+		if r.ActiveVersion == p.Target {
 			current.add(r.Current)
 			previous.add(r.Previous)
 		}
 	}
-	allCanariesReject := p.Share < FullShare && len(rejecting) == len(p.Canaries)
+	allCanariesReject := p.SharePermille < FullSharePermille && len(rejecting) == len(p.Canaries)
 	switch {
 	case len(rejecting) > 0 && (!c.Guard.Allows(len(rejecting), len(names)) || allCanariesReject):
 		return truncate("rejected by " + strings.Join(rejecting, ", ") + ": " + reason)
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -12,15 +12,15 @@
 	messages := map[string]any{
 		"version": version,
 		"order": Command{
-			Kind: RollOut, ID: 5, Author: "who", Reason: "why", Settings: []byte("text"), Number: 6, Name: "n7", Share: 340, SettleMs: 1500, GraceMs: 2500,
+			Kind: RollOut, ID: 5, Author: "who", Reason: "why", Settings: []byte("text"), Number: 6, Name: "n7", SharePermille: 340, SettleMs: 1500, GraceMs: 2500,
 		},
 		"plan": Plan{
-			LastNumber: 4, Target: 3, Fence: 2, Base: 1, Share: 340, Canaries: []string{"n1", "n2"}, SettleMs: 1500, GraceMs: 2500, PauseReason: "held",
+			LastNumber: 4, Target: 3, Fence: 2, Base: 1, SharePermille: 340, Canaries: []string{"n1", "n2"}, SettleMs: 1500, GraceMs: 2500, PauseReason: "held",
 			Versions: []Version{version}, Excluded: []string{"n3"}, AppliedIDs: []uint64{8, 9},
 		},
 		"plan zero": Plan{},
 		"report": Report{
-			Active: 3, Rejected: 4, RejectReason: "why", Digest: 5, Build: "build-7", Current: ServiceCounts{Answered: 10, Served: 9}, Previous: ServiceCounts{Answered: 20, Served: 18},
+			ActiveVersion: 3, RejectedVersion: 4, RejectReason: "why", Digest: 5, Build: "build-7", Current: ServiceCounts{Answered: 10, Served: 9}, Previous: ServiceCounts{Answered: 20, Served: 18},
 		},
 		"service": ServiceCounts{Answered: 10, Served: 9},
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -20,19 +20,19 @@
 // Plan is the state after the commands of the fleet's log. A plan that was published is never changed: Apply returns a new one. It is part of
 // snapshots and messages: order and types of its fields stay.
 type Plan struct {
-	_           struct{}  `cbor:",toarray"`
-	LastNumber  uint64    `json:"Last"`     // highest number of a version
-	Target      uint64    `json:"Target"`   // 0: members act on their own files
-	Base        uint64    `json:"Base"`     // version of the members that the target is not for yet
-	Share       int       `json:"Share"`    // of the members that the target is for, in thousandths
-	Canaries    []string  `json:"First"`    // members that adopt the target first, while Share is below FullShare
-	SettleMs    int64     `json:"SettleMs"` // how long all canaries must have acted on it before it is promoted
-	GraceMs     int64     `json:"GraceMs"`  // from the promotion to the fence
-	Fence       uint64    `json:"Fence"`    // no lease for members that act on a lower version
-	PauseReason string    `json:"Held"`     // why the target is paused; empty: it is not
-	Versions    []Version `json:"Versions"`
-	Excluded    []string  `json:"Barred"` // members that get no lease, sorted
-	AppliedIDs  []uint64  `json:"Done"`
+	_             struct{}  `cbor:",toarray"`
+	LastNumber    uint64    `json:"Last"`     // highest number of a version
+	Target        uint64    `json:"Target"`   // 0: members act on their own files
+	Base          uint64    `json:"Base"`     // version of the members that the target is not for yet
+	SharePermille int       `json:"Share"`    // of the members that the target is for, in thousandths
+	Canaries      []string  `json:"First"`    // members that adopt the target first, while SharePermille is below FullSharePermille
+	SettleMs      int64     `json:"SettleMs"` // how long all canaries must have acted on it before it is promoted
+	GraceMs       int64     `json:"GraceMs"`  // from the promotion to the fence
+	Fence         uint64    `json:"Fence"`    // no lease for members that act on a lower version
+	PauseReason   string    `json:"Held"`     // why the target is paused; empty: it is not
+	Versions      []Version `json:"Versions"`
+	Excluded      []string  `json:"Barred"` // members that get no lease, sorted
+	AppliedIDs    []uint64  `json:"Done"`
 }
 
 // Find returns the version of a number, if the plan still has it.
@@ -47,7 +47,7 @@
 
 // TargetFor returns the version that a member is to act on; 0: its own file. No member is sent below the fence.
 func (p *Plan) TargetFor(name string) uint64 {
-	if p.Target == 0 || p.Share == FullShare || slices.Contains(p.Canaries, name) {
+	if p.Target == 0 || p.SharePermille == FullSharePermille || slices.Contains(p.Canaries, name) {
 		return p.Target
 	}
 	return max(p.Base, p.Fence)
@@ -67,7 +67,7 @@
 		}
 		seen[v.Number] = true
 	}
-	if p.Target > p.LastNumber || p.Fence > p.Target || p.Base > p.LastNumber || p.Share < 0 || p.Share > FullShare || p.Target > 0 && !seen[p.Target] {
+	if p.Target > p.LastNumber || p.Fence > p.Target || p.Base > p.LastNumber || p.SharePermille < 0 || p.SharePermille > FullSharePermille || p.Target > 0 && !seen[p.Target] {
 		return ErrInvalidPlan
 	}
 	return nil
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -4,14 +4,14 @@
 
 // Report is what a member says of itself with each lease request. It is sent: order and types of its fields stay.
 type Report struct {
-	_            struct{}      `cbor:",toarray"`
-	Active       uint64        `json:"Acts"`    // number of the settings that it acts on
-	Rejected     uint64        `json:"Refused"` // number of those that it could not adopt; 0: none
-	RejectReason string        `json:"Why"`
-	Digest       uint64        `json:"Digest"` // of the settings that it acts on
-	Build        string        `json:"Build"`
-	Current      ServiceCounts `json:"Now"`    // since it adopted the settings that it acts on
-	Previous     ServiceCounts `json:"Before"` // under the settings that it acted on before
+	_               struct{}      `cbor:",toarray"`
+	ActiveVersion   uint64        `json:"Acts"`    // number of the settings that it acts on
+	RejectedVersion uint64        `json:"Refused"` // number of those that it could not adopt; 0: none
+	RejectReason    string        `json:"Why"`
+	Digest          uint64        `json:"Digest"` // of the settings that it acts on
+	Build           string        `json:"Build"`
+	Current         ServiceCounts `json:"Now"`    // since it adopted the settings that it acts on
+	Previous        ServiceCounts `json:"Before"` // under the settings that it acted on before
 }
 
 // ServiceCounts counts requests.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -31,7 +31,7 @@
 }
 
 func text(s string, share int) Command {
-	return Command{Settings: []byte(s), Share: share, GraceMs: 1000, SettleMs: 500}
+	return Command{Settings: []byte(s), SharePermille: share, GraceMs: 1000, SettleMs: 500}
 }
 
 func names(n int) (out []string) {
@@ -44,7 +44,7 @@
 // Numbers are given once; members outside the share stay; a rollback is a new number with old settings.
 func TestCommands(t *testing.T) {
 	all := names(10)
-	first := command(RollOut, text("one", FullShare))
+	first := command(RollOut, text("one", FullSharePermille))
 	p := applied(t, &Plan{}, first, command(RollOut, text("two", 200)))
 	if n := p.Canaries; len(n) != 2 || p.TargetFor(n[0]) != 2 || p.Base != 1 {
 		t.Fatalf("%v %+v", n, p)
@@ -68,7 +68,7 @@
 	for name, o := range map[string]*Command{
 		"promoted while paused": command(Promote, Command{Number: 2}), "fenced while paused": command(Fence, Command{Number: 2}), "paused twice": command(Pause, Command{}),
 		"of another target": command(Pause, Command{Number: 1}), "rolled back to nothing": command(Rollback, Command{Number: 7}), "readmitted": command(Readmit, Command{Name: "x"}),
-		"nobody": {Kind: Pause, ID: 1e6}, "no id": {Kind: Pause, Author: "me"}, "unknown": command(99, Command{}), "no text": command(RollOut, Command{Share: 1}),
+		"nobody": {Kind: Pause, ID: 1e6}, "no id": {Kind: Pause, Author: "me"}, "unknown": command(99, Command{}), "no text": command(RollOut, Command{SharePermille: 1}),
 		"no share": command(RollOut, text("x", 0)), "fenced before it is promoted": command(Fence, Command{Number: 2}),
 	} {
 		if next, err := paused.Apply(o, all, all); err == nil || next != paused {
@@ -80,7 +80,7 @@
 	}
 	back := applied(t, paused, command(Rollback, Command{Number: 1}))
 	v, _ := back.Find(3)
-	if back.Target != 3 || v.RollbackOf != 1 || v.Digest != DigestOf([]byte("one")) || back.Share != FullShare || back.PauseReason != "" {
+	if back.Target != 3 || v.RollbackOf != 1 || v.Digest != DigestOf([]byte("one")) || back.SharePermille != FullSharePermille || back.PauseReason != "" {
 		t.Errorf("%+v", back)
 	}
 	fenced := applied(t, back, command(Fence, Command{Number: 3}), command(Exclude, Command{Name: "n4"}))
@@ -105,7 +105,7 @@
 func reports(now time.Time, all []string, acts uint64, but map[string]Report) map[string]ReceivedReport {
 	out := map[string]ReceivedReport{}
 	for _, n := range all {
-		out[n] = ReceivedReport{Report{Active: acts}, now}
+		out[n] = ReceivedReport{Report{ActiveVersion: acts}, now}
 	}
 	for n, r := range but {
 		out[n] = ReceivedReport{r, now}
@@ -117,23 +117,23 @@
 func TestController(t *testing.T) {
 	all := names(9)
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
-	base := applied(t, &Plan{}, command(RollOut, text("one", FullShare)))
+	base := applied(t, &Plan{}, command(RollOut, text("one", FullSharePermille)))
 	canary := applied(t, base, command(RollOut, text("two", 300)))
 	cohort := canary.Canaries
 	onTwo := map[string]Report{}
 	for _, n := range cohort {
-		onTwo[n] = Report{Active: 2}
+		onTwo[n] = Report{ActiveVersion: 2}
 	}
 	promoted := applied(t, canary, command(Promote, Command{Number: 2}))
 	rejects := func(n int) map[string]Report {
 		out := map[string]Report{}
 		for _, name := range all[:n] {
-			out[name] = Report{Active: 1, Rejected: 2, RejectReason: "Limits: odd"}
+			out[name] = Report{ActiveVersion: 1, RejectedVersion: 2, RejectReason: "Limits: odd"}
 		}
 		return out
 	}
 	falls := func(now uint64) map[string]Report {
-		return map[string]Report{all[0]: {Active: 2, Current: ServiceCounts{Answered: 100, Served: now}, Previous: ServiceCounts{Answered: 100, Served: 95}}}
+		return map[string]Report{all[0]: {ActiveVersion: 2, Current: ServiceCounts{Answered: 100, Served: now}, Previous: ServiceCounts{Answered: 100, Served: 95}}}
 	}
 	guard := Guard{MaxUnleasedPermille: 340} // 3 of 9
 	for name, c := range map[string]struct {
@@ -147,10 +147,10 @@
 		"settled":             {canary, func(ms int) map[string]ReceivedReport { return reports(at(ms), all, 1, onTwo) }, Promote, 500},
 		"all act on it":       {promoted, func(ms int) map[string]ReceivedReport { return reports(at(ms), all, 2, nil) }, Fence, 0},
 		"three behind": {promoted, func(ms int) map[string]ReceivedReport {
-			return reports(at(ms), all, 2, map[string]Report{"n1": {Active: 1}, "n2": {Active: 1}, "n3": {Active: 1}})
+			return reports(at(ms), all, 2, map[string]Report{"n1": {ActiveVersion: 1}, "n2": {ActiveVersion: 1}, "n3": {ActiveVersion: 1}})
 		}, Fence, 1000},
 		"four behind": {promoted, func(ms int) map[string]ReceivedReport {
-			return reports(at(ms), all, 2, map[string]Report{"n1": {Active: 1}, "n2": {Active: 1}, "n3": {Active: 1}, "n4": {Active: 1}})
+			return reports(at(ms), all, 2, map[string]Report{"n1": {ActiveVersion: 1}, "n2": {ActiveVersion: 1}, "n3": {ActiveVersion: 1}, "n4": {ActiveVersion: 1}})
 		}, 0, 0},
 		"all behind": {promoted, func(ms int) map[string]ReceivedReport { return reports(at(ms), all, 1, nil) }, 0, 0},
 		"no reports": {promoted, func(int) map[string]ReceivedReport { return nil }, 0, 0},
@@ -210,7 +210,7 @@
 				Number: rapid.Uint64Range(0, 12).Draw(r, "number"), Name: rapid.SampledFrom(all).Draw(r, "name"),
 			})
 			if o.Kind == RollOut {
-				o.Settings, o.Share = []byte{byte(o.ID)}, rapid.IntRange(1, FullShare).Draw(r, "share")
+				o.Settings, o.SharePermille = []byte{byte(o.ID)}, rapid.IntRange(1, FullSharePermille).Draw(r, "share")
 			}
 			next, err := p.Apply(o, all, all)
 			if err != nil && next != p {
