--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -183,7 +183,7 @@
 		c.counts.resumed++
 		c.node.Resume(now, rec)
 	case r.Strict && now < c.noQuorumUntil && c.readsAreFresh(now):
-		c.handleEvent(&takeover.Event{Decision: takeover.QuorumUnavailable, ID: r.ID, Record: rec, NeverSent: true, Immediate: true})
+		c.handleEvent(&takeover.Event{Decision: takeover.QuorumUnavailable, ID: r.ID, Record: rec, NeverSent: true, NoReplicaAsked: true})
 	default:
 		c.counts.begun++
 		c.node.Begin(now, rec)
--- a/internal/fleet/decisions.go
+++ b/internal/fleet/decisions.go
@@ -52,7 +52,7 @@
 func (c *coordinator) onQuorumUnavailable(r *inFlightRequest, e *takeover.Event) {
 	c.counts.unavailable++
 	now := c.fleet.micros()
-	if !e.Immediate && c.readsAreFresh(now) {
+	if !e.NoReplicaAsked && c.readsAreFresh(now) {
 		c.noQuorumUntil = now + c.fleet.quorumTimeout
 	}
 	switch fallbackFor(&r.request, e) {
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -17,7 +17,7 @@
 	select {
 	case f.coordinator.mailbox <- beginRequest{r, waiter, execute}:
 	case <-timeout.C:
-		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
+		return takeover.Outcome{Kind: takeover.OutcomeClientGone}
 	}
 	for waiting := true; waiting; {
 		select {
@@ -39,7 +39,7 @@
 	case o := <-waiter:
 		return o
 	default:
-		return takeover.Outcome{Kind: takeover.OutcomeCallerGone}
+		return takeover.Outcome{Kind: takeover.OutcomeClientGone}
 	}
 }
 
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -179,7 +179,7 @@
 		"messages": {
 			[]int{
 				int(takeover.Write), int(takeover.Prepare), int(takeover.Accepted), int(takeover.Promised), int(takeover.OwnerAlive), int(takeover.HigherBallot),
-				int(takeover.Evicted), int(takeover.StaleEpoch), int(takeover.NotYetMember), int(takeover.OutOfCapacity), int(takeover.IDInUse), int(takeover.RecordExpired),
+				int(takeover.SenderNotMember), int(takeover.StaleEpoch), int(takeover.ReplicaTooNew), int(takeover.OutOfCapacity), int(takeover.IDInUse), int(takeover.RecordExpired),
 			},
 			[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11},
 		},
--- a/internal/frontend/replication.go
+++ b/internal/frontend/replication.go
@@ -84,7 +84,7 @@
 		timeLeft := min(call.TimeLeft(time.Now()), p.timeLeft-time.Since(start)) // the former counts from the body's end
 		f.writeOutcome(ctx, c, call, &outcome, timeLeft)
 	}
-	if bodyErr != nil || outcome.Kind == takeover.OutcomeCallerGone {
+	if bodyErr != nil || outcome.Kind == takeover.OutcomeClientGone {
 		ctx.SetConnectionClose()
 	}
 	return true
@@ -189,7 +189,7 @@
 	case takeover.OutcomeCloseConnection:
 		f.closeUnanswered(ctx, c, call.Request.ID, timeLeft)
 		return
-	case takeover.OutcomeCallerGone:
+	case takeover.OutcomeClientGone:
 		f.writeResponse(ctx, c, sidecar.Response{Status: sidecar.DeadlineExceeded})
 		f.record(ctx, auditevent.ClientLeft, call.Request.ID, version)
 		return
--- a/internal/lab/modelcheck/takeover_moves.go
+++ b/internal/lab/modelcheck/takeover_moves.go
@@ -61,7 +61,7 @@
 // messageKindNames name kinds of messages in traces, by number.
 var messageKindNames = [...]string{
 	takeover.Write: "write", takeover.Prepare: "prepare", takeover.Accepted: "accepted", takeover.Promised: "promised", takeover.OwnerAlive: "owner alive",
-	takeover.HigherBallot: "higher ballot", takeover.Evicted: "evicted", takeover.StaleEpoch: "stale epoch", takeover.NotYetMember: "not yet a member",
+	takeover.HigherBallot: "higher ballot", takeover.SenderNotMember: "evicted", takeover.StaleEpoch: "stale epoch", takeover.ReplicaTooNew: "not yet a member",
 	takeover.OutOfCapacity: "out of capacity", takeover.IDInUse: "id in use", takeover.RecordExpired: "record expired",
 }
 
--- a/internal/lab/modelcheck/takeover_requests.go
+++ b/internal/lab/modelcheck/takeover_requests.go
@@ -44,7 +44,7 @@
 // handleEvent does what the program does on a node's event.
 func (w *world) handleEvent(p *process, e takeover.Event) {
 	i := requestIndex(e.ID)
-	concluded := e.Decision == takeover.Execute || e.Decision == takeover.ReturnStored && e.ConcludedHere
+	concluded := e.Decision == takeover.Execute || e.Decision == takeover.ReturnStored && e.FailedOnTakeover
 	if e.TakenOver && concluded && e.PreviousOwner != p.self && w.view(len(w.log)).Contains(e.PreviousOwner) {
 		w.violate("%s takes over %s from %s, which is a member", p.self.Name, e.ID, e.PreviousOwner.Name)
 	}
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -42,7 +42,7 @@
 // openClaim opens a claim, unless the id has one or this process is no member.
 func (n *Node) openClaim(now int64, rec Record, p phase) *claim {
 	if !n.IsMember() {
-		n.emit(Event{Decision: QuorumUnavailable, ID: rec.ID, Record: rec, NeverSent: p == writing, Immediate: p == writing})
+		n.emit(Event{Decision: QuorumUnavailable, ID: rec.ID, Record: rec, NeverSent: p == writing, NoReplicaAsked: p == writing})
 		return nil
 	}
 	if n.claims[rec.ID] != nil {
@@ -162,7 +162,7 @@
 	case OwnerAlive:
 		c.ownerAliveAt = now
 		return false
-	case Evicted:
+	case SenderNotMember:
 		n.endClaim(c, Event{Decision: OwnershipLost})
 	case IDInUse:
 		n.endClaim(c, Event{Decision: DuplicateID})
@@ -309,6 +309,6 @@
 		return
 	}
 	n.endClaim(c, Event{
-		Decision: ReturnStored, Record: c.record, TakenOver: c.takenOver, PreviousOwner: c.previousOwner, ConcludedHere: c.concludedHere,
+		Decision: ReturnStored, Record: c.record, TakenOver: c.takenOver, PreviousOwner: c.previousOwner, FailedOnTakeover: c.concludedHere,
 	})
 }
--- a/internal/takeover/decision.go
+++ b/internal/takeover/decision.go
@@ -24,14 +24,14 @@
 
 // Event is a decision on one request.
 type Event struct {
-	Decision      Decision
-	ID            string
-	Record        Record
-	TakenOver     bool   // with Execute or QuorumUnavailable: another owner had it, and may have sent it
-	PreviousOwner Member // with TakenOver
-	ConcludedHere bool   // with ReturnStored: this process has concluded that it may have been executed; no owner had a response
-	NeverSent     bool   // with QuorumUnavailable: no other member has claimed it, or a quorum has said that it was never sent
-	Immediate     bool   // with QuorumUnavailable: no replica was asked, so that the client can't have resumed it elsewhere meanwhile
+	Decision         Decision
+	ID               string
+	Record           Record
+	TakenOver        bool   // with Execute or QuorumUnavailable: another owner had it, and may have sent it
+	PreviousOwner    Member // with TakenOver
+	FailedOnTakeover bool   // with ReturnStored: this process has concluded that it may have been executed; no owner had a response
+	NeverSent        bool   // with QuorumUnavailable: no other member has claimed it, or a quorum has said that it was never sent
+	NoReplicaAsked   bool   // with QuorumUnavailable: no replica was asked, so that the client can't have resumed it elsewhere meanwhile
 }
 
 // Fallback is what to do with a request for which no quorum can be had.
@@ -47,7 +47,7 @@
 // Fallback tells what to do, with QuorumUnavailable. strict: the request may be sent only if a quorum has its record.
 func (e *Event) Fallback(strict bool) Fallback {
 	switch {
-	case e.NeverSent && strict && e.Immediate:
+	case e.NeverSent && strict && e.NoReplicaAsked:
 		return RejectRequest
 	case e.NeverSent && strict: // while this member waited, the client may have resumed it elsewhere: a retry is not safe
 		return FailRequest
--- a/internal/takeover/message.go
+++ b/internal/takeover/message.go
@@ -5,18 +5,18 @@
 
 // Kinds of messages: Write and Prepare go to replicas, all others are their replies. The numbers are part of the wire format.
 const (
-	Write         MessageKind = 0  // store this record under this ballot
-	Prepare       MessageKind = 1  // promise this ballot, and return what is known
-	Accepted      MessageKind = 2  // the record is stored
-	Promised      MessageKind = 3  // with HasRecord, Record is what is known
-	OwnerAlive    MessageKind = 4  // the owner is a member and has no response yet: wait for it
-	HigherBallot  MessageKind = 5  // PromisedBallot is higher
-	Evicted       MessageKind = 6  // the sender is no member
-	StaleEpoch    MessageKind = 7  // the replica does not know the sender's epoch yet
-	NotYetMember  MessageKind = 8  // the replica became one after the request may have been claimed: it can't tell
-	OutOfCapacity MessageKind = 9  // the replica stores as much as it may
-	IDInUse       MessageKind = 10 // the id is that of another request
-	RecordExpired MessageKind = 11 // the request was known, and its record has expired
+	Write           MessageKind = 0  // store this record under this ballot
+	Prepare         MessageKind = 1  // promise this ballot, and return what is known
+	Accepted        MessageKind = 2  // the record is stored
+	Promised        MessageKind = 3  // with HasRecord, Record is what is known
+	OwnerAlive      MessageKind = 4  // the owner is a member and has no response yet: wait for it
+	HigherBallot    MessageKind = 5  // PromisedBallot is higher
+	SenderNotMember MessageKind = 6  // the sender is no member
+	StaleEpoch      MessageKind = 7  // the replica does not know the sender's epoch yet
+	ReplicaTooNew   MessageKind = 8  // the replica became one after the request may have been claimed: it can't tell
+	OutOfCapacity   MessageKind = 9  // the replica stores as much as it may
+	IDInUse         MessageKind = 10 // the id is that of another request
+	RecordExpired   MessageKind = 11 // the request was known, and its record has expired
 )
 
 // Message is one between an owner and a replica. Replies repeat the ID and the Ballot of what they answer.
--- a/internal/takeover/node_test.go
+++ b/internal/takeover/node_test.go
@@ -269,7 +269,7 @@
 		epoch uint64
 		want  MessageKind
 	}{
-		{f.now, Prepare, "y", 0, NotYetMember}, {f.now, Write, "y", v.Epoch - 1, NotYetMember}, {f.now, Write, "z", v.Epoch, Accepted}, {f.now, Prepare, "z", 0, HigherBallot},
+		{f.now, Prepare, "y", 0, ReplicaTooNew}, {f.now, Write, "y", v.Epoch - 1, ReplicaTooNew}, {f.now, Write, "z", v.Epoch, Accepted}, {f.now, Prepare, "z", 0, HigherBallot},
 		{f.now + testMaxRequestAge, Prepare, "y", 0, Promised},
 	} {
 		if got := ask(c.now, c.kind, c.id, c.epoch); got != c.want {
--- a/internal/takeover/replica.go
+++ b/internal/takeover/replica.go
@@ -47,15 +47,15 @@
 	case n.view.Epoch < m.Epoch: // an older view can't tell who was evicted
 		r.Kind = StaleEpoch
 	case !n.view.Contains(from) || m.Ballot.Proposer != from:
-		r.Kind = Evicted
+		r.Kind = SenderNotMember
 	case n.replicaSince == 0:
-		r.Kind = NotYetMember
+		r.Kind = ReplicaTooNew
 	case m.Kind == Write && m.Record != nil:
 		n.handleWrite(now, m, &r)
 	case m.Kind == Prepare:
 		n.handlePrepare(now, m, &r)
 	default:
-		r.Kind = Evicted
+		r.Kind = SenderNotMember
 	}
 	return r
 }
@@ -93,12 +93,12 @@
 // refuseWrite finds why a record may not be stored in an entry, which is nil for an unknown id; Accepted: it may.
 func (n *Node) refuseWrite(e *entry, m *Message) MessageKind {
 	if m.Record.Owner != m.Ballot.Proposer || m.Record.ID != m.ID {
-		return Evicted
+		return SenderNotMember
 	}
 	if e == nil {
 		switch {
 		case m.Record.Epoch < n.replicaSince: // a previous process of this name may have promised a higher ballot
-			return NotYetMember
+			return ReplicaTooNew
 		case n.isForgotten(m.ID):
 			return RecordExpired
 		}
@@ -155,7 +155,7 @@
 		case n.isForgotten(m.ID):
 			return RecordExpired
 		case now < n.completeFrom:
-			return NotYetMember
+			return ReplicaTooNew
 		case len(n.entries) >= n.config.MaxRecords:
 			return OutOfCapacity
 		}
--- a/internal/takeover/request.go
+++ b/internal/takeover/request.go
@@ -51,7 +51,7 @@
 	OutcomeInFlight                           // the same request is executing here
 	OutcomeIDConflict                         // the id is that of another request
 	OutcomeCloseConnection                    // another member answers, or none: end the connection
-	OutcomeCallerGone                         // the client has left, or its timeout is over
+	OutcomeClientGone                         // the client has left, or its timeout is over
 )
 
 // Outcome is what a client is told.
