--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -125,7 +125,7 @@
 type Transport struct {
 	ConnIdle    time.Duration // servers close a connection that is idle for so long
 	DialTimeout time.Duration // a connection that is not up by then counts as refused
-	ProbeLoad   bool          // load reports come with health checks
+	HealthCheckLoad   bool          // load reports come with health checks
 }
 
 const (
@@ -153,7 +153,7 @@
 
 // transport returns what connections need.
 func (in *settingsJSON) transport() (Transport, error) {
-	t := Transport{ConnIdle: defaultConnIdle, DialTimeout: defaultDialTimeout, ProbeLoad: in.LoadReports.Via == "pull"}
+	t := Transport{ConnIdle: defaultConnIdle, DialTimeout: defaultDialTimeout, HealthCheckLoad: in.LoadReports.Via == "pull"}
 	l := in.Limits
 	if l.ConnIdleMicros < 0 || l.DialTimeoutMicros < 0 {
 		return t, fmt.Errorf("settings: Limits.ConnIdleUs and Limits.DialTimeoutUs must not be negative")
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -77,7 +77,7 @@
 // CheckHealth asks a server for its state, or for its load report where the settings say so.
 func (x actions) CheckHealth(server string) {
 	s := x.s
-	s.offerAttempt(upstream.NewHealthCheck(server, s.transport.ProbeLoad, healthCheckTimeout, func(a *upstream.Attempt, r upstream.AttemptResult) {
+	s.offerAttempt(upstream.NewHealthCheck(server, s.transport.HealthCheckLoad, healthCheckTimeout, func(a *upstream.Attempt, r upstream.AttemptResult) {
 		s.mailbox <- healthCheckEnded{server, a, r}
 	}))
 }
