--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -123,9 +123,9 @@
 
 // Transport is the part of the settings that connections need; the decisions do not.
 type Transport struct {
-	ConnIdle    time.Duration // servers close a connection that is idle for so long
-	DialTimeout time.Duration // a connection that is not up by then counts as refused
-	HealthCheckLoad   bool          // load reports come with health checks
+	ConnIdle        time.Duration // servers close a connection that is idle for so long
+	DialTimeout     time.Duration // a connection that is not up by then counts as refused
+	HealthCheckLoad bool          // load reports come with health checks
 }
 
 const (
