--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads a sidecar's configuration, checks it and applies defaults. It is the one place that knows the keys of
-// the configuration file and of the settings: they are mapped here to the terms that the code uses, and errors name them as
-// users write them.
+// Package config reads a sidecar's configuration, validates it and applies defaults. No other package uses the keys of the
+// configuration file and of the settings: this package maps each key to the term that the code uses. Errors name the keys
+// as they are written in the file.
 package config
 
 import (
@@ -14,35 +14,35 @@
 	"damsonscale/internal/discovery"
 )
 
-// Environment variables. All but the first override a key of the file.
+// Environment variables. Those after envConfig override a key of the configuration file.
 const (
 	envConfig    = "PROXY_CONFIG"    // path of the configuration file; required
-	envName      = "PROXY_NAME"      // name
-	envListen    = "PROXY_LISTEN"    // listen
-	envDiscovery = "PROXY_DISCOVERY" // discovery
-	envAdmin     = "PROXY_ADMIN"     // admin
+	envName      = "PROXY_NAME"      // overrides name
+	envListen    = "PROXY_LISTEN"    // overrides listen
+	envDiscovery = "PROXY_DISCOVERY" // overrides discovery
+	envAdmin     = "PROXY_ADMIN"     // overrides admin
 )
 
 // Config is the configuration of a sidecar. It must not be changed once it is in use.
 type Config struct {
-	Name            string            // of the sidecar; required
-	Listen          string            // address:port for clients; required
+	Name            string            // name of the sidecar; required
+	Listen          string            // address:port at which the sidecar accepts clients; required
 	Discovery       string            // address:port of the discovery service; required
-	Admin           string            // address:port for operators; empty: none
-	Seed            uint64            // of the random draws
-	Limits          Limits            // of the machine
-	LastEndpoints   *discovery.Update // the endpoint list as last known; nil: none
-	Settings        decide.Settings   // of the decisions
-	Transport       Transport         // of connections
-	Shadow          *Shadow           // settings to evaluate beside these; nil: none
-	SettingsVersion uint64            // number of the settings, where a fleet gave them
-	SettingsDigest  uint64            // of the bytes of the settings, where there is an audit trail
+	Admin           string            // address:port of the admin API; empty: no admin API
+	Seed            uint64            // seed of the random number generator
+	Limits          Limits            // resource limits of the process
+	LastEndpoints   *discovery.Update // last known endpoint list, used until discovery answers; nil: none
+	Settings        decide.Settings   // settings of the balancer's decisions
+	Transport       Transport         // settings of connections to servers
+	Shadow          *Shadow           // settings to evaluate in parallel without effect; nil: none
+	SettingsVersion uint64            // version of the settings that the fleet rolled out; 0: the settings are the file's
+	SettingsDigest  uint64            // digest of the text of the settings; 0: no audit log uses it
 
-	fileDiscovery string // the discovery address in the file itself
-	text          []byte // the file
+	fileDiscovery string // discovery address in the file, without the override by the environment
+	text          []byte // content of the configuration file
 }
 
-// file is the form of the configuration file.
+// file is the JSON form of the configuration file.
 type file struct {
 	Name          string            `json:"name"`
 	Listen        string            `json:"listen"`
@@ -51,15 +51,16 @@
 	Seed          string            `json:"seed"` // up to 16 hex digits
 	Limits        Limits            `json:"limits"`
 	LastEndpoints *discovery.Update `json:"known"`
-	Settings      json.RawMessage   `json:"settings"` // see settingsJSON
+	Settings      json.RawMessage   `json:"settings"` // read as settingsJSON
 	Shadow        *shadowFile       `json:"watch"`
 }
 
-// Load reads the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_ADMIN override its keys.
+// Load reads the configuration file whose path is in PROXY_CONFIG. PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_ADMIN
+// override its keys. env returns the value of an environment variable.
 func Load(env func(string) string) (*Config, error) {
 	path := env(envConfig)
 	if path == "" {
-		return nil, fmt.Errorf("%s: names no file", envConfig)
+		return nil, fmt.Errorf("%s: expected the path of a configuration file, got an empty value", envConfig)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return Parse(text, env)
 }
 
-// Parse reads a configuration. Its error names the first key that is invalid.
+// Parse reads a configuration from the text of a configuration file. Its error names the first key that is invalid.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	var in file
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -102,10 +103,11 @@
 	return c, nil
 }
 
-// Text returns the file as it was read.
+// Text returns the content of the configuration file.
 func (c *Config) Text() []byte { return c.text }
 
-// checkSupported refuses settings that this program cannot carry out: it has no connection to other balancers.
+// checkSupported returns an error for settings that this program cannot carry out. Gossip is not supported, because a
+// sidecar has no connection to other balancers.
 func checkSupported(settings *decide.Settings) error {
 	if settings.Limits.Gossip {
 		return fmt.Errorf("Limits.Peers: this program carries no messages between balancers")
@@ -113,13 +115,14 @@
 	return nil
 }
 
-func override(s *string, with string) {
-	if with != "" {
-		*s = with
+// override replaces *s by value unless value is empty.
+func override(s *string, value string) {
+	if value != "" {
+		*s = value
 	}
 }
 
-// check applies defaults to all but the settings, and names the first key that is invalid.
+// check validates all keys but the settings and applies their defaults. Its error names the first key that is invalid.
 func (c *Config) check(seed string) (err error) {
 	if c.Name == "" {
 		return fmt.Errorf("config: name is missing")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-func none(string) string { return "" }
+// noEnv is an environment in which no variable is set.
+func noEnv(string) string { return "" }
 
-func example(t *testing.T) []byte {
+func readExample(t *testing.T) []byte {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -20,27 +21,27 @@
 	return text
 }
 
-func TestExample(t *testing.T) {
-	c, err := Parse(example(t), none)
+func TestParseExampleFile(t *testing.T) {
+	c, err := Parse(readExample(t), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Name != "n1" || c.Listen != "127.0.0.1:8000" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 256 {
-		t.Errorf("%+v", c)
+		t.Errorf("got configuration %+v, want name, listen, seed and limits.sockets of the example file", c)
 	}
 	if len(c.Settings.Classes) != 2 || c.Settings.Rules.PollInterval != 10_000_000 || c.Settings.EndpointsPushed {
-		t.Errorf("%+v", c.Settings)
+		t.Errorf("got settings %+v, want 2 classes and an endpoint list that is polled every 10 s", c.Settings)
 	}
 	if c.Transport.ConnIdle != 10*time.Second || c.Transport.DialTimeout != 250*time.Millisecond {
-		t.Errorf("%+v", c.Transport)
+		t.Errorf("got %+v, want ConnIdle 10 s and DialTimeout 250 ms", c.Transport)
 	}
 }
 
-// change parses the example with one key replaced, or removed where value is nil.
-func change(t *testing.T, key string, value any) (*Config, error) {
+// parseChanged parses the example file with the value of one key replaced; a nil value removes the key.
+func parseChanged(t *testing.T, key string, value any) (*Config, error) {
 	t.Helper()
 	var all map[string]any
-	if err := json.Unmarshal(example(t), &all); err != nil {
+	if err := json.Unmarshal(readExample(t), &all); err != nil {
 		t.Fatal(err)
 	}
 	at, path := all, strings.Split(key, ".")
@@ -53,31 +54,29 @@
 		at[last] = value
 	}
 	text, _ := json.Marshal(all)
-	return Parse(text, none)
+	return Parse(text, noEnv)
 }
 
-// The price of crossing zones reaches the decisions; without one it is free.
-func TestZonePrice(t *testing.T) {
+func TestCrossZonePriceIsReadAndDefaultsToZero(t *testing.T) {
 	for value, want := range map[any]float64{nil: 0, 0.03: 0.03} {
 		prices := map[string]any{}
 		if value != nil {
 			prices["CrossZone"] = value
 		}
-		if c, err := change(t, "settings.Prices", prices); err != nil || c.Settings.CrossZonePrice != want {
-			t.Errorf("%v: %v %v", value, c, err)
+		if c, err := parseChanged(t, "settings.Prices", prices); err != nil || c.Settings.CrossZonePrice != want {
+			t.Errorf("Prices.CrossZone %v: got configuration %v and error %v, want a price of %v", value, c, err, want)
 		}
 	}
 }
 
-// A message names the faulty key.
-func TestFaultyKeys(t *testing.T) {
+func TestErrorNamesTheInvalidKey(t *testing.T) {
 	class := func(semantics, group string) []any {
 		return []any{map[string]any{"Name": "c", "Semantics": semantics, "Group": group}}
 	}
 	for _, c := range []struct {
 		key   string
 		value any
-		says  string
+		want  string // part of the error
 	}{
 		{"name", "", "name"},
 		{"listen", "8000", "listen"},
@@ -120,23 +119,23 @@
 		{"watch", map[string]any{}, "watch.settings"},
 		{"watch", map[string]any{"every_s": 0}, "watch.every_s"},
 		{"watch", map[string]any{"settings": map[string]any{}}, "watch"},
-		{"watch", watchedOf(t, "Limits", map[string]any{"Peers": true}), "watch.settings.Limits.Peers"},
-		{"watch", watchedOf(t, "WeightSource", "guessed"), "watch.settings: WeightSource"},
-		{"watch", watchedOf(t, "ScoringMix", map[string]any{"Tail": -1}), "watch.settings: ScoringMix.Tail"},
-		{"watch", watchedOf(t, "Services", []any{map[string]any{"Name": "c", "Semantics": "idempotent"}}), "watch.settings.Services"},
-		{"watch", watchedOf(t, "Realms", []any{}), "watch.settings.Realms"},
+		{"watch", watchWith(t, "Limits", map[string]any{"Peers": true}), "watch.settings.Limits.Peers"},
+		{"watch", watchWith(t, "WeightSource", "guessed"), "watch.settings: WeightSource"},
+		{"watch", watchWith(t, "ScoringMix", map[string]any{"Tail": -1}), "watch.settings: ScoringMix.Tail"},
+		{"watch", watchWith(t, "Services", []any{map[string]any{"Name": "c", "Semantics": "idempotent"}}), "watch.settings.Services"},
+		{"watch", watchWith(t, "Realms", []any{}), "watch.settings.Realms"},
 	} {
-		if _, err := change(t, c.key, c.value); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s = %v: said %v", c.key, c.value, err)
+		if _, err := parseChanged(t, c.key, c.value); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s = %v: got error %v, want one that contains %q", c.key, c.value, err, c.want)
 		}
 	}
 }
 
-// watchedOf returns shadow settings: the example's own with one key replaced.
-func watchedOf(t *testing.T, key string, value any) map[string]any {
+// watchWith returns a value of the key watch whose shadow settings are those of the example with one key replaced.
+func watchWith(t *testing.T, key string, value any) map[string]any {
 	t.Helper()
 	var conf map[string]any
-	if err := json.Unmarshal(example(t), &conf); err != nil {
+	if err := json.Unmarshal(readExample(t), &conf); err != nil {
 		t.Fatal(err)
 	}
 	set := conf["settings"].(map[string]any)
@@ -146,66 +145,63 @@
 	return map[string]any{"settings": set}
 }
 
-// Settings that were added later reach the decisions; without them there is no change.
-func TestSettingsOfTheNewShape(t *testing.T) {
-	c, err := Parse(example(t), none)
+func TestOptionalSettingsAreOffByDefaultAndAreRead(t *testing.T) {
+	c, err := Parse(readExample(t), noEnv)
 	if err != nil || c.Shadow != nil || c.Settings.CapacityFollowsLoad || c.Settings.Limits.DecisionCPU != 0 || c.Settings.Objective.TailLatency != 0 ||
 		c.Settings.Objective.ToleratedLateShare != 0 {
-		t.Errorf("defaults: %v %+v", err, c)
+		t.Errorf("without the optional settings: got error %v and configuration %+v, want all of them off", err, c)
 	}
-	c, err = change(t, "watch", watchedOf(t, "WeightSource", "live"))
+	c, err = parseChanged(t, "watch", watchWith(t, "WeightSource", "live"))
 	if err != nil || c.Shadow == nil || !c.Shadow.Settings.CapacityFollowsLoad || !c.Shadow.Settings.CapacityListed || c.Shadow.LogInterval != 10*time.Second || c.Settings.CapacityFollowsLoad {
-		t.Fatalf("live weights in the watch: %v %+v", err, c)
+		t.Fatalf("WeightSource live in the shadow settings: got error %v and configuration %+v, want it in the shadow settings only", err, c)
 	}
-	c, err = change(t, "settings.ScoringMix", map[string]any{"Tail": 0.3, "BorneMisses": 0.01})
+	c, err = parseChanged(t, "settings.ScoringMix", map[string]any{"Tail": 0.3, "BorneMisses": 0.01})
 	if err != nil || c.Settings.Objective.TailLatency != 0.3 || c.Settings.Objective.ToleratedLateShare != 0.01 {
-		t.Errorf("tail: %v %+v", err, c)
+		t.Errorf("ScoringMix: got error %v and configuration %+v, want Tail 0.3 and BorneMisses 0.01", err, c)
 	}
-	if c, err = change(t, "settings.Limits.CpuUsPerS", 8000); err != nil || c.Settings.Limits.DecisionCPU != 8000 {
-		t.Errorf("CPU: %v %+v", err, c)
+	if c, err = parseChanged(t, "settings.Limits.CpuUsPerS", 8000); err != nil || c.Settings.Limits.DecisionCPU != 8000 {
+		t.Errorf("Limits.CpuUsPerS: got error %v and configuration %+v, want 8000", err, c)
 	}
 }
 
-// The attempt budget and the limit on buffered responses reach the decisions.
-func TestBudgetOfAttempts(t *testing.T) {
-	c, err := change(t, "settings.Guarantees", map[string]any{"ExtraFloor": 3, "ResendRatio": 0.05, "ResendSpanUs": 10_000_000})
+func TestAttemptBudgetAndResponseBufferLimitAreRead(t *testing.T) {
+	c, err := parseChanged(t, "settings.Guarantees", map[string]any{"ExtraFloor": 3, "ResendRatio": 0.05, "ResendSpanUs": 10_000_000})
 	if err != nil || c.Settings.Rules.AttemptBudgetMin != 3 || c.Settings.Rules.AttemptBudgetRatio != 0.05 || c.Settings.Rules.AttemptBudgetWindow != 10_000_000 {
-		t.Errorf("%v %+v", err, c)
+		t.Errorf("got error %v and configuration %+v, want an attempt budget of minimum 3, ratio 0.05 and window 10 s", err, c)
 	}
-	if c, err = change(t, "settings.Limits.HeldReplies", 7); err != nil || c.Settings.Limits.MaxBufferedResponses != 7 {
-		t.Errorf("%v %+v", err, c)
+	if c, err = parseChanged(t, "settings.Limits.HeldReplies", 7); err != nil || c.Settings.Limits.MaxBufferedResponses != 7 {
+		t.Errorf("Limits.HeldReplies: got error %v and configuration %+v, want 7", err, c)
 	}
 }
 
-func TestDefaults(t *testing.T) {
+func TestAbsentOptionalKeysHaveDefaults(t *testing.T) {
 	for _, key := range []string{"limits", "seed", "known", "settings.Limits.ConnIdleUs", "settings.Limits.DialTimeoutUs"} {
-		c, err := change(t, key, nil)
+		c, err := parseChanged(t, key, nil)
 		if err != nil {
 			t.Fatalf("without %s: %v", key, err)
 		}
 		if c.Limits.Sockets == 0 || c.Limits.MemoryMB == 0 || c.Limits.Cores == 0 || c.Transport.ConnIdle == 0 ||
 			c.Transport.DialTimeout == 0 {
-			t.Errorf("without %s: %+v %+v", key, c.Limits, c.Transport)
+			t.Errorf("without %s: got %+v and %+v, want no zero value", key, c.Limits, c.Transport)
 		}
 	}
 }
 
-// Environment variables override the file, which one of them names.
-func TestEnvironment(t *testing.T) {
+func TestEnvironmentOverridesTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
-	if err := os.WriteFile(path, example(t), 0o600); err != nil {
+	if err := os.WriteFile(path, readExample(t), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	env := map[string]string{"PROXY_CONFIG": path, "PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.1:1",
 		"PROXY_DISCOVERY": "127.0.0.1:2"}
 	c, err := Load(func(k string) string { return env[k] })
 	if err != nil || c.Name != "n9" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:2" {
-		t.Fatal(c, err)
+		t.Fatalf("got configuration %+v and error %v, want name, listen and discovery of the environment", c, err)
 	}
 	for _, file := range []string{"", path + ".gone"} {
 		env["PROXY_CONFIG"] = file
 		if _, err := Load(func(k string) string { return env[k] }); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-			t.Errorf("%q: said %v", file, err)
+			t.Errorf("PROXY_CONFIG=%q: got error %v, want one that names PROXY_CONFIG", file, err)
 		}
 	}
 }
@@ -213,5 +209,5 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"Services":[{}]}}`))
 	f.Add([]byte(`[]`))
-	f.Fuzz(func(_ *testing.T, in []byte) { Parse(in, none) })
+	f.Fuzz(func(_ *testing.T, in []byte) { Parse(in, noEnv) })
 }
--- a/internal/config/fleet_settings.go
+++ b/internal/config/fleet_settings.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// perSidecarKeys are the settings that a fleet does not set.
+// perSidecarKeys are the settings that each sidecar keeps from its own file when a fleet rolls out settings.
 var perSidecarKeys = []string{"Me", "Zone"}
 
-// fleetKeys are the keys that a fleet's file may have. All but settings belong to each sidecar and are ignored, so that a
-// sidecar's whole file may be given as it is.
+// fleetKeys are the keys that a fleet's file may have. Keys other than settings belong to each sidecar and are ignored, so
+// that a sidecar's complete configuration file can be used as the fleet's file.
 var fleetKeys = []string{"name", "listen", "discovery", "admin", "seed", "limits", "known", "settings", "watch"}
 
-// WithFleetSettings returns this configuration with the settings of a fleet's file, checked as in Reload. A key of the
-// settings that neither this build nor the file in force knows is an error: this member would otherwise claim to have
-// adopted a version of which it applies a part.
+// WithFleetSettings returns this configuration with the settings of a fleet's file, validated as by Reload. A key of the
+// settings that is neither known to this build nor in the file in force is an error. Otherwise this member would report
+// that it applies a version although it applies only a part of it.
 func (c *Config) WithFleetSettings(text []byte, env func(string) string) (*Config, error) {
 	merged, err := c.mergeFleetSettings(text)
 	if err != nil {
@@ -37,7 +37,8 @@
 	return next, nil
 }
 
-// mergeFleetSettings returns this configuration's file with the settings of a fleet's file but for perSidecarKeys.
+// mergeFleetSettings returns the text of this configuration's file with the settings of a fleet's file. perSidecarKeys keep
+// the values of this configuration's file.
 func (c *Config) mergeFleetSettings(text []byte) ([]byte, error) {
 	var fleetFile, ownFile map[string]json.RawMessage
 	if err := json.Unmarshal(text, &fleetFile); err != nil {
@@ -79,7 +80,8 @@
 	return merged, nil
 }
 
-// unknownKey names the first key of an object that has no field in t and is not in the object in force either; empty: none.
+// unknownKey returns the path of the first key of object that has no field in t and is not in inForce; empty: none. inForce
+// is the same object of the settings in force.
 func unknownKey(object, inForce map[string]any, t reflect.Type) string {
 	for _, key := range sortedKeys(object) {
 		field, known := fieldOfKey(t, key)
@@ -105,7 +107,7 @@
 	return ""
 }
 
-// unknownKeyInList is unknownKey for the objects of a list.
+// unknownKeyInList is unknownKey for the objects in a list. inForce has the keys of all objects of the list in force.
 func unknownKeyInList(list []any, inForce map[string]any, t reflect.Type) string {
 	for i, element := range list {
 		if object, ok := element.(map[string]any); ok {
@@ -117,7 +119,7 @@
 	return ""
 }
 
-// fieldOfKey returns the type of the field that a JSON key is decoded into, as encoding/json matches them.
+// fieldOfKey returns the type of the field that a JSON key is decoded into. It ignores case, as encoding/json does.
 func fieldOfKey(t reflect.Type, key string) (field reflect.Type, ok bool) {
 	for i := range t.NumField() {
 		if f := t.Field(i); strings.EqualFold(f.Tag.Get("json"), key) {
@@ -127,7 +129,7 @@
 	return nil, false
 }
 
-// keysOfElements returns all keys that any object of a list has.
+// keysOfElements returns the keys of all objects in a list.
 func keysOfElements(list any) map[string]any {
 	all := map[string]any{}
 	elements, _ := list.([]any)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Limits are what the sidecar may use of its machine.
+// Limits are the resources of the machine that the sidecar may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`     // CPU cores; default 1
 	MemoryMB int     `json:"memory_mb"` // MiB; default 192, at least 8
@@ -13,11 +13,11 @@
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	minMemoryMB     = 8  // the runtime, and the buffers of a few connections
-	minSockets      = 32 // the runtime's, a listener, a watch, and a few connections each way
+	minMemoryMB     = 8  // enough for the Go runtime and the buffers of a few connections
+	minSockets      = 32 // enough for the Go runtime, a listener, a discovery watch and a few connections on either side
 )
 
-// check applies defaults and names the first key that is invalid.
+// check applies defaults and validates the limits. Its error names the first key that is invalid.
 func (l *Limits) check() error {
 	if l.Cores == 0 {
 		l.Cores = defaultCores
--- a/internal/config/missing_keys.go
+++ b/internal/config/missing_keys.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// optionalKeys are the keys that a new file may leave out although the file in force has them.
+// optionalKeys are the keys that a new file may omit although the file in force has them.
 var optionalKeys = []string{"known", "watch", "admin", "seed"}
 
-// missingKey names the first key, by name, that the old file has and the new one lacks; empty: none.
+// missingKey returns the path of the first key, in alphabetical order, that is in the old file and not in the new file;
+// empty: none.
 func missingKey(oldText, newText []byte) (string, error) {
 	var oldKeys, newKeys map[string]any
 	if err := json.Unmarshal(oldText, &oldKeys); err != nil {
@@ -24,7 +25,7 @@
 	return missingFromObject(oldKeys, newKeys), nil
 }
 
-// missingFromObject compares two objects and the objects and lists in them.
+// missingFromObject is missingKey for two objects. It also compares the objects and lists in them.
 func missingFromObject(oldKeys, newKeys map[string]any) string {
 	for _, key := range sortedKeys(oldKeys) {
 		newValue, ok := newKeys[key]
@@ -53,8 +54,8 @@
 	return ""
 }
 
-// missingFromList compares two lists of objects: each new element must have the keys that all old ones have. The elements
-// themselves may come and go.
+// missingFromList is missingKey for two lists of objects. Each new element must have the keys that all old elements have.
+// Elements may be added and removed.
 func missingFromList(oldList, newList []any) string {
 	count, objects := map[string]int{}, 0
 	for _, element := range oldList {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -5,11 +5,12 @@
 	"reflect"
 )
 
-// Reload reads the file again and returns its configuration, with the names of the changed keys that take effect only at the
-// next start. A key that the file in force has and the new one lacks is an error: the new one may be half written.
+// Reload reads the file again and returns its configuration, with the names of the changed keys that take effect only when
+// the process is restarted. If the new file does not have a key of the file in force, Reload returns an error, because the
+// new file may be partly written.
 //
-// A discovery address that differs from the one that the file named before overrides PROXY_DISCOVERY, which is as old as
-// the process.
+// If the discovery address in the file has changed, it overrides PROXY_DISCOVERY, whose value dates from the start of the
+// process.
 func (c *Config) Reload(env func(string) string) (next *Config, needsRestart []string, err error) {
 	if next, err = Load(env); err != nil {
 		return nil, nil, err
@@ -42,33 +43,35 @@
 	return next, needsRestart, nil
 }
 
-// SettingsChanged reports whether the settings differ from those of another configuration.
+// SettingsChanged reports whether the settings, those of connections and the shadow settings included, differ from those of
+// another configuration.
 func (c *Config) SettingsChanged(other *Config) bool {
 	return !reflect.DeepEqual(c.Settings, other.Settings) || c.Transport != other.Transport ||
 		!reflect.DeepEqual(c.Shadow, other.Shadow)
 }
 
-// checkReplaces refuses a file that lacks a key of the file in force.
+// checkReplaces returns an error if the next file does not have a key of the file in force.
 func checkReplaces(inForce, next []byte) error {
 	key, err := missingKey(inForce, next)
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
 	if key != "" {
-		return fmt.Errorf("config: %s is missing, the file in force has it", key)
+		return fmt.Errorf("config: %s is missing but is set in the file in force", key)
 	}
 	return nil
 }
 
-// checkExplicit refuses values for which a start would use a default: in a file that replaces another they are a mistake.
+// checkExplicit returns an error for values that a start replaces by a default. In a file that replaces another, such a
+// value is taken for a mistake.
 func (c *Config) checkExplicit() error {
 	for _, class := range c.Settings.Classes {
 		if class.Deadline <= 0 {
-			return fmt.Errorf("config: settings: class %s: DeadlineUs: expected over 0, got %d", class.Name, class.Deadline)
+			return fmt.Errorf("config: settings: class %s: DeadlineUs: expected more than 0, got %d", class.Name, class.Deadline)
 		}
 	}
 	if n := c.Settings.Limits.MaxAttempts; n <= 0 {
-		return fmt.Errorf("config: settings.Limits.MaxAttempts: expected over 0, got %d", n)
+		return fmt.Errorf("config: settings.Limits.MaxAttempts: expected more than 0, got %d", n)
 	}
 	return nil
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// reloaded puts text where the example was loaded from, and reads it again.
-func reloaded(t *testing.T, text []byte) (next *Config, restart []string, err error) {
+// reloadFile loads the example from a file, replaces the file's content by text and reloads it.
+func reloadFile(t *testing.T, text []byte) (next *Config, needsRestart []string, err error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(k string) string {
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(example(t))
+	write(readExample(t))
 	c, err := Load(env)
 	if err != nil {
 		t.Fatal(err)
@@ -32,11 +32,11 @@
 	return c.Reload(env)
 }
 
-// edited is the example with a change.
-func edited(t *testing.T, change func(all map[string]any)) []byte {
+// editExample returns the example file after a change.
+func editExample(t *testing.T, change func(all map[string]any)) []byte {
 	t.Helper()
 	var all map[string]any
-	if err := json.Unmarshal(example(t), &all); err != nil {
+	if err := json.Unmarshal(readExample(t), &all); err != nil {
 		t.Fatal(err)
 	}
 	change(all)
@@ -47,80 +47,78 @@
 	return text
 }
 
-func class(all map[string]any, i int) map[string]any {
+func classOf(all map[string]any, i int) map[string]any {
 	return all["settings"].(map[string]any)["Services"].([]any)[i].(map[string]any)
 }
 
-func limits(all map[string]any) map[string]any {
+func limitsOf(all map[string]any) map[string]any {
 	return all["settings"].(map[string]any)["Limits"].(map[string]any)
 }
 
-// Each of these files is refused, and the error names the key.
-func TestBrokenReload(t *testing.T) {
-	good := example(t)
+func TestReloadRejectsInvalidFilesAndNamesTheKey(t *testing.T) {
+	valid := readExample(t)
 	for name, c := range map[string]struct {
 		text []byte
-		says string
+		want string // part of the error
 	}{
-		"empty":              {nil, "JSON"},
-		"cut off":            {good[:len(good)/2], "JSON"},
-		"cut at its end":     {[]byte(strings.TrimSpace(string(good))[:len(strings.TrimSpace(string(good)))-1]), "JSON"},
-		"no settings":        {edited(t, func(a map[string]any) { delete(a, "settings") }), "settings"},
-		"no discovery":       {edited(t, func(a map[string]any) { delete(a, "discovery") }), "discovery"},
-		"no limits":          {edited(t, func(a map[string]any) { delete(a, "limits") }), "limits"},
-		"a limit less":       {edited(t, func(a map[string]any) { delete(a["limits"].(map[string]any), "sockets") }), "limits.sockets"},
-		"no classes":         {edited(t, func(a map[string]any) { delete(a["settings"].(map[string]any), "Services") }), "classes"},
-		"no rules":           {edited(t, func(a map[string]any) { delete(a["settings"].(map[string]any), "Guarantees") }), "settings.Guarantees"},
-		"no deadline":        {edited(t, func(a map[string]any) { delete(class(a, 1), "DeadlineUs") }), "settings.Services[1].DeadlineUs"},
-		"no effect":          {edited(t, func(a map[string]any) { delete(class(a, 0), "Semantics") }), "unknown semantics"},
-		"another effect":     {edited(t, func(a map[string]any) { class(a, 0)["Semantics"] = "sometimes" }), "sometimes"},
-		"deadline 0":         {edited(t, func(a map[string]any) { class(a, 0)["DeadlineUs"] = 0 }), "DeadlineUs"},
-		"deadline below 0":   {edited(t, func(a map[string]any) { class(a, 0)["DeadlineUs"] = -5 }), "deadline"},
-		"endless deadline":   {edited(t, func(a map[string]any) { class(a, 0)["DeadlineUs"] = json.RawMessage("1e30") }), "DeadlineUs"},
-		"attempts 0":         {edited(t, func(a map[string]any) { limits(a)["MaxAttempts"] = 0 }), "MaxAttempts"},
-		"attempts below 0":   {edited(t, func(a map[string]any) { limits(a)["MaxAttempts"] = -1 }), "negative limit"},
-		"attempts in words":  {edited(t, func(a map[string]any) { limits(a)["MaxAttempts"] = "four" }), "MaxAttempts"},
-		"no attempts":        {edited(t, func(a map[string]any) { delete(limits(a), "MaxAttempts") }), "settings.Limits.MaxAttempts"},
-		"infinite worth":     {edited(t, func(a map[string]any) { class(a, 0)["Worth"] = json.RawMessage("1e999") }), "Worth"},
-		"a class twice":      {edited(t, func(a map[string]any) { class(a, 1)["Name"] = class(a, 0)["Name"] }), "twice"},
-		"classes in a word":  {edited(t, func(a map[string]any) { a["settings"].(map[string]any)["Services"] = "all" }), "Services"},
-		"settings in a list": {edited(t, func(a map[string]any) { a["settings"] = []any{} }), "settings"},
-		"another's list":     {[]byte("[]"), "config"},
+		"empty":                    {nil, "JSON"},
+		"first half only":          {valid[:len(valid)/2], "JSON"},
+		"last byte missing":        {[]byte(strings.TrimSpace(string(valid))[:len(strings.TrimSpace(string(valid)))-1]), "JSON"},
+		"no settings":              {editExample(t, func(a map[string]any) { delete(a, "settings") }), "settings"},
+		"no discovery":             {editExample(t, func(a map[string]any) { delete(a, "discovery") }), "discovery"},
+		"no limits":                {editExample(t, func(a map[string]any) { delete(a, "limits") }), "limits"},
+		"one limit missing":        {editExample(t, func(a map[string]any) { delete(a["limits"].(map[string]any), "sockets") }), "limits.sockets"},
+		"no classes":               {editExample(t, func(a map[string]any) { delete(a["settings"].(map[string]any), "Services") }), "classes"},
+		"no rules":                 {editExample(t, func(a map[string]any) { delete(a["settings"].(map[string]any), "Guarantees") }), "settings.Guarantees"},
+		"no deadline":              {editExample(t, func(a map[string]any) { delete(classOf(a, 1), "DeadlineUs") }), "settings.Services[1].DeadlineUs"},
+		"no semantics":             {editExample(t, func(a map[string]any) { delete(classOf(a, 0), "Semantics") }), "unknown semantics"},
+		"unknown semantics":        {editExample(t, func(a map[string]any) { classOf(a, 0)["Semantics"] = "sometimes" }), "sometimes"},
+		"deadline 0":               {editExample(t, func(a map[string]any) { classOf(a, 0)["DeadlineUs"] = 0 }), "DeadlineUs"},
+		"deadline below 0":         {editExample(t, func(a map[string]any) { classOf(a, 0)["DeadlineUs"] = -5 }), "deadline"},
+		"deadline overflow":        {editExample(t, func(a map[string]any) { classOf(a, 0)["DeadlineUs"] = json.RawMessage("1e30") }), "DeadlineUs"},
+		"attempts 0":               {editExample(t, func(a map[string]any) { limitsOf(a)["MaxAttempts"] = 0 }), "MaxAttempts"},
+		"attempts below 0":         {editExample(t, func(a map[string]any) { limitsOf(a)["MaxAttempts"] = -1 }), "negative limit"},
+		"attempts as a string":     {editExample(t, func(a map[string]any) { limitsOf(a)["MaxAttempts"] = "four" }), "MaxAttempts"},
+		"no attempts":              {editExample(t, func(a map[string]any) { delete(limitsOf(a), "MaxAttempts") }), "settings.Limits.MaxAttempts"},
+		"infinite priority weight": {editExample(t, func(a map[string]any) { classOf(a, 0)["Worth"] = json.RawMessage("1e999") }), "Worth"},
+		"duplicate class":          {editExample(t, func(a map[string]any) { classOf(a, 1)["Name"] = classOf(a, 0)["Name"] }), "twice"},
+		"classes as a string":      {editExample(t, func(a map[string]any) { a["settings"].(map[string]any)["Services"] = "all" }), "Services"},
+		"settings as a list":       {editExample(t, func(a map[string]any) { a["settings"] = []any{} }), "settings"},
+		"file is a list":           {[]byte("[]"), "config"},
 	} {
-		if next, _, err := reloaded(t, c.text); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, want an error that names %s (%v)", name, err, c.says, next != nil)
+		if next, _, err := reloadFile(t, c.text); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: got error %v (configuration returned: %v), want one that contains %q", name, err, next != nil, c.want)
 		}
 	}
 }
 
-// Optional keys may be left out, and keys that need a restart are named.
-func TestReload(t *testing.T) {
+func TestReloadReturnsTheChangedKeysThatNeedARestart(t *testing.T) {
 	for name, c := range map[string]struct {
-		change  func(all map[string]any)
-		restart string
-		retuned bool
+		change          func(all map[string]any)
+		restart         string // keys that need a restart
+		settingsChanged bool
 	}{
-		"the same":        {func(map[string]any) {}, "", false},
-		"no known":        {func(a map[string]any) { delete(a, "known") }, "", false},
-		"one attempt":     {func(a map[string]any) { limits(a)["MaxAttempts"] = 1 }, "", true},
-		"a class dropped": {func(a map[string]any) { s := a["settings"].(map[string]any); s["Services"] = s["Services"].([]any)[:1] }, "", true},
-		"addresses":       {func(a map[string]any) { a["listen"], a["admin"] = "127.0.0.1:9", "127.0.0.1:8" }, "listen,admin", false},
-		"the machine":     {func(a map[string]any) { a["limits"].(map[string]any)["sockets"] = 999 }, "limits", false},
+		"unchanged":                    {func(map[string]any) {}, "", false},
+		"last known endpoints removed": {func(a map[string]any) { delete(a, "known") }, "", false},
+		"max attempts changed":         {func(a map[string]any) { limitsOf(a)["MaxAttempts"] = 1 }, "", true},
+		"class removed":                {func(a map[string]any) { s := a["settings"].(map[string]any); s["Services"] = s["Services"].([]any)[:1] }, "", true},
+		"listen and admin changed":     {func(a map[string]any) { a["listen"], a["admin"] = "127.0.0.1:9", "127.0.0.1:8" }, "listen,admin", false},
+		"limits changed":               {func(a map[string]any) { a["limits"].(map[string]any)["sockets"] = 999 }, "limits", false},
 	} {
-		next, restart, err := reloaded(t, edited(t, c.change))
+		next, restart, err := reloadFile(t, editExample(t, c.change))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		old, _ := Parse(example(t), none)
-		if got := strings.Join(restart, ","); got != c.restart || next.SettingsChanged(old) != c.retuned {
-			t.Errorf("%s: needs a restart: %q, retuned %v", name, got, next.SettingsChanged(old))
+		old, _ := Parse(readExample(t), noEnv)
+		if got := strings.Join(restart, ","); got != c.restart || next.SettingsChanged(old) != c.settingsChanged {
+			t.Errorf("%s: got keys that need a restart %q and SettingsChanged %v, want %q and %v", name, got, next.SettingsChanged(old), c.restart, c.settingsChanged)
 		}
 	}
 }
 
-// A fleet's settings are adopted completely or not at all; per-sidecar keys stay.
-func TestWithFleetSettings(t *testing.T) {
+// A fleet's settings are applied completely or not at all. Keys that belong to the sidecar keep their value.
+func TestFleetSettingsAreAppliedCompletelyOrNotAtAll(t *testing.T) {
 	var file map[string]any
 	if err := json.Unmarshal([]byte(fleetFile), &file); err != nil {
 		t.Fatal(err)
@@ -133,19 +131,18 @@
 		text, _ := json.Marshal(map[string]any{"settings": set})
 		return text
 	}
-	none := func(string) string { return "" }
-	c, err := Parse([]byte(fleetFile), none)
+	c, err := Parse([]byte(fleetFile), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next, err := c.WithFleetSettings(with(func(s map[string]any) {
 		s["Me"], s["Zone"], s["Odd"], s["TickUs"] = 7, "z", 2, 6000
-	}), none)
+	}), noEnv)
 	if err != nil || next.Settings.BalancerIndex != 1 || next.Settings.Zone != "a" || next.Settings.Limits.MinEventInterval != 6000 || next.Name != "p" || string(next.Text()) != fleetFile {
-		t.Fatalf("%v %+v", err, next)
+		t.Fatalf("got error %v and configuration %+v, want TickUs 6000 with the sidecar's own name, index, zone and text", err, next)
 	}
-	if whole, err := c.WithFleetSettings([]byte(strings.Replace(fleetFile, `"p"`, `"another"`, 1)), none); err != nil || whole.Name != "p" || whole.SettingsChanged(c) {
-		t.Error(err)
+	if fromFile, err := c.WithFleetSettings([]byte(strings.Replace(fleetFile, `"p"`, `"another"`, 1)), noEnv); err != nil || fromFile.Name != "p" || fromFile.SettingsChanged(c) {
+		t.Errorf("complete file of another sidecar: got error %v, want none, the sidecar's own name and unchanged settings", err)
 	}
 	for want, text := range map[string][]byte{
 		"settings.Sideways: unknown key":        with(func(s map[string]any) { s["Sideways"] = 1 }),
@@ -157,8 +154,8 @@
 		"settings: expected an object":          []byte(`{}`),
 		"config: ":                              []byte(`{`),
 	} {
-		if _, err := c.WithFleetSettings(text, none); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+		if _, err := c.WithFleetSettings(text, noEnv); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,60 +9,60 @@
 	"damsonscale/decide"
 )
 
-// settingsJSON is the settings object under its keys. Each key is mapped here, once, to the term that the code uses; the
-// comments give unit and default. Keys match without regard to case. An absent number is 0, which means "none" or "no such
-// limit" unless a comment says otherwise. Parse skips unknown keys; WithFleetSettings refuses them.
+// settingsJSON is the JSON form of the settings. The struct tags map each key to the term that the code uses; the comments
+// give the unit and the default. The case of keys is ignored. An absent number is 0, which means none or no limit unless a
+// comment says otherwise. Parse ignores unknown keys; WithFleetSettings returns an error for them.
 type settingsJSON struct {
-	BalancerCount   int             `json:"Balancers"`      // balancers of the service
-	BalancerIndex   int             `json:"Me"`             // this one's index among them
-	Zone            string          `json:"Zone"`           // of this balancer; empty: not stated
-	RegistryMode    string          `json:"RegistryMode"`   // "pushed": the endpoint list comes from an agent; else: it is polled
-	CapacitySource  string          `json:"WeightSource"`   // what the list's capacities mean: one of capacitySources
-	OverQuotaWeight float64         `json:"OverShareWorth"` // factor on the priority weight of what a tenant sends over its quota
-	MinEventMicros  int64           `json:"TickUs"`         // least time between two events, µs
+	BalancerCount   int             `json:"Balancers"`      // number of balancers of the service
+	BalancerIndex   int             `json:"Me"`             // index of this balancer among them
+	Zone            string          `json:"Zone"`           // zone of this balancer; empty: unknown
+	RegistryMode    string          `json:"RegistryMode"`   // "pushed": an agent pushes the endpoint list; else: it is polled
+	CapacitySource  string          `json:"WeightSource"`   // meaning of the capacities in the endpoint list: one of capacitySources
+	OverQuotaWeight float64         `json:"OverShareWorth"` // factor on the priority weight of a tenant's requests over its quota
+	MinEventMicros  int64           `json:"TickUs"`         // minimum time between two events, µs
 	Classes         []classJSON     `json:"Services"`       // at least one
 	Tenants         []tenantJSON    `json:"Realms"`
-	Limits          limitsJSON      `json:"Limits"` // what the deployment permits
+	Limits          limitsJSON      `json:"Limits"`
 	LoadReports     loadReportsJSON `json:"Report"`
-	Objective       objectiveJSON   `json:"ScoringMix"` // how the service is judged
+	Objective       objectiveJSON   `json:"ScoringMix"`
 	Prices          pricesJSON      `json:"Prices"`
 	Keys            keysJSON        `json:"FamilyInfo"`
-	Guarantees      guaranteesJSON  `json:"Guarantees"` // what the service promises, and what servers need
+	Guarantees      guaranteesJSON  `json:"Guarantees"`
 }
 
 // classJSON is one class of requests.
 type classJSON struct {
-	Name              string  `json:"Name"`       // the first part of the path; must be unique
-	Semantics         string  `json:"Semantics"`  // one of semanticsByName
-	DedupScope        string  `json:"Group"`      // servers that drop each other's repeats: one of scopesByName; default: all
-	DedupWindowMicros int64   `json:"WindowUs"`   // how long servers drop a repeat, µs
+	Name              string  `json:"Name"`       // first segment of the path of its requests; unique
+	Semantics         string  `json:"Semantics"`  // a key of semanticsByName
+	DedupScope        string  `json:"Group"`      // servers that deduplicate requests together: a key of scopesByName; default: all
+	DedupWindowMicros int64   `json:"WindowUs"`   // how long servers recognize a duplicate, µs
 	ObjectiveMicros   int64   `json:"AimUs"`      // latency objective, µs
-	ObjectivePerWork  float64 `json:"AimStretch"` // added to the objective for each unit of work hinted, µs; up to the deadline
-	DeadlineMicros    int64   `json:"DeadlineUs"` // over all attempts, µs
-	LateValueShare    float64 `json:"LateShare"`  // value of a response past the objective, as a share
+	ObjectivePerWork  float64 `json:"AimStretch"` // added to the objective for each unit of hinted work, µs; the sum is capped at the deadline
+	DeadlineMicros    int64   `json:"DeadlineUs"` // deadline of a request over all its attempts, µs
+	LateValueShare    float64 `json:"LateShare"`  // value of a response after the objective, as a share of a timely response's value
 	PriorityWeight    float64 `json:"Worth"`
 	Stream            bool    `json:"Stream"` // responses are long-lived streams
 }
 
-// tenantJSON is a customer with a quota.
+// tenantJSON is a tenant with its quota.
 type tenantJSON struct {
 	Name           string  `json:"Name"`
-	QuotaPerSecond float64 `json:"AllowancePerS"` // requests a second over all balancers
+	QuotaPerSecond float64 `json:"AllowancePerS"` // requests per second over all balancers
 }
 
-// limitsJSON is what the deployment permits.
+// limitsJSON are the means that the deployment permits the balancer, and their limits.
 type limitsJSON struct {
-	Cancel               bool  `json:"Cancel"`        // attempts may be cancelled
-	Hedging              bool  `json:"ParallelTries"` // a request may have several attempts in flight
-	HealthChecks         bool  `json:"Probes"`
-	RetryAfter           bool  `json:"RetryAfter"`      // rejections may carry Retry-After
-	Gossip               bool  `json:"Peers"`           // messages between balancers; refused by this program
-	MaxAttempts          int   `json:"MaxAttempts"`     // of a request
-	MaxRetryAfterMicros  int64 `json:"MaxRetryAfterUs"` // µs
-	ConnIdleMicros       int64 `json:"ConnIdleUs"`      // servers close a connection that is idle for so long, µs; default 10 s
+	Cancel               bool  `json:"Cancel"`          // attempts may be cancelled
+	Hedging              bool  `json:"ParallelTries"`   // a request may have several attempts in flight
+	HealthChecks         bool  `json:"Probes"`          // servers may be sent health checks
+	RetryAfter           bool  `json:"RetryAfter"`      // rejections may have a Retry-After header
+	Gossip               bool  `json:"Peers"`           // balancers may exchange messages; not supported by this program
+	MaxAttempts          int   `json:"MaxAttempts"`     // attempts per request
+	MaxRetryAfterMicros  int64 `json:"MaxRetryAfterUs"` // maximum of Retry-After, µs
+	ConnIdleMicros       int64 `json:"ConnIdleUs"`      // idle time after which servers close a connection, µs; default 10 s
 	DialTimeoutMicros    int64 `json:"DialTimeoutUs"`   // µs; default 250 ms
-	CPUMicrosPerSecond   int64 `json:"CpuUsPerS"`       // for decisions, µs a second
-	MaxBufferedResponses int   `json:"HeldReplies"`     // while clients read them
+	CPUMicrosPerSecond   int64 `json:"CpuUsPerS"`       // CPU time for decisions, µs per second
+	MaxBufferedResponses int   `json:"HeldReplies"`     // responses that are buffered while slow clients read them
 }
 
 // loadReportsJSON is how servers report their load.
@@ -70,7 +70,7 @@
 	Via string `json:"Via"` // one of loadReportSources
 }
 
-// objectiveJSON is how the service is judged: weights of the parts, but for ToleratedLateShare.
+// objectiveJSON is the objective that the balancer optimizes. All fields are weights but for ToleratedLateShare.
 type objectiveJSON struct {
 	Overall            float64 `json:"Whole"`
 	WorstWindow        float64 `json:"WorstWindow"`
@@ -80,37 +80,45 @@
 	ToleratedLateShare float64 `json:"BorneMisses"` // 0 to 1: the share of late responses that TailLatency tolerates
 }
 
-// pricesJSON is what the judgement takes off.
+// pricesJSON are the costs that are deducted from the objective.
 type pricesJSON struct {
-	CrossZone   float64 `json:"CrossZone"`  // for an attempt to another zone, as a share of the first attempts
-	Connection  float64 `json:"Connection"` // for 100 open connections a server on average
-	HealthCheck float64 `json:"Probe"`      // for a health check, as a share of the first attempts
+	CrossZone   float64 `json:"CrossZone"`  // cost of cross-zone attempts, which are counted as a share of the first attempts
+	Connection  float64 `json:"Connection"` // cost of an average of 100 open connections per server
+	HealthCheck float64 `json:"Probe"`      // cost of health checks, which are counted as a share of the first attempts
 }
 
-// keysJSON is what is known of the requests' keys.
+// keysJSON describes the keys of requests.
 type keysJSON struct {
-	KeyAffinity bool `json:"WarmKeys"` // a server that served a key lately needs less work for it
+	KeyAffinity bool `json:"WarmKeys"` // a server that has recently served a key needs less work for its next request
 }
 
-// guaranteesJSON is what the service promises its clients, and what its servers need.
+// guaranteesJSON are the guarantees of the service to its clients, and the requirements of its servers.
 type guaranteesJSON struct {
-	AnswerSlackMicros         int64    `json:"AnswerSlackUs"`       // tolerance when a retry's time left is compared with that of first tries, µs
-	PollIntervalMicros        int64    `json:"AskEveryUs"`          // the list is polled at least so often where it is not pushed, µs
-	DrainGraceMicros          int64    `json:"StopSendingWithinUs"` // a draining server gets nothing new after this, µs
-	SlowStartMinShare         float64  `json:"ColdFrom"`            // 0 to 1: capacity of a server that has just started
-	SlowStartWindowMicros     int64    `json:"ColdUs"`              // until it has all of its capacity, µs
-	OverloadFactor            float64  `json:"OverloadFactor"`      // multiple of its part of the load that overloads a server in slow start
-	OverloadWindowMicros      int64    `json:"FallUs"`              // time over which OverloadFactor is taken, µs
-	AttemptBudgetMin          float64  `json:"ExtraFloor"`          // attempts beyond the first that a window may have at least
-	AttemptBudgetRatio        *float64 `json:"ResendRatio"`         // attempts beyond the first for each request of a window; needs ResendSpanUs
+	AnswerSlackMicros         int64    `json:"AnswerSlackUs"`       // tolerance when a retry's remaining time is compared with that of first attempts, µs
+	PollIntervalMicros        int64    `json:"AskEveryUs"`          // maximum time between polls of an endpoint list that is not pushed, µs
+	DrainGraceMicros          int64    `json:"StopSendingWithinUs"` // time after which a draining server must get no new attempt, µs
+	SlowStartMinShare         float64  `json:"ColdFrom"`            // capacity of a server that has just started, as a share: 0 to 1
+	SlowStartWindowMicros     int64    `json:"ColdUs"`              // time until a started server has its full capacity, µs
+	OverloadFactor            float64  `json:"OverloadFactor"`      // multiple of its share of the load that overloads a server in slow start
+	OverloadWindowMicros      int64    `json:"FallUs"`              // time over which the load for OverloadFactor is measured, µs
+	AttemptBudgetMin          float64  `json:"ExtraFloor"`          // minimum number of retries that a window may have
+	AttemptBudgetRatio        *float64 `json:"ResendRatio"`         // retries allowed per request of a window; requires ResendSpanUs
 	AttemptBudgetWindowMicros *int64   `json:"ResendSpanUs"`        // length of a window, µs; absent: no attempt budget
 }
 
-// capacitySources are the meanings of the list's capacities: none stated, or none (silent); as rated (nominal); roughly
-// as rated (rough); lowered by the load some time ago (live).
+// capacitySources are the meanings of the capacities in the endpoint list:
+//
+//	"", silent  the list has no capacities
+//	nominal     the rated capacity
+//	rough       approximately the rated capacity
+//	live        the capacity that was left under the load of some time ago
 var capacitySources = []string{"", "silent", "nominal", "rough", "live"}
 
-// loadReportSources are the ways of load reports: none (silent); in health checks (pull); in responses (piggyback).
+// loadReportSources are the ways in which servers report their load:
+//
+//	"", silent  no load reports
+//	pull        in responses to health checks
+//	piggyback   in responses to requests
 var loadReportSources = []string{"", "silent", "pull", "piggyback"}
 
 var semanticsByName = map[string]decide.Semantics{
@@ -121,11 +129,11 @@
 	"": decide.ScopeAll, "all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell,
 }
 
-// Transport is the part of the settings that connections need; the decisions do not.
+// Transport is the part of the settings that is about connections to servers and not about decisions.
 type Transport struct {
-	ConnIdle        time.Duration // servers close a connection that is idle for so long
-	DialTimeout     time.Duration // a connection that is not up by then counts as refused
-	HealthCheckLoad bool          // load reports come with health checks
+	ConnIdle        time.Duration // idle time after which servers close a connection
+	DialTimeout     time.Duration // time after which a connection that is not established counts as refused
+	HealthCheckLoad bool          // servers report their load in responses to health checks
 }
 
 const (
@@ -133,7 +141,7 @@
 	defaultDialTimeout = 250 * time.Millisecond
 )
 
-// ParseSettings reads a settings object. Its error names the first key that is invalid.
+// ParseSettings reads the JSON form of the settings. Its error names the first key that is invalid.
 func ParseSettings(text []byte) (decide.Settings, error) {
 	settings, _, err := parseSettings(text)
 	return settings, err
@@ -142,7 +150,7 @@
 func parseSettings(text []byte) (settings decide.Settings, transport Transport, err error) {
 	var in settingsJSON
 	if err := json.Unmarshal(text, &in); err != nil {
-		return settings, transport, fmt.Errorf("settings are not the JSON expected: %w", err)
+		return settings, transport, fmt.Errorf("settings are not valid JSON of the expected types: %w", err)
 	}
 	if transport, err = in.transport(); err != nil {
 		return settings, transport, err
@@ -151,7 +159,7 @@
 	return settings, transport, err
 }
 
-// transport returns what connections need.
+// transport returns the settings of connections, with defaults applied.
 func (in *settingsJSON) transport() (Transport, error) {
 	t := Transport{ConnIdle: defaultConnIdle, DialTimeout: defaultDialTimeout, HealthCheckLoad: in.LoadReports.Via == "pull"}
 	l := in.Limits
@@ -167,13 +175,13 @@
 	return t, nil
 }
 
-// decisions returns what the decisions need.
+// decisions returns the settings of the balancer's decisions.
 func (in *settingsJSON) decisions() (settings decide.Settings, err error) {
 	if !slices.Contains(capacitySources, in.CapacitySource) {
-		return settings, fmt.Errorf("settings: WeightSource: unknown kind %q", in.CapacitySource)
+		return settings, fmt.Errorf("settings: WeightSource: expected silent, nominal, rough or live, got %q", in.CapacitySource)
 	}
 	if !slices.Contains(loadReportSources, in.LoadReports.Via) {
-		return settings, fmt.Errorf("settings: Report.Via: unknown kind %q", in.LoadReports.Via)
+		return settings, fmt.Errorf("settings: Report.Via: expected silent, pull or piggyback, got %q", in.LoadReports.Via)
 	}
 	settings = decide.Settings{
 		Zone: in.Zone, BalancerIndex: in.BalancerIndex, BalancerCount: in.BalancerCount,
@@ -225,7 +233,7 @@
 		OverloadFactor: in.OverloadFactor, OverloadWindow: in.OverloadWindowMicros, AttemptBudgetMin: in.AttemptBudgetMin,
 	}
 	if (in.AttemptBudgetRatio == nil) != (in.AttemptBudgetWindowMicros == nil) {
-		return rules, fmt.Errorf("settings: Guarantees.ResendRatio and Guarantees.ResendSpanUs need each other")
+		return rules, fmt.Errorf("settings: Guarantees.ResendRatio and Guarantees.ResendSpanUs: expected both or neither")
 	}
 	if in.AttemptBudgetRatio != nil {
 		rules.AttemptBudgetRatio, rules.AttemptBudgetWindow = *in.AttemptBudgetRatio, *in.AttemptBudgetWindowMicros
--- a/internal/config/shadow.go
+++ b/internal/config/shadow.go
@@ -9,13 +9,13 @@
 	"damsonscale/decide"
 )
 
-// Shadow is a second set of settings that is evaluated beside the first, without effect.
+// Shadow is a second set of settings that is evaluated in parallel with the settings in force, without effect.
 type Shadow struct {
 	Settings    decide.Settings
-	LogInterval time.Duration // between two lines of counts
+	LogInterval time.Duration // interval between log lines with the counts of differences
 }
 
-// shadowFile is the form of the key watch in the configuration file.
+// shadowFile is the JSON form of the key watch in the configuration file.
 type shadowFile struct {
 	Settings           json.RawMessage `json:"settings"` // required
 	LogIntervalSeconds *float64        `json:"every_s"`  // default 10; 0.1 to 3600
@@ -27,7 +27,8 @@
 	maxShadowLogSeconds     = 3600.0
 )
 
-// parseShadow reads settings to evaluate on the events of others: classes and tenants must be the same in both.
+// parseShadow reads shadow settings. Their classes and tenants must have the same names in the same order as those of the
+// serving settings, because both sets of settings get the same events.
 func parseShadow(in *shadowFile, serving *decide.Settings) (*Shadow, error) {
 	seconds := defaultShadowLogSeconds
 	if in.LogIntervalSeconds != nil {
@@ -47,10 +48,10 @@
 		return nil, fmt.Errorf("settings.%w", err)
 	}
 	if !slices.EqualFunc(settings.Classes, serving.Classes, func(a, b decide.Class) bool { return a.Name == b.Name }) {
-		return nil, fmt.Errorf("settings.Services: expected the classes of settings in the same order")
+		return nil, fmt.Errorf("settings.Services: expected the same class names in the same order as in settings")
 	}
 	if !slices.EqualFunc(settings.Tenants, serving.Tenants, func(a, b decide.Tenant) bool { return a.Name == b.Name }) {
-		return nil, fmt.Errorf("settings.Realms: expected the tenants of settings in the same order")
+		return nil, fmt.Errorf("settings.Realms: expected the same tenant names in the same order as in settings")
 	}
 	return &Shadow{Settings: settings, LogInterval: time.Duration(seconds * float64(time.Second))}, nil
 }
--- a/internal/simwire/adapter_test.go
+++ b/internal/simwire/adapter_test.go
@@ -119,7 +119,7 @@
 		"truncated line":      {"ROUND\t1\nABOU", "line 2: input ended inside a line"},
 		"truncated list":      {"ROUND\t1\nSNAPSHOT_ROWS\t0\t2\n", "input ended inside a batch"},
 		"no such instance":    {"ROUND\t1\nABOUT\t1\nEXIT\n", "line 3: EXIT: no live instance"},
-		"settings not JSON":   {"ROUND\t1\nABOUT\t1\nCREATE\t1\t{oops\n", "line 3: CREATE: settings are not the JSON expected"},
+		"settings not JSON":   {"ROUND\t1\nABOUT\t1\nCREATE\t1\t{oops\n", "line 3: CREATE: settings are not valid JSON of the expected types"},
 		"settings no classes": {"ROUND\t1\nABOUT\t1\nCREATE\t1\t{}\n", "line 3: CREATE: settings: no classes"},
 		"negative window": {"ROUND\t1\nABOUT\t1\nCREATE\t1\t" + strings.Replace(someSettings, `"WindowUs":0`, `"WindowUs":-1`, 1) + "\n",
 			"line 3: CREATE: settings: class get: negative window"},
