--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,8 +1,8 @@
-// Package app is the sidecar's program: it makes the parts, connects them, and starts and stops them in order.
+// Package app is the sidecar's program. It creates the components, connects them, and starts and stops them in order.
 //
-// The parts have an owner of their state each: lifecycle the stage of the process, sidecar the balancer and all calls,
-// frontend the clients' connections, SettingsManager the configuration in force, upgrade the listening socket. run
-// starts their goroutines and waits for SIGTERM or for the first failure.
+// Each component owns a part of the state: lifecycle owns the stage of the process, sidecar the balancer and all calls,
+// frontend the clients' connections, SettingsManager the configuration in force, and upgrade the listening socket. The
+// function run starts their goroutines and waits for SIGTERM, SIGINT or the first failure.
 package app
 
 import (
@@ -20,7 +20,7 @@
 	"damsonscale/internal/options"
 )
 
-// Names of events. .ci/run waits for eventStart.
+// Names of log events. The script .ci/run waits for eventStart.
 const (
 	eventStart           = "start"
 	eventReady           = "ready"
@@ -38,35 +38,36 @@
 	eventHandoverNotifyFailed = "handover_notify_failed"
 )
 
-// FleetCommand is the argument by which the program talks to a fleet as an operator's tool instead of serving.
+// FleetCommand is the first argument that selects the operator's commands for a fleet instead of serving requests.
 const FleetCommand = "fleet"
 
-// fleetProgram is the name of the program with the fleet's libraries linked in, which stands beside this one. They more
-// than double the program and the memory mapped by each sidecar, which one without a fleet doesn't pay for.
+// fleetProgram is the file name of the variant of this program that includes the fleet's libraries, in the same directory.
+// The libraries more than double the size of the program and the memory mapped by each sidecar. The separate program
+// spares sidecars without a fleet that cost.
 const fleetProgram = "damsonscale-fleet"
 
-// FleetMember is a sidecar's membership of a fleet.
+// FleetMember is a sidecar's membership in a fleet.
 type FleetMember interface {
 	frontend.RequestReplicator
-	// AuditRecorder returns the audit log to record into; nil: none.
+	// AuditRecorder returns the recorder of the audit log; nil: no audit log.
 	AuditRecorder() auditevent.Recorder
-	// SettingsDigest returns the digest of settings by which the audit log names them.
+	// SettingsDigest returns the digest that identifies the settings in the audit log.
 	SettingsDigest(text []byte) uint64
-	// Start starts the membership, which ends with ctx. It returns once it listens.
+	// Start starts the membership, which ends with ctx. It returns once the member's listener is open.
 	Start(ctx context.Context) error
-	// Leave ends the membership, once no request is in flight.
+	// Leave ends the membership. It is called at the end of a shutdown; other members take over requests that remain.
 	Leave()
 }
 
-// JoinFleet makes a membership, which is not started yet. maxDeadline is the longest deadline of a class.
+// JoinFleet creates a membership without starting it. maxDeadline is the longest deadline of a class.
 type JoinFleet func(o *options.Options, name string, maxDeadline time.Duration, front *frontend.Frontend, settings *SettingsManager) (FleetMember, error)
 
-// Main runs the program until SIGTERM, and exits with status 1 on an error. Where join is nil and the options want a
-// fleet, fleetProgram takes this process over.
+// Main runs the program until SIGTERM or SIGINT, and exits with status 1 on an error. If the options enable a fleet and
+// join is nil, the process executes fleetProgram instead.
 func Main(join JoinFleet) {
-	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC) // of what libraries write
+	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC) // for log lines of libraries
 	if join == nil && len(os.Args) > 1 && os.Args[1] == FleetCommand {
-		log.Fatal(execBeside(fleetProgram))
+		log.Fatal(execSibling(fleetProgram))
 	}
 	if err := run(join); err != nil {
 		eventlog.Error(eventExit, err)
@@ -74,14 +75,14 @@
 	}
 }
 
-// execBeside replaces this process by a program in the same directory, with its arguments, environment and process ID.
-// It returns only with an error.
-func execBeside(name string) error {
-	here, err := os.Executable()
+// execSibling replaces the program of this process by another program in the same directory. Arguments, environment and
+// process ID stay. It returns only on an error.
+func execSibling(name string) error {
+	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	path := filepath.Join(filepath.Dir(here), name)
+	path := filepath.Join(filepath.Dir(self), name)
 	if err := syscall.Exec(path, append([]string{path}, os.Args[1:]...), os.Environ()); err != nil {
 		return fmt.Errorf("a fleet needs %s: %w", path, err)
 	}
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// A shutdown is over before SIGKILL, which comes 0.7 s after the longest deadline, that counted as 3 s at most.
+// Operators send SIGKILL 0.7 s after the longest deadline of a class, and count a deadline over 3 s as 3 s.
 func TestShutdownEndsBeforeSIGKILL(t *testing.T) {
 	for longest, kill := range map[int64]time.Duration{500_000: 1200 * time.Millisecond, 3_000_000: 3700 * time.Millisecond,
 		5_644_000: 3700 * time.Millisecond} {
 		if got := shutdownTimeout(time.Duration(longest) * time.Microsecond); got >= kill || got < kill-shutdownMargin {
-			t.Errorf("longest deadline %d µs: a shutdown of %v, SIGKILL after %v", longest, got, kill)
+			t.Errorf("longest deadline %d µs: got a shutdown timeout of %v, want less than %v, the time of SIGKILL, by at most %v", longest, got, kill, shutdownMargin)
 		}
 	}
 }
 
-// Clients and servers have a socket each however few descriptors there are, and never more than there are.
-func TestDivideSockets(t *testing.T) {
+// Clients and servers get at least one socket each. If there are enough descriptors, their sum is what the program leaves.
+func TestSocketsAreDividedBetweenClientsAndServers(t *testing.T) {
 	for all := range 2048 {
 		clients, servers := divideSockets(all, programSockets)
 		if clients < 1 || servers < 1 || all >= programSockets+2 && clients+servers != all-programSockets {
-			t.Fatalf("of %d: %d for clients, %d for servers", all, clients, servers)
+			t.Fatalf("%d descriptors: got %d for clients and %d for servers, want at least 1 each and a sum of %d", all, clients, servers, all-programSockets)
 		}
 	}
 }
--- a/internal/app/program.go
+++ b/internal/app/program.go
@@ -19,14 +19,15 @@
 	"damsonscale/internal/sidecar"
 )
 
-// How long a shutdown may last: operators send SIGKILL 700 ms after the longest deadline of a class, which they count
-// as 3 s at most.
+// Bounds of the time that a shutdown takes. Operators send SIGKILL 700 ms after the longest deadline of a class, and count
+// a deadline over 3 s as 3 s. Requests that are still open then are cut off without a response, so the shutdown must end
+// earlier.
 const (
-	shutdownMargin      = 600 * time.Millisecond
-	maxShutdownDeadline = 3 * time.Second
+	shutdownMargin      = 600 * time.Millisecond // after the longest deadline
+	maxShutdownDeadline = 3 * time.Second        // longest deadline that a shutdown waits for
 )
 
-// program is the sidecar's parts.
+// program is the sidecar's components.
 type program struct {
 	config    *config.Config
 	lifecycle *lifecycle.Tracker
@@ -35,12 +36,12 @@
 	settings  *SettingsManager
 	upgrade   *upgrade
 	member    FleetMember // nil: no fleet
-	failed    chan error  // from the listeners' goroutines
+	failed    chan error  // errors of the listeners' goroutines
 }
 
-// run serves until SIGTERM or SIGINT, then shuts down and returns nil; or it returns the first error.
+// run serves until SIGTERM or SIGINT, then shuts down and returns nil. It returns the first error that ends serving.
 func run(join JoinFleet) error {
-	reload := make(chan os.Signal, 1) // one that comes while the file is read has it read again
+	reload := make(chan os.Signal, 1) // buffered: a signal during a reload causes another reload
 	signal.Notify(reload, syscall.SIGHUP)
 	conf, err := config.Load(os.Getenv)
 	if err != nil {
@@ -52,7 +53,7 @@
 	}
 	inFleet := opts != nil && opts.Takeover.Enabled
 	if inFleet && join == nil {
-		return execBeside(fleetProgram)
+		return execSibling(fleetProgram)
 	}
 	runtime.GOMAXPROCS(max(1, min(runtime.NumCPU(), int(conf.Limits.Cores+0.5))))
 	limits := planResources(conf)
@@ -81,7 +82,8 @@
 	return nil
 }
 
-// startAdmin serves the admin API, if it is configured. It is first, so that operators see the process start.
+// startAdmin serves the admin API if it is configured. It runs before all other components so that operators can query the
+// process while it starts.
 func (p *program) startAdmin() error {
 	if p.config.Admin == "" {
 		return nil
@@ -94,7 +96,8 @@
 	return nil
 }
 
-// build makes the parts. It takes the listening socket over from a running process, but nothing serves yet.
+// build creates the components and takes over the listening socket of a running process, if there is one. No component
+// serves yet.
 func (p *program) build(ctx context.Context, limits resources) {
 	p.upgrade = acquireSocket(ctx, p.config)
 	p.sidecar = sidecar.New(p.config, limits.serverSockets)
@@ -105,7 +108,7 @@
 	p.settings = newSettingsManager(p.config, p.sidecar, p.frontend)
 }
 
-// joinFleet makes this process a member of its fleet, and starts the membership.
+// joinFleet creates and starts the membership of this process in its fleet.
 func (p *program) joinFleet(join JoinFleet, opts *options.Options) error {
 	member, err := join(opts, p.config.Name, p.settings.maxDeadline(), p.frontend, p.settings)
 	if err != nil {
@@ -125,7 +128,7 @@
 	return nil
 }
 
-// start starts the parts. Signals to reload are followed from then on, also during the shutdown.
+// start starts the components. From then on SIGHUP reloads the configuration, also during the shutdown.
 func (p *program) start(ctx context.Context, reload <-chan os.Signal) error {
 	go p.sidecar.Run(context.Background())
 	if err := p.upgrade.start(ctx); err != nil {
@@ -141,7 +144,7 @@
 	return nil
 }
 
-// shutdown answers open requests, hands streams over to a successor, and leaves the fleet.
+// shutdown waits for the requests in flight, hands streams over to a successor, and leaves the fleet.
 func (p *program) shutdown() {
 	p.lifecycle.Terminate()
 	eventlog.Info(eventTerminating, "name", p.config.Name)
@@ -153,7 +156,7 @@
 	}
 }
 
-// shutdownTimeout returns how long a shutdown may last, where maxDeadline is the longest deadline of a class.
+// shutdownTimeout returns the maximum duration of a shutdown; maxDeadline is the longest deadline of a class.
 func shutdownTimeout(maxDeadline time.Duration) time.Duration {
 	return min(maxDeadline, maxShutdownDeadline) + shutdownMargin
 }
--- a/internal/app/recorded_test.go
+++ b/internal/app/recorded_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// The JSON that a process sends its successor is that of commit 2029d41, byte for byte.
-func TestRecordedHandoverMessages(t *testing.T) {
+// The processes of an upgrade may be of different builds. The JSON that a process sends its successor must be byte for byte
+// that of the build of commit 2029d41.
+func TestHandoverPayloadsMatchRecordedBuild(t *testing.T) {
 	for name, c := range map[string]struct{ got, want any }{
 		"state.json":         {&predecessorState{}, &predecessorState{Draining: true}},
 		"open_requests.json": {&inFlightNotice{}, &inFlightNotice{RequestIDs: []string{"r1", "r2"}}},
@@ -19,10 +20,10 @@
 			t.Fatal(err)
 		}
 		if err := json.Unmarshal(text, c.got); err != nil || !reflect.DeepEqual(c.got, c.want) {
-			t.Errorf("%s: read %+v, expected %+v: %v", name, c.got, c.want, err)
+			t.Errorf("%s: decoded %+v with error %v, want %+v", name, c.got, err, c.want)
 		}
 		if wrote, err := json.Marshal(c.want); err != nil || !bytes.Equal(wrote, bytes.TrimSpace(text)) {
-			t.Errorf("%s: wrote %s, the build of 2029d41 wrote %s: %v", name, wrote, text, err)
+			t.Errorf("%s: encoded %s with error %v, want %s as by the build of 2029d41", name, wrote, err, text)
 		}
 	}
 }
--- a/internal/app/resources.go
+++ b/internal/app/resources.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	heapShare   = 0.6 // of the memory limit: the rest is for stacks, the runtime and the program itself
-	bodyShare   = 0.2 // of the heap, for buffered bodies
-	clientShare = 0.5 // of the sockets: each request in flight takes one on either side
+	heapShare   = 0.6 // share of the memory limit for the heap; the rest is for stacks, the runtime and the program itself
+	bodyShare   = 0.2 // share of the heap for buffered bodies
+	clientShare = 0.5 // share of the sockets for clients: a request in flight takes a client socket and a server socket
 
-	// programSockets are the runtime's, the log's, the listeners' and those of discovery.
+	// programSockets is the number of descriptors of the Go runtime, the log, the listeners and discovery.
 	programSockets = 8 + discovery.MaxSockets
 )
 
-// resources are what a process may use of its machine.
+// resources are the limits on a process's use of its machine.
 type resources struct {
 	clientSockets, serverSockets int
 	heapBytes                    float64
 }
 
-// bodyBytes is how much of the heap buffered bodies may take.
+// bodyBytes returns the maximum size of all buffered bodies together.
 func (r resources) bodyBytes() int64 { return int64(bodyShare * r.heapBytes) }
 
-// planResources divides the configured limits.
+// planResources divides the configured limits between the uses.
 func planResources(conf *config.Config) resources {
 	own := programSockets
 	if conf.Admin != "" {
@@ -42,10 +42,10 @@
 	return resources{clientSockets: clients, serverSockets: servers, heapBytes: heapShare * float64(conf.Limits.MemoryMB) * (1 << 20)}
 }
 
-// descriptorLimit returns how many of the configured descriptors the system allows. Without it clients would take all
-// of a lower limit, and discovery and servers would find none.
+// descriptorLimit returns the configured number of descriptors, or the system's limit if that is lower. Otherwise clients
+// could use up the system's limit and leave no descriptor for discovery and servers.
 func descriptorLimit(configured int) int {
-	var limit syscall.Rlimit // the soft limit, which the runtime has raised to the hard one
+	var limit syscall.Rlimit // the Go runtime has raised the soft limit to the hard limit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(configured) {
 		return configured
 	}
@@ -53,14 +53,15 @@
 	return int(limit.Cur)
 }
 
-// divideSockets divides all descriptors but the program's own between clients and servers, one at least for each.
+// divideSockets divides the descriptors that the program itself does not use between clients and servers. Each side gets
+// at least one.
 func divideSockets(all, own int) (clients, servers int) {
 	clients = max(1, int(clientShare*float64(all-own)))
 	return clients, max(1, all-own-clients)
 }
 
-// resourceShares divides the resources between this process and others of the same sidecar, during an upgrade. Its
-// methods may be called from any goroutine.
+// resourceShares divides the resources equally between the processes that a sidecar has during an upgrade. Its methods may
+// be called from any goroutine.
 type resourceShares struct {
 	frontend *frontend.Frontend
 	sidecar  *sidecar.Sidecar
@@ -87,7 +88,7 @@
 	s.apply()
 }
 
-// apply sets the limits of this process to its share. The caller holds mu, or has the only reference.
+// apply sets the limits of this process to its share. The caller must hold mu or have the only reference.
 func (s *resourceShares) apply() {
 	processes := 1
 	if s.hasPredecessor {
--- a/internal/app/settings.go
+++ b/internal/app/settings.go
@@ -15,22 +15,22 @@
 	"damsonscale/internal/sidecar"
 )
 
-// SettingsManager owns the configuration in force: that of the file, or the file's with a version of the settings that
-// the fleet rolls out. Its methods may be called from any goroutine.
+// SettingsManager owns the configuration in force. It is the configuration of the file, in which a version of the settings
+// that the fleet rolls out replaces the file's settings. Its methods may be called from any goroutine.
 type SettingsManager struct {
 	sidecar  *sidecar.Sidecar
 	frontend *frontend.Frontend
 	digestOf func(text []byte) uint64 // nil: no audit log; set before the first reload
 	getenv   func(string) string
 
-	// maxDeadlineMicros is the longest deadline of a class in any settings so far, in µs.
+	// maxDeadlineMicros is the longest deadline of a class in all settings since the start, in µs.
 	maxDeadlineMicros atomic.Int64
 
 	mu            sync.Mutex
-	config        *config.Config // in force
-	fileVersion   int            // counts readings of the file, from 1
-	fleetVersion  uint64         // of the settings; 0: the file's own are in force
-	fleetSettings []byte         // the text of that version
+	config        *config.Config // configuration in force
+	fileVersion   int            // number of successful loads of the file, the first included
+	fleetVersion  uint64         // version of the fleet's settings in force; 0: the file's settings are in force
+	fleetSettings []byte         // text of the fleet's settings in force
 }
 
 func newSettingsManager(conf *config.Config, side *sidecar.Sidecar, front *frontend.Frontend) *SettingsManager {
@@ -39,7 +39,7 @@
 	return m
 }
 
-// maxDeadline returns the longest deadline of a class in any settings so far.
+// maxDeadline returns the longest deadline of a class in all settings since the start.
 func (m *SettingsManager) maxDeadline() time.Duration {
 	return time.Duration(m.maxDeadlineMicros.Load()) * time.Microsecond
 }
@@ -52,8 +52,8 @@
 	return longest
 }
 
-// reload reads the file again. An invalid file changes nothing. While settings of the fleet are in force those of the
-// file are checked, and not applied.
+// reload reads the file again. If it is invalid, the configuration in force stays. While settings of the fleet are in
+// force, the settings of the file are validated but not applied.
 func (m *SettingsManager) reload() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,7 +65,7 @@
 	var source []any
 	if m.fleetVersion > 0 {
 		if next, err = next.WithFleetSettings(m.fleetSettings, m.getenv); err != nil {
-			eventlog.Warn(eventReloadFailed, fmt.Errorf("with the fleet's settings %d: %w", m.fleetVersion, err))
+			eventlog.Warn(eventReloadFailed, fmt.Errorf("merge with version %d of the fleet's settings: %w", m.fleetVersion, err))
 			return
 		}
 		source = []any{"settings_source", "fleet", "settings_version", m.fleetVersion}
@@ -80,7 +80,8 @@
 	m.config = next
 }
 
-// digest returns the digest of the text that the settings in force come from; 0: no audit log needs it.
+// digest returns the digest of the text of the settings in force, which is the fleet's file or the file of c. Without an
+// audit log it returns 0.
 func (m *SettingsManager) digest(c *config.Config) uint64 {
 	switch {
 	case m.digestOf == nil:
@@ -91,7 +92,8 @@
 	return m.digestOf(c.Text())
 }
 
-// apply puts a configuration in force, in one step, and returns whether its settings differ. The caller holds mu.
+// apply puts a configuration in force atomically and returns whether its settings differ from those in force before. The
+// caller must hold mu.
 func (m *SettingsManager) apply(next *config.Config, version, digest uint64) (changed bool) {
 	next.SettingsVersion, next.SettingsDigest = version, digest
 	changed = next.SettingsChanged(m.config)
@@ -102,7 +104,7 @@
 	return changed
 }
 
-// ApplySettings puts a version of the fleet's settings in force. On an error nothing has changed.
+// ApplySettings puts a version of the fleet's settings in force. On an error the configuration in force stays.
 func (m *SettingsManager) ApplySettings(version uint64, text []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// ValidateSettings returns the error that ApplySettings would.
+// ValidateSettings returns the error that ApplySettings would return for this text, without applying it.
 func (m *SettingsManager) ValidateSettings(text []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,7 +127,7 @@
 	return err
 }
 
-// CloseIdleConnections closes idle connections to clients and servers, while this member may not serve.
+// CloseIdleConnections closes idle connections to clients and servers. The fleet calls it while this member must not serve.
 func (m *SettingsManager) CloseIdleConnections() {
 	m.frontend.CloseIdleConnections()
 	m.sidecar.CloseIdleConnections()
--- a/internal/app/upgrade.go
+++ b/internal/app/upgrade.go
@@ -16,18 +16,19 @@
 	"damsonscale/internal/sidecar"
 )
 
-// transferBuffer is how many transfers of the predecessor wait while the process isn't ready for them.
+// transferBuffer is the number of the predecessor's transfers that are queued before this process handles them.
 const transferBuffer = 16
 
-// upgrade owns the clients' listening socket: it takes it over from the predecessor, and offers it to the successor.
+// upgrade owns the socket that listens for clients. It takes the socket over from the predecessor, which is the running
+// process of the same sidecar, and offers it to the successor, which is the process that replaces this one.
 type upgrade struct {
 	id          handover.ID
-	path        string                // of the Unix socket where the processes meet
-	predecessor *handover.Predecessor // nil: none hands its socket over
+	path        string                // path of the Unix socket through which the processes hand over
+	predecessor *handover.Predecessor // nil: no process has handed its socket over
 	transfers   chan handover.Transfer
 
-	// addressShared is set where another process listens at the address and hands nothing over: both accept from a queue
-	// of their own.
+	// addressShared is true if another process listens at the address and did not hand its socket over. Each process then
+	// accepts from a socket and queue of its own.
 	addressShared bool
 
 	sidecar   *sidecar.Sidecar
@@ -37,18 +38,18 @@
 	failed    chan<- error
 
 	mu       sync.Mutex
-	listener net.Listener // nil: it doesn't accept yet
+	listener net.Listener // nil: the process does not accept clients yet
 	server   *handover.Server
 }
 
-// predecessorState is what a process tells its successor of itself.
+// predecessorState is the state that a process sends its successor with the socket.
 type predecessorState struct {
-	Draining bool `json:"drained"` // by operators
+	Draining bool `json:"drained"` // an operator drains the process
 }
 
-// inFlightNotice is what a process tells its successor when it shuts down.
+// inFlightNotice is the notice that a process sends its successor when it shuts down.
 type inFlightNotice struct {
-	RequestIDs []string `json:"open"`
+	RequestIDs []string `json:"open"` // IDs of the requests in flight
 }
 
 // acquireSocket takes the listening socket over from the running process of the same sidecar, if there is one.
@@ -67,19 +68,20 @@
 	return u
 }
 
-// connect gives the upgrade the parts that it acts on. It must be called before start.
+// connect sets the components that the upgrade uses. It must be called before start.
 func (u *upgrade) connect(p *program, shares *resourceShares) {
 	u.sidecar, u.frontend, u.lifecycle, u.failed = p.sidecar, p.frontend, p.lifecycle, p.failed
 	u.shares = shares
 }
 
-// start accepts clients: at once where no other process has the address, else as soon as this process can serve.
+// start accepts clients at once if no other process has the address. Otherwise it returns, and clients are accepted as soon
+// as this process can serve.
 func (u *upgrade) start(ctx context.Context) error {
 	switch {
 	case u.predecessor != nil:
 		u.followPredecessor()
 	case u.addressShared:
-		u.sidecar.SetPeerProcessActive(true) // for good: its exit goes unnoticed
+		u.sidecar.SetPeerProcessActive(true) // permanently, because the other process's exit cannot be detected
 	default:
 		if err := u.listen(ctx); err != nil {
 			return err
@@ -93,7 +95,8 @@
 	return nil
 }
 
-// followPredecessor continues the predecessor's drain, and shares resources with it until it exits.
+// followPredecessor continues the predecessor's drain, if there is one, and shares resources with the predecessor until it
+// exits.
 func (u *upgrade) followPredecessor() {
 	var state predecessorState
 	if err := json.Unmarshal(u.predecessor.State, &state); err != nil {
@@ -116,7 +119,7 @@
 	}()
 }
 
-// receive resumes a stream of the predecessor, or takes note of its requests in flight.
+// receive handles one transfer: it resumes a stream of the predecessor or records the predecessor's requests in flight.
 func (u *upgrade) receive(t handover.Transfer) {
 	if t.Client != nil {
 		u.frontend.ResumeStream(t.Payload, t.Client, t.Server)
@@ -129,14 +132,14 @@
 	}
 	u.sidecar.SetPeerInFlight(notice.RequestIDs)
 	select {
-	case <-u.predecessor.Done(): // it may have exited before its requests were noted
+	case <-u.predecessor.Done(): // the predecessor may have exited before its requests were recorded
 		u.sidecar.SetPeerInFlight(nil)
 	default:
 	}
 }
 
-// becomeReady accepts from the predecessor's socket once this process can serve, or the predecessor has exited; once it
-// can serve it tells the predecessor and reports that it is ready.
+// becomeReady accepts clients from the predecessor's socket once this process can serve or the predecessor has exited. Once
+// this process can serve, becomeReady notifies the predecessor and marks this process as ready.
 func (u *upgrade) becomeReady(ctx context.Context) error {
 	if u.predecessor != nil {
 		select {
@@ -184,13 +187,13 @@
 	u.server, err = handover.NewServer(u.path, u.id, socket, func() any {
 		return predecessorState{Draining: u.lifecycle.Stage() == lifecycle.Draining}
 	}, u.shares.setSuccessor)
-	if err != nil { // a successor shares the address then
+	if err != nil { // a successor will then share the address by SO_REUSEPORT
 		eventlog.Warn(eventHandoverUnavailable, err)
 	}
 }
 
-// shutdown answers open requests, and returns once none is left or ctx ends. Where a successor accepts from the socket
-// this process stops accepting at once, and hands its streams over.
+// shutdown returns when no request is in flight or ctx ends. If a successor accepts from the socket, this process stops
+// accepting at once and hands its streams over.
 func (u *upgrade) shutdown(ctx context.Context) {
 	u.mu.Lock()
 	ln, server := u.listener, u.server
