--- a/internal/handover/descriptors.go
+++ b/internal/handover/descriptors.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	readBufferBytes   = 16 << 10
-	maxDescriptorSets = 16 // of 4 bytes each, in the control messages of one read
+	readBufferBytes = 16 << 10
+	maxDescriptors  = 16 // in the control messages of one read
 
-	// descriptorName is the name of the os.File that a received descriptor passes through.
+	// descriptorName is the name of the temporary os.File of a received descriptor.
 	descriptorName = "handed over"
 )
 
-// receiver reads lines and the descriptors that come with them. Descriptors come in order, those of a line with its
-// first bytes; but one read may return the end of a long line and the beginning of the next together.
+// receiver reads lines and the descriptors that are attached to them. Descriptors are received in order, and those of a
+// line together with its first bytes. One read may return the end of a long line and the beginning of the next.
 type receiver struct {
 	conn        *net.UnixConn
 	buffered    []byte
 	descriptors []int
 }
 
-// next returns the next line and its descriptors. count returns how many of those that have come belong to the line,
-// the others are the next line's; nil: all belong to it. On an error the caller closes the descriptors too.
+// next returns the next line and its descriptors, which the caller must close, also on an error. count returns how many
+// descriptors a line has; the other descriptors received belong to the next line. If count is nil, all belong to this line.
 func (r *receiver) next(count func(line []byte) int) (line []byte, descriptors []int, err error) {
-	buf, control := make([]byte, readBufferBytes), make([]byte, syscall.CmsgSpace(4*maxDescriptorSets))
+	buf, control := make([]byte, readBufferBytes), make([]byte, syscall.CmsgSpace(4*maxDescriptors))
 	for {
 		if i := bytes.IndexByte(r.buffered, '\n'); i >= 0 {
 			line, r.buffered = r.buffered[:i:i], r.buffered[i+1:]
@@ -42,26 +42,26 @@
 		}
 		if err = r.read(buf, control); err != nil {
 			descriptors, r.descriptors = r.descriptors, nil
-			return nil, descriptors, fmt.Errorf("cut off: %w", err)
+			return nil, descriptors, fmt.Errorf("connection ended before the end of a message: %w", err)
 		}
 	}
 }
 
-// read appends what comes next to the buffered bytes and descriptors.
+// read reads once and appends the bytes and descriptors received to the buffered ones.
 func (r *receiver) read(buf, control []byte) error {
 	if len(r.buffered) > maxMessageBytes {
-		return fmt.Errorf("over %d bytes", maxMessageBytes)
+		return fmt.Errorf("message is longer than %d bytes", maxMessageBytes)
 	}
 	n, controlled, _, _, err := r.conn.ReadMsgUnix(buf, control)
 	r.descriptors = append(r.descriptors, parseDescriptors(control[:controlled])...)
-	r.buffered = append(r.buffered, buf[:max(n, 0)]...) // -1 with an error
+	r.buffered = append(r.buffered, buf[:max(n, 0)]...) // n may be -1 on an error
 	if err == nil && n == 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// parseDescriptors returns the descriptors in control messages; the caller closes them.
+// parseDescriptors returns the descriptors in control messages, which the caller must close.
 func parseDescriptors(control []byte) (all []int) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// connFrom makes a connection of a descriptor, and closes the descriptor.
+// connFrom returns a connection for a duplicate of the descriptor, and closes the descriptor.
 func connFrom(fd int) (net.Conn, error) {
 	syscall.CloseOnExec(fd)
 	f := os.NewFile(uintptr(fd), descriptorName)
@@ -89,18 +89,18 @@
 	return net.FileConn(f)
 }
 
-// listenerFrom makes a listener of the one descriptor that came, and closes the descriptors. It fails for any other
-// number of them, for one that isn't a listening socket, and for one of another address.
+// listenerFrom returns a listener for a duplicate of the descriptor received, and closes all descriptors. It returns an
+// error unless there is exactly one descriptor, and that is a TCP socket that listens at addr.
 func listenerFrom(descriptors []int, addr string) (net.Listener, error) {
 	if len(descriptors) != 1 {
 		closeAll(descriptors)
-		return nil, fmt.Errorf("%d sockets came, expected one", len(descriptors))
+		return nil, fmt.Errorf("got %d descriptors, expected one", len(descriptors))
 	}
 	fd := descriptors[0]
 	syscall.CloseOnExec(fd)
-	if accepts, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || accepts == 0 {
+	if listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || listening == 0 {
 		closeAll(descriptors)
-		return nil, fmt.Errorf("what came does not listen")
+		return nil, fmt.Errorf("expected a listening socket, got another descriptor")
 	}
 	f := os.NewFile(uintptr(fd), descriptorName)
 	defer f.Close()
@@ -110,7 +110,7 @@
 	}
 	if ln.Addr().Network() != "tcp" || ln.Addr().String() != addr {
 		ln.Close()
-		return nil, fmt.Errorf("a socket at %s came, expected %s", ln.Addr(), addr)
+		return nil, fmt.Errorf("got a socket that listens at %s, expected %s", ln.Addr(), addr)
 	}
 	return ln, nil
 }
@@ -124,8 +124,8 @@
 	return sendLine(conn, line, sockets...)
 }
 
-// sendLine writes a line, given without its end, with sockets attached. It sends the descriptors themselves: a copy
-// made by File would set the shared socket to blocking.
+// sendLine writes line and a newline, with the descriptors of sockets attached. It doesn't use duplicates of the descriptors
+// made by File, because File sets the shared socket to blocking mode.
 func sendLine(conn *net.UnixConn, line []byte, sockets ...syscall.Conn) error {
 	line = append(line, '\n')
 	return withDescriptors(nil, sockets, func(descriptors []int) error {
@@ -141,10 +141,10 @@
 	})
 }
 
-// withDescriptors calls use with known and the descriptors of sockets, none of which can be closed before it returns.
-func withDescriptors(known []int, sockets []syscall.Conn, use func(descriptors []int) error) error {
+// withDescriptors calls use with the descriptors in open and those of sockets. No socket can be closed before use returns.
+func withDescriptors(open []int, sockets []syscall.Conn, use func(descriptors []int) error) error {
 	if len(sockets) == 0 {
-		return use(known)
+		return use(open)
 	}
 	raw, err := sockets[0].SyscallConn()
 	if err != nil {
@@ -152,14 +152,14 @@
 	}
 	var failed error
 	if err := raw.Control(func(fd uintptr) {
-		failed = withDescriptors(append(known, int(fd)), sockets[1:], use)
+		failed = withDescriptors(append(open, int(fd)), sockets[1:], use)
 	}); err != nil {
 		return err
 	}
 	return failed
 }
 
-// checkSameUser returns an error unless the peer runs as this program's user.
+// checkSameUser returns an error unless the process at the other end of conn has the same user ID as this process.
 func checkSameUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -176,7 +176,7 @@
 		return failed
 	}
 	if int(credentials.Uid) != os.Geteuid() {
-		return fmt.Errorf("peer is of user %d", credentials.Uid)
+		return fmt.Errorf("other process has user ID %d", credentials.Uid)
 	}
 	return nil
 }
--- a/internal/handover/descriptors_test.go
+++ b/internal/handover/descriptors_test.go
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// A process that accepts the connection and then says nothing, as one that hangs or is stopped, ends the handover by an
-// error.
-func TestSilentPeerTimesOut(t *testing.T) {
+// A process that accepts the connection and sends nothing, because it hangs or is stopped, must not block the handover.
+func TestSilentProcessTimesOut(t *testing.T) {
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "socket"), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -27,6 +26,6 @@
 	}
 	r := receiver{conn: conn}
 	if line, descriptors, err := r.next(nil); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("line %q, descriptors %v, error %v", line, descriptors, err)
+		t.Errorf("got line %q, descriptors %v and error %v, want %v", line, descriptors, err, os.ErrDeadlineExceeded)
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -24,66 +24,67 @@
 	return ln
 }
 
-func startServer(t *testing.T) (id ID, path string, ln *net.TCPListener, o *Server, states chan SuccessorState) {
+// startServer offers a new listening socket to successors. states gets each change of the successor's state.
+func startServer(t *testing.T) (id ID, path string, ln *net.TCPListener, server *Server, states chan SuccessorState) {
 	t.Helper()
 	ln = listen(t)
 	id = ID{Name: "n1", Listen: ln.Addr().String()}
 	path, states = id.SocketPath(t.TempDir()), make(chan SuccessorState, 16)
-	o, err := NewServer(path, id, ln, func() any { return map[string]int{"x": 7} }, func(h SuccessorState) { states <- h })
+	server, err := NewServer(path, id, ln, func() any { return map[string]int{"x": 7} }, func(state SuccessorState) { states <- state })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(o.Close)
+	t.Cleanup(server.Close)
 	return
 }
 
-// The successor accepts connections that wait in the shared queue after the old process has closed its socket.
-func TestQueuedConnectionsSurviveTheOldProcess(t *testing.T) {
-	id, path, ln, o, states := startServer(t)
-	b, err := Acquire(context.Background(), path, id, nil)
+// Connections in the shared accept queue are not lost when the predecessor closes its socket.
+func TestSuccessorAcceptsConnectionsQueuedBeforeThePredecessorClosed(t *testing.T) {
+	id, path, ln, server, states := startServer(t)
+	predecessor, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(b.State) != `{"x":7}` {
-		t.Fatalf("%s", b.State)
+	if string(predecessor.State) != `{"x":7}` {
+		t.Fatalf("got state %s, want {\"x\":7}", predecessor.State)
 	}
-	if h := <-states; h != SuccessorStarting {
-		t.Fatal(h)
+	if state := <-states; state != SuccessorStarting {
+		t.Fatalf("got successor state %d after Acquire, want %d", state, SuccessorStarting)
 	}
-	c, err := net.Dial("tcp", id.Listen) // waits in the queue
+	c, err := net.Dial("tcp", id.Listen) // waits in the accept queue
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.Write([]byte("hello"))
-	b.NotifyServing()
-	if h := <-states; h != SuccessorServing || o.Successor() != SuccessorServing {
-		t.Fatal(h)
+	predecessor.NotifyServing()
+	if state := <-states; state != SuccessorServing || server.Successor() != SuccessorServing {
+		t.Fatalf("got successor states %d and %d after NotifyServing, want %d", state, server.Successor(), SuccessorServing)
 	}
 	ln.Close()
-	got, err := b.Listener.Accept()
+	got, err := predecessor.Listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer got.Close()
 	text := make([]byte, 5)
 	if _, err := got.Read(text); err != nil || string(text) != "hello" {
-		t.Fatalf("%q %v", text, err)
+		t.Fatalf("read %q with error %v from the queued connection, want \"hello\"", text, err)
 	}
-	b.conn.Close() // it dies
-	if h := <-states; h != NoSuccessor {
-		t.Fatal(h)
+	predecessor.conn.Close() // as at the successor's exit
+	if state := <-states; state != NoSuccessor {
+		t.Fatalf("got successor state %d after its exit, want %d", state, NoSuccessor)
 	}
 }
 
-// Handing the socket over leaves it non-blocking in the old process: closing it ends Accept.
-func TestOldSocketStaysUsable(t *testing.T) {
+// If the handover set the shared socket to blocking mode, closing it would not end Accept in the predecessor.
+func TestClosingTheSocketEndsAcceptAfterAHandover(t *testing.T) {
 	id, path, ln, _, _ := startServer(t)
-	b, err := Acquire(context.Background(), path, id, nil)
+	predecessor, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Listener.Close()
+	defer predecessor.Listener.Close()
 	done := make(chan error, 1)
 	go func() {
 		_, err := ln.Accept()
@@ -91,24 +92,23 @@
 	}()
 	ln.Close()
 	if err := <-done; !errors.Is(err, net.ErrClosed) {
-		t.Fatal(err)
+		t.Fatalf("Accept returned %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// A second successor is told to wait; once the first has exited it is served.
-func TestOneSuccessorAtATime(t *testing.T) {
+func TestSecondSuccessorIsServedAfterTheFirstExits(t *testing.T) {
 	id, path, _, _, states := startServer(t)
 	first, err := acquireOnce(path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := acquireOnce(path, id, nil); !errors.Is(err, errHandoverInProgress) {
-		t.Fatal(err)
+		t.Fatalf("second successor: got error %v, want %v", err, errHandoverInProgress)
 	}
 	<-states
 	first.conn.Close()
-	if h := <-states; h != NoSuccessor {
-		t.Fatal(h)
+	if state := <-states; state != NoSuccessor {
+		t.Fatalf("got successor state %d after its exit, want %d", state, NoSuccessor)
 	}
 	second, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
@@ -117,26 +117,27 @@
 	second.conn.Close()
 }
 
-// The successor learns of its predecessor's exit, and serves the next successor at the same path meanwhile.
-func TestPredecessorExit(t *testing.T) {
-	id, path, _, o, _ := startServer(t)
-	b, err := Acquire(context.Background(), path, id, nil)
+// A successor can offer the socket to its own successor while its predecessor is still running. It is notified when the
+// predecessor exits.
+func TestSuccessorOffersTheSocketBeforeThePredecessorExits(t *testing.T) {
+	id, path, _, server, _ := startServer(t)
+	predecessor, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := NewServer(path, id, b.Listener.(*net.TCPListener), func() any { return nil }, func(SuccessorState) {})
+	next, err := NewServer(path, id, predecessor.Listener.(*net.TCPListener), func() any { return nil }, func(SuccessorState) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.Close()
 	select {
-	case <-b.Done():
+	case <-predecessor.Done():
 		t.Fatal("Done is closed while the predecessor runs")
 	default:
 	}
-	o.Close()
-	b.conn.CloseRead() // as its end does
-	<-b.Done()
+	server.Close()
+	predecessor.conn.CloseRead() // as at the predecessor's exit
+	<-predecessor.Done()
 	if after, err := Acquire(context.Background(), path, id, nil); err != nil {
 		t.Fatal(err)
 	} else {
@@ -144,38 +145,37 @@
 	}
 }
 
-// No socket file, and one that a dead process left, both mean that there is no predecessor.
-func TestNoPredecessor(t *testing.T) {
+// There is no predecessor if there is no socket file, or if the file is left over from a process that has exited.
+func TestNoPredecessorWithoutASocketOrWithAStaleOne(t *testing.T) {
 	id := ID{Name: "n1", Listen: "127.0.0.1:1"}
 	path := id.SocketPath(t.TempDir())
 	if _, err := Acquire(context.Background(), path, id, nil); err != ErrNoPredecessor {
-		t.Fatal(err)
+		t.Fatalf("without a socket file: got error %v, want %v", err, ErrNoPredecessor)
 	}
-	left, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.SetUnlinkOnClose(false)
-	left.Close()
+	stale.SetUnlinkOnClose(false)
+	stale.Close()
 	if _, err := Acquire(context.Background(), path, id, nil); err != ErrNoPredecessor {
-		t.Fatal(err)
+		t.Fatalf("with a stale socket file: got error %v, want %v", err, ErrNoPredecessor)
 	}
 	(*Predecessor)(nil).NotifyServing()
 	<-(*Predecessor)(nil).Done()
-	if h := (*Server)(nil).Successor(); h != NoSuccessor {
-		t.Fatal(h)
+	if state := (*Server)(nil).Successor(); state != NoSuccessor {
+		t.Fatalf("nil Server: got successor state %d, want %d", state, NoSuccessor)
 	}
 	if _, err := NewServer(strings.Repeat("/x", 100), id, listen(t), nil, nil); err == nil {
-		t.Fatal("a path that is too long is accepted")
+		t.Fatal("NewServer accepted a path that is too long")
 	}
 }
 
-// An invalid answer of the predecessor is an error.
-func TestInvalidAnswersAreRejected(t *testing.T) {
+func TestInvalidAnswersOfThePredecessorAreRejected(t *testing.T) {
 	ln, other := listen(t), listen(t)
 	id := ID{Name: "n1", Listen: ln.Addr().String()}
-	good, _ := json.Marshal(hello{Version: protocolVersion, ID: id})
-	line := string(good) + "\n"
+	valid, _ := json.Marshal(hello{Version: protocolVersion, ID: id})
+	line := string(valid) + "\n"
 	fd := func(l *net.TCPListener) (fd int) {
 		raw, _ := l.SyscallConn()
 		raw.Control(func(x uintptr) { fd = int(x) })
@@ -190,16 +190,16 @@
 		text string
 		fds  []int
 	}{
-		"newer":          {strings.Replace(line, `"version":1`, `"version":2`, 1), []int{fd(ln)}},
-		"of another":     {strings.Replace(line, `"n1"`, `"n2"`, 1), []int{fd(ln)}},
-		"noise":          {"noise\n", []int{fd(ln)}},
-		"cut off":        {line[:10], []int{fd(ln)}},
-		"nothing":        {"", nil},
-		"no socket":      {line, nil},
-		"two sockets":    {line, []int{fd(ln), fd(ln)}},
-		"other address":  {line, []int{fd(other)}},
-		"no listener":    {line, []int{int(plain.Fd())}},
-		"without an end": {strings.Repeat("x", maxMessageBytes+64<<10), []int{fd(ln)}},
+		"newer version": {strings.Replace(line, `"version":1`, `"version":2`, 1), []int{fd(ln)}},
+		"other sidecar": {strings.Replace(line, `"n1"`, `"n2"`, 1), []int{fd(ln)}},
+		"not JSON":      {"noise\n", []int{fd(ln)}},
+		"truncated":     {line[:10], []int{fd(ln)}},
+		"empty":         {"", nil},
+		"no socket":     {line, nil},
+		"two sockets":   {line, []int{fd(ln), fd(ln)}},
+		"other address": {line, []int{fd(other)}},
+		"not a socket":  {line, []int{int(plain.Fd())}},
+		"no newline":    {strings.Repeat("x", maxMessageBytes+64<<10), []int{fd(ln)}},
 	} {
 		path := id.SocketPath(t.TempDir())
 		unixListener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -220,8 +220,8 @@
 			n, _, _ := conn.WriteMsgUnix([]byte(c.text), oob, nil)
 			conn.Write([]byte(c.text)[n:])
 		}()
-		if b, err := acquireOnce(path, id, nil); err == nil || errors.Is(err, ErrNoPredecessor) {
-			t.Errorf("%s: accepted: %v %v", name, b, err)
+		if predecessor, err := acquireOnce(path, id, nil); err == nil || errors.Is(err, ErrNoPredecessor) {
+			t.Errorf("%s: got predecessor %v and error %v, want an error other than %q", name, predecessor, err, ErrNoPredecessor)
 		}
 		unixListener.Close()
 	}
@@ -230,16 +230,16 @@
 	}
 }
 
-// A successor with an invalid hello gets no answer, and the next one is served.
-func TestInvalidHellosAreRejected(t *testing.T) {
-	id, path, _, o, _ := startServer(t)
-	hi := func(v int, id ID) string {
-		b, _ := json.Marshal(hello{Version: v, ID: id})
-		return string(b) + "\n"
+// A successor with an invalid hello gets no answer. The next successor with a valid hello does.
+func TestInvalidHellosOfSuccessorsAreRejected(t *testing.T) {
+	id, path, _, server, _ := startServer(t)
+	helloLine := func(version int, id ID) string {
+		text, _ := json.Marshal(hello{Version: version, ID: id})
+		return string(text) + "\n"
 	}
 	for name, text := range map[string]string{
-		"newer": hi(protocolVersion+1, id), "of another": hi(protocolVersion, ID{"n2", id.Listen}), "noise": "\x00\xff\n",
-		"overlong": strings.Repeat("x", 2*maxHelloBytes), "empty": "\n",
+		"newer version": helloLine(protocolVersion+1, id), "other sidecar": helloLine(protocolVersion, ID{"n2", id.Listen}), "not JSON": "\x00\xff\n",
+		"too long": strings.Repeat("x", 2*maxHelloBytes), "empty": "\n",
 	} {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -250,26 +250,25 @@
 		var got bytes.Buffer
 		got.ReadFrom(c)
 		if got.Len() > 0 {
-			t.Errorf("%s: answered %q", name, got.Bytes())
+			t.Errorf("%s: got answer %q, want none", name, got.Bytes())
 		}
 		c.Close()
 	}
-	if o.Successor() != NoSuccessor {
-		t.Fatal(o.Successor())
+	if server.Successor() != NoSuccessor {
+		t.Fatalf("got successor state %d, want %d", server.Successor(), NoSuccessor)
 	}
-	b, err := Acquire(context.Background(), path, id, nil)
+	predecessor, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.conn.Close()
+	predecessor.conn.Close()
 }
 
-// Two processes that use Listen share an address; AddressInUse sees both.
-func TestSharedAddress(t *testing.T) {
+func TestAddressCanBeSharedAndIsReportedInUse(t *testing.T) {
 	ln := listen(t)
 	addr := ln.Addr().String()
 	if !AddressInUse(addr) {
-		t.Fatal("free while it is held")
+		t.Fatal("AddressInUse is false while a listener is open")
 	}
 	second, err := Listen(context.Background(), addr)
 	if err != nil {
@@ -278,11 +277,11 @@
 	second.Close()
 	ln.Close()
 	if AddressInUse(addr) {
-		t.Fatal("held while it is free")
+		t.Fatal("AddressInUse is true after all listeners are closed")
 	}
 }
 
-// FuzzAnswer looks for bytes of a predecessor that break the reader.
+// FuzzAnswer sends arbitrary bytes as the answer of a predecessor. Without a socket attached, each must be an error.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(`{"version":1,"name":"n1","listen":"127.0.0.1:1","state":{"drained":true}}` + "\n"))
 	f.Add([]byte("{}\n"))
@@ -304,72 +303,73 @@
 		}
 		ends[0].Write(text)
 		ends[0].CloseWrite()
-		if b, err := exchangeHellos(ends[1], ID{Name: "n1", Listen: "127.0.0.1:1"}, true); err == nil {
-			t.Fatalf("accepted without a socket: %v", b)
+		if predecessor, err := exchangeHellos(ends[1], ID{Name: "n1", Listen: "127.0.0.1:1"}, true); err == nil {
+			t.Fatalf("accepted an answer without a socket: %v", predecessor)
 		}
 	})
 }
 
-// A transferred stream's two connections arrive, and stay open when the old process closes its own. A notice has none.
-func TestStreamsAreTransferred(t *testing.T) {
-	id, path, ln, o, states := startServer(t)
+// The two connections of a transferred stream must stay open after the predecessor has closed its own descriptors. A notice
+// has no connections.
+func TestTransferredConnectionsOutliveThePredecessors(t *testing.T) {
+	id, path, ln, server, states := startServer(t)
 	transfers := make(chan Transfer, 16)
-	b, err := Acquire(context.Background(), path, id, func(w Transfer) { transfers <- w })
+	predecessor, err := Acquire(context.Background(), path, id, func(transfer Transfer) { transfers <- transfer })
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-states
-	pair := func() (here, there net.Conn) {
-		there, err := net.Dial("tcp", id.Listen)
+	connect := func() (local, remote net.Conn) {
+		remote, err := net.Dial("tcp", id.Listen)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if here, err = ln.Accept(); err != nil {
+		if local, err = ln.Accept(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { here.Close(); there.Close() })
+		t.Cleanup(func() { local.Close(); remote.Close() })
 		return
 	}
-	client, atClient := pair()
-	server, atServer := pair()
-	if err := o.TransferStream("early", client.(*net.TCPConn), server.(*net.TCPConn)); err != ErrNoSuccessor {
-		t.Fatalf("transferred to a successor that does not serve: %v", err)
+	client, clientRemote := connect()
+	upstream, upstreamRemote := connect()
+	if err := server.TransferStream("early", client.(*net.TCPConn), upstream.(*net.TCPConn)); err != ErrNoSuccessor {
+		t.Fatalf("transfer to a successor that does not serve yet: got error %v, want %v", err, ErrNoSuccessor)
 	}
-	b.NotifyServing()
+	predecessor.NotifyServing()
 	<-states
-	// Long messages in parallel: one read returns the end of one and the beginning of the next.
+	// With long messages in parallel, one read can return the end of a message and the beginning of the next.
 	var senders sync.WaitGroup
 	for range cap(transfers) {
 		senders.Go(func() {
-			if err := o.TransferStream(strings.Repeat("x", 100_000), client.(*net.TCPConn), server.(*net.TCPConn)); err != nil {
+			if err := server.TransferStream(strings.Repeat("x", 100_000), client.(*net.TCPConn), upstream.(*net.TCPConn)); err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	var w, again Transfer
+	var secondLast, last Transfer
 	for range cap(transfers) {
-		w, again = again, <-transfers
-		if len(again.Payload) != 100_002 {
-			t.Fatalf("%d bytes", len(again.Payload))
+		secondLast, last = last, <-transfers
+		if len(last.Payload) != 100_002 {
+			t.Fatalf("got a payload of %d bytes, want 100002", len(last.Payload))
 		}
 	}
 	senders.Wait()
-	if err := o.Notify([]string{"news"}); err != nil {
+	if err := server.Notify([]string{"news"}); err != nil {
 		t.Fatal(err)
 	}
 	if n := <-transfers; string(n.Payload) != `["news"]` || n.Client != nil || n.Server != nil {
-		t.Fatalf("%s %v", n.Payload, n.Client)
+		t.Fatalf("got notice %s with connections %v and %v, want [\"news\"] without connections", n.Payload, n.Client, n.Server)
 	}
 	client.Close()
-	server.Close()
-	for there, here := range map[net.Conn]net.Conn{atClient: w.Client, atServer: again.Server} {
-		there.Write([]byte("hello"))
+	upstream.Close()
+	for remote, received := range map[net.Conn]net.Conn{clientRemote: secondLast.Client, upstreamRemote: last.Server} {
+		remote.Write([]byte("hello"))
 		text := make([]byte, 5)
-		if _, err := here.Read(text); err != nil || string(text) != "hello" {
-			t.Fatalf("%q %v", text, err)
+		if _, err := received.Read(text); err != nil || string(text) != "hello" {
+			t.Fatalf("read %q with error %v from a transferred connection, want \"hello\"", text, err)
 		}
 	}
 	if err := (*Server)(nil).TransferStream("x", nil, nil); err != ErrNoSuccessor {
-		t.Fatal(err)
+		t.Fatalf("nil Server: got error %v, want %v", err, ErrNoSuccessor)
 	}
 }
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	soReusePort = 0xf // SO_REUSEPORT of Linux, which package syscall lacks
+	soReusePort = 0xf // SO_REUSEPORT on Linux; package syscall doesn't define it
 
-	bindTimeout  = 10 * time.Second // for a process that does not share the address to release it
+	bindTimeout  = 10 * time.Second // time for a process that does not share the address to close its socket
 	bindInterval = 20 * time.Millisecond
 )
 
-// Listen binds addr, which another process may share by SO_REUSEPORT. It retries for 10 s, or until ctx ends, while the
-// address is in use or the system lacks resources: a restarted sidecar may find the one before it still answering.
+// Listen listens at addr, which another process may share by SO_REUSEPORT. While the address is in use or the system is out
+// of resources, it retries for up to bindTimeout or until ctx ends: after a restart, the previous process may still be
+// serving its last requests.
 func Listen(ctx context.Context, addr string) (*net.TCPListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		if e := c.Control(func(fd uintptr) {
@@ -37,7 +38,7 @@
 	}
 }
 
-// isTransient returns whether a later socket, bind or listen may succeed.
+// isTransient returns whether a retry of socket, bind or listen may succeed after this error.
 func isTransient(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -14,31 +14,32 @@
 	maxHelloBytes   = 4 << 10
 	maxMessageBytes = 1 << 20
 
-	// descriptorsPerStream are the client's connection and the server's, in this order.
+	// descriptorsPerStream is the number of descriptors of a stream: the client's connection, then the server's.
 	descriptorsPerStream = 2
 
-	// servingLine is what a successor sends once it accepts connections from the socket.
+	// servingLine is the message that a successor sends once it accepts connections from the socket.
 	servingLine = "serving\n"
 )
 
 var (
-	// ErrNoPredecessor is returned by Acquire where no process of the sidecar is running.
+	// ErrNoPredecessor is returned by Acquire if no process of the sidecar is running.
 	ErrNoPredecessor = errors.New("no process is running")
 
-	// ErrNoSuccessor is returned by Server where no other process accepts transfers.
+	// ErrNoSuccessor is returned by methods of Server if no other process accepts transfers.
 	ErrNoSuccessor = errors.New("no successor accepts transfers")
 
-	// errHandoverInProgress tells that another successor is connected.
+	// errHandoverInProgress is returned if another successor is connected.
 	errHandoverInProgress = errors.New("another successor is starting")
 )
 
-// ID identifies a sidecar: both processes of an upgrade have the same.
+// ID identifies a sidecar. Both processes of an upgrade have the same ID.
 type ID struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"` // address:port at which clients are accepted
 }
 
-// SocketPath returns the Unix socket at which the processes of a sidecar meet, in a directory that they share.
+// SocketPath returns the path of the Unix socket for handovers of this sidecar. All its processes must use the same
+// directory.
 func (id ID) SocketPath(dir string) string {
 	sum := sha256.Sum256([]byte(id.Name + "\n" + id.Listen))
 	return filepath.Join(dir, fmt.Sprintf("damsonscale-%x.sock", sum[:8]))
@@ -48,29 +49,29 @@
 type hello struct {
 	Version int `json:"version"`
 	ID
-	Busy             bool            `json:"busy,omitempty"`  // another successor is starting: try again later
-	AcceptsTransfers bool            `json:"takes,omitempty"` // the successor resumes streams
-	State            json.RawMessage `json:"state,omitempty"` // of the predecessor
+	Busy             bool            `json:"busy,omitempty"`  // another successor is connected: retry later
+	AcceptsTransfers bool            `json:"takes,omitempty"` // the successor accepts transfers
+	State            json.RawMessage `json:"state,omitempty"` // state of the predecessor
 }
 
-// check returns an error unless a hello is of this protocol and sidecar.
+// check returns an error unless the hello has this protocol version and the ID of this sidecar.
 func (h *hello) check(id ID) error {
 	switch {
 	case h.Version != protocolVersion:
-		return fmt.Errorf("version %d, expected %d", h.Version, protocolVersion)
+		return fmt.Errorf("hello has protocol version %d, expected %d", h.Version, protocolVersion)
 	case h.ID != id:
-		return fmt.Errorf("of sidecar %s at %s", h.Name, h.Listen)
+		return fmt.Errorf("hello is from another sidecar, %s at %s", h.Name, h.Listen)
 	}
 	return nil
 }
 
-// transferMessage is a message of the predecessor after its hello: exactly one field is set.
+// transferMessage is a message of the predecessor after its hello. Exactly one field is set.
 type transferMessage struct {
-	Stream json.RawMessage `json:"work,omitempty"` // comes with descriptorsPerStream descriptors
-	Notice json.RawMessage `json:"news,omitempty"` // comes without
+	Stream json.RawMessage `json:"work,omitempty"` // has descriptorsPerStream descriptors attached
+	Notice json.RawMessage `json:"news,omitempty"` // has no descriptors attached
 }
 
-// descriptorsOf returns how many descriptors belong to a line.
+// descriptorsOf returns how many descriptors are attached to a line.
 func descriptorsOf(line []byte) int {
 	var m transferMessage
 	if json.Unmarshal(line, &m) == nil && m.Stream != nil {
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	helloTimeout = 500 * time.Millisecond
+	helloTimeout = 500 * time.Millisecond // for connecting, for an exchange of hellos, and for writing a message
 
-	busyTimeout = 10 * time.Second // for another successor to serve or to exit
+	busyTimeout = 10 * time.Second // maximum wait while another successor is connected
 	busyBackoff = 50 * time.Millisecond
 )
 
-// Predecessor is the process that was running when this one started. A nil Predecessor has exited.
+// Predecessor is the process of this sidecar that was running when the current process started. A nil Predecessor has
+// exited.
 type Predecessor struct {
-	Listener net.Listener    // the socket that both processes accept from
-	State    json.RawMessage // what the predecessor's Server reported of itself
+	Listener net.Listener    // socket from which both processes accept
+	State    json.RawMessage // state that the predecessor reported in its hello
 
 	conn   *net.UnixConn
 	exited chan struct{}
 }
 
-// Transfer is what the predecessor hands over while it shuts down: a stream to resume with its two connections, which
-// the receiver owns, or a notice, which has none.
+// Transfer is a message of the predecessor during its shutdown. It has either a stream to resume, with its two connections,
+// which the receiver owns, or a notice without connections.
 type Transfer struct {
 	Payload        json.RawMessage
 	Client, Server net.Conn // nil: the payload is a notice
 }
 
-// Acquire takes the listening socket over from the running process; it waits up to 10 s while another successor is
-// starting. onTransfer is called with what the predecessor transfers later, one call after another; nil: no transfers
-// are accepted. The error is ErrNoPredecessor where no process is running.
+// Acquire takes over the listening socket of the running process. While another successor is connected it retries for up to
+// busyTimeout. onTransfer is called for each later transfer, one call at a time; if it is nil, transfers are not accepted.
+// Acquire returns ErrNoPredecessor if no process is running.
 func Acquire(ctx context.Context, path string, id ID, onTransfer func(Transfer)) (*Predecessor, error) {
 	for end := time.Now().Add(busyTimeout); ; {
 		p, err := acquireOnce(path, id, onTransfer)
@@ -81,7 +82,7 @@
 	return p, nil
 }
 
-// exchangeHellos sends this process's hello and checks the answer. On an error no descriptor stays open.
+// exchangeHellos sends this process's hello and validates the answer. On an error it closes the descriptors received.
 func exchangeHellos(conn *net.UnixConn, id ID, acceptsTransfers bool) (*Predecessor, error) {
 	conn.SetDeadline(time.Now().Add(helloTimeout))
 	if err := checkSameUser(conn); err != nil {
@@ -98,7 +99,7 @@
 	var answer hello
 	if err := json.Unmarshal(line, &answer); err != nil {
 		closeAll(descriptors)
-		return nil, fmt.Errorf("unreadable: %w", err)
+		return nil, fmt.Errorf("hello is malformed: %w", err)
 	}
 	if err := answer.check(id); err != nil {
 		closeAll(descriptors)
@@ -115,7 +116,7 @@
 	return &Predecessor{Listener: ln, State: answer.State, conn: conn, exited: make(chan struct{})}, nil
 }
 
-// receiveTransfers calls onTransfer with what the predecessor sends, until that exits.
+// receiveTransfers calls onTransfer for each transfer until the predecessor exits.
 func receiveTransfers(conn *net.UnixConn, onTransfer func(Transfer)) error {
 	if onTransfer == nil {
 		return nil
@@ -134,7 +135,7 @@
 		if err := json.Unmarshal(line, &m); err != nil || len(descriptors) != descriptorsOf(line) {
 			closeAll(descriptors)
 			closeAll(r.descriptors)
-			return fmt.Errorf("unreadable, with %d connections: %v", len(descriptors), err)
+			return fmt.Errorf("transfer with %d connections is malformed: %v", len(descriptors), err)
 		}
 		if m.Stream == nil {
 			onTransfer(Transfer{Payload: m.Notice})
@@ -148,7 +149,7 @@
 	}
 }
 
-// streamTransfer makes connections of a stream's two descriptors. On an error neither stays open.
+// streamTransfer returns the transfer of a stream with connections for its two descriptors. On an error it closes both.
 func streamTransfer(payload json.RawMessage, descriptors []int) (Transfer, error) {
 	client, err := connFrom(descriptors[0])
 	if err != nil {
@@ -163,7 +164,7 @@
 	return Transfer{Payload: payload, Client: client, Server: server}, nil
 }
 
-// NotifyServing tells the predecessor that this process accepts connections from the socket.
+// NotifyServing notifies the predecessor that this process accepts connections from the socket.
 func (p *Predecessor) NotifyServing() {
 	if p != nil {
 		p.conn.SetWriteDeadline(time.Now().Add(helloTimeout))
--- a/internal/handover/recorded_test.go
+++ b/internal/handover/recorded_test.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// recordedID is the sidecar in testdata/2029d41.
+// recordedID is the ID of the sidecar whose messages are in testdata/2029d41.
 var recordedID = ID{Name: "n1", Listen: "127.0.0.1:18080"}
 
-// recorded returns the bytes of a file that the build of commit 2029d41 wrote.
-func recorded(t *testing.T, name string) string {
+// readRecording returns the content of a file in testdata/2029d41: messages that the build of commit 2029d41 sent.
+func readRecording(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "2029d41", name))
 	if err != nil {
@@ -26,7 +26,7 @@
 	return string(text)
 }
 
-// fdOf returns the descriptor of a socket, which stays its owner's.
+// fdOf returns the descriptor of a socket. The socket's owner still closes it.
 func fdOf(t *testing.T, c syscall.Conn) (fd int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -37,16 +37,17 @@
 	return fd
 }
 
-// The old process of today writes byte for byte what the build of 2029d41 wrote.
-func TestOldProcessWritesRecordedMessages(t *testing.T) {
+// The processes of an upgrade may be of different builds. A predecessor of this build must send byte for byte the messages
+// that the build of commit 2029d41 sent.
+func TestPredecessorSendsTheRecordedMessages(t *testing.T) {
 	ln := listen(t)
 	path := recordedID.SocketPath(t.TempDir())
 	states := make(chan SuccessorState, 16)
-	o, err := NewServer(path, recordedID, ln, func() any { return json.RawMessage(strings.TrimSpace(recorded(t, "state.json"))) }, func(h SuccessorState) { states <- h })
+	server, err := NewServer(path, recordedID, ln, func() any { return json.RawMessage(strings.TrimSpace(readRecording(t, "state.json"))) }, func(state SuccessorState) { states <- state })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(o.Close)
+	t.Cleanup(server.Close)
 	dial := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -54,7 +55,7 @@
 		}
 		t.Cleanup(func() { c.Close() })
 		c.SetDeadline(time.Now().Add(20 * time.Second))
-		hello, _, _ := strings.Cut(recorded(t, "new_process.txt"), "\n")
+		hello, _, _ := strings.Cut(readRecording(t, "new_process.txt"), "\n")
 		if _, err := c.Write([]byte(hello + "\n")); err != nil {
 			t.Fatal(err)
 		}
@@ -71,14 +72,14 @@
 	}
 	c, br := dial()
 	read(br)
-	_, other := dial() // while the first starts
+	_, other := dial() // while the first successor is starting
 	read(other)
 	<-states
 	if _, err := c.Write([]byte(servingLine)); err != nil {
 		t.Fatal(err)
 	}
-	if h := <-states; h != SuccessorServing {
-		t.Fatal(h)
+	if state := <-states; state != SuccessorServing {
+		t.Fatalf("got successor state %d, want %d", state, SuccessorServing)
 	}
 	a, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -86,27 +87,28 @@
 	}
 	defer a.Close()
 	for _, name := range []string{"stream.json", "stream_of_known_length.json"} {
-		if err := o.TransferStream(json.RawMessage(strings.TrimSpace(recorded(t, name))), a.(*net.TCPConn), a.(*net.TCPConn)); err != nil {
+		if err := server.TransferStream(json.RawMessage(strings.TrimSpace(readRecording(t, name))), a.(*net.TCPConn), a.(*net.TCPConn)); err != nil {
 			t.Fatal(err)
 		}
 		read(br)
 	}
-	if err := o.Notify(json.RawMessage(strings.TrimSpace(recorded(t, "open_requests.json")))); err != nil {
+	if err := server.Notify(json.RawMessage(strings.TrimSpace(readRecording(t, "open_requests.json")))); err != nil {
 		t.Fatal(err)
 	}
 	read(br)
-	if want := recorded(t, "old_process.txt"); got.String() != want {
-		t.Fatalf("wrote\n%s\nthe build of 2029d41 wrote\n%s", got.String(), want)
+	if want := readRecording(t, "old_process.txt"); got.String() != want {
+		t.Fatalf("got messages\n%s\nwant those of the build of 2029d41\n%s", got.String(), want)
 	}
 }
 
-// The new process of today reads what the build of 2029d41 wrote, and writes byte for byte what that one wrote.
-func TestNewProcessReadsRecordedMessages(t *testing.T) {
+// A successor of this build must read the messages that the build of commit 2029d41 sent as a predecessor, and send byte for
+// byte the messages that it sent as a successor.
+func TestSuccessorReadsAndSendsTheRecordedMessages(t *testing.T) {
 	ln := listen(t)
 	id := ID{Name: recordedID.Name, Listen: ln.Addr().String()}
-	here := strings.NewReplacer(recordedID.Listen, id.Listen) // the descriptor's address is checked
-	back := strings.NewReplacer(id.Listen, recordedID.Listen)
-	lines := strings.SplitAfter(here.Replace(recorded(t, "old_process.txt")), "\n")
+	toListener := strings.NewReplacer(recordedID.Listen, id.Listen) // Acquire compares the address with the socket's
+	toRecorded := strings.NewReplacer(id.Listen, recordedID.Listen)
+	lines := strings.SplitAfter(toListener.Replace(readRecording(t, "old_process.txt")), "\n")
 	path := id.SocketPath(t.TempDir())
 	unixListener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -118,11 +120,11 @@
 		t.Fatal(err)
 	}
 	defer pair.Close()
-	wrote := make(chan string, 1)
-	go func() { // the old process
+	sent := make(chan string, 1)
+	go func() { // the predecessor
 		busy, err := unixListener.AcceptUnix()
 		if err != nil {
-			wrote <- err.Error()
+			sent <- err.Error()
 			return
 		}
 		bufio.NewReader(busy).ReadString('\n')
@@ -130,48 +132,48 @@
 		busy.Close()
 		c, err := unixListener.AcceptUnix()
 		if err != nil {
-			wrote <- err.Error()
+			sent <- err.Error()
 			return
 		}
 		defer c.Close()
 		br := bufio.NewReader(c)
 		hello, _ := br.ReadString('\n')
 		c.WriteMsgUnix([]byte(lines[0]), syscall.UnixRights(fdOf(t, ln)), nil)
-		served, _ := br.ReadString('\n')
+		serving, _ := br.ReadString('\n')
 		fd := fdOf(t, pair.(*net.TCPConn))
 		for _, line := range lines[2:4] {
 			c.WriteMsgUnix([]byte(line), syscall.UnixRights(fd, fd), nil)
 		}
 		c.Write([]byte(lines[4]))
-		wrote <- hello + served
+		sent <- hello + serving
 	}()
 	transfers := make(chan Transfer, 16)
-	b, err := Acquire(context.Background(), path, id, func(w Transfer) { transfers <- w })
+	predecessor, err := Acquire(context.Background(), path, id, func(transfer Transfer) { transfers <- transfer })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Listener.Close()
-	if want := strings.TrimSpace(recorded(t, "state.json")); string(b.State) != want {
-		t.Errorf("state %s, expected %s", b.State, want)
+	defer predecessor.Listener.Close()
+	if want := strings.TrimSpace(readRecording(t, "state.json")); string(predecessor.State) != want {
+		t.Errorf("got state %s, want %s", predecessor.State, want)
 	}
-	b.NotifyServing()
-	if got, want := back.Replace(<-wrote), recorded(t, "new_process.txt"); got != want {
-		t.Errorf("wrote\n%s\nthe build of 2029d41 wrote\n%s", got, want)
+	predecessor.NotifyServing()
+	if got, want := toRecorded.Replace(<-sent), readRecording(t, "new_process.txt"); got != want {
+		t.Errorf("got messages\n%s\nwant those of the build of 2029d41\n%s", got, want)
 	}
 	for _, c := range []struct {
 		name    string
 		sockets bool
 	}{{"stream.json", true}, {"stream_of_known_length.json", true}, {"open_requests.json", false}} {
-		w := <-transfers
-		if want := strings.TrimSpace(recorded(t, c.name)); string(w.Payload) != want {
-			t.Errorf("%s: read %s, expected %s", c.name, w.Payload, want)
+		transfer := <-transfers
+		if want := strings.TrimSpace(readRecording(t, c.name)); string(transfer.Payload) != want {
+			t.Errorf("%s: got payload %s, want %s", c.name, transfer.Payload, want)
 		}
-		if (w.Client != nil) != c.sockets || (w.Server != nil) != c.sockets {
-			t.Errorf("%s: connections %v and %v", c.name, w.Client, w.Server)
+		if (transfer.Client != nil) != c.sockets || (transfer.Server != nil) != c.sockets {
+			t.Errorf("%s: got connections %v and %v, want connections: %v", c.name, transfer.Client, transfer.Server, c.sockets)
 		}
-		if w.Client != nil {
-			w.Client.Close()
-			w.Server.Close()
+		if transfer.Client != nil {
+			transfer.Client.Close()
+			transfer.Server.Close()
 		}
 	}
 }
--- a/internal/handover/server.go
+++ b/internal/handover/server.go
@@ -15,25 +15,25 @@
 	"damsonscale/internal/eventlog"
 )
 
-// Names of events. The state of a successor is starting, serving or exited.
+// Names of log events. The key state of eventSuccessor is starting, serving or exited.
 const (
 	eventSuccessor     = "handover_successor"
 	eventRejected      = "handover_rejected"
 	eventReceiveFailed = "handover_receive_failed"
 )
 
-// SuccessorState is how far the process that replaces this one has come.
+// SuccessorState is the state of the process that replaces this one.
 type SuccessorState uint8
 
 // States of a successor.
 const (
 	NoSuccessor       SuccessorState = iota
-	SuccessorStarting                // it has the listening socket and doesn't accept from it yet
-	SuccessorServing                 // it accepts connections from the socket
+	SuccessorStarting                // the successor has the listening socket but does not accept from it yet
+	SuccessorServing                 // the successor accepts connections from the socket
 )
 
-// Server offers the listening socket to a successor, and transfers streams to it. Its methods may be called on a nil
-// Server, which has no successor.
+// Server offers the listening socket to a successor and transfers streams to it. A nil Server is valid and has no
+// successor.
 type Server struct {
 	id       ID
 	listener *net.UnixListener // where successors connect
@@ -46,11 +46,12 @@
 	conn             *net.UnixConn // to the successor
 	acceptsTransfers bool
 
-	sending sync.Mutex // one transfer is written at a time
+	sending sync.Mutex // held while a transfer is written
 }
 
-// NewServer offers socket at path from now on, in place of the process that did before. state returns what a successor
-// is told of this process; onChange is called at each change of the successor's state, one call at a time.
+// NewServer offers socket to successors that connect to path, in place of any process that did so before. state returns the
+// state of this process for the hello, as a value to marshal as JSON. onChange is called at each change of the successor's
+// state, one call at a time.
 func NewServer(path string, id ID, socket *net.TCPListener, state func() any, onChange func(SuccessorState)) (*Server, error) {
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(fresh)
@@ -58,7 +59,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	ln.SetUnlinkOnClose(false) // by then the path may be another process's
+	ln.SetUnlinkOnClose(false) // when it is closed, the path may belong to another process
 	os.Chmod(fresh, 0o600)
 	if err := os.Rename(fresh, path); err != nil {
 		ln.Close()
@@ -70,14 +71,14 @@
 	return s, nil
 }
 
-// Close accepts no further successor. The file stays: a process that gets no connection there finds no predecessor.
+// Close stops accepting successors. The socket's file stays; a process whose connection to it is refused has no predecessor.
 func (s *Server) Close() {
 	if s != nil {
 		s.listener.Close()
 	}
 }
 
-// Successor returns how far the successor has come.
+// Successor returns the state of the successor.
 func (s *Server) Successor() SuccessorState {
 	if s == nil {
 		return NoSuccessor
@@ -87,9 +88,9 @@
 	return s.successor
 }
 
-// TransferStream hands a stream with its two connections to the successor; payload is marshalled as JSON. Once it has
-// returned nil the caller must close both connections without writing to them. The error is ErrNoSuccessor where no
-// successor serves and accepts transfers.
+// TransferStream hands a stream with its two connections over to the successor; payload is marshalled as JSON. After a nil
+// error the caller must close both connections without writing to them. TransferStream returns ErrNoSuccessor unless a
+// successor is serving and accepts transfers.
 func (s *Server) TransferStream(payload any, client, server syscall.Conn) error {
 	body, err := json.Marshal(payload)
 	if err != nil {
@@ -98,7 +99,8 @@
 	return s.transfer(transferMessage{Stream: body}, client, server)
 }
 
-// Notify sends the successor a notice, which is marshalled as JSON. Errors are those of TransferStream.
+// Notify sends the successor a notice, which is marshalled as JSON. It returns ErrNoSuccessor in the same cases as
+// TransferStream.
 func (s *Server) Notify(notice any) error {
 	body, err := json.Marshal(notice)
 	if err != nil {
@@ -122,7 +124,7 @@
 		return err
 	}
 	if len(line) >= maxMessageBytes {
-		return fmt.Errorf("%d bytes, over %d", len(line), maxMessageBytes)
+		return fmt.Errorf("message has %d bytes, expected less than %d", len(line), maxMessageBytes)
 	}
 	s.sending.Lock()
 	defer s.sending.Unlock()
@@ -145,7 +147,7 @@
 	}
 }
 
-// serveSuccessor follows one successor until it exits.
+// serveSuccessor exchanges hellos with one successor and tracks its state until it exits.
 func (s *Server) serveSuccessor(conn *net.UnixConn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(helloTimeout))
@@ -161,14 +163,15 @@
 	defer eventlog.Info(eventSuccessor, "state", "exited")
 	conn.SetDeadline(time.Time{})
 	if line, err := br.ReadString('\n'); err != nil || line != servingLine {
-		return // it exited before it served
+		return // the successor exited before it served
 	}
 	s.setSuccessor(SuccessorServing)
 	eventlog.Info(eventSuccessor, "state", "serving")
 	io.Copy(io.Discard, conn)
 }
 
-// answerHello sends a successor the listening socket, if it is of this sidecar and no other is connected.
+// answerHello reads a successor's hello and sends it the listening socket, unless the successor belongs to another sidecar
+// or another successor is connected.
 func (s *Server) answerHello(conn *net.UnixConn, br *bufio.Reader) error {
 	if err := checkSameUser(conn); err != nil {
 		return err
@@ -199,7 +202,7 @@
 	return err
 }
 
-// claim makes the process at conn the successor, unless there is one.
+// claim makes the process at the other end of conn the successor and returns true, unless there is a successor already.
 func (s *Server) claim(conn *net.UnixConn, acceptsTransfers bool) bool {
 	s.mu.Lock()
 	free := s.successor == NoSuccessor
