--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,5 +1,5 @@
-// Package accept takes connections from a listener and retries after errors that pass: of those that Linux documents for
-// accept only a closed listener is final.
+// Package accept accepts connections from a listener and retries after transient errors. Of the errors that Linux documents
+// for accept, all are transient for a valid socket; only a closed listener ends accepting.
 package accept
 
 import (
@@ -8,10 +8,12 @@
 	"time"
 )
 
-// retryDelay is the time between a failed accept and the next, within which descriptors may be freed or a route come back.
+// retryDelay is the time between a failed accept and the next. It gives the process time to close descriptors and the
+// network time to recover.
 const retryDelay = 5 * time.Millisecond
 
-// Next returns the next connection. Its only error is that of a closed listener; onError is called with each other.
+// Next returns the next connection. It returns an error only if the listener is closed. For any other error it calls onError
+// and retries.
 func Next(ln net.Listener, onError func(error)) (net.Conn, error) {
 	for {
 		conn, err := ln.Accept()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the operators' API on a listener of its own: the health of the process, and draining. It answers
-// from the lifecycle alone, so that no load on the clients' side delays it.
+// Package admin serves the admin API, by which operators query the health of the process and drain it. The API has its own
+// listener and depends only on the lifecycle, so that the load of clients does not delay it.
 package admin
 
 import (
@@ -12,7 +12,7 @@
 	"damsonscale/internal/lifecycle"
 )
 
-// eventCall is logged for each call that changes the lifecycle.
+// eventCall is the log event of a call that starts or stops draining.
 const eventCall = "admin_call"
 
 // Paths of the API.
@@ -22,38 +22,38 @@
 	pathStopDraining  = "/healthcheck/ok"
 )
 
-// Server answers operators. Its only state is its open connections.
+// Server is the server of the admin API. Its only state is the set of open connections.
 type Server struct {
 	lifecycle   *lifecycle.Tracker
 	http        *fasthttp.Server
 	connections connections
 }
 
-// New makes a server that reads and changes the lifecycle.
+// New returns a server for the stage of the process that life holds.
 func New(life *lifecycle.Tracker) *Server {
 	s := &Server{lifecycle: life}
 	s.http = &fasthttp.Server{
 		Handler: s.handle, ErrorHandler: rejectMalformed, Logger: discardLogger{},
 		ReadBufferSize: maxHeadBytes, MaxRequestBodySize: maxBodyBytes,
 		ReadTimeout: callTimeout, WriteTimeout: writeTimeout,
-		DisableKeepalive: true, Concurrency: 1 << 20, // connections are bounded in the listener
+		DisableKeepalive: true, Concurrency: 1 << 20, // the listener limits the connections
 		NoDefaultServerHeader: true, NoDefaultDate: true, DisablePreParseMultipartForm: true,
 	}
 	return s
 }
 
-// Serve serves ln until it is closed.
+// Serve accepts and serves connections until ln is closed.
 func (s *Server) Serve(ln net.Listener) error {
 	return s.http.Serve(&listener{Listener: ln, connections: &s.connections})
 }
 
-// discardLogger drops the line that fasthttp would log for each malformed call.
+// discardLogger discards the line that fasthttp logs for each malformed request.
 type discardLogger struct{}
 
-// Printf drops a line.
+// Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-// rejectMalformed answers what is no call of HTTP.
+// rejectMalformed answers a request that fasthttp could not read.
 func rejectMalformed(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
@@ -69,7 +69,8 @@
 	}
 }
 
-// handle answers one call. Both posts are idempotent; each answer's body is the stage after the call.
+// handle answers a call. The calls that start and stop draining are idempotent. The body of a response is the stage after
+// the call.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	ctx.SetConnectionClose()
 	switch string(ctx.Path()) {
@@ -83,20 +84,21 @@
 		ctx.SetBodyString(s.lifecycle.Stage().String() + "\n")
 	case pathStartDraining:
 		if requireMethod(ctx, fasthttp.MethodPost) {
-			answer(ctx, "fail", s.lifecycle.StartDraining(), true)
+			respond(ctx, "fail", s.lifecycle.StartDraining(), true)
 		}
 	case pathStopDraining:
 		if requireMethod(ctx, fasthttp.MethodPost) {
 			stage := s.lifecycle.StopDraining()
-			answer(ctx, "ok", stage, stage != lifecycle.Terminating)
+			respond(ctx, "ok", stage, stage != lifecycle.Terminating)
 		}
 	default:
 		ctx.Error("unknown call", fasthttp.StatusNotFound)
 	}
 }
 
-// answer reports the stage after a call; applied: the call did what it asks for.
-func answer(ctx *fasthttp.RequestCtx, call string, stage lifecycle.Stage, applied bool) {
+// respond logs a call and answers with the stage after it. applied is false if the call had no effect because the process
+// is terminating.
+func respond(ctx *fasthttp.RequestCtx, call string, stage lifecycle.Stage, applied bool) {
 	eventlog.Info(eventCall, "call", call, "stage", stage.String(), "applied", applied)
 	if !applied {
 		ctx.SetStatusCode(fasthttp.StatusConflict)
@@ -104,7 +106,7 @@
 	ctx.SetBodyString(stage.String() + "\n")
 }
 
-// requireMethod answers 405 to any other method.
+// requireMethod returns whether the request has this method; if it has another, requireMethod answers with status 405.
 func requireMethod(ctx *fasthttp.RequestCtx, method string) bool {
 	if string(ctx.Method()) == method {
 		return true
--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// MaxConnections is how many callers are connected at once; each takes a descriptor.
+	// MaxConnections is the maximum number of open connections to the admin API. Each uses a descriptor.
 	MaxConnections = 8
 
-	callTimeout  = 4 * time.Second // for a whole call, from its connection's start
+	callTimeout  = 4 * time.Second // for reading a request, from the start of its connection
 	writeTimeout = time.Second
 	maxHeadBytes = 4 << 10
 	maxBodyBytes = 4 << 10
 )
 
-// connections are the open connections of a server.
+// connections is the set of open connections of a server.
 type connections struct {
 	mu   sync.Mutex
 	open []*connection // oldest first
 }
 
-// listener bounds the connections: one more closes the oldest, since a call is over within moments and callers that
-// send nothing must not keep others out.
+// listener limits the number of connections. A new connection over the limit closes the oldest one, so that clients that
+// connect and send nothing do not block others. A call takes only moments, so the oldest connection is most likely one of
+// these.
 type listener struct {
 	net.Listener
 	connections *connections
 }
 
-// connection is a caller's connection.
+// connection is a client's connection.
 type connection struct {
 	net.Conn
 	connections *connections
@@ -40,7 +41,7 @@
 
 // Accept returns the next connection. It fails only once the listener is closed.
 func (l *listener) Accept() (net.Conn, error) {
-	nc, err := accept.Next(l.Listener, func(error) {}) // fasthttp's Serve would end on a passing error
+	nc, err := accept.Next(l.Listener, func(error) {}) // fasthttp's Serve would end on a transient error
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +52,7 @@
 	return c, nil
 }
 
-// add registers a connection, and returns the one to close for it; nil: none.
+// add registers a connection and returns the connection to close in exchange; nil: none.
 func (s *connections) add(c *connection) (oldest *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +69,7 @@
 	s.open = slices.DeleteFunc(s.open, func(o *connection) bool { return o == c })
 }
 
-// Close closes the connection and unregisters it.
+// Close unregisters the connection and closes it.
 func (c *connection) Close() error {
 	c.connections.remove(c)
 	return c.Conn.Close()
--- a/internal/eventlog/documented_test.go
+++ b/internal/eventlog/documented_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Every event that a package of the product names by a constant stands in the index of docs/oncall.md.
+// Each event for which a package has a constant must be in the index of docs/oncall.md.
 func TestEventsAreDocumented(t *testing.T) {
 	const root = "../.."
 	page, err := os.ReadFile(filepath.Join(root, "docs", "oncall.md"))
@@ -18,7 +18,7 @@
 	}
 	_, index, found := strings.Cut(string(page), "## All events")
 	if !found {
-		t.Fatal("docs/oncall.md has no index of events")
+		t.Fatal(`docs/oncall.md has no section "All events"`)
 	}
 	constant := regexp.MustCompile(`\bevent[A-Z]\w*\s*=\s*"(\w+)"`)
 	names := 0
@@ -44,6 +44,6 @@
 		}
 	}
 	if names < 50 {
-		t.Errorf("only %d constants of events were found", names)
+		t.Errorf("found %d constants of events, want at least 50", names)
 	}
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestLineForm(t *testing.T) {
+func TestFormatOfLogLines(t *testing.T) {
 	cause := errors.New(`no "route"`)
 	for _, c := range []struct {
 		name  string
@@ -27,7 +27,7 @@
 			defer log.SetOutput(os.Stderr)
 			c.write()
 			if want := regexp.MustCompile(`^time=\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}Z ` + c.want + "\n$"); !want.Match(out.Bytes()) {
-				t.Fatalf("wrote %q, want %s", out.String(), want)
+				t.Fatalf("got log line %q, want one that matches %s", out.String(), want)
 			}
 		})
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,21 +1,21 @@
-// Package lifecycle owns the stage of a sidecar's process. Operators and signals change it; the frontend and the admin
-// API read it.
+// Package lifecycle owns the stage of a sidecar's process. Operators and signals change the stage; the frontend and the
+// admin API read it.
 package lifecycle
 
 import "sync"
 
-// Stage is what a process does for clients.
+// Stage is the stage of a process with respect to serving clients.
 type Stage uint8
 
 // Stages of a process.
 const (
-	Starting    Stage = iota // it can't serve yet
-	Serving                  // it accepts requests and reports that it is ready
-	Draining                 // it serves what still comes and reports that it isn't ready; operators can undo it
-	Terminating              // the same, and the process exits once it is idle; nothing undoes it
+	Starting    Stage = iota // the process can't serve yet
+	Serving                  // the process serves requests and reports that it is ready
+	Draining                 // the process serves requests but reports that it isn't ready; operators can undo this
+	Terminating              // as Draining, but the process exits once no request is in flight; this can't be undone
 )
 
-// String names the stage as log lines and the admin API's answers do.
+// String returns the name of the stage in log lines and in responses of the admin API.
 func (s Stage) String() string {
 	names := [...]string{"starting", "serving", "drained", "ending"}
 	if int(s) < len(names) {
@@ -24,25 +24,25 @@
 	return "unknown"
 }
 
-// Tracker holds the stage of one process. Its zero value is starting. Its methods may be called from any goroutine and
-// don't block.
+// Tracker holds the stage of a process. The zero value is in the stage Starting. Its methods may be called from any
+// goroutine and don't block.
 type Tracker struct {
 	mu          sync.Mutex
 	ready       bool
 	draining    bool
 	terminating bool
 	stage       Stage
-	changed     chan struct{} // closed at the next change; nil: nobody watches
+	changed     chan struct{} // closed at the next change; nil: there is no watcher
 }
 
-// Stage returns the present stage.
+// Stage returns the current stage.
 func (t *Tracker) Stage() Stage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stage
 }
 
-// Watch returns the present stage, and a channel that is closed once it is another.
+// Watch returns the current stage and a channel that is closed when the stage changes.
 func (t *Tracker) Watch() (Stage, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,26 +52,26 @@
 	return t.stage, t.changed
 }
 
-// CanServe returns whether the process has become ready and isn't terminating, draining or not.
+// CanServe returns whether the process is ready and isn't terminating. A draining process can serve.
 func (t *Tracker) CanServe() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ready && !t.terminating
 }
 
-// MarkReady records that the process can serve from now on, and returns the stage. It doesn't end a drain.
+// MarkReady records that the process can serve, and returns the new stage. It doesn't end a drain.
 func (t *Tracker) MarkReady() Stage { return t.update(func() { t.ready = true }) }
 
-// StartDraining drains the process until StopDraining, and returns the stage.
+// StartDraining drains the process until StopDraining is called, and returns the new stage.
 func (t *Tracker) StartDraining() Stage { return t.update(func() { t.draining = true }) }
 
-// StopDraining undoes StartDraining, but not Terminate, and returns the stage.
+// StopDraining undoes StartDraining, but not Terminate, and returns the new stage.
 func (t *Tracker) StopDraining() Stage { return t.update(func() { t.draining = false }) }
 
-// Terminate drains the process for good, and returns the stage.
+// Terminate drains the process permanently, and returns the new stage.
 func (t *Tracker) Terminate() Stage { return t.update(func() { t.terminating = true }) }
 
-// update applies a change and wakes watchers if the stage is another.
+// update applies a change and notifies the watchers if it changes the stage.
 func (t *Tracker) update(change func()) Stage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -5,62 +5,60 @@
 	"testing"
 )
 
-// Each row is a sequence of calls and the stage that it leads to.
-func TestStages(t *testing.T) {
+func TestStageAfterASequenceOfCalls(t *testing.T) {
 	type step = func(*Tracker) Stage
-	serve, drain, undrain, end := (*Tracker).MarkReady, (*Tracker).StartDraining, (*Tracker).StopDraining, (*Tracker).Terminate
+	ready, drain, undrain, terminate := (*Tracker).MarkReady, (*Tracker).StartDraining, (*Tracker).StopDraining, (*Tracker).Terminate
 	for _, c := range []struct {
-		name  string
-		steps []step
-		want  Stage
-		can   bool
+		name     string
+		steps    []step
+		want     Stage
+		canServe bool
 	}{
 		{"new", nil, Starting, false},
-		{"served", []step{serve}, Serving, true},
-		{"drained", []step{serve, drain, drain}, Draining, true},
-		{"drained before it serves", []step{drain, serve}, Draining, true},
-		{"undrained before it serves", []step{drain, undrain}, Starting, false},
-		{"quick turns", []step{serve, drain, undrain, drain, undrain}, Serving, true},
-		{"ok without fail", []step{serve, undrain}, Serving, true},
-		{"ending", []step{serve, end}, Terminating, false},
-		{"ok does not undo the end", []step{serve, drain, end, undrain}, Terminating, false},
-		{"serve does not undo the end", []step{end, serve}, Terminating, false},
+		{"ready", []step{ready}, Serving, true},
+		{"draining", []step{ready, drain, drain}, Draining, true},
+		{"drained before it is ready", []step{drain, ready}, Draining, true},
+		{"drain undone before it is ready", []step{drain, undrain}, Starting, false},
+		{"repeated drains", []step{ready, drain, undrain, drain, undrain}, Serving, true},
+		{"StopDraining without StartDraining", []step{ready, undrain}, Serving, true},
+		{"terminating", []step{ready, terminate}, Terminating, false},
+		{"StopDraining does not undo Terminate", []step{ready, drain, terminate, undrain}, Terminating, false},
+		{"MarkReady does not undo Terminate", []step{terminate, ready}, Terminating, false},
 	} {
 		tracker := &Tracker{}
 		for _, s := range c.steps {
 			s(tracker)
 		}
-		if got := tracker.Stage(); got != c.want || tracker.CanServe() != c.can {
-			t.Errorf("%s: %v, can serve %v", c.name, got, tracker.CanServe())
+		if got := tracker.Stage(); got != c.want || tracker.CanServe() != c.canServe {
+			t.Errorf("%s: got stage %v and CanServe %v, want %v and %v", c.name, got, tracker.CanServe(), c.want, c.canServe)
 		}
 	}
 }
 
-// A watcher is woken by a change of the stage, and by nothing else.
-func TestWatch(t *testing.T) {
+func TestWatchersAreNotifiedOnlyOfChanges(t *testing.T) {
 	tracker := &Tracker{}
 	stage, changed := tracker.Watch()
 	if stage != Starting {
-		t.Fatal(stage)
+		t.Fatalf("new tracker: got stage %v, want %v", stage, Starting)
 	}
 	tracker.StopDraining()
 	select {
 	case <-changed:
-		t.Fatal("woken without a change")
+		t.Fatal("the watcher was notified although the stage has not changed")
 	default:
 	}
 	tracker.MarkReady()
 	<-changed
 	stage, changed = tracker.Watch()
 	if stage != Serving {
-		t.Fatal(stage)
+		t.Fatalf("got stage %v after MarkReady, want %v", stage, Serving)
 	}
 	tracker.StartDraining()
 	<-changed
 }
 
-// Concurrent calls end in a stage that one of their orders gives.
-func TestConcurrentCalls(t *testing.T) {
+// After concurrent calls the stage is one that some order of the calls leads to.
+func TestConcurrentCallsLeaveAConsistentStage(t *testing.T) {
 	tracker := &Tracker{}
 	tracker.MarkReady()
 	var wg sync.WaitGroup
@@ -70,6 +68,6 @@
 	}
 	wg.Wait()
 	if s := tracker.Stage(); s != Serving && s != Draining {
-		t.Fatal(s)
+		t.Fatalf("got stage %v, want %v or %v", s, Serving, Draining)
 	}
 }
