--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,5 +1,5 @@
-// Package accept accepts connections from a listener and retries after transient errors. Of the errors that Linux documents
-// for accept, all are transient for a valid socket; only a closed listener ends accepting.
+// Package accept accepts connections from a listener and retries after errors. Only a closed listener ends accepting; the
+// other errors that Linux documents for accept are treated as transient.
 package accept
 
 import (
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// retryDelay is the time between a failed accept and the next. It gives the process time to close descriptors and the
-// network time to recover.
+// retryDelay is the time between a failed accept and the next, in which descriptors may be freed or a network route
+// restored.
 const retryDelay = 5 * time.Millisecond
 
 // Next returns the next connection. It returns an error only if the listener is closed. For any other error it calls onError
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -5,26 +5,27 @@
 	"encoding/hex"
 )
 
-// replyWriter writes the actions of all instances into the reply of the present batch.
+// replyWriter writes the actions of all instances into the reply to the current batch.
 type replyWriter struct {
 	w        *bufio.Writer
-	buf      []byte // of the present line; reused
-	instance int64  // that the reply named last; noInstance: none yet
+	buf      []byte // current line; reused
+	instance int64  // last instance that the reply has named; noInstance: none yet
 }
 
-// endReply ends the reply and sends it.
+// endReply ends and flushes the reply.
 func (w *replyWriter) endReply() error {
 	w.w.WriteString(wordReplyEnd + "\n")
 	return w.w.Flush()
 }
 
-// actions are decide.Actions of one instance: each writes a line of the reply.
+// actions implements decide.Actions for an instance. Each action writes a line of the reply.
 type actions struct {
 	out *replyWriter
-	id  int64 // of the instance
+	id  int64 // number of the instance
 }
 
-// start begins a line with its word and a separator, after a line that names the instance if the last action was of another.
+// start begins a line with a keyword and a separator. If the previous action in the reply is of another instance, start
+// first writes a line that names this instance.
 func (a actions) start(word string) []byte {
 	b := a.out.buf[:0]
 	if a.out.instance != a.id {
@@ -42,29 +43,29 @@
 	a.out.w.Write(b)
 }
 
-// SendAttempt asks for an attempt of a request at a server, with a timeout in µs.
+// SendAttempt sends an attempt of a request to a server, with a timeout in µs.
 func (a actions) SendAttempt(request, server string, timeout int64) {
 	b := append(append(a.start(wordSendAttempt), request...), fieldSeparator)
 	b = append(append(b, server...), fieldSeparator)
 	a.end(appendInt(b, timeout))
 }
 
-// CancelAttempt takes an attempt back.
+// CancelAttempt cancels an attempt of a request.
 func (a actions) CancelAttempt(request string, attempt int) {
 	b := append(append(a.start(wordCancelAttempt), request...), fieldSeparator)
 	a.end(appendInt(b, int64(attempt)))
 }
 
-// Reject answers a request that nothing was sent for; the client may retry after so many µs.
+// Reject rejects a request of which no attempt was sent. The client may retry after retryAfter, in µs.
 func (a actions) Reject(request string, retryAfter int64) {
 	b := append(append(a.start(wordReject), request...), fieldSeparator)
 	a.end(appendInt(b, retryAfter))
 }
 
-// Fail answers a request as failed.
+// Fail fails a request.
 func (a actions) Fail(request string) { a.end(append(a.start(wordFail), request...)) }
 
-// CheckHealth asks for a health check of a server.
+// CheckHealth sends a health check to a server.
 func (a actions) CheckHealth(server string) { a.end(append(a.start(wordCheckHealth), server...)) }
 
 // CloseIdleConnections closes idle connections to a server.
@@ -72,7 +73,7 @@
 	a.end(append(a.start(wordCloseIdleConnections), server...))
 }
 
-// SendGossip sends a message to a peer; a negative peer: to all.
+// SendGossip sends a message to another balancer, or to all others if peer is negative.
 func (a actions) SendGossip(peer int, payload []byte) {
 	b := a.start(wordSendGossip)
 	if peer < 0 {
@@ -83,7 +84,7 @@
 	a.end(hex.AppendEncode(append(b, fieldSeparator), payload))
 }
 
-// WatchEndpoints starts or stops a watch of the endpoint list.
+// WatchEndpoints starts or stops watching the endpoint list.
 func (a actions) WatchEndpoints(on bool) {
 	if on {
 		a.end(append(a.start(wordWatchEndpoints), '1'))
@@ -92,7 +93,7 @@
 	}
 }
 
-// SetTimer sets a timer, in µs from now.
+// SetTimer sets a timer that expires after in, in µs. The event of its expiry has the token.
 func (a actions) SetTimer(in, token int64) {
 	b := append(appendInt(a.start(wordSetTimer), in), fieldSeparator)
 	a.end(appendInt(b, token))
--- a/internal/simwire/adapter.go
+++ b/internal/simwire/adapter.go
@@ -14,38 +14,39 @@
 	readBufferBytes  = 1 << 18
 	writeBufferBytes = 1 << 16
 
-	listSlots = 16 // endpoint lists that a batch can refer to by number
+	listSlots = 16 // number of endpoint lists that events can refer to
 
-	noInstance = -1 // in place of an instance's number
+	noInstance = -1 // used instead of the number of an instance if there is none
 )
 
 // adapter is the state of one Run.
 type adapter struct {
 	in        *bufio.Reader
-	longLine  []byte // a line longer than the reader's buffer
+	longLine  []byte // buffer for a line that is longer than the reader's buffer
 	lineCount int
 	out       replyWriter
-	now       int64 // of the batch, µs
+	now       int64 // time of the current batch, µs
 
-	instances map[int64]*instance
-	current   *instance // that the batch's events are about; nil: none that runs
-	currentID int64     // noInstance until the batch names one
+	instances map[int64]*instance // running instances by number
+	current   *instance           // instance that the following events are for; nil: it is not running
+	currentID int64               // number of that instance; noInstance until the batch names one
 
 	lists      [listSlots][]decide.Endpoint
 	listFilled [listSlots]bool
 
-	fields    [][]byte          // of the present line; reused
-	gossip    []byte            // of the present event; reused
-	addresses map[string]string // of servers, so that each is allocated once
+	fields    [][]byte          // fields of the current line; reused
+	gossip    []byte            // message of the current event; reused
+	addresses map[string]string // one string for each server address, so that it is allocated once
 }
 
-// instance is one balancer with the numbers of the classes and tenants in its settings.
+// instance is a balancer with the indexes of the classes and tenants in its settings, by name.
 type instance struct {
 	*decide.Balancer
 	classes, tenants map[string]int
 }
 
-// Run serves the protocol until in ends, and returns nil then. A malformed line ends it with an error that names the line.
+// Run serves the protocol until the input ends, and then returns nil. For a malformed line it returns an error with the
+// number of the line.
 func Run(in io.Reader, out io.Writer) error {
 	a := &adapter{
 		in:        bufio.NewReaderSize(in, readBufferBytes),
@@ -64,16 +65,16 @@
 	}
 }
 
-// errTruncated is returned where the input ends inside a batch.
+// errTruncated is returned if the input ends inside a batch.
 var errTruncated = errors.New("input ended inside a batch, expected " + wordBatchEnd)
 
-// batch reads one batch, reporting its events as they come, and writes the reply.
+// batch reads a batch, passes each event to its instance as it is read, and writes the reply.
 func (a *adapter) batch() error {
 	line, err := a.nextLine()
 	if err != nil {
 		return err
 	}
-	if len(line) == 0 { // blank lines may stand between batches
+	if len(line) == 0 { // blank lines are allowed between batches
 		return nil
 	}
 	rest, ok := bytes.CutPrefix(line, []byte(wordBatch+string(fieldSeparator)))
@@ -105,7 +106,7 @@
 	}
 }
 
-// nextLine returns the next line without its end, valid until the next call.
+// nextLine returns the next line without its line ending. The line is valid until the next call.
 func (a *adapter) nextLine() ([]byte, error) {
 	line, err := a.in.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
@@ -126,7 +127,7 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte{'\r'}), nil
 }
 
-// split cuts a line at its separators into at most n fields; the last takes the rest.
+// split splits a line at its separators into at most n fields. The last field is the rest of the line.
 func (a *adapter) split(line []byte, n int) [][]byte {
 	f := a.fields[:0]
 	for len(f) < n-1 {
@@ -140,7 +141,7 @@
 	return a.fields
 }
 
-// address returns the one string for a server's address.
+// address returns the server address in a field. Equal addresses share one string.
 func (a *adapter) address(b []byte) (string, error) {
 	if s, ok := a.addresses[string(b)]; ok {
 		return s, nil
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -1,10 +1,11 @@
-// Package simwire adapts decide.Balancer to the simulator's line protocol, so that a simulated day plays the decisions of
-// the real sidecar. It decides nothing.
+// Package simwire adapts decide.Balancer to the simulator's line protocol, so that a simulation runs the decisions of the
+// real sidecar. The package makes no decisions itself.
 //
-// Input comes in batches: a line with the time, events, and a line that asks for the reply. Each event is reported to its
-// instance as it is read, and the actions that the balancer takes meanwhile are the reply. Fields are separated by tabs;
-// "-" stands for an absent one. The words of the protocol stand in wire.go, each with the term of decide's interface.
+// The input consists of batches. A batch is a line with the time, lines with events, and a line that requests the reply.
+// Each event is passed to the balancer of its instance as it is read. The reply lists the actions that the balancers take
+// in the batch. The fields of a line are separated by tabs; "-" is an absent field. wire.go has the keywords of the
+// protocol, each with the corresponding term of package decide.
 //
-// One goroutine does everything: Run reads, calls the balancers and writes. Its memory is bounded by the instances and
-// the longest line.
+// Run reads, calls the balancers and writes on a single goroutine. Its memory is bounded by the number of instances and
+// the length of the longest line.
 package simwire
--- a/internal/simwire/endpoints.go
+++ b/internal/simwire/endpoints.go
@@ -10,10 +10,10 @@
 	"damsonscale/decide"
 )
 
-// maxPreallocated are the endpoints for which memory is taken before they are read.
+// maxPreallocated is the maximum number of endpoints for which memory is allocated before they are read.
 const maxPreallocated = 4096
 
-// endpoints reads an endpoint list with its rows into a slot.
+// endpoints reads an endpoint list and its rows into a slot.
 func (a *adapter) endpoints(rest []byte) error {
 	slot, entries, ok := bytes.Cut(rest, []byte{fieldSeparator})
 	n, err := parseInt(slot)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// endpoint reads one row of a list.
+// endpoint parses a row of an endpoint list.
 func (a *adapter) endpoint(line []byte) (s decide.Endpoint, err error) {
 	f := a.split(line, 8)
 	if len(f) != 8 || string(f[0]) != wordEndpoint {
@@ -56,7 +56,7 @@
 	if !absent(f[2]) {
 		s.Capacity, err = strconv.ParseFloat(string(f[2]), 64)
 		if err != nil || math.IsNaN(s.Capacity) || math.IsInf(s.Capacity, 0) {
-			return s, fmt.Errorf("expected a size, got %q", clip(f[2]))
+			return s, fmt.Errorf("expected a capacity, got %q", clip(f[2]))
 		}
 	}
 	if s.Cell, err = parseIntOr(f[4], -1); err != nil {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -11,7 +11,7 @@
 	"damsonscale/internal/config"
 )
 
-// event parses a line of a batch and reports it to the instance that it is about.
+// event parses a line of a batch and passes it to the current instance.
 func (a *adapter) event(line []byte) error {
 	word, rest := line, []byte(nil)
 	if i := bytes.IndexByte(line, fieldSeparator); i >= 0 {
@@ -26,9 +26,9 @@
 		a.currentID, a.current = id, a.instances[id]
 		return nil
 	case wordEndpoints:
-		return wrap(wordEndpoints, a.endpoints(rest))
+		return withKeyword(wordEndpoints, a.endpoints(rest))
 	case wordCreate:
-		return wrap(wordCreate, a.create(rest))
+		return withKeyword(wordCreate, a.create(rest))
 	}
 	h, ok := handlers[string(word)]
 	if !ok {
@@ -43,18 +43,18 @@
 			return fmt.Errorf("%s: expected %d fields, got %d", word, h.fields, len(f))
 		}
 	}
-	return wrap(string(word), h.report(a, a.current, f))
+	return withKeyword(string(word), h.report(a, a.current, f))
 }
 
-// wrap adds the word of a line to its error.
-func wrap(word string, err error) error {
+// withKeyword adds the keyword of a line to its error.
+func withKeyword(word string, err error) error {
 	if err == nil || err == errTruncated {
 		return err
 	}
 	return fmt.Errorf("%s: %w", word, err)
 }
 
-// create starts the current instance, in place of one of that number that still runs.
+// create starts the current instance. It replaces a running instance that has this number.
 func (a *adapter) create(rest []byte) error {
 	if a.currentID < 0 {
 		return errors.New("no instance named by " + wordInstance)
@@ -67,30 +67,30 @@
 	if err != nil {
 		return fmt.Errorf("expected a seed, got %q", clip(f[0]))
 	}
-	set, err := config.ParseSettings(f[1])
+	settings, err := config.ParseSettings(f[1])
 	if err != nil {
 		return err
 	}
 	in := &instance{classes: map[string]int{}, tenants: map[string]int{}}
-	for i, c := range set.Classes {
+	for i, c := range settings.Classes {
 		in.classes[c.Name] = i
 	}
-	for i, t := range set.Tenants {
+	for i, t := range settings.Tenants {
 		in.tenants[t.Name] = i
 	}
-	in.Balancer = decide.New(set, seed, actions{&a.out, a.currentID})
+	in.Balancer = decide.New(settings, seed, actions{&a.out, a.currentID})
 	in.Start(a.now)
 	a.instances[a.currentID], a.current = in, in
 	return nil
 }
 
-// handler parses one kind of event and reports it to its instance.
+// handler parses an event of one kind and passes it to its instance.
 type handler struct {
-	fields int // after the word; 0: any number, ignored
+	fields int // number of fields after the keyword; 0: any number, and they are ignored
 	report func(*adapter, *instance, [][]byte) error
 }
 
-// handlers are those of all events, by their word.
+// handlers are the handlers of events by keyword.
 var handlers = map[string]handler{
 	wordEndpointList:      {3, (*adapter).endpointList},
 	wordRequest:           {8, (*adapter).request},
@@ -110,7 +110,7 @@
 	}},
 }
 
-// endpointList reports an endpoint list, or a failed poll for one.
+// endpointList reports an endpoint list or a failed poll of the list.
 func (a *adapter) endpointList(in *instance, f [][]byte) error {
 	kind := string(f[0])
 	if kind == listFailed {
@@ -122,13 +122,13 @@
 	}
 	slot, err := parseInt(f[2])
 	if err != nil || slot < 0 || slot >= int64(len(a.lists)) || !a.listFilled[slot] {
-		return fmt.Errorf("expected the slot of a list already given, got %q", clip(f[2]))
+		return fmt.Errorf("expected the slot of an endpoint list that was sent before, got %q", clip(f[2]))
 	}
 	in.OnEndpoints(a.now, a.lists[slot], kind != listPatch)
 	return nil
 }
 
-// request reports a request of a client.
+// request reports a client's request.
 func (a *adapter) request(in *instance, f [][]byte) (err error) {
 	r := decide.Request{ID: string(f[0]), Tenant: -1, IsRetry: string(f[4]) == wordTrue}
 	class, ok := in.classes[string(f[5])]
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// outcome reports how an attempt ended.
+// outcome reports the outcome of an attempt.
 func (a *adapter) outcome(in *instance, f [][]byte) (err error) {
 	o := decide.Outcome{Request: string(f[0]), RequestAnswered: string(f[5]) == wordTrue}
 	if o.Attempt, err = parseIndex(f[1], "an attempt's number"); err != nil {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// healthCheckResult reports how a health check ended.
+// healthCheckResult reports the outcome of a health check.
 func (a *adapter) healthCheckResult(in *instance, f [][]byte) (err error) {
 	var p decide.HealthCheckOutcome
 	if p.Server, err = a.address(f[0]); err != nil {
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// receiveGossip reports a peer's message; one that is no hexadecimal text is dropped, as a lost one is.
+// receiveGossip reports a message of another balancer. A message that is not hexadecimal is ignored, like a lost message.
 func (a *adapter) receiveGossip(in *instance, f [][]byte) error {
 	from, err := parseIndex(f[0], "a balancer's number")
 	if err != nil {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	maxQuoted = 60 // bytes of a field in an error
-	maxDigits = 18 // of a whole number, which fits into 64 bits
+	maxQuoted = 60 // bytes of a field that an error quotes
+	maxDigits = 18 // digits of a whole number, so that it fits into 64 bits
 )
 
-// absent returns whether a field has no value.
+// absent returns whether a field is absent.
 func absent(b []byte) bool { return len(b) == 1 && b[0] == wordAbsent }
 
-// clip shortens a field for an error.
+// clip shortens a field for an error message.
 func clip(b []byte) []byte { return b[:min(len(b), maxQuoted)] }
 
 func appendInt(b []byte, n int64) []byte { return strconv.AppendInt(b, n, 10) }
 
-// parseInt reads a whole number.
+// parseInt parses a whole number.
 func parseInt(b []byte) (int64, error) {
 	n, i, neg := int64(0), 0, false
 	if len(b) > 0 && b[0] == '-' {
@@ -44,7 +44,7 @@
 	return n, nil
 }
 
-// parseIntOr reads a whole number, or returns another where the field is absent.
+// parseIntOr parses a whole number, or returns ifAbsent if the field is absent.
 func parseIntOr(b []byte, ifAbsent int64) (int64, error) {
 	if absent(b) {
 		return ifAbsent, nil
@@ -52,7 +52,7 @@
 	return parseInt(b)
 }
 
-// parseIndex reads a number from 0 up, which what names in an error.
+// parseIndex parses a whole number that is not negative. what names the field in the error.
 func parseIndex(b []byte, what string) (int, error) {
 	n, err := parseInt(b)
 	if err != nil || n < 0 || n > math.MaxInt32 {
@@ -61,7 +61,7 @@
 	return int(n), nil
 }
 
-// parseResult reads an outcome letter.
+// parseResult parses an outcome letter.
 func parseResult(b []byte) (decide.Result, error) {
 	if len(b) == 0 {
 		return 0, errors.New("expected an outcome letter, got nothing")
@@ -72,7 +72,7 @@
 	return 0, fmt.Errorf("expected an outcome letter, got %q", clip(b))
 }
 
-// parseLoadReport reads a load report, nil where there is none; fields that it doesn't know are skipped.
+// parseLoadReport parses a load report and ignores unknown fields of it. It returns nil if the load report is absent.
 func parseLoadReport(b []byte) (*decide.LoadReport, error) {
 	if absent(b) || len(b) == 0 {
 		return nil, nil
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,22 +1,22 @@
 package simwire
 
-// Lines that frame a batch, or declare what events of the batch refer to.
+// Keywords of the lines that frame a batch or a reply, or that define what later events refer to, and special fields.
 const (
-	wordBatch      = "ROUND"         // the batch's time in µs
-	wordBatchEnd   = "YOUR_TURN"     // the reply is due
-	wordInstance   = "ABOUT"         // the instance that the events that follow are about
+	wordBatch      = "ROUND"         // begins a batch: time in µs
+	wordBatchEnd   = "YOUR_TURN"     // ends a batch and requests the reply
+	wordInstance   = "ABOUT"         // selects the instance of the following events
 	wordCreate     = "CREATE"        // starts an instance: seed, settings
-	wordEndpoints  = "SNAPSHOT_ROWS" // fills a slot with an endpoint list of so many rows
-	wordEndpoint   = "ROW"
-	wordReplyEnd   = "ACK"
-	wordOnBehalf   = "ON_BEHALF" // the instance that the actions that follow are of
+	wordEndpoints  = "SNAPSHOT_ROWS" // fills a slot with the endpoint list in the following rows: slot, number of rows
+	wordEndpoint   = "ROW"           // an endpoint of the list
+	wordReplyEnd   = "ACK"           // ends a reply
+	wordOnBehalf   = "ON_BEHALF"     // names the instance of the following actions
 	wordAllPeers   = '*'
 	wordAbsent     = '-'
 	wordTrue       = "1"
 	fieldSeparator = '\t'
 )
 
-// Events, each with the method of decide.Balancer that it is reported to.
+// Keywords of events, each with the method of decide.Balancer that it calls.
 const (
 	wordEndpointList       = "REGISTRY"     // OnEndpoints, or OnPollFailed
 	wordRequest            = "WORK_ITEM"    // OnRequest
@@ -26,10 +26,10 @@
 	wordStreamStarted      = "ACCEPTED"     // OnStreamStarted
 	wordClientDisconnected = "VANISHED"     // OnClientDisconnected
 	wordGossip             = "PEER"         // OnGossip
-	wordExit               = "EXIT"         // the instance is gone
+	wordExit               = "EXIT"         // none: the instance ends
 )
 
-// Actions, each with the method of decide.Actions that writes it.
+// Keywords of actions, each with the method of decide.Actions that writes it.
 const (
 	wordSendAttempt          = "SEND"         // SendAttempt
 	wordCancelAttempt        = "RETRACT"      // CancelAttempt
@@ -45,9 +45,9 @@
 
 // Kinds of an endpoint list.
 const (
-	listPatch  = "patch"      // changed endpoints alone
+	listPatch  = "patch"      // only the changed endpoints
 	listFull   = "whole"      // all endpoints
-	listCached = "stale_copy" // all endpoints, as known some time ago
+	listCached = "stale_copy" // all endpoints, from an older list
 	listFailed = "broken"     // no list: the poll failed
 )
 
@@ -58,10 +58,10 @@
 	phaseRemoved   = "terminated"
 )
 
-// resultLetters are those of decide.Result, in its order.
+// resultLetters are the letters for the values of decide.Result, in order.
 const resultLetters = "SEFTCRXN"
 
-// Fields of a load report.
+// Names of the fields of a load report.
 const (
 	loadInFlight = "rif"
 	loadQueue    = "q"
