--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -24,7 +24,8 @@
 	return ln
 }
 
-// startServer offers a new listening socket to successors. states gets each change of the successor's state.
+// startServer offers a new listening socket to successors. states gets each change of the successor's state. The directory
+// of the Unix socket includes the name of the test; a path of over 107 bytes is an error, so keep names short.
 func startServer(t *testing.T) (id ID, path string, ln *net.TCPListener, server *Server, states chan SuccessorState) {
 	t.Helper()
 	ln = listen(t)
@@ -39,7 +40,7 @@
 }
 
 // Connections in the shared accept queue are not lost when the predecessor closes its socket.
-func TestSuccessorAcceptsConnectionsQueuedBeforeThePredecessorClosed(t *testing.T) {
+func TestSuccessorAcceptsQueuedConnections(t *testing.T) {
 	id, path, ln, server, states := startServer(t)
 	predecessor, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
@@ -78,7 +79,7 @@
 }
 
 // If the handover set the shared socket to blocking mode, closing it would not end Accept in the predecessor.
-func TestClosingTheSocketEndsAcceptAfterAHandover(t *testing.T) {
+func TestClosedSocketEndsAcceptAfterHandover(t *testing.T) {
 	id, path, ln, _, _ := startServer(t)
 	predecessor, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
@@ -96,7 +97,7 @@
 	}
 }
 
-func TestSecondSuccessorIsServedAfterTheFirstExits(t *testing.T) {
+func TestSecondSuccessorWaitsForTheFirst(t *testing.T) {
 	id, path, _, _, states := startServer(t)
 	first, err := acquireOnce(path, id, nil)
 	if err != nil {
@@ -119,7 +120,7 @@
 
 // A successor can offer the socket to its own successor while its predecessor is still running. It is notified when the
 // predecessor exits.
-func TestSuccessorOffersTheSocketBeforeThePredecessorExits(t *testing.T) {
+func TestSuccessorServesBeforePredecessorExits(t *testing.T) {
 	id, path, _, server, _ := startServer(t)
 	predecessor, err := Acquire(context.Background(), path, id, nil)
 	if err != nil {
@@ -146,7 +147,7 @@
 }
 
 // There is no predecessor if there is no socket file, or if the file is left over from a process that has exited.
-func TestNoPredecessorWithoutASocketOrWithAStaleOne(t *testing.T) {
+func TestNoPredecessorAtAStaleSocket(t *testing.T) {
 	id := ID{Name: "n1", Listen: "127.0.0.1:1"}
 	path := id.SocketPath(t.TempDir())
 	if _, err := Acquire(context.Background(), path, id, nil); err != ErrNoPredecessor {
@@ -171,7 +172,7 @@
 	}
 }
 
-func TestInvalidAnswersOfThePredecessorAreRejected(t *testing.T) {
+func TestInvalidAnswersAreRejected(t *testing.T) {
 	ln, other := listen(t), listen(t)
 	id := ID{Name: "n1", Listen: ln.Addr().String()}
 	valid, _ := json.Marshal(hello{Version: protocolVersion, ID: id})
@@ -231,7 +232,7 @@
 }
 
 // A successor with an invalid hello gets no answer. The next successor with a valid hello does.
-func TestInvalidHellosOfSuccessorsAreRejected(t *testing.T) {
+func TestInvalidHellosAreRejected(t *testing.T) {
 	id, path, _, server, _ := startServer(t)
 	helloLine := func(version int, id ID) string {
 		text, _ := json.Marshal(hello{Version: version, ID: id})
@@ -311,7 +312,7 @@
 
 // The two connections of a transferred stream must stay open after the predecessor has closed its own descriptors. A notice
 // has no connections.
-func TestTransferredConnectionsOutliveThePredecessors(t *testing.T) {
+func TestTransferredConnectionsStayOpen(t *testing.T) {
 	id, path, ln, server, states := startServer(t)
 	transfers := make(chan Transfer, 16)
 	predecessor, err := Acquire(context.Background(), path, id, func(transfer Transfer) { transfers <- transfer })
--- a/internal/handover/recorded_test.go
+++ b/internal/handover/recorded_test.go
@@ -39,7 +39,7 @@
 
 // The processes of an upgrade may be of different builds. A predecessor of this build must send byte for byte the messages
 // that the build of commit 2029d41 sent.
-func TestPredecessorSendsTheRecordedMessages(t *testing.T) {
+func TestPredecessorSendsRecordedMessages(t *testing.T) {
 	ln := listen(t)
 	path := recordedID.SocketPath(t.TempDir())
 	states := make(chan SuccessorState, 16)
@@ -103,7 +103,7 @@
 
 // A successor of this build must read the messages that the build of commit 2029d41 sent as a predecessor, and send byte for
 // byte the messages that it sent as a successor.
-func TestSuccessorReadsAndSendsTheRecordedMessages(t *testing.T) {
+func TestSuccessorSpeaksRecordedProtocol(t *testing.T) {
 	ln := listen(t)
 	id := ID{Name: recordedID.Name, Listen: ln.Addr().String()}
 	toListener := strings.NewReplacer(recordedID.Listen, id.Listen) // Acquire compares the address with the socket's
