--- a/internal/shadow/comparer.go
+++ b/internal/shadow/comparer.go
@@ -2,12 +2,13 @@
 
 import "damsonscale/decide"
 
-// comparer holds the second balancer, and is its decide.Actions: it records what that balancer does on the event at hand.
+// comparer compares the actions of the shadow balancer with those of the serving balancer. It implements decide.Actions for
+// the shadow balancer and records its actions on the current event.
 type comparer struct {
-	balancer  *decide.Balancer
-	actions   []Action       // on the event at hand
-	inFlight  map[string]int // attempts of the serving balancer without their end, by request
-	replaying bool           // the second balancer follows what was really done: its actions do not count
+	balancer  *decide.Balancer // shadow balancer
+	actions   []Action         // actions of the shadow balancer on the current event
+	inFlight  map[string]int   // number of attempts that the serving balancer has in flight, by request ID
+	replaying bool             // the shadow balancer follows the serving balancer's actions; its own are not recorded
 	counts    Counts
 }
 
@@ -42,7 +43,7 @@
 // SendGossip implements decide.Actions.
 func (c *comparer) SendGossip(int, []byte) { c.record(Action{Kind: SendGossip}) }
 
-// SetTimer implements decide.Actions: the second balancer gets the timers of the serving one.
+// SetTimer implements decide.Actions. It does nothing, because the shadow balancer gets the serving balancer's timer events.
 func (c *comparer) SetTimer(int64, int64) {}
 
 // CancelAttempt implements decide.Actions; it is not compared.
@@ -54,13 +55,16 @@
 // WatchEndpoints implements decide.Actions; it is not compared.
 func (c *comparer) WatchEndpoints(bool) {}
 
-// Log implements decide.Actions; the lines are dropped.
+// Log implements decide.Actions and discards the line.
 func (c *comparer) Log(string) {}
 
-// observe gives the second balancer an event, compares, and has it follow what was really done.
+// observe passes an event to the shadow balancer, compares its actions with those of the serving balancer, and then has the
+// shadow balancer follow the serving balancer.
 func (c *comparer) observe(e Event) {
 	c.actions = c.actions[:0]
-	openBefore := map[string]bool{} // requests that the second balancer has not answered: of others it can say nothing
+	// openBefore are the requests of the event that the shadow balancer had not answered before. Only for these can its
+	// decision be compared.
+	openBefore := map[string]bool{}
 	for _, a := range e.Actions {
 		openBefore[a.Request] = a.Request != "" && c.balancer.IsOpen(a.Request)
 	}
@@ -78,7 +82,7 @@
 	c.follow(e)
 }
 
-// follow replaces the second balancer's own actions by those of the serving balancer.
+// follow replaces the shadow balancer's own actions by those of the serving balancer.
 func (c *comparer) follow(e Event) {
 	c.replaying = true
 	defer func() { c.replaying = false }()
@@ -105,24 +109,24 @@
 	}
 }
 
-// decision is what a balancer did with one request on one event.
+// decision is the actions of a balancer for a request on an event.
 type decision struct {
-	made   bool
-	action Action // the last
-	hedges int    // attempts beside one in flight
+	made   bool   // there is an action for the request
+	action Action // last action for the request
+	hedges int    // number of attempts sent while another is in flight
 }
 
-// compare counts the decisions of an event and those that differ. A request counts where either balancer did something with
-// it, unless the second has answered it on an earlier event.
+// compare counts the decisions of an event and the differences between them. A request counts if either balancer took an
+// action for it, unless the shadow balancer answered it on an earlier event.
 func (c *comparer) compare(serving, shadow []Action, openBefore map[string]bool) {
-	ours, theirs := c.decisions(serving), c.decisions(shadow)
-	for id := range theirs {
-		if _, ok := ours[id]; !ok {
-			ours[id] = decision{}
+	servingDecisions, shadowDecisions := c.decisions(serving), c.decisions(shadow)
+	for id := range shadowDecisions {
+		if _, ok := servingDecisions[id]; !ok {
+			servingDecisions[id] = decision{}
 		}
 	}
-	for id, x := range ours {
-		y := theirs[id]
+	for id, x := range servingDecisions {
+		y := shadowDecisions[id]
 		if !y.made && !openBefore[id] && !c.balancer.IsOpen(id) {
 			continue
 		}
@@ -141,7 +145,7 @@
 	}
 }
 
-// decisions returns the decision on each request that the actions name.
+// decisions returns the decision on each request of the actions, by request ID.
 func (c *comparer) decisions(actions []Action) map[string]decision {
 	byRequest := map[string]decision{}
 	for _, a := range actions {
@@ -158,7 +162,7 @@
 	return byRequest
 }
 
-// difference returns how two decisions on one request differ, if they do.
+// difference returns whether two decisions on a request differ, and how.
 func difference(x, y decision) (kind DifferenceKind, differs bool) {
 	either := func(kind ActionKind) bool {
 		return x.made && x.action.Kind == kind || y.made && y.action.Kind == kind
--- a/internal/shadow/counts.go
+++ b/internal/shadow/counts.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// DifferenceKind is the kind of a decision in which the two balancers can differ.
+// DifferenceKind is a way in which the actions of the two balancers on an event differ.
 type DifferenceKind uint8
 
-// The kinds of differences.
+// Kinds of differences.
 const (
-	DifferentServer    DifferenceKind = iota // an attempt at another server
-	OnlyOneSends                             // one sends, the other keeps the request waiting
-	OnlyOneRejects                           // one alone rejects
-	OnlyOneFails                             // one alone fails the request
-	DifferentTimeout                         // an attempt at the same server has another timeout
-	DifferentHedging                         // a further attempt while another is in flight
-	DifferentIdleClose                       // idle connections closed
-	DifferentGossip                          // a message to another balancer
-	differenceKinds
+	DifferentServer    DifferenceKind = iota // both send an attempt, to different servers
+	OnlyOneSends                             // only one sends an attempt; the other keeps the request waiting
+	OnlyOneRejects                           // only one rejects the request
+	OnlyOneFails                             // only one fails the request
+	DifferentTimeout                         // both send an attempt to the same server, with different timeouts
+	DifferentHedging                         // the numbers of hedged attempts of a request differ
+	DifferentIdleClose                       // the numbers of servers with idle connections to close differ
+	DifferentGossip                          // the numbers of messages to other balancers differ
+	differenceKinds                          // number of kinds
 )
 
 var differenceNames = [differenceKinds]string{"server", "send", "reject", "fail", "timeout", "hedge", "close", "gossip"}
@@ -26,13 +26,13 @@
 // String returns the key of the kind in log lines.
 func (k DifferenceKind) String() string { return differenceNames[k] }
 
-// Counts are the decisions compared and those that differed, by kind.
+// Counts are the numbers of compared decisions and of differences.
 type Counts struct {
-	Compared    int
-	Differences [differenceKinds]int
+	Compared    int                  // decisions on requests
+	Differences [differenceKinds]int // by kind
 }
 
-// fields returns the counts as keys and values of a log line.
+// fields returns the counts as alternating keys and values of a log line.
 func (c Counts) fields() []any {
 	fields := []any{"compared", c.Compared}
 	for kind, n := range c.Differences {
@@ -41,7 +41,7 @@
 	return fields
 }
 
-// String returns the counts as in a log line.
+// String formats the counts as in a log line.
 func (c Counts) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "compared=%d", c.Compared)
