--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,5 @@
-// Command drill runs the decision module on the simulator's wire: standard input to standard output.
+// Command drill runs the balancer's decisions for a simulator. It reads the simulator's protocol from standard input and
+// writes the replies to standard output; see package simwire.
 package main
 
 import (
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -1,5 +1,6 @@
-// Command toyserver is what a newcomer tries a sidecar with: a few servers of different speed on loopback, and
-// a discovery service that lists them. An interrupt makes the last server drain; a second one ends the program.
+// Command toyserver runs a few servers of different speed on the loopback interface, and a discovery service that lists
+// them, to try out a sidecar. The first interrupt marks the last server as draining in the endpoint list; the second
+// interrupt ends the program.
 package main
 
 import (
@@ -21,42 +22,42 @@
 	discoveryAddr = "127.0.0.1:8500"
 	firstPort     = 9001
 	servers       = 3
-	latency       = 10 * time.Millisecond // of the fastest server; the next takes twice as long, and so on
-	heartbeat     = 2 * time.Second       // of a watch
+	latency       = 10 * time.Millisecond // mean latency of server 0; that of server i is i+1 times as long
+	heartbeat     = 2 * time.Second       // interval of the blank lines that keep a watch open
 )
 
-// serve answers each request after the server's own time, with its name.
+// serve runs server i. It answers each request with its name after a random latency.
 func serve(i int) {
-	h := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		time.Sleep(time.Duration(float64(i+1) * (0.5 + rand.Float64()) * float64(latency)))
-		fmt.Fprintf(w, "%s %s by %s\n", r.Method, r.RequestURI, name(i))
+		fmt.Fprintf(w, "%s %s by %s\n", r.Method, r.RequestURI, serverName(i))
 	}
-	log.Fatal(http.ListenAndServe(addr(i), http.HandlerFunc(h)))
+	log.Fatal(http.ListenAndServe(serverAddr(i), http.HandlerFunc(handler)))
 }
 
-func name(i int) string { return fmt.Sprintf("s-%d", i+1) }
+func serverName(i int) string { return fmt.Sprintf("s-%d", i+1) }
 
-func addr(i int) string { return fmt.Sprintf("127.0.0.1:%d", firstPort+i) }
+func serverAddr(i int) string { return fmt.Sprintf("127.0.0.1:%d", firstPort+i) }
 
-// endpoints is the full endpoint list; the last server drains once drained is closed.
+// endpoints returns the full endpoint list. Once drained is closed, the list says that the last server is draining.
 func endpoints(drained <-chan struct{}) discovery.Update {
-	l := discovery.Update{Seq: 1, Full: true}
+	list := discovery.Update{Seq: 1, Full: true}
 	for i := range servers {
-		e := discovery.Endpoint{Host: name(i), Address: addr(i), Zone: "a", Health: discovery.Ready, Capacity: 1}
-		l.Endpoints = append(l.Endpoints, e)
+		e := discovery.Endpoint{Host: serverName(i), Address: serverAddr(i), Zone: "a", Health: discovery.Ready, Capacity: 1}
+		list.Endpoints = append(list.Endpoints, e)
 	}
 	select {
 	case <-drained:
-		l.Seq = 2
-		l.Endpoints[servers-1].Health = discovery.Terminating
+		list.Seq = 2
+		list.Endpoints[servers-1].Health = discovery.Terminating
 	default:
 	}
-	return l
+	return list
 }
 
-// discoveryHandler answers with the endpoint list; a watch stays open, gets the list again when it changes, and a
-// heartbeat in between.
+// discoveryHandler answers a request with the endpoint list. The response to a watch stays open: it gets the list again when
+// it changes, and a heartbeat at regular intervals.
 func discoveryHandler(drained <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		out := json.NewEncoder(w)
@@ -92,11 +93,11 @@
 	mux := http.NewServeMux()
 	mux.Handle("/registry/instances", discoveryHandler(drained))
 	go func() { log.Fatal(http.ListenAndServe(discoveryAddr, mux)) }()
-	eventlog.Info("start", "discovery", discoveryAddr, "servers", servers, "first", addr(0))
+	eventlog.Info("start", "discovery", discoveryAddr, "servers", servers, "first", serverAddr(0))
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt)
 	<-stop
-	eventlog.Info("drain", "server", name(servers-1))
+	eventlog.Info("drain", "server", serverName(servers-1))
 	close(drained)
 	<-stop
 }
