--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -70,7 +70,7 @@
 	Via string `json:"Via"` // one of loadReportSources
 }
 
-// objectiveJSON is the objective that the balancer optimizes. All fields are weights but for ToleratedLateShare.
+// objectiveJSON is how the service is evaluated. The fields are the weights of its parts, except for ToleratedLateShare.
 type objectiveJSON struct {
 	Overall            float64 `json:"Whole"`
 	WorstWindow        float64 `json:"WorstWindow"`
@@ -80,11 +80,11 @@
 	ToleratedLateShare float64 `json:"BorneMisses"` // 0 to 1: the share of late responses that TailLatency tolerates
 }
 
-// pricesJSON are the costs that are deducted from the objective.
+// pricesJSON are the prices that are deducted in the evaluation of the service, as shares of its objective.
 type pricesJSON struct {
-	CrossZone   float64 `json:"CrossZone"`  // cost of cross-zone attempts, which are counted as a share of the first attempts
-	Connection  float64 `json:"Connection"` // cost of an average of 100 open connections per server
-	HealthCheck float64 `json:"Probe"`      // cost of health checks, which are counted as a share of the first attempts
+	CrossZone   float64 `json:"CrossZone"`  // price of one attempt to another zone per first attempt
+	Connection  float64 `json:"Connection"` // price of 100 open connections per server on average
+	HealthCheck float64 `json:"Probe"`      // price of one health check per first attempt
 }
 
 // keysJSON describes the keys of requests.
@@ -101,8 +101,8 @@
 	SlowStartWindowMicros     int64    `json:"ColdUs"`              // time until a started server has its full capacity, µs
 	OverloadFactor            float64  `json:"OverloadFactor"`      // multiple of its share of the load that overloads a server in slow start
 	OverloadWindowMicros      int64    `json:"FallUs"`              // time over which the load for OverloadFactor is measured, µs
-	AttemptBudgetMin          float64  `json:"ExtraFloor"`          // minimum number of retries that a window may have
-	AttemptBudgetRatio        *float64 `json:"ResendRatio"`         // retries allowed per request of a window; requires ResendSpanUs
+	AttemptBudgetMin          float64  `json:"ExtraFloor"`          // attempts beyond the first of each request that any window allows
+	AttemptBudgetRatio        *float64 `json:"ResendRatio"`         // further such attempts per request of a window; requires ResendSpanUs
 	AttemptBudgetWindowMicros *int64   `json:"ResendSpanUs"`        // length of a window, µs; absent: no attempt budget
 }
 
