--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -18,25 +18,25 @@
 
 // claim is a request that this process owns or wants to own.
 type claim struct {
-	id            string
-	phase         phase
-	ballot        Ballot
-	submitted     Record // as the caller gave it
-	record        Record // as it is written next
-	ageAt         int64  // when record.Age was computed
-	startedAt     int64
-	resendAt      int64
-	sentAt        int64 // of the last messages to the replicas
-	replicas      []string
-	replies       map[string]*Message // the latest reply of each replica to this ballot and phase
-	takenOver     bool                // another member owned it
-	previousOwner Member              // with takenOver
-	concludedHere bool                // concluded here that it may have been executed
-	ownerAliveAt  int64               // when a replica last replied that the owner is a member
-	unavailable   bool                // QuorumUnavailable was reported, and the claim goes on until the caller ends it
-	announced     bool                // the replicas were told that the request was sent
-	returnStored  bool                // the caller waits for the stored response
-	expiresAt     int64
+	id               string
+	phase            phase
+	ballot           Ballot
+	submitted        Record // as the caller gave it
+	record           Record // as it is written next
+	ageAt            int64  // when record.Age was computed
+	startedAt        int64
+	resendAt         int64
+	sentAt           int64 // of the last messages to the replicas
+	replicas         []string
+	replies          map[string]*Message // the latest reply of each replica to this ballot and phase
+	takenOver        bool                // another member owned it
+	previousOwner    Member              // with takenOver
+	failedOnTakeover bool                // concluded here that it may have been executed
+	ownerAliveAt     int64               // when a replica last replied that the owner is a member
+	unavailable      bool                // QuorumUnavailable was reported, and the claim goes on until the caller ends it
+	markedSent       bool                // the replicas were told that the request was sent
+	returnStored     bool                // the caller waits for the stored response
+	expiresAt        int64
 }
 
 // openClaim opens a claim, unless the id has one or this process is no member.
@@ -75,9 +75,9 @@
 	switch {
 	case c.expiresAt <= now:
 		n.endClaim(c, Event{Decision: QuorumUnavailable})
-	case c.phase == executing && (c.announced || c.resendAt > now || len(c.record.Request) == 0):
-	case c.phase == executing: // announced once and only after a while, to spare the messages for requests that end soon
-		c.announced, c.record.Sent = true, true
+	case c.phase == executing && (c.markedSent || c.resendAt > now || len(c.record.Request) == 0):
+	case c.phase == executing: // markedSent once and only after a while, to spare the messages for requests that end soon
+		c.markedSent, c.record.Sent = true, true
 		n.writeRecord(now, c)
 	case c.phase == concluding && c.returnStored && timedOut:
 		n.finishClaim(c)
@@ -189,7 +189,7 @@
 	}
 	n.round = max(n.round, promised.Round) + 1
 	c.ballot.Round, c.phase, c.record = n.round, preparing, c.submitted
-	c.takenOver, c.concludedHere, c.returnStored = false, false, false
+	c.takenOver, c.failedOnTakeover, c.returnStored = false, false, false
 	c.replies = map[string]*Message{}
 }
 
@@ -221,7 +221,7 @@
 		return
 	}
 	e := Event{Decision: QuorumUnavailable, TakenOver: c.takenOver, NeverSent: c.phase == writing && !c.takenOver}
-	if m := c.latestRecord(); m != nil && c.phase == preparing {
+	if m := c.latestPromise(); m != nil && c.phase == preparing {
 		e.TakenOver = true
 		if m.Record.Response.Status != NoResponse {
 			n.endClaim(c, Event{Decision: ReturnStored, Record: *m.Record, TakenOver: true})
@@ -237,8 +237,8 @@
 	n.emit(e)
 }
 
-// latestRecord is the promise with the record of the highest ballot, among these the last written; nil: none has a record.
-func (c *claim) latestRecord() *Message {
+// latestPromise is the promise with the record of the highest ballot, among these the last written; nil: none has a record.
+func (c *claim) latestPromise() *Message {
 	var best *Message
 	for _, name := range slices.Sorted(maps.Keys(c.replies)) {
 		r := c.replies[name]
@@ -257,14 +257,14 @@
 func (n *Node) adoptPromised(now int64, c *claim) {
 	c.record, c.ageAt = c.submitted, now
 	c.record.Age += now - c.startedAt
-	if m := c.latestRecord(); m != nil {
+	if m := c.latestPromise(); m != nil {
 		n.adoptRecord(now, c, m.Record)
 	}
 	switch {
 	case c.record.Response.Status != NoResponse:
 		c.phase = concluding
 	case c.takenOver && c.record.Idempotency == NotIdempotent:
-		c.phase, c.concludedHere = concluding, true
+		c.phase, c.failedOnTakeover = concluding, true
 		c.record.Response, c.record.Request = Response{Status: Failed, Reason: "may have run"}, nil
 	default:
 		c.phase = writing
@@ -309,6 +309,6 @@
 		return
 	}
 	n.endClaim(c, Event{
-		Decision: ReturnStored, Record: c.record, TakenOver: c.takenOver, PreviousOwner: c.previousOwner, FailedOnTakeover: c.concludedHere,
+		Decision: ReturnStored, Record: c.record, TakenOver: c.takenOver, PreviousOwner: c.previousOwner, FailedOnTakeover: c.failedOnTakeover,
 	})
 }
--- a/internal/takeover/decision.go
+++ b/internal/takeover/decision.go
@@ -1,17 +1,17 @@
 package takeover
 
-// Decision is what a Node has its caller do with a request.
+// Decision is an instruction of a Node to its caller about a request.
 type Decision uint8
 
 // Decisions.
 const (
-	Execute           Decision = iota // it may be sent from now on; Event.Record tells what is known
-	ReturnStored                      // Event.Record.Response is the final response
-	QuorumUnavailable                 // too few replicas have replied in time; nothing is known for certain
-	DuplicateID                       // the id is that of another request, or of one in flight
-	OwnershipLost                     // another member owns it, or this process was evicted: send nothing
-	OwnerEvicted                      // its owner was evicted: take it over with Node.Resume
-	Replicated                        // a quorum has the final response
+	Execute           Decision = iota // the request may be sent from now on; Event.Record is its record
+	ReturnStored                      // return Event.Record.Response, the final response
+	QuorumUnavailable                 // too few replicas have replied in time; the state of the request is uncertain
+	DuplicateID                       // the id belongs to another request, or to one in flight here
+	OwnershipLost                     // another member owns the request, or this process was evicted: neither send nor answer it
+	OwnerEvicted                      // the owner was evicted: take the request over with Node.Resume
+	Replicated                        // a quorum stores the final response
 )
 
 var decisionNames = [...]string{
@@ -19,7 +19,7 @@
 	OwnershipLost: "ownership_lost", OwnerEvicted: "owner_evicted", Replicated: "replicated",
 }
 
-// String is the decision's name.
+// String returns the decision's name.
 func (d Decision) String() string { return decisionNames[d] }
 
 // Event is a decision on one request.
@@ -27,14 +27,14 @@
 	Decision         Decision
 	ID               string
 	Record           Record
-	TakenOver        bool   // with Execute or QuorumUnavailable: another owner had it, and may have sent it
-	PreviousOwner    Member // with TakenOver
-	FailedOnTakeover bool   // with ReturnStored: this process has concluded that it may have been executed; no owner had a response
-	NeverSent        bool   // with QuorumUnavailable: no other member has claimed it, or a quorum has said that it was never sent
-	NoReplicaAsked   bool   // with QuorumUnavailable: no replica was asked, so that the client can't have resumed it elsewhere meanwhile
+	TakenOver        bool   // with Execute, ReturnStored or QuorumUnavailable: another member owned the request, and may have sent it
+	PreviousOwner    Member // with TakenOver, except for QuorumUnavailable
+	FailedOnTakeover bool   // with ReturnStored: this process failed the request on taking it over, since it may have been executed
+	NeverSent        bool   // with QuorumUnavailable: no other member has claimed the request, or a quorum has reported it unclaimed
+	NoReplicaAsked   bool   // with QuorumUnavailable: decided at once, so that the client cannot have resumed the request elsewhere
 }
 
-// Fallback is what to do with a request for which no quorum can be had.
+// Fallback is the treatment of a request that has no quorum.
 type Fallback uint8
 
 // Fallbacks.
@@ -44,12 +44,13 @@
 	FailRequest                       // it may have been executed
 )
 
-// Fallback tells what to do, with QuorumUnavailable. strict: the request may be sent only if a quorum has its record.
+// Fallback returns how to treat the request of a QuorumUnavailable event. With strict set, the request may be sent only after a
+// quorum has stored its record.
 func (e *Event) Fallback(strict bool) Fallback {
 	switch {
 	case e.NeverSent && strict && e.NoReplicaAsked:
 		return RejectRequest
-	case e.NeverSent && strict: // while this member waited, the client may have resumed it elsewhere: a retry is not safe
+	case e.NeverSent && strict: // the client may have resumed it elsewhere while this member waited: a retry is not safe
 		return FailRequest
 	case e.NeverSent:
 		return SendWithoutRecord
--- a/internal/takeover/node.go
+++ b/internal/takeover/node.go
@@ -7,12 +7,12 @@
 
 // Node is one process's part in the protocol. It is not safe for concurrent use.
 type Node struct {
-	config       Config
-	view         *View
-	joined       bool
-	replicaSince uint64 // epoch from which this process is the replica of its name; 0: another process is, or none yet
-	completeFrom int64  // from this time on, a request that it does not know was never claimed
-	round        uint32 // of the latest ballot: no two claims of this process use the same
+	config            Config
+	view              *View
+	joined            bool
+	replicaSinceEpoch uint64 // epoch from which this process is the replica of its name; 0: another process is, or none yet
+	recordsCompleteAt int64  // from this time on, a request that it does not know was never claimed
+	round             uint32 // of the latest ballot: no two claims of this process use the same
 	replica
 	claims map[string]*claim // by request id
 	outbox []Envelope
@@ -79,11 +79,11 @@
 	switch {
 	case oldest.Name == "": // no process of that name is a member: the role stays as it is
 	case oldest != n.config.Self:
-		n.replicaSince = 0
-	case n.replicaSince == 0:
-		n.replicaSince, n.completeFrom = n.view.Epoch, now
+		n.replicaSinceEpoch = 0
+	case n.replicaSinceEpoch == 0:
+		n.replicaSinceEpoch, n.recordsCompleteAt = n.view.Epoch, now
 		if !info.FirstIncarnation {
-			n.completeFrom += n.config.MaxRequestAge + n.config.LateRequestSlack
+			n.recordsCompleteAt += n.config.MaxRequestAge + n.config.LateRequestSlack
 		}
 	}
 }
--- a/internal/takeover/placement.go
+++ b/internal/takeover/placement.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Replicas lists the n names that store an id's record, by rendezvous hashing: the rank of a name depends on the name and
-// the id alone, so that a change of other names moves few records.
+// Replicas returns the names of the n members that store an id's record, by rendezvous hashing. The rank of a name depends only
+// on the name and the id, so a change of the configured names moves few records.
 func Replicas(names []string, id string, n int) []string {
 	type ranked struct {
 		name string
--- a/internal/takeover/replica.go
+++ b/internal/takeover/replica.go
@@ -3,8 +3,8 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// maxForgotten bounds each of the two sets of ids whose records have expired.
-	maxForgotten = 1 << 17
+	// maxExpiredIDs bounds each of the two sets of ids whose records have expired.
+	maxExpiredIDs = 1 << 17
 	// sweepsPerRetention is how often expired entries are looked for while a final response is stored.
 	sweepsPerRetention = 20
 )
@@ -25,19 +25,19 @@
 	entries map[string]*entry // by request id
 	bytes   int
 	// Hashed ids of expired records, in two generations: the older one is dropped at each rotation.
-	forgotten, forgottenBefore map[uint64]bool
-	rotatedAt, sweptAt         int64
-	evictedOwner               map[string]bool // ids with a takeoverAt
+	expiredIDs, olderExpiredIDs map[uint64]bool
+	rotatedAt, sweptAt          int64
+	scheduledTakeovers          map[string]bool // ids with a takeoverAt
 }
 
 func newReplica() replica {
-	return replica{entries: map[string]*entry{}, forgotten: map[uint64]bool{}, forgottenBefore: map[uint64]bool{}, evictedOwner: map[string]bool{}}
+	return replica{entries: map[string]*entry{}, expiredIDs: map[uint64]bool{}, olderExpiredIDs: map[uint64]bool{}, scheduledTakeovers: map[string]bool{}}
 }
 
-// isForgotten reports whether the id's record was here and has expired.
-func (r *replica) isForgotten(id string) bool {
+// hasExpired reports whether the id's record was here and has expired.
+func (r *replica) hasExpired(id string) bool {
 	hash := xxhash.Sum64String(id)
-	return r.forgotten[hash] || r.forgottenBefore[hash]
+	return r.expiredIDs[hash] || r.olderExpiredIDs[hash]
 }
 
 // handleRequest answers a Write or a Prepare.
@@ -48,7 +48,7 @@
 		r.Kind = StaleEpoch
 	case !n.view.Contains(from) || m.Ballot.Proposer != from:
 		r.Kind = SenderNotMember
-	case n.replicaSince == 0:
+	case n.replicaSinceEpoch == 0:
 		r.Kind = ReplicaTooNew
 	case m.Kind == Write && m.Record != nil:
 		n.handleWrite(now, m, &r)
@@ -97,9 +97,9 @@
 	}
 	if e == nil {
 		switch {
-		case m.Record.Epoch < n.replicaSince: // a previous process of this name may have promised a higher ballot
+		case m.Record.Epoch < n.replicaSinceEpoch: // a previous process of this name may have promised a higher ballot
 			return ReplicaTooNew
-		case n.isForgotten(m.ID):
+		case n.hasExpired(m.ID):
 			return RecordExpired
 		}
 		return Accepted
@@ -152,9 +152,9 @@
 func (n *Node) refusePrepare(now int64, e *entry, m *Message) MessageKind {
 	if e == nil {
 		switch {
-		case n.isForgotten(m.ID):
+		case n.hasExpired(m.ID):
 			return RecordExpired
-		case now < n.completeFrom:
+		case now < n.recordsCompleteAt:
 			return ReplicaTooNew
 		case len(n.entries) >= n.config.MaxRecords:
 			return OutOfCapacity
@@ -186,8 +186,8 @@
 		return
 	}
 	n.sweptAt = now
-	if now-n.rotatedAt >= n.config.MaxRequestAge+n.config.Retention || len(n.forgotten) >= maxForgotten {
-		n.forgottenBefore, n.forgotten, n.rotatedAt = n.forgotten, map[uint64]bool{}, now
+	if now-n.rotatedAt >= n.config.MaxRequestAge+n.config.Retention || len(n.expiredIDs) >= maxExpiredIDs {
+		n.olderExpiredIDs, n.expiredIDs, n.rotatedAt = n.expiredIDs, map[uint64]bool{}, now
 	}
 	for id, e := range n.entries {
 		if e.expiresAt > now {
@@ -197,6 +197,6 @@
 			n.bytes -= e.record.size()
 		}
 		delete(n.entries, id)
-		n.forgotten[xxhash.Sum64String(id)] = true
+		n.expiredIDs[xxhash.Sum64String(id)] = true
 	}
 }
--- a/internal/takeover/state.go
+++ b/internal/takeover/state.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Clone copies a node for the model checker. What is immutable is shared.
+// Clone copies a node for the model checker. Immutable values are shared.
 func (n *Node) Clone() *Node {
 	c := *n
 	c.entries = make(map[string]*entry, len(n.entries))
@@ -15,8 +15,8 @@
 		entryCopy := *e
 		c.entries[id] = &entryCopy
 	}
-	c.evictedOwner = maps.Clone(n.evictedOwner)
-	c.forgotten, c.forgottenBefore = maps.Clone(n.forgotten), maps.Clone(n.forgottenBefore)
+	c.scheduledTakeovers = maps.Clone(n.scheduledTakeovers)
+	c.expiredIDs, c.olderExpiredIDs = maps.Clone(n.expiredIDs), maps.Clone(n.olderExpiredIDs)
 	c.claims = make(map[string]*claim, len(n.claims))
 	for id, k := range n.claims {
 		claimCopy := *k
@@ -27,9 +27,9 @@
 	return &c
 }
 
-// WriteState writes all that later behaviour depends on: two nodes that will behave alike write the same.
+// WriteState writes the state that later behaviour depends on: nodes in equivalent states write equal bytes.
 func (n *Node) WriteState(w io.Writer) {
-	fmt.Fprint(w, n.config.Self, n.view.Epoch, n.joined, n.replicaSince, n.completeFrom, n.round)
+	fmt.Fprint(w, n.config.Self, n.view.Epoch, n.joined, n.replicaSinceEpoch, n.recordsCompleteAt, n.round)
 	for _, id := range slices.Sorted(maps.Keys(n.entries)) {
 		fmt.Fprint(w, id, *n.entries[id])
 	}
@@ -40,7 +40,7 @@
 
 func (c *claim) writeState(w io.Writer) {
 	fmt.Fprint(w, c.id, c.phase, c.ballot, c.record, c.ageAt, c.startedAt, c.resendAt, c.sentAt, c.takenOver, c.ownerAliveAt, c.unavailable,
-		c.announced, c.returnStored, c.concludedHere, c.previousOwner)
+		c.markedSent, c.returnStored, c.failedOnTakeover, c.previousOwner)
 	for _, name := range slices.Sorted(maps.Keys(c.replies)) {
 		reply := *c.replies[name]
 		var rec Record
--- a/internal/takeover/evicted_owner.go
+++ b/internal/takeover/takeover_schedule.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		e.takeoverAt = now + n.liveReplicasBefore(id, liveNames)*n.config.TakeoverStagger
-		n.evictedOwner[id] = true
+		n.scheduledTakeovers[id] = true
 	}
 }
 
@@ -40,10 +40,10 @@
 
 // startTakeovers emits OwnerEvicted for the requests that are due, and schedules each again in case the takeover fails.
 func (n *Node) startTakeovers(now int64) {
-	for _, id := range slices.Sorted(maps.Keys(n.evictedOwner)) {
+	for _, id := range slices.Sorted(maps.Keys(n.scheduledTakeovers)) {
 		e := n.entries[id]
 		if e == nil || e.takeoverAt == 0 {
-			delete(n.evictedOwner, id)
+			delete(n.scheduledTakeovers, id)
 			continue
 		}
 		if e.takeoverAt > now || n.claims[id] != nil || !n.IsMember() {
