--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// phase is how far a claim has come.
+// phase is the progress of a claim.
 type phase uint8
 
 const (
-	preparing  phase = iota // asks the replicas what they know
-	writing                 // has the replicas store the record; nothing was sent yet
+	preparing  phase = iota // waits for promises
+	writing                 // waits for a quorum to store the record, before the request is sent
 	executing               // the request may be sent
-	concluding              // has the replicas store the final response
+	concluding              // waits for a quorum to store the final response
 )
 
 // claim is a request that this process owns or wants to own.
@@ -21,25 +21,25 @@
 	id               string
 	phase            phase
 	ballot           Ballot
-	submitted        Record // as the caller gave it
-	record           Record // as it is written next
-	ageAt            int64  // when record.Age was computed
+	submitted        Record // the caller's record
+	record           Record // the record to write
+	ageAt            int64  // time at which record.Age was computed
 	startedAt        int64
 	resendAt         int64
-	sentAt           int64 // of the last messages to the replicas
+	sentAt           int64 // time of the latest messages to the replicas
 	replicas         []string
 	replies          map[string]*Message // the latest reply of each replica to this ballot and phase
-	takenOver        bool                // another member owned it
+	takenOver        bool                // another member owned the request
 	previousOwner    Member              // with takenOver
-	failedOnTakeover bool                // concluded here that it may have been executed
-	ownerAliveAt     int64               // when a replica last replied that the owner is a member
-	unavailable      bool                // QuorumUnavailable was reported, and the claim goes on until the caller ends it
-	markedSent       bool                // the replicas were told that the request was sent
-	returnStored     bool                // the caller waits for the stored response
+	failedOnTakeover bool                // failed by this claim, since the previous owner may have had it executed
+	ownerAliveAt     int64               // time of the latest OwnerAlive reply
+	unavailable      bool                // QuorumUnavailable was emitted, and the claim stays open until the caller ends it
+	markedSent       bool                // a record with Sent set was written
+	returnStored     bool                // the claim ends with ReturnStored instead of Replicated
 	expiresAt        int64
 }
 
-// openClaim opens a claim, unless the id has one or this process is no member.
+// openClaim opens a claim. It emits an event and returns nil if the id has a claim already or this process is not a member.
 func (n *Node) openClaim(now int64, rec Record, p phase) *claim {
 	if !n.IsMember() {
 		n.emit(Event{Decision: QuorumUnavailable, ID: rec.ID, Record: rec, NeverSent: p == writing, NoReplicaAsked: p == writing})
@@ -59,7 +59,7 @@
 	return c
 }
 
-// endClaim closes a claim with its last event.
+// endClaim removes a claim and emits its last event.
 func (n *Node) endClaim(c *claim, e Event) {
 	delete(n.claims, c.id)
 	e.ID = c.id
@@ -69,14 +69,14 @@
 	n.emit(e)
 }
 
-// tickClaim does what is due by time for one claim.
+// tickClaim processes the timeouts and resends of one claim that are due.
 func (n *Node) tickClaim(now int64, c *claim) {
 	timedOut := now-max(c.startedAt, c.ownerAliveAt) >= n.config.QuorumTimeout
 	switch {
 	case c.expiresAt <= now:
 		n.endClaim(c, Event{Decision: QuorumUnavailable})
 	case c.phase == executing && (c.markedSent || c.resendAt > now || len(c.record.Request) == 0):
-	case c.phase == executing: // markedSent once and only after a while, to spare the messages for requests that end soon
+	case c.phase == executing: // Sent is written only after ResendInterval, which saves the messages for short requests
 		c.markedSent, c.record.Sent = true, true
 		n.writeRecord(now, c)
 	case c.phase == concluding && c.returnStored && timedOut:
@@ -93,7 +93,7 @@
 	}
 }
 
-// prepare asks all replicas for their promise.
+// prepare requests a promise from all replicas.
 func (n *Node) prepare(now int64, c *claim) {
 	c.replies = map[string]*Message{}
 	n.resend(now, c)
@@ -109,7 +109,8 @@
 	n.resend(now, c)
 }
 
-// resend sends the claim's message to every replica that has not agreed to it. This process answers itself at once.
+// resend sends the claim's message to every replica that has not agreed to it. If this process is a replica of the claim, its
+// own reply is handled at once.
 func (n *Node) resend(now int64, c *claim) {
 	c.resendAt, c.sentAt = now+n.config.ResendInterval, now
 	m := Message{Kind: Prepare, ID: c.id, Ballot: c.ballot, Epoch: n.view.Epoch, Digest: c.record.Digest}
@@ -130,7 +131,7 @@
 	}
 }
 
-// handleReply takes a replica's reply.
+// handleReply processes a replica's reply.
 func (n *Node) handleReply(now int64, from string, m *Message) {
 	c := n.claims[m.ID]
 	if c == nil || m.Ballot != c.ballot || c.phase == executing || (m.ReplyTo == Prepare) != (c.phase == preparing) ||
@@ -138,7 +139,7 @@
 		return
 	}
 	if m.Kind == Accepted && m.Seq != c.record.Seq {
-		if m.Seq > c.record.Seq { // an earlier claim of this process has concluded it
+		if m.Seq > c.record.Seq { // an earlier claim of this process has written a later record
 			n.endClaim(c, Event{Decision: DuplicateID})
 		}
 		return
@@ -156,7 +157,8 @@
 	}
 }
 
-// handleRefusal handles a reply by which one replica alone ends or restarts the claim. It reports whether this was one.
+// handleRefusal processes refusals. It reports whether the reply has ended or restarted the claim, for which one replica's
+// refusal is enough.
 func (n *Node) handleRefusal(now int64, c *claim, m *Message) bool {
 	switch m.Kind {
 	case OwnerAlive:
@@ -180,8 +182,8 @@
 	return true
 }
 
-// raiseBallot starts the claim again with a higher ballot after another member has claimed the request, to find what came of
-// it. The next tick sends it, not this call, so that two members that compete leave each other time to finish.
+// raiseBallot restarts the claim with a higher ballot after another member has claimed the request, to learn the result of that
+// claim. The Prepare messages are left to the next resend, so that competing members leave each other time to finish.
 func (n *Node) raiseBallot(c *claim, promised Ballot) {
 	if c.phase == concluding && !c.returnStored || c.unavailable {
 		n.endClaim(c, Event{Decision: OwnershipLost})
@@ -202,7 +204,8 @@
 	return n
 }
 
-// isQuorumImpossible reports whether all replicas that are members have replied, and no quorum has come of it.
+// isQuorumImpossible reports whether all replicas that are members have replied with a final answer. Since the caller has found no
+// quorum among the replies, there will be none.
 func (n *Node) isQuorumImpossible(c *claim) bool {
 	for m := range n.view.Members {
 		if !slices.Contains(c.replicas, m.Name) {
@@ -215,7 +218,8 @@
 	return true
 }
 
-// reportUnavailable reports that there is no quorum. A response that some replica has is returned all the same.
+// reportUnavailable emits QuorumUnavailable. A claim that waits for promises returns a final response instead, if a replica has
+// one.
 func (n *Node) reportUnavailable(c *claim) {
 	if c.unavailable {
 		return
@@ -232,12 +236,13 @@
 		n.endClaim(c, e)
 		return
 	}
-	c.unavailable = true // the caller ends it, with Complete or Drop
+	c.unavailable = true // the caller ends the claim with Complete or Drop
 	e.ID, e.Record = c.id, c.record
 	n.emit(e)
 }
 
-// latestPromise is the promise with the record of the highest ballot, among these the last written; nil: none has a record.
+// latestPromise returns the promise whose record has the highest ballot and, within that ballot, the highest Seq. It returns nil
+// if no promise has a record.
 func (c *claim) latestPromise() *Message {
 	var best *Message
 	for _, name := range slices.Sorted(maps.Keys(c.replies)) {
@@ -252,8 +257,8 @@
 	return best
 }
 
-// adoptPromised continues, once a quorum has promised, from the latest record that it knows. A request that another member
-// may have sent and that is not idempotent fails: nobody can tell whether it was executed.
+// adoptPromised continues a claim that a quorum has promised from the latest record in the promises. A request that is not
+// idempotent and that another member may have sent fails, because it may have been executed.
 func (n *Node) adoptPromised(now int64, c *claim) {
 	c.record, c.ageAt = c.submitted, now
 	c.record.Age += now - c.startedAt
@@ -276,8 +281,8 @@
 	n.resend(now, c)
 }
 
-// adoptRecord makes another owner's record this claim's. Its age grows by the whole round trip, since the way there can't be
-// told from the way back.
+// adoptRecord continues the claim with another owner's record. It adds the full round trip to the record's age, since the delay
+// of the reply alone is unknown.
 func (n *Node) adoptRecord(now int64, c *claim, known *Record) {
 	age := c.record.Age
 	c.record, c.takenOver, c.previousOwner = *known, true, known.Owner
@@ -291,7 +296,7 @@
 	}
 }
 
-// onQuorumAccepted continues once a quorum has stored what was written.
+// onQuorumAccepted continues a claim whose record or final response a quorum has stored.
 func (n *Node) onQuorumAccepted(now int64, c *claim) {
 	switch {
 	case c.phase == concluding:
--- a/internal/takeover/decision.go
+++ b/internal/takeover/decision.go
@@ -28,7 +28,7 @@
 	ID               string
 	Record           Record
 	TakenOver        bool   // with Execute, ReturnStored or QuorumUnavailable: another member owned the request, and may have sent it
-	PreviousOwner    Member // with TakenOver, except for QuorumUnavailable
+	PreviousOwner    Member // with TakenOver, if a quorum has reported it
 	FailedOnTakeover bool   // with ReturnStored: this process failed the request on taking it over, since it may have been executed
 	NeverSent        bool   // with QuorumUnavailable: no other member has claimed the request, or a quorum has reported it unclaimed
 	NoReplicaAsked   bool   // with QuorumUnavailable: decided at once, so that the client cannot have resumed the request elsewhere
--- a/internal/takeover/node.go
+++ b/internal/takeover/node.go
@@ -19,20 +19,20 @@
 	events []Event
 }
 
-// New makes a node that is no member yet.
+// New returns a node that is not a member yet.
 func New(config Config) *Node {
 	config.MemberNames = slices.Sorted(slices.Values(config.MemberNames))
 	return &Node{config: config, view: &View{}, replica: newReplica(), claims: map[string]*claim{}}
 }
 
-// TakeMessages returns the messages that are to be sent since the last call.
+// TakeMessages returns and removes the messages to send.
 func (n *Node) TakeMessages() []Envelope {
 	out := n.outbox
 	n.outbox = nil
 	return out
 }
 
-// TakeEvents returns the decisions that are to be carried out since the last call.
+// TakeEvents returns and removes the decisions to carry out.
 func (n *Node) TakeEvents() []Event {
 	events := n.events
 	n.events = nil
@@ -41,13 +41,13 @@
 
 func (n *Node) emit(e Event) { n.events = append(n.events, e) }
 
-// Usage is what this process stores as a replica.
+// Usage returns how many entries this process stores as a replica, and their size in bytes.
 func (n *Node) Usage() (records, bytes int) { return len(n.entries), n.bytes }
 
-// IsMember reports whether this process is a member of the fleet now.
+// IsMember reports whether this process is a member of the fleet in its current view.
 func (n *Node) IsMember() bool { return n.joined }
 
-// ApplyView adopts a newer membership; an older one is ignored.
+// ApplyView adopts a view, unless the current view is at least as new.
 func (n *Node) ApplyView(now int64, v *View) {
 	if v.Epoch <= n.view.Epoch {
 		return
@@ -66,8 +66,9 @@
 	}
 }
 
-// updateReplicaRole finds whether this process is the replica of its name: of several processes of that name, the one that
-// joined first is. A successor lacks the records of its predecessor, so it can't testify about requests claimed before.
+// updateReplicaRole determines whether this process is the replica of its name. Of several members with one name, the first to
+// join is the replica. Its successor does not have the records of its predecessor, so it must not answer for requests that were
+// claimed before.
 func (n *Node) updateReplicaRole(now int64) {
 	var oldest Member
 	var info MemberInfo
@@ -77,7 +78,7 @@
 		}
 	}
 	switch {
-	case oldest.Name == "": // no process of that name is a member: the role stays as it is
+	case oldest.Name == "": // no process of the name is a member: the role does not change
 	case oldest != n.config.Self:
 		n.replicaSinceEpoch = 0
 	case n.replicaSinceEpoch == 0:
@@ -88,13 +89,13 @@
 	}
 }
 
-// Rejoin gives this process a new incarnation after its eviction. It keeps what it stores as a replica.
+// Rejoin gives this process a new incarnation after its eviction. The entries that it stores as a replica are kept.
 func (n *Node) Rejoin(self Member) {
 	n.dropClaims()
 	n.config.Self, n.joined = self, false
 }
 
-// dropClaims gives up all requests that this process owns.
+// dropClaims ends all claims of this process with OwnershipLost.
 func (n *Node) dropClaims() {
 	for _, id := range slices.Sorted(maps.Keys(n.claims)) {
 		n.emit(Event{Decision: OwnershipLost, ID: id})
@@ -102,7 +103,7 @@
 	n.claims = map[string]*claim{}
 }
 
-// Begin claims a request that the client has sent to no other member. Execute follows once a quorum has the record.
+// Begin claims a request that the client has sent to no other member. An Execute event follows once a quorum stores the record.
 func (n *Node) Begin(now int64, rec Record) {
 	c := n.openClaim(now, rec, writing)
 	if c == nil {
@@ -116,7 +117,7 @@
 	n.writeRecord(now, c)
 }
 
-// Resume claims a request that another member may own. rec is what is known of it here.
+// Resume claims a request that another member may own. rec is used unless a replica has a record of the request.
 func (n *Node) Resume(now int64, rec Record) {
 	c := n.openClaim(now, rec, preparing)
 	if c == nil {
@@ -127,7 +128,7 @@
 	n.prepare(now, c)
 }
 
-// Complete stores the final response of a request that was executed here. Replicated follows.
+// Complete has the replicas store the final response of a request that was executed here. A Replicated event follows.
 func (n *Node) Complete(now int64, id string, r Response) {
 	if c := n.claims[id]; c != nil && (c.phase == executing || c.phase == writing) {
 		c.phase, c.record.Response, c.record.Request = concluding, r, nil
@@ -136,16 +137,16 @@
 	}
 }
 
-// Drop forgets a claim: the request continues without a record, or not at all.
+// Drop removes a claim without an event. The caller either sends the request without a record or gives the request up.
 func (n *Node) Drop(id string) { delete(n.claims, id) }
 
-// IsPreparing reports whether a claim still asks what replicas know: nothing was sent from here.
+// IsPreparing reports whether a claim is waiting for promises. This process has not sent the request yet in that phase.
 func (n *Node) IsPreparing(id string) bool {
 	c := n.claims[id]
 	return c != nil && c.phase == preparing
 }
 
-// Handle takes a message of another member.
+// Handle processes a message of another member.
 func (n *Node) Handle(now int64, from Member, m *Message) {
 	if m.Kind == Write || m.Kind == Prepare {
 		n.outbox = append(n.outbox, Envelope{from.Name, n.handleRequest(now, from, m)})
@@ -154,7 +155,7 @@
 	n.handleReply(now, from.Name, m)
 }
 
-// Tick does what is due by time. The caller calls it at least as often as ResendInterval.
+// Tick processes expirations, takeovers and resends that are due. It must be called at least once per ResendInterval.
 func (n *Node) Tick(now int64) {
 	n.expireEntries(now)
 	n.startTakeovers(now)
--- a/internal/takeover/replica.go
+++ b/internal/takeover/replica.go
@@ -3,38 +3,38 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// maxExpiredIDs bounds each of the two sets of ids whose records have expired.
+	// maxExpiredIDs bounds each of the two sets of ids of expired records.
 	maxExpiredIDs = 1 << 17
-	// sweepsPerRetention is how often expired entries are looked for while a final response is stored.
+	// sweepsPerRetention is the number of searches for expired entries within Config.Retention.
 	sweepsPerRetention = 20
 )
 
-// entry is what a replica knows of one id: its state as a Paxos acceptor.
+// entry is a replica's state for one id as a Paxos acceptor.
 type entry struct {
 	promised   Ballot
 	hasRecord  bool   // a record was accepted
-	ballot     Ballot // under which it was
+	ballot     Ballot // under which the record was accepted
 	record     Record
-	receivedAt int64 // of record, to add to its age
+	receivedAt int64 // time at which the record arrived; the record's age counts from there
 	expiresAt  int64
-	takeoverAt int64 // when this process takes the request over without being asked; 0: its owner is a member
+	takeoverAt int64 // time at which this process takes over the request without its client; 0 if none is scheduled
 }
 
-// replica is what this process stores for owners of requests.
+// replica is the state of this process as a replica of other members' records and its own.
 type replica struct {
 	entries map[string]*entry // by request id
-	bytes   int
-	// Hashed ids of expired records, in two generations: the older one is dropped at each rotation.
+	bytes   int               // counted size of all records
+	// Hashes of the ids of expired entries, in two generations: each rotation drops the older one.
 	expiredIDs, olderExpiredIDs map[uint64]bool
 	rotatedAt, sweptAt          int64
-	scheduledTakeovers          map[string]bool // ids with a takeoverAt
+	scheduledTakeovers          map[string]bool // ids of entries with a takeoverAt
 }
 
 func newReplica() replica {
 	return replica{entries: map[string]*entry{}, expiredIDs: map[uint64]bool{}, olderExpiredIDs: map[uint64]bool{}, scheduledTakeovers: map[string]bool{}}
 }
 
-// hasExpired reports whether the id's record was here and has expired.
+// hasExpired reports whether this replica had an entry of the id that has expired.
 func (r *replica) hasExpired(id string) bool {
 	hash := xxhash.Sum64String(id)
 	return r.expiredIDs[hash] || r.olderExpiredIDs[hash]
@@ -44,7 +44,7 @@
 func (n *Node) handleRequest(now int64, from Member, m *Message) Message {
 	r := Message{ReplyTo: m.Kind, ID: m.ID, Ballot: m.Ballot, Epoch: n.view.Epoch, Seq: m.Seq}
 	switch {
-	case n.view.Epoch < m.Epoch: // an older view can't tell who was evicted
+	case n.view.Epoch < m.Epoch: // an older view may still contain an evicted owner
 		r.Kind = StaleEpoch
 	case !n.view.Contains(from) || m.Ballot.Proposer != from:
 		r.Kind = SenderNotMember
@@ -60,7 +60,7 @@
 	return r
 }
 
-// handleWrite stores a record, unless a higher ballot was promised. It completes the reply r.
+// handleWrite stores a record, unless there is a reason for refusal. It completes the reply r.
 func (n *Node) handleWrite(now int64, m *Message, r *Message) {
 	e := n.entries[m.ID]
 	if r.Kind = n.refuseWrite(e, m); r.Kind != Accepted {
@@ -70,7 +70,7 @@
 		return
 	}
 	hasRecord := e != nil && e.hasRecord
-	if hasRecord && m.Ballot == e.ballot && m.Seq <= e.record.Seq { // a duplicate, or overtaken by a later write
+	if hasRecord && m.Ballot == e.ballot && m.Seq <= e.record.Seq { // a duplicate, or older than the stored record
 		r.Seq = e.record.Seq
 		return
 	}
@@ -90,14 +90,14 @@
 	n.accept(now, e, m)
 }
 
-// refuseWrite finds why a record may not be stored in an entry, which is nil for an unknown id; Accepted: it may.
+// refuseWrite returns the reason for refusing a Write, or Accepted if there is none. e is nil if the id has no entry.
 func (n *Node) refuseWrite(e *entry, m *Message) MessageKind {
 	if m.Record.Owner != m.Ballot.Proposer || m.Record.ID != m.ID {
 		return SenderNotMember
 	}
 	if e == nil {
 		switch {
-		case m.Record.Epoch < n.replicaSinceEpoch: // a previous process of this name may have promised a higher ballot
+		case m.Record.Epoch < n.replicaSinceEpoch: // the previous replica of this name may have promised a higher ballot
 			return ReplicaTooNew
 		case n.hasExpired(m.ID):
 			return RecordExpired
@@ -107,7 +107,7 @@
 	switch {
 	case e.hasRecord && e.record.Digest != m.Record.Digest:
 		return IDInUse
-	case m.Ballot.Round == 0 && e.hasRecord && e.ballot != m.Ballot: // two members claim to be the first reader
+	case m.Ballot.Round == 0 && e.hasRecord && e.ballot != m.Ballot: // another member has claimed the id as the first to receive it
 		return IDInUse
 	case m.Ballot.Compare(e.promised) < 0:
 		return HigherBallot
@@ -115,7 +115,7 @@
 	return Accepted
 }
 
-// accept stores the record of a Write. Its deadline is bounded, so that no owner can have an entry stored forever.
+// accept stores the record of a Write. It bounds the record's deadline, so that no owner can keep an entry stored forever.
 func (n *Node) accept(now int64, e *entry, m *Message) {
 	e.promised, e.hasRecord, e.ballot, e.record, e.receivedAt, e.takeoverAt = m.Ballot, true, m.Ballot, *m.Record, now, 0
 	e.record.Age = max(0, e.record.Age)
@@ -126,8 +126,8 @@
 	}
 }
 
-// handlePrepare promises to accept no lower ballot, and returns what is known. An owner that is a member and has no response
-// yet keeps its request. It completes the reply r.
+// handlePrepare promises to accept no lower ballot and returns the stored record, unless there is a reason for refusal. It
+// completes the reply r.
 func (n *Node) handlePrepare(now int64, m *Message, r *Message) {
 	e := n.entries[m.ID]
 	if r.Kind = n.refusePrepare(now, e, m); r.Kind != Promised {
@@ -148,7 +148,8 @@
 	}
 }
 
-// refusePrepare finds why a ballot may not be promised for an entry, which is nil for an unknown id; Promised: it may.
+// refusePrepare returns the reason for refusing a Prepare, or Promised if there is none. e is nil if the id has no entry. A
+// request stays with an owner that is a member and has no response yet.
 func (n *Node) refusePrepare(now int64, e *entry, m *Message) MessageKind {
 	if e == nil {
 		switch {
@@ -179,8 +180,8 @@
 	return n.view.Contains(m)
 }
 
-// expireEntries deletes entries that are too old, and remembers their ids: a late resume then fails instead of being executed
-// again.
+// expireEntries deletes expired entries and records their ids, so that a late resume fails instead of executing the request a
+// second time.
 func (n *Node) expireEntries(now int64) {
 	if now-n.sweptAt < n.config.Retention/sweepsPerRetention {
 		return
--- a/internal/takeover/takeover_schedule.go
+++ b/internal/takeover/takeover_schedule.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// scheduleTakeovers sets when this replica takes over requests whose owner was evicted without being asked by their client:
-// the first replica that is a member at once, each further one a TakeoverStagger later, in case the ones before it fail.
+// scheduleTakeovers schedules the takeover of requests whose owner was evicted, without waiting for a resume by their client. The
+// first replica that is a member takes over at once; each further replica follows a TakeoverStagger later, in case the replicas
+// before it fail.
 //
-// Only requests that are idempotent by key, and whose owner was permitted to send them, are taken over this way: any other
-// may have been rejected by its owner, which told the client that a retry is safe.
+// Only requests that are idempotent by key and whose record has Sent set are taken over in this way. Without Sent, the owner may
+// have rejected the request and told the client that a retry is safe.
 func (n *Node) scheduleTakeovers(now int64) {
 	liveNames := map[string]bool{}
 	for m := range n.view.Members {
@@ -25,7 +26,7 @@
 	}
 }
 
-// liveReplicasBefore counts the replicas of an id that are members and come before this process in the id's order.
+// liveReplicasBefore returns how many replicas of an id are members and rank before this process.
 func (n *Node) liveReplicasBefore(id string, liveNames map[string]bool) (count int64) {
 	for _, name := range Replicas(n.config.MemberNames, id, n.config.ReplicationFactor) {
 		if name == n.config.Self.Name {
@@ -38,7 +39,7 @@
 	return count
 }
 
-// startTakeovers emits OwnerEvicted for the requests that are due, and schedules each again in case the takeover fails.
+// startTakeovers emits OwnerEvicted for each takeover that is due, and schedules the takeover again in case it fails.
 func (n *Node) startTakeovers(now int64) {
 	for _, id := range slices.Sorted(maps.Keys(n.scheduledTakeovers)) {
 		e := n.entries[id]
