--- a/internal/takeover/node.go
+++ b/internal/takeover/node.go
@@ -10,9 +10,9 @@
 	config            Config
 	view              *View
 	joined            bool
-	replicaSinceEpoch uint64 // epoch from which this process is the replica of its name; 0: another process is, or none yet
-	recordsCompleteAt int64  // from this time on, a request that it does not know was never claimed
-	round             uint32 // of the latest ballot: no two claims of this process use the same
+	replicaSinceEpoch uint64 // epoch since which this process is the replica of its name; 0 while it is not
+	recordsCompleteAt int64  // from this time on, a request without an entry here was never claimed
+	round             uint32 // of the latest ballot with a Prepare; no two of these ballots have the same round
 	replica
 	claims map[string]*claim // by request id
 	outbox []Envelope
