--- a/internal/fleet/segmentfile/directory.go
+++ b/internal/fleet/segmentfile/directory.go
@@ -25,7 +25,7 @@
 	eventDirectoryRecovered = "audit_directory_recovered"
 )
 
-// Suffix ends the names of segment files.
+// Suffix is the file name extension of segment files.
 const Suffix = ".segments"
 
 const (
@@ -33,38 +33,38 @@
 	fileMode      = 0o640
 )
 
-// errFull: the file of this incarnation may grow no further.
-var errFull = errors.New("it has all that disk_bytes grants")
+// errFull reports that the file of this incarnation has reached its size limit.
+var errFull = errors.New("the segment file has reached half of disk_bytes; further segments are not stored on disk")
 
-// Directory writes the segments of one process. It is not safe for concurrent use.
+// Directory stores the segments of one process. It is not safe for concurrent use.
 type Directory struct {
 	path          string
-	maxBytes      int // of all files together
+	maxBytes      int // bound on all files together
 	codec         *protocol.Codec
-	file          segmentFile // nil: to be opened before the next write
+	file          segmentFile // nil until it is opened for the next write
 	filePath      string
-	usedBytes     int                                    // of the file, written or pending
-	full          bool                                   // the file may grow no further
-	faultLogged   bool                                   // and not over since
-	completeBytes int64                                  // of complete segments in the file
-	needsTruncate bool                                   // there may be a part of a segment behind them
-	pending       [][]byte                               // encoded segments that are not written yet, in order
+	usedBytes     int                                    // written to the file or pending
+	full          bool                                   // the file has reached its size limit
+	faultLogged   bool                                   // a fault was logged, and no recovery since
+	completeBytes int64                                  // length of the complete segments in the file
+	needsTruncate bool                                   // the file may end with a partial segment
+	pending       [][]byte                               // encoded segments that are not written yet, oldest first
 	openForAppend func(path string) (segmentFile, error) // replaces openLocked in tests
 }
 
-// segmentFile is what segments are written to.
+// segmentFile is the file that segments are written to. Tests replace it.
 type segmentFile interface {
 	io.WriteCloser
 	Truncate(size int64) error
 }
 
-// New makes a directory whose files are bounded by maxBytes together. Nothing is read or written before Open.
+// New returns a directory whose files have at most maxBytes together. Nothing is read or written before Open.
 func New(path string, maxBytes int, codec *protocol.Codec) *Directory {
 	return &Directory{path: path, maxBytes: maxBytes, codec: codec}
 }
 
-// Open reads the segments of all files, truncates files that end within a segment, and starts the file of an incarnation.
-// Faults are logged; Open then returns what could be read.
+// Open reads the segments of all files, truncates each file after its last valid segment, and starts the file of an incarnation.
+// Faults are logged; Open then returns the segments that it could read.
 func (d *Directory) Open(self takeover.Member) (segments []audit.SealedSegment) {
 	files, err := listFiles(d.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -84,7 +84,7 @@
 	return segments
 }
 
-// isBeingWritten reports whether a process has a file open for writing: its last segment may be incomplete for the moment.
+// isBeingWritten reports whether a process has a file open for writing. The last segment of such a file may be incomplete.
 func isBeingWritten(path string) bool {
 	f, err := os.Open(path)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil
 }
 
-// listFiles lists the segment files of a directory.
+// listFiles returns the paths of the segment files in a directory.
 func listFiles(dir string) (paths []string, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return paths, nil
 }
 
-// ReadFile reads the segments of a file up to its end or its first fault. completeBytes is the length of what was read.
+// ReadFile reads the segments of a file up to its end or the first invalid one. completeBytes is the length of the valid segments.
 func ReadFile(path string) (segments []audit.SealedSegment, completeBytes int64, err error) {
 	in, err := os.Open(path)
 	if err != nil {
@@ -138,8 +138,8 @@
 	}
 }
 
-// StartFile starts the file of an incarnation, and removes the oldest files where there are too many bytes. Segments that could
-// not be written to the previous file go to this one: each names its member.
+// StartFile starts the file of an incarnation, and removes the oldest files if the directory is too large. Segments that could not
+// be written to the previous file are written to the new one, which is possible since each segment names its member.
 func (d *Directory) StartFile(self takeover.Member) {
 	if d.filePath != "" {
 		d.Flush()
@@ -158,7 +158,7 @@
 	d.reopen()
 }
 
-// reopen opens the file of this incarnation behind its complete segments. It reports whether it could.
+// reopen opens the file of this incarnation, so that the next write follows its last complete segment. It reports success.
 func (d *Directory) reopen() bool {
 	open := d.openForAppend
 	if open == nil {
@@ -178,7 +178,7 @@
 	return true
 }
 
-// openLocked opens a file for appends, with the lock that isBeingWritten looks for.
+// openLocked opens a file for appends, with the lock that isBeingWritten tests.
 func (d *Directory) openLocked(path string) (segmentFile, error) {
 	if err := os.MkdirAll(d.path, directoryMode); err != nil {
 		return nil, err
@@ -201,8 +201,8 @@
 	}
 }
 
-// removeOldFiles removes the files that were written longest ago until the rest has half of maxBytes: the other half is for the
-// file that is started.
+// removeOldFiles removes the least recently written files until the others have at most half of maxBytes. The other half is for
+// the file of this incarnation.
 func (d *Directory) removeOldFiles() {
 	paths, err := listFiles(d.path)
 	if err != nil {
@@ -234,7 +234,7 @@
 	}
 }
 
-// Append takes a segment, and writes all that is pending. A segment for which the file has no space is dropped.
+// Append adds a segment and writes all pending segments. A segment that exceeds the file's size limit is dropped.
 func (d *Directory) Append(segment *audit.SealedSegment) {
 	if d.full {
 		return
@@ -256,8 +256,8 @@
 	d.Flush()
 }
 
-// Flush writes what is pending. Where a write fails the file is truncated to its complete segments, since a part of one would
-// hide all that follow, and the rest stays pending.
+// Flush writes the pending segments. If a write fails, the other segments stay pending and the file is truncated to its complete
+// segments, since a partial segment makes all later ones unreadable.
 func (d *Directory) Flush() {
 	for len(d.pending) > 0 {
 		if d.file == nil && !d.reopen() {
@@ -280,7 +280,7 @@
 	}
 }
 
-// logFault logs a fault once until it is over: replication goes on without the directory.
+// logFault logs a fault, unless an earlier fault is not over yet. Replication continues without the directory.
 func (d *Directory) logFault(err error) {
 	if !d.faultLogged {
 		d.faultLogged = true
--- a/internal/fleet/segmentfile/directory_test.go
+++ b/internal/fleet/segmentfile/directory_test.go
@@ -14,11 +14,11 @@
 	"damsonscale/internal/takeover"
 )
 
-// failingFile is a file whose writes fail for a while, some after a part of their bytes.
+// failingFile is a file whose next writes and truncations fail. A failing write may write a part of its bytes.
 type failingFile struct {
 	*os.File
 	random *rand.Rand
-	faults *int // writes and truncations that are still to fail
+	faults *int // number of calls that are still to fail
 }
 
 func (f failingFile) Write(p []byte) (int, error) {
@@ -38,9 +38,8 @@
 	return f.File.Truncate(size)
 }
 
-// A directory that fails for a while, at any segment and for any number of calls, has all segments in order once it works again, and
-// no incomplete one between them.
-func TestDirectoryThatFailsForAWhile(t *testing.T) {
+// After temporary faults, at any segment and for any number of calls, the file contains all segments and no partial one.
+func TestSegmentsSurviveTemporaryDirectoryFaults(t *testing.T) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +58,7 @@
 			return failingFile{file, random, &faults}, err
 		}
 		d.Open(member("a", 1))
-		book, err := audit.NewSegmentWriter(7, member("a", 1), "build", protocol.Version, func() int64 { return 0 }, audit.NoFault)
+		writer, err := audit.NewSegmentWriter(7, member("a", 1), "build", protocol.Version, func() int64 { return 0 }, audit.NoFault)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,8 +66,8 @@
 			if n < segments-2 && random.IntN(3) == 0 {
 				faults += random.IntN(6)
 			}
-			book.Record(auditevent.Accepted, 0, "id", "look")
-			all, err := book.Cut(0)
+			writer.Record(auditevent.Accepted, 0, "id", "look")
+			all, err := writer.Cut(0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -78,17 +77,17 @@
 			d.Flush()
 		}
 		if all, _, err := ReadFile(filepath.Join(dir, "a-1"+Suffix)); err != nil || len(all) != segments {
-			t.Fatalf("seed %d: %d of %d segments, %v", seed, len(all), segments, err)
+			t.Fatalf("seed %d: got %d segments, error %v; want %d segments", seed, len(all), err, segments)
 		}
 		if d.faultLogged {
-			t.Fatalf("seed %d: its recovery is not logged", seed)
+			t.Fatalf("seed %d: the recovery of the directory is not logged", seed)
 		}
 	}
 }
 
-// A file that ends within a segment is truncated; an edited byte ends it; what is complete before is kept; another process's file is
-// left alone.
-func TestSegmentFiles(t *testing.T) {
+// Open keeps the segments of a file up to the first partial or modified one, and truncates the file there. Old files are removed
+// when the directory is too large, and a directory that cannot be created is logged.
+func TestOpenRepairsAndRemovesOldFiles(t *testing.T) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
 		t.Fatal(err)
@@ -96,15 +95,15 @@
 	dir := t.TempDir()
 	d := New(dir, 1<<20, codec)
 	if old := d.Open(member("a", 1)); len(old) != 0 {
-		t.Fatal(old)
+		t.Fatalf("got segments %v in an empty directory, want none", old)
 	}
-	book, err := audit.NewSegmentWriter(7, member("a", 1), "build", protocol.Version, func() int64 { return 0 }, audit.NoFault)
+	writer, err := audit.NewSegmentWriter(7, member("a", 1), "build", protocol.Version, func() int64 { return 0 }, audit.NoFault)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 5 {
-		book.Record(auditevent.Accepted, 0, "id", "look")
-		all, err := book.Cut(0)
+		writer.Record(auditevent.Accepted, 0, "id", "look")
+		all, err := writer.Cut(0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +111,7 @@
 	}
 	path := filepath.Join(dir, "a-1"+Suffix)
 	if !isBeingWritten(path) {
-		t.Error("a file that is being written is not distinguished from one that was left")
+		t.Error("isBeingWritten reports false for an open segment file, want true")
 	}
 	d.Close()
 	content, err := os.ReadFile(path)
@@ -121,23 +120,23 @@
 	}
 	for name, c := range map[string]struct {
 		change func([]byte) []byte
-		kept   int
+		kept   int // segments
 	}{
-		"complete":    {func(b []byte) []byte { return b }, 5},
-		"cut off":     {func(b []byte) []byte { return b[:len(b)-3] }, 4},
-		"edited":      {func(b []byte) []byte { b[len(b)/2] ^= 1; return b }, 2},
-		"only a head": {func(b []byte) []byte { return b[:10] }, 0},
-		"a tail":      {func(b []byte) []byte { return append(b, "nonsense"...) }, 5},
+		"complete":       {func(b []byte) []byte { return b }, 5},
+		"cut off":        {func(b []byte) []byte { return b[:len(b)-3] }, 4},
+		"edited":         {func(b []byte) []byte { b[len(b)/2] ^= 1; return b }, 2},
+		"partial header": {func(b []byte) []byte { return b[:10] }, 0},
+		"trailing bytes": {func(b []byte) []byte { return append(b, "nonsense"...) }, 5},
 	} {
 		if err := os.WriteFile(path, c.change(slices.Clone(content)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		again := New(dir, 1<<20, codec)
 		if got := again.Open(member("a", 2)); len(got) != c.kept {
-			t.Errorf("%s: %d segments, not %d", name, len(got), c.kept)
+			t.Errorf("%s: Open returned %d segments, want %d", name, len(got), c.kept)
 		}
 		if all, _, err := ReadFile(path); err != nil || len(all) != c.kept {
-			t.Errorf("%s: not truncated: %d, %v", name, len(all), err)
+			t.Errorf("%s: file has %d segments, error %v after Open; want %d valid segments", name, len(all), err, c.kept)
 		}
 	}
 	if err := os.WriteFile(path, content, 0o600); err != nil {
@@ -145,23 +144,23 @@
 	}
 	small := New(dir, 100, codec)
 	if small.Open(member("a", 3)); small.file == nil {
-		t.Fatal("no file")
+		t.Fatal("Open has not started a file in a directory over its bound")
 	}
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
-		t.Error("old files stay over the bound")
+		t.Errorf("%s is not removed from a directory over its bound", path)
 	}
-	nowhere := New(filepath.Join(dir, "a-3"+Suffix, "x"), 100, codec)
-	nowhere.Open(member("a", 4))
-	all, _ := book.Cut(0)
+	unusable := New(filepath.Join(dir, "a-3"+Suffix, "x"), 100, codec)
+	unusable.Open(member("a", 4))
+	all, _ := writer.Cut(0)
 	for i := range all {
-		nowhere.Append(&all[i])
+		unusable.Append(&all[i])
 	}
-	if !nowhere.faultLogged {
-		t.Error("a directory that can't be is not logged")
+	if !unusable.faultLogged {
+		t.Error("a directory that cannot be created is not logged")
 	}
 }
 
-// member is a member of that name and incarnation.
+// member returns a member with a name and an incarnation.
 func member(name string, n uint64) takeover.Member {
 	return takeover.Member{Name: name, Incarnation: n}
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,10 +1,10 @@
-// Package frame splits the byte stream between members of a fleet into frames of bounded length with a checksum.
+// Package frame encodes and decodes frames of bounded length with a checksum, in which members of a fleet send and store data.
 //
-// A frame is a header of 16 bytes and a payload. The header has "DF", the version, the kind, the payload's length (4 bytes,
-// big endian), and the 64-bit xxHash of the header's first 8 bytes and the payload (8 bytes, big endian). Kinds belong to the
-// packages that use frames.
+// A frame is a header of 16 bytes and a payload. The header consists of "DF", the version (1 byte), the kind (1 byte), the
+// payload's length (4 bytes, big endian), and the 64-bit xxHash of the header's first 8 bytes and the payload (8 bytes, big
+// endian). The kinds are defined by the packages that use frames.
 //
-// The functions have no state: they may be called from any goroutine.
+// The functions have no state and may be called from any goroutine.
 package frame
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version is the version of the fleet's protocol: of the frame and of all that members send in it.
+// Version is the version of the protocol between members. It covers both frames and payloads.
 const Version = 2
 
 // Sizes in bytes.
@@ -33,24 +33,25 @@
 	checksumOffset = 8
 )
 
-// readStep is by how many bytes Read grows its buffer at a time.
+// readStep is the number of bytes by which Read grows its buffer.
 const readStep = 64 << 10
 
-// Errors after which a stream can't be read any further.
+// Errors after which a stream cannot be read any further.
 var (
-	ErrNotFrame = errors.New("no frame of a fleet")
-	ErrTooLong  = fmt.Errorf("payload over %d bytes", MaxPayload)
-	ErrChecksum = errors.New("checksum does not fit")
+	ErrNotFrame = errors.New("data does not start with a frame header")
+	ErrTooLong  = fmt.Errorf("payload is longer than %d bytes", MaxPayload)
+	ErrChecksum = errors.New("frame checksum does not match")
 )
 
-// VersionError is a frame of another version of the protocol.
+// VersionError reports a frame of another protocol version.
 type VersionError struct{ Version byte }
 
 func (e VersionError) Error() string {
-	return fmt.Sprintf("frame of version %d, this build speaks %d", e.Version, Version)
+	return fmt.Sprintf("frame has protocol version %d, this build supports version %d", e.Version, Version)
 }
 
-// PayloadSize returns the length in bytes of the payload behind a header, or ErrNotFrame, a VersionError or ErrTooLong.
+// PayloadSize returns the length in bytes of the payload that follows a header. The error is ErrNotFrame, a VersionError or
+// ErrTooLong.
 func PayloadSize(header []byte) (int, error) {
 	if len(header) < HeaderSize || header[0] != 'D' || header[1] != 'F' {
 		return 0, ErrNotFrame
@@ -65,7 +66,7 @@
 	return int(n), nil
 }
 
-// Append appends a frame to b. It returns ErrTooLong for a payload over MaxPayload.
+// Append appends a frame to b. It returns ErrTooLong for a payload longer than MaxPayload.
 func Append(b []byte, kind byte, payload []byte) ([]byte, error) {
 	if len(payload) > MaxPayload {
 		return b, ErrTooLong
@@ -86,8 +87,8 @@
 	return d.Sum64()
 }
 
-// Read reads one frame. Its memory grows with the bytes that have arrived, not with the length that the header claims. It
-// returns io.EOF at the end of the stream, io.ErrUnexpectedEOF within a frame, and the errors of PayloadSize or ErrChecksum.
+// Read reads one frame. It allocates memory as bytes arrive, so that a false length in a header does not exhaust memory. The error
+// is io.EOF at the end of the stream, io.ErrUnexpectedEOF at the end within a frame, an error of PayloadSize, or ErrChecksum.
 func Read(in io.Reader) (kind byte, payload []byte, err error) {
 	var header [HeaderSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// newFrame encodes a frame.
 func newFrame(t testing.TB, kind byte, payload string) []byte {
 	b, err := Append(nil, kind, []byte(payload))
 	if err != nil {
@@ -17,9 +18,9 @@
 }
 
 func TestReadRejectsInvalidFrames(t *testing.T) {
-	good := newFrame(t, 7, "some words")
-	change := func(at int, to byte) []byte {
-		b := bytes.Clone(good)
+	valid := newFrame(t, 7, "some words")
+	replaceByte := func(at int, to byte) []byte {
+		b := bytes.Clone(valid)
 		b[at] = to
 		return b
 	}
@@ -27,30 +28,30 @@
 		in   []byte
 		want error
 	}{
-		"good":             {good, nil},
-		"nothing":          {nil, io.EOF},
-		"cut head":         {good[:9], io.ErrUnexpectedEOF},
-		"cut payload":      {good[:HeaderSize+3], io.ErrUnexpectedEOF},
-		"no payload":       {good[:HeaderSize], io.ErrUnexpectedEOF},
-		"foreign":          {change(0, 'G'), ErrNotFrame},
-		"version":          {change(2, 9), VersionError{9}},
-		"kind":             {change(3, 8), ErrChecksum},
-		"length too small": {change(7, 3), ErrChecksum},
-		"length too large": {change(4, 0xff), ErrTooLong},
-		"payload":          {change(HeaderSize+2, 'x'), ErrChecksum},
-		"checksum":         {change(9, good[9]+1), ErrChecksum},
+		"valid frame":         {valid, nil},
+		"empty input":         {nil, io.EOF},
+		"truncated header":    {valid[:9], io.ErrUnexpectedEOF},
+		"truncated payload":   {valid[:HeaderSize+3], io.ErrUnexpectedEOF},
+		"missing payload":     {valid[:HeaderSize], io.ErrUnexpectedEOF},
+		"other magic bytes":   {replaceByte(0, 'G'), ErrNotFrame},
+		"other version":       {replaceByte(2, 9), VersionError{9}},
+		"changed kind":        {replaceByte(3, 8), ErrChecksum},
+		"length too small":    {replaceByte(7, 3), ErrChecksum},
+		"length over maximum": {replaceByte(4, 0xff), ErrTooLong},
+		"changed payload":     {replaceByte(HeaderSize+2, 'x'), ErrChecksum},
+		"changed checksum":    {replaceByte(9, valid[9]+1), ErrChecksum},
 	} {
 		kind, payload, err := Read(bytes.NewReader(c.in))
 		if !errors.Is(err, c.want) || c.want == nil && (kind != 7 || string(payload) != "some words") {
-			t.Errorf("%s: %d %q %v, want %v", name, kind, payload, err, c.want)
+			t.Errorf("%s: got kind %d, payload %q, error %v; want error %v", name, kind, payload, err, c.want)
 		}
 	}
 	if _, err := Append(nil, 1, make([]byte, MaxPayload+1)); !errors.Is(err, ErrTooLong) {
-		t.Errorf("a payload too long: %v", err)
+		t.Errorf("Append of a payload over MaxPayload: got error %v, want %v", err, ErrTooLong)
 	}
 }
 
-// Any input is read or rejected, and what is read encodes to the same bytes.
+// Read returns a frame or an error for arbitrary input, and a frame that it returns encodes to the input bytes again.
 func FuzzRead(f *testing.F) {
 	f.Add(newFrame(f, 1, "a"))
 	f.Add(newFrame(f, 0, ""))
@@ -60,15 +61,15 @@
 			return
 		}
 		if again := newFrame(t, kind, string(payload)); !bytes.HasPrefix(in, again) {
-			t.Fatalf("read %d %q from %x", kind, payload, in)
+			t.Fatalf("frame of kind %d with payload %q encodes differently from the input %x", kind, payload, in)
 		}
 	})
 }
 
-// A frame has the bytes that commit 2029d41 gave it, so that builds of before and after understand each other.
-func TestFrameBytesStayAsTheyWere(t *testing.T) {
+// The encoding of a frame equals that of commit 2029d41, so that builds from before and after it can exchange frames.
+func TestFrameEncodingIsStable(t *testing.T) {
 	const golden = "444602070000000ac8af35fd1e22d44f736f6d6520776f726473"
 	if got := hex.EncodeToString(newFrame(t, 7, "some words")); got != golden {
-		t.Errorf("%s, not %s", got, golden)
+		t.Errorf("got frame %s, want %s", got, golden)
 	}
 }
