--- a/internal/fleet/transport/doc.go
+++ b/internal/fleet/transport/doc.go
@@ -1,12 +1,13 @@
 // Package transport carries frames between the members of a fleet over TCP.
 //
-// Each connection carries frames one way, from the member that dialled it: replies come over a connection of the other
-// member's own. Its first frame is a hello, which names the fleet and the sender. Delivery is at most once and unordered
-// across connections: a frame is dropped when its peer's queue is full or the connection breaks, and whoever needs it
-// sends it again.
+// Each connection carries frames in one direction, from the member that dialed it. Replies use a connection that the other
+// member has dialed. The first frame is a hello with the fleet's identifier and the sender. Delivery is at most once and
+// unordered across connections: a frame is dropped when its peer's queue is full or the connection breaks. Callers resend what
+// they still need.
 //
-// A connection whose first frame is an administrative request belongs to an operator's program and is answered on itself.
+// A connection whose first frame is an administrative request comes from an operator's program. The answer is sent on the same
+// connection.
 //
-// Goroutines: one per peer sends, one per accepted connection reads and calls the handlers. The handler of a connection
-// runs before its next frame is read, so that a member that floods waits for itself.
+// One goroutine per peer sends, and one per accepted connection reads frames and calls the handlers. The next frame of a
+// connection is read after the handler returns, so a member that floods is slowed down without delaying others.
 package transport
--- a/internal/fleet/transport/peer.go
+++ b/internal/fleet/transport/peer.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	peerQueueSize = 1024 // frames
+	peerQueueSize = 1024 // frames that wait for one peer; when the queue is full, new frames are dropped
 	dialTimeout   = 300 * time.Millisecond
 	writeTimeout  = time.Second
-	redialDelay   = 50 * time.Millisecond
-	bufferBytes   = 64 << 10 // of a connection's reader or writer
+	redialDelay   = 50 * time.Millisecond // pause after a failed connection or a failed accept
+	bufferBytes   = 64 << 10              // size of a connection's read or write buffer
 )
 
-// errReconnect ends a connection whose sender or address is no longer valid; what is queued goes over a new one.
+// errReconnect ends a connection after a change of the sender's incarnation or the peer's address. Queued frames are sent over a
+// new connection.
 var errReconnect = errors.New("the sender or the peer's address has changed")
 
-// peer sends the frames for one name. A single goroutine, run, takes them from the queue.
+// peer sends frames to the member with one name. Only the goroutine of run receives from the queue.
 type peer struct {
 	transport *Transport
 	name      string
 	queue     chan outgoing
 }
 
-// outgoing is a frame with the incarnation on whose behalf it is sent.
+// outgoing is an encoded frame with the incarnation of this process that queued it.
 type outgoing struct {
 	sender takeover.Member
 	frame  []byte
 }
 
-// run sends what is queued until ctx ends, over a connection that is dialled again when it breaks.
+// run sends queued frames until ctx ends. When the connection breaks, the next frame is sent over a new connection.
 func (p *peer) run(ctx context.Context) {
 	var first *outgoing
 	for ctx.Err() == nil {
@@ -62,7 +63,7 @@
 	}
 }
 
-// dropQueued empties the queue: what was queued while the peer could not be reached is out of date.
+// dropQueued empties the queue, since frames that were queued while the peer was unreachable are out of date.
 func (p *peer) dropQueued() {
 	for {
 		select {
@@ -73,8 +74,8 @@
 	}
 }
 
-// sendOver dials the peer and sends next and what is queued, all on behalf of one incarnation to one address. With
-// errReconnect it returns a frame that is to be sent over another connection.
+// sendOver dials the peer and sends next and the queued frames until the connection ends. All frames on a connection are from one
+// incarnation to one address. With errReconnect it returns a frame to send over the next connection, if there is one.
 func (p *peer) sendOver(ctx context.Context, next *outgoing) (*outgoing, error) {
 	address := p.transport.handlers.AddressOf(p.name)
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -85,7 +86,7 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	closed := make(chan struct{})
-	go func() { // the peer sends nothing on this connection: a read ends when the connection does
+	go func() { // the peer sends nothing on this connection, so a read returns only when the connection ends
 		io.Copy(io.Discard, conn)
 		close(closed)
 	}()
@@ -116,7 +117,7 @@
 	}
 }
 
-// writeHello writes the first frame of a connection.
+// writeHello writes the hello, the first frame of a connection.
 func (p *peer) writeHello(out *bufio.Writer, self takeover.Member) error {
 	payload, err := p.transport.codec.Marshal(hello{FleetID: p.transport.fleetID, From: self})
 	if err != nil {
@@ -130,8 +131,8 @@
 	return err
 }
 
-// writeQueued writes next and all that is queued behind it. A frame of an earlier incarnation of this process is dropped, so
-// that it is not taken for one of the present incarnation; with a frame of a later one it returns errReconnect.
+// writeQueued writes next and the queued frames. It drops frames from earlier incarnations of this process, since the peer would
+// attribute them to the connection's incarnation. At a frame from a later incarnation it returns that frame and errReconnect.
 func (p *peer) writeQueued(out *bufio.Writer, self takeover.Member, next *outgoing) (*outgoing, error) {
 	for next != nil {
 		switch {
--- a/internal/fleet/transport/server.go
+++ b/internal/fleet/transport/server.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	helloTimeout          = 2 * time.Second // for the first frame of a connection
-	maxConnectionsPerName = 4
-	maxAdminConnections   = 8 // operators at a time
+	helloTimeout          = 2 * time.Second // bound on the wait for the first frame of a connection
+	maxConnectionsPerName = 4               // accepted connections open at a time from members with one name
+	maxAdminConnections   = 8               // administrative requests answered at a time
 )
 
-// Errors of a connection whose first frame is no valid hello.
+// Errors for which a connection is rejected after its hello.
 var (
-	ErrOtherFleet         = errors.New("of another fleet: its members have other names")
-	ErrNotMember          = errors.New("no member of this fleet")
-	ErrTooManyConnections = errors.New("too many connections")
+	ErrOtherFleet         = errors.New("sender belongs to a fleet with other configured member names")
+	ErrNotMember          = errors.New("sender is not a configured member of this fleet")
+	ErrTooManyConnections = errors.New("too many connections from this member")
 )
 
-var errTooManyAdminConnections = errors.New("too many operators' requests at a time")
+var errTooManyAdminConnections = errors.New("too many concurrent administrative requests")
 
 // Serve accepts connections until ctx ends or the listener is closed. It closes the listener.
 func (t *Transport) Serve(ctx context.Context, listener net.Listener) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// serveConnection reads the frames of one connection and hands each to its handler before it reads the next.
+// serveConnection reads the frames of one connection and calls the handler for each before it reads the next.
 func (t *Transport) serveConnection(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
@@ -80,7 +80,7 @@
 	}
 }
 
-// serveAdmin answers an operator's request, unless too many are being answered.
+// serveAdmin answers an administrative request, unless maxAdminConnections are being answered.
 func (t *Transport) serveAdmin(conn net.Conn, payload []byte) {
 	t.mu.Lock()
 	accepted := t.adminConnections < maxAdminConnections
@@ -100,14 +100,14 @@
 	t.handlers.HandleAdmin(conn, payload)
 }
 
-// acceptHello reads who has dialled, and counts the connection. releaseConnection has to follow, unless it fails.
+// acceptHello decodes and checks a hello, and counts the connection. Unless it fails, the caller must call releaseConnection.
 func (t *Transport) acceptHello(kind protocol.Kind, payload []byte) (from takeover.Member, err error) {
 	var h hello
 	switch err := t.codec.Unmarshal(payload, &h); {
 	case kind != protocol.KindHello:
-		return from, fmt.Errorf("frame of kind %d before a hello", kind)
+		return from, fmt.Errorf("first frame has kind %d, want a hello", kind)
 	case err != nil:
-		return from, fmt.Errorf("hello: %w", err)
+		return from, fmt.Errorf("decode hello: %w", err)
 	case h.FleetID != t.fleetID:
 		return h.From, ErrOtherFleet
 	case !t.names[h.From.Name]:
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// logInterval is the least time between two log lines that reject the same peer for the same reason.
+	// logInterval is the minimum time between two log lines about one peer with one reason.
 	logInterval = 10 * time.Second
-	// maxLoggedReasons bounds the memory of logged reasons.
+	// maxLoggedReasons bounds the number of pairs of peer and reason whose last log time is stored.
 	maxLoggedReasons = 1000
 )
 
-// Handlers are what a transport needs of its member. They are called from several goroutines.
+// Handlers are the functions of a member that its transport calls. They are called from several goroutines.
 type Handlers struct {
-	// Self is the incarnation that this process is now.
+	// Self returns this process's current incarnation.
 	Self func() takeover.Member
-	// AddressOf is the address at which a member listens now.
+	// AddressOf returns the current address of a member.
 	AddressOf func(name string) string
-	// HandleFrame takes a frame of another member.
+	// HandleFrame processes a frame from another member.
 	HandleFrame func(from takeover.Member, kind protocol.Kind, payload []byte)
-	// HandleAdmin answers an operator's request on its connection, which is closed afterwards.
+	// HandleAdmin answers an administrative request on its connection, which is closed afterwards.
 	HandleAdmin func(conn net.Conn, payload []byte)
 }
 
@@ -53,12 +53,12 @@
 
 	mu               sync.Mutex
 	peers            map[string]*peer
-	connections      map[string]int // accepted from each name
-	adminConnections int
-	loggedAt         map[string]time.Time // by peer and reason
+	connections      map[string]int       // open accepted connections by member name
+	adminConnections int                  // administrative requests being answered
+	loggedAt         map[string]time.Time // time of the last log line by peer and reason
 }
 
-// New makes a transport between the members of these names.
+// New returns a transport between the members with these names.
 func New(codec *protocol.Codec, memberNames []string, handlers Handlers) *Transport {
 	t := &Transport{
 		codec: codec, fleetID: protocol.FleetID(memberNames), names: map[string]bool{}, handlers: handlers,
@@ -70,10 +70,11 @@
 	return t
 }
 
-// FleetID is the number of the fleet that the transport connects.
+// FleetID returns the identifier of the fleet that the transport connects.
 func (t *Transport) FleetID() uint64 { return t.fleetID }
 
-// Send queues a frame for a member, or drops it where the queue is full. It does not block. Frames are sent until ctx ends.
+// Send queues a frame for a member without blocking, and drops the frame if the queue is full. Frames are sent to a member until
+// the ctx of the first Send to that member ends.
 func (t *Transport) Send(ctx context.Context, name string, kind protocol.Kind, payload []byte) {
 	encoded, err := frame.Append(nil, byte(kind), payload)
 	if err != nil {
@@ -94,7 +95,7 @@
 	}
 }
 
-// LogRejected logs why frames of a peer were rejected, each reason at most once per logInterval.
+// LogRejected logs why frames from a peer were rejected, at most once per logInterval for each reason.
 func (t *Transport) LogRejected(address, name string, cause error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -13,55 +13,57 @@
 	"damsonscale/internal/takeover"
 )
 
-// member is a member of that name and incarnation.
+// member returns a member with a name and an incarnation.
 func member(name string, n uint64) takeover.Member {
 	return takeover.Member{Name: name, Incarnation: n}
 }
 
-// A connection of a stranger is rejected by its hello.
-func TestHello(t *testing.T) {
+// A hello is accepted only as the first frame, from a configured member of the receiver's fleet, and for a limited number of
+// connections per member.
+func TestInvalidHelloIsRejected(t *testing.T) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
 	receiver := New(codec, []string{"a", "b", "c"}, Handlers{})
 	accept := func(kind protocol.Kind, v any) error {
-		text, _ := codec.Marshal(v)
-		f, _ := frame.Append(nil, byte(kind), text)
+		encoded, _ := codec.Marshal(v)
+		f, _ := frame.Append(nil, byte(kind), encoded)
 		near, far := net.Pipe()
 		go func() { near.Write(f); near.Close() }()
-		sent, payload, err := frame.Read(far)
+		readKind, payload, err := frame.Read(far)
 		if err == nil {
-			_, err = receiver.acceptHello(protocol.Kind(sent), payload)
+			_, err = receiver.acceptHello(protocol.Kind(readKind), payload)
 		}
 		return err
 	}
-	good := hello{FleetID: protocol.FleetID([]string{"c", "b", "a"}), From: member("b", 1)}
-	other, stranger := good, good
-	other.FleetID++
-	stranger.From.Name = "d"
+	valid := hello{FleetID: protocol.FleetID([]string{"c", "b", "a"}), From: member("b", 1)}
+	otherFleet, unknownMember := valid, valid
+	otherFleet.FleetID++
+	unknownMember.From.Name = "d"
 	for name, c := range map[string]struct {
-		kind protocol.Kind
-		v    any
-		ok   bool
+		kind       protocol.Kind
+		v          any
+		wantAccept bool
 	}{
-		"good": {protocol.KindHello, good, true}, "another fleet": {protocol.KindHello, other, false}, "a stranger": {protocol.KindHello, stranger, false},
-		"no hello": {protocol.KindLeaseRequest, good, false}, "nonsense": {protocol.KindHello, "x", false}, "too deep": {protocol.KindHello, [][][]int{{{1}}}, false},
+		"valid hello": {protocol.KindHello, valid, true}, "another fleet": {protocol.KindHello, otherFleet, false}, "unknown member": {protocol.KindHello, unknownMember, false},
+		"other kind": {protocol.KindLeaseRequest, valid, false}, "text payload": {protocol.KindHello, "x", false}, "nested arrays": {protocol.KindHello, [][][]int{{{1}}}, false},
 	} {
-		if err := accept(c.kind, c.v); (err == nil) != c.ok {
-			t.Errorf("%s: %v", name, err)
+		if err := accept(c.kind, c.v); (err == nil) != c.wantAccept {
+			t.Errorf("%s: got error %v, want the hello accepted: %t", name, err, c.wantAccept)
 		}
 	}
 	for range maxConnectionsPerName {
-		accept(protocol.KindHello, good)
+		accept(protocol.KindHello, valid)
 	}
-	if accept(protocol.KindHello, good) == nil {
-		t.Error("too many connections are accepted")
+	if accept(protocol.KindHello, valid) == nil {
+		t.Errorf("a connection over the limit of %d is accepted", maxConnectionsPerName)
 	}
 }
 
-// What a process sends after it has rejoined is sent on behalf of the new incarnation, and nothing more on behalf of the old one.
-func TestFramesAreSentForTheirIncarnation(t *testing.T) {
+// Frames that a process sends after it has rejoined arrive with its new incarnation as the sender, without another frame from the
+// old incarnation.
+func TestFramesCarryTheSendersIncarnation(t *testing.T) {
 	c, err := protocol.NewCodec()
 	if err != nil {
 		t.Fatal(err)
@@ -91,16 +93,16 @@
 		select {
 		case h := <-got:
 			if h.from != now || h.text != "b"+string(rune('1'+n)) {
-				t.Fatalf("%+v after %+v", h, now)
+				t.Fatalf("got frame %+v, want the frame of sender %+v", h, now)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("what %+v has sent has not come", now)
+			t.Fatalf("frame of sender %+v has not arrived within 10 s", now)
 		}
 	}
 }
 
-// A hello has the bytes that commit 2029d41 gave it, and they are read as the same value.
-func TestHelloBytesStayAsTheyWere(t *testing.T) {
+// The encoding of a hello equals that of commit 2029d41 and decodes to the original value.
+func TestHelloEncodingIsStable(t *testing.T) {
 	const golden = "8201826466726f6d02"
 	codec, err := protocol.NewCodec()
 	if err != nil {
@@ -109,10 +111,10 @@
 	sample := hello{FleetID: 1, From: member("from", 2)}
 	encoded, err := codec.Marshal(sample)
 	if got := hex.EncodeToString(encoded); err != nil || got != golden {
-		t.Errorf("%s, not %s: %v", got, golden, err)
+		t.Errorf("got encoding %s, error %v; want %s", got, err, golden)
 	}
 	var read hello
 	if err := codec.Unmarshal(encoded, &read); err != nil || !reflect.DeepEqual(read, sample) {
-		t.Errorf("%+v, not %+v: %v", read, sample, err)
+		t.Errorf("got hello %+v, error %v; want %+v", read, err, sample)
 	}
 }
