--- a/cmd/damsonscale-lab/chain.go
+++ b/cmd/damsonscale-lab/chain.go
@@ -54,7 +54,7 @@
 	if err := c.write(r); err != nil {
 		return err
 	}
-	if !r.PromisesKept() {
+	if !r.GuaranteesMet() {
 		return errBroken
 	}
 	return nil
--- a/cmd/damsonscale-lab/scale.go
+++ b/cmd/damsonscale-lab/scale.go
@@ -43,7 +43,7 @@
 		return fleetscale.Config{}, err
 	}
 	c := fleetscale.Config{
-		Real: f.Real, Hollow: hollow, CellSize: f.CellSize, For: f.For, Changes: f.Changes, ListChanges: f.ListChanges, Servers: f.Servers,
+		Real: f.Real, Hollow: hollow, CellSize: f.CellSize, Duration: f.For, SettingsPerSecond: f.Changes, ListChangesPerSecond: f.ListChanges, Servers: f.Servers,
 		Lease: f.Lease, Audit: f.Audit, Fault: f.Fault, MemoryMB: f.MemoryMB, PerProcess: f.PerProcess, CountedCells: f.CountedCells, Cores: f.Cores,
 		Binary: p.binary, Dir: dir, Worker: []string{here, "--binary", p.binary, "scale", "worker"},
 	}.Defaults()
@@ -73,7 +73,7 @@
 	if f.JSON == "" {
 		return nil
 	}
-	return fleetscale.Write(f.JSON, v)
+	return fleetscale.WriteJSON(f.JSON, v)
 }
 
 type scaleSweep struct {
@@ -97,13 +97,13 @@
 		}
 		r.Print(os.Stdout)
 		if all = append(all, r); c.JSON != "" { // what was measured is kept, whatever becomes of the rest
-			if err := fleetscale.Write(c.JSON, all); err != nil {
+			if err := fleetscale.WriteJSON(c.JSON, all); err != nil {
 				return err
 			}
 		}
 		p.forget()
 	}
-	slopes, left, err := fleetscale.Slopes(all)
+	slopes, left, err := fleetscale.FitSlopes(all)
 	if err != nil {
 		return err
 	}
@@ -117,11 +117,11 @@
 
 func (c *scaleSlopes) Run(p *player) error {
 	defer p.forget()
-	all, err := fleetscale.Read(c.Files)
+	all, err := fleetscale.ReadReports(c.Files)
 	if err != nil {
 		return err
 	}
-	slopes, left, err := fleetscale.Slopes(all)
+	slopes, left, err := fleetscale.FitSlopes(all)
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return err
 	}
-	all, err := fleetscale.Lists(p.ctx, fleetscale.ListsConfig{Sizes: c.Sizes, For: c.For, Changes: c.Changes, Binary: p.binary, Dir: p.dir})
+	all, err := fleetscale.MeasureLists(p.ctx, fleetscale.ListsConfig{Sizes: c.Sizes, Duration: c.For, ChangesPerSecond: c.Changes, Binary: p.binary, Dir: p.dir})
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	if c.JSON == "" {
 		return nil
 	}
-	return fleetscale.Write(c.JSON, all)
+	return fleetscale.WriteJSON(c.JSON, all)
 }
 
 type scaleWorker struct{}
--- a/cmd/damsonscale-lab/scale_test.go
+++ b/cmd/damsonscale-lab/scale_test.go
@@ -66,7 +66,7 @@
 		t.Error("interrupted: exit", code)
 	}
 	empty("an interrupted run")
-	all, err := fleetscale.Read([]string{figures, figures})
+	all, err := fleetscale.ReadReports([]string{figures, figures})
 	if err != nil || len(all) != 2 || all[0].Leases != 3 || all[0].Members != 3 {
 		t.Errorf("%+v %v", all, err)
 	}
--- a/cmd/damsonscale/descriptors_test.go
+++ b/cmd/damsonscale/descriptors_test.go
@@ -42,7 +42,7 @@
 
 func newDiscoveryOutage(t *testing.T, mode string) *discoveryOutage {
 	t.Helper()
-	fd, addr := standin.Bound(t, 0) // the port stays bound and refuses connections until listen
+	fd, addr := standin.BindLoopback(t, 0) // the port stays bound and refuses connections until listen
 	o := &discoveryOutage{addr: addr, fd: fd, mode: mode, listSent: make(chan struct{})}
 	if mode == refuses {
 		t.Cleanup(func() {
@@ -102,7 +102,7 @@
 	o.callsDuringOutage.Add(1)
 	switch o.mode {
 	case fails:
-		standin.Say(c, 503, "", "")
+		standin.WriteResponse(c, 503, "", "")
 	case trickles:
 		for _, b := range []byte(head) {
 			if _, err := c.Write([]byte{b}); err != nil {
@@ -246,7 +246,7 @@
 			for i := range 3 {
 				s := standin.NewServer(t, func(c *net.TCPConn, _ *http.Request) bool {
 					time.Sleep(100 * time.Millisecond)
-					return standin.Say(c, 200, "", "before")
+					return standin.WriteResponse(c, 200, "", "before")
 				})
 				hosts = append(hosts, hostAt(fmt.Sprint("s", i), s.Addr, "Ready"))
 			}
@@ -292,7 +292,7 @@
 					t.Errorf("new client during the outage: got status %d and body %q after %v, want 200 and \"before\"", s, body, took)
 				}
 			}
-			next := standin.NewServer(t, func(c *net.TCPConn, _ *http.Request) bool { return standin.Say(c, 200, "", "next") })
+			next := standin.NewServer(t, func(c *net.TCPConn, _ *http.Request) bool { return standin.WriteResponse(c, 200, "", "next") })
 			restored := time.Now()
 			d.restore(t, list{Seq: 9, Whole: true, Hosts: []host{hostAt("next", next.Addr, "Ready")}})
 			select {
--- a/cmd/damsonscale/disconnect_test.go
+++ b/cmd/damsonscale/disconnect_test.go
@@ -156,7 +156,7 @@
 
 // unreadRequest sends the requests to a program that is stopped already.
 func (s *setup) unreadRequest(t *testing.T) *waitScenario {
-	server := standin.NewServer(t, standin.Yes)
+	server := standin.NewServer(t, standin.EchoRequestID)
 	w := &waitScenario{p: s.startProgram(t, server, server.Addr, "", ""), s: server}
 	w.send = func(t *testing.T, all []*disconnectingClient) {
 		w.p.pause(t)
@@ -202,7 +202,7 @@
 // behindColdServer keeps the requests waiting in the balancer for the slow start ration of a cold server, until the list has another
 // server.
 func (s *setup) behindColdServer(t *testing.T) *waitScenario {
-	cold, server := standin.NewServer(t, standin.Yes), standin.NewServer(t, standin.Yes)
+	cold, server := standin.NewServer(t, standin.EchoRequestID), standin.NewServer(t, standin.EchoRequestID)
 	d, h := startDiscovery(t), hostAt("s1", cold.Addr, "Ready")
 	h.Born = time.Now().UnixMilli()
 	p := start(t, d.addr, nil, func(c map[string]any) {
@@ -236,8 +236,8 @@
 
 // duringDial keeps the requests waiting for connections to the server.
 func (s *setup) duringDial(t *testing.T) *waitScenario {
-	server := standin.NewServer(t, standin.Yes)
-	addr, accept := standin.Crowded(t, server.Addr)
+	server := standin.NewServer(t, standin.EchoRequestID)
+	addr, accept := standin.FullBacklogProxy(t, server.Addr)
 	p := s.startProgram(t, server, addr, `"DialTimeoutUs":250000`, `"DialTimeoutUs":19000000`)
 	return &waitScenario{p: p, s: server, unblock: func(*testing.T, []*disconnectingClient) { accept() }}
 }
@@ -247,7 +247,7 @@
 	release := make(chan bool)
 	server := standin.NewServer(t, func(c *net.TCPConn, r *http.Request) bool {
 		if !strings.HasPrefix(r.Header.Get("Req-Id"), "client") {
-			return standin.Yes(c, r)
+			return standin.EchoRequestID(c, r)
 		}
 		<-release
 		return answer(c)
@@ -257,14 +257,14 @@
 	w.send = func(t *testing.T, all []*disconnectingClient) {
 		sendAll(t, all)
 		for _, l := range all {
-			eventually(t, "the attempt of "+l.id+" to reach the server", func() bool { return server.Got(l.id) == 1 })
+			eventually(t, "the attempt of "+l.id+" to reach the server", func() bool { return server.RequestCount(l.id) == 1 })
 		}
 	}
 	return w
 }
 
 func (s *setup) betweenAttemptsDeclined(t *testing.T) *waitScenario {
-	return s.betweenAttempts(t, func(c *net.TCPConn) bool { return standin.Say(c, 503, standin.Declined, "") })
+	return s.betweenAttempts(t, func(c *net.TCPConn) bool { return standin.WriteResponse(c, 503, standin.DeclinedHeader, "") })
 }
 
 func (s *setup) betweenAttemptsClosed(t *testing.T) *waitScenario {
@@ -310,7 +310,7 @@
 					w.p.signal(syscall.SIGTERM)
 					w.p.waitExit(t) // no attempt can follow
 					for _, l := range all {
-						if n := w.s.Got(l.id); n != w.attemptsBefore {
+						if n := w.s.RequestCount(l.id); n != w.attemptsBefore {
 							t.Errorf("%s (reset %v, pipelined %v): server got %d attempts, want %d", l.id, l.reset, l.pipelined, n, w.attemptsBefore)
 						}
 					}
--- a/cmd/damsonscale/discovery_faults_test.go
+++ b/cmd/damsonscale/discovery_faults_test.go
@@ -64,8 +64,8 @@
 	}
 	d.removed = !d.removed
 	d.mu.Unlock()
-	d.registry.List(d.seq, encodeList(l))
-	d.other.List(d.seq, encodeList(l))
+	d.registry.SetList(d.seq, encodeList(l))
+	d.other.SetList(d.seq, encodeList(l))
 	d.logEvent("list version %d, second server removed %v", d.seq, d.removed)
 }
 
@@ -95,13 +95,13 @@
 
 // playEvent plays one randomly drawn event.
 func (d *faultTimeline) playEvent(t *testing.T, _ bool) {
-	callFaults := []standin.Fault{standin.Busy, standin.Resets, standin.Hangs, standin.Heads, standin.Halves, standin.Garbles, standin.Trickles, standin.Ends}
+	callFaults := []standin.Fault{standin.RespondUnavailable, standin.ResetConnections, standin.NeverRespond, standin.StallAfterHeaders, standin.StallWithinList, standin.SendInvalidList, standin.TrickleHeaders, standin.EndAfterHeaders}
 	mayFail := time.Now().After(d.noFaultsBefore)
 	switch event := d.random.IntN(11); {
 	case event < 4:
 		d.toggleSecondServer()
 	case event < 7 && mayFail:
-		how, fault, calls := standin.Break(d.random.IntN(4)), callFaults[d.random.IntN(len(callFaults))], d.random.IntN(3)
+		how, fault, calls := standin.WatchBreak(d.random.IntN(4)), callFaults[d.random.IntN(len(callFaults))], d.random.IntN(3)
 		d.logEvent("open watches end, kind %d, then %d calls meet fault %d", how, calls, fault)
 		d.noFaultsBefore = time.Now().Add(faultSpacing)
 		d.registry.BreakWatches(how, fault, calls)
@@ -109,12 +109,12 @@
 			d.toggleSecondServer()
 		}
 	case event == 7 && mayFail:
-		fault := []standin.Fault{standin.Refuses, standin.Hangs, standin.Busy, standin.Trickles, standin.Resets}[d.random.IntN(5)]
+		fault := []standin.Fault{standin.RefuseConnections, standin.NeverRespond, standin.RespondUnavailable, standin.TrickleHeaders, standin.ResetConnections}[d.random.IntN(5)]
 		d.runOutage(t, fault, time.Duration(1+d.random.IntN(7))*time.Second)
 	case event == 8 && mayFail && d.seq > 41:
 		d.logEvent("open watches end, then one call gets an older list")
 		d.noFaultsBefore = time.Now().Add(faultSpacing)
-		d.registry.BreakWatches(standin.Ended, standin.Older, 1)
+		d.registry.BreakWatches(standin.WatchEnded, standin.SendPreviousList, 1)
 	case event == 9 && mayFail:
 		d.restartProcess(t)
 	case event == 10 && mayFail:
@@ -133,11 +133,11 @@
 	d.mu.Lock()
 	d.reachableAt = time.Time{}
 	d.mu.Unlock()
-	d.registry.Fail(fault)
+	d.registry.InjectFault(fault)
 	time.Sleep(lasts / 2)
 	d.toggleSecondServer()
 	time.Sleep(lasts / 2)
-	restored := d.registry.Return(t)
+	restored := d.registry.Recover(t)
 	d.mu.Lock()
 	d.reachableAt = restored
 	d.mu.Unlock()
@@ -149,7 +149,7 @@
 func (d *faultTimeline) moveDiscovery(t *testing.T, fault standin.Fault, calls int) {
 	d.logEvent("discovery moves, then %d calls meet fault %d", calls, fault)
 	d.registry, d.other = d.other, d.registry
-	d.registry.BreakWatches(standin.Silent, fault, calls)
+	d.registry.BreakWatches(standin.WatchSilent, fault, calls)
 	d.reload(t, d.registry.Addr)
 	now := time.Now()
 	d.mu.Lock()
@@ -177,11 +177,11 @@
 func playRandomTimeline(t *testing.T, seed uint64) (violations []string) {
 	random := rand.New(rand.NewPCG(seed, 45))
 	balancers, pushed := []int{1, 30, 300, 900}[random.IntN(4)], random.IntN(4) == 0
-	d := &faultTimeline{random: random, seq: 41, loadedSidecar: newLoadedSidecar(t, standin.Good, balancers, pushed)}
+	d := &faultTimeline{random: random, seq: 41, loadedSidecar: newLoadedSidecar(t, standin.NoFault, balancers, pushed)}
 	d.leaving.onRequest = d.checkRequest
-	d.other = standin.NewRegistry(t, standin.Good)
+	d.other = standin.NewRegistry(t, standin.NoFault)
 	for _, r := range []*standin.Registry{d.registry, d.other} {
-		r.List(41, encodeList(d.initialList()))
+		r.SetList(41, encodeList(d.initialList()))
 	}
 	d.began = time.Now()
 	d.started, d.reachableAt = d.began, d.began
--- a/cmd/damsonscale/discovery_outage_test.go
+++ b/cmd/damsonscale/discovery_outage_test.go
@@ -18,7 +18,7 @@
 // it: an attempt at the address of a server that is supposed to be gone would otherwise hang at the unresponsive discovery.
 func refusingAddr(t *testing.T) string {
 	t.Helper()
-	fd, addr := standin.Bound(t, 0)
+	fd, addr := standin.BindLoopback(t, 0)
 	t.Cleanup(func() { syscall.Close(fd) })
 	return addr
 }
--- a/cmd/damsonscale/endpoint_updates_test.go
+++ b/cmd/damsonscale/endpoint_updates_test.go
@@ -47,7 +47,7 @@
 func startLoadedSidecar(t *testing.T, fault standin.Fault, balancers int, pushed bool) *loadedSidecar {
 	t.Helper()
 	a := newLoadedSidecar(t, fault, balancers, pushed)
-	a.registry.List(41, encodeList(a.initialList()))
+	a.registry.SetList(41, encodeList(a.initialList()))
 	a.startUnderLoad(t, balancers, pushed)
 	eventually(t, "a request at the server that the change removes", func() bool { return a.leaving.last.Load() > 0 })
 	return a
@@ -127,7 +127,7 @@
 
 // removeServer publishes a list without the second server in r.
 func (a *loadedSidecar) removeServer(r *standin.Registry) {
-	r.List(50, encodeList(&list{Seq: 50, Whole: true, Hosts: []host{hostAt("s1", a.remaining, "Ready")}}))
+	r.SetList(50, encodeList(&list{Seq: 50, Whole: true, Hosts: []host{hostAt("s1", a.remaining, "Ready")}}))
 }
 
 // checkNoLateRequests checks that the removed server gets no request later than updateDeadline after the change.
@@ -150,8 +150,8 @@
 // later than stopSendingGrace after that, and that no request fails.
 func (a *loadedSidecar) checkChangeAppliedInTime(t *testing.T) {
 	t.Helper()
-	at, ok := a.registry.Told(50)
-	for end := a.reachableAt.Add(updateDeadline + time.Second); !ok && time.Now().Before(end); at, ok = a.registry.Told(50) {
+	at, ok := a.registry.FirstSent(50)
+	for end := a.reachableAt.Add(updateDeadline + time.Second); !ok && time.Now().Before(end); at, ok = a.registry.FirstSent(50) {
 		time.Sleep(time.Millisecond)
 	}
 	took := at.Sub(a.reachableAt)
@@ -180,8 +180,8 @@
 		pushed    bool
 	}{{1, false}, {300, false}, {18_000, false}, {300, true}}
 	for name, fault := range map[string]standin.Fault{
-		"refuses": standin.Refuses, "hangs": standin.Hangs, "trickles": standin.Trickles, "busy": standin.Busy, "resets": standin.Resets,
-		"garbles": standin.Garbles, "ends": standin.Ends, "each fault in turn": standin.Mixed,
+		"refuses": standin.RefuseConnections, "hangs": standin.NeverRespond, "trickles": standin.TrickleHeaders, "busy": standin.RespondUnavailable, "resets": standin.ResetConnections,
+		"garbles": standin.SendInvalidList, "ends": standin.EndAfterHeaders, "each fault in turn": standin.MixedFaults,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -193,11 +193,11 @@
 			var done sync.WaitGroup
 			for _, a := range all {
 				done.Go(func() {
-					if fault != standin.Refuses {
+					if fault != standin.RefuseConnections {
 						a.waitForCall()
 					}
 					a.removeServer(a.registry)
-					a.reachableAt = a.registry.Return(t)
+					a.reachableAt = a.registry.Recover(t)
 					a.checkChangeAppliedInTime(t)
 				})
 			}
@@ -211,7 +211,7 @@
 func TestChangesAfterASilentWatchAreAppliedInTime(t *testing.T) {
 	t.Parallel()
 	silenceOnce := func(a *loadedSidecar) {
-		a.registry.Fall(standin.Good)
+		a.registry.SilenceWatches(standin.NoFault)
 		eventually(t, "a watch to replace the silent one", func() bool { return a.registry.Calls() > 1 })
 	}
 	var done sync.WaitGroup
@@ -222,13 +222,13 @@
 	}{
 		{1, false, nil}, {300, false, nil}, {18_000, false, nil}, {300, true, nil}, {300, false, silenceOnce}, {18_000, false, silenceOnce},
 	} {
-		a := startLoadedSidecar(t, standin.Good, f.balancers, f.pushed)
+		a := startLoadedSidecar(t, standin.NoFault, f.balancers, f.pushed)
 		done.Go(func() {
 			eventually(t, "a watch", func() bool { return a.registry.Calls() > 0 })
 			if f.before != nil {
 				f.before(a)
 			}
-			a.reachableAt = a.registry.Fall(standin.Good)
+			a.reachableAt = a.registry.SilenceWatches(standin.NoFault)
 			a.removeServer(a.registry)
 			a.checkChangeAppliedInTime(t)
 		})
@@ -243,21 +243,21 @@
 	t.Parallel()
 	for name, injectFault := range map[string]func(a *loadedSidecar){
 		"a silent watch whose new call hangs": func(a *loadedSidecar) {
-			a.registry.Fall(standin.Hangs)
+			a.registry.SilenceWatches(standin.NeverRespond)
 			a.waitForCall()
 		},
 		"a move whose first call hangs": func(a *loadedSidecar) {
-			a.registry = standin.NewRegistry(t, standin.Hangs)
+			a.registry = standin.NewRegistry(t, standin.NeverRespond)
 			a.reload(t, a.registry.Addr)
 			a.waitForCall()
 		},
 		"a move to an address that refuses connections": func(a *loadedSidecar) {
-			a.registry = standin.NewRegistry(t, standin.Refuses)
+			a.registry = standin.NewRegistry(t, standin.RefuseConnections)
 			a.reload(t, a.registry.Addr)
 			a.waitForLog(t, "connection refused")
 		},
 		"a move whose first call gets a 503": func(a *loadedSidecar) {
-			a.registry = standin.NewRegistry(t, standin.Busy)
+			a.registry = standin.NewRegistry(t, standin.RespondUnavailable)
 			a.reload(t, a.registry.Addr)
 			a.waitForCall()
 		},
@@ -269,12 +269,12 @@
 				balancers int
 				pushed    bool
 			}{{1, false}, {300, false}, {18_000, false}, {300, true}} {
-				a := startLoadedSidecar(t, standin.Good, f.balancers, f.pushed)
+				a := startLoadedSidecar(t, standin.NoFault, f.balancers, f.pushed)
 				eventually(t, "a watch", func() bool { return a.registry.Calls() > 0 })
 				done.Go(func() {
 					injectFault(a)
 					a.removeServer(a.registry)
-					a.reachableAt = a.registry.Return(t)
+					a.reachableAt = a.registry.Recover(t)
 					a.checkChangeAppliedInTime(t)
 				})
 			}
@@ -293,12 +293,12 @@
 	for name, c := range map[string]struct {
 		fault standin.Fault
 		each  time.Duration
-	}{"stuck": {standin.Hangs, 420 * time.Millisecond}, "refuses": {standin.Refuses, 200 * time.Millisecond}} {
+	}{"stuck": {standin.NeverRespond, 420 * time.Millisecond}, "refuses": {standin.RefuseConnections, 200 * time.Millisecond}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := standin.NewRegistry(t, c.fault)
-			r.InTurn(c.each)
-			r.List(1, encodeList(&list{Seq: 1, Whole: true, Hosts: []host{hostAt("s1", "127.0.0.1:1", "Ready")}}))
+			r.ServeSequentially(c.each)
+			r.SetList(1, encodeList(&list{Seq: 1, Whole: true, Hosts: []host{hostAt("s1", "127.0.0.1:1", "Ready")}}))
 			var all []*program
 			for range n {
 				all = append(all, start(t, r.Addr, nil, func(c map[string]any) {
@@ -310,11 +310,11 @@
 				eventually(t, "a response from /health/ready", func() bool { return p.status("/health/ready") != 0 })
 			}
 			time.Sleep(5500 * time.Millisecond)
-			restored := r.Return(t)
+			restored := r.Recover(t)
 			for _, p := range all {
 				p.waitReady(t)
 			}
-			took, worked := time.Since(restored), r.Worked()
+			took, worked := time.Since(restored), r.Served()
 			t.Logf("all sidecars have a list after %.2f s, discovery handled %d calls", took.Seconds(), worked)
 			if took > updateDeadline || worked > n+n/2 {
 				t.Errorf("all %d sidecars have a list after %v and %d calls, want at most %v and %d calls", n, took, worked, updateDeadline, n+n/2)
@@ -335,11 +335,11 @@
 	if os.Getenv("TOLD") != "" { // covers all fleet sizes of the design note
 		fleets = []fleet{{1, false}, {30, false}, {300, false}, {900, false}}
 	}
-	breaks := map[string]standin.Break{
-		"silent": standin.Silent, "half a line": standin.HalfAndBeat, "reset": standin.Reset, "ended": standin.Ended,
+	breaks := map[string]standin.WatchBreak{
+		"silent": standin.WatchSilent, "half a line": standin.WatchStallsWithinList, "reset": standin.WatchReset, "ended": standin.WatchEnded,
 	}
 	faults := map[string]standin.Fault{
-		"503": standin.Busy, "reset": standin.Resets, "hangs": standin.Hangs, "head alone": standin.Heads, "half a list": standin.Halves,
+		"503": standin.RespondUnavailable, "reset": standin.ResetConnections, "hangs": standin.NeverRespond, "head alone": standin.StallAfterHeaders, "half a list": standin.StallWithinList,
 	}
 	for breakName, how := range breaks {
 		t.Run(breakName, func(t *testing.T) {
@@ -347,7 +347,7 @@
 			var done sync.WaitGroup
 			for name, fault := range faults {
 				for _, f := range fleets {
-					a := startLoadedSidecar(t, standin.Good, f.balancers, f.pushed)
+					a := startLoadedSidecar(t, standin.NoFault, f.balancers, f.pushed)
 					done.Go(func() {
 						eventually(t, "a watch", func() bool { return a.registry.Calls() > 0 })
 						time.Sleep(500 * time.Millisecond) // until the watch has received its first line
@@ -370,7 +370,7 @@
 	var done sync.WaitGroup
 	for range 4 {
 		for _, balancers := range []int{30, 300, 900} {
-			a := newLoadedSidecar(t, standin.Good, balancers, false)
+			a := newLoadedSidecar(t, standin.NoFault, balancers, false)
 			a.removeServer(a.registry)
 			a.startUnderLoad(t, balancers, false)
 			a.reachableAt = time.Now()
--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -176,7 +176,7 @@
 // SO_REUSEPORT, so that no stand-in of another test gets the port before the program binds it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	fd, addr := standin.Bound(t, 0, unix.SO_REUSEADDR, unix.SO_REUSEPORT)
+	fd, addr := standin.BindLoopback(t, 0, unix.SO_REUSEADDR, unix.SO_REUSEPORT)
 	t.Cleanup(func() { syscall.Close(fd) })
 	return addr
 }
--- a/cmd/damsonscale/races_test.go
+++ b/cmd/damsonscale/races_test.go
@@ -35,7 +35,7 @@
 func TestOverlappingSignals(t *testing.T) {
 	t.Run("before the first list", func(t *testing.T) {
 		called := make(chan bool, 8)
-		p := start(t, standin.NewDiscovery(t, func(w *standin.Watch) { called <- true; w.Left() }), nil, nil)
+		p := start(t, standin.ListenDiscovery(t, func(w *standin.Watch) { called <- true; w.WaitForClose() }), nil, nil)
 		<-called
 		p.signal(syscall.SIGTERM)
 		p.waitExit(t)
@@ -116,11 +116,11 @@
 // A list pushed by an agent replaces the configured known list before the first request is sent.
 func TestPushedListReplacesKnownListAtStart(t *testing.T) {
 	gone := refusingAddr(t)
-	here := standin.NewServer(t, standin.Yes)
-	agent := standin.NewDiscovery(t, func(w *standin.Watch) {
-		w.Begin()
-		w.Tell("{\n \"seq\": 3,\n \"whole\": true,\n \"hosts\": [\n  {\"host\":\"s2\",\"dial\":\"" + here.Addr + "\",\"health\":\"Ready\"}\n ]\n}\n")
-		w.Left()
+	here := standin.NewServer(t, standin.EchoRequestID)
+	agent := standin.ListenDiscovery(t, func(w *standin.Watch) {
+		w.WriteHeaders()
+		w.WriteChunk("{\n \"seq\": 3,\n \"whole\": true,\n \"hosts\": [\n  {\"host\":\"s2\",\"dial\":\"" + here.Addr + "\",\"health\":\"Ready\"}\n ]\n}\n")
+		w.WaitForClose()
 	})
 	p := start(t, agent, &list{Seq: 41, Whole: true, Hosts: []host{hostAt("s1", gone, "Ready")}}, func(c map[string]any) {
 		c["settings"] = json.RawMessage(strings.Replace(settings, `"on_request"`, `"pushed"`, 1))
--- a/cmd/damsonscale/startup_test.go
+++ b/cmd/damsonscale/startup_test.go
@@ -73,10 +73,10 @@
 // startRegistry starts a registry that handles one call at a time, each for the given duration, and returns its address. With each of
 // 0 it handles all calls at once.
 func startRegistry(t *testing.T, each time.Duration, l list) string {
-	r := standin.NewRegistry(t, standin.Good)
-	r.List(int64(l.Seq), encodeList(&l))
+	r := standin.NewRegistry(t, standin.NoFault)
+	r.SetList(int64(l.Seq), encodeList(&l))
 	if each > 0 {
-		r.InTurn(each)
+		r.ServeSequentially(each)
 	}
 	return r.Addr
 }
@@ -170,7 +170,7 @@
 // If more are late, and so is a plain process restarted among them, the machine is too slow to tell: the round is void and repeated.
 // After three void rounds the test fails.
 func TestRestartedProcessesBecomeReadyInTime(t *testing.T) {
-	server := standin.NewServer(t, standin.Yes)
+	server := standin.NewServer(t, standin.EchoRequestID)
 	l := list{Seq: 41, Whole: true, Hosts: []host{hostAt("s1", server.Addr, "Ready")}}
 	const quickCall, slowCall = 0, 110 * time.Millisecond // work per call; thirty calls in turn exceed the timeout of a call
 	var all []*program
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -29,7 +29,7 @@
 	select {
 	case word := <-to:
 		return word
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("told nothing")
 		return ""
 	}
@@ -43,10 +43,10 @@
 // With an agent a watch is opened at the start, and the agent's list takes precedence over the one known before: a server
 // that drains there is never ready here.
 func TestAPushedListIsWatched(t *testing.T) {
-	addr := standin.NewDiscovery(t, func(w *standin.Watch) {
-		w.Begin()
-		w.Tell(update2Draining)
-		w.Left()
+	addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
+		w.WriteHeaders()
+		w.WriteChunk(update2Draining)
+		w.WaitForClose()
 	})
 	to := make(notifications, 16)
 	c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{Pushed: true}, to)
@@ -68,18 +68,18 @@
 	for _, how := range []string{"hangs up", "hangs"} {
 		t.Run(how, func(t *testing.T) {
 			back := make(chan bool)
-			addr := standin.NewDiscovery(t, func(w *standin.Watch) {
+			addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
 				select {
 				case <-back:
 				default:
 					if how == "hangs" {
-						w.Left()
+						w.WaitForClose()
 					}
 					return
 				}
-				w.Begin()
-				w.Tell(update2Draining)
-				w.Left()
+				w.WriteHeaders()
+				w.WriteChunk(update2Draining)
+				w.WaitForClose()
 			})
 			to := make(notifications, 16)
 			c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{Pushed: true}, to)
@@ -102,9 +102,9 @@
 // A reload that changes whether lists come from an agent keeps the watch; one that ends is opened again either way.
 func TestPushedByAReload(t *testing.T) {
 	end := make(chan bool)
-	addr := standin.NewDiscovery(t, func(w *standin.Watch) {
-		w.Begin()
-		w.Tell(update9Ready)
+	addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
+		w.WriteHeaders()
+		w.WriteChunk(update9Ready)
 		<-end
 	})
 	to := make(notifications, 16)
@@ -150,7 +150,7 @@
 			if err == nil {
 				t.Errorf("after %q: no error", after)
 			}
-		case <-time.After(standin.Patience):
+		case <-time.After(standin.WaitTimeout):
 			t.Errorf("after %q: it is waited for", after)
 		}
 		client.Close()
@@ -161,9 +161,9 @@
 // A service that never completes the head of its response costs no more than the time limit for it.
 func TestNoHeadEverComes(t *testing.T) {
 	for _, text := range []string{"", "HTTP/1.1 200 OK\r\nX: "} {
-		addr := standin.NewDiscovery(t, func(w *standin.Watch) {
+		addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
 			io.WriteString(w, text)
-			w.Left()
+			w.WaitForClose()
 		})
 		call := newWatchCall(addr, -1, nil)
 		call.headTimeout = 20 * time.Millisecond
@@ -181,16 +181,16 @@
 	var addr [3]string
 	asked := make(chan string, 16)
 	for i := range addr {
-		addr[i] = standin.NewDiscovery(t, func(w *standin.Watch) {
+		addr[i] = standin.ListenDiscovery(t, func(w *standin.Watch) {
 			asked <- w.Query
-			w.Begin()
+			w.WriteHeaders()
 			if i == 0 {
-				w.Tell(update9Ready)
+				w.WriteChunk(update9Ready)
 			} else {
 				<-speak
-				w.Tell(update2Draining)
+				w.WriteChunk(update2Draining)
 			}
-			w.Left()
+			w.WaitForClose()
 		})
 	}
 	to := make(notifications, 16)
@@ -232,9 +232,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			to := make(notifications, 16)
-			addr := standin.NewDiscovery(t, func(w *standin.Watch) {
+			addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
 				to <- w.Query
-				w.Left()
+				w.WaitForClose()
 			})
 			d := New(addr, nil, Source{BalancerCount: 1}, to)
 			d.resumeSeq = 3
@@ -273,7 +273,7 @@
 func TestAFailureAfterSilenceOrAMove(t *testing.T) {
 	for _, move := range []bool{false, true} {
 		to := make(notifications, 16)
-		hangsUp := standin.NewDiscovery(t, func(*standin.Watch) { to <- "asked" })
+		hangsUp := standin.ListenDiscovery(t, func(*standin.Watch) { to <- "asked" })
 		d := New(hangsUp, nil, Source{BalancerCount: 1}, to)
 		if move {
 			d.addr = "127.0.0.1:1"
@@ -313,21 +313,21 @@
 	for i := range q.respond {
 		q.respond[i] = make(chan bool)
 	}
-	q.addr = standin.NewDiscovery(t, func(w *standin.Watch) {
+	q.addr = standin.ListenDiscovery(t, func(w *standin.Watch) {
 		left := make(chan bool)
 		go func() {
-			w.Left()
+			w.WaitForClose()
 			close(left)
 		}()
-		q.polled <- w.N
+		q.polled <- w.Index
 		select {
-		case <-q.respond[w.N]:
-			w.Begin()
-			w.Tell(update2Draining)
+		case <-q.respond[w.Index]:
+			w.WriteHeaders()
+			w.WriteChunk(update2Draining)
 			<-left
 		case <-left:
 		}
-		q.ended <- w.N
+		q.ended <- w.Index
 	})
 	return q
 }
@@ -338,7 +338,7 @@
 	select {
 	case n := <-calls:
 		return n
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("no call")
 		return -1
 	}
@@ -358,7 +358,7 @@
 	t.Helper()
 	select {
 	case q.respond[n] <- true:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatalf("call %d waits no more", n)
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -178,9 +178,9 @@
 		want  string
 	}{{&Update{Seq: 5, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, "watch=1&from=5"}, {nil, "watch=1"}} {
 		asked := make(chan string, 16)
-		addr := standin.NewDiscovery(t, func(w *standin.Watch) {
+		addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
 			asked <- w.Query
-			w.Begin()
+			w.WriteHeaders()
 		})
 		runClient(t, New(addr, c.known, Source{BalancerCount: 1}, make(notifications)))
 		for n := range 2 {
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -95,7 +95,7 @@
 
 // BenchmarkRequest measures one request through frontend, sidecar and server, and its response.
 func BenchmarkRequest(b *testing.B) {
-	s := standin.NewServer(b, standin.Yes)
+	s := standin.NewServer(b, standin.EchoRequestID)
 	_, _, ln := startWithServer(b, s.Addr, 256, nil) // enough connections for the requests of a second, since none is reused at once
 	c := dial(b, ln)
 	br, n := bufio.NewReader(c), 0
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	go f.Serve(&standin.Hook{Listener: ln, Read: read})
+	go f.Serve(&standin.ReadInterceptor{Listener: ln, ReadConn: read})
 	return ln
 }
 
@@ -195,11 +195,11 @@
 			if r.Header.Get("Req-Id") == "fill" {
 				<-release
 			}
-			return standin.Yes(c, r)
+			return standin.EchoRequestID(c, r)
 		})
 		f, side, ln := startWithServer(t, s.Addr, 1, change)
 		io.WriteString(dial(t, ln), requestText("look", "fill", 0))
-		eventually(t, "the request that occupies the connection", func() bool { return s.Got("fill") == 1 })
+		eventually(t, "the request that occupies the connection", func() bool { return s.RequestCount("fill") == 1 })
 		resume := sync.OnceFunc(func() { close(release) })
 		t.Cleanup(resume)
 		return &scenario{s, f, side, ln, 0, resume}
@@ -209,12 +209,12 @@
 			return occupied(t, nil)
 		}, 0},
 		{"in the balancer during slow start", func(t *testing.T) *scenario {
-			s, capacity := standin.NewServer(t, standin.Yes), make(chan bool)
-			list := standin.NewDiscovery(t, func(w *standin.Watch) {
-				w.Begin()
+			s, capacity := standin.NewServer(t, standin.EchoRequestID), make(chan bool)
+			list := standin.ListenDiscovery(t, func(w *standin.Watch) {
+				w.WriteHeaders()
 				<-capacity
-				w.Tell(`{"seq":2,"hosts":[{"host":"s2","dial":"` + s.Addr + `","health":"Ready"}]}` + "\n")
-				w.Left()
+				w.WriteChunk(`{"seq":2,"hosts":[{"host":"s2","dial":"` + s.Addr + `","health":"Ready"}]}` + "\n")
+				w.WaitForClose()
 			})
 			f, side, ln := startWithServer(t, s.Addr, 8, func(c *config.Config, _ *Frontend) {
 				c.Discovery, c.LastEndpoints.Endpoints[0].StartedAtMs = list, time.Now().UnixMilli()
@@ -223,8 +223,8 @@
 			return &scenario{s, f, side, ln, 0, func() { close(capacity) }}
 		}, 0},
 		{"for a dial", func(t *testing.T) *scenario {
-			s := standin.NewServer(t, standin.Yes)
-			addr, accept := standin.Crowded(t, s.Addr)
+			s := standin.NewServer(t, standin.EchoRequestID)
+			addr, accept := standin.FullBacklogProxy(t, s.Addr)
 			f, side, ln := startWithServer(t, addr, 8, nil)
 			return &scenario{s, f, side, ln, 0, accept}
 		}, 0},
@@ -232,10 +232,10 @@
 			release := make(chan bool)
 			s := standin.NewServer(t, func(c *net.TCPConn, r *http.Request) bool {
 				if r.Header.Get("Req-Id") != "leaver" {
-					return standin.Yes(c, r)
+					return standin.EchoRequestID(c, r)
 				}
 				<-release
-				return standin.Say(c, 503, standin.Declined, "")
+				return standin.WriteResponse(c, 503, standin.DeclinedHeader, "")
 			})
 			f, side, ln := startWithServer(t, s.Addr, 8, nil)
 			return &scenario{s, f, side, ln, 1, func() { close(release) }}
@@ -279,7 +279,7 @@
 					eventually(t, "the request to reach the balancer", func() bool {
 						return slices.Contains(s.side.InFlight(), "leaver")
 					})
-					eventually(t, "the request to wait", func() bool { return s.Got("leaver") == s.sent })
+					eventually(t, "the request to wait", func() bool { return s.RequestCount("leaver") == s.sent })
 					if strings.Contains(how, "advance") {
 						io.WriteString(client, "GET ")
 						eventually(t, "the bytes sent in advance to be read", func() bool { return s.f.allBytesRead() })
@@ -295,7 +295,7 @@
 					other := dial(t, s.ln)
 					expectStatus(t, other, bufio.NewReader(other), requestText("look", "usual", 0), 200) // served after the requests that waited before it
 					eventually(t, "no request in flight", func() bool { return len(s.side.InFlight()) == 0 })
-					if n := s.Got("leaver"); n != s.sent {
+					if n := s.RequestCount("leaver"); n != s.sent {
 						t.Fatalf("server got %d attempts, want %d", n, s.sent)
 					}
 				})
@@ -508,7 +508,7 @@
 
 // Misbehaving clients of each kind leak neither connections nor goroutines, and other clients are served.
 func TestMisbehavingClientsLeakNothing(t *testing.T) {
-	s := standin.NewServer(t, standin.Yes)
+	s := standin.NewServer(t, standin.EchoRequestID)
 	f, side, ln := startWithServer(t, s.Addr, 8, func(_ *config.Config, f *Frontend) {
 		if f != nil {
 			f.httpServer.MaxIdleWorkerDuration = 20 * time.Millisecond // by default fasthttp keeps idle goroutines for 10 s
@@ -560,10 +560,10 @@
 			switch n := rand.IntN(10); {
 			case n < 3:
 				time.Sleep(time.Duration(rand.IntN(400)) * time.Millisecond)
-				return standin.Yes(c, r)
+				return standin.EchoRequestID(c, r)
 			case n < 6:
 				time.Sleep(time.Duration(rand.IntN(200)) * time.Millisecond)
-				return standin.Say(c, 503, standin.Declined, "")
+				return standin.WriteResponse(c, 503, standin.DeclinedHeader, "")
 			case n < 8:
 				time.Sleep(time.Duration(rand.IntN(200)) * time.Millisecond)
 				return false
--- a/internal/lab/callchain/report.go
+++ b/internal/lab/callchain/report.go
@@ -44,7 +44,7 @@
 }
 
 // PromisesKept reports whether the balancers gave one answer in time and stayed within their attempt budgets.
-func (r *Report) PromisesKept() bool {
+func (r *Report) GuaranteesMet() bool {
 	return r.DuplicateAnswers == 0 && r.SentAfterAnswer == 0 && r.Unanswered == 0 && r.OverBudget == 0
 }
 
--- a/internal/lab/callchain/world_test.go
+++ b/internal/lab/callchain/world_test.go
@@ -80,7 +80,7 @@
 func TestEveryAcceptedRequestIsAnswered(t *testing.T) {
 	for _, c := range faults() {
 		r := play(t, c)
-		if !r.PromisesKept() || r.Levels[0].Accepted != r.Requests || r.Requests != 1200 {
+		if !r.GuaranteesMet() || r.Levels[0].Accepted != r.Requests || r.Requests != 1200 {
 			t.Errorf("%s: %v", name(c), r)
 		}
 		for i, l := range r.Levels {
--- a/internal/lab/fleetscale/changes.go
+++ b/internal/lab/fleetscale/changes.go
@@ -17,7 +17,7 @@
 		names = append(names, r.layout.members[i].name)
 	}
 	turn := 0
-	atRate(ctx, r.conf.Changes, func(k int) {
+	atRate(ctx, r.conf.SettingsPerSecond, func(k int) {
 		o := &rollout.Command{
 			Kind: rollout.RollOut, ID: uint64(at)<<32 | uint64(k+1), Author: "scale", Reason: "a change", Share: rollout.FullShare, GraceMs: 60_000,
 			Settings: []byte(fmt.Sprintf(`{"settings": %s}`, settings(len(r.layout.members), k+1))),
@@ -63,7 +63,7 @@
 }
 
 // settingsInForce tells of versions of the settings, over all fleets.
-func (r *run) settingsInForce(seconds float64) (f InForce) {
+func (r *run) settingsInForce(seconds float64) (f PropagationTimes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observations.mu.Lock()
@@ -83,13 +83,13 @@
 			f.WorstMember = one.WorstMember
 		}
 	}
-	f.Refused, f.PerSecond = r.rejectedVersions, float64(f.Changes)/seconds/float64(len(r.layout.fleets))
+	f.Rejected, f.PerSecond = r.rejectedVersions, float64(f.Changes)/seconds/float64(len(r.layout.fleets))
 	f.setQuantiles(all)
 	return f
 }
 
 // listsInForce tells of changes of the list, at hollow members: a real one does not say which list it goes by.
-func (r *run) listsInForce(seconds float64) (f InForce) {
+func (r *run) listsInForce(seconds float64) (f PropagationTimes) {
 	var made []versionTime
 	for seq, at := range r.list.changes() {
 		made = append(made, versionTime{seq, at})
--- a/internal/lab/fleetscale/children.go
+++ b/internal/lab/fleetscale/children.go
@@ -107,7 +107,7 @@
 }
 
 func (c *children) handle(one *child, e Event) {
-	if e.Kind == Counted {
+	if e.Kind == EventLinkCounts {
 		select {
 		case one.counted <- e:
 		default:
@@ -183,8 +183,8 @@
 }
 
 // counts asks all processes of links for their counts, and tells how many connections are open there.
-func (c *children) counts(ctx context.Context) (all map[string]Tally, open int64, err error) {
-	all = map[string]Tally{}
+func (c *children) counts(ctx context.Context) (all map[string]FrameCounts, open int64, err error) {
+	all = map[string]FrameCounts{}
 	for _, one := range c.all {
 		if !one.links {
 			continue
--- a/internal/lab/fleetscale/fault.go
+++ b/internal/lab/fleetscale/fault.go
@@ -11,13 +11,13 @@
 
 // FaultReport tells of a fault and of what followed.
 type FaultReport struct {
-	Name        string
-	Who         string  `json:",omitempty"` // process
-	Member      string  `json:",omitempty"`
-	NewLeaderMs float64 `json:",omitempty"` // until another led
-	PutOut      int     // incarnations that were put out after it
-	WholeMs     float64 // until the last of: the new leader, leases that began after it, members put out
-	Calls       int64   `json:",omitempty"` // on the list service in the second after its return
+	Name             string
+	Process          string  `json:"Who,omitempty"` // name of the process the fault hit
+	Member           string  `json:",omitempty"`
+	NewLeaderMs      float64 `json:",omitempty"`      // until another led
+	Evictions        int     `json:"PutOut"`          // incarnations evicted after the fault
+	RecoveryMs       float64 `json:"WholeMs"`         // until the last of: new leader elected, new lease granted, members evicted
+	CallsAfterReturn int64   `json:"Calls,omitempty"` // calls to the list service in the first second after it returns
 
 	at, from time.Time
 }
@@ -44,14 +44,14 @@
 		f.from = time.Now()
 		calls := r.list.calls.Load()
 		sleep(ctx, time.Second)
-		f.Calls = r.list.calls.Load() - calls
+		f.CallsAfterReturn = r.list.calls.Load() - calls
 		return f, nil
 	}
 	who, _ := r.observations.leader(r.ofFirstFleet)
 	if who == nil {
 		return nil, errNoLeader
 	}
-	f.Who, f.Member = who.name, r.layout.members[who.members[0]].name
+	f.Process, f.Member = who.name, r.layout.members[who.members[0]].name
 	r.markKilled(f)
 	if r.conf.Fault == KillLeader {
 		who.killed = true
@@ -80,11 +80,11 @@
 	defer r.observations.mu.Unlock()
 	ms := func(at time.Time) float64 { return max(0, float64(at.Sub(f.at).Microseconds())/1000) }
 	f.NewLeaderMs = ms(led)
-	f.WholeMs = max(f.NewLeaderMs, ms(r.observations.lastLease))
+	f.RecoveryMs = max(f.NewLeaderMs, ms(r.observations.lastLease))
 	for _, at := range r.observations.evictions {
 		if at.After(f.at) {
-			f.PutOut++
-			f.WholeMs = max(f.WholeMs, ms(at))
+			f.Evictions++
+			f.RecoveryMs = max(f.RecoveryMs, ms(at))
 		}
 	}
 }
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	h.conf = next
-	h.report(Event{Kind: Adopted, Member: h.name, Number: int64(number), At: time.Now()})
+	h.report(Event{Kind: EventSettingsApplied, Member: h.name, Number: int64(number), At: time.Now()})
 	return nil
 }
 
@@ -60,7 +60,7 @@
 
 // OnEndpoints tells of a list in force.
 func (h *hollowMember) OnEndpoints(l *discovery.Update) {
-	h.report(Event{Kind: Listed, Member: h.name, Number: l.Seq, At: time.Now()})
+	h.report(Event{Kind: EventListApplied, Member: h.name, Number: l.Seq, At: time.Now()})
 }
 
 // startHollow joins a member to its fleet and to the list service.
--- a/internal/lab/fleetscale/link.go
+++ b/internal/lab/fleetscale/link.go
@@ -26,14 +26,14 @@
 var frameKindNames = []string{"hello", "raft", "custody", "ask", "grant", "view_ask", "view", "leave", "desk", "want", "have", "segments", "taken"}
 
 // Tally counts whole frames with their heads.
-type Tally struct {
+type FrameCounts struct {
 	OutFrames, OutBytes int64 // read from the member
 	InFrames, InBytes   int64 // written to it
 	LostFrames          int64 // read from others for it, and not written: it had gone
 	Out                 map[string]int64
 }
 
-func (t *Tally) add(o Tally) {
+func (t *FrameCounts) add(o FrameCounts) {
 	t.OutFrames, t.OutBytes = t.OutFrames+o.OutFrames, t.OutBytes+o.OutBytes
 	t.InFrames, t.InBytes, t.LostFrames = t.InFrames+o.InFrames, t.InBytes+o.InBytes, t.LostFrames+o.LostFrames
 	if t.Out == nil {
@@ -45,8 +45,8 @@
 }
 
 // since is what came after an earlier tally.
-func (t Tally) since(o Tally) Tally {
-	out := Tally{
+func (t FrameCounts) since(o FrameCounts) FrameCounts {
+	out := FrameCounts{
 		OutFrames: t.OutFrames - o.OutFrames, OutBytes: t.OutBytes - o.OutBytes, InFrames: t.InFrames - o.InFrames, InBytes: t.InBytes - o.InBytes,
 		LostFrames: t.LostFrames - o.LostFrames, Out: maps.Clone(t.Out),
 	}
@@ -61,13 +61,13 @@
 // written whole.
 type links struct {
 	mu     sync.Mutex
-	counts map[string]*Tally
+	counts map[string]*FrameCounts
 	lns    []net.Listener
 	conns  map[net.Conn]bool
 	closed bool
 }
 
-func newLinks() *links { return &links{counts: map[string]*Tally{}, conns: map[net.Conn]bool{}} }
+func newLinks() *links { return &links{counts: map[string]*FrameCounts{}, conns: map[net.Conn]bool{}} }
 
 // open relays from front to a member at target.
 func (l *links) open(name, front, target string) error {
@@ -194,10 +194,10 @@
 	return h.From.Name, nil
 }
 
-func (l *links) tallyOf(name string) *Tally {
+func (l *links) tallyOf(name string) *FrameCounts {
 	t := l.counts[name]
 	if t == nil {
-		t = &Tally{Out: map[string]int64{}}
+		t = &FrameCounts{Out: map[string]int64{}}
 		l.counts[name] = t
 	}
 	return t
@@ -227,10 +227,10 @@
 }
 
 // tallies copies the counts so far, by name, and tells how many connections are open.
-func (l *links) tallies() (map[string]Tally, int) {
+func (l *links) tallies() (map[string]FrameCounts, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make(map[string]Tally, len(l.counts))
+	out := make(map[string]FrameCounts, len(l.counts))
 	for name, t := range l.counts {
 		one := *t
 		one.Out = maps.Clone(t.Out)
--- a/internal/lab/fleetscale/lists.go
+++ b/internal/lab/fleetscale/lists.go
@@ -20,11 +20,11 @@
 
 // ListsConfig is a run of one idle sidecar without a fleet, for each length of the list.
 type ListsConfig struct {
-	Sizes   []int
-	For     time.Duration // measured, idle, and once more under changes
-	Changes float64       // of the list, a second; 0: none
-	Binary  string
-	Dir     string // which exists
+	Sizes            []int
+	Duration         time.Duration // measured, idle, and once more under changes
+	ChangesPerSecond float64       // of the list, a second; 0: none
+	Binary           string
+	Dir              string // which exists
 }
 
 // Validate refuses what is out of range, by the name of its argument.
@@ -38,37 +38,37 @@
 			all = append(all, fmt.Errorf("--sizes: %d is not within 1 to %d", n, MaxServers))
 		}
 	}
-	if c.For < MinFor || c.For > MaxFor {
-		all = append(all, fmt.Errorf("--for: %v is not within %v to %v", c.For, MinFor, MaxFor))
+	if c.Duration < MinDuration || c.Duration > MaxDuration {
+		all = append(all, fmt.Errorf("--for: %v is not within %v to %v", c.Duration, MinDuration, MaxDuration))
 	}
-	if !(c.Changes >= 0 && c.Changes <= MaxRate) {
-		all = append(all, fmt.Errorf("--changes: %v is not within 0 to %v a second", c.Changes, MaxRate))
+	if !(c.ChangesPerSecond >= 0 && c.ChangesPerSecond <= MaxChangesPerSecond) {
+		all = append(all, fmt.Errorf("--changes: %v is not within 0 to %v a second", c.ChangesPerSecond, MaxChangesPerSecond))
 	}
 	return errors.Join(all...)
 }
 
 // ListFigure is one length's.
-type ListFigure struct {
-	Servers      int
-	Idle         Over
-	Changing     Over    // where there were changes
-	Told         float64 // changes that the sidecar was told, a second
-	Changes      int64   // made in all
-	Untold       int64   // of these, that it was not told of soon after
-	CPUMsAChange float64 // above idle
+type ListResult struct {
+	Servers          int
+	Idle             ProcessUsage
+	Changing         ProcessUsage // where there were changes
+	ChangesPerSecond float64      // changes that the sidecar was told, a second
+	Changes          int64        // made in all
+	ChangesNotSent   int64        // of these, that it was not told of soon after
+	CPUMsPerChange   float64      // above idle
 }
 
 // Over is a process's use over a time.
-type Over struct {
-	CPU         float64 // % of a core
-	MemoryMB    float64 // at its end
-	Descriptors int
-	Watches     int64   // held open at its end
-	KBIn        float64 // a second from the list service
+type ProcessUsage struct {
+	CPU           float64 // % of a core
+	MemoryMB      float64 // at its end
+	Descriptors   int
+	OpenWatches   int64   // held open at its end
+	KBInPerSecond float64 // a second from the list service
 }
 
 // Lists measures. It ends all that it started, also when ctx ends before.
-func Lists(ctx context.Context, c ListsConfig) (out []ListFigure, err error) {
+func MeasureLists(ctx context.Context, c ListsConfig) (out []ListResult, err error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	return out, nil
 }
 
-func (c *ListsConfig) one(ctx context.Context, n int, dial string) (*ListFigure, error) {
+func (c *ListsConfig) one(ctx context.Context, n int, dial string) (*ListResult, error) {
 	list, err := startList(n, dial)
 	if err != nil {
 		return nil, err
@@ -123,41 +123,41 @@
 		return nil, err
 	}
 	sleep(ctx, 3*time.Second) // the start's garbage
-	f := &ListFigure{Servers: n}
-	if f.Idle, _, err = c.over(ctx, one, list); err != nil || c.Changes == 0 {
+	f := &ListResult{Servers: n}
+	if f.Idle, _, err = c.over(ctx, one, list); err != nil || c.ChangesPerSecond == 0 {
 		return f, err
 	}
 	changing, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
-	go func() { defer close(done); atRate(changing, c.Changes, func(int) { list.changeOne() }) }()
-	f.Changing, f.Told, err = c.over(ctx, one, list)
+	go func() { defer close(done); atRate(changing, c.ChangesPerSecond, func(int) { list.changeOne() }) }()
+	f.Changing, f.ChangesPerSecond, err = c.over(ctx, one, list)
 	stop()
 	<-done
 	f.Changes = int64(len(list.changes()))
 	for end := time.Now().Add(settleTimeout); ; sleep(ctx, 10*time.Millisecond) {
-		if f.Untold = f.Changes - list.deltasSent.Load(); f.Untold == 0 || time.Now().After(end) || ctx.Err() != nil {
+		if f.ChangesNotSent = f.Changes - list.deltasSent.Load(); f.ChangesNotSent == 0 || time.Now().After(end) || ctx.Err() != nil {
 			break
 		}
 	}
-	if f.Told > 0 {
-		f.CPUMsAChange = 10 * (f.Changing.CPU - f.Idle.CPU) / f.Told
+	if f.ChangesPerSecond > 0 {
+		f.CPUMsPerChange = 10 * (f.Changing.CPU - f.Idle.CPU) / f.ChangesPerSecond
 	}
 	return f, err
 }
 
 // over reads a process's use over the time of a run.
-func (c *ListsConfig) over(ctx context.Context, one *child, list *listService) (u Over, told float64, err error) {
+func (c *ListsConfig) over(ctx context.Context, one *child, list *listService) (u ProcessUsage, told float64, err error) {
 	before, err := usageOf(one.cmd.Process.Pid)
 	if err != nil {
 		return u, 0, err
 	}
 	at, bytes, changes := time.Now(), list.bytesOut.Load(), list.deltasSent.Load()
-	sleep(ctx, c.For)
+	sleep(ctx, c.Duration)
 	after, err := usageOf(one.cmd.Process.Pid)
 	seconds := time.Since(at).Seconds()
-	u = Over{
+	u = ProcessUsage{
 		CPU: 100 * (after.CPU - before.CPU).Seconds() / seconds, MemoryMB: float64(after.RSS) / (1 << 20), Descriptors: after.Descriptors,
-		Watches: list.open.Load(), KBIn: float64(list.bytesOut.Load()-bytes) / 1000 / seconds,
+		OpenWatches: list.open.Load(), KBInPerSecond: float64(list.bytesOut.Load()-bytes) / 1000 / seconds,
 	}
 	return u, float64(list.deltasSent.Load()-changes) / seconds, errors.Join(err, ctx.Err())
 }
@@ -186,16 +186,16 @@
 }
 
 // PrintLists tells figures by the length of the list, with the slopes of an idle sidecar.
-func PrintLists(out io.Writer, all []ListFigure) {
+func PrintLists(out io.Writer, all []ListResult) {
 	t := newTable(out, "servers", "idle, % of a core", "idle MB", "watches", "changing, % of a core", "MB", "KB/s in", "changes told/s", "CPU ms a change")
 	var cpu, mb, change []Point
 	for _, f := range all {
-		row := []any{f.Servers, figure(f.Idle.CPU), figure(f.Idle.MemoryMB), f.Idle.Watches, "-", "-", "-", "-", "-"}
+		row := []any{f.Servers, figure(f.Idle.CPU), figure(f.Idle.MemoryMB), f.Idle.OpenWatches, "-", "-", "-", "-", "-"}
 		x := float64(f.Servers)
 		cpu, mb = append(cpu, Point{x, f.Idle.CPU}), append(mb, Point{x, f.Idle.MemoryMB})
-		if f.Told > 0 {
-			row = append(row[:4], figure(f.Changing.CPU), figure(f.Changing.MemoryMB), figure(f.Changing.KBIn), figure(f.Told), figure(f.CPUMsAChange))
-			change = append(change, Point{x, f.CPUMsAChange})
+		if f.ChangesPerSecond > 0 {
+			row = append(row[:4], figure(f.Changing.CPU), figure(f.Changing.MemoryMB), figure(f.Changing.KBInPerSecond), figure(f.ChangesPerSecond), figure(f.CPUMsPerChange))
+			change = append(change, Point{x, f.CPUMsPerChange})
 		}
 		t.AppendRow(row)
 	}
@@ -206,7 +206,7 @@
 	}{{"% of a core, idle", cpu}, {"MB, idle", mb}, {"CPU ms a change", change}} {
 		if l, err := Fit(q.points); err == nil {
 			fmt.Fprintf(out, "%s: slope %s a server (error %s), intercept %s, residual %s, at %d %s\n", q.name, figure(l.Slope), figure(l.Error), figure(l.Intercept), figure(l.Residual),
-				Target, strings.TrimSpace(figure(l.At(Target))))
+				TargetSize, strings.TrimSpace(figure(l.At(TargetSize))))
 		}
 	}
 }
--- a/internal/lab/fleetscale/report.go
+++ b/internal/lab/fleetscale/report.go
@@ -14,38 +14,41 @@
 
 // Roles of members.
 const (
-	Leader     = "leader"        // of the first fleet, a real process
-	Voter      = "voter"         // others of the first fleet that keep its log, real processes
-	HollowLead = "hollow leader" // the same, hollow, in a process of its own
-	HollowVote = "hollow voter"
-	RealMember = "real member" // of any fleet, that does not keep the log of the first
-	Member     = "member"      // hollow, in a shared process, of the first fleet: none of them votes
-	CellMember = "cell member" // hollow, in a shared process, of the other fleets: those who lead and vote among them
-	Links      = "links"       // the run's own processes between the members
+	Leader       = "leader"        // of the first fleet, a real process
+	Voter        = "voter"         // others of the first fleet that keep its log, real processes
+	HollowLeader = "hollow leader" // the same, hollow, in a process of its own
+	HollowVoter  = "hollow voter"
+	RealMember   = "real member" // of any fleet, that does not keep the log of the first
+	Member       = "member"      // hollow, in a shared process, of the first fleet: none of them votes
+	CellMember   = "cell member" // hollow, in a shared process, of the other fleets: those who lead and vote among them
+	Links        = "links"       // the run's own processes between the members
 )
 
 // Roles are those that a report may have, in their order.
-var Roles = []string{Leader, Voter, HollowLead, HollowVote, RealMember, Member, CellMember, Links}
+var Roles = []string{Leader, Voter, HollowLeader, HollowVoter, RealMember, Member, CellMember, Links}
 
 // Role is what one member of a role takes: the mean of all. Of a shared process it is the process's divided by its members, so that the
 // runtime and the program are shared too.
 type Role struct {
-	Name        string
-	Members     int
-	Processes   int
-	CPU         float64 // % of a core
-	MemoryMB    float64
-	Descriptors float64
-	Counted     int     // members whose links were counted: those behind the next figures
-	KBIn, KBOut float64 // a second
-	In, Out     float64 // frames a second
-	OutOf       map[string]float64
+	Name            string
+	Members         int
+	Processes       int
+	CPU             float64 // % of a core
+	MemoryMB        float64
+	Descriptors     float64
+	CountedMembers  int                `json:"Counted"` // members whose links are counted; the rates below are means over them
+	KBIn, KBOut     float64            // a second
+	FramesIn        float64            `json:"In"`    // frames per second
+	FramesOut       float64            `json:"Out"`   // frames per second
+	FramesOutByKind map[string]float64 `json:"OutOf"` // frames per second
 }
 
 // ListFigures are the list service's, a second; its own CPU and memory are the run's and not measured.
-type ListFigures struct {
-	Open                      int64 // watches at the end
-	Calls, Words, KBIn, KBOut float64
+type ListServiceRates struct {
+	OpenWatches int64 `json:"Open"` // at the end
+	Calls       float64
+	Messages    float64 `json:"Words"` // lists, changes and heartbeats
+	KBIn, KBOut float64
 }
 
 // Report is what a run came to.
@@ -57,13 +60,13 @@
 	Servers                        int
 	StartS                         float64 // until each member had a lease and a list
 	Leases                         int     // members that have had one
-	PutOut                         int     // incarnations that were put out, over all of the run
-	Unrest                         int     // incarnations put out and new leaders of the first fleet while it was measured
+	Evictions                      int     `json:"PutOut"` // evicted incarnations in the whole run
+	MembershipChanges              int     `json:"Unrest"` // evictions, and elections in the first fleet, during the measurement
 	Roles                          []Role
-	ListService                    ListFigures
+	ListService                    ListServiceRates
 	Sent, Received, Lost           int64 // frames on the counted links from the start to the members' end; lost: their receiver had gone
 	OpenLinks                      int64 // connections there after that end: what they carried is not all counted
-	Settings, List                 InForce
+	Settings, List                 PropagationTimes
 	Fault                          *FaultReport `json:",omitempty"`
 	LoadBefore, LoadAfter          float64      // of the machine, all of it: others may have used it too
 	PeakMB                         float64      // resident, of all processes together
@@ -80,11 +83,11 @@
 	case one == leader && m.real:
 		return Leader
 	case one == leader:
-		return HollowLead
+		return HollowLeader
 	case voter && m.real:
 		return Voter
 	case voter:
-		return HollowVote
+		return HollowVoter
 	case m.real:
 		return RealMember
 	case m.fleet == 0:
@@ -120,7 +123,7 @@
 		name := r.role(one, leader)
 		role := byName[name]
 		if role == nil {
-			role = &Role{Name: name, OutOf: map[string]float64{}}
+			role = &Role{Name: name, FramesOutByKind: map[string]float64{}}
 			byName[name] = role
 		}
 		role.Members += len(one.members)
@@ -149,14 +152,14 @@
 			continue
 		}
 		t := after.counts[m.name].since(before.counts[m.name])
-		role.Counted++
+		role.CountedMembers++
 		role.KBIn += float64(t.InBytes) / 1000 / seconds
 		role.KBOut += float64(t.OutBytes) / 1000 / seconds
-		role.In += float64(t.InFrames) / seconds
-		role.Out += float64(t.OutFrames) / seconds
+		role.FramesIn += float64(t.InFrames) / seconds
+		role.FramesOut += float64(t.OutFrames) / seconds
 		for k, n := range t.Out {
 			if n > 0 {
-				role.OutOf[k] += float64(n) / seconds
+				role.FramesOutByKind[k] += float64(n) / seconds
 			}
 		}
 	}
@@ -166,21 +169,21 @@
 func (r *Role) divide() {
 	n := float64(r.Members)
 	r.CPU, r.MemoryMB, r.Descriptors = r.CPU/n, r.MemoryMB/n, r.Descriptors/n
-	k := float64(r.Counted)
+	k := float64(r.CountedMembers)
 	if k == 0 {
 		return
 	}
-	r.KBIn, r.KBOut, r.In, r.Out = r.KBIn/k, r.KBOut/k, r.In/k, r.Out/k
-	for kind := range r.OutOf {
-		r.OutOf[kind] /= k
+	r.KBIn, r.KBOut, r.FramesIn, r.FramesOut = r.KBIn/k, r.KBOut/k, r.FramesIn/k, r.FramesOut/k
+	for kind := range r.FramesOutByKind {
+		r.FramesOutByKind[kind] /= k
 	}
 }
 
 // listFigures returns the list service's rates.
-func listFigures(before, after ListUse, seconds float64) ListFigures {
-	return ListFigures{
-		Open:  after.Open,
-		Calls: float64(after.Calls-before.Calls) / seconds, Words: float64(after.Words-before.Words) / seconds,
+func listFigures(before, after ListServiceCounts, seconds float64) ListServiceRates {
+	return ListServiceRates{
+		OpenWatches: after.Open,
+		Calls:       float64(after.Calls-before.Calls) / seconds, Messages: float64(after.Messages-before.Messages) / seconds,
 		KBIn: float64(after.BytesIn-before.BytesIn) / 1000 / seconds, KBOut: float64(after.BytesOut-before.BytesOut) / 1000 / seconds,
 	}
 }
@@ -189,26 +192,26 @@
 func (r *run) countMembershipChanges(out *Report, from, to time.Time) {
 	r.observations.mu.Lock()
 	defer r.observations.mu.Unlock()
-	out.Leases, out.PutOut = len(r.observations.leaseCounts), len(r.observations.evictions)
+	out.Leases, out.Evictions = len(r.observations.leaseCounts), len(r.observations.evictions)
 	measured := func(at time.Time) bool { return !at.Before(from) && !at.After(to) }
 	for _, at := range r.observations.evictions {
 		if measured(at) {
-			out.Unrest++
+			out.MembershipChanges++
 		}
 	}
 	for _, l := range r.observations.elections {
 		if r.ofFirstFleet(l.process) && measured(l.at) {
-			out.Unrest++
+			out.MembershipChanges++
 		}
 	}
 }
 
 // Calm tells whether a run was of members that live on: nobody was put out and no other led while it was measured. A run that is not was starved
 // of CPU, or had a fault.
-func (r *Report) Calm() bool { return r.Unrest == 0 }
+func (r *Report) Stable() bool { return r.MembershipChanges == 0 }
 
 // Write puts a report, or any figures, into a file.
-func Write(path string, v any) error {
+func WriteJSON(path string, v any) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
 		return err
@@ -217,7 +220,7 @@
 }
 
 // Read reads files of one report or of several.
-func Read(paths []string) (out []*Report, err error) {
+func ReadReports(paths []string) (out []*Report, err error) {
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -253,8 +256,8 @@
 	t := newTable(out, "role", "members", "processes", "% of a core", "MB", "descriptors", "KB/s in", "KB/s out", "frames/s in", "frames/s out", "counted")
 	for _, o := range r.Roles {
 		row := table.Row{o.Name, o.Members, o.Processes, figure(o.CPU), figure(o.MemoryMB), figure(o.Descriptors)}
-		if o.Counted > 0 {
-			row = append(row, figure(o.KBIn), figure(o.KBOut), figure(o.In), figure(o.Out), o.Counted)
+		if o.CountedMembers > 0 {
+			row = append(row, figure(o.KBIn), figure(o.KBOut), figure(o.FramesIn), figure(o.FramesOut), o.CountedMembers)
 		} else {
 			row = append(row, "-", "-", "-", "-", 0)
 		}
@@ -264,7 +267,7 @@
 	fmt.Fprintln(out, "figures are of one member; where a process has several, the process's divided by them")
 	for _, o := range r.Roles {
 		var parts []string
-		for k, n := range o.OutOf {
+		for k, n := range o.FramesOutByKind {
 			parts = append(parts, fmt.Sprintf("%s %s", k, figure(n)))
 		}
 		if slices.Sort(parts); len(parts) > 0 {
@@ -272,26 +275,26 @@
 		}
 	}
 	l := r.ListService
-	fmt.Fprintf(out, "list service: %d watches, %s calls/s, %s lists and beats/s, %s KB/s in, %s KB/s out\n", l.Open, figure(l.Calls), figure(l.Words), figure(l.KBIn), figure(l.KBOut))
+	fmt.Fprintf(out, "list service: %d watches, %s calls/s, %s lists and beats/s, %s KB/s in, %s KB/s out\n", l.OpenWatches, figure(l.Calls), figure(l.Messages), figure(l.KBIn), figure(l.KBOut))
 	r.Settings.print(out, "versions of the settings, of each fleet")
 	r.List.print(out, "changes of the list, at hollow members")
 	switch f := r.Fault; {
 	case f == nil:
 	case f.Name == ListDown:
-		fmt.Fprintf(out, "fault %s: %d calls on the list service in the second after its return\n", f.Name, f.Calls)
+		fmt.Fprintf(out, "fault %s: %d calls on the list service in the second after its return\n", f.Name, f.CallsAfterReturn)
 	default:
-		fmt.Fprintf(out, "fault %s, %s: another leader after %.0f ms, %d put out, whole again after %.0f ms\n", f.Name, f.Who, f.NewLeaderMs, f.PutOut, f.WholeMs)
+		fmt.Fprintf(out, "fault %s, %s: another leader after %.0f ms, %d put out, whole again after %.0f ms\n", f.Name, f.Process, f.NewLeaderMs, f.Evictions, f.RecoveryMs)
 	}
-	if !r.Calm() {
-		fmt.Fprintf(out, "NOT CALM: %d members put out or new leaders while it was measured; slopes leave this run out\n", r.Unrest)
+	if !r.Stable() {
+		fmt.Fprintf(out, "NOT CALM: %d members put out or new leaders while it was measured; slopes leave this run out\n", r.MembershipChanges)
 	}
 	fmt.Fprintf(out, "frames on counted links: %d sent, %d received, %d lost at the end; put out in all: %d; the machine's load before %.1f, after %.1f; %.0f MB at most, of all processes\n",
-		r.Sent, r.Received, r.Lost, r.PutOut, r.LoadBefore, r.LoadAfter, r.PeakMB)
+		r.Sent, r.Received, r.Lost, r.Evictions, r.LoadBefore, r.LoadAfter, r.PeakMB)
 }
 
-func (f *InForce) print(out io.Writer, what string) {
-	if f.Changes+f.Refused > 0 {
+func (f *PropagationTimes) print(out io.Writer, what string) {
+	if f.Changes+f.Rejected > 0 {
 		fmt.Fprintf(out, "%s: %d changes (%s/s), %d not agreed; in force after %.0f ms (p50), %.0f ms (p99), %.0f ms (most); missing %d of %d\n",
-			what, f.Changes, figure(f.PerSecond), f.Refused, f.P50, f.P99, f.Most, f.Missing, f.Expected)
+			what, f.Changes, figure(f.PerSecond), f.Rejected, f.P50Ms, f.P99Ms, f.MaxMs, f.Missing, f.Expected)
 	}
 }
--- a/internal/lab/fleetscale/run.go
+++ b/internal/lab/fleetscale/run.go
@@ -21,7 +21,7 @@
 
 // Errors that end a run.
 var (
-	ErrMemory      = errors.New("the run took more memory than it may, and was ended")
+	ErrMemoryLimit = errors.New("the run took more memory than it may, and was ended")
 	ErrInterrupted = errors.New("interrupted")
 )
 
@@ -47,7 +47,7 @@
 	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	c.Audit = c.Audit || c.Changes > 0 // only members that keep account take orders
+	c.Audit = c.Audit || c.SettingsPerSecond > 0 // only members that keep account take orders
 	l := newLayout(&c)
 	if err := c.fits(l); err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	switch why := context.Cause(ctx); {
 	case err == nil:
 		return report, nil
-	case errors.Is(why, ErrMemory):
+	case errors.Is(why, ErrMemoryLimit):
 		return nil, why
 	case why != nil:
 		return nil, fmt.Errorf("%w: %w", ErrInterrupted, why)
@@ -102,7 +102,7 @@
 		r.peakRSS = max(r.peakRSS, rss)
 		r.mu.Unlock()
 		if rss > int64(r.conf.MemoryMB)<<20 {
-			cancel(fmt.Errorf("%w: --memory-mb: %d MB, %d allowed", ErrMemory, rss>>20, r.conf.MemoryMB))
+			cancel(fmt.Errorf("%w: --memory-mb: %d MB, %d allowed", ErrMemoryLimit, rss>>20, r.conf.MemoryMB))
 			return
 		}
 	}
@@ -123,22 +123,22 @@
 	changing, stop := context.WithCancel(ctx)
 	defer stop()
 	var changes sync.WaitGroup
-	if r.conf.Changes > 0 {
+	if r.conf.SettingsPerSecond > 0 {
 		for at := range r.layout.fleets {
 			changes.Go(func() { r.rolloutChanges(changing, at) })
 		}
 	}
-	if r.conf.ListChanges > 0 {
-		changes.Go(func() { atRate(changing, r.conf.ListChanges, func(int) { r.list.changeOne() }) })
+	if r.conf.ListChangesPerSecond > 0 {
+		changes.Go(func() { atRate(changing, r.conf.ListChangesPerSecond, func(int) { r.list.changeOne() }) })
 	}
 	var fault *FaultReport
-	sleep(ctx, r.conf.For/faultAfterShare)
+	sleep(ctx, r.conf.Duration/faultAfterShare)
 	if r.conf.Fault != NoFault {
-		if fault, err = r.injectFault(ctx, r.conf.For/faultAfterShare); err != nil {
+		if fault, err = r.injectFault(ctx, r.conf.Duration/faultAfterShare); err != nil {
 			return nil, err
 		}
 	}
-	sleep(ctx, r.conf.For-time.Since(before.at))
+	sleep(ctx, r.conf.Duration-time.Since(before.at))
 	if err := errors.Join(ctx.Err(), r.children.alive()); err != nil {
 		return nil, err
 	}
--- a/internal/lab/fleetscale/sample.go
+++ b/internal/lab/fleetscale/sample.go
@@ -10,12 +10,12 @@
 type sample struct {
 	at     time.Time
 	usage  map[*child]Usage
-	counts map[string]Tally
-	list   ListUse
+	counts map[string]FrameCounts
+	list   ListServiceCounts
 }
 
 // ListUse is what the list service has seen.
-type ListUse struct{ Calls, Words, BytesIn, BytesOut, Open int64 }
+type ListServiceCounts struct{ Calls, Messages, BytesIn, BytesOut, Open int64 }
 
 func (r *run) sample(ctx context.Context) (*sample, error) {
 	s := &sample{at: time.Now(), usage: map[*child]Usage{}}
@@ -32,6 +32,6 @@
 		return nil, err
 	}
 	l := r.list
-	s.list = ListUse{l.calls.Load(), l.messages.Load(), l.bytesIn.Load(), l.bytesOut.Load(), l.open.Load()}
+	s.list = ListServiceCounts{l.calls.Load(), l.messages.Load(), l.bytesIn.Load(), l.bytesOut.Load(), l.open.Load()}
 	return s, nil
 }
--- a/internal/lab/fleetscale/scale.go
+++ b/internal/lab/fleetscale/scale.go
@@ -15,16 +15,16 @@
 
 // Bounds of a run.
 const (
-	MaxReal    = 200
-	MaxHollow  = 20_000
-	MaxFleet   = 1024 // members, as the program's options have it
-	MinCell    = 3
-	MaxCell    = MaxFleet
-	MaxServers = 20_000
-	MaxRate    = 100.0 // changes a second, of either kind
-	MinFor     = time.Second
-	MaxFor     = 10 * time.Minute
-	MinMemory  = 64 // MB
+	MaxReal             = 200
+	MaxHollow           = 20_000
+	MaxFleet            = 1024 // members, as the program's options have it
+	MinCell             = 3
+	MaxCell             = MaxFleet
+	MaxServers          = 20_000
+	MaxChangesPerSecond = 100.0 // changes a second, of either kind
+	MinDuration         = time.Second
+	MaxDuration         = 10 * time.Minute
+	MinMemory           = 64 // MB
 )
 
 // Faults that a run may have, once, after a third of its time.
@@ -44,19 +44,19 @@
 
 // Config is a run.
 type Config struct {
-	Real, Hollow int           // members
-	CellSize     int           // of independent fleets, each with its own log; 0: all are one
-	For          time.Duration // measured
-	Changes      float64       // versions of the settings a second, through each fleet's log
-	ListChanges  float64       // of the list, a second
-	Servers      int           // on the list
-	Lease        time.Duration
-	Audit        bool   // members keep account; so they do with Changes
-	Fault        string // by name
-	MemoryMB     int    // resident, of all processes together: past it the run ends; 0: a quarter of the machine's
-	PerProcess   int    // hollow members in a shared process, at most
-	CountedCells int    // the first fleets, whose links are counted
-	Cores        int    // that a shared process may use at a time
+	Real, Hollow         int           // members
+	CellSize             int           // of independent fleets, each with its own log; 0: all are one
+	Duration             time.Duration // measured
+	SettingsPerSecond    float64       // versions of the settings a second, through each fleet's log
+	ListChangesPerSecond float64       // of the list, a second
+	Servers              int           // on the list
+	Lease                time.Duration
+	Audit                bool   // members keep account; so they do with Changes
+	Fault                string // by name
+	MemoryMB             int    // resident, of all processes together: past it the run ends; 0: a quarter of the machine's
+	PerProcess           int    // hollow members in a shared process, at most
+	CountedCells         int    // the first fleets, whose links are counted
+	Cores                int    // that a shared process may use at a time
 
 	Binary string   // of the program, for real members
 	Dir    string   // for state and logs, which exists
@@ -97,8 +97,8 @@
 		}
 	}
 	rate := func(name string, r float64) {
-		if !(r >= 0 && r <= MaxRate) {
-			wrong(name, "%v is not within 0 to %v a second", r, MaxRate)
+		if !(r >= 0 && r <= MaxChangesPerSecond) {
+			wrong(name, "%v is not within 0 to %v a second", r, MaxChangesPerSecond)
 		}
 	}
 	within("real", c.Real, 0, MaxReal)
@@ -107,8 +107,8 @@
 	within("per-process", c.PerProcess, 1, MaxFleet)
 	within("counted-cells", c.CountedCells, 0, MaxHollow)
 	within("cores", c.Cores, 1, 64)
-	rate("changes", c.Changes)
-	rate("list-changes", c.ListChanges)
+	rate("changes", c.SettingsPerSecond)
+	rate("list-changes", c.ListChangesPerSecond)
 	n := c.Real + c.Hollow
 	switch {
 	case n == 0:
@@ -120,8 +120,8 @@
 	case c.CellSize != 0 && n%c.CellSize != 0:
 		wrong("cell-size", "%d members are no whole number of fleets of %d", n, c.CellSize)
 	}
-	if c.For < MinFor || c.For > MaxFor {
-		wrong("for", "%v is not within %v to %v", c.For, MinFor, MaxFor)
+	if c.Duration < MinDuration || c.Duration > MaxDuration {
+		wrong("for", "%v is not within %v to %v", c.Duration, MinDuration, MaxDuration)
 	}
 	if c.Lease < 100*time.Millisecond || c.Lease > 10*time.Second {
 		wrong("lease", "%v is not within 100ms to 10s", c.Lease)
@@ -136,7 +136,7 @@
 }
 
 // ErrNoRoom tells that a run would not fit, before anything was started.
-var ErrNoRoom = errors.New("does not fit")
+var ErrResourceEstimate = errors.New("does not fit")
 
 // What a run is expected to take: from runs, and more rather than less. A connection holds a queue of 1,024 frames and two buffers of 64
 // KiB; a member of a fleet opens one to each who votes, and has one from its leader, one in the tree of rosters and two for its account.
@@ -161,7 +161,7 @@
 	if c.Audit {
 		out += 2 * n
 	}
-	if c.Changes > 0 { // each asks one after the other for a version's bytes
+	if c.SettingsPerSecond > 0 { // each asks one after the other for a version's bytes
 		out += n * min(n-1, askedMost)
 	}
 	return out
@@ -214,7 +214,7 @@
 func (c *Config) fits(l *layout) error {
 	mb, files := c.Estimate(l)
 	if mb > float64(c.MemoryMB) {
-		return fmt.Errorf("%w: --hollow: some %.0f MB are expected, --memory-mb allows %d: each connection between members holds about %.2f MB", ErrNoRoom,
+		return fmt.Errorf("%w: --hollow: some %.0f MB are expected, --memory-mb allows %d: each connection between members holds about %.2f MB", ErrResourceEstimate,
 			mb, c.MemoryMB, linkMB)
 	}
 	var most syscall.Rlimit
@@ -222,7 +222,7 @@
 		return err
 	}
 	if uint64(files) > most.Cur {
-		return fmt.Errorf("%w: --per-process: some %d descriptors are expected in one process, the system allows %d", ErrNoRoom, files, most.Cur)
+		return fmt.Errorf("%w: --per-process: some %d descriptors are expected in one process, the system allows %d", ErrResourceEstimate, files, most.Cur)
 	}
 	return nil
 }
--- a/internal/lab/fleetscale/scale_test.go
+++ b/internal/lab/fleetscale/scale_test.go
@@ -52,7 +52,7 @@
 // small is a run for tests. The lease is long, so that a busy machine puts nobody out.
 func small(t *testing.T, realMembers, hollow, cell int) Config {
 	return Config{
-		Real: realMembers, Hollow: hollow, CellSize: cell, For: time.Second, Lease: 1500 * time.Millisecond, CountedCells: 2, MemoryMB: 2000,
+		Real: realMembers, Hollow: hollow, CellSize: cell, Duration: time.Second, Lease: 1500 * time.Millisecond, CountedCells: 2, MemoryMB: 2000,
 		Binary: program, Dir: t.TempDir(), Worker: []string{os.Args[0], "worker"},
 	}.Defaults()
 }
@@ -73,7 +73,7 @@
 }
 
 func TestArguments(t *testing.T) {
-	good := Config{Hollow: 3, For: time.Second, MemoryMB: 500}.Defaults()
+	good := Config{Hollow: 3, Duration: time.Second, MemoryMB: 500}.Defaults()
 	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
@@ -83,9 +83,9 @@
 		"--hollow: 1025 members":     func(c *Config) { c.Hollow = MaxFleet + 1 },
 		"--cell-size: 2":             func(c *Config) { c.CellSize = 2 },
 		"--cell-size: 3 members are": func(c *Config) { c.CellSize = 4 },
-		"--for":                      func(c *Config) { c.For = time.Hour },
-		"--changes":                  func(c *Config) { c.Changes = -1 },
-		"--list-changes":             func(c *Config) { c.ListChanges = MaxRate + 1 },
+		"--for":                      func(c *Config) { c.Duration = time.Hour },
+		"--changes":                  func(c *Config) { c.SettingsPerSecond = -1 },
+		"--list-changes":             func(c *Config) { c.ListChangesPerSecond = MaxChangesPerSecond + 1 },
 		"--servers":                  func(c *Config) { c.Servers = 0 },
 		"--lease":                    func(c *Config) { c.Lease = time.Millisecond },
 		"--fault":                    func(c *Config) { c.Fault = "flood" },
@@ -101,8 +101,8 @@
 		}
 	}
 	for name, c := range map[string]ListsConfig{
-		"--sizes: 0 of them": {For: time.Second}, "--sizes: 0 is": {Sizes: []int{0}, For: time.Second},
-		"--for": {Sizes: []int{1}}, "--changes": {Sizes: []int{1}, For: time.Second, Changes: -1},
+		"--sizes: 0 of them": {Duration: time.Second}, "--sizes: 0 is": {Sizes: []int{0}, Duration: time.Second},
+		"--for": {Sizes: []int{1}}, "--changes": {Sizes: []int{1}, Duration: time.Second, ChangesPerSecond: -1},
 	} {
 		if err := c.Validate(); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("lists: %s: %v", name, err)
@@ -113,7 +113,7 @@
 // What would not fit is refused with the reason, and nothing is started.
 func TestNoRoom(t *testing.T) {
 	c := small(t, 0, 18_000, 30)
-	if _, err := Run(context.Background(), c); !errors.Is(err, ErrNoRoom) || !strings.Contains(err.Error(), "--hollow") {
+	if _, err := Run(context.Background(), c); !errors.Is(err, ErrResourceEstimate) || !strings.Contains(err.Error(), "--hollow") {
 		t.Error(err)
 	}
 	for counted, per := range []int{1000, 10} { // a thousand members in a process, or a thousand links
@@ -167,12 +167,12 @@
 	reports := []*Report{}
 	for _, n := range []int{5, 20, 60, 120} {
 		reports = append(reports, &Report{Members: n, Roles: []Role{
-			{Name: Leader, Members: 1, Counted: 1, CPU: 0.5 + 0.125*float64(n), MemoryMB: 20, KBIn: float64(n), KBOut: float64(2 * n)},
+			{Name: Leader, Members: 1, CountedMembers: 1, CPU: 0.5 + 0.125*float64(n), MemoryMB: 20, KBIn: float64(n), KBOut: float64(2 * n)},
 			{Name: Member, Members: n - 1, CPU: 0.25},
-		}, ListService: ListFigures{Open: int64(n)}, Settings: InForce{Expected: n, P50: 7, P99: 100 + 2*float64(n)}})
+		}, ListService: ListServiceRates{OpenWatches: int64(n)}, Settings: PropagationTimes{Expected: n, P50Ms: 7, P99Ms: 100 + 2*float64(n)}})
 	}
-	reports = append(reports, &Report{Members: 500, Unrest: 1, Roles: []Role{{Name: Leader, Members: 1, CPU: 1}}})
-	all, out, err := Slopes(reports)
+	reports = append(reports, &Report{Members: 500, MembershipChanges: 1, Roles: []Role{{Name: Leader, Members: 1, CPU: 1}}})
+	all, out, err := FitSlopes(reports)
 	if err != nil || len(out) != 1 || out[0] != 500 {
 		t.Fatal(out, err)
 	}
@@ -204,10 +204,10 @@
 	if err != nil || off(l.Slope, 0) || off(l.Intercept, 0) || off(l.Residual, 1) || off(l.Error*l.Error, 0.5) {
 		t.Errorf("%+v %v", l, err)
 	}
-	if _, err := Fit([]Point{{3, 1}, {3, 2}}); !errors.Is(err, ErrPoints) {
+	if _, err := Fit([]Point{{3, 1}, {3, 2}}); !errors.Is(err, ErrTooFewSizes) {
 		t.Error("a line through one size:", err)
 	}
-	if _, _, err := Slopes(reports[4:]); !errors.Is(err, ErrPoints) {
+	if _, _, err := FitSlopes(reports[4:]); !errors.Is(err, ErrTooFewSizes) {
 		t.Error("slopes of a run that was not calm:", err)
 	}
 	var told strings.Builder
@@ -224,7 +224,7 @@
 	marks := map[string][]versionTime{"a": {{1, at(10)}, {2, at(130)}}, "b": {{2, at(150)}}, "c": {{1, at(40)}}}
 	ms, f := compareInForce(made, []string{"a", "b", "c"}, marks)
 	f.setQuantiles(ms)
-	if f.Expected != 6 || f.Missing != 1 || f.WorstMember != "c" || f.P50 != 40 || f.Most != 150 {
+	if f.Expected != 6 || f.Missing != 1 || f.WorstMember != "c" || f.P50Ms != 40 || f.MaxMs != 150 {
 		t.Errorf("%+v of %v", f, ms)
 	}
 }
@@ -300,7 +300,7 @@
 		select {
 		case l := <-told:
 			return l
-		case <-time.After(standin.Patience):
+		case <-time.After(standin.WaitTimeout):
 			t.Fatal("never told")
 			return nil
 		}
@@ -340,7 +340,7 @@
 		t.Run(fmt.Sprintf("%d real, %d hollow, fleets of %d", c.real, c.hollow, c.cell), func(t *testing.T) {
 			t.Parallel()
 			conf := small(t, c.real, c.hollow, c.cell)
-			conf.Changes, conf.ListChanges = 3, 3
+			conf.SettingsPerSecond, conf.ListChangesPerSecond = 3, 3
 			r, err := Run(context.Background(), conf)
 			if err != nil {
 				t.Fatal(err)
@@ -362,10 +362,10 @@
 				if o.Name == Links {
 					continue
 				}
-				if members += o.Members; o.Name == Leader || o.Name == HollowLead {
+				if members += o.Members; o.Name == Leader || o.Name == HollowLeader {
 					leaders += o.Members
 				}
-				if o.Counted != o.Members || o.In < 0 || o.Out < 0 || o.Descriptors <= 0 || o.MemoryMB <= 0 {
+				if o.CountedMembers != o.Members || o.FramesIn < 0 || o.FramesOut < 0 || o.Descriptors <= 0 || o.MemoryMB <= 0 {
 					t.Errorf("%+v", o)
 				}
 			}
@@ -383,13 +383,13 @@
 func TestLeaderKilled(t *testing.T) {
 	t.Parallel()
 	conf := small(t, 0, 5, 0)
-	conf.Fault, conf.Changes = KillLeader, 2
+	conf.Fault, conf.SettingsPerSecond = KillLeader, 2
 	r, err := Run(context.Background(), conf)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := r.Fault
-	if f == nil || f.Member == "" || f.NewLeaderMs <= 0 || f.PutOut < 1 || r.PutOut < f.PutOut || r.Settings.Missing > 0 {
+	if f == nil || f.Member == "" || f.NewLeaderMs <= 0 || f.Evictions < 1 || r.Evictions < f.Evictions || r.Settings.Missing > 0 {
 		t.Errorf("%+v, %+v", f, r.Settings)
 	}
 }
@@ -400,7 +400,7 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			conf := small(t, 1, 8, 0)
-			conf.For = time.Minute
+			conf.Duration = time.Minute
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error, 1)
 			go func() { _, err := Run(ctx, conf); done <- err }()
@@ -420,8 +420,8 @@
 func TestMemoryBound(t *testing.T) {
 	t.Parallel()
 	conf := small(t, 0, 6, 0)
-	conf.MemoryMB, conf.For = 10, time.Minute
-	if _, err := play(context.Background(), conf, newLayout(&conf)); !errors.Is(err, ErrMemory) {
+	conf.MemoryMB, conf.Duration = 10, time.Minute
+	if _, err := play(context.Background(), conf, newLayout(&conf)); !errors.Is(err, ErrMemoryLimit) {
 		t.Error(err)
 	}
 	if l := left(t, conf.Dir); len(l) > 0 {
@@ -433,7 +433,7 @@
 func TestLists(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	all, err := Lists(context.Background(), ListsConfig{Sizes: []int{3, 50}, For: MinFor, Changes: 10, Binary: program, Dir: dir})
+	all, err := MeasureLists(context.Background(), ListsConfig{Sizes: []int{3, 50}, Duration: MinDuration, ChangesPerSecond: 10, Binary: program, Dir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -441,8 +441,8 @@
 		t.Errorf("%+v", all)
 	}
 	for _, f := range all {
-		if f.Changes == 0 || f.Untold != 0 {
-			t.Errorf("%d servers: not told of %d of %d changes", f.Servers, f.Untold, f.Changes)
+		if f.Changes == 0 || f.ChangesNotSent != 0 {
+			t.Errorf("%d servers: not told of %d of %d changes", f.Servers, f.ChangesNotSent, f.Changes)
 		}
 	}
 	if l := left(t, dir); len(l) > 0 {
--- a/internal/lab/fleetscale/seen.go
+++ b/internal/lab/fleetscale/seen.go
@@ -43,22 +43,22 @@
 		e.Member = by.name
 	}
 	switch e.Kind {
-	case Serves:
+	case EventServing:
 		b.serving++
-	case Failed:
-		b.failure = by.name + ": " + e.Why
-	case Leased:
+	case EventFailed:
+		b.failure = by.name + ": " + e.Error
+	case EventLeaseGranted:
 		b.leaseCounts[e.Member]++
 		b.lastLease = e.At
-	case Leads:
+	case EventLeaderElected:
 		b.elections = append(b.elections, election{by, e.At})
-	case Evicted:
-		if key := e.Member + "/" + e.Which; b.evictions[key].IsZero() {
+	case EventEvicted:
+		if key := e.Member + "/" + e.Incarnation; b.evictions[key].IsZero() {
 			b.evictions[key] = e.At
 		}
-	case Adopted:
+	case EventSettingsApplied:
 		b.adopted[e.Member] = append(b.adopted[e.Member], versionTime{e.Number, e.At})
-	case Listed:
+	case EventListApplied:
 		b.listed[e.Member] = append(b.listed[e.Member], versionTime{e.Number, e.At})
 	}
 	close(b.changed)
@@ -79,19 +79,19 @@
 }
 
 // InForce tells how long changes took to be in force, in ms, over all members and changes.
-type InForce struct {
-	Changes     int // that were agreed, or listed
-	Refused     int // that were not
-	Expected    int // changes times members
-	Missing     int // of these, not in force at the end
-	P50, P99    float64
-	Most        float64
-	PerSecond   float64 // changes made
-	WorstMember string  `json:",omitempty"`
+type PropagationTimes struct {
+	Changes      int // that were agreed, or listed
+	Rejected     int // that were not
+	Expected     int // changes times members
+	Missing      int // of these, not in force at the end
+	P50Ms, P99Ms float64
+	MaxMs        float64
+	PerSecond    float64 // changes made
+	WorstMember  string  `json:",omitempty"`
 }
 
 // compareInForce compares when changes were made with when members had them, or later ones, in force.
-func compareInForce(made []versionTime, members []string, marks map[string][]versionTime) (ms []float64, f InForce) {
+func compareInForce(made []versionTime, members []string, marks map[string][]versionTime) (ms []float64, f PropagationTimes) {
 	for _, name := range members {
 		own := slices.Clone(marks[name])
 		slices.SortFunc(own, func(a, b versionTime) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
@@ -110,11 +110,11 @@
 }
 
 // setQuantiles fills in the figures of all times.
-func (f *InForce) setQuantiles(ms []float64) {
+func (f *PropagationTimes) setQuantiles(ms []float64) {
 	if len(ms) == 0 {
 		return
 	}
 	slices.Sort(ms)
 	rank := func(p float64) float64 { return ms[min(len(ms)-1, int(p*float64(len(ms))))] }
-	f.P50, f.P99, f.Most = rank(0.5), rank(0.99), ms[len(ms)-1]
+	f.P50Ms, f.P99Ms, f.MaxMs = rank(0.5), rank(0.99), ms[len(ms)-1]
 }
--- a/internal/lab/fleetscale/slopes.go
+++ b/internal/lab/fleetscale/slopes.go
@@ -23,7 +23,7 @@
 func (l *Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
 // ErrPoints tells that there is no line through what was given.
-var ErrPoints = errors.New("a slope needs points of two sizes at least")
+var ErrTooFewSizes = errors.New("a slope needs points of two sizes at least")
 
 // Fit draws a line through points of two sizes at least.
 func Fit(points []Point) (*Line, error) {
@@ -34,7 +34,7 @@
 		apart = apart || p.X != points[0].X
 	}
 	if !apart {
-		return nil, ErrPoints
+		return nil, ErrTooFewSizes
 	}
 	l := &Line{Points: points}
 	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
--- a/internal/lab/fleetscale/sweep.go
+++ b/internal/lab/fleetscale/sweep.go
@@ -7,7 +7,7 @@
 )
 
 // Target is the size that slopes are followed to.
-const Target = 18_000
+const TargetSize = 18_000
 
 // inForceMs is the time within which a change is to be in force everywhere, from the users' page.
 const inForceMs = 10_000
@@ -24,8 +24,8 @@
 	{"% of a core", 3.7, func(r *Role) float64 { return r.CPU }},
 	{"MB", 64, func(r *Role) float64 { return r.MemoryMB }},
 	{"KB/s in and out", 25, func(r *Role) float64 { return r.KBIn + r.KBOut }},
-	{"frames/s in", 0, func(r *Role) float64 { return r.In }},
-	{"frames/s out", 0, func(r *Role) float64 { return r.Out }},
+	{"frames/s in", 0, func(r *Role) float64 { return r.FramesIn }},
+	{"frames/s out", 0, func(r *Role) float64 { return r.FramesOut }},
 	{"descriptors", 0, func(r *Role) float64 { return r.Descriptors }},
 }
 
@@ -38,10 +38,10 @@
 }
 
 // Slopes draws a line for each role and quantity that calm reports of two sizes at least have; left are the sizes of the others.
-func Slopes(reports []*Report) (out []Slope, left []int, err error) {
+func FitSlopes(reports []*Report) (out []Slope, left []int, err error) {
 	var calm []*Report
 	for _, r := range reports {
-		if r.Calm() {
+		if r.Stable() {
 			calm = append(calm, r)
 		} else {
 			left = append(left, r.Members)
@@ -55,14 +55,14 @@
 			}
 		}
 		if l, err := Fit(points); err == nil {
-			out = append(out, Slope{role, quantity, *l, l.At(Target), budget})
+			out = append(out, Slope{role, quantity, *l, l.At(TargetSize), budget})
 		}
 	}
 	for _, role := range Roles {
 		for _, q := range Quantities {
 			draw(role, q.Name, q.Budget, func(r *Report) (float64, bool) {
 				for i := range r.Roles {
-					if o := &r.Roles[i]; o.Name == role && role != Links && (o.Counted > 0 || !strings.Contains(q.Name, "/s")) {
+					if o := &r.Roles[i]; o.Name == role && role != Links && (o.CountedMembers > 0 || !strings.Contains(q.Name, "/s")) {
 						return q.of(o), true
 					}
 				}
@@ -70,25 +70,25 @@
 			})
 		}
 	}
-	draw("list service", "watches", 0, func(r *Report) (float64, bool) { return float64(r.ListService.Open), true })
-	draw("list service", "lists and beats/s", 0, func(r *Report) (float64, bool) { return r.ListService.Words, true })
+	draw("list service", "watches", 0, func(r *Report) (float64, bool) { return float64(r.ListService.OpenWatches), true })
+	draw("list service", "lists and beats/s", 0, func(r *Report) (float64, bool) { return r.ListService.Messages, true })
 	draw("list service", "KB/s out", 0, func(r *Report) (float64, bool) { return r.ListService.KBOut, true })
 	for _, k := range []struct {
 		name string
-		of   func(*Report) *InForce
-	}{{"versions", func(r *Report) *InForce { return &r.Settings }}, {"lists", func(r *Report) *InForce { return &r.List }}} {
-		draw(k.name, "ms to in force, p50", inForceMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P50, f.Expected > f.Missing })
-		draw(k.name, "ms to in force, p99", inForceMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P99, f.Expected > f.Missing })
+		of   func(*Report) *PropagationTimes
+	}{{"versions", func(r *Report) *PropagationTimes { return &r.Settings }}, {"lists", func(r *Report) *PropagationTimes { return &r.List }}} {
+		draw(k.name, "ms to in force, p50", inForceMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P50Ms, f.Expected > f.Missing })
+		draw(k.name, "ms to in force, p99", inForceMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P99Ms, f.Expected > f.Missing })
 	}
 	if len(out) == 0 {
-		return nil, left, fmt.Errorf("%w; not calm: %v", ErrPoints, left)
+		return nil, left, fmt.Errorf("%w; not calm: %v", ErrTooFewSizes, left)
 	}
 	return out, left, nil
 }
 
 // PrintSlopes tells slopes.
 func PrintSlopes(out io.Writer, all []Slope, left []int) {
-	t := newTable(out, "role", "quantity", "points (members: figure)", "slope a member", "its error", "intercept", "residual", fmt.Sprintf("at %d", Target), "budget", "times")
+	t := newTable(out, "role", "quantity", "points (members: figure)", "slope a member", "its error", "intercept", "residual", fmt.Sprintf("at %d", TargetSize), "budget", "times")
 	for _, s := range all {
 		var points []string
 		for _, p := range s.Points {
--- a/internal/lab/fleetscale/worker.go
+++ b/internal/lab/fleetscale/worker.go
@@ -24,25 +24,25 @@
 
 // Kinds of events.
 const (
-	Serves  EventKind = "serves"  // the process has all its members, or links, listening
-	Leased  EventKind = "leased"  // a member has its first lease of an incarnation
-	Leads   EventKind = "leads"   // a member of the process grants leases from now on
-	Evicted EventKind = "evicted" // an incarnation of a member was put out, as each who votes sees it
-	Adopted EventKind = "adopted" // a version of the settings is in force
-	Listed  EventKind = "listed"  // a list is in force
-	Counted EventKind = "counted" // the links' counts so far
-	Failed  EventKind = "failed"  // the process can't do what it was told
+	EventServing         EventKind = "serves"  // the process has all its members, or links, listening
+	EventLeaseGranted    EventKind = "leased"  // a member has its first lease of an incarnation
+	EventLeaderElected   EventKind = "leads"   // a member of the process grants leases from now on
+	EventEvicted         EventKind = "evicted" // an incarnation of a member was put out, as each who votes sees it
+	EventSettingsApplied EventKind = "adopted" // a version of the settings is in force
+	EventListApplied     EventKind = "listed"  // a list is in force
+	EventLinkCounts      EventKind = "counted" // the links' counts so far
+	EventFailed          EventKind = "failed"  // the process can't do what it was told
 )
 
 // Event is what was seen, by a hollow member's hooks or in a real one's log.
 type Event struct {
-	Kind   EventKind
-	Member string           `json:",omitempty"`
-	Which  string           `json:",omitempty"` // incarnation
-	Number int64            `json:",omitempty"` // of the version, the list, or open connections of links
-	At     time.Time        `json:",omitzero"`
-	Counts map[string]Tally `json:",omitempty"`
-	Why    string           `json:",omitempty"`
+	Kind        EventKind
+	Member      string                 `json:",omitempty"`
+	Incarnation string                 `json:",omitempty"` // incarnation
+	Number      int64                  `json:",omitempty"` // of the version, the list, or open connections of links
+	At          time.Time              `json:",omitzero"`
+	Counts      map[string]FrameCounts `json:",omitempty"`
+	Error       string                 `json:",omitempty"`
 }
 
 // workerSpec is what a worker is told on the first line of its input. Each further line asks for the links' counts; the end of the input ends
@@ -66,7 +66,7 @@
 type memberSpec struct{ Name, Address, StateDir string }
 
 // Worker is the program of a process with hollow members or links, until its input ends.
-func Worker(in io.Reader, out, errs io.Writer) error {
+func RunWorker(in io.Reader, out, errs io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
@@ -82,23 +82,23 @@
 	tell := eventWriter(out)
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
 	log.SetOutput(io.MultiWriter(errs, lineWriter(func(line string) {
-		if e, ok := eventOf(line); ok && e.Kind != Adopted {
+		if e, ok := eventOf(line); ok && e.Kind != EventSettingsApplied {
 			tell(e)
 		}
 	})))
 	l := newLinks()
 	defer l.close()
 	if err := w.begin(ctx, l, tell); err != nil {
-		tell(Event{Kind: Failed, Why: err.Error()})
+		tell(Event{Kind: EventFailed, Error: err.Error()})
 		return err
 	}
-	tell(Event{Kind: Serves, At: time.Now()})
+	tell(Event{Kind: EventServing, At: time.Now()})
 	for {
 		if _, err := lines.ReadBytes('\n'); err != nil {
 			return nil
 		}
 		counts, open := l.tallies()
-		tell(Event{Kind: Counted, Number: int64(open), At: time.Now(), Counts: counts})
+		tell(Event{Kind: EventLinkCounts, Number: int64(open), At: time.Now(), Counts: counts})
 	}
 }
 
@@ -155,7 +155,7 @@
 
 // loggedEvents are the events of the program's log that are handed on.
 var loggedEvents = map[string]EventKind{
-	"event=fleet_lease_granted": Leased, "event=fleet_leader_elected": Leads, "event=fleet_membership_changed": Evicted, "event=settings_applied": Adopted,
+	"event=fleet_lease_granted": EventLeaseGranted, "event=fleet_leader_elected": EventLeaderElected, "event=fleet_membership_changed": EventEvicted, "event=settings_applied": EventSettingsApplied,
 }
 
 // eventOf reads a line of the program's log, as package eventlog writes it.
@@ -178,15 +178,15 @@
 		case "member":
 			e.Member = value
 		case "incarnation":
-			e.Which = value
+			e.Incarnation = value
 		case "evicted":
 			evicted = value == "true"
 		case "settings_version":
 			e.Number, _ = strconv.ParseInt(value, 10, 64)
 		}
 	}
-	return e, e.Kind != Evicted || evicted
+	return e, e.Kind != EventEvicted || evicted
 }
 
 // WorkerMain is Worker over the process's own streams.
-func WorkerMain() error { return Worker(os.Stdin, os.Stdout, os.Stderr) }
+func WorkerMain() error { return RunWorker(os.Stdin, os.Stdout, os.Stderr) }
--- a/internal/lab/standin/bound.go
+++ b/internal/lab/standin/bound.go
@@ -8,7 +8,7 @@
 
 // Bound makes a socket that is bound on loopback, to that port or any for 0, and does not listen: nobody else is given the port, and
 // connections to it are refused. The options are set first; who asks for it closes it.
-func Bound(t testing.TB, port int, options ...int) (fd int, addr string) {
+func BindLoopback(t testing.TB, port int, options ...int) (fd int, addr string) {
 	t.Helper()
 	fd = must(t, func() (int, error) {
 		return syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/lab/standin/registry.go
+++ b/internal/lab/standin/registry.go
@@ -18,29 +18,29 @@
 
 // Faults of a registry.
 const (
-	Good     Fault = iota // none
-	Refuses               // nobody listens at its address
-	Hangs                 // calls are accepted and never answered; one that works in turn answers them later
-	Trickles              // heads come byte by byte, and never whole
-	Busy                  // 503
-	Resets                // once the call was read
-	Garbles               // what comes is no list
-	Ends                  // watches end after their head
-	Mixed                 // each of these but Refuses, one call after another
-	Heads                 // calls get their head and nothing more
-	Halves                // calls get half a list and nothing more
-	Older                 // calls get the list that was there before the present one, and empty lines from then on
+	NoFault            Fault = iota // none
+	RefuseConnections               // nobody listens at its address
+	NeverRespond                    // calls are accepted and never answered; one that works in turn answers them later
+	TrickleHeaders                  // heads come byte by byte, and never whole
+	RespondUnavailable              // 503
+	ResetConnections                // once the call was read
+	SendInvalidList                 // what comes is no list
+	EndAfterHeaders                 // watches end after their head
+	MixedFaults                     // each of these but Refuses, one call after another
+	StallAfterHeaders               // calls get their head and nothing more
+	StallWithinList                 // calls get half a list and nothing more
+	SendPreviousList                // calls get the list that was there before the present one, and empty lines from then on
 )
 
 // Break is how the watches that are open come to their end.
-type Break int
+type WatchBreak int
 
 // Ways in which an open watch ends.
 const (
-	Silent      Break = iota // nothing more comes
-	HalfAndBeat              // half a list comes, and empty lines go on
-	Reset                    // the connection is reset
-	Ended                    // the answer ends as it should
+	WatchSilent           WatchBreak = iota // nothing more comes
+	WatchStallsWithinList                   // half a list comes, and empty lines go on
+	WatchReset                              // the connection is reset
+	WatchEnded                              // the answer ends as it should
 )
 
 // Registry is a list service. A call goes on as it began, also where the registry's fault has ended since.
@@ -59,7 +59,7 @@
 	lagging string        // what a replica that lags has
 	change  chan struct{} // closed when the list or the fault changes
 	muted   int           // watches below that number say nothing more
-	broken  Break         // how they came to their end
+	broken  WatchBreak    // how they came to their end
 	left    int           // calls that meet the fault before all is good; 0: all do
 	calls   int
 	worked  int                 // of them, in turn
@@ -70,10 +70,10 @@
 func NewRegistry(t testing.TB, fault Fault) *Registry {
 	t.Helper()
 	r := &Registry{fault: fault, change: make(chan struct{}), closed: make(chan bool), told: map[int64]time.Time{}}
-	free, addr := Bound(t, 0, syscall.SO_REUSEADDR)
+	free, addr := BindLoopback(t, 0, syscall.SO_REUSEADDR)
 	port := netip.MustParseAddrPort(addr).Port()
 	// By name: a listener that is shut down gives a port back that the system chose. The first goes only then, so nobody gets it between.
-	fd, addr := Bound(t, int(port), syscall.SO_REUSEADDR)
+	fd, addr := BindLoopback(t, int(port), syscall.SO_REUSEADDR)
 	syscall.Close(free)
 	r.socket, r.Addr = fd, addr
 	t.Cleanup(func() {
@@ -81,7 +81,7 @@
 		syscall.Shutdown(fd, syscall.SHUT_RDWR)
 		syscall.Close(fd)
 	})
-	if fault != Refuses {
+	if fault != RefuseConnections {
 		r.listen(t)
 	}
 	return r
@@ -89,7 +89,7 @@
 
 // InTurn has the registry work through its calls one after the other, so long each, also through those that were given up.
 // It must be called before the first call; the registry works while it is good.
-func (r *Registry) InTurn(each time.Duration) {
+func (r *Registry) ServeSequentially(each time.Duration) {
 	r.turns = make(chan *Watch, 1<<16)
 	go func() {
 		for {
@@ -97,7 +97,7 @@
 			case <-r.closed:
 				return
 			case w := <-r.turns:
-				if !r.wait(func() bool { return r.fault == Good }) {
+				if !r.wait(func() bool { return r.fault == NoFault }) {
 					return
 				}
 				time.Sleep(each)
@@ -143,17 +143,17 @@
 }
 
 // List sets the whole list, as text on one line; watches are told at once, while the registry is good.
-func (r *Registry) List(seq int64, text string) {
+func (r *Registry) SetList(seq int64, text string) {
 	r.set(func() { r.seq, r.text, r.before = seq, text, r.text })
 }
 
 // Return ends the fault, and says when the registry could be reached and was able to answer.
-func (r *Registry) Return(t testing.TB) time.Time {
+func (r *Registry) Recover(t testing.TB) time.Time {
 	t.Helper()
 	r.mu.Lock()
-	refused := r.fault == Refuses
+	refused := r.fault == RefuseConnections
 	r.mu.Unlock()
-	r.set(func() { r.fault, r.left = Good, 0 })
+	r.set(func() { r.fault, r.left = NoFault, 0 })
 	if refused {
 		r.listen(t)
 	}
@@ -162,26 +162,26 @@
 
 // Fail has all calls meet a fault until the return, and the watches that are open end, or say nothing more where it is one of
 // silence. One that refuses closes its listener.
-func (r *Registry) Fail(fault Fault) {
+func (r *Registry) InjectFault(fault Fault) {
 	r.set(func() {
-		r.fault, r.left, r.broken, r.muted = fault, 0, Ended, r.calls
-		if fault == Hangs {
-			r.broken = Silent
+		r.fault, r.left, r.broken, r.muted = fault, 0, WatchEnded, r.calls
+		if fault == NeverRespond {
+			r.broken = WatchSilent
 		}
 	})
-	if fault == Refuses {
+	if fault == RefuseConnections {
 		syscall.Shutdown(r.socket, syscall.SHUT_RDWR)
 	}
 }
 
 // Fall has the watches that are open say nothing more, and calls meet that fault, which may be none.
-func (r *Registry) Fall(fault Fault) time.Time {
+func (r *Registry) SilenceWatches(fault Fault) time.Time {
 	r.set(func() { r.fault, r.muted = fault, r.calls })
 	return time.Now()
 }
 
 // BreakWatches ends the watches that are open, and the next calls, so many, meet that fault; those after them are served.
-func (r *Registry) BreakWatches(how Break, fault Fault, calls int) time.Time {
+func (r *Registry) BreakWatches(how WatchBreak, fault Fault, calls int) time.Time {
 	r.set(func() {
 		r.broken, r.muted, r.lagging = how, r.calls, r.before
 		if calls > 0 {
@@ -192,7 +192,7 @@
 }
 
 // Told is when that version was first written to anybody.
-func (r *Registry) Told(seq int64) (time.Time, bool) {
+func (r *Registry) FirstSent(seq int64) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, ok := r.told[seq]
@@ -207,7 +207,7 @@
 }
 
 // Worked is how many calls it has worked through in turn.
-func (r *Registry) Worked() int {
+func (r *Registry) Served() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.worked
@@ -244,7 +244,7 @@
 	r.calls++
 	if r.left > 0 {
 		if r.left--; r.left == 0 {
-			r.fault = Good
+			r.fault = NoFault
 		}
 	}
 	r.mu.Unlock()
@@ -254,20 +254,20 @@
 		return
 	}
 	w := &Watch{c, req.URL.RawQuery, n}
-	if r.turns != nil && (fault == Good || fault == Hangs) {
+	if r.turns != nil && (fault == NoFault || fault == NeverRespond) {
 		r.turns <- w
 		return
 	}
 	defer c.Close()
-	if fault == Mixed {
-		fault = Hangs + Fault(n)%(Mixed-Hangs)
+	if fault == MixedFaults {
+		fault = NeverRespond + Fault(n)%(MixedFaults-NeverRespond)
 	}
 	switch fault {
-	case Good:
+	case NoFault:
 		r.serve(w)
-	case Hangs:
-		w.Left()
-	case Trickles:
+	case NeverRespond:
+		w.WaitForClose()
+	case TrickleHeaders:
 		for text := "HTTP/1.1 200 OK\r\nX: "; ; text = "x" {
 			if _, err := io.WriteString(w, text); err != nil {
 				return
@@ -278,34 +278,34 @@
 				return
 			}
 		}
-	case Busy:
-		Say(w, 503, "", "")
-	case Resets:
+	case RespondUnavailable:
+		WriteResponse(w, 503, "", "")
+	case ResetConnections:
 		w.SetLinger(0)
-	case Garbles:
-		w.Begin()
-		w.Tell("[1]\n")
-	case Ends:
-		w.Begin()
-	case Heads:
-		w.Begin()
-		w.Left()
-	case Halves:
-		w.Begin()
-		w.Tell(half)
-		w.Left()
-	case Older:
+	case SendInvalidList:
+		w.WriteHeaders()
+		w.WriteChunk("[1]\n")
+	case EndAfterHeaders:
+		w.WriteHeaders()
+	case StallAfterHeaders:
+		w.WriteHeaders()
+		w.WaitForClose()
+	case StallWithinList:
+		w.WriteHeaders()
+		w.WriteChunk(half)
+		w.WaitForClose()
+	case SendPreviousList:
 		r.lag(w)
 	}
 }
 
 // lag serves a watch as a replica does that has not seen the latest change.
 func (r *Registry) lag(w *Watch) {
-	w.Begin()
+	w.WriteHeaders()
 	r.mu.Lock()
 	text := r.lagging
 	r.mu.Unlock()
-	for w.Tell(text+"\n") == nil {
+	for w.WriteChunk(text+"\n") == nil {
 		text = ""
 		select {
 		case <-time.After(time.Second):
@@ -323,30 +323,30 @@
 	defer w.Close()
 	gone := make(chan bool)
 	go func() {
-		w.Left()
+		w.WaitForClose()
 		close(gone)
 	}()
 	beat := time.NewTicker(2 * time.Second)
 	defer beat.Stop()
-	w.Begin()
+	w.WriteHeaders()
 	for last, begunHalf := int64(-1), false; ; {
 		r.mu.Lock()
-		change, seq, text, muted, broken := r.change, r.seq, r.text, w.N < r.muted, r.broken
+		change, seq, text, muted, broken := r.change, r.seq, r.text, w.Index < r.muted, r.broken
 		r.mu.Unlock()
 		switch {
-		case !muted || broken == Silent:
-		case broken == Reset:
+		case !muted || broken == WatchSilent:
+		case broken == WatchReset:
 			w.SetLinger(0)
 			return
-		case broken == Ended:
+		case broken == WatchEnded:
 			io.WriteString(w, "0\r\n\r\n")
 			return
 		case !begunHalf:
 			begunHalf = true
-			w.Tell(half)
+			w.WriteChunk(half)
 		}
 		if seq != last && !muted {
-			if w.Tell(text+"\n") != nil {
+			if w.WriteChunk(text+"\n") != nil {
 				return
 			}
 			r.mu.Lock()
@@ -364,7 +364,7 @@
 			return
 		case <-beat.C:
 			if !muted || begunHalf {
-				w.Tell("\n")
+				w.WriteChunk("\n")
 			}
 		}
 	}
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -17,12 +17,12 @@
 )
 
 // Patience is how long a test waits for what has to come before it gives up.
-const Patience = 30 * time.Second
+const WaitTimeout = 30 * time.Second
 
 // Eventually waits until ok; what names it.
 func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never came: %s", what)
 		}
@@ -84,45 +84,49 @@
 }
 
 // Got is how many requests of that id came whole.
-func (s *Server) Got(id string) int {
+func (s *Server) RequestCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got[id]
 }
 
 // Say writes an answer of that status and body.
-func Say(c net.Conn, status int, header, body string) bool {
+func WriteResponse(c net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d S\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 	return err == nil
 }
 
 // Yes answers 200 with the request's id.
-func Yes(c *net.TCPConn, r *http.Request) bool { return Say(c, 200, "", r.Header.Get("Req-Id")) }
+func EchoRequestID(c *net.TCPConn, r *http.Request) bool {
+	return WriteResponse(c, 200, "", r.Header.Get("Req-Id"))
+}
 
 // Declined says that the request never ran.
-const Declined = "Srv-Declined: 1\r\n"
+const DeclinedHeader = "Srv-Declined: 1\r\n"
 
 // Watch is one call to the list.
 type Watch struct {
 	*net.TCPConn
 	Query string
-	N     int // of the calls, from 0
+	Index int // of the calls, from 0
 }
 
 // Begin answers that the list comes in chunks.
-func (w *Watch) Begin() { io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") }
+func (w *Watch) WriteHeaders() {
+	io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+}
 
 // Tell writes one chunk.
-func (w *Watch) Tell(text string) error {
+func (w *Watch) WriteChunk(text string) error {
 	_, err := fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text)
 	return err
 }
 
 // Left returns once the other side has ended the call.
-func (w *Watch) Left() { io.Copy(io.Discard, w) }
+func (w *Watch) WaitForClose() { io.Copy(io.Discard, w) }
 
 // NewDiscovery hands each call to serve once its head was read.
-func NewDiscovery(t testing.TB, serve func(w *Watch)) (addr string) {
+func ListenDiscovery(t testing.TB, serve func(w *Watch)) (addr string) {
 	return Listen(t, func(c *net.TCPConn, n int) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
@@ -133,13 +137,13 @@
 }
 
 // Hook is a listener whose connections' reads are the test's to hold back.
-type Hook struct {
+type ReadInterceptor struct {
 	net.Listener
-	Read func(c *net.TCPConn, p []byte) (int, error)
+	ReadConn func(c *net.TCPConn, p []byte) (int, error)
 }
 
 // Accept takes the next connection.
-func (h *Hook) Accept() (net.Conn, error) {
+func (h *ReadInterceptor) Accept() (net.Conn, error) {
 	c, err := h.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -149,13 +153,13 @@
 
 type hooked struct {
 	*net.TCPConn
-	hook *Hook
+	hook *ReadInterceptor
 }
 
-func (c *hooked) Read(p []byte) (int, error) { return c.hook.Read(c.TCPConn, p) }
+func (c *hooked) Read(p []byte) (int, error) { return c.hook.ReadConn(c.TCPConn, p) }
 
 // Crowded is an address at which connections come up only once accept was called; they lead to another.
-func Crowded(t testing.TB, to string) (addr string, accept func()) {
+func FullBacklogProxy(t testing.TB, to string) (addr string, accept func()) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/sidecar/overloaded_discovery_test.go
+++ b/internal/sidecar/overloaded_discovery_test.go
@@ -15,12 +15,12 @@
 // next loses its place in the queue, and the service works for nobody.
 func TestAServiceThatWorksInTurnServesAll(t *testing.T) {
 	const n, each = 30, 160 * time.Millisecond
-	for name, fault := range map[string]standin.Fault{"stuck": standin.Hangs, "refuses": standin.Refuses} {
+	for name, fault := range map[string]standin.Fault{"stuck": standin.NeverRespond, "refuses": standin.RefuseConnections} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := standin.NewRegistry(t, fault)
-			r.InTurn(each)
-			r.List(1, `{"seq":1,"whole":true,"hosts":[{"host":"s1","dial":"127.0.0.1:1","health":"Ready"}]}`)
+			r.ServeSequentially(each)
+			r.SetList(1, `{"seq":1,"whole":true,"hosts":[{"host":"s1","dial":"127.0.0.1:1","health":"Ready"}]}`)
 			fleet := make([]*Sidecar, n)
 			for i := range fleet {
 				set := testSettings()
@@ -34,7 +34,7 @@
 			}
 			time.Sleep(5500 * time.Millisecond) // calls that were given up are long so by then, and the next have begun
 			before := r.Calls()
-			back := r.Return(t)
+			back := r.Recover(t)
 			known := func() (k int) {
 				for _, s := range fleet {
 					if s.Ready() {
@@ -44,7 +44,7 @@
 				return k
 			}
 			standin.Eventually(t, fmt.Sprintf("a list for all %d", n), func() bool { return known() == n })
-			took, worked, calls := time.Since(back), r.Worked(), r.Calls()
+			took, worked, calls := time.Since(back), r.Served(), r.Calls()
 			t.Logf("all told after %.2f s and %d calls worked through; %d had come before, %d after", took.Seconds(), worked, before, calls-before)
 			if worked > n+n/2 {
 				t.Errorf("%d calls were worked through for %d sidecars: places were given away", worked, n)
--- a/internal/upstream/races_test.go
+++ b/internal/upstream/races_test.go
@@ -141,7 +141,7 @@
 // shortage does not count against the server; a route that stays missing, or an error from the server's side, does. Without
 // the repetition, a momentary loss of the route would eject all servers at once.
 func TestTransientDialErrorIsRetried(t *testing.T) {
-	s := standin.NewServer(t, standin.Yes)
+	s := standin.NewServer(t, standin.EchoRequestID)
 	type ends struct{ once, always EndReason }
 	for errno, want := range map[syscall.Errno]ends{
 		syscall.ENFILE: {Succeeded, NotSent}, syscall.ENOBUFS: {Succeeded, NotSent}, syscall.EADDRNOTAVAIL: {Succeeded, NotSent},
@@ -177,7 +177,7 @@
 // A dial that times out after a resource shortage on this machine does not count against the server, even if the dialer
 // returns before its context has ended. Without a shortage the timeout counts against the server.
 func TestDialTimeoutAfterShortage(t *testing.T) {
-	s := standin.NewServer(t, standin.Yes)
+	s := standin.NewServer(t, standin.EchoRequestID)
 	for _, c := range []struct {
 		name   string
 		errors []error
