--- a/internal/lab/fleetscale/lists.go
+++ b/internal/lab/fleetscale/lists.go
@@ -52,10 +52,10 @@
 	Servers          int
 	Idle             ProcessUsage
 	Changing         ProcessUsage // where there were changes
-	ChangesPerSecond float64      // changes that the sidecar was told, a second
+	ChangesPerSecond float64      `json:"Told"` // changes sent to the sidecar
 	Changes          int64        // made in all
-	ChangesNotSent   int64        // of these, that it was not told of soon after
-	CPUMsPerChange   float64      // above idle
+	ChangesNotSent   int64        `json:"Untold"`       // changes not sent to the sidecar before the settle timeout
+	CPUMsPerChange   float64      `json:"CPUMsAChange"` // CPU time above idle, ms per change sent
 }
 
 // Over is a process's use over a time.
@@ -63,8 +63,8 @@
 	CPU           float64 // % of a core
 	MemoryMB      float64 // at its end
 	Descriptors   int
-	OpenWatches   int64   // held open at its end
-	KBInPerSecond float64 // a second from the list service
+	OpenWatches   int64   `json:"Watches"` // open watches at the end of the measurement
+	KBInPerSecond float64 `json:"KBIn"`    // received from the list service
 }
 
 // Lists measures. It ends all that it started, also when ctx ends before.
--- a/internal/lab/fleetscale/seen.go
+++ b/internal/lab/fleetscale/seen.go
@@ -80,14 +80,15 @@
 
 // InForce tells how long changes took to be in force, in ms, over all members and changes.
 type PropagationTimes struct {
-	Changes      int // that were agreed, or listed
-	Rejected     int // that were not
-	Expected     int // changes times members
-	Missing      int // of these, not in force at the end
-	P50Ms, P99Ms float64
-	MaxMs        float64
-	PerSecond    float64 // changes made
-	WorstMember  string  `json:",omitempty"`
+	Changes     int     // that were agreed, or listed
+	Rejected    int     `json:"Refused"` // changes that were not committed
+	Expected    int     // changes times members
+	Missing     int     // of these, not in force at the end
+	P50Ms       float64 `json:"P50"`
+	P99Ms       float64 `json:"P99"`
+	MaxMs       float64 `json:"Most"`
+	PerSecond   float64 // changes made
+	WorstMember string  `json:",omitempty"`
 }
 
 // compareInForce compares when changes were made with when members had them, or later ones, in force.
--- a/internal/lab/fleetscale/worker.go
+++ b/internal/lab/fleetscale/worker.go
@@ -38,11 +38,11 @@
 type Event struct {
 	Kind        EventKind
 	Member      string                 `json:",omitempty"`
-	Incarnation string                 `json:",omitempty"` // incarnation
+	Incarnation string                 `json:"Which,omitempty"`
 	Number      int64                  `json:",omitempty"` // of the version, the list, or open connections of links
 	At          time.Time              `json:",omitzero"`
 	Counts      map[string]FrameCounts `json:",omitempty"`
-	Error       string                 `json:",omitempty"`
+	Error       string                 `json:"Why,omitempty"`
 }
 
 // workerSpec is what a worker is told on the first line of its input. Each further line asks for the links' counts; the end of the input ends
