--- a/internal/config/fleet_settings.go
+++ b/internal/config/fleet_settings.go
@@ -81,7 +81,7 @@
 }
 
 // unknownKey returns the path of the first key of object that has no field in t and is not in inForce; empty: none. inForce
-// is the same object of the settings in force.
+// is the corresponding object of the settings in force.
 func unknownKey(object, inForce map[string]any, t reflect.Type) string {
 	for _, key := range sortedKeys(object) {
 		field, known := fieldOfKey(t, key)
--- a/internal/shadow/comparer.go
+++ b/internal/shadow/comparer.go
@@ -62,8 +62,8 @@
 // shadow balancer follow the serving balancer.
 func (c *comparer) observe(e Event) {
 	c.actions = c.actions[:0]
-	// openBefore are the requests of the event that the shadow balancer had not answered before. Only for these can its
-	// decision be compared.
+	// openBefore has the requests that the shadow balancer had not answered before this event. A request that it answered
+	// earlier cannot be compared.
 	openBefore := map[string]bool{}
 	for _, a := range e.Actions {
 		openBefore[a.Request] = a.Request != "" && c.balancer.IsOpen(a.Request)
