--- a/internal/fleet/segmentfile/directory_test.go
+++ b/internal/fleet/segmentfile/directory_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// Open keeps the segments of a file up to the first partial or modified one, and truncates the file there. Old files are removed
-// when the directory is too large, and a directory that cannot be created is logged.
+// Open keeps the segments of a file up to the first partial or modified one, and truncates the file there, unless a process is
+// writing it. Old files are removed when the directory is too large, and a directory that cannot be created is logged.
 func TestOpenRepairsAndRemovesOldFiles(t *testing.T) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
