--- a/cmd/damsonscale-lab/chain.go
+++ b/cmd/damsonscale-lab/chain.go
@@ -35,9 +35,9 @@
 	JSON      string        `help:"File for the report." type:"path"`
 }
 
-func (c *chainCmd) Run(*player) error {
+func (c *chainCmd) Run(*runner) error {
 	if c.Added {
-		return c.added()
+		return c.printAddedLatency()
 	}
 	conf := callchain.Config{
 		Depth: c.Depth, Width: c.Width, Servers: c.Servers, Fault: callchain.Fault(c.Fault), FaultShare: c.Fail, FaultStart: c.FaultFrom, FaultDuration: c.FaultFor,
@@ -51,17 +51,17 @@
 		return err
 	}
 	fmt.Println(r)
-	if err := c.write(r); err != nil {
+	if err := c.writeReport(r); err != nil {
 		return err
 	}
 	if !r.GuaranteesMet() {
-		return errBroken
+		return errRuleViolated
 	}
 	return nil
 }
 
 // added reckons what the hops add, for two shapes of a hop's latency.
-func (c *chainCmd) added() error {
+func (c *chainCmd) printAddedLatency() error {
 	if c.Depth < 1 || c.Depth > 20 {
 		return fmt.Errorf("--depth %d is not within 1 to 20", c.Depth)
 	}
@@ -76,10 +76,10 @@
 	for _, shape := range []string{"log-normal", "pareto"} {
 		fmt.Println(shape, sums[shape])
 	}
-	return c.write(sums)
+	return c.writeReport(sums)
 }
 
-func (c *chainCmd) write(report any) error {
+func (c *chainCmd) writeReport(report any) error {
 	if c.JSON == "" {
 		return nil
 	}
--- a/cmd/damsonscale-lab/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -24,9 +24,9 @@
 )
 
 // errBroken is a rule that was broken: told, and the exit is 1.
-var errBroken = errors.New("a rule was broken")
+var errRuleViolated = errors.New("a rule was broken")
 
-type line struct {
+type commandLine struct {
 	Binary string `help:"The program." default:"bin/damsonscale" type:"existingfile"`
 	Dir    string `help:"For configurations, state and logs; a fresh one under the temporary directory if not given." type:"path"`
 
@@ -46,7 +46,7 @@
 }
 
 // shape is what timelines are drawn with.
-type shape struct {
+type drawFlags struct {
 	Seed      uint64 `help:"Of the first one." default:"1"`
 	Processes int    `help:"Of the program." default:"3"`
 	LengthMs  int64  `help:"Of a timeline, ms." default:"10000"`
@@ -55,7 +55,7 @@
 	Audit     bool   `help:"They keep account, and operators roll versions out."`
 }
 
-func (s *shape) draw(seed uint64) *faultinjection.Timeline {
+func (s *drawFlags) draw(seed uint64) *faultinjection.Timeline {
 	t := faultinjection.RandomTimeline(seed, s.Processes, s.LengthMs, s.PerSecond, s.Fleet)
 	if s.Audit {
 		t = faultinjection.WithOperatorSteps(t)
@@ -68,8 +68,8 @@
 	Fleet bool   `help:"The processes take work over from each other." default:"true" negatable:""`
 }
 
-func (c *lostCmd) Run(p *player) error {
-	return p.one(faultinjection.KillsAndPause(c.Seed, c.Fleet), p.dir)
+func (c *lostCmd) Run(p *runner) error {
+	return p.playTimeline(faultinjection.KillsAndPause(c.Seed, c.Fleet), p.dir)
 }
 
 type rolloutsCmd struct {
@@ -77,8 +77,8 @@
 	With string `help:"What is broken: none, stopped, cut, refused, barred." enum:"none,stopped,cut,refused,barred" default:"none"`
 }
 
-func (c *rolloutsCmd) Run(p *player) error {
-	return p.one(faultinjection.Rollouts(c.Seed, c.With), p.dir)
+func (c *rolloutsCmd) Run(p *runner) error {
+	return p.playTimeline(faultinjection.Rollouts(c.Seed, c.With), p.dir)
 }
 
 type replayCmd struct {
@@ -86,14 +86,14 @@
 	Times int    `help:"How often." default:"1"`
 }
 
-func (c *replayCmd) Run(p *player) error {
+func (c *replayCmd) Run(p *runner) error {
 	t, err := faultinjection.Read(c.File)
 	if err != nil {
 		return err
 	}
 	broken := error(nil)
 	for i := range c.Times {
-		if err := p.one(t, filepath.Join(p.dir, fmt.Sprint(i))); errors.Is(err, errBroken) {
+		if err := p.playTimeline(t, filepath.Join(p.dir, fmt.Sprint(i))); errors.Is(err, errRuleViolated) {
 			broken = err
 		} else if err != nil {
 			return err
@@ -103,20 +103,20 @@
 }
 
 type drawCmd struct {
-	shape
+	drawFlags
 	Out string `help:"File." required:""`
 }
 
-func (c *drawCmd) Run(*player) error { return c.draw(c.Seed).Write(c.Out) }
+func (c *drawCmd) Run(*runner) error { return c.draw(c.Seed).Write(c.Out) }
 
 type searchCmd struct {
-	shape
+	drawFlags
 	Count int    `help:"Timelines." default:"20"`
 	Side  int    `help:"Played side by side." default:"1"`
 	Keep  string `help:"Directory for those that break a rule." default:"broken" type:"path"`
 }
 
-func (c *searchCmd) Run(p *player) error {
+func (c *searchCmd) Run(p *runner) error {
 	seeds := make(chan uint64)
 	var mu sync.Mutex
 	var all faultinjection.Report
@@ -163,7 +163,7 @@
 		return fault
 	}
 	if len(kept) > 0 {
-		return errBroken
+		return errRuleViolated
 	}
 	return p.ctx.Err()
 }
@@ -174,7 +174,7 @@
 	Tries int    `help:"Runs in which a smaller one has to hold before it counts as whole." default:"3"`
 }
 
-func (c *shrinkCmd) Run(p *player) error {
+func (c *shrinkCmd) Run(p *runner) error {
 	t, err := faultinjection.Read(c.File)
 	if err != nil {
 		return err
@@ -201,7 +201,7 @@
 	JSON      string        `help:"File for the reports, a line each." type:"path"`
 }
 
-func (c *overheadCmd) Run(p *player) error {
+func (c *overheadCmd) Run(p *runner) error {
 	var lines []byte
 	for i := range c.Times {
 		r, err := faultinjection.MeasureOverhead(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(i))), &faultinjection.OverheadConfig{
@@ -233,7 +233,7 @@
 }
 
 // cells goes ways at random through a world of cells.
-func (c *exploreCmd) cells(p *player) error {
+func (c *exploreCmd) walkCells(p *runner) error {
 	steps, met := 0, modelcheck.Coverage{}
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
@@ -241,7 +241,7 @@
 		steps, met = steps+f.States, met.Add(f.Coverage)
 		if f.Violation != "" {
 			fmt.Printf("%s\n%s\nseed=%d\n", f.Violation, strings.Join(f.Trace, "\n"), seed)
-			return errBroken
+			return errRuleViolated
 		}
 	}
 	fmt.Printf("ways=%d steps=%d met=%+v\n", c.Count, steps, met)
@@ -249,7 +249,7 @@
 }
 
 // fences looks at every order of events of leases and versions.
-func (c *exploreCmd) fences(p *player) error {
+func (c *exploreCmd) exhaustFence(p *runner) error {
 	conf := modelcheck.FenceConfig{
 		Members: 1, Commands: []rollout.Kind{rollout.RollOut, rollout.Fence}, LeaderChanges: 1, Restarts: 1, Ticks: 4, LeaseRequests: 2,
 	}
@@ -260,19 +260,19 @@
 	fmt.Printf("%v states=%d\n", conf, f.States)
 	if f.Violation != "" {
 		fmt.Printf("%s\n%s\n", f.Violation, strings.Join(f.Trace, "\n"))
-		return errBroken
+		return errRuleViolated
 	}
 	return nil
 }
 
-func (c *exploreCmd) Run(p *player) error {
+func (c *exploreCmd) Run(p *runner) error {
 	switch {
 	case c.Fence && c.Cells:
 		return errors.New("--fence and --cells are two searches: give one")
 	case c.Fence:
-		return c.fences(p)
+		return c.exhaustFence(p)
 	case c.Cells:
-		return c.cells(p)
+		return c.walkCells(p)
 	}
 	broken := func(f modelcheck.Result) bool {
 		if f.Violation == "" {
@@ -289,7 +289,7 @@
 		}
 		fmt.Printf("depth=%d strict=%t states=%d\n", c.Depth, strict, f.States)
 		if broken(f) {
-			return errBroken
+			return errRuleViolated
 		}
 	}
 	steps := 0
@@ -301,7 +301,7 @@
 		steps += f.States
 		if broken(f) {
 			fmt.Printf("seed=%d\n", seed)
-			return errBroken
+			return errRuleViolated
 		}
 	}
 	fmt.Printf("ways=%d steps=%d\n", c.Count, steps)
@@ -309,25 +309,25 @@
 }
 
 // player plays timelines.
-type player struct {
+type runner struct {
 	ctx         context.Context
 	binary, dir string
-	own         bool // the directory is this run's own
+	ownsDir     bool // the directory is this run's own
 }
 
 // forget removes the run's own directory, also after an error or an interrupt.
-func (p *player) forget() {
-	if p.own {
+func (p *runner) removeOwnDir() {
+	if p.ownsDir {
 		os.RemoveAll(p.dir)
 	}
 }
 
-func (p *player) setup(dir string) faultinjection.Setup {
+func (p *runner) setup(dir string) faultinjection.Setup {
 	return faultinjection.Setup{Binary: p.binary, Dir: dir}
 }
 
 // one plays a timeline and tells what came of it.
-func (p *player) one(t *faultinjection.Timeline, dir string) error {
+func (p *runner) playTimeline(t *faultinjection.Timeline, dir string) error {
 	r, err := faultinjection.Run(p.ctx, p.setup(dir), t)
 	if err != nil {
 		return err
@@ -349,18 +349,18 @@
 	}
 	fmt.Println(r.Line())
 	if !r.Passed() {
-		return errBroken
+		return errRuleViolated
 	}
 	return nil
 }
 
 func main() {
-	var c line
+	var c commandLine
 	k := kong.Parse(&c, kong.Name("damsonscale-lab"), kong.UsageOnError(), kong.Description("Plays faults on several sidecars and judges what became of the requests."))
 	os.Exit(run(&c, k))
 }
 
-func run(c *line, k *kong.Context) int {
+func run(c *commandLine, k *kong.Context) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	binary, err := filepath.Abs(c.Binary)
@@ -369,7 +369,7 @@
 		dir, err = os.MkdirTemp("", "rig-")
 	}
 	if err == nil {
-		err = k.Run(&player{ctx: ctx, binary: binary, dir: dir, own: c.Dir == ""})
+		err = k.Run(&runner{ctx: ctx, binary: binary, dir: dir, ownsDir: c.Dir == ""})
 	}
 	if err == nil && c.Dir == "" {
 		err = os.RemoveAll(dir)
@@ -377,7 +377,7 @@
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errRuleViolated):
 		fmt.Fprintf(os.Stderr, "%v; logs are in %s\n", err, dir)
 		return 1
 	default:
--- a/cmd/damsonscale-lab/scale.go
+++ b/cmd/damsonscale-lab/scale.go
@@ -37,7 +37,7 @@
 }
 
 // conf makes a run's configuration in a directory of its own.
-func (f *scaleFlags) conf(p *player, dir string, hollow int) (fleetscale.Config, error) {
+func (f *scaleFlags) config(p *runner, dir string, hollow int) (fleetscale.Config, error) {
 	here, err := os.Executable()
 	if err != nil {
 		return fleetscale.Config{}, err
@@ -55,9 +55,9 @@
 	Hollow int `help:"Hollow members: control without a data path, several in a process." default:"0"`
 }
 
-func (c *scaleOnce) Run(p *player) error {
-	defer p.forget()
-	conf, err := c.conf(p, p.dir, c.Hollow)
+func (c *scaleOnce) Run(p *runner) error {
+	defer p.removeOwnDir()
+	conf, err := c.config(p, p.dir, c.Hollow)
 	if err != nil {
 		return err
 	}
@@ -66,10 +66,10 @@
 		return err
 	}
 	r.Print(os.Stdout)
-	return c.write(r)
+	return c.writeJSON(r)
 }
 
-func (f *scaleFlags) write(v any) error {
+func (f *scaleFlags) writeJSON(v any) error {
 	if f.JSON == "" {
 		return nil
 	}
@@ -81,13 +81,13 @@
 	Sizes []int `help:"Members; as many of them real as --real says, or fewer." default:"5,20,60,120"`
 }
 
-func (c *scaleSweep) Run(p *player) error {
-	defer p.forget()
+func (c *scaleSweep) Run(p *runner) error {
+	defer p.removeOwnDir()
 	var all []*fleetscale.Report
 	for i, n := range c.Sizes {
 		one := c.scaleFlags
 		one.Real = min(one.Real, n)
-		conf, err := one.conf(p, filepath.Join(p.dir, fmt.Sprint(i)), n-one.Real)
+		conf, err := one.config(p, filepath.Join(p.dir, fmt.Sprint(i)), n-one.Real)
 		if err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 				return err
 			}
 		}
-		p.forget()
+		p.removeOwnDir()
 	}
 	slopes, left, err := fleetscale.FitSlopes(all)
 	if err != nil {
@@ -115,8 +115,8 @@
 	Files []string `arg:"" type:"existingfile" help:"Of --json."`
 }
 
-func (c *scaleSlopes) Run(p *player) error {
-	defer p.forget()
+func (c *scaleSlopes) Run(p *runner) error {
+	defer p.removeOwnDir()
 	all, err := fleetscale.ReadReports(c.Files)
 	if err != nil {
 		return err
@@ -136,8 +136,8 @@
 	JSON    string        `help:"File for the figures." name:"json" placeholder:"FILE"`
 }
 
-func (c *scaleLists) Run(p *player) error {
-	defer p.forget()
+func (c *scaleLists) Run(p *runner) error {
+	defer p.removeOwnDir()
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 
 type scaleWorker struct{}
 
-func (*scaleWorker) Run(p *player) error {
-	p.forget() // it has been told its own
+func (*scaleWorker) Run(p *runner) error {
+	p.removeOwnDir() // it has been told its own
 	return fleetscale.WorkerMain()
 }
--- a/cmd/damsonscale-lab/scale_test.go
+++ b/cmd/damsonscale-lab/scale_test.go
@@ -20,9 +20,9 @@
 }
 
 // rigged runs the program and returns its exit code.
-func rigged(t *testing.T, args ...string) int {
+func runCommand(t *testing.T, args ...string) int {
 	t.Helper()
-	var c line
+	var c commandLine
 	k, err := kong.New(&c, kong.Name("damsonscale-lab"))
 	if err != nil {
 		t.Fatal(err)
@@ -45,16 +45,16 @@
 			t.Error(after, "left", left, err)
 		}
 	}
-	if code := rigged(t, "scale", "--hollow", "3", "--for", "1s", "--lease", "2s", "--json", figures); code != 0 {
+	if code := runCommand(t, "scale", "--hollow", "3", "--for", "1s", "--lease", "2s", "--json", figures); code != 0 {
 		t.Error("exit", code)
 	}
 	empty("a whole run")
-	if code := rigged(t, "scale", "--hollow", "3", "--for", "1h"); code != 2 {
+	if code := runCommand(t, "scale", "--hollow", "3", "--for", "1h"); code != 2 {
 		t.Error("out of range: exit", code)
 	}
 	empty("a refused run")
 	done := make(chan int, 1)
-	go func() { done <- rigged(t, "scale", "--hollow", "5", "--for", "1m") }()
+	go func() { done <- runCommand(t, "scale", "--hollow", "5", "--for", "1m") }()
 	standin.Eventually(t, "a run under way", func() bool {
 		logs, err := filepath.Glob(filepath.Join(tmp, "rig-*", "voter-1.log"))
 		return err == nil && len(logs) == 1
--- a/internal/lab/fleetscale/changes.go
+++ b/internal/lab/fleetscale/changes.go
@@ -10,17 +10,17 @@
 )
 
 // rolloutChanges gives a fleet versions of the settings, as an operator does; the next is given once the one before was agreed.
-func (r *run) rolloutChanges(ctx context.Context, at int) {
+func (r *run) rollOutVersions(ctx context.Context, at int) {
 	f := &r.layout.fleets[at]
 	names := make([]string, 0, len(f.members))
 	for _, i := range f.members {
 		names = append(names, r.layout.members[i].name)
 	}
 	turn := 0
-	atRate(ctx, r.conf.SettingsPerSecond, func(k int) {
+	callAtRate(ctx, r.conf.SettingsPerSecond, func(k int) {
 		o := &rollout.Command{
 			Kind: rollout.RollOut, ID: uint64(at)<<32 | uint64(k+1), Author: "scale", Reason: "a change", Share: rollout.FullShare, GraceMs: 60_000,
-			Settings: []byte(fmt.Sprintf(`{"settings": %s}`, settings(len(r.layout.members), k+1))),
+			Settings: []byte(fmt.Sprintf(`{"settings": %s}`, memberSettings(len(r.layout.members), k+1))),
 		}
 		from := time.Now()
 		for end := from; ctx.Err() == nil || time.Since(end) < commandTimeout; { // guards against numbers that are off by one which was agreed unheard
@@ -33,7 +33,7 @@
 			cancel()
 			if err == nil && (reply.Err == "" || reply.Err == rollout.ErrAlreadyApplied.Error()) {
 				r.mu.Lock()
-				r.versionsMade[at] = append(r.versionsMade[at], versionTime{int64(len(r.versionsMade[at]) + 1), from})
+				r.committedVersions[at] = append(r.committedVersions[at], versionTime{int64(len(r.committedVersions[at]) + 1), from})
 				r.mu.Unlock()
 				return
 			}
@@ -47,7 +47,7 @@
 }
 
 // atRate calls f at a rate, counting from 0, until ctx ends. Turns that come too late are left out.
-func atRate(ctx context.Context, rate float64, f func(k int)) {
+func callAtRate(ctx context.Context, rate float64, f func(k int)) {
 	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer tick.Stop()
 	for k := 0; ; k++ {
@@ -63,7 +63,7 @@
 }
 
 // settingsInForce tells of versions of the settings, over all fleets.
-func (r *run) settingsInForce(seconds float64) (f PropagationTimes) {
+func (r *run) settingsPropagation(seconds float64) (f PropagationTimes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observations.mu.Lock()
@@ -76,9 +76,9 @@
 				names = append(names, name)
 			}
 		}
-		ms, one := compareInForce(r.versionsMade[at], names, r.observations.adopted)
+		ms, one := propagationDelays(r.committedVersions[at], names, r.observations.adopted)
 		all = append(all, ms...)
-		f.Changes, f.Expected, f.Missing = f.Changes+len(r.versionsMade[at]), f.Expected+one.Expected, f.Missing+one.Missing
+		f.Changes, f.Expected, f.Missing = f.Changes+len(r.committedVersions[at]), f.Expected+one.Expected, f.Missing+one.Missing
 		if one.WorstMember != "" {
 			f.WorstMember = one.WorstMember
 		}
@@ -89,7 +89,7 @@
 }
 
 // listsInForce tells of changes of the list, at hollow members: a real one does not say which list it goes by.
-func (r *run) listsInForce(seconds float64) (f PropagationTimes) {
+func (r *run) listPropagation(seconds float64) (f PropagationTimes) {
 	var made []versionTime
 	for seq, at := range r.list.changes() {
 		made = append(made, versionTime{seq, at})
@@ -103,7 +103,7 @@
 		}
 	}
 	r.observations.mu.Lock()
-	ms, f := compareInForce(made, names, r.observations.listed)
+	ms, f := propagationDelays(made, names, r.observations.listed)
 	r.observations.mu.Unlock()
 	f.Changes, f.PerSecond = len(made), float64(len(made))/seconds
 	f.setQuantiles(ms)
--- a/internal/lab/fleetscale/children.go
+++ b/internal/lab/fleetscale/children.go
@@ -24,25 +24,25 @@
 
 // child is one process that the run started.
 type child struct {
-	name    string
-	cmd     *exec.Cmd
-	stdin   io.WriteCloser // of a worker
-	log     *os.File
-	members []int
-	done    chan struct{}
-	counted chan Event
-	killed  bool // by a fault, or at the end
-	links   bool
+	name        string
+	cmd         *exec.Cmd
+	stdin       io.WriteCloser // of a worker
+	log         *os.File
+	members     []int
+	exited      chan struct{}
+	countsReply chan Event
+	killed      bool // by a fault, or at the end
+	links       bool
 }
 
 // children starts processes and hands on what is seen of them.
 type children struct {
-	starter *faultinjection.ProcessStarter
-	dir     string
-	observe func(*child, Event)
-	all     []*child
-	tails   sync.WaitGroup
-	stop    chan struct{} // ends the readers of logs
+	starter    *faultinjection.ProcessStarter
+	dir        string
+	observe    func(*child, Event)
+	all        []*child
+	logReaders sync.WaitGroup
+	stop       chan struct{} // ends the readers of logs
 }
 
 func newChildren(dir string, see func(*child, Event)) *children {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	one := &child{name: name, cmd: cmd, log: log, members: members, done: make(chan struct{}), counted: make(chan Event, 1)}
+	one := &child{name: name, cmd: cmd, log: log, members: members, exited: make(chan struct{}), countsReply: make(chan Event, 1)}
 	cmd.Stderr = log
 	if err := c.starter.Start(cmd); err != nil {
 		log.Close()
@@ -94,7 +94,7 @@
 			}
 		}
 		cmd.Wait()
-		close(one.done)
+		close(one.exited)
 	}()
 	text, err := json.Marshal(w)
 	if err != nil {
@@ -109,7 +109,7 @@
 func (c *children) handle(one *child, e Event) {
 	if e.Kind == EventLinkCounts {
 		select {
-		case one.counted <- e:
+		case one.countsReply <- e:
 		default:
 		}
 		return
@@ -125,13 +125,13 @@
 	if err != nil {
 		return nil, err
 	}
-	go func() { cmd.Wait(); close(one.done) }()
-	c.tails.Go(func() { c.tail(one) })
+	go func() { cmd.Wait(); close(one.exited) }()
+	c.logReaders.Go(func() { c.followLog(one) })
 	return one, nil
 }
 
 // tail reads a log as it grows.
-func (c *children) tail(one *child) {
+func (c *children) followLog(one *child) {
 	in, err := os.Open(one.log.Name())
 	if err != nil {
 		return
@@ -142,7 +142,7 @@
 		text, err := lines.ReadString('\n')
 		part += text
 		if err == nil {
-			if e, ok := eventOf(part); ok {
+			if e, ok := parseLogLine(part); ok {
 				c.observe(one, e)
 			}
 			part = ""
@@ -156,17 +156,17 @@
 	}
 }
 
-var errEnded = errors.New("a process of the run has ended by itself")
+var errUnexpectedExit = errors.New("a process of the run has ended by itself")
 
 // alive tells which process has ended though nobody ended it.
-func (c *children) alive() error {
+func (c *children) checkAlive() error {
 	for _, one := range c.all {
 		if one.killed {
 			continue
 		}
 		select {
-		case <-one.done:
-			return fmt.Errorf("%w: %s%s", errEnded, one.name, lastLine(one.log.Name()))
+		case <-one.exited:
+			return fmt.Errorf("%w: %s%s", errUnexpectedExit, one.name, logTail(one.log.Name()))
 		default:
 		}
 	}
@@ -174,7 +174,7 @@
 }
 
 // lastLine quotes the end of a log.
-func lastLine(path string) string {
+func logTail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) == 0 {
 		return ""
@@ -183,7 +183,7 @@
 }
 
 // counts asks all processes of links for their counts, and tells how many connections are open there.
-func (c *children) counts(ctx context.Context) (all map[string]FrameCounts, open int64, err error) {
+func (c *children) linkCounts(ctx context.Context) (all map[string]FrameCounts, open int64, err error) {
 	all = map[string]FrameCounts{}
 	for _, one := range c.all {
 		if !one.links {
@@ -193,15 +193,15 @@
 			return nil, 0, fmt.Errorf("%s: %w", one.name, err)
 		}
 		select {
-		case e := <-one.counted:
+		case e := <-one.countsReply:
 			open += e.Number
 			for name, t := range e.Counts { // a member's outgoing frames pass the links of many
 				sum := all[name]
 				sum.add(t)
 				all[name] = sum
 			}
-		case <-one.done:
-			return nil, 0, fmt.Errorf("%w: %s", errEnded, one.name)
+		case <-one.exited:
+			return nil, 0, fmt.Errorf("%w: %s", errUnexpectedExit, one.name)
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		}
@@ -210,7 +210,7 @@
 }
 
 // resident is the memory of all processes and of this one.
-func (c *children) resident() (sum int64) {
+func (c *children) residentBytes() (sum int64) {
 	pids := []int{os.Getpid()}
 	for _, one := range c.all {
 		pids = append(pids, one.cmd.Process.Pid)
@@ -227,7 +227,7 @@
 func (c *children) close() {
 	c.stopProcesses(func(*child) bool { return true })
 	close(c.stop)
-	c.tails.Wait()
+	c.logReaders.Wait()
 	c.starter.Close()
 }
 
@@ -251,10 +251,10 @@
 	late := time.After(stopTimeout)
 	for _, one := range all {
 		select {
-		case <-one.done:
+		case <-one.exited:
 		case <-late:
 			one.cmd.Process.Kill()
-			<-one.done
+			<-one.exited
 			late = time.After(0)
 		}
 		one.log.Close()
--- a/internal/lab/fleetscale/fault.go
+++ b/internal/lab/fleetscale/fault.go
@@ -19,35 +19,35 @@
 	RecoveryMs       float64 `json:"WholeMs"`         // until the last of: new leader elected, new lease granted, members evicted
 	CallsAfterReturn int64   `json:"Calls,omitempty"` // calls to the list service in the first second after it returns
 
-	at, from time.Time
+	startedAt, returnedAt time.Time
 }
 
 var errNoLeader = errors.New("--fault: no member of the first fleet leads that has a process of its own")
 
-func (r *run) ofFirstFleet(one *child) bool {
+func (r *run) inFirstFleet(one *child) bool {
 	return len(one.members) == 1 && r.layout.members[one.members[0]].fleet == 0 && !one.links
 }
 
 // injectFault breaks something, for as long as the run has left at most.
 func (r *run) injectFault(ctx context.Context, left time.Duration) (*FaultReport, error) {
-	f := &FaultReport{Name: r.conf.Fault, at: time.Now()}
+	f := &FaultReport{Name: r.conf.Fault, startedAt: time.Now()}
 	if r.conf.Fault == ListDown {
 		addr := r.list.addr
-		r.list.http.Close()
+		r.list.server.Close()
 		sleep(ctx, min(listDownDuration, left))
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			return nil, err
 		}
-		r.list.http = &http.Server{Handler: r.list}
-		go r.list.http.Serve(&counted{ln, r.list})
-		f.from = time.Now()
+		r.list.server = &http.Server{Handler: r.list}
+		go r.list.server.Serve(&countingListener{ln, r.list})
+		f.returnedAt = time.Now()
 		calls := r.list.calls.Load()
 		sleep(ctx, time.Second)
 		f.CallsAfterReturn = r.list.calls.Load() - calls
 		return f, nil
 	}
-	who, _ := r.observations.leader(r.ofFirstFleet)
+	who, _ := r.observations.lastElected(r.inFirstFleet)
 	if who == nil {
 		return nil, errNoLeader
 	}
@@ -60,7 +60,7 @@
 	if err := who.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		return nil, err
 	}
-	sleep(ctx, min(pauseDuration, left))
+	sleep(ctx, min(leaderPauseDuration, left))
 	return f, who.cmd.Process.Signal(syscall.SIGCONT)
 }
 
@@ -75,14 +75,14 @@
 
 // fillRecovery fills in what followed a fault.
 func (r *run) fillRecovery(f *FaultReport) {
-	_, led := r.observations.leader(r.ofFirstFleet)
+	_, led := r.observations.lastElected(r.inFirstFleet)
 	r.observations.mu.Lock()
 	defer r.observations.mu.Unlock()
-	ms := func(at time.Time) float64 { return max(0, float64(at.Sub(f.at).Microseconds())/1000) }
+	ms := func(at time.Time) float64 { return max(0, float64(at.Sub(f.startedAt).Microseconds())/1000) }
 	f.NewLeaderMs = ms(led)
 	f.RecoveryMs = max(f.NewLeaderMs, ms(r.observations.lastLease))
 	for _, at := range r.observations.evictions {
-		if at.After(f.at) {
+		if at.After(f.startedAt) {
 			f.Evictions++
 			f.RecoveryMs = max(f.RecoveryMs, ms(at))
 		}
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -24,11 +24,11 @@
 	conf *config.Config
 }
 
-var errHollow = errors.New("a hollow member runs nothing")
+var errNoDataPath = errors.New("a hollow member runs nothing")
 
 // ResumeOrphan refuses: nobody sends requests in such a run.
 func (h *hollowMember) ResumeOrphan(*takeover.Record, *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error) {
-	return nil, errHollow
+	return nil, errNoDataPath
 }
 
 // DiscardResponse is never called with anything.
--- a/internal/lab/fleetscale/link.go
+++ b/internal/lab/fleetscale/link.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	linkDial   = time.Second
-	linkBuffer = 4 << 10
+	linkDialTimeout = time.Second
+	linkBufferBytes = 4 << 10
 )
 
 // Kinds of frames, as fleet numbers them on the wire.
@@ -124,7 +124,7 @@
 	if !l.track(near) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", target, linkDial)
+	far, err := net.DialTimeout("tcp", target, linkDialTimeout)
 	if err != nil {
 		return
 	}
@@ -136,25 +136,25 @@
 		io.Copy(near, far)
 		near.Close()
 	}()
-	in := bufio.NewReaderSize(near, linkBuffer)
+	in := bufio.NewReaderSize(near, linkBufferBytes)
 	var one []byte
 	from := ""
 	for first := true; ; first = false {
-		if one, err = nextFrame(in, one[:0]); err != nil {
+		if one, err = readFrame(in, one[:0]); err != nil {
 			return
 		}
 		kind := one[3]
 		if first && kind == frameHello {
-			if from, err = helloSender(one[frame.HeaderSize:]); err != nil {
+			if from, err = decodeHelloSender(one[frame.HeaderSize:]); err != nil {
 				return
 			}
 		}
 		if from != "" {
-			l.sent(from, kind, len(one))
+			l.countSent(from, kind, len(one))
 		}
 		_, err := far.Write(one)
 		if from != "" {
-			l.received(to, len(one), err == nil)
+			l.countReceived(to, len(one), err == nil)
 		}
 		if err != nil {
 			return
@@ -163,7 +163,7 @@
 }
 
 // nextFrame appends a frame as it is.
-func nextFrame(in io.Reader, to []byte) ([]byte, error) {
+func readFrame(in io.Reader, to []byte) ([]byte, error) {
 	to = slices.Grow(to, frame.HeaderSize)[:frame.HeaderSize]
 	if _, err := io.ReadFull(in, to); err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 }
 
 // helloSender reads the name out of a hello.
-func helloSender(payload []byte) (string, error) {
+func decodeHelloSender(payload []byte) (string, error) {
 	var h struct {
 		_     struct{} `cbor:",toarray"`
 		Fleet uint64
@@ -194,7 +194,7 @@
 	return h.From.Name, nil
 }
 
-func (l *links) tallyOf(name string) *FrameCounts {
+func (l *links) countsOf(name string) *FrameCounts {
 	t := l.counts[name]
 	if t == nil {
 		t = &FrameCounts{Out: map[string]int64{}}
@@ -203,10 +203,10 @@
 	return t
 }
 
-func (l *links) sent(from string, kind byte, bytes int) {
+func (l *links) countSent(from string, kind byte, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.tallyOf(from)
+	t := l.countsOf(from)
 	t.OutFrames, t.OutBytes = t.OutFrames+1, t.OutBytes+int64(bytes)
 	name := "other"
 	if int(kind) < len(frameKindNames) {
@@ -215,10 +215,10 @@
 	t.Out[name]++
 }
 
-func (l *links) received(to string, bytes int, whole bool) {
+func (l *links) countReceived(to string, bytes int, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.tallyOf(to)
+	t := l.countsOf(to)
 	if !whole {
 		t.LostFrames++
 		return
@@ -227,7 +227,7 @@
 }
 
 // tallies copies the counts so far, by name, and tells how many connections are open.
-func (l *links) tallies() (map[string]FrameCounts, int) {
+func (l *links) snapshot() (map[string]FrameCounts, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[string]FrameCounts, len(l.counts))
--- a/internal/lab/fleetscale/list.go
+++ b/internal/lab/fleetscale/list.go
@@ -23,17 +23,17 @@
 
 // listService is the stand-in of discovery's list: whole lists first, then what changes.
 type listService struct {
-	addr string
-	http *http.Server
+	addr   string
+	server *http.Server
 
 	calls, messages, bytesIn, bytesOut atomic.Int64 // watches asked for; lists and beats told; bytes both ways
-	open                               atomic.Int64 // watches
+	openWatches                        atomic.Int64 // watches
 	deltasSent                         atomic.Int64 // changes told, each to each watch
 
 	mu        sync.Mutex
 	list      discovery.Update
 	deltas    []discovery.Update // the latest, in order
-	change    chan struct{}      // closed and replaced at each change
+	changed   chan struct{}      // closed and replaced at each change
 	changedAt map[int64]time.Time
 }
 
@@ -43,19 +43,19 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &listService{addr: ln.Addr().String(), change: make(chan struct{}), changedAt: map[int64]time.Time{}}
+	s := &listService{addr: ln.Addr().String(), changed: make(chan struct{}), changedAt: map[int64]time.Time{}}
 	s.list = discovery.Update{Seq: 1, Full: true}
 	for i := range servers {
 		s.list.Endpoints = append(s.list.Endpoints, discovery.Endpoint{
 			Host: fmt.Sprintf("server-%05d", i), Address: dial, Zone: "a", Health: discovery.Ready, Capacity: 1, MachineKind: "plain",
 		})
 	}
-	s.http = &http.Server{Handler: s}
-	go s.http.Serve(&counted{ln, s})
+	s.server = &http.Server{Handler: s}
+	go s.server.Serve(&countingListener{ln, s})
 	return s, nil
 }
 
-func (s *listService) close() { s.http.Close() }
+func (s *listService) close() { s.server.Close() }
 
 // fullList copies the list.
 func (s *listService) fullList() *discovery.Update {
@@ -67,7 +67,7 @@
 }
 
 // changeOne changes the share of one server, and returns the list's new number.
-func (s *listService) changeOne() int64 {
+func (s *listService) changeOneServer() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.Seq++
@@ -78,8 +78,8 @@
 		s.deltas = slices.Clone(s.deltas[len(s.deltas)-maxDeltas:])
 	}
 	s.changedAt[s.list.Seq] = time.Now()
-	close(s.change)
-	s.change = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return s.list.Seq
 }
 
@@ -102,7 +102,7 @@
 	default:
 		out = slices.Clone(s.deltas[len(s.deltas)-behind:])
 	}
-	return out, s.change, s.list.Seq
+	return out, s.changed, s.list.Seq
 }
 
 // ServeHTTP answers one watch.
@@ -112,8 +112,8 @@
 		from = -1
 	}
 	s.calls.Add(1)
-	s.open.Add(1)
-	defer s.open.Add(-1)
+	s.openWatches.Add(1)
+	defer s.openWatches.Add(-1)
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	out := json.NewEncoder(w)
@@ -149,32 +149,32 @@
 }
 
 // counted counts the bytes of its connections.
-type counted struct {
+type countingListener struct {
 	net.Listener
 	s *listService
 }
 
 // Accept accepts a connection whose bytes are counted.
-func (c *counted) Accept() (net.Conn, error) {
+func (c *countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{conn, c.s}, nil
+	return &countingConn{conn, c.s}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	s *listService
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.s.bytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.s.bytesOut.Add(int64(n))
 	return n, err
--- a/internal/lab/fleetscale/lists.go
+++ b/internal/lab/fleetscale/lists.go
@@ -80,7 +80,7 @@
 	go h.Serve(server)
 	defer h.Close()
 	for _, n := range c.Sizes {
-		one, err := c.one(ctx, n, server.Addr().String())
+		one, err := c.measure(ctx, n, server.Addr().String())
 		if ctx.Err() != nil {
 			return nil, fmt.Errorf("%w: %w", ErrInterrupted, context.Cause(ctx))
 		}
@@ -92,7 +92,7 @@
 	return out, nil
 }
 
-func (c *ListsConfig) one(ctx context.Context, n int, dial string) (*ListResult, error) {
+func (c *ListsConfig) measure(ctx context.Context, n int, dial string) (*ListResult, error) {
 	list, err := startList(n, dial)
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	}
 	conf, err := json.Marshal(map[string]any{
 		"name": "alone", "listen": addrs[0], "discovery": list.addr, "seed": "0000000000000001",
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": settings(1, 0),
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": memberSettings(1, 0),
 	})
 	if err != nil {
 		return nil, err
@@ -119,18 +119,21 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := ready(ctx, all, addrs[0]); err != nil {
+	if err := waitUntilReady(ctx, all, addrs[0]); err != nil {
 		return nil, err
 	}
 	sleep(ctx, 3*time.Second) // the start's garbage
 	f := &ListResult{Servers: n}
-	if f.Idle, _, err = c.over(ctx, one, list); err != nil || c.ChangesPerSecond == 0 {
+	if f.Idle, _, err = c.measureUsage(ctx, one, list); err != nil || c.ChangesPerSecond == 0 {
 		return f, err
 	}
 	changing, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
-	go func() { defer close(done); atRate(changing, c.ChangesPerSecond, func(int) { list.changeOne() }) }()
-	f.Changing, f.ChangesPerSecond, err = c.over(ctx, one, list)
+	go func() {
+		defer close(done)
+		callAtRate(changing, c.ChangesPerSecond, func(int) { list.changeOneServer() })
+	}()
+	f.Changing, f.ChangesPerSecond, err = c.measureUsage(ctx, one, list)
 	stop()
 	<-done
 	f.Changes = int64(len(list.changes()))
@@ -146,7 +149,7 @@
 }
 
 // over reads a process's use over the time of a run.
-func (c *ListsConfig) over(ctx context.Context, one *child, list *listService) (u ProcessUsage, told float64, err error) {
+func (c *ListsConfig) measureUsage(ctx context.Context, one *child, list *listService) (u ProcessUsage, told float64, err error) {
 	before, err := usageOf(one.cmd.Process.Pid)
 	if err != nil {
 		return u, 0, err
@@ -157,13 +160,13 @@
 	seconds := time.Since(at).Seconds()
 	u = ProcessUsage{
 		CPU: 100 * (after.CPU - before.CPU).Seconds() / seconds, MemoryMB: float64(after.RSS) / (1 << 20), Descriptors: after.Descriptors,
-		OpenWatches: list.open.Load(), KBInPerSecond: float64(list.bytesOut.Load()-bytes) / 1000 / seconds,
+		OpenWatches: list.openWatches.Load(), KBInPerSecond: float64(list.bytesOut.Load()-bytes) / 1000 / seconds,
 	}
 	return u, float64(list.deltasSent.Load()-changes) / seconds, errors.Join(err, ctx.Err())
 }
 
 // ready waits until a sidecar serves.
-func ready(ctx context.Context, all *children, addr string) error {
+func waitUntilReady(ctx context.Context, all *children, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
@@ -178,7 +181,7 @@
 				return nil
 			}
 		}
-		if err := errors.Join(all.alive(), ctx.Err()); err != nil {
+		if err := errors.Join(all.checkAlive(), ctx.Err()); err != nil {
 			return err
 		}
 		sleep(ctx, 10*time.Millisecond)
@@ -190,11 +193,11 @@
 	t := newTable(out, "servers", "idle, % of a core", "idle MB", "watches", "changing, % of a core", "MB", "KB/s in", "changes told/s", "CPU ms a change")
 	var cpu, mb, change []Point
 	for _, f := range all {
-		row := []any{f.Servers, figure(f.Idle.CPU), figure(f.Idle.MemoryMB), f.Idle.OpenWatches, "-", "-", "-", "-", "-"}
+		row := []any{f.Servers, formatFigure(f.Idle.CPU), formatFigure(f.Idle.MemoryMB), f.Idle.OpenWatches, "-", "-", "-", "-", "-"}
 		x := float64(f.Servers)
 		cpu, mb = append(cpu, Point{x, f.Idle.CPU}), append(mb, Point{x, f.Idle.MemoryMB})
 		if f.ChangesPerSecond > 0 {
-			row = append(row[:4], figure(f.Changing.CPU), figure(f.Changing.MemoryMB), figure(f.Changing.KBInPerSecond), figure(f.ChangesPerSecond), figure(f.CPUMsPerChange))
+			row = append(row[:4], formatFigure(f.Changing.CPU), formatFigure(f.Changing.MemoryMB), formatFigure(f.Changing.KBInPerSecond), formatFigure(f.ChangesPerSecond), formatFigure(f.CPUMsPerChange))
 			change = append(change, Point{x, f.CPUMsPerChange})
 		}
 		t.AppendRow(row)
@@ -205,8 +208,8 @@
 		points []Point
 	}{{"% of a core, idle", cpu}, {"MB, idle", mb}, {"CPU ms a change", change}} {
 		if l, err := Fit(q.points); err == nil {
-			fmt.Fprintf(out, "%s: slope %s a server (error %s), intercept %s, residual %s, at %d %s\n", q.name, figure(l.Slope), figure(l.Error), figure(l.Intercept), figure(l.Residual),
-				TargetSize, strings.TrimSpace(figure(l.At(TargetSize))))
+			fmt.Fprintf(out, "%s: slope %s a server (error %s), intercept %s, residual %s, at %d %s\n", q.name, formatFigure(l.Slope), formatFigure(l.Error), formatFigure(l.Intercept), formatFigure(l.Residual),
+				TargetSize, strings.TrimSpace(formatFigure(l.At(TargetSize))))
 		}
 	}
 }
--- a/internal/lab/fleetscale/seen.go
+++ b/internal/lab/fleetscale/observations.go
@@ -66,7 +66,7 @@
 }
 
 // leader is the process whose member began to lead last, of those asked about.
-func (b *observations) leader(of func(*child) bool) (*child, time.Time) {
+func (b *observations) lastElected(of func(*child) bool) (*child, time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var best election
@@ -92,7 +92,7 @@
 }
 
 // compareInForce compares when changes were made with when members had them, or later ones, in force.
-func compareInForce(made []versionTime, members []string, marks map[string][]versionTime) (ms []float64, f PropagationTimes) {
+func propagationDelays(made []versionTime, members []string, marks map[string][]versionTime) (ms []float64, f PropagationTimes) {
 	for _, name := range members {
 		own := slices.Clone(marks[name])
 		slices.SortFunc(own, func(a, b versionTime) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
--- a/internal/lab/fleetscale/report.go
+++ b/internal/lab/fleetscale/report.go
@@ -112,7 +112,7 @@
 
 // roles returns the mean use of one member, by role.
 func (r *run) roles(before, after *sample, seconds float64) (out []Role) {
-	leader, _ := r.observations.leader(r.ofFirstFleet)
+	leader, _ := r.observations.lastElected(r.inFirstFleet)
 	byName := map[string]*Role{}
 	for _, one := range r.children.all {
 		u, ok := after.usage[one]
@@ -137,7 +137,7 @@
 	}
 	for _, name := range Roles {
 		if role := byName[name]; role != nil {
-			role.divide()
+			role.toMeans()
 			out = append(out, *role)
 		}
 	}
@@ -166,7 +166,7 @@
 }
 
 // divide turns sums over all members of a role into means.
-func (r *Role) divide() {
+func (r *Role) toMeans() {
 	n := float64(r.Members)
 	r.CPU, r.MemoryMB, r.Descriptors = r.CPU/n, r.MemoryMB/n, r.Descriptors/n
 	k := float64(r.CountedMembers)
@@ -200,7 +200,7 @@
 		}
 	}
 	for _, l := range r.observations.elections {
-		if r.ofFirstFleet(l.process) && measured(l.at) {
+		if r.inFirstFleet(l.process) && measured(l.at) {
 			out.MembershipChanges++
 		}
 	}
@@ -247,7 +247,7 @@
 	return t
 }
 
-func figure(x float64) string { return fmt.Sprintf("%.3g", x) }
+func formatFigure(x float64) string { return fmt.Sprintf("%.3g", x) }
 
 // Print tells a report.
 func (r *Report) Print(out io.Writer) {
@@ -255,9 +255,9 @@
 		r.Members, r.Real, r.Hollow, r.Fleets, r.LeaseMs, r.Audit, r.Servers, r.ForS, r.StartS)
 	t := newTable(out, "role", "members", "processes", "% of a core", "MB", "descriptors", "KB/s in", "KB/s out", "frames/s in", "frames/s out", "counted")
 	for _, o := range r.Roles {
-		row := table.Row{o.Name, o.Members, o.Processes, figure(o.CPU), figure(o.MemoryMB), figure(o.Descriptors)}
+		row := table.Row{o.Name, o.Members, o.Processes, formatFigure(o.CPU), formatFigure(o.MemoryMB), formatFigure(o.Descriptors)}
 		if o.CountedMembers > 0 {
-			row = append(row, figure(o.KBIn), figure(o.KBOut), figure(o.FramesIn), figure(o.FramesOut), o.CountedMembers)
+			row = append(row, formatFigure(o.KBIn), formatFigure(o.KBOut), formatFigure(o.FramesIn), formatFigure(o.FramesOut), o.CountedMembers)
 		} else {
 			row = append(row, "-", "-", "-", "-", 0)
 		}
@@ -268,14 +268,14 @@
 	for _, o := range r.Roles {
 		var parts []string
 		for k, n := range o.FramesOutByKind {
-			parts = append(parts, fmt.Sprintf("%s %s", k, figure(n)))
+			parts = append(parts, fmt.Sprintf("%s %s", k, formatFigure(n)))
 		}
 		if slices.Sort(parts); len(parts) > 0 {
 			fmt.Fprintf(out, "%s sends, frames a second: %s\n", o.Name, strings.Join(parts, ", "))
 		}
 	}
 	l := r.ListService
-	fmt.Fprintf(out, "list service: %d watches, %s calls/s, %s lists and beats/s, %s KB/s in, %s KB/s out\n", l.OpenWatches, figure(l.Calls), figure(l.Messages), figure(l.KBIn), figure(l.KBOut))
+	fmt.Fprintf(out, "list service: %d watches, %s calls/s, %s lists and beats/s, %s KB/s in, %s KB/s out\n", l.OpenWatches, formatFigure(l.Calls), formatFigure(l.Messages), formatFigure(l.KBIn), formatFigure(l.KBOut))
 	r.Settings.print(out, "versions of the settings, of each fleet")
 	r.List.print(out, "changes of the list, at hollow members")
 	switch f := r.Fault; {
@@ -295,6 +295,6 @@
 func (f *PropagationTimes) print(out io.Writer, what string) {
 	if f.Changes+f.Rejected > 0 {
 		fmt.Fprintf(out, "%s: %d changes (%s/s), %d not agreed; in force after %.0f ms (p50), %.0f ms (p99), %.0f ms (most); missing %d of %d\n",
-			what, f.Changes, figure(f.PerSecond), f.Rejected, f.P50Ms, f.P99Ms, f.MaxMs, f.Missing, f.Expected)
+			what, f.Changes, formatFigure(f.PerSecond), f.Rejected, f.P50Ms, f.P99Ms, f.MaxMs, f.Missing, f.Expected)
 	}
 }
--- a/internal/lab/fleetscale/run.go
+++ b/internal/lab/fleetscale/run.go
@@ -35,11 +35,11 @@
 	settings     json.RawMessage
 	startedAt    time.Time
 
-	mu               sync.Mutex
-	versionsMade     map[int][]versionTime // versions that were agreed, by fleet
-	rejectedVersions int
-	peakRSS          int64
-	killedMember     string // the member that a fault has ended; nothing is expected of it
+	mu                sync.Mutex
+	committedVersions map[int][]versionTime // versions that were agreed, by fleet
+	rejectedVersions  int
+	peakRSS           int64
+	killedMember      string // the member that a fault has ended; nothing is expected of it
 }
 
 // Run measures. It ends all that it started, also when ctx ends before, and returns why it could not finish.
@@ -49,15 +49,15 @@
 	}
 	c.Audit = c.Audit || c.SettingsPerSecond > 0 // only members that keep account take orders
 	l := newLayout(&c)
-	if err := c.fits(l); err != nil {
+	if err := c.checkResources(l); err != nil {
 		return nil, err
 	}
-	return play(ctx, c, l)
+	return runLayout(ctx, c, l)
 }
 
 // play runs a layout.
-func play(ctx context.Context, c Config, l *layout) (*Report, error) {
-	r := &run{conf: c, layout: l, observations: newObservations(), versionsMade: map[int][]versionTime{}}
+func runLayout(ctx context.Context, c Config, l *layout) (*Report, error) {
+	r := &run{conf: c, layout: l, observations: newObservations(), committedVersions: map[int][]versionTime{}}
 	r.children = newChildren(c.Dir, r.observations.record)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -98,7 +98,7 @@
 		case <-tick.C:
 		}
 		r.mu.Lock()
-		rss := r.children.resident()
+		rss := r.children.residentBytes()
 		r.peakRSS = max(r.peakRSS, rss)
 		r.mu.Unlock()
 		if rss > int64(r.conf.MemoryMB)<<20 {
@@ -125,21 +125,21 @@
 	var changes sync.WaitGroup
 	if r.conf.SettingsPerSecond > 0 {
 		for at := range r.layout.fleets {
-			changes.Go(func() { r.rolloutChanges(changing, at) })
+			changes.Go(func() { r.rollOutVersions(changing, at) })
 		}
 	}
 	if r.conf.ListChangesPerSecond > 0 {
-		changes.Go(func() { atRate(changing, r.conf.ListChangesPerSecond, func(int) { r.list.changeOne() }) })
+		changes.Go(func() { callAtRate(changing, r.conf.ListChangesPerSecond, func(int) { r.list.changeOneServer() }) })
 	}
 	var fault *FaultReport
-	sleep(ctx, r.conf.Duration/faultAfterShare)
+	sleep(ctx, r.conf.Duration/faultTimeDivisor)
 	if r.conf.Fault != NoFault {
-		if fault, err = r.injectFault(ctx, r.conf.Duration/faultAfterShare); err != nil {
+		if fault, err = r.injectFault(ctx, r.conf.Duration/faultTimeDivisor); err != nil {
 			return nil, err
 		}
 	}
 	sleep(ctx, r.conf.Duration-time.Since(before.at))
-	if err := errors.Join(ctx.Err(), r.children.alive()); err != nil {
+	if err := errors.Join(ctx.Err(), r.children.checkAlive()); err != nil {
 		return nil, err
 	}
 	after, err := r.sample(ctx)
@@ -158,7 +158,7 @@
 		return nil, err
 	}
 	report.StartS, report.LoadBefore, report.LoadAfter = started.Seconds(), load, machineLoad()
-	report.Settings, report.List = r.settingsInForce(made), r.listsInForce(made)
+	report.Settings, report.List = r.settingsPropagation(made), r.listPropagation(made)
 	if fault != nil {
 		r.fillRecovery(fault)
 		report.Fault = fault
@@ -172,7 +172,7 @@
 // settle waits until all changes are in force and, after a fault of the leader, until another leads, as long as they may take.
 func (r *run) settle(ctx context.Context, f *FaultReport) {
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, memoryCheckInterval) {
-		if r.settingsInForce(1).Missing+r.listsInForce(1).Missing == 0 && r.faultSettled(f) {
+		if r.settingsPropagation(1).Missing+r.listPropagation(1).Missing == 0 && r.faultSettled(f) {
 			return
 		}
 	}
@@ -183,12 +183,12 @@
 	if f == nil || f.Name != KillLeader {
 		return true
 	}
-	_, led := r.observations.leader(r.ofFirstFleet)
+	_, led := r.observations.lastElected(r.inFirstFleet)
 	r.observations.mu.Lock()
 	defer r.observations.mu.Unlock()
 	for key, at := range r.observations.evictions {
-		if strings.HasPrefix(key, f.Member+"/") && at.After(f.at) {
-			return led.After(f.at)
+		if strings.HasPrefix(key, f.Member+"/") && at.After(f.startedAt) {
+			return led.After(f.startedAt)
 		}
 	}
 	return false
@@ -198,7 +198,7 @@
 func (r *run) countFrames(ctx context.Context, out *Report) error {
 	r.children.stopProcesses(func(one *child) bool { return !one.links })
 	for end := time.Now().Add(settleTimeout); ; sleep(ctx, memoryCheckInterval/10) {
-		counts, open, err := r.children.counts(ctx)
+		counts, open, err := r.children.linkCounts(ctx)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/fleetscale/sample.go
+++ b/internal/lab/fleetscale/sample.go
@@ -28,10 +28,10 @@
 		}
 	}
 	var err error
-	if s.counts, _, err = r.children.counts(ctx); err != nil {
+	if s.counts, _, err = r.children.linkCounts(ctx); err != nil {
 		return nil, err
 	}
 	l := r.list
-	s.list = ListServiceCounts{l.calls.Load(), l.messages.Load(), l.bytesIn.Load(), l.bytesOut.Load(), l.open.Load()}
+	s.list = ListServiceCounts{l.calls.Load(), l.messages.Load(), l.bytesIn.Load(), l.bytesOut.Load(), l.openWatches.Load()}
 	return s, nil
 }
--- a/internal/lab/fleetscale/scale.go
+++ b/internal/lab/fleetscale/scale.go
@@ -29,14 +29,14 @@
 
 // Faults that a run may have, once, after a third of its time.
 const (
-	NoFault          = "none"
-	KillLeader       = "leader-killed"  // outright, and not started again
-	StopLeader       = "leader-stopped" // for pauseDuration
-	ListDown         = "list-down"      // the list service refuses for listDownDuration
-	pauseDuration    = 2 * time.Second
-	listDownDuration = 5 * time.Second
-	faultAfterShare  = 3
-	voterProcs       = 5 // members of the first fleet that have a process of their own, at most: those who vote
+	NoFault             = "none"
+	KillLeader          = "leader-killed"  // outright, and not started again
+	StopLeader          = "leader-stopped" // for pauseDuration
+	ListDown            = "list-down"      // the list service refuses for listDownDuration
+	leaderPauseDuration = 2 * time.Second
+	listDownDuration    = 5 * time.Second
+	faultTimeDivisor    = 3
+	maxVoters           = 5 // members of the first fleet that have a process of their own, at most: those who vote
 )
 
 // FaultNames are those that may be asked for.
@@ -141,35 +141,35 @@
 // What a run is expected to take: from runs, and more rather than less. A connection holds a queue of 1,024 frames and two buffers of 64
 // KiB; a member of a fleet opens one to each who votes, and has one from its leader, one in the tree of rosters and two for its account.
 const (
-	realMB       = 30.0
-	processMB    = 15.0
-	linkMB       = 0.14
-	relayMB      = 0.03
-	memberMB     = 0.10
-	perNameMB    = 0.0006 // of a static list of names and a roster, for each member of each
-	watchMB      = 0.05
-	descriptors  = 64 // of a process, beside its members'
-	memberFiles  = 4  // a listener, a log, a watch
-	askedMost    = 40 // others that a member has asked for a version's bytes within a run, more or less
-	perConnFiles = 2  // both ends in one process
+	realMB            = 30.0
+	processMB         = 15.0
+	connMB            = 0.14
+	relayedConnMB     = 0.03
+	memberMB          = 0.10
+	memberPairMB      = 0.0006 // of a static list of names and a roster, for each member of each
+	watchMB           = 0.05
+	baseDescriptors   = 64 // of a process, beside its members'
+	memberDescriptors = 4  // a listener, a log, a watch
+	maxTransferPeers  = 40 // others that a member has asked for a version's bytes within a run, more or less
+	connDescriptors   = 2  // both ends in one process
 )
 
 // conns is how many connections a fleet of n holds.
-func (c *Config) conns(n int) int {
+func (c *Config) connections(n int) int {
 	voters := votersOf(n)
 	out := voters*(n-1) + (n - 1) + n
 	if c.Audit {
 		out += 2 * n
 	}
 	if c.SettingsPerSecond > 0 { // each asks one after the other for a version's bytes
-		out += n * min(n-1, askedMost)
+		out += n * min(n-1, maxTransferPeers)
 	}
 	return out
 }
 
 // votersOf is how many of n members keep a fleet's log.
 func votersOf(n int) int {
-	n = min(n, voterProcs)
+	n = min(n, maxVoters)
 	return n - (n+1)%2
 }
 
@@ -178,44 +178,44 @@
 	mb = processMB
 	for _, f := range l.fleets {
 		n := len(f.members)
-		mb += float64(c.conns(n))*linkMB + float64(n)*(memberMB+watchMB+float64(n)*perNameMB)
+		mb += float64(c.connections(n))*connMB + float64(n)*(memberMB+watchMB+float64(n)*memberPairMB)
 		if f.counted {
-			mb += float64(c.conns(n)) * relayMB
+			mb += float64(c.connections(n)) * relayedConnMB
 		}
 	}
 	mb += float64(c.Real)*realMB + float64(len(l.sharedProcesses)+len(l.ownProcesses)+len(l.linkProcesses))*processMB
 	for _, p := range l.sharedProcesses {
-		n := descriptors
+		n := baseDescriptors
 		for _, i := range p.members {
 			f := l.fleets[l.members[i].fleet]
-			n += memberFiles + int(math.Ceil(float64(perConnFiles*c.conns(len(f.members)))/float64(len(f.members))))
+			n += memberDescriptors + int(math.Ceil(float64(connDescriptors*c.connections(len(f.members)))/float64(len(f.members))))
 		}
 		files = max(files, n)
 	}
 	for _, p := range l.ownProcesses {
 		f := l.fleets[l.members[p.members[0]].fleet]
-		files = max(files, descriptors+memberFiles+3*len(f.members))
+		files = max(files, baseDescriptors+memberDescriptors+3*len(f.members))
 	}
 	for _, p := range l.linkProcesses {
-		n := descriptors
+		n := baseDescriptors
 		for _, i := range p.members {
 			f := l.fleets[l.members[i].fleet]
-			n += 1 + int(math.Ceil(2*float64(c.conns(len(f.members)))/float64(len(f.members))))
-			if i-f.first < voterProcs { // all dial those who vote
+			n += 1 + int(math.Ceil(2*float64(c.connections(len(f.members)))/float64(len(f.members))))
+			if i-f.first < maxVoters { // all dial those who vote
 				n += 2 * len(f.members)
 			}
 		}
 		files = max(files, n)
 	}
-	return mb, max(files, descriptors+c.Real+c.Hollow)
+	return mb, max(files, baseDescriptors+c.Real+c.Hollow)
 }
 
 // fits refuses a run that would not fit.
-func (c *Config) fits(l *layout) error {
+func (c *Config) checkResources(l *layout) error {
 	mb, files := c.Estimate(l)
 	if mb > float64(c.MemoryMB) {
 		return fmt.Errorf("%w: --hollow: some %.0f MB are expected, --memory-mb allows %d: each connection between members holds about %.2f MB", ErrResourceEstimate,
-			mb, c.MemoryMB, linkMB)
+			mb, c.MemoryMB, connMB)
 	}
 	var most syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &most); err != nil {
--- a/internal/lab/fleetscale/scale_test.go
+++ b/internal/lab/fleetscale/scale_test.go
@@ -22,7 +22,7 @@
 )
 
 // program is where the program was built, once for all tests.
-var program string
+var programPath string
 
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == "worker" {
@@ -43,22 +43,22 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	program = filepath.Join(dir, "damsonscale")
+	programPath = filepath.Join(dir, "damsonscale")
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
 }
 
 // small is a run for tests. The lease is long, so that a busy machine puts nobody out.
-func small(t *testing.T, realMembers, hollow, cell int) Config {
+func testConfig(t *testing.T, realMembers, hollow, cell int) Config {
 	return Config{
 		Real: realMembers, Hollow: hollow, CellSize: cell, Duration: time.Second, Lease: 1500 * time.Millisecond, CountedCells: 2, MemoryMB: 2000,
-		Binary: program, Dir: t.TempDir(), Worker: []string{os.Args[0], "worker"},
+		Binary: programPath, Dir: t.TempDir(), Worker: []string{os.Args[0], "worker"},
 	}.Defaults()
 }
 
 // left lists processes of a run: each of them has its directory in its environment.
-func left(t *testing.T, dir string) (out []string) {
+func leftoverProcesses(t *testing.T, dir string) (out []string) {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/environ")
 	if err != nil || len(all) == 0 {
@@ -112,12 +112,12 @@
 
 // What would not fit is refused with the reason, and nothing is started.
 func TestNoRoom(t *testing.T) {
-	c := small(t, 0, 18_000, 30)
+	c := testConfig(t, 0, 18_000, 30)
 	if _, err := Run(context.Background(), c); !errors.Is(err, ErrResourceEstimate) || !strings.Contains(err.Error(), "--hollow") {
 		t.Error(err)
 	}
 	for counted, per := range []int{1000, 10} { // a thousand members in a process, or a thousand links
-		c = small(t, 0, 1000, 0)
+		c = testConfig(t, 0, 1000, 0)
 		c.PerProcess, c.CountedCells = per, counted
 		if _, files := c.Estimate(newLayout(&c)); files < 10_000 {
 			t.Errorf("%d descriptors are expected with %d members in a process, %d fleets counted", files, per, counted)
@@ -222,7 +222,7 @@
 	at := func(ms int) time.Time { return time.UnixMilli(1_000_000 + int64(ms)) }
 	made := []versionTime{{1, at(0)}, {2, at(100)}}
 	marks := map[string][]versionTime{"a": {{1, at(10)}, {2, at(130)}}, "b": {{2, at(150)}}, "c": {{1, at(40)}}}
-	ms, f := compareInForce(made, []string{"a", "b", "c"}, marks)
+	ms, f := propagationDelays(made, []string{"a", "b", "c"}, marks)
 	f.setQuantiles(ms)
 	if f.Expected != 6 || f.Missing != 1 || f.WorstMember != "c" || f.P50Ms != 40 || f.MaxMs != 150 {
 		t.Errorf("%+v of %v", f, ms)
@@ -274,8 +274,8 @@
 	if n := <-heard; n != sentBytes {
 		t.Errorf("%d bytes heard of %d", n, sentBytes)
 	}
-	standin.Eventually(t, "all connections closed", func() bool { _, open := l.tallies(); return open == 0 })
-	all, _ := l.tallies()
+	standin.Eventually(t, "all connections closed", func() bool { _, open := l.snapshot(); return open == 0 })
+	all, _ := l.snapshot()
 	a, b := all["a"], all["b"]
 	if a.OutFrames != 5 || a.OutBytes != int64(sentBytes) || b.InFrames != 5 || b.InBytes != int64(sentBytes) || a.InFrames+b.OutFrames+b.LostFrames != 0 ||
 		a.Out["raft"] != 2 || a.Out["ask"] != 1 || a.Out["other"] != 1 {
@@ -291,7 +291,7 @@
 	}
 	defer s.close()
 	told := make(chan *discovery.Update, 10)
-	c := discovery.New(s.addr, nil, discovery.Source{BalancerCount: 1}, listener(told))
+	c := discovery.New(s.addr, nil, discovery.Source{BalancerCount: 1}, updateListener(told))
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.Run(ctx)
@@ -308,13 +308,13 @@
 	if l := next(); !l.Full || len(l.Endpoints) != 5 || l.Seq != 1 {
 		t.Fatalf("%+v", l)
 	}
-	if seq := s.changeOne(); seq != 2 {
+	if seq := s.changeOneServer(); seq != 2 {
 		t.Fatal(seq)
 	}
 	if l := next(); l.Full || len(l.Endpoints) != 1 || l.Seq != 2 {
 		t.Fatalf("%+v", l)
 	}
-	if s.calls.Load() != 1 || s.deltasSent.Load() != 1 || s.open.Load() != 1 || s.bytesOut.Load() == 0 || s.bytesIn.Load() == 0 {
+	if s.calls.Load() != 1 || s.deltasSent.Load() != 1 || s.openWatches.Load() != 1 || s.bytesOut.Load() == 0 || s.bytesIn.Load() == 0 {
 		t.Error("counted wrongly")
 	}
 	for from, want := range map[int64]int{1: 1, 2: 0} {
@@ -329,9 +329,9 @@
 	}
 }
 
-type listener chan *discovery.Update
+type updateListener chan *discovery.Update
 
-func (l listener) OnEndpoints(list *discovery.Update) { l <- list }
+func (l updateListener) OnEndpoints(list *discovery.Update) { l <- list }
 
 // Each member has a lease and the list, versions and lists come into force at all of them, what was sent is what was received, and
 // nothing is left behind.
@@ -339,7 +339,7 @@
 	for _, c := range []struct{ real, hollow, cell, fleets int }{{3, 6, 0, 1}, {0, 6, 3, 2}} {
 		t.Run(fmt.Sprintf("%d real, %d hollow, fleets of %d", c.real, c.hollow, c.cell), func(t *testing.T) {
 			t.Parallel()
-			conf := small(t, c.real, c.hollow, c.cell)
+			conf := testConfig(t, c.real, c.hollow, c.cell)
 			conf.SettingsPerSecond, conf.ListChangesPerSecond = 3, 3
 			r, err := Run(context.Background(), conf)
 			if err != nil {
@@ -372,7 +372,7 @@
 			if members != c.real+c.hollow || leaders != 1 {
 				t.Errorf("%d members, %d leaders in %+v", members, leaders, r.Roles)
 			}
-			if l := left(t, conf.Dir); len(l) > 0 {
+			if l := leftoverProcesses(t, conf.Dir); len(l) > 0 {
 				t.Error("left behind:", l)
 			}
 		})
@@ -382,7 +382,7 @@
 // A leader that is killed is put out and followed by another; nothing is expected of it.
 func TestLeaderKilled(t *testing.T) {
 	t.Parallel()
-	conf := small(t, 0, 5, 0)
+	conf := testConfig(t, 0, 5, 0)
 	conf.Fault, conf.SettingsPerSecond = KillLeader, 2
 	r, err := Run(context.Background(), conf)
 	if err != nil {
@@ -399,7 +399,7 @@
 	for _, what := range []string{"voter-1.log", "shared-1.log"} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			conf := small(t, 1, 8, 0)
+			conf := testConfig(t, 1, 8, 0)
 			conf.Duration = time.Minute
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error, 1)
@@ -409,7 +409,7 @@
 			if err := <-done; !errors.Is(err, ErrInterrupted) {
 				t.Error(err)
 			}
-			if l := left(t, conf.Dir); len(l) > 0 {
+			if l := leftoverProcesses(t, conf.Dir); len(l) > 0 {
 				t.Error("left behind:", l)
 			}
 		})
@@ -419,12 +419,12 @@
 // A run that takes more memory than it may ends itself.
 func TestMemoryBound(t *testing.T) {
 	t.Parallel()
-	conf := small(t, 0, 6, 0)
+	conf := testConfig(t, 0, 6, 0)
 	conf.MemoryMB, conf.Duration = 10, time.Minute
-	if _, err := play(context.Background(), conf, newLayout(&conf)); !errors.Is(err, ErrMemoryLimit) {
+	if _, err := runLayout(context.Background(), conf, newLayout(&conf)); !errors.Is(err, ErrMemoryLimit) {
 		t.Error(err)
 	}
-	if l := left(t, conf.Dir); len(l) > 0 {
+	if l := leftoverProcesses(t, conf.Dir); len(l) > 0 {
 		t.Error("left behind:", l)
 	}
 }
@@ -433,7 +433,7 @@
 func TestLists(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	all, err := MeasureLists(context.Background(), ListsConfig{Sizes: []int{3, 50}, Duration: MinDuration, ChangesPerSecond: 10, Binary: program, Dir: dir})
+	all, err := MeasureLists(context.Background(), ListsConfig{Sizes: []int{3, 50}, Duration: MinDuration, ChangesPerSecond: 10, Binary: programPath, Dir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -445,7 +445,7 @@
 			t.Errorf("%d servers: not told of %d of %d changes", f.Servers, f.ChangesNotSent, f.Changes)
 		}
 	}
-	if l := left(t, dir); len(l) > 0 {
+	if l := leftoverProcesses(t, dir); len(l) > 0 {
 		t.Error("left behind:", l)
 	}
 	var out strings.Builder
--- a/internal/lab/fleetscale/slopes.go
+++ b/internal/lab/fleetscale/slopes.go
@@ -1,50 +1,107 @@
 package fleetscale
 
 import (
-	"errors"
-	"math"
-
-	"gonum.org/v1/gonum/stat"
+	"fmt"
+	"io"
+	"strings"
 )
 
-// Point is one measured figure at a size.
-type Point struct{ X, Y float64 }
+// Target is the size that slopes are followed to.
+const TargetSize = 18_000
+
+// inForceMs is the time within which a change is to be in force everywhere, from the users' page.
+const propagationBudgetMs = 10_000
 
-// Line is a line through points, by least squares.
-type Line struct {
-	Points    []Point
-	Slope     float64 // of Y for one more of X
-	Intercept float64
-	Residual  float64 // root of the mean square of what the points are off the line
-	Error     float64 // standard error of Slope; 0 with two points, of which it can't be told
+// Quantity is one of what a member takes.
+type Quantity struct {
+	Name   string
+	Budget float64 // of a sidecar's control, from the users' page; 0: none
+	value  func(*Role) float64
 }
 
-// At is the line's height.
-func (l *Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
+// Quantities are those that slopes are drawn of.
+var Quantities = []Quantity{
+	{"% of a core", 3.7, func(r *Role) float64 { return r.CPU }},
+	{"MB", 64, func(r *Role) float64 { return r.MemoryMB }},
+	{"KB/s in and out", 25, func(r *Role) float64 { return r.KBIn + r.KBOut }},
+	{"frames/s in", 0, func(r *Role) float64 { return r.FramesIn }},
+	{"frames/s out", 0, func(r *Role) float64 { return r.FramesOut }},
+	{"descriptors", 0, func(r *Role) float64 { return r.Descriptors }},
+}
 
-// ErrPoints tells that there is no line through what was given.
-var ErrTooFewSizes = errors.New("a slope needs points of two sizes at least")
+// Slope is how one quantity of one role goes with the number of members.
+type Slope struct {
+	Role, Quantity string
+	Line
+	AtTarget float64
+	Budget   float64 // 0: none
+}
 
-// Fit draws a line through points of two sizes at least.
-func Fit(points []Point) (*Line, error) {
-	x, y := make([]float64, len(points)), make([]float64, len(points))
-	apart := false
-	for i, p := range points {
-		x[i], y[i] = p.X, p.Y
-		apart = apart || p.X != points[0].X
+// Slopes draws a line for each role and quantity that calm reports of two sizes at least have; left are the sizes of the others.
+func FitSlopes(reports []*Report) (out []Slope, left []int, err error) {
+	var calm []*Report
+	for _, r := range reports {
+		if r.Stable() {
+			calm = append(calm, r)
+		} else {
+			left = append(left, r.Members)
+		}
+	}
+	draw := func(role, quantity string, budget float64, of func(*Report) (float64, bool)) {
+		var points []Point
+		for _, r := range calm {
+			if y, ok := of(r); ok {
+				points = append(points, Point{float64(r.Members), y})
+			}
+		}
+		if l, err := Fit(points); err == nil {
+			out = append(out, Slope{role, quantity, *l, l.At(TargetSize), budget})
+		}
 	}
-	if !apart {
-		return nil, ErrTooFewSizes
+	for _, role := range Roles {
+		for _, q := range Quantities {
+			draw(role, q.Name, q.Budget, func(r *Report) (float64, bool) {
+				for i := range r.Roles {
+					if o := &r.Roles[i]; o.Name == role && role != Links && (o.CountedMembers > 0 || !strings.Contains(q.Name, "/s")) {
+						return q.value(o), true
+					}
+				}
+				return 0, false
+			})
+		}
 	}
-	l := &Line{Points: points}
-	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
-	sum := 0.0
-	for _, p := range points {
-		sum += (p.Y - l.At(p.X)) * (p.Y - l.At(p.X))
+	draw("list service", "watches", 0, func(r *Report) (float64, bool) { return float64(r.ListService.OpenWatches), true })
+	draw("list service", "lists and beats/s", 0, func(r *Report) (float64, bool) { return r.ListService.Messages, true })
+	draw("list service", "KB/s out", 0, func(r *Report) (float64, bool) { return r.ListService.KBOut, true })
+	for _, k := range []struct {
+		name string
+		of   func(*Report) *PropagationTimes
+	}{{"versions", func(r *Report) *PropagationTimes { return &r.Settings }}, {"lists", func(r *Report) *PropagationTimes { return &r.List }}} {
+		draw(k.name, "ms to in force, p50", propagationBudgetMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P50Ms, f.Expected > f.Missing })
+		draw(k.name, "ms to in force, p99", propagationBudgetMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P99Ms, f.Expected > f.Missing })
+	}
+	if len(out) == 0 {
+		return nil, left, fmt.Errorf("%w; not calm: %v", ErrTooFewSizes, left)
+	}
+	return out, left, nil
+}
+
+// PrintSlopes tells slopes.
+func PrintSlopes(out io.Writer, all []Slope, left []int) {
+	t := newTable(out, "role", "quantity", "points (members: figure)", "slope a member", "its error", "intercept", "residual", fmt.Sprintf("at %d", TargetSize), "budget", "times")
+	for _, s := range all {
+		var points []string
+		for _, p := range s.Points {
+			points = append(points, fmt.Sprintf("%.0f: %s", p.X, formatFigure(p.Y)))
+		}
+		budget, times := "-", "-"
+		if s.Budget > 0 {
+			budget, times = formatFigure(s.Budget), formatFigure(s.AtTarget/s.Budget)
+		}
+		t.AppendRow([]any{s.Role, s.Quantity, strings.Join(points, ", "), formatFigure(s.Slope), formatFigure(s.Error), formatFigure(s.Intercept), formatFigure(s.Residual), formatFigure(s.AtTarget), budget, times})
 	}
-	l.Residual = math.Sqrt(sum / float64(len(points)))
-	if free := float64(len(points) - 2); free > 0 {
-		l.Error = math.Sqrt(sum / free / (stat.Variance(x, nil) * float64(len(points)-1)))
+	t.Render()
+	if len(left) > 0 {
+		fmt.Fprintf(out, "left out, not calm: runs of %v members\n", left)
 	}
-	return l, nil
 }
--- a/internal/lab/fleetscale/start.go
+++ b/internal/lab/fleetscale/start.go
@@ -17,7 +17,7 @@
 
 // start starts all processes, links first.
 func (r *run) start(ctx context.Context) (err error) {
-	r.settings = settings(len(r.layout.members), 0)
+	r.settings = memberSettings(len(r.layout.members), 0)
 	servers, err := net.Listen("tcp", "127.0.0.1:0") // nobody sends requests; probes would find it
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 		}
 		one.links = true
 	}
-	if err := r.await(ctx, "the links", func() bool { return r.observations.serving >= len(r.layout.linkProcesses) }); err != nil {
+	if err := r.waitFor(ctx, "the links", func() bool { return r.observations.serving >= len(r.layout.linkProcesses) }); err != nil {
 		return err
 	}
 	for k, p := range r.layout.ownProcesses {
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	return r.await(ctx, "a lease and a list at each member", func() bool {
+	return r.waitFor(ctx, "a lease and a list at each member", func() bool {
 		return len(r.observations.leaseCounts) == len(r.layout.members) && len(r.observations.listed) == r.conf.Hollow
 	})
 }
@@ -182,7 +182,7 @@
 }
 
 // settings are those of all members; each number's differ in a tenant's allowance alone.
-func settings(balancers int, number int) json.RawMessage {
+func memberSettings(balancers int, number int) json.RawMessage {
 	class := func(name, semantics string) map[string]any {
 		return map[string]any{"Name": name, "Semantics": semantics, "AimUs": 1_000_000, "DeadlineUs": 2_000_000, "LateShare": 0.3, "Worth": 1}
 	}
@@ -207,7 +207,7 @@
 }
 
 // await waits until the book says so.
-func (r *run) await(ctx context.Context, what string, ok func() bool) error {
+func (r *run) waitFor(ctx context.Context, what string, ok func() bool) error {
 	late := time.NewTimer(startTimeout)
 	defer late.Stop()
 	look := time.NewTicker(time.Second)
@@ -226,7 +226,7 @@
 		select {
 		case <-change:
 		case <-look.C:
-			if err := r.children.alive(); err != nil {
+			if err := r.children.checkAlive(); err != nil {
 				return err
 			}
 		case <-ctx.Done():
--- a/internal/lab/fleetscale/worker.go
+++ b/internal/lab/fleetscale/worker.go
@@ -82,13 +82,13 @@
 	tell := eventWriter(out)
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
 	log.SetOutput(io.MultiWriter(errs, lineWriter(func(line string) {
-		if e, ok := eventOf(line); ok && e.Kind != EventSettingsApplied {
+		if e, ok := parseLogLine(line); ok && e.Kind != EventSettingsApplied {
 			tell(e)
 		}
 	})))
 	l := newLinks()
 	defer l.close()
-	if err := w.begin(ctx, l, tell); err != nil {
+	if err := w.start(ctx, l, tell); err != nil {
 		tell(Event{Kind: EventFailed, Error: err.Error()})
 		return err
 	}
@@ -97,12 +97,12 @@
 		if _, err := lines.ReadBytes('\n'); err != nil {
 			return nil
 		}
-		counts, open := l.tallies()
+		counts, open := l.snapshot()
 		tell(Event{Kind: EventLinkCounts, Number: int64(open), At: time.Now(), Counts: counts})
 	}
 }
 
-func (w *workerSpec) begin(ctx context.Context, l *links, tell func(Event)) error {
+func (w *workerSpec) start(ctx context.Context, l *links, tell func(Event)) error {
 	for _, one := range w.Links {
 		if err := l.open(one.Member, one.Front, one.Target); err != nil {
 			return err
@@ -154,17 +154,17 @@
 }
 
 // loggedEvents are the events of the program's log that are handed on.
-var loggedEvents = map[string]EventKind{
+var eventsByLogKey = map[string]EventKind{
 	"event=fleet_lease_granted": EventLeaseGranted, "event=fleet_leader_elected": EventLeaderElected, "event=fleet_membership_changed": EventEvicted, "event=settings_applied": EventSettingsApplied,
 }
 
 // eventOf reads a line of the program's log, as package eventlog writes it.
-func eventOf(line string) (e Event, ok bool) {
+func parseLogLine(line string) (e Event, ok bool) {
 	f := strings.Fields(line)
 	if len(f) < 3 {
 		return e, false
 	}
-	if e.Kind, ok = loggedEvents[f[2]]; !ok {
+	if e.Kind, ok = eventsByLogKey[f[2]]; !ok {
 		return e, false
 	}
 	at, err := time.Parse(time.RFC3339Nano, strings.TrimPrefix(f[0], "time="))
--- a/internal/lab/standin/registry.go
+++ b/internal/lab/standin/registry.go
@@ -47,35 +47,35 @@
 type Registry struct {
 	Addr string
 
-	socket int // bound all the time: nobody else has the port while it refuses
-	closed chan bool
-	turns  chan *Watch // calls in the order in which they came; nil: all are served at once
+	socketFD int // bound all the time: nobody else has the port while it refuses
+	closed   chan bool
+	pending  chan *Watch // calls in the order in which they came; nil: all are served at once
 
-	mu      sync.Mutex
-	fault   Fault
-	seq     int64
-	text    string        // of the whole list
-	before  string        // of the one before it
-	lagging string        // what a replica that lags has
-	change  chan struct{} // closed when the list or the fault changes
-	muted   int           // watches below that number say nothing more
-	broken  WatchBreak    // how they came to their end
-	left    int           // calls that meet the fault before all is good; 0: all do
-	calls   int
-	worked  int                 // of them, in turn
-	told    map[int64]time.Time // when a version was first written whole to anybody
+	mu           sync.Mutex
+	fault        Fault
+	seq          int64
+	list         string        // of the whole list
+	previousList string        // of the one before it
+	staleList    string        // what a replica that lags has
+	changed      chan struct{} // closed when the list or the fault changes
+	firstIntact  int           // watches below that number say nothing more
+	watchBreak   WatchBreak    // how they came to their end
+	faultyCalls  int           // calls that meet the fault before all is good; 0: all do
+	calls        int
+	served       int                 // of them, in turn
+	firstSent    map[int64]time.Time // when a version was first written whole to anybody
 }
 
 // NewRegistry makes one in that state; it listens unless it refuses.
 func NewRegistry(t testing.TB, fault Fault) *Registry {
 	t.Helper()
-	r := &Registry{fault: fault, change: make(chan struct{}), closed: make(chan bool), told: map[int64]time.Time{}}
+	r := &Registry{fault: fault, changed: make(chan struct{}), closed: make(chan bool), firstSent: map[int64]time.Time{}}
 	free, addr := BindLoopback(t, 0, syscall.SO_REUSEADDR)
 	port := netip.MustParseAddrPort(addr).Port()
 	// By name: a listener that is shut down gives a port back that the system chose. The first goes only then, so nobody gets it between.
 	fd, addr := BindLoopback(t, int(port), syscall.SO_REUSEADDR)
 	syscall.Close(free)
-	r.socket, r.Addr = fd, addr
+	r.socketFD, r.Addr = fd, addr
 	t.Cleanup(func() {
 		close(r.closed)
 		syscall.Shutdown(fd, syscall.SHUT_RDWR)
@@ -90,21 +90,21 @@
 // InTurn has the registry work through its calls one after the other, so long each, also through those that were given up.
 // It must be called before the first call; the registry works while it is good.
 func (r *Registry) ServeSequentially(each time.Duration) {
-	r.turns = make(chan *Watch, 1<<16)
+	r.pending = make(chan *Watch, 1<<16)
 	go func() {
 		for {
 			select {
 			case <-r.closed:
 				return
-			case w := <-r.turns:
-				if !r.wait(func() bool { return r.fault == NoFault }) {
+			case w := <-r.pending:
+				if !r.waitUntil(func() bool { return r.fault == NoFault }) {
 					return
 				}
 				time.Sleep(each)
 				r.mu.Lock()
-				r.worked++
+				r.served++
 				r.mu.Unlock()
-				go r.serve(w)
+				go r.serveWatch(w)
 			}
 		}
 	}()
@@ -112,10 +112,10 @@
 
 func (r *Registry) listen(t testing.TB) {
 	t.Helper()
-	if err := syscall.Listen(r.socket, 1024); err != nil {
+	if err := syscall.Listen(r.socketFD, 1024); err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(must(t, func() (int, error) { return syscall.Dup(r.socket) })), "registry")
+	f := os.NewFile(uintptr(must(t, func() (int, error) { return syscall.Dup(r.socketFD) })), "registry")
 	defer f.Close()
 	ln, err := net.FileListener(f)
 	if err != nil {
@@ -128,7 +128,7 @@
 			if err != nil {
 				return
 			}
-			go r.accepted(c.(*net.TCPConn))
+			go r.handleConn(c.(*net.TCPConn))
 		}
 	}()
 }
@@ -144,7 +144,7 @@
 
 // List sets the whole list, as text on one line; watches are told at once, while the registry is good.
 func (r *Registry) SetList(seq int64, text string) {
-	r.set(func() { r.seq, r.text, r.before = seq, text, r.text })
+	r.update(func() { r.seq, r.list, r.previousList = seq, text, r.list })
 }
 
 // Return ends the fault, and says when the registry could be reached and was able to answer.
@@ -153,7 +153,7 @@
 	r.mu.Lock()
 	refused := r.fault == RefuseConnections
 	r.mu.Unlock()
-	r.set(func() { r.fault, r.left = NoFault, 0 })
+	r.update(func() { r.fault, r.faultyCalls = NoFault, 0 })
 	if refused {
 		r.listen(t)
 	}
@@ -163,29 +163,29 @@
 // Fail has all calls meet a fault until the return, and the watches that are open end, or say nothing more where it is one of
 // silence. One that refuses closes its listener.
 func (r *Registry) InjectFault(fault Fault) {
-	r.set(func() {
-		r.fault, r.left, r.broken, r.muted = fault, 0, WatchEnded, r.calls
+	r.update(func() {
+		r.fault, r.faultyCalls, r.watchBreak, r.firstIntact = fault, 0, WatchEnded, r.calls
 		if fault == NeverRespond {
-			r.broken = WatchSilent
+			r.watchBreak = WatchSilent
 		}
 	})
 	if fault == RefuseConnections {
-		syscall.Shutdown(r.socket, syscall.SHUT_RDWR)
+		syscall.Shutdown(r.socketFD, syscall.SHUT_RDWR)
 	}
 }
 
 // Fall has the watches that are open say nothing more, and calls meet that fault, which may be none.
 func (r *Registry) SilenceWatches(fault Fault) time.Time {
-	r.set(func() { r.fault, r.muted = fault, r.calls })
+	r.update(func() { r.fault, r.firstIntact = fault, r.calls })
 	return time.Now()
 }
 
 // BreakWatches ends the watches that are open, and the next calls, so many, meet that fault; those after them are served.
 func (r *Registry) BreakWatches(how WatchBreak, fault Fault, calls int) time.Time {
-	r.set(func() {
-		r.broken, r.muted, r.lagging = how, r.calls, r.before
+	r.update(func() {
+		r.watchBreak, r.firstIntact, r.staleList = how, r.calls, r.previousList
 		if calls > 0 {
-			r.fault, r.left = fault, calls
+			r.fault, r.faultyCalls = fault, calls
 		}
 	})
 	return time.Now()
@@ -195,7 +195,7 @@
 func (r *Registry) FirstSent(seq int64) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, ok := r.told[seq]
+	at, ok := r.firstSent[seq]
 	return at, ok
 }
 
@@ -210,22 +210,22 @@
 func (r *Registry) Served() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.worked
+	return r.served
 }
 
-func (r *Registry) set(f func()) {
+func (r *Registry) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
-	close(r.change)
-	r.change = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // wait returns once ok, under the lock; false: the test is over.
-func (r *Registry) wait(ok func() bool) bool {
+func (r *Registry) waitUntil(ok func() bool) bool {
 	for {
 		r.mu.Lock()
-		change, is := r.change, ok()
+		change, is := r.changed, ok()
 		r.mu.Unlock()
 		if is {
 			return true
@@ -238,12 +238,12 @@
 	}
 }
 
-func (r *Registry) accepted(c *net.TCPConn) {
+func (r *Registry) handleConn(c *net.TCPConn) {
 	r.mu.Lock()
 	n, fault := r.calls, r.fault
 	r.calls++
-	if r.left > 0 {
-		if r.left--; r.left == 0 {
+	if r.faultyCalls > 0 {
+		if r.faultyCalls--; r.faultyCalls == 0 {
 			r.fault = NoFault
 		}
 	}
@@ -254,8 +254,8 @@
 		return
 	}
 	w := &Watch{c, req.URL.RawQuery, n}
-	if r.turns != nil && (fault == NoFault || fault == NeverRespond) {
-		r.turns <- w
+	if r.pending != nil && (fault == NoFault || fault == NeverRespond) {
+		r.pending <- w
 		return
 	}
 	defer c.Close()
@@ -264,7 +264,7 @@
 	}
 	switch fault {
 	case NoFault:
-		r.serve(w)
+		r.serveWatch(w)
 	case NeverRespond:
 		w.WaitForClose()
 	case TrickleHeaders:
@@ -292,18 +292,18 @@
 		w.WaitForClose()
 	case StallWithinList:
 		w.WriteHeaders()
-		w.WriteChunk(half)
+		w.WriteChunk(partialList)
 		w.WaitForClose()
 	case SendPreviousList:
-		r.lag(w)
+		r.serveStaleList(w)
 	}
 }
 
 // lag serves a watch as a replica does that has not seen the latest change.
-func (r *Registry) lag(w *Watch) {
+func (r *Registry) serveStaleList(w *Watch) {
 	w.WriteHeaders()
 	r.mu.Lock()
-	text := r.lagging
+	text := r.staleList
 	r.mu.Unlock()
 	for w.WriteChunk(text+"\n") == nil {
 		text = ""
@@ -316,10 +316,10 @@
 }
 
 // half is the first part of a list whose rest never comes.
-const half = `{"seq":50,"whole":true,"hosts":[{"host":"s1",`
+const partialList = `{"seq":50,"whole":true,"hosts":[{"host":"s1",`
 
 // serve tells one watch of the list as it is and of each change.
-func (r *Registry) serve(w *Watch) {
+func (r *Registry) serveWatch(w *Watch) {
 	defer w.Close()
 	gone := make(chan bool)
 	go func() {
@@ -331,7 +331,7 @@
 	w.WriteHeaders()
 	for last, begunHalf := int64(-1), false; ; {
 		r.mu.Lock()
-		change, seq, text, muted, broken := r.change, r.seq, r.text, w.Index < r.muted, r.broken
+		change, seq, text, muted, broken := r.changed, r.seq, r.list, w.Index < r.firstIntact, r.watchBreak
 		r.mu.Unlock()
 		switch {
 		case !muted || broken == WatchSilent:
@@ -343,15 +343,15 @@
 			return
 		case !begunHalf:
 			begunHalf = true
-			w.WriteChunk(half)
+			w.WriteChunk(partialList)
 		}
 		if seq != last && !muted {
 			if w.WriteChunk(text+"\n") != nil {
 				return
 			}
 			r.mu.Lock()
-			if _, ok := r.told[seq]; !ok {
-				r.told[seq] = time.Now()
+			if _, ok := r.firstSent[seq]; !ok {
+				r.firstSent[seq] = time.Now()
 			}
 			r.mu.Unlock()
 			last = seq
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -56,13 +56,13 @@
 type Server struct {
 	Addr string
 
-	mu  sync.Mutex
-	got map[string]int
+	mu            sync.Mutex
+	requestCounts map[string]int
 }
 
 // NewServer answers each request that has come whole by what answer writes; false: the connection ends with that.
 func NewServer(t testing.TB, answer func(c *net.TCPConn, r *http.Request) bool) *Server {
-	s := &Server{got: map[string]int{}}
+	s := &Server{requestCounts: map[string]int{}}
 	s.Addr = Listen(t, func(c *net.TCPConn, _ int) {
 		for br := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(br)
@@ -73,7 +73,7 @@
 				return
 			}
 			s.mu.Lock()
-			s.got[r.Header.Get("Req-Id")]++
+			s.requestCounts[r.Header.Get("Req-Id")]++
 			s.mu.Unlock()
 			if !answer(c, r) {
 				return
@@ -87,7 +87,7 @@
 func (s *Server) RequestCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got[id]
+	return s.requestCounts[id]
 }
 
 // Say writes an answer of that status and body.
@@ -148,15 +148,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return &hooked{c.(*net.TCPConn), h}, nil
+	return &interceptedConn{c.(*net.TCPConn), h}, nil
 }
 
-type hooked struct {
+type interceptedConn struct {
 	*net.TCPConn
-	hook *ReadInterceptor
+	interceptor *ReadInterceptor
 }
 
-func (c *hooked) Read(p []byte) (int, error) { return c.hook.ReadConn(c.TCPConn, p) }
+func (c *interceptedConn) Read(p []byte) (int, error) { return c.interceptor.ReadConn(c.TCPConn, p) }
 
 // Crowded is an address at which connections come up only once accept was called; they lead to another.
 func FullBacklogProxy(t testing.TB, to string) (addr string, accept func()) {
