--- a/internal/lab/standin/registry.go
+++ b/internal/lab/standin/registry.go
@@ -13,68 +13,69 @@
 	"time"
 )
 
-// Fault is what a registry does with the calls that come.
+// Fault selects how a registry handles new calls.
 type Fault int
 
 // Faults of a registry.
 const (
-	NoFault            Fault = iota // none
-	RefuseConnections               // nobody listens at its address
-	NeverRespond                    // calls are accepted and never answered; one that works in turn answers them later
-	TrickleHeaders                  // heads come byte by byte, and never whole
-	RespondUnavailable              // 503
-	ResetConnections                // once the call was read
-	SendInvalidList                 // what comes is no list
-	EndAfterHeaders                 // watches end after their head
-	MixedFaults                     // each of these but Refuses, one call after another
-	StallAfterHeaders               // calls get their head and nothing more
-	StallWithinList                 // calls get half a list and nothing more
-	SendPreviousList                // calls get the list that was there before the present one, and empty lines from then on
+	NoFault            Fault = iota
+	RefuseConnections        // the registry does not listen
+	NeverRespond             // calls are accepted and never answered; with ServeSequentially they are answered after the fault
+	TrickleHeaders           // the response headers arrive byte by byte and never end
+	RespondUnavailable       // calls are answered with status 503
+	ResetConnections         // the connection is reset after the request headers have been read
+	SendInvalidList          // the response is valid HTTP, but its body is no endpoint list
+	EndAfterHeaders          // the connection ends after the response headers
+	MixedFaults              // calls get the faults from NeverRespond to EndAfterHeaders in turn
+	StallAfterHeaders        // nothing follows the response headers
+	StallWithinList          // nothing follows the first part of a list
+	SendPreviousList         // calls get the previous list, as from a replica that lags, and then only heartbeats
 )
 
-// Break is how the watches that are open come to their end.
+// WatchBreak selects how the open watches of a registry fail.
 type WatchBreak int
 
-// Ways in which an open watch ends.
+// Ways in which an open watch fails.
 const (
-	WatchSilent           WatchBreak = iota // nothing more comes
-	WatchStallsWithinList                   // half a list comes, and empty lines go on
+	WatchSilent           WatchBreak = iota // the connection stays open, but carries nothing more
+	WatchStallsWithinList                   // the first part of a list arrives; from then on only heartbeats do
 	WatchReset                              // the connection is reset
-	WatchEnded                              // the answer ends as it should
+	WatchEnded                              // the response ends regularly
 )
 
-// Registry is a list service. A call goes on as it began, also where the registry's fault has ended since.
+// Registry is a discovery service with injectable faults. A call keeps the fault under which it arrived after the registry has recovered.
 type Registry struct {
 	Addr string
 
-	socketFD int // bound all the time: nobody else has the port while it refuses
+	socketFD int // stays bound throughout, so that no other process gets the port while the registry refuses connections
 	closed   chan bool
-	pending  chan *Watch // calls in the order in which they came; nil: all are served at once
+	pending  chan *Watch // calls in order of arrival; nil: all calls are served at once
 
 	mu           sync.Mutex
 	fault        Fault
 	seq          int64
-	list         string        // of the whole list
-	previousList string        // of the one before it
-	staleList    string        // what a replica that lags has
-	changed      chan struct{} // closed when the list or the fault changes
-	firstIntact  int           // watches below that number say nothing more
-	watchBreak   WatchBreak    // how they came to their end
-	faultyCalls  int           // calls that meet the fault before all is good; 0: all do
+	list         string        // full list, encoded
+	previousList string        // list before the latest change
+	staleList    string        // list that SendPreviousList serves
+	changed      chan struct{} // closed and replaced when the list or the fault changes
+	firstIntact  int           // watches with a smaller index are broken
+	watchBreak   WatchBreak    // how these watches fail
+	faultyCalls  int           // calls left that get the fault before it ends by itself; 0: it does not
 	calls        int
-	served       int                 // of them, in turn
-	firstSent    map[int64]time.Time // when a version was first written whole to anybody
+	served       int                 // calls served sequentially
+	firstSent    map[int64]time.Time // when a list version was first written to a watch, by sequence number
 }
 
-// NewRegistry makes one in that state; it listens unless it refuses.
+// NewRegistry returns a registry with that fault. It listens unless the fault is RefuseConnections.
 func NewRegistry(t testing.TB, fault Fault) *Registry {
 	t.Helper()
 	r := &Registry{fault: fault, changed: make(chan struct{}), closed: make(chan bool), firstSent: map[int64]time.Time{}}
-	free, addr := BindLoopback(t, 0, syscall.SO_REUSEADDR)
+	chosen, addr := BindLoopback(t, 0, syscall.SO_REUSEADDR)
 	port := netip.MustParseAddrPort(addr).Port()
-	// By name: a listener that is shut down gives a port back that the system chose. The first goes only then, so nobody gets it between.
+	// The shutdown of a listener releases a port that the system has chosen, but keeps a port that was requested by number. The port is
+	// therefore bound a second time by number. The first socket is closed after that, so that no other process can take the port.
 	fd, addr := BindLoopback(t, int(port), syscall.SO_REUSEADDR)
-	syscall.Close(free)
+	syscall.Close(chosen)
 	r.socketFD, r.Addr = fd, addr
 	t.Cleanup(func() {
 		close(r.closed)
@@ -87,9 +88,9 @@
 	return r
 }
 
-// InTurn has the registry work through its calls one after the other, so long each, also through those that were given up.
-// It must be called before the first call; the registry works while it is good.
-func (r *Registry) ServeSequentially(each time.Duration) {
+// ServeSequentially makes the registry serve its calls one after another, in order of arrival and each for serviceTime, including calls
+// that the client has abandoned. It serves only while there is no fault. It must be called before the first call arrives.
+func (r *Registry) ServeSequentially(serviceTime time.Duration) {
 	r.pending = make(chan *Watch, 1<<16)
 	go func() {
 		for {
@@ -100,7 +101,7 @@
 				if !r.waitUntil(func() bool { return r.fault == NoFault }) {
 					return
 				}
-				time.Sleep(each)
+				time.Sleep(serviceTime)
 				r.mu.Lock()
 				r.served++
 				r.mu.Unlock()
@@ -113,13 +114,13 @@
 func (r *Registry) listen(t testing.TB) {
 	t.Helper()
 	if err := syscall.Listen(r.socketFD, 1024); err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen at %s: %v", r.Addr, err)
 	}
 	f := os.NewFile(uintptr(must(t, func() (int, error) { return syscall.Dup(r.socketFD) })), "registry")
 	defer f.Close()
 	ln, err := net.FileListener(f)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listener at %s: %v", r.Addr, err)
 	}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
@@ -142,12 +143,12 @@
 	return v
 }
 
-// List sets the whole list, as text on one line; watches are told at once, while the registry is good.
-func (r *Registry) SetList(seq int64, text string) {
-	r.update(func() { r.seq, r.list, r.previousList = seq, text, r.list })
+// SetList sets the full list, encoded on one line. Intact watches get it at once.
+func (r *Registry) SetList(seq int64, list string) {
+	r.update(func() { r.seq, r.list, r.previousList = seq, list, r.list })
 }
 
-// Return ends the fault, and says when the registry could be reached and was able to answer.
+// Recover ends the fault and returns the time from which calls are accepted and served.
 func (r *Registry) Recover(t testing.TB) time.Time {
 	t.Helper()
 	r.mu.Lock()
@@ -160,8 +161,8 @@
 	return time.Now()
 }
 
-// Fail has all calls meet a fault until the return, and the watches that are open end, or say nothing more where it is one of
-// silence. One that refuses closes its listener.
+// InjectFault applies a fault to all calls until Recover. Open watches end; with NeverRespond they stay open and become silent.
+// RefuseConnections closes the listener.
 func (r *Registry) InjectFault(fault Fault) {
 	r.update(func() {
 		r.fault, r.faultyCalls, r.watchBreak, r.firstIntact = fault, 0, WatchEnded, r.calls
@@ -174,13 +175,14 @@
 	}
 }
 
-// Fall has the watches that are open say nothing more, and calls meet that fault, which may be none.
+// SilenceWatches breaks the open watches, which become silent unless BreakWatches or InjectFault has set another break, and applies a
+// fault to the calls that follow. The fault may be NoFault.
 func (r *Registry) SilenceWatches(fault Fault) time.Time {
 	r.update(func() { r.fault, r.firstIntact = fault, r.calls })
 	return time.Now()
 }
 
-// BreakWatches ends the watches that are open, and the next calls, so many, meet that fault; those after them are served.
+// BreakWatches breaks the open watches and applies a fault to the next calls, as many as given. Later calls are served.
 func (r *Registry) BreakWatches(how WatchBreak, fault Fault, calls int) time.Time {
 	r.update(func() {
 		r.watchBreak, r.firstIntact, r.staleList = how, r.calls, r.previousList
@@ -191,7 +193,7 @@
 	return time.Now()
 }
 
-// Told is when that version was first written to anybody.
+// FirstSent returns when that version of the list was first written to a watch.
 func (r *Registry) FirstSent(seq int64) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,14 +201,14 @@
 	return at, ok
 }
 
-// Calls is how many have come, in whatever state.
+// Calls returns how many calls have arrived, whatever became of them.
 func (r *Registry) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
 }
 
-// Worked is how many calls it has worked through in turn.
+// Served returns how many calls have been served sequentially.
 func (r *Registry) Served() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -221,17 +223,17 @@
 	r.changed = make(chan struct{})
 }
 
-// wait returns once ok, under the lock; false: the test is over.
+// waitUntil waits until ok, which is called under the lock, and returns false if the test ends before.
 func (r *Registry) waitUntil(ok func() bool) bool {
 	for {
 		r.mu.Lock()
-		change, is := r.changed, ok()
+		changed, done := r.changed, ok()
 		r.mu.Unlock()
-		if is {
+		if done {
 			return true
 		}
 		select {
-		case <-change:
+		case <-changed:
 		case <-r.closed:
 			return false
 		}
@@ -240,7 +242,7 @@
 
 func (r *Registry) handleConn(c *net.TCPConn) {
 	r.mu.Lock()
-	n, fault := r.calls, r.fault
+	index, fault := r.calls, r.fault
 	r.calls++
 	if r.faultyCalls > 0 {
 		if r.faultyCalls--; r.faultyCalls == 0 {
@@ -253,14 +255,14 @@
 		c.Close()
 		return
 	}
-	w := &Watch{c, req.URL.RawQuery, n}
+	w := &Watch{c, req.URL.RawQuery, index}
 	if r.pending != nil && (fault == NoFault || fault == NeverRespond) {
 		r.pending <- w
 		return
 	}
 	defer c.Close()
 	if fault == MixedFaults {
-		fault = NeverRespond + Fault(n)%(MixedFaults-NeverRespond)
+		fault = NeverRespond + Fault(index)%(MixedFaults-NeverRespond)
 	}
 	switch fault {
 	case NoFault:
@@ -299,7 +301,7 @@
 	}
 }
 
-// lag serves a watch as a replica does that has not seen the latest change.
+// serveStaleList serves a watch as a replica that has not received the latest change.
 func (r *Registry) serveStaleList(w *Watch) {
 	w.WriteHeaders()
 	r.mu.Lock()
@@ -315,10 +317,10 @@
 	}
 }
 
-// half is the first part of a list whose rest never comes.
+// partialList is the first part of a list whose rest is never sent.
 const partialList = `{"seq":50,"whole":true,"hosts":[{"host":"s1",`
 
-// serve tells one watch of the list as it is and of each change.
+// serveWatch sends the list and each later version of it, with heartbeats in between, until the watch is broken or closed.
 func (r *Registry) serveWatch(w *Watch) {
 	defer w.Close()
 	gone := make(chan bool)
@@ -326,27 +328,27 @@
 		w.WaitForClose()
 		close(gone)
 	}()
-	beat := time.NewTicker(2 * time.Second)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(2 * time.Second)
+	defer heartbeat.Stop()
 	w.WriteHeaders()
-	for last, begunHalf := int64(-1), false; ; {
+	for last, stalled := int64(-1), false; ; {
 		r.mu.Lock()
-		change, seq, text, muted, broken := r.changed, r.seq, r.list, w.Index < r.firstIntact, r.watchBreak
+		changed, seq, list, broken, how := r.changed, r.seq, r.list, w.Index < r.firstIntact, r.watchBreak
 		r.mu.Unlock()
 		switch {
-		case !muted || broken == WatchSilent:
-		case broken == WatchReset:
+		case !broken || how == WatchSilent:
+		case how == WatchReset:
 			w.SetLinger(0)
 			return
-		case broken == WatchEnded:
+		case how == WatchEnded:
 			io.WriteString(w, "0\r\n\r\n")
 			return
-		case !begunHalf:
-			begunHalf = true
+		case !stalled:
+			stalled = true
 			w.WriteChunk(partialList)
 		}
-		if seq != last && !muted {
-			if w.WriteChunk(text+"\n") != nil {
+		if seq != last && !broken {
+			if w.WriteChunk(list+"\n") != nil {
 				return
 			}
 			r.mu.Lock()
@@ -357,13 +359,13 @@
 			last = seq
 		}
 		select {
-		case <-change:
+		case <-changed:
 		case <-gone:
 			return
 		case <-r.closed:
 			return
-		case <-beat.C:
-			if !muted || begunHalf {
+		case <-heartbeat.C:
+			if !broken || stalled {
 				w.WriteChunk("\n")
 			}
 		}
--- a/internal/lab/standin/bound.go
+++ b/internal/lab/standin/socket.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Bound makes a socket that is bound on loopback, to that port or any for 0, and does not listen: nobody else is given the port, and
-// connections to it are refused. The options are set first; who asks for it closes it.
+// BindLoopback returns a socket that is bound to a loopback port, but not listening, and its address. Port 0 chooses a free port.
+// As long as the socket is open, the system gives the port to no other socket and refuses connections to it. The given SOL_SOCKET
+// options are enabled before the bind. The caller closes the socket.
 func BindLoopback(t testing.TB, port int, options ...int) (fd int, addr string) {
 	t.Helper()
 	fd = must(t, func() (int, error) {
@@ -19,6 +20,6 @@
 	must(t, func() (int, error) {
 		return 0, syscall.Bind(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
 	})
-	name := must(t, func() (syscall.Sockaddr, error) { return syscall.Getsockname(fd) })
-	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	bound := must(t, func() (syscall.Sockaddr, error) { return syscall.Getsockname(fd) })
+	return fd, fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin has the servers and the discovery that tests speak to on loopback. They stop where a test wants them to:
-// what happens next is the test's, never a matter of time.
+// Package standin provides stand-in servers and discovery services on loopback for tests. A test decides by calls, not by timing,
+// when they block and when they go on.
 package standin
 
 import (
@@ -16,43 +16,44 @@
 	"time"
 )
 
-// Patience is how long a test waits for what has to come before it gives up.
+// WaitTimeout is how long a test waits for an expected event before it fails.
 const WaitTimeout = 30 * time.Second
 
-// Eventually waits until ok; what names it.
+// Eventually polls ok until it returns true. After WaitTimeout the test fails; what describes the expected event in the message.
 func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("did not happen within %v: %s", WaitTimeout, what)
 		}
 	}
 }
 
-// Listen hands each connection to serve with its number, and closes it afterwards.
-func Listen(t testing.TB, serve func(c *net.TCPConn, n int)) (addr string) {
+// Listen accepts connections on loopback. It calls serve for each connection, with its index from 0, in a goroutine of its own, and closes
+// the connection when serve returns.
+func Listen(t testing.TB, serve func(c *net.TCPConn, index int)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen on loopback: %v", err)
 	}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
-		for n := 0; ; n++ {
+		for index := 0; ; index++ {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				defer c.Close()
-				serve(c.(*net.TCPConn), n)
+				serve(c.(*net.TCPConn), index)
 			}()
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// Server counts the requests that reached it whole, by id.
+// Server is an HTTP server that counts the requests it has received completely, by request ID.
 type Server struct {
 	Addr string
 
@@ -60,7 +61,8 @@
 	requestCounts map[string]int
 }
 
-// NewServer answers each request that has come whole by what answer writes; false: the connection ends with that.
+// NewServer starts a server that calls answer for each request received completely. If answer returns false, the server closes the
+// connection.
 func NewServer(t testing.TB, answer func(c *net.TCPConn, r *http.Request) bool) *Server {
 	s := &Server{requestCounts: map[string]int{}}
 	s.Addr = Listen(t, func(c *net.TCPConn, _ int) {
@@ -83,72 +85,72 @@
 	return s
 }
 
-// Got is how many requests of that id came whole.
+// RequestCount returns how many requests with that ID the server has received completely.
 func (s *Server) RequestCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestCounts[id]
 }
 
-// Say writes an answer of that status and body.
+// WriteResponse writes a response. The header holds complete lines, each with its line break.
 func WriteResponse(c net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d S\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 	return err == nil
 }
 
-// Yes answers 200 with the request's id.
+// EchoRequestID answers with status 200 and the request ID as the body.
 func EchoRequestID(c *net.TCPConn, r *http.Request) bool {
 	return WriteResponse(c, 200, "", r.Header.Get("Req-Id"))
 }
 
-// Declined says that the request never ran.
+// DeclinedHeader is the header line by which a server states that it has not executed the request.
 const DeclinedHeader = "Srv-Declined: 1\r\n"
 
-// Watch is one call to the list.
+// Watch is one call to a discovery service.
 type Watch struct {
 	*net.TCPConn
 	Query string
-	Index int // of the calls, from 0
+	Index int // from 0, in order of arrival
 }
 
-// Begin answers that the list comes in chunks.
+// WriteHeaders writes the headers of a response with chunked encoding.
 func (w *Watch) WriteHeaders() {
 	io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// Tell writes one chunk.
+// WriteChunk writes one chunk.
 func (w *Watch) WriteChunk(text string) error {
 	_, err := fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text)
 	return err
 }
 
-// Left returns once the other side has ended the call.
+// WaitForClose returns when the client has closed the connection.
 func (w *Watch) WaitForClose() { io.Copy(io.Discard, w) }
 
-// NewDiscovery hands each call to serve once its head was read.
+// ListenDiscovery accepts calls to a discovery service and calls serve for each call whose request headers have been read.
 func ListenDiscovery(t testing.TB, serve func(w *Watch)) (addr string) {
-	return Listen(t, func(c *net.TCPConn, n int) {
+	return Listen(t, func(c *net.TCPConn, index int) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
 			return
 		}
-		serve(&Watch{c, r.URL.RawQuery, n})
+		serve(&Watch{c, r.URL.RawQuery, index})
 	})
 }
 
-// Hook is a listener whose connections' reads are the test's to hold back.
+// ReadInterceptor is a listener whose connections read by ReadConn, so that a test can delay reads.
 type ReadInterceptor struct {
 	net.Listener
 	ReadConn func(c *net.TCPConn, p []byte) (int, error)
 }
 
-// Accept takes the next connection.
-func (h *ReadInterceptor) Accept() (net.Conn, error) {
-	c, err := h.Listener.Accept()
+// Accept returns the next connection, with its reads intercepted.
+func (l *ReadInterceptor) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &interceptedConn{c.(*net.TCPConn), h}, nil
+	return &interceptedConn{c.(*net.TCPConn), l}, nil
 }
 
 type interceptedConn struct {
@@ -158,36 +160,37 @@
 
 func (c *interceptedConn) Read(p []byte) (int, error) { return c.interceptor.ReadConn(c.TCPConn, p) }
 
-// Crowded is an address at which connections come up only once accept was called; they lead to another.
-func FullBacklogProxy(t testing.TB, to string) (addr string, accept func()) {
+// FullBacklogProxy returns an address whose accept backlog is full, so that dialed connections are not established until accept is called.
+// From then on connections are forwarded to target.
+func FullBacklogProxy(t testing.TB, target string) (addr string, accept func()) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create a socket: %v", err)
 	}
 	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen on loopback without a backlog: %v", err)
 	}
 	file := os.NewFile(uintptr(fd), "crowded")
 	ln, err := net.FileListener(file)
 	file.Close()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listener without a backlog: %v", err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	fill, err := net.Dial("tcp", ln.Addr().String()) // the one that the system takes of its own accord
+	filler, err := net.Dial("tcp", ln.Addr().String()) // the one connection that the kernel establishes with a backlog of 0
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("fill the backlog: %v", err)
 	}
 	return ln.Addr().String(), func() {
-		fill.Close()
+		filler.Close()
 		go func() {
 			for {
 				c, err := ln.Accept()
 				if err != nil {
 					return
 				}
-				s, err := net.Dial("tcp", to)
+				s, err := net.Dial("tcp", target)
 				if err != nil {
 					c.Close()
 					continue
