--- a/internal/lab/fleetscale/changes.go
+++ b/internal/lab/fleetscale/changes.go
@@ -9,7 +9,7 @@
 	"damsonscale/internal/rollout"
 )
 
-// rolloutChanges gives a fleet versions of the settings, as an operator does; the next is given once the one before was agreed.
+// rollOutVersions rolls out settings versions in a fleet, as an operator does. Each version starts after the one before was committed.
 func (r *run) rollOutVersions(ctx context.Context, at int) {
 	f := &r.layout.fleets[at]
 	names := make([]string, 0, len(f.members))
@@ -23,7 +23,9 @@
 			Settings: []byte(fmt.Sprintf(`{"settings": %s}`, memberSettings(len(r.layout.members), k+1))),
 		}
 		from := time.Now()
-		for end := from; ctx.Err() == nil || time.Since(end) < commandTimeout; { // guards against numbers that are off by one which was agreed unheard
+		// A command in progress is retried for commandTimeout after the measurement: a version that is committed but whose reply is
+		// lost would shift the numbers of the recorded versions.
+		for end := from; ctx.Err() == nil || time.Since(end) < commandTimeout; {
 			if ctx.Err() == nil {
 				end = time.Now()
 			}
@@ -46,7 +48,7 @@
 	})
 }
 
-// atRate calls f at a rate, counting from 0, until ctx ends. Turns that come too late are left out.
+// callAtRate calls f at a rate per second until ctx ends, with the number of the call from 0. Calls that are overdue are skipped.
 func callAtRate(ctx context.Context, rate float64, f func(k int)) {
 	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer tick.Stop()
@@ -62,7 +64,7 @@
 	}
 }
 
-// settingsInForce tells of versions of the settings, over all fleets.
+// settingsPropagation returns the propagation times of settings versions over all fleets.
 func (r *run) settingsPropagation(seconds float64) (f PropagationTimes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,11 +78,11 @@
 				names = append(names, name)
 			}
 		}
-		ms, one := propagationDelays(r.committedVersions[at], names, r.observations.adopted)
+		ms, fleet := propagationDelays(r.committedVersions[at], names, r.observations.adopted)
 		all = append(all, ms...)
-		f.Changes, f.Expected, f.Missing = f.Changes+len(r.committedVersions[at]), f.Expected+one.Expected, f.Missing+one.Missing
-		if one.WorstMember != "" {
-			f.WorstMember = one.WorstMember
+		f.Changes, f.Expected, f.Missing = f.Changes+len(r.committedVersions[at]), f.Expected+fleet.Expected, f.Missing+fleet.Missing
+		if fleet.WorstMember != "" {
+			f.WorstMember = fleet.WorstMember
 		}
 	}
 	f.Rejected, f.PerSecond = r.rejectedVersions, float64(f.Changes)/seconds/float64(len(r.layout.fleets))
@@ -88,7 +90,7 @@
 	return f
 }
 
-// listsInForce tells of changes of the list, at hollow members: a real one does not say which list it goes by.
+// listPropagation returns the propagation times of list changes at hollow members. A real member does not report which list it uses.
 func (r *run) listPropagation(seconds float64) (f PropagationTimes) {
 	var made []versionTime
 	for seq, at := range r.list.changes() {
--- a/internal/lab/fleetscale/children.go
+++ b/internal/lab/fleetscale/children.go
@@ -18,35 +18,35 @@
 )
 
 const (
-	stopTimeout     = 10 * time.Second // of the end of its input; past it a process is killed
+	stopTimeout     = 10 * time.Second // from the close of its input until a process is killed
 	logPollInterval = 20 * time.Millisecond
 )
 
-// child is one process that the run started.
+// child is a process started by the run.
 type child struct {
 	name        string
 	cmd         *exec.Cmd
-	stdin       io.WriteCloser // of a worker
+	stdin       io.WriteCloser // of a worker; nil for a real member
 	log         *os.File
 	members     []int
 	exited      chan struct{}
 	countsReply chan Event
-	killed      bool // by a fault, or at the end
+	killed      bool // stopped by a fault or at the end of the run
 	links       bool
 }
 
-// children starts processes and hands on what is seen of them.
+// children starts and stops processes and passes their events to observe.
 type children struct {
 	starter    *faultinjection.ProcessStarter
 	dir        string
 	observe    func(*child, Event)
 	all        []*child
 	logReaders sync.WaitGroup
-	stop       chan struct{} // ends the readers of logs
+	stop       chan struct{} // closed to stop the log readers
 }
 
-func newChildren(dir string, see func(*child, Event)) *children {
-	return &children{starter: faultinjection.NewProcessStarter(), dir: dir, observe: see, stop: make(chan struct{})}
+func newChildren(dir string, observe func(*child, Event)) *children {
+	return &children{starter: faultinjection.NewProcessStarter(), dir: dir, observe: observe, stop: make(chan struct{})}
 }
 
 func (c *children) start(name string, members []int, cmd *exec.Cmd) (*child, error) {
@@ -54,17 +54,17 @@
 	if err != nil {
 		return nil, err
 	}
-	one := &child{name: name, cmd: cmd, log: log, members: members, exited: make(chan struct{}), countsReply: make(chan Event, 1)}
+	p := &child{name: name, cmd: cmd, log: log, members: members, exited: make(chan struct{}), countsReply: make(chan Event, 1)}
 	cmd.Stderr = log
 	if err := c.starter.Start(cmd); err != nil {
 		log.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	c.all = append(c.all, one)
-	return one, nil
+	c.all = append(c.all, p)
+	return p, nil
 }
 
-// startWorker starts a process with hollow members or links.
+// startWorker starts a process with hollow members or relays.
 func (c *children) startWorker(name string, members []int, command []string, w *workerSpec) (*child, error) {
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), "TMPDIR="+c.dir)
@@ -76,11 +76,11 @@
 	if err != nil {
 		return nil, err
 	}
-	one, err := c.start(name, members, cmd)
+	p, err := c.start(name, members, cmd)
 	if err != nil {
 		return nil, err
 	}
-	one.stdin = in
+	p.stdin = in
 	go func() {
 		lines := bufio.NewReader(out)
 		for {
@@ -90,11 +90,11 @@
 			}
 			var e Event
 			if json.Unmarshal(text, &e) == nil {
-				c.handle(one, e)
+				c.handle(p, e)
 			}
 		}
 		cmd.Wait()
-		close(one.exited)
+		close(p.exited)
 	}()
 	text, err := json.Marshal(w)
 	if err != nil {
@@ -103,36 +103,36 @@
 	if _, err := in.Write(append(text, '\n')); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return one, nil
+	return p, nil
 }
 
-func (c *children) handle(one *child, e Event) {
+func (c *children) handle(p *child, e Event) {
 	if e.Kind == EventLinkCounts {
 		select {
-		case one.countsReply <- e:
+		case p.countsReply <- e:
 		default:
 		}
 		return
 	}
-	c.observe(one, e)
+	c.observe(p, e)
 }
 
-// startReal starts the program, and reads its log.
+// startReal starts the program as a real member and follows its log.
 func (c *children) startReal(name string, member int, binary string, env []string) (*child, error) {
 	cmd := exec.Command(binary)
 	cmd.Dir, cmd.Env = c.dir, append(append(os.Environ(), "TMPDIR="+c.dir), env...)
-	one, err := c.start(name, []int{member}, cmd)
+	p, err := c.start(name, []int{member}, cmd)
 	if err != nil {
 		return nil, err
 	}
-	go func() { cmd.Wait(); close(one.exited) }()
-	c.logReaders.Go(func() { c.followLog(one) })
-	return one, nil
+	go func() { cmd.Wait(); close(p.exited) }()
+	c.logReaders.Go(func() { c.followLog(p) })
+	return p, nil
 }
 
-// tail reads a log as it grows.
-func (c *children) followLog(one *child) {
-	in, err := os.Open(one.log.Name())
+// followLog passes on the events in a log as the log grows.
+func (c *children) followLog(p *child) {
+	in, err := os.Open(p.log.Name())
 	if err != nil {
 		return
 	}
@@ -143,7 +143,7 @@
 		part += text
 		if err == nil {
 			if e, ok := parseLogLine(part); ok {
-				c.observe(one, e)
+				c.observe(p, e)
 			}
 			part = ""
 			continue
@@ -156,24 +156,24 @@
 	}
 }
 
-var errUnexpectedExit = errors.New("a process of the run has ended by itself")
+var errUnexpectedExit = errors.New("a process of the run exited unexpectedly")
 
-// alive tells which process has ended though nobody ended it.
+// checkAlive returns an error that names a process that has exited without being stopped by the run.
 func (c *children) checkAlive() error {
-	for _, one := range c.all {
-		if one.killed {
+	for _, p := range c.all {
+		if p.killed {
 			continue
 		}
 		select {
-		case <-one.exited:
-			return fmt.Errorf("%w: %s%s", errUnexpectedExit, one.name, logTail(one.log.Name()))
+		case <-p.exited:
+			return fmt.Errorf("%w: %s%s", errUnexpectedExit, p.name, logTail(p.log.Name()))
 		default:
 		}
 	}
 	return nil
 }
 
-// lastLine quotes the end of a log.
+// logTail returns the last 300 bytes of a log, to be appended to an error message.
 func logTail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) == 0 {
@@ -182,26 +182,26 @@
 	return ": " + string(text[max(0, len(text)-300):])
 }
 
-// counts asks all processes of links for their counts, and tells how many connections are open there.
+// linkCounts requests the counts of all relay processes. It returns their sums by member, and the number of open connections.
 func (c *children) linkCounts(ctx context.Context) (all map[string]FrameCounts, open int64, err error) {
 	all = map[string]FrameCounts{}
-	for _, one := range c.all {
-		if !one.links {
+	for _, p := range c.all {
+		if !p.links {
 			continue
 		}
-		if _, err := io.WriteString(one.stdin, "\n"); err != nil {
-			return nil, 0, fmt.Errorf("%s: %w", one.name, err)
+		if _, err := io.WriteString(p.stdin, "\n"); err != nil {
+			return nil, 0, fmt.Errorf("%s: %w", p.name, err)
 		}
 		select {
-		case e := <-one.countsReply:
+		case e := <-p.countsReply:
 			open += e.Number
-			for name, t := range e.Counts { // a member's outgoing frames pass the links of many
+			for name, t := range e.Counts { // the frames that a member sends pass the relays of many receivers
 				sum := all[name]
 				sum.add(t)
 				all[name] = sum
 			}
-		case <-one.exited:
-			return nil, 0, fmt.Errorf("%w: %s", errUnexpectedExit, one.name)
+		case <-p.exited:
+			return nil, 0, fmt.Errorf("%w: %s", errUnexpectedExit, p.name)
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		}
@@ -209,11 +209,11 @@
 	return all, open, nil
 }
 
-// resident is the memory of all processes and of this one.
+// residentBytes returns the resident memory of all started processes and of this process.
 func (c *children) residentBytes() (sum int64) {
 	pids := []int{os.Getpid()}
-	for _, one := range c.all {
-		pids = append(pids, one.cmd.Process.Pid)
+	for _, p := range c.all {
+		pids = append(pids, p.cmd.Process.Pid)
 	}
 	for _, pid := range pids {
 		if u, err := usageOf(pid); err == nil {
@@ -223,7 +223,7 @@
 	return sum
 }
 
-// close ends all processes.
+// close stops all processes.
 func (c *children) close() {
 	c.stopProcesses(func(*child) bool { return true })
 	close(c.stop)
@@ -231,32 +231,33 @@
 	c.starter.Close()
 }
 
-// stopProcesses ends some processes: real ones at once, for nothing is in their hands.
-func (c *children) stopProcesses(some func(*child) bool) {
+// stopProcesses stops the selected processes. Real members are killed at once, because they have no requests in flight. Workers end when
+// their input is closed, and are killed after stopTimeout.
+func (c *children) stopProcesses(selected func(*child) bool) {
 	var all []*child
-	for _, one := range c.all {
-		if some(one) {
-			all = append(all, one)
+	for _, p := range c.all {
+		if selected(p) {
+			all = append(all, p)
 		}
 	}
-	for _, one := range all {
-		one.killed = true
-		one.cmd.Process.Signal(syscall.SIGCONT)
-		if one.stdin != nil {
-			one.stdin.Close()
+	for _, p := range all {
+		p.killed = true
+		p.cmd.Process.Signal(syscall.SIGCONT)
+		if p.stdin != nil {
+			p.stdin.Close()
 		} else {
-			one.cmd.Process.Kill()
+			p.cmd.Process.Kill()
 		}
 	}
-	late := time.After(stopTimeout)
-	for _, one := range all {
+	timeout := time.After(stopTimeout)
+	for _, p := range all {
 		select {
-		case <-one.exited:
-		case <-late:
-			one.cmd.Process.Kill()
-			<-one.exited
-			late = time.After(0)
+		case <-p.exited:
+		case <-timeout:
+			p.cmd.Process.Kill()
+			<-p.exited
+			timeout = time.After(0)
 		}
-		one.log.Close()
+		p.log.Close()
 	}
 }
--- a/internal/lab/fleetscale/fault.go
+++ b/internal/lab/fleetscale/fault.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// FaultReport tells of a fault and of what followed.
+// FaultReport describes an injected fault and the recovery from it.
 type FaultReport struct {
 	Name             string
 	Process          string  `json:"Who,omitempty"` // name of the process the fault hit
@@ -22,19 +22,19 @@
 	startedAt, returnedAt time.Time
 }
 
-var errNoLeader = errors.New("--fault: no member of the first fleet leads that has a process of its own")
+var errNoLeader = errors.New("--fault: no leader of the first fleet with a process of its own was found")
 
-func (r *run) inFirstFleet(one *child) bool {
-	return len(one.members) == 1 && r.layout.members[one.members[0]].fleet == 0 && !one.links
+func (r *run) inFirstFleet(process *child) bool {
+	return len(process.members) == 1 && r.layout.members[process.members[0]].fleet == 0 && !process.links
 }
 
-// injectFault breaks something, for as long as the run has left at most.
-func (r *run) injectFault(ctx context.Context, left time.Duration) (*FaultReport, error) {
+// injectFault injects the configured fault. A temporary fault ends after its duration, or after limit if that is shorter.
+func (r *run) injectFault(ctx context.Context, limit time.Duration) (*FaultReport, error) {
 	f := &FaultReport{Name: r.conf.Fault, startedAt: time.Now()}
 	if r.conf.Fault == ListDown {
 		addr := r.list.addr
 		r.list.server.Close()
-		sleep(ctx, min(listDownDuration, left))
+		sleep(ctx, min(listDownDuration, limit))
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			return nil, err
@@ -47,24 +47,24 @@
 		f.CallsAfterReturn = r.list.calls.Load() - calls
 		return f, nil
 	}
-	who, _ := r.observations.lastElected(r.inFirstFleet)
-	if who == nil {
+	leader, _ := r.observations.lastElected(r.inFirstFleet)
+	if leader == nil {
 		return nil, errNoLeader
 	}
-	f.Process, f.Member = who.name, r.layout.members[who.members[0]].name
+	f.Process, f.Member = leader.name, r.layout.members[leader.members[0]].name
 	r.markKilled(f)
 	if r.conf.Fault == KillLeader {
-		who.killed = true
-		return f, who.cmd.Process.Kill()
+		leader.killed = true
+		return f, leader.cmd.Process.Kill()
 	}
-	if err := who.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+	if err := leader.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		return nil, err
 	}
-	sleep(ctx, min(leaderPauseDuration, left))
-	return f, who.cmd.Process.Signal(syscall.SIGCONT)
+	sleep(ctx, min(leaderPauseDuration, limit))
+	return f, leader.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// markKilled notes whom a fault ends for good.
+// markKilled records the member that a fault kills permanently.
 func (r *run) markKilled(f *FaultReport) {
 	if f.Name == KillLeader {
 		r.mu.Lock()
@@ -73,13 +73,13 @@
 	}
 }
 
-// fillRecovery fills in what followed a fault.
+// fillRecovery fills in the times and evictions of the recovery from a fault.
 func (r *run) fillRecovery(f *FaultReport) {
-	_, led := r.observations.lastElected(r.inFirstFleet)
+	_, electedAt := r.observations.lastElected(r.inFirstFleet)
 	r.observations.mu.Lock()
 	defer r.observations.mu.Unlock()
 	ms := func(at time.Time) float64 { return max(0, float64(at.Sub(f.startedAt).Microseconds())/1000) }
-	f.NewLeaderMs = ms(led)
+	f.NewLeaderMs = ms(electedAt)
 	f.RecoveryMs = max(f.NewLeaderMs, ms(r.observations.lastLease))
 	for _, at := range r.observations.evictions {
 		if at.After(f.startedAt) {
--- a/internal/lab/fleetscale/fit.go
+++ b/internal/lab/fleetscale/fit.go
@@ -7,25 +7,25 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measured figure at a size.
+// Point is a measured figure Y at size X.
 type Point struct{ X, Y float64 }
 
-// Line is a line through points, by least squares.
+// Line is a linear least squares fit.
 type Line struct {
 	Points    []Point
-	Slope     float64 // of Y for one more of X
+	Slope     float64 // increase of Y per unit of X
 	Intercept float64
-	Residual  float64 // root of the mean square of what the points are off the line
-	Error     float64 // standard error of Slope; 0 with two points, of which it can't be told
+	Residual  float64 // root mean square distance of the points from the line, in Y
+	Error     float64 // standard error of Slope; 0 with two points, which do not determine it
 }
 
-// At is the line's height.
+// At returns the value of the line at x.
 func (l *Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// ErrPoints tells that there is no line through what was given.
-var ErrTooFewSizes = errors.New("a slope needs points of two sizes at least")
+// ErrTooFewSizes is returned if all points have the same size, so that they determine no slope.
+var ErrTooFewSizes = errors.New("a slope needs points of at least two sizes")
 
-// Fit draws a line through points of two sizes at least.
+// Fit fits a line to points of at least two sizes.
 func Fit(points []Point) (*Line, error) {
 	x, y := make([]float64, len(points)), make([]float64, len(points))
 	apart := false
--- a/internal/lab/fleetscale/hollow.go
+++ b/internal/lab/fleetscale/hollow.go
@@ -15,7 +15,8 @@
 	"damsonscale/internal/takeover"
 )
 
-// hollowMember is a member without a data path: its fleet, custody, account, versions and list are the program's own.
+// hollowMember is a member without a data path. Its membership, custody, audit log, settings versions and endpoint list are handled by the
+// program's packages.
 type hollowMember struct {
 	name   string
 	report func(Event)
@@ -24,17 +25,17 @@
 	conf *config.Config
 }
 
-var errNoDataPath = errors.New("a hollow member runs nothing")
+var errNoDataPath = errors.New("a hollow member has no data path to resume a request")
 
-// ResumeOrphan refuses: nobody sends requests in such a run.
+// ResumeOrphan returns an error: no requests are sent in a run.
 func (h *hollowMember) ResumeOrphan(*takeover.Record, *takeover.StoredRequest) (func(takeover.SendPermit) takeover.Result, error) {
 	return nil, errNoDataPath
 }
 
-// DiscardResponse is never called with anything.
+// DiscardResponse does nothing: there are no responses.
 func (h *hollowMember) DiscardResponse(any) {}
 
-// ApplySettings puts a version in force, by the checks of the program.
+// ApplySettings validates a settings version like the program, and applies it.
 func (h *hollowMember) ApplySettings(number uint64, text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// ValidateSettings tells what Adopt would say.
+// ValidateSettings returns the error that ApplySettings would return.
 func (h *hollowMember) ValidateSettings(text []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,19 +56,19 @@
 	return err
 }
 
-// CloseIdleConnections has nothing to close.
+// CloseIdleConnections does nothing: there are no connections to endpoints.
 func (h *hollowMember) CloseIdleConnections() {}
 
-// OnEndpoints tells of a list in force.
+// OnEndpoints reports that an endpoint list is applied.
 func (h *hollowMember) OnEndpoints(l *discovery.Update) {
 	h.report(Event{Kind: EventListApplied, Member: h.name, Number: l.Seq, At: time.Now()})
 }
 
-// startHollow joins a member to its fleet and to the list service.
-func startHollow(ctx context.Context, o *options.Options, name string, conf *config.Config, list string, tell func(Event)) error {
-	h := &hollowMember{name: name, report: tell, conf: conf}
-	const longest = 2 * time.Second
-	f, err := fleet.New(o, name, longest, h, h)
+// startHollow starts a hollow member, which joins its fleet and watches the list service.
+func startHollow(ctx context.Context, o *options.Options, name string, conf *config.Config, list string, report func(Event)) error {
+	h := &hollowMember{name: name, report: report, conf: conf}
+	const maxRequestTime = 2 * time.Second
+	f, err := fleet.New(o, name, maxRequestTime, h, h)
 	if err == nil {
 		err = f.Start(ctx)
 	}
--- a/internal/lab/fleetscale/layout.go
+++ b/internal/lab/fleetscale/layout.go
@@ -2,41 +2,41 @@
 
 import "fmt"
 
-// member is one member's place.
+// member is the place of a member in the layout.
 type member struct {
 	name          string
 	fleet         int
 	real          bool
-	ownProcess    bool   // a hollow one with a process of its own
-	address       string // where it listens
-	linkAddress   string // where the others dial it: a link, or the same
-	clientAddress string // of a real one, for clients
+	ownProcess    bool   // of a hollow member
+	address       string // at which the member listens
+	linkAddress   string // which the other members dial: that of its relay, or address if there is none
+	clientAddress string // at which a real member listens for clients
 }
 
-// fleetLayout is one fleet.
+// fleetLayout is the members of one fleet.
 type fleetLayout struct {
 	first   int // index of its first member
 	members []int
-	counted bool
+	counted bool // frames are counted by relays
 }
 
-// processLayout is the members, or the links, of one process.
+// processLayout is the members of one process or, for a relay process, the members whose relays it runs.
 type processLayout struct{ members []int }
 
-// layout says who is in which fleet and in which process.
+// layout assigns members to fleets and to processes.
 type layout struct {
 	members         []member
 	fleets          []fleetLayout
-	ownProcesses    []processLayout // one member each
+	ownProcesses    []processLayout // with one hollow member each
 	sharedProcesses []processLayout
 	linkProcesses   []processLayout
 }
 
-// linksPerProcess bounds the links of one process.
+// linksPerProcess is the maximum number of members whose relays run in one process.
 const linksPerProcess = 1000
 
-// newLayout makes the layout: the first members are real, those who vote in the first fleet have a process of their own, and a shared process
-// has members of the first fleet alone, or whole other fleets as far as they fit.
+// newLayout assigns the members of a run. The first members are real, and each voter of the first fleet has a process of its own. A shared
+// process has either members of the first fleet or members of other fleets; a fleet is split only if it exceeds the limit of a process.
 func newLayout(c *Config) *layout {
 	n := c.Real + c.Hollow
 	size := c.CellSize
@@ -72,7 +72,7 @@
 			l.sharedProcesses[last].members = append(l.sharedProcesses[last].members, rest...)
 			continue
 		}
-		for len(rest) > 0 { // evenly
+		for len(rest) > 0 { // split evenly
 			parts := (len(rest) + c.PerProcess - 1) / c.PerProcess
 			k := (len(rest) + parts - 1) / parts
 			l.sharedProcesses = append(l.sharedProcesses, processLayout{rest[:k]})
--- a/internal/lab/fleetscale/link.go
+++ b/internal/lab/fleetscale/link.go
@@ -20,17 +20,18 @@
 	linkBufferBytes = 4 << 10
 )
 
-// Kinds of frames, as fleet numbers them on the wire.
+// frameHello is the frame kind of the first frame of a connection, numbered as in package fleet.
 const frameHello = 0
 
+// frameKindNames are the names of the frame kinds in package fleet, by number.
 var frameKindNames = []string{"hello", "raft", "custody", "ask", "grant", "view_ask", "view", "leave", "desk", "want", "have", "segments", "taken"}
 
-// Tally counts whole frames with their heads.
+// FrameCounts counts the complete frames of data member. Bytes include frame headers.
 type FrameCounts struct {
-	OutFrames, OutBytes int64 // read from the member
-	InFrames, InBytes   int64 // written to it
-	LostFrames          int64 // read from others for it, and not written: it had gone
-	Out                 map[string]int64
+	OutFrames, OutBytes int64            // read from the member
+	InFrames, InBytes   int64            // written to it
+	LostFrames          int64            // read from other members for it, but not written because its connection was closed
+	Out                 map[string]int64 // frames read from the member, by kind
 }
 
 func (t *FrameCounts) add(o FrameCounts) {
@@ -44,7 +45,7 @@
 	}
 }
 
-// since is what came after an earlier tally.
+// since returns the difference to earlier counts.
 func (t FrameCounts) since(o FrameCounts) FrameCounts {
 	out := FrameCounts{
 		OutFrames: t.OutFrames - o.OutFrames, OutBytes: t.OutBytes - o.OutBytes, InFrames: t.InFrames - o.InFrames, InBytes: t.InBytes - o.InBytes,
@@ -56,9 +57,9 @@
 	return out
 }
 
-// links stand between members: one listener in front of each, which the others dial in its place. A connection carries one way,
-// and its first frame says who dials, so that each frame counts at its sender when it was read and at its receiver when it was
-// written whole.
+// links are the relays between members. Each member has a relay, which the other members dial instead of it. A connection carries frames
+// in data direction, and its first frame names the dialing member. A frame is counted for its sender when it has been read, and for its
+// receiver when it has been written completely.
 type links struct {
 	mu     sync.Mutex
 	counts map[string]*FrameCounts
@@ -69,7 +70,7 @@
 
 func newLinks() *links { return &links{counts: map[string]*FrameCounts{}, conns: map[net.Conn]bool{}} }
 
-// open relays from front to a member at target.
+// open listens at front and relays the connections to the member at target.
 func (l *links) open(name, front, target string) error {
 	ln, err := net.Listen("tcp", front)
 	if err != nil {
@@ -102,7 +103,7 @@
 	}
 }
 
-// track notes a connection, unless all are to be closed.
+// track registers a connection for close. It returns false if close has been called.
 func (l *links) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,29 +133,29 @@
 	if !l.track(far) {
 		return
 	}
-	go func() { // an operator is answered on its own connection; a member's only ends
+	go func() { // An operator gets its reply on the same connection. On a connection between members, only the close is relayed.
 		io.Copy(near, far)
 		near.Close()
 	}()
 	in := bufio.NewReaderSize(near, linkBufferBytes)
-	var one []byte
+	var data []byte
 	from := ""
 	for first := true; ; first = false {
-		if one, err = readFrame(in, one[:0]); err != nil {
+		if data, err = readFrame(in, data[:0]); err != nil {
 			return
 		}
-		kind := one[3]
+		kind := data[3]
 		if first && kind == frameHello {
-			if from, err = decodeHelloSender(one[frame.HeaderSize:]); err != nil {
+			if from, err = decodeHelloSender(data[frame.HeaderSize:]); err != nil {
 				return
 			}
 		}
 		if from != "" {
-			l.countSent(from, kind, len(one))
+			l.countSent(from, kind, len(data))
 		}
-		_, err := far.Write(one)
+		_, err := far.Write(data)
 		if from != "" {
-			l.countReceived(to, len(one), err == nil)
+			l.countReceived(to, len(data), err == nil)
 		}
 		if err != nil {
 			return
@@ -162,22 +163,22 @@
 	}
 }
 
-// nextFrame appends a frame as it is.
-func readFrame(in io.Reader, to []byte) ([]byte, error) {
-	to = slices.Grow(to, frame.HeaderSize)[:frame.HeaderSize]
-	if _, err := io.ReadFull(in, to); err != nil {
+// readFrame reads a frame and appends it, with its header, to buf.
+func readFrame(in io.Reader, buf []byte) ([]byte, error) {
+	buf = slices.Grow(buf, frame.HeaderSize)[:frame.HeaderSize]
+	if _, err := io.ReadFull(in, buf); err != nil {
 		return nil, err
 	}
-	n, err := frame.PayloadSize(to)
+	n, err := frame.PayloadSize(buf)
 	if err != nil {
 		return nil, err
 	}
-	to = slices.Grow(to, n)[:frame.HeaderSize+n]
-	_, err = io.ReadFull(in, to[frame.HeaderSize:])
-	return to, err
+	buf = slices.Grow(buf, n)[:frame.HeaderSize+n]
+	_, err = io.ReadFull(in, buf[frame.HeaderSize:])
+	return buf, err
 }
 
-// helloSender reads the name out of a hello.
+// decodeHelloSender returns the name of the dialing member from the payload of a hello frame.
 func decodeHelloSender(payload []byte) (string, error) {
 	var h struct {
 		_     struct{} `cbor:",toarray"`
@@ -189,7 +190,7 @@
 		}
 	}
 	if err := cbor.Unmarshal(payload, &h); err != nil {
-		return "", fmt.Errorf("hello: %w", err)
+		return "", fmt.Errorf("decode hello frame: %w", err)
 	}
 	return h.From.Name, nil
 }
@@ -215,26 +216,26 @@
 	t.Out[name]++
 }
 
-func (l *links) countReceived(to string, bytes int, whole bool) {
+func (l *links) countReceived(to string, bytes int, complete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.countsOf(to)
-	if !whole {
+	if !complete {
 		t.LostFrames++
 		return
 	}
 	t.InFrames, t.InBytes = t.InFrames+1, t.InBytes+int64(bytes)
 }
 
-// tallies copies the counts so far, by name, and tells how many connections are open.
+// snapshot returns a copy of the counts, by member, and the number of open connections.
 func (l *links) snapshot() (map[string]FrameCounts, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[string]FrameCounts, len(l.counts))
 	for name, t := range l.counts {
-		one := *t
-		one.Out = maps.Clone(t.Out)
-		out[name] = one
+		counts := *t
+		counts.Out = maps.Clone(t.Out)
+		out[name] = counts
 	}
 	return out, len(l.conns)
 }
--- a/internal/lab/fleetscale/list.go
+++ b/internal/lab/fleetscale/list.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second // of a watch
-	maxDeltas         = 1024            // changes that a watch may begin behind; one further behind gets the whole list
+	heartbeatInterval = 2 * time.Second // between the empty lines sent on an idle watch
+	maxDeltas         = 1024            // number of latest changes kept; a watch that starts further behind gets the full list
 )
 
-// listService is the stand-in of discovery's list: whole lists first, then what changes.
+// listService is a stand-in for a discovery service. A watch gets the full list first and then the changes.
 type listService struct {
 	addr   string
 	server *http.Server
 
-	calls, messages, bytesIn, bytesOut atomic.Int64 // watches asked for; lists and beats told; bytes both ways
-	openWatches                        atomic.Int64 // watches
-	deltasSent                         atomic.Int64 // changes told, each to each watch
+	calls, messages, bytesIn, bytesOut atomic.Int64 // requests; lists, changes and heartbeats sent; bytes received and sent
+	openWatches                        atomic.Int64
+	deltasSent                         atomic.Int64 // changes sent, counted once per watch
 
 	mu        sync.Mutex
 	list      discovery.Update
-	deltas    []discovery.Update // the latest, in order
+	deltas    []discovery.Update // latest changes, in order
 	changed   chan struct{}      // closed and replaced at each change
 	changedAt map[int64]time.Time
 }
 
-// startList serves a list of so many servers, all of which are at dial.
+// startList starts a list service with the given number of endpoints, all at the address dial.
 func startList(servers int, dial string) (*listService, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +57,7 @@
 
 func (s *listService) close() { s.server.Close() }
 
-// fullList copies the list.
+// fullList returns a copy of the list.
 func (s *listService) fullList() *discovery.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,14 +66,14 @@
 	return &l
 }
 
-// changeOne changes the share of one server, and returns the list's new number.
+// changeOneServer changes the capacity of one endpoint and returns the new sequence number of the list.
 func (s *listService) changeOneServer() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.Seq++
-	one := &s.list.Endpoints[int(s.list.Seq)%len(s.list.Endpoints)]
-	one.Capacity = 1 + float64(s.list.Seq%7)/10
-	s.deltas = append(s.deltas, discovery.Update{Seq: s.list.Seq, Endpoints: []discovery.Endpoint{*one}})
+	endpoint := &s.list.Endpoints[int(s.list.Seq)%len(s.list.Endpoints)]
+	endpoint.Capacity = 1 + float64(s.list.Seq%7)/10
+	s.deltas = append(s.deltas, discovery.Update{Seq: s.list.Seq, Endpoints: []discovery.Endpoint{*endpoint}})
 	if len(s.deltas) > maxDeltas {
 		s.deltas = slices.Clone(s.deltas[len(s.deltas)-maxDeltas:])
 	}
@@ -83,14 +83,15 @@
 	return s.list.Seq
 }
 
-// changes tells when each change was made.
+// changes returns the time of each change, by sequence number.
 func (s *listService) changes() map[int64]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.changedAt)
 }
 
-// updatesSince returns what a watch that has seen from is to be told, and what is closed at the next change.
+// updatesSince returns the updates for a watch that has seen version from, a channel that is closed at the next change, and the current
+// sequence number.
 func (s *listService) updatesSince(from int64) (out []discovery.Update, next <-chan struct{}, seq int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +106,7 @@
 	return out, s.changed, s.list.Seq
 }
 
-// ServeHTTP answers one watch.
+// ServeHTTP sends the list and, on a watch, its changes and heartbeats.
 func (s *listService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
@@ -114,18 +115,18 @@
 	s.calls.Add(1)
 	s.openWatches.Add(1)
 	defer s.openWatches.Add(-1)
-	tick := time.NewTicker(heartbeatInterval)
-	defer tick.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	out := json.NewEncoder(w)
 	for {
-		news, next, seq := s.updatesSince(from)
+		updates, next, seq := s.updatesSince(from)
 		from = seq
-		for i := range news {
+		for i := range updates {
 			s.messages.Add(1)
-			if !news[i].Full {
+			if !updates[i].Full {
 				s.deltasSent.Add(1)
 			}
-			if out.Encode(&news[i]) != nil {
+			if out.Encode(&updates[i]) != nil {
 				return
 			}
 		}
@@ -133,13 +134,13 @@
 		if r.URL.Query().Get("watch") != "1" {
 			return
 		}
-		for quiet := true; quiet; {
+		for idle := true; idle; {
 			select {
 			case <-r.Context().Done():
 				return
 			case <-next:
-				quiet = false
-			case <-tick.C:
+				idle = false
+			case <-heartbeat.C:
 				s.messages.Add(1)
 				io.WriteString(w, "\n")
 				w.(http.Flusher).Flush()
@@ -148,13 +149,13 @@
 	}
 }
 
-// counted counts the bytes of its connections.
+// countingListener counts the bytes of its connections for the list service.
 type countingListener struct {
 	net.Listener
 	s *listService
 }
 
-// Accept accepts a connection whose bytes are counted.
+// Accept returns the next connection, with its bytes counted.
 func (c *countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
--- a/internal/lab/fleetscale/lists.go
+++ b/internal/lab/fleetscale/lists.go
@@ -16,58 +16,59 @@
 	"damsonscale/internal/lab/faultinjection"
 )
 
-const maxListSizes = 32 // sizes of one run
+// maxListSizes is the maximum number of list sizes in a run.
+const maxListSizes = 32
 
-// ListsConfig is a run of one idle sidecar without a fleet, for each length of the list.
+// ListsConfig configures the measurement of an idle sidecar without a fleet, for several list sizes.
 type ListsConfig struct {
 	Sizes            []int
-	Duration         time.Duration // measured, idle, and once more under changes
-	ChangesPerSecond float64       // of the list, a second; 0: none
+	Duration         time.Duration // of the idle measurement, and of the measurement under changes
+	ChangesPerSecond float64       // changes of the list; 0: no measurement under changes
 	Binary           string
-	Dir              string // which exists
+	Dir              string // existing directory for configuration and logs
 }
 
-// Validate refuses what is out of range, by the name of its argument.
+// Validate returns an error that names the flag of each value out of range.
 func (c *ListsConfig) Validate() error {
 	var all []error
 	if len(c.Sizes) == 0 || len(c.Sizes) > maxListSizes {
-		all = append(all, fmt.Errorf("--sizes: %d of them, not 1 to %d", len(c.Sizes), maxListSizes))
+		all = append(all, fmt.Errorf("--sizes: got %d sizes, want 1 to %d", len(c.Sizes), maxListSizes))
 	}
 	for _, n := range c.Sizes {
 		if n < 1 || n > MaxServers {
-			all = append(all, fmt.Errorf("--sizes: %d is not within 1 to %d", n, MaxServers))
+			all = append(all, fmt.Errorf("--sizes: %d is out of range: want 1 to %d", n, MaxServers))
 		}
 	}
 	if c.Duration < MinDuration || c.Duration > MaxDuration {
-		all = append(all, fmt.Errorf("--for: %v is not within %v to %v", c.Duration, MinDuration, MaxDuration))
+		all = append(all, fmt.Errorf("--for: %v is out of range: want %v to %v", c.Duration, MinDuration, MaxDuration))
 	}
 	if !(c.ChangesPerSecond >= 0 && c.ChangesPerSecond <= MaxChangesPerSecond) {
-		all = append(all, fmt.Errorf("--changes: %v is not within 0 to %v a second", c.ChangesPerSecond, MaxChangesPerSecond))
+		all = append(all, fmt.Errorf("--changes: %v is out of range: want 0 to %v per second", c.ChangesPerSecond, MaxChangesPerSecond))
 	}
 	return errors.Join(all...)
 }
 
-// ListFigure is one length's.
+// ListResult is the result for one list size.
 type ListResult struct {
 	Servers          int
 	Idle             ProcessUsage
-	Changing         ProcessUsage // where there were changes
+	Changing         ProcessUsage // zero if there were no changes
 	ChangesPerSecond float64      `json:"Told"` // changes sent to the sidecar
-	Changes          int64        // made in all
+	Changes          int64        // number of changes made
 	ChangesNotSent   int64        `json:"Untold"`       // changes not sent to the sidecar before the settle timeout
 	CPUMsPerChange   float64      `json:"CPUMsAChange"` // CPU time above idle, ms per change sent
 }
 
-// Over is a process's use over a time.
+// ProcessUsage is the resource use of a process during a measurement.
 type ProcessUsage struct {
-	CPU           float64 // % of a core
-	MemoryMB      float64 // at its end
+	CPU           float64 // percent of a core
+	MemoryMB      float64 // resident, at the end of the measurement
 	Descriptors   int
 	OpenWatches   int64   `json:"Watches"` // open watches at the end of the measurement
 	KBInPerSecond float64 `json:"KBIn"`    // received from the list service
 }
 
-// Lists measures. It ends all that it started, also when ctx ends before.
+// MeasureLists measures each list size with a new sidecar. It stops all processes that it has started, also if ctx ends before.
 func MeasureLists(ctx context.Context, c ListsConfig) (out []ListResult, err error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
@@ -80,14 +81,14 @@
 	go h.Serve(server)
 	defer h.Close()
 	for _, n := range c.Sizes {
-		one, err := c.measure(ctx, n, server.Addr().String())
+		result, err := c.measure(ctx, n, server.Addr().String())
 		if ctx.Err() != nil {
 			return nil, fmt.Errorf("%w: %w", ErrInterrupted, context.Cause(ctx))
 		}
 		if err != nil {
-			return nil, fmt.Errorf("a list of %d: %w", n, err)
+			return nil, fmt.Errorf("list of %d endpoints: %w", n, err)
 		}
-		out = append(out, *one)
+		out = append(out, *result)
 	}
 	return out, nil
 }
@@ -113,18 +114,18 @@
 	if err := os.WriteFile(path, conf, 0o644); err != nil {
 		return nil, err
 	}
-	all := newChildren(c.Dir, func(*child, Event) {})
-	defer all.close()
-	one, err := all.startReal(fmt.Sprintf("list-%d", n), 0, c.Binary, []string{"PROXY_CONFIG=" + path, "DAMSONSCALE_OPTIONS="})
+	processes := newChildren(c.Dir, func(*child, Event) {})
+	defer processes.close()
+	sidecar, err := processes.startReal(fmt.Sprintf("list-%d", n), 0, c.Binary, []string{"PROXY_CONFIG=" + path, "DAMSONSCALE_OPTIONS="})
 	if err != nil {
 		return nil, err
 	}
-	if err := waitUntilReady(ctx, all, addrs[0]); err != nil {
+	if err := waitUntilReady(ctx, processes, addrs[0]); err != nil {
 		return nil, err
 	}
-	sleep(ctx, 3*time.Second) // the start's garbage
+	sleep(ctx, 3*time.Second) // until memory that was used only for the start has been collected
 	f := &ListResult{Servers: n}
-	if f.Idle, _, err = c.measureUsage(ctx, one, list); err != nil || c.ChangesPerSecond == 0 {
+	if f.Idle, _, err = c.measureUsage(ctx, sidecar, list); err != nil || c.ChangesPerSecond == 0 {
 		return f, err
 	}
 	changing, stop := context.WithCancel(ctx)
@@ -133,7 +134,7 @@
 		defer close(done)
 		callAtRate(changing, c.ChangesPerSecond, func(int) { list.changeOneServer() })
 	}()
-	f.Changing, f.ChangesPerSecond, err = c.measureUsage(ctx, one, list)
+	f.Changing, f.ChangesPerSecond, err = c.measureUsage(ctx, sidecar, list)
 	stop()
 	<-done
 	f.Changes = int64(len(list.changes()))
@@ -148,15 +149,15 @@
 	return f, err
 }
 
-// over reads a process's use over the time of a run.
-func (c *ListsConfig) measureUsage(ctx context.Context, one *child, list *listService) (u ProcessUsage, told float64, err error) {
-	before, err := usageOf(one.cmd.Process.Pid)
+// measureUsage measures a process for the configured duration. It also returns the rate of changes sent to it.
+func (c *ListsConfig) measureUsage(ctx context.Context, p *child, list *listService) (u ProcessUsage, changesPerSecond float64, err error) {
+	before, err := usageOf(p.cmd.Process.Pid)
 	if err != nil {
 		return u, 0, err
 	}
 	at, bytes, changes := time.Now(), list.bytesOut.Load(), list.deltasSent.Load()
 	sleep(ctx, c.Duration)
-	after, err := usageOf(one.cmd.Process.Pid)
+	after, err := usageOf(p.cmd.Process.Pid)
 	seconds := time.Since(at).Seconds()
 	u = ProcessUsage{
 		CPU: 100 * (after.CPU - before.CPU).Seconds() / seconds, MemoryMB: float64(after.RSS) / (1 << 20), Descriptors: after.Descriptors,
@@ -165,8 +166,8 @@
 	return u, float64(list.deltasSent.Load()-changes) / seconds, errors.Join(err, ctx.Err())
 }
 
-// ready waits until a sidecar serves.
-func waitUntilReady(ctx context.Context, all *children, addr string) error {
+// waitUntilReady waits until the sidecar at addr passes its readiness check.
+func waitUntilReady(ctx context.Context, processes *children, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
@@ -181,16 +182,16 @@
 				return nil
 			}
 		}
-		if err := errors.Join(all.checkAlive(), ctx.Err()); err != nil {
+		if err := errors.Join(processes.checkAlive(), ctx.Err()); err != nil {
 			return err
 		}
 		sleep(ctx, 10*time.Millisecond)
 	}
 }
 
-// PrintLists tells figures by the length of the list, with the slopes of an idle sidecar.
+// PrintLists writes the results by list size, and the slopes of CPU and memory over the list size.
 func PrintLists(out io.Writer, all []ListResult) {
-	t := newTable(out, "servers", "idle, % of a core", "idle MB", "watches", "changing, % of a core", "MB", "KB/s in", "changes told/s", "CPU ms a change")
+	t := newTable(out, "endpoints", "idle, % of a core", "idle MB", "open watches", "changing, % of a core", "changing MB", "KB/s in", "changes sent/s", "CPU ms per change")
 	var cpu, mb, change []Point
 	for _, f := range all {
 		row := []any{f.Servers, formatFigure(f.Idle.CPU), formatFigure(f.Idle.MemoryMB), f.Idle.OpenWatches, "-", "-", "-", "-", "-"}
@@ -206,9 +207,9 @@
 	for _, q := range []struct {
 		name   string
 		points []Point
-	}{{"% of a core, idle", cpu}, {"MB, idle", mb}, {"CPU ms a change", change}} {
+	}{{"% of a core, idle", cpu}, {"MB, idle", mb}, {"CPU ms per change", change}} {
 		if l, err := Fit(q.points); err == nil {
-			fmt.Fprintf(out, "%s: slope %s a server (error %s), intercept %s, residual %s, at %d %s\n", q.name, formatFigure(l.Slope), formatFigure(l.Error), formatFigure(l.Intercept), formatFigure(l.Residual),
+			fmt.Fprintf(out, "%s: slope %s per endpoint (standard error %s), intercept %s, residual %s, extrapolated to %d endpoints: %s\n", q.name, formatFigure(l.Slope), formatFigure(l.Error), formatFigure(l.Intercept), formatFigure(l.Residual),
 				TargetSize, strings.TrimSpace(formatFigure(l.At(TargetSize))))
 		}
 	}
--- a/internal/lab/fleetscale/observations.go
+++ b/internal/lab/fleetscale/observations.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// observations is what was seen of the members, by when it happened.
+// observations records the events of all members with their times.
 type observations struct {
 	mu          sync.Mutex
 	serving     int
 	failure     string
-	leaseCounts map[string]int // first leases of incarnations
+	leaseCounts map[string]int // number of incarnations that were granted a lease, by member
 	elections   []election
-	evictions   map[string]time.Time // incarnations that were put out
-	lastLease   time.Time            // of a lease that began
+	evictions   map[string]time.Time // time of the first report, by incarnation (member/incarnation)
+	lastLease   time.Time            // time of the latest first lease of an incarnation
 	adopted     map[string][]versionTime
 	listed      map[string][]versionTime
-	changed     chan struct{} // closed and replaced with each word
+	changed     chan struct{} // closed and replaced at each event
 }
 
 type election struct {
@@ -26,7 +26,7 @@
 	at      time.Time
 }
 
-// versionTime is a number in force from a moment on.
+// versionTime is the time from which a version is committed, published or applied.
 type versionTime struct {
 	number int64
 	at     time.Time
@@ -36,22 +36,22 @@
 	return &observations{leaseCounts: map[string]int{}, evictions: map[string]time.Time{}, adopted: map[string][]versionTime{}, listed: map[string][]versionTime{}, changed: make(chan struct{})}
 }
 
-func (b *observations) record(by *child, e Event) {
+func (b *observations) record(source *child, e Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e.Member == "" {
-		e.Member = by.name
+		e.Member = source.name
 	}
 	switch e.Kind {
 	case EventServing:
 		b.serving++
 	case EventFailed:
-		b.failure = by.name + ": " + e.Error
+		b.failure = source.name + ": " + e.Error
 	case EventLeaseGranted:
 		b.leaseCounts[e.Member]++
 		b.lastLease = e.At
 	case EventLeaderElected:
-		b.elections = append(b.elections, election{by, e.At})
+		b.elections = append(b.elections, election{source, e.At})
 	case EventEvicted:
 		if key := e.Member + "/" + e.Incarnation; b.evictions[key].IsZero() {
 			b.evictions[key] = e.At
@@ -65,33 +65,35 @@
 	b.changed = make(chan struct{})
 }
 
-// leader is the process whose member began to lead last, of those asked about.
-func (b *observations) lastElected(of func(*child) bool) (*child, time.Time) {
+// lastElected returns the process, among those for which eligible returns true, whose member was elected last, and the time of the
+// election.
+func (b *observations) lastElected(eligible func(*child) bool) (*child, time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var best election
 	for _, l := range b.elections {
-		if of(l.process) && l.at.After(best.at) {
+		if eligible(l.process) && l.at.After(best.at) {
 			best = l
 		}
 	}
 	return best.process, best.at
 }
 
-// InForce tells how long changes took to be in force, in ms, over all members and changes.
+// PropagationTimes summarises how long changes took until members had applied them, over all members and changes.
 type PropagationTimes struct {
-	Changes     int     // that were agreed, or listed
+	Changes     int     // committed settings versions, or list changes
 	Rejected    int     `json:"Refused"` // changes that were not committed
-	Expected    int     // changes times members
-	Missing     int     // of these, not in force at the end
+	Expected    int     // changes times members that must apply them
+	Missing     int     // expected, but not applied at the end
 	P50Ms       float64 `json:"P50"`
 	P99Ms       float64 `json:"P99"`
 	MaxMs       float64 `json:"Most"`
-	PerSecond   float64 // changes made
-	WorstMember string  `json:",omitempty"`
+	PerSecond   float64 // rate of changes
+	WorstMember string  `json:",omitempty"` // last member found with a change missing
 }
 
-// compareInForce compares when changes were made with when members had them, or later ones, in force.
+// propagationDelays returns, for each change and member, the ms from the change until the member had applied it or a later one. The
+// counts of expected and missing changes are returned too.
 func propagationDelays(made []versionTime, members []string, marks map[string][]versionTime) (ms []float64, f PropagationTimes) {
 	for _, name := range members {
 		own := slices.Clone(marks[name])
@@ -110,7 +112,7 @@
 	return ms, f
 }
 
-// setQuantiles fills in the figures of all times.
+// setQuantiles sets the quantiles and the maximum of the delays.
 func (f *PropagationTimes) setQuantiles(ms []float64) {
 	if len(ms) == 0 {
 		return
--- a/internal/lab/fleetscale/proc.go
+++ b/internal/lab/fleetscale/proc.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// clockTick is the kernel's account of CPU time.
+// clockTick is the unit of the CPU times in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what the system tells of one process.
+// Usage is the resource use of a process according to /proc.
 type Usage struct {
-	CPU         time.Duration // used since its start, in steps of 10 ms
-	RSS         int64         // resident bytes
+	CPU         time.Duration // used since the start of the process, in steps of 10 ms
+	RSS         int64         // resident memory in bytes
 	Descriptors int
 }
 
-var errUnreadableStat = errors.New("/proc tells nothing readable of the process")
+var errUnreadableStat = errors.New("/proc/PID/stat of the process cannot be parsed")
 
-// usageOf reads a process's usage.
+// usageOf reads the resource use of a process.
 func usageOf(pid int) (u Usage, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -44,7 +44,7 @@
 	return u, err
 }
 
-// machineMemory is all of the machine's, in bytes; 0: not told.
+// machineMemory returns the memory of the machine in bytes, or 0 if it is unknown.
 func machineMemory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// machineLoad is the load of the last minute, as the system tells it.
+// machineLoad returns the load average over the last minute, or 0 if it is unknown.
 func machineLoad() float64 {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/lab/fleetscale/report.go
+++ b/internal/lab/fleetscale/report.go
@@ -12,23 +12,23 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// Roles of members.
+// Roles of a process in a run.
 const (
-	Leader       = "leader"        // of the first fleet, a real process
-	Voter        = "voter"         // others of the first fleet that keep its log, real processes
-	HollowLeader = "hollow leader" // the same, hollow, in a process of its own
-	HollowVoter  = "hollow voter"
-	RealMember   = "real member" // of any fleet, that does not keep the log of the first
-	Member       = "member"      // hollow, in a shared process, of the first fleet: none of them votes
-	CellMember   = "cell member" // hollow, in a shared process, of the other fleets: those who lead and vote among them
-	Links        = "links"       // the run's own processes between the members
+	Leader       = "leader"        // leader of the first fleet, a real member
+	Voter        = "voter"         // other voter of the first fleet, a real member
+	HollowLeader = "hollow leader" // leader of the first fleet, a hollow member in a process of its own
+	HollowVoter  = "hollow voter"  // other voter of the first fleet, a hollow member in a process of its own
+	RealMember   = "real member"   // real member of any fleet that is no voter of the first
+	Member       = "member"        // hollow member of the first fleet in a shared process; none is a voter
+	CellMember   = "cell member"   // hollow member of another fleet in a shared process; leaders and voters of that fleet are included
+	Links        = "links"         // relays between the members, which belong to the measurement
 )
 
-// Roles are those that a report may have, in their order.
+// Roles are the roles that a report may have, in the order of its rows.
 var Roles = []string{Leader, Voter, HollowLeader, HollowVoter, RealMember, Member, CellMember, Links}
 
-// Role is what one member of a role takes: the mean of all. Of a shared process it is the process's divided by its members, so that the
-// runtime and the program are shared too.
+// Role is the mean use of one member in a role. The use of a shared process, including that of the Go runtime, is divided by the number
+// of its members.
 type Role struct {
 	Name            string
 	Members         int
@@ -43,7 +43,8 @@
 	FramesOutByKind map[string]float64 `json:"OutOf"` // frames per second
 }
 
-// ListFigures are the list service's, a second; its own CPU and memory are the run's and not measured.
+// ListServiceRates are the rates of the list service, per second. Its CPU and memory are not measured, because it runs in the
+// measuring process.
 type ListServiceRates struct {
 	OpenWatches int64 `json:"Open"` // at the end
 	Calls       float64
@@ -51,38 +52,38 @@
 	KBIn, KBOut float64
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Real, Hollow, CellSize, Fleets int
 	Members                        int
 	ForS, LeaseMs                  float64
 	Audit                          bool
 	Servers                        int
-	StartS                         float64 // until each member had a lease and a list
-	Leases                         int     // members that have had one
+	StartS                         float64 // from the start until each member had a lease and a list
+	Leases                         int     // members that have been granted a lease
 	Evictions                      int     `json:"PutOut"` // evicted incarnations in the whole run
 	MembershipChanges              int     `json:"Unrest"` // evictions, and elections in the first fleet, during the measurement
 	Roles                          []Role
 	ListService                    ListServiceRates
-	Sent, Received, Lost           int64 // frames on the counted links from the start to the members' end; lost: their receiver had gone
-	OpenLinks                      int64 // connections there after that end: what they carried is not all counted
+	Sent, Received, Lost           int64 // frames at the relays in the whole run; a frame is lost if the connection to its receiver has closed
+	OpenLinks                      int64 // relay connections still open after the members have ended; frames on them may be missing from the counts
 	Settings, List                 PropagationTimes
 	Fault                          *FaultReport `json:",omitempty"`
-	LoadBefore, LoadAfter          float64      // of the machine, all of it: others may have used it too
-	PeakMB                         float64      // resident, of all processes together
+	LoadBefore, LoadAfter          float64      // load average of the whole machine, including other users of it
+	PeakMB                         float64      // maximum resident memory of all processes together
 }
 
-// role finds a process's.
-func (r *run) role(one, leader *child) string {
-	if one.links {
+// role returns the role of a process.
+func (r *run) role(process, leader *child) string {
+	if process.links {
 		return Links
 	}
-	m := &r.layout.members[one.members[0]]
-	voter := m.fleet == 0 && one.members[0] < votersOf(len(r.layout.fleets[0].members))
+	m := &r.layout.members[process.members[0]]
+	voter := m.fleet == 0 && process.members[0] < votersOf(len(r.layout.fleets[0].members))
 	switch {
-	case one == leader && m.real:
+	case process == leader && m.real:
 		return Leader
-	case one == leader:
+	case process == leader:
 		return HollowLeader
 	case voter && m.real:
 		return Voter
@@ -96,7 +97,7 @@
 	return CellMember
 }
 
-// report summarises the time between two samples.
+// report summarises the time between two samples, from before to after.
 func (r *run) report(before, after *sample) *Report {
 	c := &r.conf
 	seconds := after.at.Sub(before.at).Seconds()
@@ -110,7 +111,7 @@
 	return out
 }
 
-// roles returns the mean use of one member, by role.
+// roles returns the mean use of one member between two samples, by role.
 func (r *run) roles(before, after *sample, seconds float64) (out []Role) {
 	leader, _ := r.observations.lastElected(r.inFirstFleet)
 	byName := map[string]*Role{}
@@ -144,7 +145,7 @@
 	return out
 }
 
-// addTraffic adds what the members of a process sent and received over counted links.
+// addTraffic adds the frames and bytes that the members of a process sent and received over relays.
 func (r *run) addTraffic(role *Role, one *child, before, after *sample, seconds float64) {
 	for _, i := range one.members {
 		m := &r.layout.members[i]
@@ -165,7 +166,7 @@
 	}
 }
 
-// divide turns sums over all members of a role into means.
+// toMeans divides the sums over all members of a role by their number.
 func (r *Role) toMeans() {
 	n := float64(r.Members)
 	r.CPU, r.MemoryMB, r.Descriptors = r.CPU/n, r.MemoryMB/n, r.Descriptors/n
@@ -179,7 +180,7 @@
 	}
 }
 
-// listFigures returns the list service's rates.
+// listFigures returns the rates of the list service between two samples.
 func listFigures(before, after ListServiceCounts, seconds float64) ListServiceRates {
 	return ListServiceRates{
 		OpenWatches: after.Open,
@@ -188,7 +189,7 @@
 	}
 }
 
-// countMembershipChanges counts leases and evictions, and those evictions and elections that fall into the measured time.
+// countMembershipChanges counts the leases and evictions of the whole run, and the evictions and elections between two times.
 func (r *run) countMembershipChanges(out *Report, from, to time.Time) {
 	r.observations.mu.Lock()
 	defer r.observations.mu.Unlock()
@@ -206,11 +207,11 @@
 	}
 }
 
-// Calm tells whether a run was of members that live on: nobody was put out and no other led while it was measured. A run that is not was starved
-// of CPU, or had a fault.
+// Stable reports whether no member was evicted and no leader was elected during the measurement. An unstable run had too little CPU or an
+// injected fault.
 func (r *Report) Stable() bool { return r.MembershipChanges == 0 }
 
-// Write puts a report, or any figures, into a file.
+// WriteJSON writes a report, or other results, to a file.
 func WriteJSON(path string, v any) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -219,7 +220,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Read reads files of one report or of several.
+// ReadReports reads files that hold one report or an array of reports.
 func ReadReports(paths []string) (out []*Report, err error) {
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
@@ -249,9 +250,9 @@
 
 func formatFigure(x float64) string { return fmt.Sprintf("%.3g", x) }
 
-// Print tells a report.
+// Print writes the report as text.
 func (r *Report) Print(out io.Writer) {
-	fmt.Fprintf(out, "%d members (%d real, %d hollow) in %d fleets, lease %.0f ms, account %t, a list of %d, measured for %.1f s; all had a lease and a list after %.1f s\n",
+	fmt.Fprintf(out, "%d members (%d real, %d hollow) in %d fleets, lease %.0f ms, audit log %t, %d endpoints on the list, measured for %.1f s; each member had a lease and a list after %.1f s\n",
 		r.Members, r.Real, r.Hollow, r.Fleets, r.LeaseMs, r.Audit, r.Servers, r.ForS, r.StartS)
 	t := newTable(out, "role", "members", "processes", "% of a core", "MB", "descriptors", "KB/s in", "KB/s out", "frames/s in", "frames/s out", "counted")
 	for _, o := range r.Roles {
@@ -264,37 +265,37 @@
 		t.AppendRow(row)
 	}
 	t.Render()
-	fmt.Fprintln(out, "figures are of one member; where a process has several, the process's divided by them")
+	fmt.Fprintln(out, "figures are means of one member; the use of a shared process is divided by the number of its members")
 	for _, o := range r.Roles {
 		var parts []string
 		for k, n := range o.FramesOutByKind {
 			parts = append(parts, fmt.Sprintf("%s %s", k, formatFigure(n)))
 		}
 		if slices.Sort(parts); len(parts) > 0 {
-			fmt.Fprintf(out, "%s sends, frames a second: %s\n", o.Name, strings.Join(parts, ", "))
+			fmt.Fprintf(out, "frames sent per second by a %s: %s\n", o.Name, strings.Join(parts, ", "))
 		}
 	}
 	l := r.ListService
-	fmt.Fprintf(out, "list service: %d watches, %s calls/s, %s lists and beats/s, %s KB/s in, %s KB/s out\n", l.OpenWatches, formatFigure(l.Calls), formatFigure(l.Messages), formatFigure(l.KBIn), formatFigure(l.KBOut))
-	r.Settings.print(out, "versions of the settings, of each fleet")
-	r.List.print(out, "changes of the list, at hollow members")
+	fmt.Fprintf(out, "list service: %d open watches, %s calls/s, %s lists and heartbeats/s, %s KB/s in, %s KB/s out\n", l.OpenWatches, formatFigure(l.Calls), formatFigure(l.Messages), formatFigure(l.KBIn), formatFigure(l.KBOut))
+	r.Settings.print(out, "settings versions, of each fleet")
+	r.List.print(out, "list changes, at hollow members")
 	switch f := r.Fault; {
 	case f == nil:
 	case f.Name == ListDown:
-		fmt.Fprintf(out, "fault %s: %d calls on the list service in the second after its return\n", f.Name, f.CallsAfterReturn)
+		fmt.Fprintf(out, "fault %s: %d calls to the list service in the first second after its return\n", f.Name, f.CallsAfterReturn)
 	default:
-		fmt.Fprintf(out, "fault %s, %s: another leader after %.0f ms, %d put out, whole again after %.0f ms\n", f.Name, f.Process, f.NewLeaderMs, f.Evictions, f.RecoveryMs)
+		fmt.Fprintf(out, "fault %s at %s: new leader after %.0f ms, %d members evicted, recovered after %.0f ms\n", f.Name, f.Process, f.NewLeaderMs, f.Evictions, f.RecoveryMs)
 	}
 	if !r.Stable() {
-		fmt.Fprintf(out, "NOT CALM: %d members put out or new leaders while it was measured; slopes leave this run out\n", r.MembershipChanges)
+		fmt.Fprintf(out, "UNSTABLE: %d evictions and elections during the measurement; slopes exclude this run\n", r.MembershipChanges)
 	}
-	fmt.Fprintf(out, "frames on counted links: %d sent, %d received, %d lost at the end; put out in all: %d; the machine's load before %.1f, after %.1f; %.0f MB at most, of all processes\n",
+	fmt.Fprintf(out, "frames at the relays: %d sent, %d received, %d lost; %d evictions in the whole run; load average %.1f before, %.1f after; at most %.0f MB resident in all processes\n",
 		r.Sent, r.Received, r.Lost, r.Evictions, r.LoadBefore, r.LoadAfter, r.PeakMB)
 }
 
 func (f *PropagationTimes) print(out io.Writer, what string) {
 	if f.Changes+f.Rejected > 0 {
-		fmt.Fprintf(out, "%s: %d changes (%s/s), %d not agreed; in force after %.0f ms (p50), %.0f ms (p99), %.0f ms (most); missing %d of %d\n",
+		fmt.Fprintf(out, "%s: %d changes (%s/s), %d not committed; applied after %.0f ms (p50), %.0f ms (p99), %.0f ms (max); missing at the end: %d of %d\n",
 			what, f.Changes, formatFigure(f.PerSecond), f.Rejected, f.P50Ms, f.P99Ms, f.MaxMs, f.Missing, f.Expected)
 	}
 }
--- a/internal/lab/fleetscale/run.go
+++ b/internal/lab/fleetscale/run.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	startTimeout        = 2 * time.Minute  // until each member has a lease and a list
-	settleTimeout       = 30 * time.Second // of the end, for changes to be in force; past it they are missing
+	startTimeout        = 2 * time.Minute  // from the start until each member has a lease and a list
+	settleTimeout       = 30 * time.Second // from the end of the measurement until all changes are applied; later changes count as missing
 	memoryCheckInterval = 250 * time.Millisecond
-	commandTimeout      = 5 * time.Second // of the end of the measured time, for an order that is under way
+	commandTimeout      = 5 * time.Second // from the end of the measurement, for a rollout command in progress
 	commandRetryPause   = 20 * time.Millisecond
 	addressBatch        = 500
 )
 
-// Errors that end a run.
+// Errors that end a run early.
 var (
-	ErrMemoryLimit = errors.New("the run took more memory than it may, and was ended")
+	ErrMemoryLimit = errors.New("the run exceeded its memory limit and was stopped")
 	ErrInterrupted = errors.New("interrupted")
 )
 
-// run is one under way.
+// run is the state of a run in progress.
 type run struct {
 	conf         Config
 	layout       *layout
@@ -36,18 +36,18 @@
 	startedAt    time.Time
 
 	mu                sync.Mutex
-	committedVersions map[int][]versionTime // versions that were agreed, by fleet
+	committedVersions map[int][]versionTime // settings versions that were committed, by fleet
 	rejectedVersions  int
 	peakRSS           int64
-	killedMember      string // the member that a fault has ended; nothing is expected of it
+	killedMember      string // member killed by the fault; changes are not expected at it
 }
 
-// Run measures. It ends all that it started, also when ctx ends before, and returns why it could not finish.
+// Run performs a run and returns its report. It stops all processes that it has started, also if ctx ends before.
 func Run(ctx context.Context, c Config) (*Report, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	c.Audit = c.Audit || c.SettingsPerSecond > 0 // only members that keep account take orders
+	c.Audit = c.Audit || c.SettingsPerSecond > 0 // only members with an audit log accept rollout commands
 	l := newLayout(&c)
 	if err := c.checkResources(l); err != nil {
 		return nil, err
@@ -55,19 +55,19 @@
 	return runLayout(ctx, c, l)
 }
 
-// play runs a layout.
+// runLayout performs a run with a layout.
 func runLayout(ctx context.Context, c Config, l *layout) (*Report, error) {
 	r := &run{conf: c, layout: l, observations: newObservations(), committedVersions: map[int][]versionTime{}}
 	r.children = newChildren(c.Dir, r.observations.record)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watched := make(chan struct{})
-	defer func() { // no process may be started while they are ended
+	watcherDone := make(chan struct{})
+	defer func() { // no process may be started while the others are stopped
 		cancel(nil)
 		r.close()
-		<-watched
+		<-watcherDone
 	}()
-	go func() { defer close(watched); r.watchMemory(ctx, cancel) }()
+	go func() { defer close(watcherDone); r.watchMemory(ctx, cancel) }()
 	report, err := r.measure(ctx)
 	switch why := context.Cause(ctx); {
 	case err == nil:
@@ -87,7 +87,7 @@
 	}
 }
 
-// watchMemory ends the run where it takes too much memory.
+// watchMemory stops the run when its resident memory exceeds the limit.
 func (r *run) watchMemory(ctx context.Context, cancel context.CancelCauseFunc) {
 	tick := time.NewTicker(memoryCheckInterval)
 	defer tick.Stop()
@@ -102,7 +102,7 @@
 		r.peakRSS = max(r.peakRSS, rss)
 		r.mu.Unlock()
 		if rss > int64(r.conf.MemoryMB)<<20 {
-			cancel(fmt.Errorf("%w: --memory-mb: %d MB, %d allowed", ErrMemoryLimit, rss>>20, r.conf.MemoryMB))
+			cancel(fmt.Errorf("%w: --memory-mb: %d MB resident, %d MB allowed", ErrMemoryLimit, rss>>20, r.conf.MemoryMB))
 			return
 		}
 	}
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	started := time.Since(r.startedAt)
-	sleep(ctx, max(1500*time.Millisecond, 3*r.conf.Lease)) // connections and the roster of the last who joined
+	sleep(ctx, max(1500*time.Millisecond, 3*r.conf.Lease)) // until all connections are open and the roster with the last member is distributed
 	before, err := r.sample(ctx)
 	if err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 	}
 	stop()
 	changes.Wait()
-	made := time.Since(before.at).Seconds()
+	changeSeconds := time.Since(before.at).Seconds()
 	r.settle(ctx, fault)
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -158,7 +158,7 @@
 		return nil, err
 	}
 	report.StartS, report.LoadBefore, report.LoadAfter = started.Seconds(), load, machineLoad()
-	report.Settings, report.List = r.settingsPropagation(made), r.listPropagation(made)
+	report.Settings, report.List = r.settingsPropagation(changeSeconds), r.listPropagation(changeSeconds)
 	if fault != nil {
 		r.fillRecovery(fault)
 		report.Fault = fault
@@ -169,7 +169,7 @@
 	return report, nil
 }
 
-// settle waits until all changes are in force and, after a fault of the leader, until another leads, as long as they may take.
+// settle waits, at most for settleTimeout, until all changes are applied and, after the leader was killed, another one is elected.
 func (r *run) settle(ctx context.Context, f *FaultReport) {
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, memoryCheckInterval) {
 		if r.settingsPropagation(1).Missing+r.listPropagation(1).Missing == 0 && r.faultSettled(f) {
@@ -178,25 +178,27 @@
 	}
 }
 
-// faultSettled tells whether what follows a fault has come: after a kill another leads and the one killed was put out.
+// faultSettled reports whether the fleet has recovered from a fault. After KillLeader the killed member must have been evicted and another
+// one elected.
 func (r *run) faultSettled(f *FaultReport) bool {
 	if f == nil || f.Name != KillLeader {
 		return true
 	}
-	_, led := r.observations.lastElected(r.inFirstFleet)
+	_, electedAt := r.observations.lastElected(r.inFirstFleet)
 	r.observations.mu.Lock()
 	defer r.observations.mu.Unlock()
 	for key, at := range r.observations.evictions {
 		if strings.HasPrefix(key, f.Member+"/") && at.After(f.startedAt) {
-			return led.After(f.startedAt)
+			return electedAt.After(f.startedAt)
 		}
 	}
 	return false
 }
 
-// countFrames ends the members, and counts what came over the links in all.
+// countFrames stops the members and sums up the frames of all relays. Relays read the rest of a connection after its sender has stopped,
+// so it waits, at most for settleTimeout, until the relays have closed all connections.
 func (r *run) countFrames(ctx context.Context, out *Report) error {
-	r.children.stopProcesses(func(one *child) bool { return !one.links })
+	r.children.stopProcesses(func(p *child) bool { return !p.links })
 	for end := time.Now().Add(settleTimeout); ; sleep(ctx, memoryCheckInterval/10) {
 		counts, open, err := r.children.linkCounts(ctx)
 		if err != nil {
--- a/internal/lab/fleetscale/sample.go
+++ b/internal/lab/fleetscale/sample.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sample is all that can be read at a moment.
+// sample holds the cumulative counts at one time.
 type sample struct {
 	at     time.Time
 	usage  map[*child]Usage
@@ -14,7 +14,7 @@
 	list   ListServiceCounts
 }
 
-// ListUse is what the list service has seen.
+// ListServiceCounts are the cumulative counts of the list service and its open watches.
 type ListServiceCounts struct{ Calls, Messages, BytesIn, BytesOut, Open int64 }
 
 func (r *run) sample(ctx context.Context) (*sample, error) {
--- a/internal/lab/fleetscale/scale.go
+++ b/internal/lab/fleetscale/scale.go
@@ -1,7 +1,7 @@
-// Package fleetscale measures what control costs by the number of members: real processes of the program beside hollow members, which
-// run the program's own packages of control without a data path, several in a process. All figures are taken from outside: of
-// /proc, of links between the members, of the list service's own counts and of when a version or a list was seen in force.
-// It is no part of the sidecar. docs/scale.md is its page.
+// Package fleetscale measures the cost of the control plane by the number of fleet members. Real members are processes of the
+// program. Hollow members run the program's control packages without a data path, several in one process. All figures are measured from
+// outside the members: from /proc, at relays between the members, in the list service, and by the time at which each member applied
+// a settings version or an endpoint list. The sidecar does not use this package. docs/scale.md describes the measurements.
 package fleetscale
 
 import (
@@ -13,57 +13,57 @@
 	"time"
 )
 
-// Bounds of a run.
+// Limits of a run's configuration.
 const (
 	MaxReal             = 200
 	MaxHollow           = 20_000
-	MaxFleet            = 1024 // members, as the program's options have it
+	MaxFleet            = 1024 // members of one fleet, the limit of the program's options
 	MinCell             = 3
 	MaxCell             = MaxFleet
 	MaxServers          = 20_000
-	MaxChangesPerSecond = 100.0 // changes a second, of either kind
+	MaxChangesPerSecond = 100.0 // settings versions or list changes per second
 	MinDuration         = time.Second
 	MaxDuration         = 10 * time.Minute
 	MinMemory           = 64 // MB
 )
 
-// Faults that a run may have, once, after a third of its time.
+// Faults. A run injects at most one, after a third of the measurement.
 const (
 	NoFault             = "none"
-	KillLeader          = "leader-killed"  // outright, and not started again
-	StopLeader          = "leader-stopped" // for pauseDuration
-	ListDown            = "list-down"      // the list service refuses for listDownDuration
+	KillLeader          = "leader-killed"  // by SIGKILL, without a restart
+	StopLeader          = "leader-stopped" // by SIGSTOP for leaderPauseDuration
+	ListDown            = "list-down"      // the list service refuses connections for listDownDuration
 	leaderPauseDuration = 2 * time.Second
 	listDownDuration    = 5 * time.Second
 	faultTimeDivisor    = 3
-	maxVoters           = 5 // members of the first fleet that have a process of their own, at most: those who vote
+	maxVoters           = 5 // voters of the first fleet; each of them has a process of its own
 )
 
-// FaultNames are those that may be asked for.
+// FaultNames are the valid values of Config.Fault.
 var FaultNames = []string{NoFault, KillLeader, StopLeader, ListDown}
 
-// Config is a run.
+// Config is the configuration of a run.
 type Config struct {
-	Real, Hollow         int           // members
-	CellSize             int           // of independent fleets, each with its own log; 0: all are one
-	Duration             time.Duration // measured
-	SettingsPerSecond    float64       // versions of the settings a second, through each fleet's log
-	ListChangesPerSecond float64       // of the list, a second
-	Servers              int           // on the list
+	Real, Hollow         int           // number of members
+	CellSize             int           // members of each independent fleet with its own log; 0: one fleet of all members
+	Duration             time.Duration // of the measurement
+	SettingsPerSecond    float64       // settings versions committed by each fleet
+	ListChangesPerSecond float64       // changes of the endpoint list
+	Servers              int           // endpoints on the list
 	Lease                time.Duration
-	Audit                bool   // members keep account; so they do with Changes
-	Fault                string // by name
-	MemoryMB             int    // resident, of all processes together: past it the run ends; 0: a quarter of the machine's
-	PerProcess           int    // hollow members in a shared process, at most
-	CountedCells         int    // the first fleets, whose links are counted
-	Cores                int    // that a shared process may use at a time
+	Audit                bool   // members keep an audit log; implied by SettingsPerSecond
+	Fault                string // one of FaultNames
+	MemoryMB             int    // limit on the resident memory of all processes together, past which the run ends; 0: a quarter of the machine's memory
+	PerProcess           int    // limit on the hollow members of a shared process
+	CountedCells         int    // number of fleets, from the first, whose frames are counted by relays
+	Cores                int    // GOMAXPROCS of a shared process
 
-	Binary string   // of the program, for real members
-	Dir    string   // for state and logs, which exists
-	Worker []string // command of a process that runs WorkerMain
+	Binary string   // path of the program, for real members
+	Dir    string   // existing directory for state and logs
+	Worker []string // command line of a process that runs WorkerMain
 }
 
-// Defaults fills in what was not given.
+// Defaults returns the configuration with defaults for fields that are zero.
 func (c Config) Defaults() Config {
 	set := func(p *int, n int) {
 		if *p == 0 {
@@ -85,95 +85,97 @@
 	return c
 }
 
-// Validate refuses what is out of range, by the name of its argument.
+// Validate returns an error that names the flag of each value out of range.
 func (c *Config) Validate() error {
 	var all []error
-	wrong := func(name, format string, args ...any) {
+	invalid := func(name, format string, args ...any) {
 		all = append(all, fmt.Errorf("--%s: %s", name, fmt.Sprintf(format, args...)))
 	}
-	within := func(name string, n, least, most int) {
-		if n < least || n > most {
-			wrong(name, "%d is not within %d to %d", n, least, most)
+	checkRange := func(name string, n, low, high int) {
+		if n < low || n > high {
+			invalid(name, "%d is out of range: want %d to %d", n, low, high)
 		}
 	}
-	rate := func(name string, r float64) {
+	checkRate := func(name string, r float64) {
 		if !(r >= 0 && r <= MaxChangesPerSecond) {
-			wrong(name, "%v is not within 0 to %v a second", r, MaxChangesPerSecond)
+			invalid(name, "%v is out of range: want 0 to %v per second", r, MaxChangesPerSecond)
 		}
 	}
-	within("real", c.Real, 0, MaxReal)
-	within("hollow", c.Hollow, 0, MaxHollow)
-	within("servers", c.Servers, 1, MaxServers)
-	within("per-process", c.PerProcess, 1, MaxFleet)
-	within("counted-cells", c.CountedCells, 0, MaxHollow)
-	within("cores", c.Cores, 1, 64)
-	rate("changes", c.SettingsPerSecond)
-	rate("list-changes", c.ListChangesPerSecond)
+	checkRange("real", c.Real, 0, MaxReal)
+	checkRange("hollow", c.Hollow, 0, MaxHollow)
+	checkRange("servers", c.Servers, 1, MaxServers)
+	checkRange("per-process", c.PerProcess, 1, MaxFleet)
+	checkRange("counted-cells", c.CountedCells, 0, MaxHollow)
+	checkRange("cores", c.Cores, 1, 64)
+	checkRate("changes", c.SettingsPerSecond)
+	checkRate("list-changes", c.ListChangesPerSecond)
 	n := c.Real + c.Hollow
 	switch {
 	case n == 0:
-		wrong("hollow", "no members: neither real nor hollow ones")
+		invalid("hollow", "no members: both --real and --hollow are 0")
 	case c.CellSize == 0 && n > MaxFleet:
-		wrong("hollow", "%d members in one fleet, the program's options allow %d: give --cell-size", n, MaxFleet)
+		invalid("hollow", "%d members in one fleet, but the program's options allow %d: set --cell-size", n, MaxFleet)
 	case c.CellSize != 0 && (c.CellSize < MinCell || c.CellSize > MaxCell):
-		wrong("cell-size", "%d is not within %d to %d", c.CellSize, MinCell, MaxCell)
+		invalid("cell-size", "%d is out of range: want %d to %d", c.CellSize, MinCell, MaxCell)
 	case c.CellSize != 0 && n%c.CellSize != 0:
-		wrong("cell-size", "%d members are no whole number of fleets of %d", n, c.CellSize)
+		invalid("cell-size", "%d members are not divisible into fleets of %d", n, c.CellSize)
 	}
 	if c.Duration < MinDuration || c.Duration > MaxDuration {
-		wrong("for", "%v is not within %v to %v", c.Duration, MinDuration, MaxDuration)
+		invalid("for", "%v is out of range: want %v to %v", c.Duration, MinDuration, MaxDuration)
 	}
 	if c.Lease < 100*time.Millisecond || c.Lease > 10*time.Second {
-		wrong("lease", "%v is not within 100ms to 10s", c.Lease)
+		invalid("lease", "%v is out of range: want 100ms to 10s", c.Lease)
 	}
 	if !slices.Contains(FaultNames, c.Fault) {
-		wrong("fault", "%q is none of %v", c.Fault, FaultNames)
+		invalid("fault", "%q is unknown: want one of %v", c.Fault, FaultNames)
 	}
 	if half := int(machineMemory()>>20) / 2; half > 0 && (c.MemoryMB < MinMemory || c.MemoryMB > half) {
-		wrong("memory-mb", "%d is not within %d to half of this machine's, %d", c.MemoryMB, MinMemory, half)
+		invalid("memory-mb", "%d MB is out of range: want %d to %d MB, half of this machine's memory", c.MemoryMB, MinMemory, half)
 	}
 	return errors.Join(all...)
 }
 
-// ErrNoRoom tells that a run would not fit, before anything was started.
-var ErrResourceEstimate = errors.New("does not fit")
+// ErrResourceEstimate is returned, before any process is started, if a run is expected to need more memory or descriptors than
+// allowed.
+var ErrResourceEstimate = errors.New("the run needs more resources than allowed")
 
-// What a run is expected to take: from runs, and more rather than less. A connection holds a queue of 1,024 frames and two buffers of 64
-// KiB; a member of a fleet opens one to each who votes, and has one from its leader, one in the tree of rosters and two for its account.
+// Resources that a run is expected to need, rounded up. A connection holds a queue of 1,024 frames and two buffers of 64 KiB. Each
+// member of a fleet opens a connection to each voter and has one from the leader, one in the tree that distributes rosters and two for
+// the audit log.
 const (
 	realMB            = 30.0
 	processMB         = 15.0
 	connMB            = 0.14
 	relayedConnMB     = 0.03
 	memberMB          = 0.10
-	memberPairMB      = 0.0006 // of a static list of names and a roster, for each member of each
+	memberPairMB      = 0.0006 // per pair of members of a fleet: each member stores a name of each other in its options and in its roster
 	watchMB           = 0.05
-	baseDescriptors   = 64 // of a process, beside its members'
-	memberDescriptors = 4  // a listener, a log, a watch
-	maxTransferPeers  = 40 // others that a member has asked for a version's bytes within a run, more or less
-	connDescriptors   = 2  // both ends in one process
+	baseDescriptors   = 64 // per process, without those of its members
+	memberDescriptors = 4  // per member: listener, log and watch among them
+	maxTransferPeers  = 40 // approximate number of peers from which a member requests settings content in a run
+	connDescriptors   = 2  // both ends of a connection are in one process
 )
 
-// conns is how many connections a fleet of n holds.
+// connections estimates the open connections within a fleet of n members.
 func (c *Config) connections(n int) int {
 	voters := votersOf(n)
 	out := voters*(n-1) + (n - 1) + n
 	if c.Audit {
 		out += 2 * n
 	}
-	if c.SettingsPerSecond > 0 { // each asks one after the other for a version's bytes
+	if c.SettingsPerSecond > 0 { // members request the content of a version from one peer after another
 		out += n * min(n-1, maxTransferPeers)
 	}
 	return out
 }
 
-// votersOf is how many of n members keep a fleet's log.
+// votersOf returns the number of voters in a fleet of n members.
 func votersOf(n int) int {
 	n = min(n, maxVoters)
 	return n - (n+1)%2
 }
 
-// Estimate tells what the run is expected to take: MB of all processes, and descriptors of the largest one.
+// Estimate returns the expected memory of all processes, in MB, and the expected descriptors of the process with most.
 func (c *Config) Estimate(l *layout) (mb float64, files int) {
 	mb = processMB
 	for _, f := range l.fleets {
@@ -201,7 +203,7 @@
 		for _, i := range p.members {
 			f := l.fleets[l.members[i].fleet]
 			n += 1 + int(math.Ceil(2*float64(c.connections(len(f.members)))/float64(len(f.members))))
-			if i-f.first < maxVoters { // all dial those who vote
+			if i-f.first < maxVoters { // all members dial the voters
 				n += 2 * len(f.members)
 			}
 		}
@@ -210,19 +212,19 @@
 	return mb, max(files, baseDescriptors+c.Real+c.Hollow)
 }
 
-// fits refuses a run that would not fit.
+// checkResources returns an error if the run is expected to exceed the memory limit or the descriptor limit.
 func (c *Config) checkResources(l *layout) error {
 	mb, files := c.Estimate(l)
 	if mb > float64(c.MemoryMB) {
-		return fmt.Errorf("%w: --hollow: some %.0f MB are expected, --memory-mb allows %d: each connection between members holds about %.2f MB", ErrResourceEstimate,
+		return fmt.Errorf("%w: --hollow: about %.0f MB are expected, but --memory-mb allows %d; each connection between members takes about %.2f MB", ErrResourceEstimate,
 			mb, c.MemoryMB, connMB)
 	}
-	var most syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &most); err != nil {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	if uint64(files) > most.Cur {
-		return fmt.Errorf("%w: --per-process: some %d descriptors are expected in one process, the system allows %d", ErrResourceEstimate, files, most.Cur)
+	if uint64(files) > limit.Cur {
+		return fmt.Errorf("%w: --per-process: about %d descriptors are expected in one process, but the system allows %d", ErrResourceEstimate, files, limit.Cur)
 	}
 	return nil
 }
--- a/internal/lab/fleetscale/scale_test.go
+++ b/internal/lab/fleetscale/scale_test.go
@@ -178,7 +178,7 @@
 	}
 	want := map[string][3]float64{ // slope, intercept, at the target
 		"leader/% of a core": {0.125, 0.5, 2250.5}, "leader/MB": {0, 20, 20}, "leader/KB/s in and out": {3, 0, 54_000}, "member/% of a core": {0, 0.25, 0.25},
-		"list service/watches": {1, 0, 18_000}, "versions/ms to in force, p50": {0, 7, 7}, "versions/ms to in force, p99": {2, 100, 36_100},
+		"list service/watches": {1, 0, 18_000}, "versions/ms to apply, p50": {0, 7, 7}, "versions/ms to apply, p99": {2, 100, 36_100},
 	}
 	const tolerance = 1e-9
 	off := func(a, b float64) bool { return a-b > tolerance || b-a > tolerance }
@@ -212,7 +212,7 @@
 	}
 	var told strings.Builder
 	PrintSlopes(&told, all, out)
-	if !strings.Contains(told.String(), "5.4e+04") || !strings.Contains(told.String(), "left out, not calm: runs of [500]") {
+	if !strings.Contains(told.String(), "5.4e+04") || !strings.Contains(told.String(), "excluded as unstable: runs of [500] members") {
 		t.Error(told.String())
 	}
 }
--- a/internal/lab/fleetscale/slopes.go
+++ b/internal/lab/fleetscale/slopes.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Target is the size that slopes are followed to.
+// TargetSize is the number of members, or of endpoints on the list, to which slopes are extrapolated.
 const TargetSize = 18_000
 
-// inForceMs is the time within which a change is to be in force everywhere, from the users' page.
+// propagationBudgetMs is the documented limit on the time until all members have applied a change.
 const propagationBudgetMs = 10_000
 
-// Quantity is one of what a member takes.
+// Quantity is a measured resource of one member.
 type Quantity struct {
 	Name   string
-	Budget float64 // of a sidecar's control, from the users' page; 0: none
+	Budget float64 // documented limit for the control plane of a sidecar; 0: none
 	value  func(*Role) float64
 }
 
-// Quantities are those that slopes are drawn of.
+// Quantities are the resources for which slopes are fitted.
 var Quantities = []Quantity{
 	{"% of a core", 3.7, func(r *Role) float64 { return r.CPU }},
 	{"MB", 64, func(r *Role) float64 { return r.MemoryMB }},
@@ -29,7 +29,7 @@
 	{"descriptors", 0, func(r *Role) float64 { return r.Descriptors }},
 }
 
-// Slope is how one quantity of one role goes with the number of members.
+// Slope is the fit of one quantity of one role over the number of members.
 type Slope struct {
 	Role, Quantity string
 	Line
@@ -37,19 +37,20 @@
 	Budget   float64 // 0: none
 }
 
-// Slopes draws a line for each role and quantity that calm reports of two sizes at least have; left are the sizes of the others.
-func FitSlopes(reports []*Report) (out []Slope, left []int, err error) {
-	var calm []*Report
+// FitSlopes fits a line for each role and quantity that stable reports of at least two sizes contain. It also returns the sizes of the
+// unstable reports, which it excludes.
+func FitSlopes(reports []*Report) (out []Slope, excluded []int, err error) {
+	var stable []*Report
 	for _, r := range reports {
 		if r.Stable() {
-			calm = append(calm, r)
+			stable = append(stable, r)
 		} else {
-			left = append(left, r.Members)
+			excluded = append(excluded, r.Members)
 		}
 	}
-	draw := func(role, quantity string, budget float64, of func(*Report) (float64, bool)) {
+	fit := func(role, quantity string, budget float64, of func(*Report) (float64, bool)) {
 		var points []Point
-		for _, r := range calm {
+		for _, r := range stable {
 			if y, ok := of(r); ok {
 				points = append(points, Point{float64(r.Members), y})
 			}
@@ -60,7 +61,7 @@
 	}
 	for _, role := range Roles {
 		for _, q := range Quantities {
-			draw(role, q.Name, q.Budget, func(r *Report) (float64, bool) {
+			fit(role, q.Name, q.Budget, func(r *Report) (float64, bool) {
 				for i := range r.Roles {
 					if o := &r.Roles[i]; o.Name == role && role != Links && (o.CountedMembers > 0 || !strings.Contains(q.Name, "/s")) {
 						return q.value(o), true
@@ -70,25 +71,25 @@
 			})
 		}
 	}
-	draw("list service", "watches", 0, func(r *Report) (float64, bool) { return float64(r.ListService.OpenWatches), true })
-	draw("list service", "lists and beats/s", 0, func(r *Report) (float64, bool) { return r.ListService.Messages, true })
-	draw("list service", "KB/s out", 0, func(r *Report) (float64, bool) { return r.ListService.KBOut, true })
+	fit("list service", "watches", 0, func(r *Report) (float64, bool) { return float64(r.ListService.OpenWatches), true })
+	fit("list service", "lists and heartbeats/s", 0, func(r *Report) (float64, bool) { return r.ListService.Messages, true })
+	fit("list service", "KB/s out", 0, func(r *Report) (float64, bool) { return r.ListService.KBOut, true })
 	for _, k := range []struct {
 		name string
 		of   func(*Report) *PropagationTimes
 	}{{"versions", func(r *Report) *PropagationTimes { return &r.Settings }}, {"lists", func(r *Report) *PropagationTimes { return &r.List }}} {
-		draw(k.name, "ms to in force, p50", propagationBudgetMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P50Ms, f.Expected > f.Missing })
-		draw(k.name, "ms to in force, p99", propagationBudgetMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P99Ms, f.Expected > f.Missing })
+		fit(k.name, "ms to apply, p50", propagationBudgetMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P50Ms, f.Expected > f.Missing })
+		fit(k.name, "ms to apply, p99", propagationBudgetMs, func(r *Report) (float64, bool) { f := k.of(r); return f.P99Ms, f.Expected > f.Missing })
 	}
 	if len(out) == 0 {
-		return nil, left, fmt.Errorf("%w; not calm: %v", ErrTooFewSizes, left)
+		return nil, excluded, fmt.Errorf("%w; excluded as unstable: runs of %v members", ErrTooFewSizes, excluded)
 	}
-	return out, left, nil
+	return out, excluded, nil
 }
 
-// PrintSlopes tells slopes.
-func PrintSlopes(out io.Writer, all []Slope, left []int) {
-	t := newTable(out, "role", "quantity", "points (members: figure)", "slope a member", "its error", "intercept", "residual", fmt.Sprintf("at %d", TargetSize), "budget", "times")
+// PrintSlopes writes slopes as a table.
+func PrintSlopes(out io.Writer, all []Slope, excluded []int) {
+	t := newTable(out, "role", "quantity", "points (members: figure)", "slope per member", "standard error", "intercept", "residual", fmt.Sprintf("at %d", TargetSize), "limit", "ratio")
 	for _, s := range all {
 		var points []string
 		for _, p := range s.Points {
@@ -101,7 +102,7 @@
 		t.AppendRow([]any{s.Role, s.Quantity, strings.Join(points, ", "), formatFigure(s.Slope), formatFigure(s.Error), formatFigure(s.Intercept), formatFigure(s.Residual), formatFigure(s.AtTarget), budget, times})
 	}
 	t.Render()
-	if len(left) > 0 {
-		fmt.Fprintf(out, "left out, not calm: runs of %v members\n", left)
+	if len(excluded) > 0 {
+		fmt.Fprintf(out, "excluded as unstable: runs of %v members\n", excluded)
 	}
 }
