--- a/internal/lab/fleetscale/report.go
+++ b/internal/lab/fleetscale/report.go
@@ -115,25 +115,25 @@
 func (r *run) roles(before, after *sample, seconds float64) (out []Role) {
 	leader, _ := r.observations.lastElected(r.inFirstFleet)
 	byName := map[string]*Role{}
-	for _, one := range r.children.all {
-		u, ok := after.usage[one]
-		was, had := before.usage[one]
-		if !ok || !had || one.killed {
+	for _, p := range r.children.all {
+		u, ok := after.usage[p]
+		was, had := before.usage[p]
+		if !ok || !had || p.killed {
 			continue
 		}
-		name := r.role(one, leader)
+		name := r.role(p, leader)
 		role := byName[name]
 		if role == nil {
 			role = &Role{Name: name, FramesOutByKind: map[string]float64{}}
 			byName[name] = role
 		}
-		role.Members += len(one.members)
+		role.Members += len(p.members)
 		role.Processes++
 		role.CPU += 100 * (u.CPU - was.CPU).Seconds() / seconds
 		role.MemoryMB += float64(u.RSS) / (1 << 20)
 		role.Descriptors += float64(u.Descriptors)
 		if name != Links {
-			r.addTraffic(role, one, before, after, seconds)
+			r.addTraffic(role, p, before, after, seconds)
 		}
 	}
 	for _, name := range Roles {
@@ -146,8 +146,8 @@
 }
 
 // addTraffic adds the frames and bytes that the members of a process sent and received over relays.
-func (r *run) addTraffic(role *Role, one *child, before, after *sample, seconds float64) {
-	for _, i := range one.members {
+func (r *run) addTraffic(role *Role, p *child, before, after *sample, seconds float64) {
+	for _, i := range p.members {
 		m := &r.layout.members[i]
 		if !r.layout.fleets[m.fleet].counted {
 			continue
--- a/internal/lab/fleetscale/sample.go
+++ b/internal/lab/fleetscale/sample.go
@@ -19,12 +19,12 @@
 
 func (r *run) sample(ctx context.Context) (*sample, error) {
 	s := &sample{at: time.Now(), usage: map[*child]Usage{}}
-	for _, one := range r.children.all {
-		u, err := usageOf(one.cmd.Process.Pid)
+	for _, p := range r.children.all {
+		u, err := usageOf(p.cmd.Process.Pid)
 		if err == nil {
-			s.usage[one] = u
-		} else if !one.killed {
-			return nil, fmt.Errorf("%s: %w", one.name, err)
+			s.usage[p] = u
+		} else if !p.killed {
+			return nil, fmt.Errorf("%s: %w", p.name, err)
 		}
 	}
 	var err error
--- a/internal/lab/fleetscale/start.go
+++ b/internal/lab/fleetscale/start.go
@@ -15,10 +15,10 @@
 	"damsonscale/internal/lab/faultinjection"
 )
 
-// start starts all processes, links first.
+// start starts the list service and all processes, relays first, and waits until each member has a lease and a list.
 func (r *run) start(ctx context.Context) (err error) {
 	r.settings = memberSettings(len(r.layout.members), 0)
-	servers, err := net.Listen("tcp", "127.0.0.1:0") // nobody sends requests; probes would find it
+	servers, err := net.Listen("tcp", "127.0.0.1:0") // address of all endpoints; nothing listens there, because no requests are sent
 	if err != nil {
 		return err
 	}
@@ -35,13 +35,13 @@
 			m := &r.layout.members[i]
 			w.Links = append(w.Links, linkSpec{m.name, m.linkAddress, m.address})
 		}
-		one, err := r.startWorker(fmt.Sprintf("links-%d", k+1), p.members, w)
+		relay, err := r.startWorker(fmt.Sprintf("links-%d", k+1), p.members, w)
 		if err != nil {
 			return err
 		}
-		one.links = true
+		relay.links = true
 	}
-	if err := r.waitFor(ctx, "the links", func() bool { return r.observations.serving >= len(r.layout.linkProcesses) }); err != nil {
+	if err := r.waitFor(ctx, "relays to listen", func() bool { return r.observations.serving >= len(r.layout.linkProcesses) }); err != nil {
 		return err
 	}
 	for k, p := range r.layout.ownProcesses {
@@ -61,19 +61,19 @@
 			}
 		}
 	}
-	return r.waitFor(ctx, "a lease and a list at each member", func() bool {
+	return r.waitFor(ctx, "each member to have a lease and a list", func() bool {
 		return len(r.observations.leaseCounts) == len(r.layout.members) && len(r.observations.listed) == r.conf.Hollow
 	})
 }
 
-// startWorker starts a process, unless the run is over.
+// startWorker starts a worker process. The lock keeps watchMemory from reading the list of processes at the same time.
 func (r *run) startWorker(name string, members []int, w *workerSpec) (*child, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.children.startWorker(name, members, r.conf.Worker, w)
 }
 
-// assignAddresses gives each member one, and one in front of it where its links are counted.
+// assignAddresses chooses free addresses for the members, for the relays of counted fleets, and for the clients of real members.
 func (r *run) assignAddresses() error {
 	var want []*string
 	for i := range r.layout.members {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// memberOptions are those of one member of a fleet.
+// memberOptions returns the program's options of member i of a fleet.
 func (r *run) memberOptions(fleet int, i int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[fleet]\naddress = %q\nstate_dir = %q\nlease_ms = %d\nmembers = [\n", r.layout.members[i].address, r.stateDir(i), r.conf.Lease.Milliseconds())
@@ -125,19 +125,19 @@
 	return filepath.Join(r.conf.Dir, "state", r.layout.members[i].name)
 }
 
-// startHollowProcess starts a process with hollow members.
+// startHollowProcess starts a worker process with hollow members.
 func (r *run) startHollowProcess(name string, members []int, cores int) error {
 	conf, err := r.memberConfig(0, "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	w := &workerSpec{Cores: cores, List: r.list.addr, Config: conf}
-	at := -1
+	fleet := -1
 	for _, i := range members {
 		m := &r.layout.members[i]
-		if m.fleet != at {
-			at = m.fleet
-			w.Fleets = append(w.Fleets, fleetSpec{Options: r.memberOptions(at, i)})
+		if m.fleet != fleet {
+			fleet = m.fleet
+			w.Fleets = append(w.Fleets, fleetSpec{Options: r.memberOptions(fleet, i)})
 		}
 		f := &w.Fleets[len(w.Fleets)-1]
 		f.Members = append(f.Members, memberSpec{m.name, m.address, r.stateDir(i)})
@@ -146,7 +146,7 @@
 	return err
 }
 
-// memberConfig is the platform's of one member.
+// memberConfig returns the platform's configuration of member i.
 func (r *run) memberConfig(i int, listen string) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": r.layout.members[i].name, "listen": listen, "discovery": r.list.addr, "seed": fmt.Sprintf("%016x", i+1),
@@ -156,7 +156,7 @@
 	})
 }
 
-// startReal starts the program as a member.
+// startReal starts the program as real member i.
 func (r *run) startReal(i int) error {
 	m := &r.layout.members[i]
 	conf, err := r.memberConfig(i, m.clientAddress)
@@ -181,7 +181,7 @@
 	return err
 }
 
-// settings are those of all members; each number's differ in a tenant's allowance alone.
+// memberSettings returns the settings of all members. Settings with different numbers differ in the allowance of the tenant only.
 func memberSettings(balancers int, number int) json.RawMessage {
 	class := func(name, semantics string) map[string]any {
 		return map[string]any{"Name": name, "Semantics": semantics, "AimUs": 1_000_000, "DeadlineUs": 2_000_000, "LateShare": 0.3, "Worth": 1}
@@ -201,38 +201,38 @@
 		},
 	})
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // impossible: the values are numbers and strings
 	}
 	return text
 }
 
-// await waits until the book says so.
+// waitFor waits until ok, which is called with the observations locked, and fails after startTimeout or if a process has failed.
 func (r *run) waitFor(ctx context.Context, what string, ok func() bool) error {
-	late := time.NewTimer(startTimeout)
-	defer late.Stop()
-	look := time.NewTicker(time.Second)
-	defer look.Stop()
+	timeout := time.NewTimer(startTimeout)
+	defer timeout.Stop()
+	check := time.NewTicker(time.Second)
+	defer check.Stop()
 	for {
 		r.observations.mu.Lock()
-		done, failed, change := ok(), r.observations.failure, r.observations.changed
+		done, failure, changed := ok(), r.observations.failure, r.observations.changed
 		leased, listed := len(r.observations.leaseCounts), len(r.observations.listed)
 		r.observations.mu.Unlock()
-		if failed != "" {
-			return errors.New(failed)
+		if failure != "" {
+			return errors.New(failure)
 		}
 		if done {
 			return nil
 		}
 		select {
-		case <-change:
-		case <-look.C:
+		case <-changed:
+		case <-check.C:
 			if err := r.children.checkAlive(); err != nil {
 				return err
 			}
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-late.C:
-			return fmt.Errorf("%s: not within %v; %d members have had a lease and %d a list", what, startTimeout, leased, listed)
+		case <-timeout.C:
+			return fmt.Errorf("timed out after %[2]v waiting for %[1]s; %[3]d members have a lease and %[4]d a list", what, startTimeout, leased, listed)
 		}
 	}
 }
--- a/internal/lab/fleetscale/worker.go
+++ b/internal/lab/fleetscale/worker.go
@@ -19,45 +19,47 @@
 	"damsonscale/internal/options"
 )
 
-// EventKind is what is seen of a member.
+// EventKind is the kind of an event in a process of the run.
 type EventKind string
 
 // Kinds of events.
 const (
-	EventServing         EventKind = "serves"  // the process has all its members, or links, listening
-	EventLeaseGranted    EventKind = "leased"  // a member has its first lease of an incarnation
-	EventLeaderElected   EventKind = "leads"   // a member of the process grants leases from now on
-	EventEvicted         EventKind = "evicted" // an incarnation of a member was put out, as each who votes sees it
-	EventSettingsApplied EventKind = "adopted" // a version of the settings is in force
-	EventListApplied     EventKind = "listed"  // a list is in force
-	EventLinkCounts      EventKind = "counted" // the links' counts so far
-	EventFailed          EventKind = "failed"  // the process can't do what it was told
+	EventServing         EventKind = "serves"  // all members or relays of the process listen
+	EventLeaseGranted    EventKind = "leased"  // an incarnation of a member has been granted its first lease
+	EventLeaderElected   EventKind = "leads"   // a member of the process has been elected leader
+	EventEvicted         EventKind = "evicted" // an incarnation of a member has been evicted; each voter reports it
+	EventSettingsApplied EventKind = "adopted" // a member has applied a settings version
+	EventListApplied     EventKind = "listed"  // a hollow member has applied an endpoint list
+	EventLinkCounts      EventKind = "counted" // reply with the frame counts of the relays
+	EventFailed          EventKind = "failed"  // the process could not start its members or relays
 )
 
-// Event is what was seen, by a hollow member's hooks or in a real one's log.
+// Event is reported by a worker, or read from the log of a real member.
 type Event struct {
 	Kind        EventKind
 	Member      string                 `json:",omitempty"`
 	Incarnation string                 `json:"Which,omitempty"`
-	Number      int64                  `json:",omitempty"` // of the version, the list, or open connections of links
+	Number      int64                  `json:",omitempty"` // settings version, sequence number of the list, or open connections of relays
 	At          time.Time              `json:",omitzero"`
 	Counts      map[string]FrameCounts `json:",omitempty"`
 	Error       string                 `json:"Why,omitempty"`
 }
 
-// workerSpec is what a worker is told on the first line of its input. Each further line asks for the links' counts; the end of the input ends
-// it.
+// workerSpec is the first line of a worker's input. Each further line requests the frame counts of the relays. The worker exits at the end
+// of the input.
 type workerSpec struct {
 	Cores  int
 	Links  []linkSpec
 	Fleets []fleetSpec
 	Config json.RawMessage // of hollow members
-	List   string          // the list service's address
+	List   string          // address of the list service
 }
 
+// linkSpec is a relay that listens at Front and forwards to the member at Target.
 type linkSpec struct{ Member, Front, Target string }
 
-// fleetSpec is this process's part of one fleet. Options are those of its first member; of the others address and directory differ.
+// fleetSpec is the members of one fleet in this process. Options are the options of the first member. The other members differ in address
+// and state directory.
 type fleetSpec struct {
 	Options string
 	Members []memberSpec
@@ -65,46 +67,46 @@
 
 type memberSpec struct{ Name, Address, StateDir string }
 
-// Worker is the program of a process with hollow members or links, until its input ends.
+// RunWorker runs hollow members or relays until the end of the input.
 func RunWorker(in io.Reader, out, errs io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("a worker is told its work on its input: %w", err)
+		return fmt.Errorf("read worker specification: %w", err)
 	}
 	var w workerSpec
 	if err := json.Unmarshal(first, &w); err != nil {
-		return fmt.Errorf("a worker's work: %w", err)
+		return fmt.Errorf("parse worker specification: %w", err)
 	}
 	runtime.GOMAXPROCS(max(1, w.Cores))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	tell := eventWriter(out)
+	report := eventWriter(out)
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
 	log.SetOutput(io.MultiWriter(errs, lineWriter(func(line string) {
 		if e, ok := parseLogLine(line); ok && e.Kind != EventSettingsApplied {
-			tell(e)
+			report(e)
 		}
 	})))
 	l := newLinks()
 	defer l.close()
-	if err := w.start(ctx, l, tell); err != nil {
-		tell(Event{Kind: EventFailed, Error: err.Error()})
+	if err := w.start(ctx, l, report); err != nil {
+		report(Event{Kind: EventFailed, Error: err.Error()})
 		return err
 	}
-	tell(Event{Kind: EventServing, At: time.Now()})
+	report(Event{Kind: EventServing, At: time.Now()})
 	for {
 		if _, err := lines.ReadBytes('\n'); err != nil {
 			return nil
 		}
 		counts, open := l.snapshot()
-		tell(Event{Kind: EventLinkCounts, Number: int64(open), At: time.Now(), Counts: counts})
+		report(Event{Kind: EventLinkCounts, Number: int64(open), At: time.Now(), Counts: counts})
 	}
 }
 
-func (w *workerSpec) start(ctx context.Context, l *links, tell func(Event)) error {
-	for _, one := range w.Links {
-		if err := l.open(one.Member, one.Front, one.Target); err != nil {
+func (w *workerSpec) start(ctx context.Context, l *links, report func(Event)) error {
+	for _, link := range w.Links {
+		if err := l.open(link.Member, link.Front, link.Target); err != nil {
 			return err
 		}
 	}
@@ -121,9 +123,9 @@
 			return err
 		}
 		for _, m := range f.Members {
-			mine := *o
-			mine.Fleet.Address, mine.Fleet.StateDir = m.Address, m.StateDir
-			if err := startHollow(ctx, &mine, m.Name, conf, w.List, tell); err != nil {
+			own := *o
+			own.Fleet.Address, own.Fleet.StateDir = m.Address, m.StateDir
+			if err := startHollow(ctx, &own, m.Name, conf, w.List, report); err != nil {
 				return err
 			}
 		}
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// eventWriter writes events, one a line, by any goroutine.
+// eventWriter returns a function that writes events to out, one per line. It is safe for concurrent use.
 func eventWriter(out io.Writer) func(Event) {
 	var mu sync.Mutex
 	return func(e Event) {
@@ -145,7 +147,7 @@
 	}
 }
 
-// lineWriter hands each line of a log on.
+// lineWriter is a writer that calls the function with each line of a log.
 type lineWriter func(line string)
 
 func (s lineWriter) Write(p []byte) (int, error) {
@@ -153,12 +155,12 @@
 	return len(p), nil
 }
 
-// loggedEvents are the events of the program's log that are handed on.
+// eventsByLogKey are the log events of the program that are reported as events.
 var eventsByLogKey = map[string]EventKind{
 	"event=fleet_lease_granted": EventLeaseGranted, "event=fleet_leader_elected": EventLeaderElected, "event=fleet_membership_changed": EventEvicted, "event=settings_applied": EventSettingsApplied,
 }
 
-// eventOf reads a line of the program's log, as package eventlog writes it.
+// parseLogLine parses a line of the program's log in the format of package eventlog. It returns false if the line is no reported event.
 func parseLogLine(line string) (e Event, ok bool) {
 	f := strings.Fields(line)
 	if len(f) < 3 {
@@ -188,5 +190,5 @@
 	return e, e.Kind != EventEvicted || evicted
 }
 
-// WorkerMain is Worker over the process's own streams.
+// WorkerMain runs RunWorker with the standard streams of the process.
 func WorkerMain() error { return RunWorker(os.Stdin, os.Stdout, os.Stderr) }
