--- a/cmd/damsonscale-lab/chain.go
+++ b/cmd/damsonscale-lab/chain.go
@@ -10,29 +10,29 @@
 	"damsonscale/internal/lab/callchain"
 )
 
-// chainCmd is a simulated chain of calls; it needs no processes.
+// chainCmd simulates a chain of service calls without starting processes.
 type chainCmd struct {
-	Depth     int           `help:"Services below each other." default:"7"`
-	Width     int           `help:"Balancers a level." default:"6"`
-	Servers   int           `help:"A service." default:"6"`
-	Fault     string        `help:"At the deepest service: errors, slow, declined (shares of answers), crash (of servers)." enum:"errors,slow,declined,crash" default:"errors"`
-	Fail      float64       `help:"Share that fails, 0 to 1." default:"0.1"`
-	FaultFrom time.Duration `help:"When the fault begins." default:"10s"`
-	FaultFor  time.Duration `help:"How long it lasts; 0: to the end." default:"0s"`
-	Rate      float64       `help:"Clients' requests a second." default:"200"`
-	For       time.Duration `help:"Simulated time that clients send for, whole seconds." default:"60s"`
-	Seed      uint64        `help:"Of all that is drawn." default:"1"`
-	Pass      string        `help:"How a service tells its caller of a call that came to nothing: errors, refusals, marked." enum:"errors,refusals,marked" default:"errors"`
-	Tries     int           `help:"Attempts a request at most at each level." default:"4"`
-	Above     int           `help:"The same at all levels but the deepest; 0: as there."`
-	Budget    bool          `help:"State a budget of attempts." default:"true" negatable:""`
-	Ratio     float64       `help:"Of it: further attempts for each request taken." default:"0.1"`
-	Floor     float64       `help:"Of it: further attempts besides, for each balancer." default:"3"`
-	Span      time.Duration `help:"Of it: the window." default:"10s"`
-	AddedP50  time.Duration `name:"added-p50" help:"That a hop adds at p50." default:"100us"`
-	AddedP99  time.Duration `name:"added-p99" help:"That a hop adds at p99." default:"400us"`
-	Added     bool          `help:"Reckon the added latency instead of playing the chain."`
-	JSON      string        `help:"File for the report." type:"path"`
+	Depth     int           `help:"Number of services in the chain." default:"7"`
+	Width     int           `help:"Number of balancers at each level." default:"6"`
+	Servers   int           `help:"Number of servers of each service." default:"6"`
+	Fault     string        `help:"Fault at the deepest service: a share of its responses is an error, slow or declined, or a share of its servers crashes." enum:"errors,slow,declined,crash" default:"errors"`
+	Fail      float64       `help:"Share of responses or servers that the fault affects, 0 to 1." default:"0.1"`
+	FaultFrom time.Duration `help:"Simulated time at which the fault starts." default:"10s"`
+	FaultFor  time.Duration `help:"Duration of the fault; 0: until the end." default:"0s"`
+	Rate      float64       `help:"Client requests per second." default:"200"`
+	For       time.Duration `help:"Simulated time during which clients send requests, in whole seconds." default:"60s"`
+	Seed      uint64        `help:"Seed of all random choices." default:"1"`
+	Pass      string        `help:"How a service answers its caller after its own call has failed: errors (as an error), refusals (a rejection as a rejection) or marked (as an invalid request, which is not retried)." enum:"errors,refusals,marked" default:"errors"`
+	Tries     int           `help:"Maximum number of attempts per request at each level." default:"4"`
+	Above     int           `help:"Maximum number of attempts per request at all levels but the deepest; 0: the value of --tries."`
+	Budget    bool          `help:"Limit retries by an attempt budget." default:"true" negatable:""`
+	Ratio     float64       `help:"Attempt budget: retries allowed per accepted request." default:"0.1"`
+	Floor     float64       `help:"Attempt budget: retries allowed per balancer in addition to the ratio." default:"3"`
+	Span      time.Duration `help:"Attempt budget: length of the window." default:"10s"`
+	AddedP50  time.Duration `name:"added-p50" help:"Latency added by one hop, p50." default:"100us"`
+	AddedP99  time.Duration `name:"added-p99" help:"Latency added by one hop, p99." default:"400us"`
+	Added     bool          `help:"Compute the latency added by all hops instead of simulating the chain."`
+	JSON      string        `help:"Write the report to this file." type:"path"`
 }
 
 func (c *chainCmd) Run(*runner) error {
@@ -60,21 +60,21 @@
 	return nil
 }
 
-// added reckons what the hops add, for two shapes of a hop's latency.
+// printAddedLatency computes the latency added by all hops, for two distributions of the latency of one hop.
 func (c *chainCmd) printAddedLatency() error {
 	if c.Depth < 1 || c.Depth > 20 {
-		return fmt.Errorf("--depth %d is not within 1 to 20", c.Depth)
+		return fmt.Errorf("--depth: %d is out of range: want 1 to 20", c.Depth)
 	}
 	p50, p99 := float64(c.AddedP50.Nanoseconds())/1e3, float64(c.AddedP99.Nanoseconds())/1e3
-	bin, most := p99/200, 40*p99
-	normal, err := callchain.LogNormal(p50, p99, bin, most)
-	heavy, err2 := callchain.Pareto(p50, p99, bin, most)
-	if err = errors.Join(err, err2); err != nil {
+	binWidth, limit := p99/200, 40*p99
+	logNormal, err := callchain.LogNormal(p50, p99, binWidth, limit)
+	pareto, paretoErr := callchain.Pareto(p50, p99, binWidth, limit)
+	if err = errors.Join(err, paretoErr); err != nil {
 		return err
 	}
-	sums := map[string]callchain.AddedLatency{"log-normal": callchain.SumOverHops(normal, c.Depth, p50, p99), "pareto": callchain.SumOverHops(heavy, c.Depth, p50, p99)}
-	for _, shape := range []string{"log-normal", "pareto"} {
-		fmt.Println(shape, sums[shape])
+	sums := map[string]callchain.AddedLatency{"log-normal": callchain.SumOverHops(logNormal, c.Depth, p50, p99), "pareto": callchain.SumOverHops(pareto, c.Depth, p50, p99)}
+	for _, distribution := range []string{"log-normal", "pareto"} {
+		fmt.Println(distribution, sums[distribution])
 	}
 	return c.writeReport(sums)
 }
--- a/cmd/damsonscale-lab/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -1,5 +1,5 @@
-// Command damsonscale-lab starts several processes of the program, breaks things between them and judges what became of
-// the requests. It exits with 0 where no rule was broken, 1 where one was, 2 where it could not tell.
+// Command damsonscale-lab tests and measures the program with several processes, simulations and model checks. It exits with 0 if no
+// rule was violated, with 1 if a rule was violated, and with 2 if the command failed or was interrupted.
 package main
 
 import (
@@ -23,36 +23,36 @@
 	"damsonscale/internal/takeover"
 )
 
-// errBroken is a rule that was broken: told, and the exit is 1.
-var errRuleViolated = errors.New("a rule was broken")
+// errRuleViolated is returned after the violation of a rule has been printed. The exit code is 1.
+var errRuleViolated = errors.New("a rule was violated")
 
 type commandLine struct {
-	Binary string `help:"The program." default:"bin/damsonscale" type:"existingfile"`
-	Dir    string `help:"For configurations, state and logs; a fresh one under the temporary directory if not given." type:"path"`
+	Binary string `help:"Path of the damsonscale program." default:"bin/damsonscale" type:"existingfile"`
+	Dir    string `help:"Directory for configurations, state and logs. Default: a new directory below the temporary directory." type:"path"`
 
-	Lost     lostCmd     `cmd:"" help:"Two processes killed outright and one stopped: what becomes of work in hand."`
-	Rollouts rolloutsCmd `cmd:"" help:"Two versions one after the other, with a member that is stopped or cut off, or with none."`
-	Replay   replayCmd   `cmd:"" help:"Play a timeline from a file."`
-	Draw     drawCmd     `cmd:"" help:"Draw a timeline from a seed and write it."`
-	Search   searchCmd   `cmd:"" help:"Play drawn timelines, and keep those that break a rule."`
-	Shrink   shrinkCmd   `cmd:"" help:"Look for a smaller timeline that still breaks a rule."`
+	Lost     lostCmd     `cmd:"" help:"Kill two processes, pause one, and check the requests in flight."`
+	Rollouts rolloutsCmd `cmd:"" help:"Roll out two settings versions one after the other, optionally with a fault."`
+	Replay   replayCmd   `cmd:"" help:"Run a timeline from a file."`
+	Draw     drawCmd     `cmd:"" help:"Generate a random timeline from a seed and write it to a file."`
+	Search   searchCmd   `cmd:"" help:"Run random timelines and keep those that violate a rule."`
+	Shrink   shrinkCmd   `cmd:"" help:"Reduce a timeline to a smaller one that still violates a rule."`
 
-	Overhead overheadCmd `cmd:"" help:"What the sidecar adds to a call: the same calls direct and through it, in turn."`
-	Scale    scaleCmd    `cmd:"" help:"What control costs by the number of members, real and hollow."`
+	Overhead overheadCmd `cmd:"" help:"Measure the latency that the sidecar adds, by alternating direct calls and calls through it."`
+	Scale    scaleCmd    `cmd:"" help:"Measure the cost of the control plane by the number of real and hollow members."`
 
-	Chain chainCmd `cmd:"" help:"A simulated chain of calls, deep, with a fault at its end: how many attempts come of a request."`
+	Chain chainCmd `cmd:"" help:"Simulate a deep chain of service calls with a fault at its end, and count the attempts per request."`
 
-	Explore exploreCmd `cmd:"" help:"Look for orders of events that break a promise of custody, without processes."`
+	Explore exploreCmd `cmd:"" help:"Model-check the custody protocol: search for orders of events that violate a guarantee."`
 }
 
-// shape is what timelines are drawn with.
+// drawFlags are the flags for random timelines.
 type drawFlags struct {
-	Seed      uint64 `help:"Of the first one." default:"1"`
-	Processes int    `help:"Of the program." default:"3"`
-	LengthMs  int64  `help:"Of a timeline, ms." default:"10000"`
-	PerSecond int    `help:"Requests." default:"100"`
-	Fleet     bool   `help:"The processes take work over from each other." default:"true" negatable:""`
-	Audit     bool   `help:"They keep account, and operators roll versions out."`
+	Seed      uint64 `help:"Seed of the first timeline." default:"1"`
+	Processes int    `help:"Number of processes of the program." default:"3"`
+	LengthMs  int64  `help:"Length of a timeline in ms." default:"10000"`
+	PerSecond int    `help:"Requests per second." default:"100"`
+	Fleet     bool   `help:"The processes form a fleet and take over requests from each other." default:"true" negatable:""`
+	Audit     bool   `help:"The processes keep an audit log, and operators roll out settings versions."`
 }
 
 func (s *drawFlags) draw(seed uint64) *faultinjection.Timeline {
@@ -64,8 +64,8 @@
 }
 
 type lostCmd struct {
-	Seed  uint64 `help:"Of the requests and the servers' times." default:"1"`
-	Fleet bool   `help:"The processes take work over from each other." default:"true" negatable:""`
+	Seed  uint64 `help:"Seed of the requests and the response times." default:"1"`
+	Fleet bool   `help:"The processes form a fleet and take over requests from each other." default:"true" negatable:""`
 }
 
 func (c *lostCmd) Run(p *runner) error {
@@ -73,8 +73,8 @@
 }
 
 type rolloutsCmd struct {
-	Seed uint64 `help:"Of the requests and the servers' times." default:"1"`
-	With string `help:"What is broken: none, stopped, cut, refused, barred." enum:"none,stopped,cut,refused,barred" default:"none"`
+	Seed uint64 `help:"Seed of the requests and the response times." default:"1"`
+	With string `help:"Fault during the rollouts: none, stopped (a member is paused), cut (a member is cut off), refused (a member rejects a version) or barred (operators exclude two members)." enum:"none,stopped,cut,refused,barred" default:"none"`
 }
 
 func (c *rolloutsCmd) Run(p *runner) error {
@@ -83,7 +83,7 @@
 
 type replayCmd struct {
 	File  string `arg:"" type:"existingfile"`
-	Times int    `help:"How often." default:"1"`
+	Times int    `help:"Number of runs." default:"1"`
 }
 
 func (c *replayCmd) Run(p *runner) error {
@@ -91,29 +91,29 @@
 	if err != nil {
 		return err
 	}
-	broken := error(nil)
+	violation := error(nil)
 	for i := range c.Times {
 		if err := p.playTimeline(t, filepath.Join(p.dir, fmt.Sprint(i))); errors.Is(err, errRuleViolated) {
-			broken = err
+			violation = err
 		} else if err != nil {
 			return err
 		}
 	}
-	return broken
+	return violation
 }
 
 type drawCmd struct {
 	drawFlags
-	Out string `help:"File." required:""`
+	Out string `help:"Write the timeline to this file." required:""`
 }
 
 func (c *drawCmd) Run(*runner) error { return c.draw(c.Seed).Write(c.Out) }
 
 type searchCmd struct {
 	drawFlags
-	Count int    `help:"Timelines." default:"20"`
-	Side  int    `help:"Played side by side." default:"1"`
-	Keep  string `help:"Directory for those that break a rule." default:"broken" type:"path"`
+	Count int    `help:"Number of timelines." default:"20"`
+	Side  int    `help:"Number of timelines that run in parallel." default:"1"`
+	Keep  string `help:"Directory for timelines that violate a rule." default:"broken" type:"path"`
 }
 
 func (c *searchCmd) Run(p *runner) error {
@@ -121,8 +121,8 @@
 	var mu sync.Mutex
 	var all faultinjection.Report
 	var kept []string
-	var fault error
-	void := 0
+	var failure error
+	inconclusive := 0
 	var work sync.WaitGroup
 	for range max(1, c.Side) {
 		work.Go(func() {
@@ -133,15 +133,15 @@
 				mu.Lock()
 				switch {
 				case err != nil:
-					fault = errors.Join(fault, fmt.Errorf("seed %d: %w", seed, err))
+					failure = errors.Join(failure, fmt.Errorf("seed %d: %w", seed, err))
 				case !r.Passed() && r.Inconclusive():
-					void++
-					fmt.Printf("seed %d: void: the machine stood still for %d ms; %s\n", seed, r.StallMs, r.Summary())
+					inconclusive++
+					fmt.Printf("seed %d: inconclusive: the machine stalled for %d ms; %s\n", seed, r.StallMs, r.Summary())
 					r = nil
 				case !r.Passed():
-					to := filepath.Join(c.Keep, fmt.Sprintf("%d-%d", c.Processes, seed))
-					kept = append(kept, to)
-					fault = errors.Join(fault, faultinjection.Save(to, t, r))
+					keepDir := filepath.Join(c.Keep, fmt.Sprintf("%d-%d", c.Processes, seed))
+					kept = append(kept, keepDir)
+					failure = errors.Join(failure, faultinjection.Save(keepDir, t, r))
 					fmt.Printf("seed %d: %s\n", seed, r.Summary())
 				default:
 					os.RemoveAll(dir)
@@ -158,9 +158,9 @@
 	}
 	close(seeds)
 	work.Wait()
-	fmt.Printf("%s void=%d\n", all.Line(), void)
-	if fault != nil {
-		return fault
+	fmt.Printf("%s void=%d\n", all.Line(), inconclusive)
+	if failure != nil {
+		return failure
 	}
 	if len(kept) > 0 {
 		return errRuleViolated
@@ -170,8 +170,8 @@
 
 type shrinkCmd struct {
 	File  string `arg:"" type:"existingfile"`
-	Out   string `help:"File." required:""`
-	Tries int    `help:"Runs in which a smaller one has to hold before it counts as whole." default:"3"`
+	Out   string `help:"Write the smaller timeline to this file." required:""`
+	Tries int    `help:"Number of runs that a smaller timeline must pass before it counts as free of violations." default:"3"`
 }
 
 func (c *shrinkCmd) Run(p *runner) error {
@@ -179,26 +179,26 @@
 	if err != nil {
 		return err
 	}
-	n := 0
-	small, err := faultinjection.Shrink(p.ctx, t, c.Tries, func(t *faultinjection.Timeline) (bool, error) {
-		n++
-		r, err := faultinjection.Run(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(n))), t)
+	runs := 0
+	smaller, err := faultinjection.Shrink(p.ctx, t, c.Tries, func(t *faultinjection.Timeline) (bool, error) {
+		runs++
+		r, err := faultinjection.Run(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(runs))), t)
 		return err == nil && !r.Passed(), err
 	}, func(step string) { fmt.Println(step) })
-	return errors.Join(err, small.Write(c.Out))
+	return errors.Join(err, smaller.Write(c.Out))
 }
 
 type overheadCmd struct {
-	PerSecond int           `help:"Calls through the sidecar, and as many direct ones." default:"167"`
-	For       time.Duration `help:"That counts, after 2s that don't." default:"20s"`
-	Servers   int           `help:"That the list names." default:"6"`
-	Balancers int           `help:"That the settings tell of; 0: as many as there are members." default:"0"`
-	Members   int           `help:"Of a fleet with takeover on, one of which is called; 0: no fleet." default:"0"`
-	Class     string        `help:"look (safe), make (keyed) or once (unsafe)." default:"look"`
-	ServerMs  int           `help:"That a server needs for an answer." default:"2"`
-	Seed      uint64        `help:"Of ids." default:"1"`
-	Times     int           `help:"How often." default:"1"`
-	JSON      string        `help:"File for the reports, a line each." type:"path"`
+	PerSecond int           `help:"Calls per second through the sidecar, and direct calls per second." default:"167"`
+	For       time.Duration `help:"Duration of the measurement, after a warm-up of 2s." default:"20s"`
+	Servers   int           `help:"Number of endpoints on the list." default:"6"`
+	Balancers int           `help:"Number of balancers stated in the settings; 0: the number of members." default:"0"`
+	Members   int           `help:"Number of members of a fleet with takeover enabled, one of which is called; 0: no fleet." default:"0"`
+	Class     string        `help:"Request class: look (safe), make (with an idempotency key) or once (unsafe)." default:"look"`
+	ServerMs  int           `help:"Response time of a server in ms." default:"2"`
+	Seed      uint64        `help:"Seed of the request IDs." default:"1"`
+	Times     int           `help:"Number of runs." default:"1"`
+	JSON      string        `help:"Write the reports to this file, one per line." type:"path"`
 }
 
 func (c *overheadCmd) Run(p *runner) error {
@@ -224,31 +224,31 @@
 }
 
 type exploreCmd struct {
-	Depth int    `help:"Of all orders of events of one request." default:"5"`
-	Seed  uint64 `help:"Of the first way at random." default:"1"`
-	Count int    `help:"Ways at random, of two requests." default:"10000"`
-	Steps int    `help:"Of each at most." default:"300"`
-	Fence bool   `help:"Look at leases and the fence in a larger world instead: two minutes, 6.5 million states."`
-	Cells bool   `help:"Look at cells instead: moves, splits, merges, directories that are late, down, cut off or two; --count ways at random."`
+	Depth int    `help:"Depth of the exhaustive search over the events of one request." default:"5"`
+	Seed  uint64 `help:"Seed of the first random walk." default:"1"`
+	Count int    `help:"Number of random walks with two requests." default:"10000"`
+	Steps int    `help:"Maximum number of steps of a random walk." default:"300"`
+	Fence bool   `help:"Search all orders of events of leases and the fence instead; takes about two minutes for 6.5 million states."`
+	Cells bool   `help:"Search cells instead, by --count random walks with moves, splits, merges, and directories that are late, down, cut off or duplicated."`
 }
 
-// cells goes ways at random through a world of cells.
+// walkCells performs random walks through the model of cells.
 func (c *exploreCmd) walkCells(p *runner) error {
-	steps, met := 0, modelcheck.Coverage{}
+	steps, coverage := 0, modelcheck.Coverage{}
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
 		f := modelcheck.WalkCells(modelcheck.CellsConfigFor(seed), seed, c.Steps)
-		steps, met = steps+f.States, met.Add(f.Coverage)
+		steps, coverage = steps+f.States, coverage.Add(f.Coverage)
 		if f.Violation != "" {
 			fmt.Printf("%s\n%s\nseed=%d\n", f.Violation, strings.Join(f.Trace, "\n"), seed)
 			return errRuleViolated
 		}
 	}
-	fmt.Printf("ways=%d steps=%d met=%+v\n", c.Count, steps, met)
+	fmt.Printf("ways=%d steps=%d met=%+v\n", c.Count, steps, coverage)
 	return p.ctx.Err()
 }
 
-// fences looks at every order of events of leases and versions.
+// exhaustFence searches every order of events in the model of leases and the fence.
 func (c *exploreCmd) exhaustFence(p *runner) error {
 	conf := modelcheck.FenceConfig{
 		Members: 1, Commands: []rollout.Kind{rollout.RollOut, rollout.Fence}, LeaderChanges: 1, Restarts: 1, Ticks: 4, LeaseRequests: 2,
@@ -268,13 +268,13 @@
 func (c *exploreCmd) Run(p *runner) error {
 	switch {
 	case c.Fence && c.Cells:
-		return errors.New("--fence and --cells are two searches: give one")
+		return errors.New("--fence and --cells are mutually exclusive")
 	case c.Fence:
 		return c.exhaustFence(p)
 	case c.Cells:
 		return c.walkCells(p)
 	}
-	broken := func(f modelcheck.Result) bool {
+	printViolation := func(f modelcheck.Result) bool {
 		if f.Violation == "" {
 			return false
 		}
@@ -288,7 +288,7 @@
 			return err
 		}
 		fmt.Printf("depth=%d strict=%t states=%d\n", c.Depth, strict, f.States)
-		if broken(f) {
+		if printViolation(f) {
 			return errRuleViolated
 		}
 	}
@@ -299,7 +299,7 @@
 			Idempotency: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}, Strict: seed%2 == 0, Budget: modelcheck.LargeBudget,
 		}, seed, c.Steps)
 		steps += f.States
-		if broken(f) {
+		if printViolation(f) {
 			fmt.Printf("seed=%d\n", seed)
 			return errRuleViolated
 		}
@@ -308,14 +308,14 @@
 	return p.ctx.Err()
 }
 
-// player plays timelines.
+// runner runs timelines with the common flags.
 type runner struct {
 	ctx         context.Context
 	binary, dir string
-	ownsDir     bool // the directory is this run's own
+	ownsDir     bool // dir was created by this command
 }
 
-// forget removes the run's own directory, also after an error or an interrupt.
+// removeOwnDir removes the directory if this command has created it, also after an error or an interrupt.
 func (p *runner) removeOwnDir() {
 	if p.ownsDir {
 		os.RemoveAll(p.dir)
@@ -326,7 +326,7 @@
 	return faultinjection.Setup{Binary: p.binary, Dir: dir}
 }
 
-// one plays a timeline and tells what came of it.
+// playTimeline runs a timeline and prints its result.
 func (p *runner) playTimeline(t *faultinjection.Timeline, dir string) error {
 	r, err := faultinjection.Run(p.ctx, p.setup(dir), t)
 	if err != nil {
@@ -339,7 +339,7 @@
 		fmt.Println("step:", s)
 	}
 	for number, ms := range r.RolloutMs {
-		fmt.Printf("version %d: %d ms from its order to the last run under an older one\n", number, ms)
+		fmt.Printf("version %d: %d ms from its rollout to the last request under an older version\n", number, ms)
 	}
 	if r.PauseReason != "" {
 		fmt.Println("held:", r.PauseReason)
@@ -356,7 +356,7 @@
 
 func main() {
 	var c commandLine
-	k := kong.Parse(&c, kong.Name("damsonscale-lab"), kong.UsageOnError(), kong.Description("Plays faults on several sidecars and judges what became of the requests."))
+	k := kong.Parse(&c, kong.Name("damsonscale-lab"), kong.UsageOnError(), kong.Description("Tests and measures sidecars under faults, and checks what became of their requests."))
 	os.Exit(run(&c, k))
 }
 
--- a/internal/lab/fleetscale/changes.go
+++ b/internal/lab/fleetscale/changes.go
@@ -78,11 +78,11 @@
 				names = append(names, name)
 			}
 		}
-		ms, fleet := propagationDelays(r.committedVersions[at], names, r.observations.adopted)
+		ms, times := propagationDelays(r.committedVersions[at], names, r.observations.adopted)
 		all = append(all, ms...)
-		f.Changes, f.Expected, f.Missing = f.Changes+len(r.committedVersions[at]), f.Expected+fleet.Expected, f.Missing+fleet.Missing
-		if fleet.WorstMember != "" {
-			f.WorstMember = fleet.WorstMember
+		f.Changes, f.Expected, f.Missing = f.Changes+len(r.committedVersions[at]), f.Expected+times.Expected, f.Missing+times.Missing
+		if times.WorstMember != "" {
+			f.WorstMember = times.WorstMember
 		}
 	}
 	f.Rejected, f.PerSecond = r.rejectedVersions, float64(f.Changes)/seconds/float64(len(r.layout.fleets))
--- a/internal/lab/fleetscale/fault.go
+++ b/internal/lab/fleetscale/fault.go
@@ -14,7 +14,7 @@
 	Name             string
 	Process          string  `json:"Who,omitempty"` // name of the process the fault hit
 	Member           string  `json:",omitempty"`
-	NewLeaderMs      float64 `json:",omitempty"`      // until another led
+	NewLeaderMs      float64 `json:",omitempty"`      // until the election of a new leader
 	Evictions        int     `json:"PutOut"`          // incarnations evicted after the fault
 	RecoveryMs       float64 `json:"WholeMs"`         // until the last of: new leader elected, new lease granted, members evicted
 	CallsAfterReturn int64   `json:"Calls,omitempty"` // calls to the list service in the first second after it returns
