--- a/cmd/damsonscale-lab/scale_test.go
+++ b/cmd/damsonscale-lab/scale_test.go
@@ -13,13 +13,13 @@
 )
 
 func TestMain(m *testing.M) {
-	if n := len(os.Args); n > 2 && os.Args[n-2] == "scale" && os.Args[n-1] == "worker" { // as the program starts itself
+	if n := len(os.Args); n > 2 && os.Args[n-2] == "scale" && os.Args[n-1] == "worker" { // a worker started by the command under test
 		main()
 	}
 	os.Exit(m.Run())
 }
 
-// rigged runs the program and returns its exit code.
+// runCommand runs the command line and returns its exit code.
 func runCommand(t *testing.T, args ...string) int {
 	t.Helper()
 	var c commandLine
@@ -27,35 +27,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := k.Parse(append([]string{"--binary", os.Args[0]}, args...))
+	parsed, err := k.Parse(append([]string{"--binary", os.Args[0]}, args...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run(&c, at)
+	return run(&c, parsed)
 }
 
-// An interrupt ends a run, and neither it nor a refused or a whole run leaves a directory behind.
-func TestScaleLeavesNothing(t *testing.T) {
+// A completed, a rejected and an interrupted run exit with 0, 2 and 2, and remove their directories.
+func TestScaleRemovesItsDirectory(t *testing.T) {
 	tmp := t.TempDir()
 	t.Setenv("TMPDIR", tmp)
 	figures := filepath.Join(t.TempDir(), "figures.json")
-	empty := func(after string) {
+	expectNoFiles := func(run string) {
 		t.Helper()
 		if left, err := os.ReadDir(tmp); err != nil || len(left) > 0 {
-			t.Error(after, "left", left, err)
+			t.Errorf("%s: got files %v in TMPDIR, error %v, want none", run, left, err)
 		}
 	}
 	if code := runCommand(t, "scale", "--hollow", "3", "--for", "1s", "--lease", "2s", "--json", figures); code != 0 {
-		t.Error("exit", code)
+		t.Errorf("completed run: got exit code %d, want 0", code)
 	}
-	empty("a whole run")
+	expectNoFiles("completed run")
 	if code := runCommand(t, "scale", "--hollow", "3", "--for", "1h"); code != 2 {
-		t.Error("out of range: exit", code)
+		t.Errorf("run with --for out of range: got exit code %d, want 2", code)
 	}
-	empty("a refused run")
+	expectNoFiles("rejected run")
 	done := make(chan int, 1)
 	go func() { done <- runCommand(t, "scale", "--hollow", "5", "--for", "1m") }()
-	standin.Eventually(t, "a run under way", func() bool {
+	standin.Eventually(t, "the run to start its first voter", func() bool {
 		logs, err := filepath.Glob(filepath.Join(tmp, "rig-*", "voter-1.log"))
 		return err == nil && len(logs) == 1
 	})
@@ -63,11 +63,11 @@
 		t.Fatal(err)
 	}
 	if code := <-done; code != 2 {
-		t.Error("interrupted: exit", code)
+		t.Errorf("interrupted run: got exit code %d, want 2", code)
 	}
-	empty("an interrupted run")
+	expectNoFiles("interrupted run")
 	all, err := fleetscale.ReadReports([]string{figures, figures})
 	if err != nil || len(all) != 2 || all[0].Leases != 3 || all[0].Members != 3 {
-		t.Errorf("%+v %v", all, err)
+		t.Errorf("reports read twice from one file: got %+v, error %v, want 2 reports of 3 members, each with a lease", all, err)
 	}
 }
--- a/internal/lab/callchain/report.go
+++ b/internal/lab/callchain/report.go
@@ -43,7 +43,7 @@
 	ServingMs           int64   `json:"ServingMs"`     // the same until the share served stays at settledServedShare
 }
 
-// PromisesKept reports whether the balancers gave one answer in time and stayed within their attempt budgets.
+// GuaranteesMet reports whether the balancers gave one answer in time and stayed within their attempt budgets.
 func (r *Report) GuaranteesMet() bool {
 	return r.DuplicateAnswers == 0 && r.SentAfterAnswer == 0 && r.Unanswered == 0 && r.OverBudget == 0
 }
