--- a/internal/lab/fleetscale/slopes.go
+++ b/internal/lab/fleetscale/slopes.go
@@ -89,7 +89,7 @@
 
 // PrintSlopes writes slopes as a table.
 func PrintSlopes(out io.Writer, all []Slope, excluded []int) {
-	t := newTable(out, "role", "quantity", "points (members: figure)", "slope per member", "standard error", "intercept", "residual", fmt.Sprintf("at %d", TargetSize), "limit", "ratio")
+	t := newTable(out, "role", "quantity", "points (members: figure)", "slope per member", "standard error", "intercept", "residual", fmt.Sprintf("at %d", TargetSize), "budget", "times")
 	for _, s := range all {
 		var points []string
 		for _, p := range s.Points {
