--- a/decide/load_reports_test.go
+++ b/decide/load_reports_test.go
@@ -43,7 +43,7 @@
 		}
 		maxChecks := 6 + 6*120.0 // at most one per second
 		if c.price > 0 {
-			maxChecks = min(maxChecks, 12+healthCheckSpend*120*c.rate/c.price*1.2)
+			maxChecks = min(maxChecks, 12+maxHealthCheckCost*120*c.rate/c.price*1.2)
 		}
 		if float64(checks) > maxChecks {
 			t.Errorf("%+v: %d health checks, want at most %.0f", c, checks, maxChecks)
@@ -52,9 +52,9 @@
 	w := newWorkload(t, testSettings(), testEndpoints(1)...)
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "nobody", Result: Succeeded, Load: newLoadReport(1, -1, 5)})
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "s0", Result: TimedOut, Load: newLoadReport(1, -1, 5)})
-	if w.b.knownEndpoints["s0"].reportedLatencyMs != 0 {
+	if w.b.knownEndpoints["s0"].reportedServiceTimeMs != 0 {
 		t.Error("the load report of a failed health check was used")
 	}
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "s0", Result: Succeeded, Load: newLoadReport(1, -1, 5)})
-	assertNear(t, "latency in ms reported to a health check", w.b.knownEndpoints["s0"].reportedLatencyMs, 5, 1e-9)
+	assertNear(t, "latency in ms reported to a health check", w.b.knownEndpoints["s0"].reportedServiceTimeMs, 5, 1e-9)
 }
