--- a/internal/lab/fleetscale/changes.go
+++ b/internal/lab/fleetscale/changes.go
@@ -78,7 +78,7 @@
 				names = append(names, name)
 			}
 		}
-		ms, times := propagationDelays(r.committedVersions[at], names, r.observations.adopted)
+		ms, times := propagationDelays(r.committedVersions[at], names, r.observations.appliedSettings)
 		all = append(all, ms...)
 		f.Changes, f.Expected, f.Missing = f.Changes+len(r.committedVersions[at]), f.Expected+times.Expected, f.Missing+times.Missing
 		if times.WorstMember != "" {
@@ -105,7 +105,7 @@
 		}
 	}
 	r.observations.mu.Lock()
-	ms, f := propagationDelays(made, names, r.observations.listed)
+	ms, f := propagationDelays(made, names, r.observations.appliedLists)
 	r.observations.mu.Unlock()
 	f.Changes, f.PerSecond = len(made), float64(len(made))/seconds
 	f.setQuantiles(ms)
--- a/internal/lab/fleetscale/children.go
+++ b/internal/lab/fleetscale/children.go
@@ -32,7 +32,7 @@
 	exited      chan struct{}
 	countsReply chan Event
 	killed      bool // stopped by a fault or at the end of the run
-	links       bool
+	isRelay     bool
 }
 
 // children starts and stops processes and passes their events to observe.
@@ -186,7 +186,7 @@
 func (c *children) linkCounts(ctx context.Context) (all map[string]FrameCounts, open int64, err error) {
 	all = map[string]FrameCounts{}
 	for _, p := range c.all {
-		if !p.links {
+		if !p.isRelay {
 			continue
 		}
 		if _, err := io.WriteString(p.stdin, "\n"); err != nil {
--- a/internal/lab/fleetscale/fault.go
+++ b/internal/lab/fleetscale/fault.go
@@ -25,7 +25,7 @@
 var errNoLeader = errors.New("--fault: no leader of the first fleet with a process of its own was found")
 
 func (r *run) inFirstFleet(process *child) bool {
-	return len(process.members) == 1 && r.layout.members[process.members[0]].fleet == 0 && !process.links
+	return len(process.members) == 1 && r.layout.members[process.members[0]].fleet == 0 && !process.isRelay
 }
 
 // injectFault injects the configured fault. A temporary fault ends after its duration, or after limit if that is shorter.
--- a/internal/lab/fleetscale/link.go
+++ b/internal/lab/fleetscale/link.go
@@ -26,7 +26,7 @@
 // frameKindNames are the names of the frame kinds in package fleet, by number.
 var frameKindNames = []string{"hello", "raft", "custody", "ask", "grant", "view_ask", "view", "leave", "desk", "want", "have", "segments", "taken"}
 
-// FrameCounts counts the complete frames of data member. Bytes include frame headers.
+// FrameCounts counts the complete frames of one member. Bytes include frame headers.
 type FrameCounts struct {
 	OutFrames, OutBytes int64            // read from the member
 	InFrames, InBytes   int64            // written to it
@@ -58,7 +58,7 @@
 }
 
 // links are the relays between members. Each member has a relay, which the other members dial instead of it. A connection carries frames
-// in data direction, and its first frame names the dialing member. A frame is counted for its sender when it has been read, and for its
+// in one direction, and its first frame names the dialing member. A frame is counted for its sender when it has been read, and for its
 // receiver when it has been written completely.
 type links struct {
 	mu     sync.Mutex
@@ -163,7 +163,7 @@
 	}
 }
 
-// readFrame reads a frame and appends it, with its header, to buf.
+// readFrame reads a frame with its header into buf, which it grows as needed, and returns it.
 func readFrame(in io.Reader, buf []byte) ([]byte, error) {
 	buf = slices.Grow(buf, frame.HeaderSize)[:frame.HeaderSize]
 	if _, err := io.ReadFull(in, buf); err != nil {
--- a/internal/lab/fleetscale/observations.go
+++ b/internal/lab/fleetscale/observations.go
@@ -9,16 +9,16 @@
 
 // observations records the events of all members with their times.
 type observations struct {
-	mu          sync.Mutex
-	serving     int
-	failure     string
-	leaseCounts map[string]int // number of incarnations that were granted a lease, by member
-	elections   []election
-	evictions   map[string]time.Time // time of the first report, by incarnation (member/incarnation)
-	lastLease   time.Time            // time of the latest first lease of an incarnation
-	adopted     map[string][]versionTime
-	listed      map[string][]versionTime
-	changed     chan struct{} // closed and replaced at each event
+	mu              sync.Mutex
+	serving         int            // processes that have reported EventServing
+	failure         string         // of the last process that has reported EventFailed
+	leaseCounts     map[string]int // number of incarnations that were granted a lease, by member
+	elections       []election
+	evictions       map[string]time.Time // time of the first report, by incarnation (member/incarnation)
+	lastLease       time.Time            // time of the latest first lease of an incarnation
+	appliedSettings map[string][]versionTime
+	appliedLists    map[string][]versionTime
+	changed         chan struct{} // closed and replaced at each event
 }
 
 type election struct {
@@ -33,7 +33,7 @@
 }
 
 func newObservations() *observations {
-	return &observations{leaseCounts: map[string]int{}, evictions: map[string]time.Time{}, adopted: map[string][]versionTime{}, listed: map[string][]versionTime{}, changed: make(chan struct{})}
+	return &observations{leaseCounts: map[string]int{}, evictions: map[string]time.Time{}, appliedSettings: map[string][]versionTime{}, appliedLists: map[string][]versionTime{}, changed: make(chan struct{})}
 }
 
 func (b *observations) record(source *child, e Event) {
@@ -57,9 +57,9 @@
 			b.evictions[key] = e.At
 		}
 	case EventSettingsApplied:
-		b.adopted[e.Member] = append(b.adopted[e.Member], versionTime{e.Number, e.At})
+		b.appliedSettings[e.Member] = append(b.appliedSettings[e.Member], versionTime{e.Number, e.At})
 	case EventListApplied:
-		b.listed[e.Member] = append(b.listed[e.Member], versionTime{e.Number, e.At})
+		b.appliedLists[e.Member] = append(b.appliedLists[e.Member], versionTime{e.Number, e.At})
 	}
 	close(b.changed)
 	b.changed = make(chan struct{})
@@ -70,13 +70,13 @@
 func (b *observations) lastElected(eligible func(*child) bool) (*child, time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var best election
+	var latest election
 	for _, l := range b.elections {
-		if eligible(l.process) && l.at.After(best.at) {
-			best = l
+		if eligible(l.process) && l.at.After(latest.at) {
+			latest = l
 		}
 	}
-	return best.process, best.at
+	return latest.process, latest.at
 }
 
 // PropagationTimes summarises how long changes took until members had applied them, over all members and changes.
@@ -94,19 +94,19 @@
 
 // propagationDelays returns, for each change and member, the ms from the change until the member had applied it or a later one. The
 // counts of expected and missing changes are returned too.
-func propagationDelays(made []versionTime, members []string, marks map[string][]versionTime) (ms []float64, f PropagationTimes) {
+func propagationDelays(changes []versionTime, members []string, applied map[string][]versionTime) (ms []float64, f PropagationTimes) {
 	for _, name := range members {
-		own := slices.Clone(marks[name])
-		slices.SortFunc(own, func(a, b versionTime) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
-		for _, m := range made {
+		versions := slices.Clone(applied[name])
+		slices.SortFunc(versions, func(a, b versionTime) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
+		for _, change := range changes {
 			f.Expected++
-			at := slices.IndexFunc(own, func(o versionTime) bool { return o.number >= m.number && !o.at.Before(m.at) })
+			at := slices.IndexFunc(versions, func(v versionTime) bool { return v.number >= change.number && !v.at.Before(change.at) })
 			if at < 0 {
 				f.Missing++
 				f.WorstMember = name
 				continue
 			}
-			ms = append(ms, float64(own[at].at.Sub(m.at).Microseconds())/1000)
+			ms = append(ms, float64(versions[at].at.Sub(change.at).Microseconds())/1000)
 		}
 	}
 	return ms, f
--- a/internal/lab/fleetscale/report.go
+++ b/internal/lab/fleetscale/report.go
@@ -37,7 +37,7 @@
 	MemoryMB        float64
 	Descriptors     float64
 	CountedMembers  int                `json:"Counted"` // members whose links are counted; the rates below are means over them
-	KBIn, KBOut     float64            // a second
+	KBIn, KBOut     float64            // KB per second
 	FramesIn        float64            `json:"In"`    // frames per second
 	FramesOut       float64            `json:"Out"`   // frames per second
 	FramesOutByKind map[string]float64 `json:"OutOf"` // frames per second
@@ -75,7 +75,7 @@
 
 // role returns the role of a process.
 func (r *run) role(process, leader *child) string {
-	if process.links {
+	if process.isRelay {
 		return Links
 	}
 	m := &r.layout.members[process.members[0]]
@@ -106,7 +106,7 @@
 		ForS: seconds, LeaseMs: float64(c.Lease.Milliseconds()), Audit: c.Audit, Servers: c.Servers,
 	}
 	out.Roles = r.roles(before, after, seconds)
-	out.ListService = listFigures(before.list, after.list, seconds)
+	out.ListService = listServiceRates(before.list, after.list, seconds)
 	r.countMembershipChanges(out, before.at, after.at)
 	return out
 }
@@ -180,8 +180,8 @@
 	}
 }
 
-// listFigures returns the rates of the list service between two samples.
-func listFigures(before, after ListServiceCounts, seconds float64) ListServiceRates {
+// listServiceRates returns the rates of the list service between two samples.
+func listServiceRates(before, after ListServiceCounts, seconds float64) ListServiceRates {
 	return ListServiceRates{
 		OpenWatches: after.Open,
 		Calls:       float64(after.Calls-before.Calls) / seconds, Messages: float64(after.Messages-before.Messages) / seconds,
--- a/internal/lab/fleetscale/run.go
+++ b/internal/lab/fleetscale/run.go
@@ -198,7 +198,7 @@
 // countFrames stops the members and sums up the frames of all relays. Relays read the rest of a connection after its sender has stopped,
 // so it waits, at most for settleTimeout, until the relays have closed all connections.
 func (r *run) countFrames(ctx context.Context, out *Report) error {
-	r.children.stopProcesses(func(p *child) bool { return !p.links })
+	r.children.stopProcesses(func(p *child) bool { return !p.isRelay })
 	for end := time.Now().Add(settleTimeout); ; sleep(ctx, memoryCheckInterval/10) {
 		counts, open, err := r.children.linkCounts(ctx)
 		if err != nil {
--- a/internal/lab/fleetscale/start.go
+++ b/internal/lab/fleetscale/start.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		relay.links = true
+		relay.isRelay = true
 	}
 	if err := r.waitFor(ctx, "relays to listen", func() bool { return r.observations.serving >= len(r.layout.linkProcesses) }); err != nil {
 		return err
@@ -62,7 +62,7 @@
 		}
 	}
 	return r.waitFor(ctx, "each member to have a lease and a list", func() bool {
-		return len(r.observations.leaseCounts) == len(r.layout.members) && len(r.observations.listed) == r.conf.Hollow
+		return len(r.observations.leaseCounts) == len(r.layout.members) && len(r.observations.appliedLists) == r.conf.Hollow
 	})
 }
 
@@ -215,7 +215,7 @@
 	for {
 		r.observations.mu.Lock()
 		done, failure, changed := ok(), r.observations.failure, r.observations.changed
-		leased, listed := len(r.observations.leaseCounts), len(r.observations.listed)
+		leased, listed := len(r.observations.leaseCounts), len(r.observations.appliedLists)
 		r.observations.mu.Unlock()
 		if failure != "" {
 			return errors.New(failure)
