--- a/internal/lab/fleetscale/lists.go
+++ b/internal/lab/fleetscale/lists.go
@@ -191,7 +191,7 @@
 
 // PrintLists writes the results by list size, and the slopes of CPU and memory over the list size.
 func PrintLists(out io.Writer, all []ListResult) {
-	t := newTable(out, "servers", "idle, % of a core", "idle MB", "open watches", "changing, % of a core", "MB", "KB/s in", "changes sent/s", "CPU ms per change")
+	t := newTable(out, "servers", "idle, % of a core", "idle MB", "watches", "changing, % of a core", "MB", "KB/s in", "changes sent/s", "CPU ms per change")
 	var cpu, mb, change []Point
 	for _, f := range all {
 		row := []any{f.Servers, formatFigure(f.Idle.CPU), formatFigure(f.Idle.MemoryMB), f.Idle.OpenWatches, "-", "-", "-", "-", "-"}
