--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -14,7 +14,7 @@
 	"damsonscale/internal/takeover"
 )
 
-const fleet = 77
+const testFleetID = 77
 
 type testWriter struct {
 	t        testing.TB
@@ -25,7 +25,7 @@
 
 func newTestWriter(t testing.TB, fault InjectedFault) *testWriter {
 	w := &testWriter{t: t}
-	writer, err := NewSegmentWriter(fleet, takeover.Member{Name: "a", Incarnation: 1}, "build", 1, func() int64 { return w.now }, fault)
+	writer, err := NewSegmentWriter(testFleetID, takeover.Member{Name: "a", Incarnation: 1}, "build", 1, func() int64 { return w.now }, fault)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,17 +39,17 @@
 		w.now += 10
 		w.writer.Record(auditevent.Kind(1+i%int(auditevent.KindCount)), version, fmt.Sprintf("id-%d", i), "s-1")
 	}
-	w.add(w.writer.Cut(w.now))
+	w.collect(w.writer.Cut(w.now))
 }
 
-func (w *testWriter) add(all []SealedSegment, err error) {
+func (w *testWriter) collect(all []SealedSegment, err error) {
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.segments = append(w.segments, all...)
 }
 
-func codec(t testing.TB) *Codec {
+func newTestCodec(t testing.TB) *Codec {
 	c, err := NewCodec()
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 }
 
 // Every event has the version that it was decided under, also when another has come in force since.
-func TestEventsBearTheirVersion(t *testing.T) {
+func TestEventsKeepTheVersionTheyWereDecidedUnder(t *testing.T) {
 	w := newTestWriter(t, NoFault)
 	one := w.writer.SetVersion(1, 11, 5)
 	two := w.writer.SetVersion(2, 22, 5)
@@ -69,8 +69,8 @@
 	w.record(10, two)
 	w.record(10, one)
 	w.record(0, one)
-	w.add(w.writer.EndIncarnation(w.now, takeover.Member{Name: "a", Incarnation: 2}))
-	a := codec(t).AssembleTrails(fleet, w.segments, &Query{})
+	w.collect(w.writer.EndIncarnation(w.now, takeover.Member{Name: "a", Incarnation: 2}))
+	a := newTestCodec(t).AssembleTrails(testFleetID, w.segments, &Query{})
 	if len(a) != 1 || len(a[0].Faults) > 0 || !a[0].Ended || a[0].LastEvent != 20 || len(a[0].Gaps()) > 0 || len(a[0].Events) != 20 {
 		t.Fatalf("%+v", a)
 	}
@@ -84,7 +84,7 @@
 		}
 	}
 	number := uint64(1)
-	if a := codec(t).AssembleTrails(fleet, w.segments, &Query{ID: "id-3", Version: &number}); len(a[0].Events) != 1 || a[0].Events[0].Number != 14 {
+	if a := newTestCodec(t).AssembleTrails(testFleetID, w.segments, &Query{ID: "id-3", Version: &number}); len(a[0].Events) != 1 || a[0].Events[0].Number != 14 {
 		t.Fatalf("%+v", a)
 	}
 	if ended, served := w.writer.AnswerCounts(1); ended != 0 || served != 0 {
@@ -100,8 +100,8 @@
 }
 
 // Whatever is lost, duplicated, swapped or corrupt, the trail has no event that was not recorded, and states exactly those that are missing.
-func TestTrailStatesItsGaps(t *testing.T) {
-	c := codec(t)
+func TestTrailListsMissingEventsAsGaps(t *testing.T) {
+	c := newTestCodec(t)
 	rapid.Check(t, func(r *rapid.T) {
 		w := newTestWriter(t, NoFault)
 		version := w.writer.SetVersion(3, 33, 1)
@@ -111,12 +111,12 @@
 		}
 		ended := rapid.Bool().Draw(r, "ended")
 		if ended {
-			w.add(w.writer.EndIncarnation(w.now, takeover.Member{Name: "a", Incarnation: 2}))
+			w.collect(w.writer.EndIncarnation(w.now, takeover.Member{Name: "a", Incarnation: 2}))
 		}
 		var have []SealedSegment
 		known, last, end, corrupt := map[uint64]bool{}, uint64(0), false, false
 		for _, z := range w.segments {
-			seg, err := c.Open(fleet, &z)
+			seg, err := c.Open(testFleetID, &z)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -139,7 +139,7 @@
 			last, end = seg.LastEvent, seg.Final
 		}
 		have = rapid.Permutation(have).Draw(r, "order")
-		for _, a := range c.AssembleTrails(fleet, have, &Query{}) {
+		for _, a := range c.AssembleTrails(testFleetID, have, &Query{}) {
 			if a.Member.Name == "" {
 				if !corrupt {
 					t.Fatalf("%v", a.Faults)
@@ -170,8 +170,8 @@
 }
 
 // Segments that do not belong together are faults: of another fleet, of a newer build, a second chain of one incarnation, a broken chain.
-func TestContradictionsAreFaults(t *testing.T) {
-	c := codec(t)
+func TestInconsistentSegmentsAreReportedAsFaults(t *testing.T) {
+	c := newTestCodec(t)
 	w := newTestWriter(t, NoFault)
 	for range 3 {
 		w.record(5, 0)
@@ -181,11 +181,11 @@
 	for range 3 {
 		other.record(5, 0)
 	}
-	newer, err := c.seal(&Segment{Format: format + 1, Fleet: fleet, Member: takeover.Member{Name: "a"}, Index: 1, FirstEvent: 1})
+	newer, err := c.seal(&Segment{Format: formatVersion + 1, Fleet: testFleetID, Member: takeover.Member{Name: "a"}, Index: 1, FirstEvent: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	wider, err := c.encoder.Marshal([]any{format + 1, 1, 2, 3})
+	wider, err := c.encoder.Marshal([]any{formatVersion + 1, 1, 2, 3})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,13 +198,13 @@
 		of       uint64
 		want     string
 	}{
-		"another fleet":    {w.segments[:1], fleet + 1, "of another fleet"},
-		"newer":            {[]SealedSegment{newer}, fleet, "newer build"},
-		"newer and longer": {[]SealedSegment{{Encoded: wider, Hash: hashOf(wider)}}, fleet, "newer build"},
-		"two chains":       {append(slices.Clone(w.segments), other.segments[1]), fleet, "two segments 2"},
-		"spliced":          {[]SealedSegment{w.segments[0], other.segments[1], w.segments[2]}, fleet, "names"},
-		"chain broken":     {broken.segments, fleet, "names"},
-		"event dropped":    {dropped.segments, fleet, "250 events counted, 248 numbered"},
+		"another fleet":    {w.segments[:1], testFleetID + 1, "of another fleet"},
+		"newer":            {[]SealedSegment{newer}, testFleetID, "newer build"},
+		"newer and longer": {[]SealedSegment{{Encoded: wider, Hash: hashOf(wider)}}, testFleetID, "newer build"},
+		"two chains":       {append(slices.Clone(w.segments), other.segments[1]), testFleetID, "two segments 2"},
+		"spliced":          {[]SealedSegment{w.segments[0], other.segments[1], w.segments[2]}, testFleetID, "names"},
+		"chain broken":     {broken.segments, testFleetID, "names"},
+		"event dropped":    {dropped.segments, testFleetID, "250 events counted, 248 numbered"},
 	} {
 		faults := ""
 		for _, a := range c.AssembleTrails(k.of, k.segments, &Query{}) {
@@ -219,19 +219,19 @@
 func hashOf(text []byte) Hash { return sha256.Sum256(text) }
 
 // Counts stay exact over more versions than are counted apart, and the store keeps the latest segment of each incarnation.
-func TestBounds(t *testing.T) {
-	c := codec(t)
+func TestCountsStoreAndReplicationStayWithinBounds(t *testing.T) {
+	c := newTestCodec(t)
 	w := newTestWriter(t, NoFault)
 	for list := range int64(1000) {
 		w.record(3, w.writer.SetVersion(1+uint64(list)/500, 0, list))
 	}
-	store := NewSegmentStore(c, fleet, 40_000)
+	store := NewSegmentStore(c, testFleetID, 40_000)
 	for _, z := range w.segments {
 		if _, err := store.Put(z); err != nil {
 			t.Fatal(err)
 		}
 	}
-	a := c.AssembleTrails(fleet, store.Segments("a"), &Query{})
+	a := c.AssembleTrails(testFleetID, store.Segments("a"), &Query{})
 	if store.Bytes() > 40_000 || len(a) != 1 || a[0].LastEvent != 3000 || len(a[0].Faults) > 0 || len(a[0].Counts) > maxCounts+1 {
 		t.Fatalf("%d bytes, %d trails, %+v", store.Bytes(), len(a), a[0].Faults)
 	}
@@ -249,7 +249,7 @@
 	}
 	p, now := NewReplication(1<<20), int64(0)
 	for _, z := range w.segments[:5] {
-		seg, err := c.Open(fleet, &z)
+		seg, err := c.Open(testFleetID, &z)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -266,7 +266,7 @@
 	}
 }
 
-func BenchmarkAdd(b *testing.B) {
+func BenchmarkRecord(b *testing.B) {
 	w := newTestWriter(b, NoFault)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -282,21 +282,21 @@
 	w := newTestWriter(f, NoFault)
 	w.record(5, 0)
 	f.Add(w.segments[0].Encoded)
-	c := codec(f)
+	c := newTestCodec(f)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		seg, err := c.Open(fleet, &SealedSegment{Encoded: text, Hash: hashOf(text)})
+		seg, err := c.Open(testFleetID, &SealedSegment{Encoded: text, Hash: hashOf(text)})
 		if err != nil {
 			return
 		}
 		if all, err := seg.Events(); err == nil && uint64(len(all)) != seg.LastEvent+1-seg.FirstEvent {
 			t.Fatalf("%d events of %d to %d", len(all), seg.FirstEvent, seg.LastEvent)
 		}
-		c.AssembleTrails(fleet, []SealedSegment{{Encoded: text, Hash: hashOf(text)}}, &Query{})
+		c.AssembleTrails(testFleetID, []SealedSegment{{Encoded: text, Hash: hashOf(text)}}, &Query{})
 	})
 }
 
-// BenchmarkHour records the events of many requests (accepted, sent, served) and queries one of them.
-func BenchmarkHour(b *testing.B) {
+// BenchmarkRecordAndQuery records the events of many requests (accepted, sent, served) and queries one of them.
+func BenchmarkRecordAndQuery(b *testing.B) {
 	w := newTestWriter(b, NoFault)
 	const requests = 360_000                                                            // a tenth of an hour at 1,000 a second
 	idOf := func(i uint64) string { return fmt.Sprintf("%016x", i*0x9e3779b97f4a7c15) } // as good as random
@@ -309,7 +309,7 @@
 			w.writer.Record(auditevent.Sent, 0, id, "s-1")
 			w.writer.Record(auditevent.Served, 0, id, "200")
 			if i%100 == 0 {
-				w.add(w.writer.Cut(w.now))
+				w.collect(w.writer.Cut(w.now))
 			}
 		}
 	}
@@ -318,9 +318,9 @@
 		bytes += len(w.segments[i].Encoded)
 	}
 	b.ReportMetric(float64(bytes)/requests, "bytes/request")
-	c := codec(b)
+	c := newTestCodec(b)
 	at := time.Now()
-	a := c.AssembleTrails(fleet, w.segments, &Query{ID: idOf(requests / 2)})
+	a := c.AssembleTrails(testFleetID, w.segments, &Query{ID: idOf(requests / 2)})
 	b.ReportMetric(float64(time.Since(at).Milliseconds()), "ms/query")
 	if len(a) == 0 || len(a[0].Events) != 3 {
 		b.Fatal("not found")
--- a/internal/audit/codec.go
+++ b/internal/audit/codec.go
@@ -58,13 +58,13 @@
 	}
 	s := new(Segment)
 	if err := c.decoder.Unmarshal(sealed.Encoded, s); err != nil {
-		if c.formatOf(sealed.Encoded) > format {
+		if c.formatOf(sealed.Encoded) > formatVersion {
 			return nil, ErrNewerFormat
 		}
 		return nil, err
 	}
 	switch {
-	case s.Format > format:
+	case s.Format > formatVersion:
 		return nil, ErrNewerFormat
 	case s.Fleet != fleet:
 		return nil, ErrOtherFleet
--- a/internal/audit/counts.go
+++ b/internal/audit/counts.go
@@ -13,62 +13,62 @@
 	Merged  bool                         `json:"Merged"` // of several endpoint lists and builds, under one version of the settings
 }
 
-// of returns the count of a kind.
-func (c *VersionCounts) of(k auditevent.Kind) uint64 { return c.ByKind[k-1] }
+// countOf returns the count countOf a kind.
+func (c *VersionCounts) countOf(k auditevent.Kind) uint64 { return c.ByKind[k-1] }
 
-// counts reports whether events of a version are counted here.
-func (c *VersionCounts) counts(v auditevent.ConfigVersion) bool {
+// covers reports whether events of a version are counted here.
+func (c *VersionCounts) covers(v auditevent.ConfigVersion) bool {
 	return c.Version == v || c.Merged && c.Version.Settings == v.Settings && c.Version.Digest == v.Digest
 }
 
-// counter counts the events of one incarnation. Its owner serializes calls.
-type counter struct {
-	all     []VersionCounts
-	indexOf []int // in all, by version id; uncounted: none yet
+// eventCounter counts the events of one incarnation. Its owner serializes calls.
+type eventCounter struct {
+	counts    []VersionCounts
+	indexByID []int // in all, by version id; uncounted: none yet
 }
 
 // uncounted is the index of a version that has no count yet.
 const uncounted = -1
 
 // reset begins the counts of another incarnation.
-func (c *counter) reset() {
-	c.all = nil
+func (c *eventCounter) reset() {
+	c.counts = nil
 	c.forgetIndexes()
 }
 
-func (c *counter) forgetIndexes() {
-	for id := range c.indexOf {
-		c.indexOf[id] = uncounted
+func (c *eventCounter) forgetIndexes() {
+	for id := range c.indexByID {
+		c.indexByID[id] = uncounted
 	}
 }
 
-// register makes room for a version's index.
-func (c *counter) register() { c.indexOf = append(c.indexOf, uncounted) }
+// registerVersion makes room for a version's index.
+func (c *eventCounter) registerVersion() { c.indexByID = append(c.indexByID, uncounted) }
 
 // add counts an event of a registered version.
-func (c *counter) add(k auditevent.Kind, id auditevent.ConfigVersionID, v *auditevent.ConfigVersion) {
-	if c.indexOf[id] == uncounted {
-		c.indexOf[id] = c.assign(*v)
+func (c *eventCounter) add(k auditevent.Kind, id auditevent.ConfigVersionID, v *auditevent.ConfigVersion) {
+	if c.indexByID[id] == uncounted {
+		c.indexByID[id] = c.indexFor(*v)
 	}
-	c.all[c.indexOf[id]].ByKind[k-1]++
+	c.counts[c.indexByID[id]].ByKind[k-1]++
 }
 
-// assign returns the index of the count for a version, a new one if no other counts it.
-func (c *counter) assign(v auditevent.ConfigVersion) int {
+// indexFor returns the index of the count for a version, a new one if no other counts it.
+func (c *eventCounter) indexFor(v auditevent.ConfigVersion) int {
 	if at := c.find(v); at != uncounted {
 		return at
 	}
-	if len(c.all) >= maxCounts {
+	if len(c.counts) >= maxCounts {
 		c.mergeOldest()
 	}
-	c.all = append(c.all, VersionCounts{Version: v})
-	return len(c.all) - 1
+	c.counts = append(c.counts, VersionCounts{Version: v})
+	return len(c.counts) - 1
 }
 
 // find returns the index of the last count that counts a version.
-func (c *counter) find(v auditevent.ConfigVersion) int {
-	for i := len(c.all) - 1; i >= 0; i-- {
-		if c.all[i].counts(v) {
+func (c *eventCounter) find(v auditevent.ConfigVersion) int {
+	for i := len(c.counts) - 1; i >= 0; i-- {
+		if c.counts[i].covers(v) {
 			return i
 		}
 	}
@@ -76,9 +76,9 @@
 }
 
 // mergeOldest merges the older half by settings.
-func (c *counter) mergeOldest() {
+func (c *eventCounter) mergeOldest() {
 	var merged []VersionCounts
-	for i, one := range c.all {
+	for i, one := range c.counts {
 		if i < maxCounts/2 {
 			one.Merged = true
 			one.Version = auditevent.ConfigVersion{Settings: one.Version.Settings, Digest: one.Version.Digest, ListSeq: -1}
@@ -100,6 +100,6 @@
 	if len(merged) >= maxCounts { // each of other settings: the oldest is dropped, and the counts no longer add up
 		merged = merged[1:]
 	}
-	c.all = merged
+	c.counts = merged
 	c.forgetIndexes()
 }
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -23,7 +23,7 @@
 )
 
 // Messages have the bytes that commit 2029d41 gave them.
-func TestStoredBytes(t *testing.T) {
+func TestEncodedFormIsUnchanged(t *testing.T) {
 	number := uint64(5)
 	golden.CheckCBOR(t, "testdata/messages.json", map[string]any{
 		"count":   goldenCount,
@@ -40,16 +40,16 @@
 }
 
 // A directory that commit 2029d41 wrote is read act by act, with the gap of a segment that was lost.
-func TestStoredDirectory(t *testing.T) {
+func TestStoredSegmentFilesAreReadCompletely(t *testing.T) {
 	var all []SealedSegment
 	for _, path := range []string{"a-1.segments", "a-2.segments", "b-1.segments"} {
-		all = append(all, storedSegments(t, filepath.Join("testdata/directory", path))...)
+		all = append(all, readSegmentFile(t, filepath.Join("testdata/directory", path))...)
 	}
 	text, err := os.ReadFile("testdata/accounts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	type accountText struct {
+	type trailText struct {
 		Member string
 		Last   uint64
 		Ended  bool
@@ -58,13 +58,13 @@
 		Counts []string
 		Acts   []string
 	}
-	var want, got []accountText
+	var want, got []trailText
 	if err := json.Unmarshal(text, &want); err != nil {
 		t.Fatal(err)
 	}
-	c := codec(t)
-	for _, a := range c.AssembleTrails(fleetOfDirectory, all, &Query{}) {
-		one := accountText{Member: fmt.Sprintf("%s/%x", a.Member.Name, a.Member.Incarnation), Last: a.LastEvent, Ended: a.Ended, Gaps: fmt.Sprint(a.Gaps()), Faults: a.Faults}
+	c := newTestCodec(t)
+	for _, a := range c.AssembleTrails(directoryFleetID, all, &Query{}) {
+		one := trailText{Member: fmt.Sprintf("%s/%x", a.Member.Name, a.Member.Incarnation), Last: a.LastEvent, Ended: a.Ended, Gaps: fmt.Sprint(a.Gaps()), Faults: a.Faults}
 		for _, n := range a.Counts {
 			one.Counts = append(one.Counts, fmt.Sprint(n.Version, n.ByKind, n.Merged))
 		}
@@ -78,11 +78,11 @@
 	}
 }
 
-// fleetOfDirectory is the number of the fleet of a, b and c.
-const fleetOfDirectory = 12677899732819060529
+// directoryFleetID is the number of the fleet of a, b and c.
+const directoryFleetID = 12677899732819060529
 
-// storedSegments reads the frames of a file of segments.
-func storedSegments(t *testing.T, path string) (out []SealedSegment) {
+// readSegmentFile reads the frames of a file of segments.
+func readSegmentFile(t *testing.T, path string) (out []SealedSegment) {
 	t.Helper()
 	in, err := os.Open(path)
 	if err != nil {
--- a/internal/audit/reader.go
+++ b/internal/audit/reader.go
@@ -2,14 +2,14 @@
 
 import "encoding/binary"
 
-// reader reads what SegmentWriter appends.
-type reader struct {
+// eventReader reads what SegmentWriter appends.
+type eventReader struct {
 	rest      []byte
 	malformed bool // sticky
 }
 
 // byte reads one byte.
-func (r *reader) byte() byte {
+func (r *eventReader) byte() byte {
 	if len(r.rest) == 0 {
 		r.malformed = true
 		return 0
@@ -20,7 +20,7 @@
 }
 
 // uvarint reads a number.
-func (r *reader) uvarint() uint64 {
+func (r *eventReader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
 		r.malformed, r.rest = true, nil
@@ -31,7 +31,7 @@
 }
 
 // field reads a text with its length.
-func (r *reader) field() string {
+func (r *eventReader) field() string {
 	n := r.uvarint()
 	if n > uint64(len(r.rest)) {
 		r.malformed, r.rest = true, nil
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	format            = 1
+	formatVersion     = 1
 	maxBodyBytes      = 4 << 20 // of a segment's events, decompressed
 	maxSegmentBytes   = 1 << 20 // of an encoded segment
 	maxSegmentEntries = 1 << 14 // of an array in it
@@ -70,7 +70,7 @@
 	for _, v := range s.Versions {
 		versions[v.ID] = v.Version
 	}
-	r := &reader{rest: body}
+	r := &eventReader{rest: body}
 	var events []auditevent.Event
 	at := s.StartMicros
 	for n := s.FirstEvent; len(r.rest) > 0; n++ {
--- a/internal/audit/store.go
+++ b/internal/audit/store.go
@@ -11,13 +11,13 @@
 
 // SegmentStore stores segments of this member and of others in memory, up to a number of bytes. It is not safe for concurrent use.
 type SegmentStore struct {
-	codec    *Codec
-	fleet    uint64
-	maxBytes int
-	bytes    int
-	chains   map[takeover.Member]map[uint64]*SealedSegment // by index
-	latest   map[takeover.Member]uint64                    // index
-	order    []segmentKey                                  // of arrival
+	codec        *Codec
+	fleet        uint64
+	maxBytes     int
+	bytes        int
+	segments     map[takeover.Member]map[uint64]*SealedSegment // by index
+	latest       map[takeover.Member]uint64                    // index
+	arrivalOrder []segmentKey                                  // of arrival
 }
 
 // segmentKey identifies a segment.
@@ -29,7 +29,7 @@
 // NewSegmentStore returns a store for segments of one fleet.
 func NewSegmentStore(codec *Codec, fleet uint64, maxBytes int) *SegmentStore {
 	return &SegmentStore{
-		codec: codec, fleet: fleet, maxBytes: maxBytes, chains: map[takeover.Member]map[uint64]*SealedSegment{}, latest: map[takeover.Member]uint64{},
+		codec: codec, fleet: fleet, maxBytes: maxBytes, segments: map[takeover.Member]map[uint64]*SealedSegment{}, latest: map[takeover.Member]uint64{},
 	}
 }
 
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	chain := s.chains[seg.Member]
+	chain := s.segments[seg.Member]
 	if stored := chain[seg.Index]; stored != nil {
 		if stored.Hash != sealed.Hash {
 			return nil, ErrConflict
@@ -48,12 +48,12 @@
 	}
 	if chain == nil {
 		chain = map[uint64]*SealedSegment{}
-		s.chains[seg.Member] = chain
+		s.segments[seg.Member] = chain
 	}
 	chain[seg.Index] = &sealed
 	s.latest[seg.Member] = max(s.latest[seg.Member], seg.Index)
 	s.bytes += len(sealed.Encoded)
-	s.order = append(s.order, segmentKey{seg.Member, seg.Index})
+	s.arrivalOrder = append(s.arrivalOrder, segmentKey{seg.Member, seg.Index})
 	s.evict()
 	return seg, nil
 }
@@ -61,23 +61,23 @@
 // evict removes the oldest segments while the store is over its bytes. The latest segment of each incarnation, which has its counts, is
 // removed only once there are no others. The segment that was put last stays.
 func (s *SegmentStore) evict() {
-	for latestToo := false; s.bytes > s.maxBytes && len(s.order) > 1; {
-		at := s.oldest(latestToo)
+	for includeLatest := false; s.bytes > s.maxBytes && len(s.arrivalOrder) > 1; {
+		index := s.oldestEvictable(includeLatest)
 		switch {
-		case at >= 0:
-			s.remove(at)
-		case latestToo:
+		case index >= 0:
+			s.remove(index)
+		case includeLatest:
 			return
 		default:
-			latestToo = true
+			includeLatest = true
 		}
 	}
 }
 
-// oldest returns the place in order of the oldest segment that may be removed; -1: there is none.
-func (s *SegmentStore) oldest(latestToo bool) int {
-	for i, key := range s.order[:len(s.order)-1] {
-		if latestToo || s.latest[key.member] != key.index {
+// oldestEvictable returns the place in order of the oldestEvictable segment that may be removed; -1: there is none.
+func (s *SegmentStore) oldestEvictable(includeLatest bool) int {
+	for i, key := range s.arrivalOrder[:len(s.arrivalOrder)-1] {
+		if includeLatest || s.latest[key.member] != key.index {
 			return i
 		}
 	}
@@ -85,21 +85,21 @@
 }
 
 // remove removes the segment at a place in order.
-func (s *SegmentStore) remove(at int) {
-	key := s.order[at]
-	s.order = append(s.order[:at], s.order[at+1:]...)
-	s.bytes -= len(s.chains[key.member][key.index].Encoded)
-	if delete(s.chains[key.member], key.index); len(s.chains[key.member]) == 0 {
-		delete(s.chains, key.member)
+func (s *SegmentStore) remove(index int) {
+	key := s.arrivalOrder[index]
+	s.arrivalOrder = append(s.arrivalOrder[:index], s.arrivalOrder[index+1:]...)
+	s.bytes -= len(s.segments[key.member][key.index].Encoded)
+	if delete(s.segments[key.member], key.index); len(s.segments[key.member]) == 0 {
+		delete(s.segments, key.member)
 		delete(s.latest, key.member)
 	}
 }
 
 // Segments returns the stored segments of a member's name, or of all members if it is empty, in order of arrival.
 func (s *SegmentStore) Segments(name string) (segments []SealedSegment) {
-	for _, key := range s.order {
+	for _, key := range s.arrivalOrder {
 		if name == "" || key.member.Name == name {
-			segments = append(segments, *s.chains[key.member][key.index])
+			segments = append(segments, *s.segments[key.member][key.index])
 		}
 	}
 	return segments
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -60,7 +60,7 @@
 // AssembleTrails builds one trail for each incarnation from segments in any order, which may be duplicated or corrupt. Segments that can't
 // be opened are listed as the faults of a trail without a member.
 func (c *Codec) AssembleTrails(fleet uint64, segments []SealedSegment, q *Query) []Trail {
-	chains := map[takeover.Member][]*link{}
+	chains := map[takeover.Member][]*chainSegment{}
 	var unreadable []string
 	for i := range segments {
 		seg, err := c.Open(fleet, &segments[i])
@@ -68,7 +68,7 @@
 			unreadable = append(unreadable, fmt.Sprintf("segment %v: %v", segments[i].Hash, err))
 			continue
 		}
-		chains[seg.Member] = append(chains[seg.Member], &link{seg, segments[i].Hash})
+		chains[seg.Member] = append(chains[seg.Member], &chainSegment{seg, segments[i].Hash})
 	}
 	var trails []Trail
 	for m, chain := range chains {
@@ -87,19 +87,19 @@
 	return trails
 }
 
-// link is a segment of a chain, with its hash.
-type link struct {
+// chainSegment is a segment of a chain, with its hash.
+type chainSegment struct {
 	*Segment
 	hash Hash
 }
 
 // assemble builds the trail of one incarnation.
-func assemble(m takeover.Member, chain []*link, q *Query) Trail {
+func assemble(m takeover.Member, chain []*chainSegment, q *Query) Trail {
 	t := Trail{Member: m}
-	slices.SortStableFunc(chain, func(x, y *link) int { return cmp.Compare(x.Index, y.Index) })
-	var previous *link
+	slices.SortStableFunc(chain, func(x, y *chainSegment) int { return cmp.Compare(x.Index, y.Index) })
+	var previous *chainSegment
 	for _, l := range chain {
-		usable, fault := follows(previous, l)
+		usable, fault := checkSuccessor(previous, l)
 		if fault != "" {
 			t.Faults = append(t.Faults, fault)
 		}
@@ -113,9 +113,9 @@
 	return t
 }
 
-// follows reports whether a segment can be used after the previous one (nil: there is none), and what is wrong with it. A duplicate is
+// checkSuccessor reports whether a segment can be used after the previous one (nil: there is none), and what is wrong with it. A duplicate is
 // neither used nor a fault; a segment that names another predecessor, or comes after a final one, is used all the same.
-func follows(previous, l *link) (usable bool, fault string) {
+func checkSuccessor(previous, l *chainSegment) (usable bool, fault string) {
 	switch {
 	case previous == nil && l.Index == 1 && (l.FirstEvent != 1 || l.PreviousHash != Hash{}):
 		return false, fmt.Sprintf("segment 1 begins with event %d", l.FirstEvent)
@@ -136,7 +136,7 @@
 }
 
 // add adds a segment that follows those added before.
-func (t *Trail) add(l *link, q *Query) {
+func (t *Trail) add(l *chainSegment, q *Query) {
 	t.LastEvent, t.Ended, t.Counts, t.CutUnixMillis = l.LastEvent, l.Final, l.Counts, cmp.Or(l.CutUnixMillis, t.CutUnixMillis)
 	if l.LastEvent < l.FirstEvent {
 		return
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -42,23 +42,23 @@
 	now   func() int64             // µs of the process's own clock
 	fault InjectedFault
 
-	mu         sync.Mutex
-	member     takeover.Member
-	versions   []auditevent.ConfigVersion // by id
-	counts     counter
-	lastNumber uint64 // of events
-	skipped    uint64 // by EventDropped
-	index      uint64 // of the last segment that was cut
-	previous   Hash   // of that segment
-	cut        []SealedSegment
-	err        error // since the last call that collected segments
+	mu           sync.Mutex
+	member       takeover.Member
+	versions     []auditevent.ConfigVersion // by id
+	counts       eventCounter
+	lastEvent    uint64 // of events
+	skipped      uint64 // by EventDropped
+	index        uint64 // of the last segment that was cut
+	previousHash Hash   // of that segment
+	uncollected  []SealedSegment
+	collectErr   error // since the last call that collected segments
 
 	// The open segment.
-	first      uint64 // number of its first event
-	start      int64  // µs
-	lastMicros int64  // of its last event
-	body       []byte
-	used       []auditevent.ConfigVersionID
+	firstEvent   uint64 // number of its first event
+	startMicros  int64  // µs
+	lastMicros   int64  // of its last event
+	body         []byte
+	usedVersions []auditevent.ConfigVersionID
 }
 
 // NewSegmentWriter returns a writer for a member of a fleet. now returns µs of the process's own clock.
@@ -70,17 +70,17 @@
 	w := &SegmentWriter{
 		codec: codec, fleet: fleet, build: auditevent.ConfigVersion{Build: build, Protocol: protocol}, now: now, fault: fault, member: member,
 	}
-	w.begin()
+	w.beginIncarnation()
 	w.SetVersion(0, 0, -1)
 	return w, nil
 }
 
-// begin begins the trail of an incarnation. The caller holds mu, or has the writer to itself.
-func (w *SegmentWriter) begin() {
-	w.lastNumber, w.index, w.first, w.previous = 0, 0, 1, Hash{}
+// beginIncarnation begins the trail of an incarnation. The caller holds mu, or has the writer to itself.
+func (w *SegmentWriter) beginIncarnation() {
+	w.lastEvent, w.index, w.firstEvent, w.previousHash = 0, 0, 1, Hash{}
 	w.counts.reset()
-	w.start = w.now()
-	w.lastMicros = w.start
+	w.startMicros = w.now()
+	w.lastMicros = w.startMicros
 }
 
 // SetVersion implements auditevent.Recorder.
@@ -93,7 +93,7 @@
 		return auditevent.ConfigVersionID(n - 1)
 	}
 	w.versions = append(w.versions, v)
-	w.counts.register()
+	w.counts.registerVersion()
 	return auditevent.ConfigVersionID(len(w.versions) - 1)
 }
 
@@ -107,25 +107,25 @@
 	if int(version) >= len(w.versions) || k == 0 || k > auditevent.KindCount {
 		return auditevent.Ref{}
 	}
-	w.lastNumber++
+	w.lastEvent++
 	w.counts.add(k, version, &w.versions[version])
-	ref := auditevent.Ref{Member: w.member, Number: w.lastNumber, Version: w.versions[version]}
-	if w.fault == EventDropped && (w.lastNumber+w.skipped)%100 == 0 {
+	ref := auditevent.Ref{Member: w.member, Number: w.lastEvent, Version: w.versions[version]}
+	if w.fault == EventDropped && (w.lastEvent+w.skipped)%100 == 0 {
 		w.skipped++
-		w.lastNumber-- // the next event gets this number
+		w.lastEvent-- // the next event gets this number
 		return ref
 	}
-	w.append(k, version, id, note)
+	w.appendEvent(k, version, id, note)
 	if len(w.body) >= segmentBytes {
 		w.seal(0, false)
 	}
 	return ref
 }
 
-// append appends an event to the open segment. Segment.decode reads it.
-func (w *SegmentWriter) append(k auditevent.Kind, version auditevent.ConfigVersionID, id, note string) {
-	if !slices.Contains(w.used, version) {
-		w.used = append(w.used, version)
+// appendEvent appends an event to the open segment. Segment.decode reads it.
+func (w *SegmentWriter) appendEvent(k auditevent.Kind, version auditevent.ConfigVersionID, id, note string) {
+	if !slices.Contains(w.usedVersions, version) {
+		w.usedVersions = append(w.usedVersions, version)
 	}
 	if w.body == nil {
 		w.body = make([]byte, 0, segmentBytes+eventSlackBytes)
@@ -147,26 +147,26 @@
 // seal cuts the open segment. The caller holds mu.
 func (w *SegmentWriter) seal(unixMillis int64, final bool) {
 	s := &Segment{
-		Format: format, Fleet: w.fleet, Member: w.member, Index: w.index + 1, FirstEvent: w.first, LastEvent: w.lastNumber, StartMicros: w.start,
-		CutUnixMillis: unixMillis, Final: final, PreviousHash: w.previous, Counts: w.counts.all, Body: s2.Encode(nil, w.body),
+		Format: formatVersion, Fleet: w.fleet, Member: w.member, Index: w.index + 1, FirstEvent: w.firstEvent, LastEvent: w.lastEvent, StartMicros: w.startMicros,
+		CutUnixMillis: unixMillis, Final: final, PreviousHash: w.previousHash, Counts: w.counts.counts, Body: s2.Encode(nil, w.body),
 	}
-	for _, id := range w.used {
+	for _, id := range w.usedVersions {
 		s.Versions = append(s.Versions, numberedVersion{ID: id, Version: w.versions[id]})
 	}
 	sealed, err := w.codec.seal(s)
 	if err != nil {
-		w.err = err
+		w.collectErr = err
 		return
 	}
-	w.index, w.first, w.start = s.Index, w.lastNumber+1, w.lastMicros
+	w.index, w.firstEvent, w.startMicros = s.Index, w.lastEvent+1, w.lastMicros
 	if w.fault != ChainBroken {
-		w.previous = sealed.Hash
+		w.previousHash = sealed.Hash
 	}
-	w.body, w.used = w.body[:0], w.used[:0]
-	if len(w.cut) >= maxUncollected {
-		w.cut, w.err = w.cut[1:], errUncollected
+	w.body, w.usedVersions = w.body[:0], w.usedVersions[:0]
+	if len(w.uncollected) >= maxUncollected {
+		w.uncollected, w.collectErr = w.uncollected[1:], errUncollected
 	}
-	w.cut = append(w.cut, sealed)
+	w.uncollected = append(w.uncollected, sealed)
 }
 
 // Cut ends the open segment if it has any event, and returns the segments cut since the last call. unixMillis is the wall clock's time. An
@@ -174,7 +174,7 @@
 func (w *SegmentWriter) Cut(unixMillis int64) ([]SealedSegment, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lastNumber >= w.first {
+	if w.lastEvent >= w.firstEvent {
 		w.seal(unixMillis, false)
 	}
 	return w.collect()
@@ -187,14 +187,14 @@
 	w.seal(unixMillis, true)
 	segments, err := w.collect()
 	w.member = next
-	w.begin()
+	w.beginIncarnation()
 	return segments, err
 }
 
 // collect returns the segments cut and the error met since it was called last.
 func (w *SegmentWriter) collect() (segments []SealedSegment, err error) {
-	segments, err = w.cut, w.err
-	w.cut, w.err = nil, nil
+	segments, err = w.uncollected, w.collectErr
+	w.uncollected, w.collectErr = nil, nil
 	return segments, err
 }
 
@@ -202,10 +202,10 @@
 func (w *SegmentWriter) AnswerCounts(settings uint64) (answered, served uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range w.counts.all {
-		if c := &w.counts.all[i]; c.Version.Settings == settings {
-			served += c.of(auditevent.Served)
-			answered += c.of(auditevent.Served) + c.of(auditevent.Rejected) + c.of(auditevent.Failed)
+	for i := range w.counts.counts {
+		if c := &w.counts.counts[i]; c.Version.Settings == settings {
+			served += c.countOf(auditevent.Served)
+			answered += c.countOf(auditevent.Served) + c.countOf(auditevent.Rejected) + c.countOf(auditevent.Failed)
 		}
 	}
 	return answered, served
--- a/internal/auditevent/golden_test.go
+++ b/internal/auditevent/golden_test.go
@@ -10,7 +10,7 @@
 var goldenVersion = ConfigVersion{Settings: 3, Digest: 0x0102030405060708, ListSeq: -1, Build: "build-7", Protocol: 2}
 
 // Versions and kinds have the bytes and numbers that commit 2029d41 gave them.
-func TestStoredBytes(t *testing.T) {
+func TestEncodedFormIsUnchanged(t *testing.T) {
 	messages := map[string]any{"version": goldenVersion, "version zero": ConfigVersion{}}
 	for name, kind := range map[string]Kind{
 		"took": Accepted, "took_over": TakenOver, "sent": Sent, "unsent": NotSent, "served": Served, "refused": Rejected, "failed": Failed,
@@ -25,7 +25,7 @@
 }
 
 // The header has the form that commit 2029d41 gave it.
-func TestHeaderForm(t *testing.T) {
+func TestRefHeaderFormatIsUnchanged(t *testing.T) {
 	const want = "a/b/1f/77/3/102030405060708/-1"
 	ref := Ref{Member: takeover.Member{Name: "a/b", Incarnation: 0x1f}, Number: 77, Version: goldenVersion}
 	if got := string(ref.Append(nil)); got != want {
--- a/internal/operator/audit.go
+++ b/internal/operator/audit.go
@@ -22,7 +22,7 @@
 
 // Run runs the command.
 func (c *auditCommand) Run(s *session) error {
-	if err := s.load(); err != nil {
+	if err := s.loadMembers(); err != nil {
 		return err
 	}
 	if c.Member != "" && !slices.Contains(s.names(), c.Member) {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -17,14 +17,14 @@
 
 // fakeFleet answers operators with frames that commit 2029d41 recorded. Its members are a, b and c.
 type fakeFleet struct {
-	options string
-	orders  chan []any // orders that came, as arrays
+	options  string
+	commands chan []any // orders that came, as arrays
 }
 
 // newFakeFleet starts members that answer with a file of testdata each.
 func newFakeFleet(t *testing.T, replies map[string]string) *fakeFleet {
 	t.Helper()
-	f := &fakeFleet{options: filepath.Join(t.TempDir(), "options.toml"), orders: make(chan []any, 16)}
+	f := &fakeFleet{options: filepath.Join(t.TempDir(), "options.toml"), commands: make(chan []any, 16)}
 	members := ""
 	for _, name := range []string{"a", "b", "c"} {
 		reply, err := os.ReadFile(filepath.Join("testdata", "reply_"+replies[name]+".frame"))
@@ -56,7 +56,7 @@
 		var request []any
 		if _, payload, err := frame.Read(conn); err == nil && cbor.Unmarshal(payload, &request) == nil && len(request) == 4 {
 			if order, ok := request[2].([]any); ok {
-				f.orders <- order
+				f.commands <- order
 			}
 			conn.Write(reply)
 		}
@@ -71,8 +71,8 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// golden compares an output with a file of testdata.
-func golden(t *testing.T, name, got string) {
+// compareGolden compares an output with a file of testdata.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -84,7 +84,7 @@
 }
 
 // The keys and the form of --json are those that commit 2029d41 printed.
-func TestJSONForm(t *testing.T) {
+func TestJSONOutputIsUnchanged(t *testing.T) {
 	status := newFakeFleet(t, map[string]string{"a": "status", "b": "status", "c": "status"})
 	segments := newFakeFleet(t, map[string]string{"a": "segments", "b": "busy", "c": "segments"})
 	directory, err := filepath.Abs("../audit/testdata/directory")
@@ -109,12 +109,12 @@
 		if code != c.code {
 			t.Errorf("%v: exit code %d, want %d; %s", c.args, code, c.code, errs)
 		}
-		golden(t, c.golden, strings.ReplaceAll(out, directory, "/audit"))
+		compareGolden(t, c.golden, strings.ReplaceAll(out, directory, "/audit"))
 	}
 }
 
 // Commands become the orders that they were at commit 2029d41.
-func TestOrders(t *testing.T) {
+func TestCommandLineBecomesRolloutCommand(t *testing.T) {
 	f := newFakeFleet(t, map[string]string{"a": "status", "b": "status", "c": "status"})
 	settings := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(settings, []byte("{}"), 0o600); err != nil {
@@ -136,7 +136,7 @@
 		if code, _, errs := f.run(c.args...); code != 0 {
 			t.Fatalf("%v: exit code %d, %s", c.args, code, errs)
 		}
-		got := <-f.orders
+		got := <-f.commands
 		if id, ok := got[1].(uint64); !ok || id&1 == 0 || id>>63 != 0 {
 			t.Errorf("%v: id %v", c.args, got[1])
 		}
@@ -150,7 +150,7 @@
 }
 
 // Exit codes tell a refusal, a wrong use and a silent fleet apart, and a member that does not lead is not the last one asked.
-func TestExitCodes(t *testing.T) {
+func TestExitCodesDistinguishFailures(t *testing.T) {
 	all := func(reply string) *fakeFleet {
 		return newFakeFleet(t, map[string]string{"a": reply, "b": reply, "c": reply})
 	}
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -11,8 +11,8 @@
 	"damsonscale/internal/rollout"
 )
 
-// send sends a command to the leader and prints the status after it.
-func (s *session) send(c rollout.Command) error {
+// sendCommand sends a command to the leader and prints the status after it.
+func (s *session) sendCommand(c rollout.Command) error {
 	id, err := newCommandID()
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 	if !(c.Share > 0 && c.Share <= 1) { // also false for NaN
 		return usageError("--share: %v is not within 0 to 1", c.Share)
 	}
-	return s.send(rollout.Command{
+	return s.sendCommand(rollout.Command{
 		Kind: rollout.RollOut, Settings: settings, SharePermille: max(1, int(c.Share*rollout.FullSharePermille)), SettleMs: c.Settle.Milliseconds(),
 		GraceMs: c.Grace.Milliseconds(), Reason: c.Why,
 	})
@@ -71,7 +71,7 @@
 
 // Run runs the command.
 func (c *holdCommand) Run(s *session) error {
-	return s.send(rollout.Command{Kind: rollout.Pause, Reason: c.Why})
+	return s.sendCommand(rollout.Command{Kind: rollout.Pause, Reason: c.Why})
 }
 
 // backCommand rolls back to an earlier version.
@@ -83,7 +83,7 @@
 
 // Run runs the command.
 func (c *backCommand) Run(s *session) error {
-	return s.send(rollout.Command{Kind: rollout.Rollback, Number: c.Number, GraceMs: c.Grace.Milliseconds(), Reason: c.Why})
+	return s.sendCommand(rollout.Command{Kind: rollout.Rollback, Number: c.Number, GraceMs: c.Grace.Milliseconds(), Reason: c.Why})
 }
 
 // outCommand excludes a member.
@@ -94,7 +94,7 @@
 
 // Run runs the command.
 func (c *outCommand) Run(s *session) error {
-	return s.send(rollout.Command{Kind: rollout.Exclude, Name: c.Name, Reason: c.Why})
+	return s.sendCommand(rollout.Command{Kind: rollout.Exclude, Name: c.Name, Reason: c.Why})
 }
 
 // readmitCommand readmits an excluded member.
@@ -105,5 +105,5 @@
 
 // Run runs the command.
 func (c *readmitCommand) Run(s *session) error {
-	return s.send(rollout.Command{Kind: rollout.Readmit, Name: c.Name, Reason: c.Why})
+	return s.sendCommand(rollout.Command{Kind: rollout.Readmit, Name: c.Name, Reason: c.Why})
 }
--- a/internal/operator/session.go
+++ b/internal/operator/session.go
@@ -21,8 +21,8 @@
 	members []options.Member // from load on
 }
 
-// load reads the members from the options file.
-func (s *session) load() error {
+// loadMembers reads the members from the options file.
+func (s *session) loadMembers() error {
 	if s.flags.Options == "" {
 		return usageError("--options: expected the options file of a member")
 	}
@@ -58,7 +58,7 @@
 // askLeader asks one member after the other, the leader as soon as one names it, until the leader has answered. A status request is answered
 // by any member if the leader can't be reached. A command that members pass on keeps its id, so that it is applied once whoever is asked.
 func (s *session) askLeader(request fleet.AdminRequest) (*fleet.AdminResponse, error) {
-	if err := s.load(); err != nil {
+	if err := s.loadMembers(); err != nil {
 		return nil, err
 	}
 	asked := map[string]bool{}
--- a/internal/operator/verify.go
+++ b/internal/operator/verify.go
@@ -20,7 +20,7 @@
 
 // Run runs the command.
 func (c *verifyCommand) Run(s *session) error {
-	if err := s.load(); err != nil {
+	if err := s.loadMembers(); err != nil {
 		return err
 	}
 	files, err := filepath.Glob(filepath.Join(c.Dir, "*.segments"))
@@ -37,9 +37,9 @@
 	var segments []audit.SealedSegment
 	truncated := 0
 	for _, path := range files {
-		read, goodBytes, err := segmentfile.ReadFile(path)
+		read, validBytes, err := segmentfile.ReadFile(path)
 		if err != nil {
-			fmt.Fprintf(s.out, "fault: %s: %d of %d bytes are good: %v\n", path, goodBytes, sizeOf(path), err)
+			fmt.Fprintf(s.out, "fault: %s: %d of %d bytes are good: %v\n", path, validBytes, sizeOf(path), err)
 			truncated++
 		}
 		segments = append(segments, read...)
--- a/internal/options/options_test.go
+++ b/internal/options/options_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-const fleet = `[fleet]
+const fleetTable = `[fleet]
 address = "127.0.0.1:7101"
 state_dir = "x"
 members = [{name = "n1", address = "127.0.0.1:7101"}, {name = "n2", address = "127.0.0.1:7102"}, {name = "n3", address = "127.0.0.1:7103"}]
 `
 
 // Each fault is reported with its line and key.
-func TestFaultsNameLineAndKey(t *testing.T) {
+func TestErrorsNameLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[fleet]\naddres = 'x'\n", "line 2: fleet.addres: unknown key"},
 		{"[fleet]\nlease_ms = 600\nlease_ms = 700\n", "line 3: "},
@@ -23,13 +23,13 @@
 		{"[fleet]\naddress = \"nowhere\"\n", `line 2: fleet.address: "nowhere" is no address:port`},
 		{"[fleet]\naddress = \"a:1\"\n", `fleet.members: this sidecar's name, "n1", is not among them`},
 		{"[takeover]\nenabled = true\n", "line 2: takeover.enabled: needs a fleet.address"},
-		{fleet + "[takeover]\nholders = 2\n", "line 6: takeover.holders: 2 is even"},
-		{fleet + "[takeover]\nenabled = true\nholders = 5\n", "line 7: takeover.holders: 5 holders of 3 members"},
-		{fleet + "[takeover.custody]\nmake = \"often\"\n", `line 6: takeover.custody.make: "often" is none of`},
-		{strings.Replace(fleet, "n2", "n1", 1), `line 4: fleet.members: "n1" is there twice`},
-		{strings.Replace(fleet, "7102", "7101", 1), `line 4: fleet.members: "n1" and "n2" have the same address`},
-		{strings.Replace(fleet, "127.0.0.1:7102", "7102", 1), `line 4: fleet.members: "n2": address "7102" is no address:port`},
-		{strings.Replace(fleet, "state_dir", "#", 1), "fleet.state_dir: needed for a fleet"},
+		{fleetTable + "[takeover]\nholders = 2\n", "line 6: takeover.holders: 2 is even"},
+		{fleetTable + "[takeover]\nenabled = true\nholders = 5\n", "line 7: takeover.holders: 5 holders of 3 members"},
+		{fleetTable + "[takeover.custody]\nmake = \"often\"\n", `line 6: takeover.custody.make: "often" is none of`},
+		{strings.Replace(fleetTable, "n2", "n1", 1), `line 4: fleet.members: "n1" is there twice`},
+		{strings.Replace(fleetTable, "7102", "7101", 1), `line 4: fleet.members: "n1" and "n2" have the same address`},
+		{strings.Replace(fleetTable, "127.0.0.1:7102", "7102", 1), `line 4: fleet.members: "n2": address "7102" is no address:port`},
+		{strings.Replace(fleetTable, "state_dir", "#", 1), "fleet.state_dir: needed for a fleet"},
 		{"fleet = 3", "line 1: fleet: "},
 		{"[fleet", "line 1: "},
 	} {
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestExampleAndDefaults(t *testing.T) {
+func TestExampleFileHasTheDefaults(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/options.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	short, err := Parse([]byte(fleet), "n1")
+	short, err := Parse([]byte(fleetTable), "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/options/parse.go
+++ b/internal/options/parse.go
@@ -74,7 +74,7 @@
 	if err := in.Decode(&f); err != nil {
 		return nil, describeDecodeError(err)
 	}
-	r := reader{lines: lineNumbers(text)}
+	r := valueReader{lines: lineNumbers(text)}
 	o := &Options{
 		Fleet: Fleet{
 			Address: f.Fleet.Address, Members: f.Fleet.Members, StateDir: f.Fleet.StateDir,
--- a/internal/options/reader.go
+++ b/internal/options/reader.go
@@ -34,14 +34,14 @@
 	return err
 }
 
-// reader takes values from the file and collects faults.
-type reader struct {
+// valueReader takes values from the file and collects faults.
+type valueReader struct {
 	lines  map[string]int
 	faults []error
 }
 
 // fail records a fault of a key, with its line where the file has the key.
-func (r *reader) fail(key, format string, args ...any) {
+func (r *valueReader) fail(key, format string, args ...any) {
 	why := fmt.Sprintf(format, args...)
 	if line := r.lines[key]; line > 0 {
 		r.faults = append(r.faults, fmt.Errorf("line %d: %s: %s", line, key, why))
@@ -51,7 +51,7 @@
 }
 
 // number returns a whole number within a range, or its default where the file has none.
-func (r *reader) number(key string, v *int64, byDefault, lowest, highest int64) int64 {
+func (r *valueReader) number(key string, v *int64, byDefault, lowest, highest int64) int64 {
 	if v == nil {
 		return byDefault
 	}
@@ -62,7 +62,7 @@
 }
 
 // share returns a number from 0 to 1, or its default where the file has none.
-func (r *reader) share(key string, v *float64, byDefault float64) float64 {
+func (r *valueReader) share(key string, v *float64, byDefault float64) float64 {
 	if v == nil {
 		return byDefault
 	}
@@ -73,7 +73,7 @@
 }
 
 // ms returns a number of milliseconds as a duration.
-func (r *reader) ms(key string, v *int64, byDefault, lowest, highest int64) time.Duration {
+func (r *valueReader) ms(key string, v *int64, byDefault, lowest, highest int64) time.Duration {
 	return time.Duration(r.number(key, v, byDefault, lowest, highest)) * time.Millisecond
 }
 
--- a/internal/options/validate.go
+++ b/internal/options/validate.go
@@ -7,14 +7,14 @@
 )
 
 // checkFleet checks the table [fleet] for the member of that name.
-func (r *reader) checkFleet(f *Fleet, name string) {
+func (r *valueReader) checkFleet(f *Fleet, name string) {
 	if f.Address == "" {
 		if len(f.Members) > 0 {
 			r.fail("fleet.members", "given without fleet.address")
 		}
 		return
 	}
-	names, addresses, here := map[string]bool{}, map[string]string{}, false
+	names, addresses, selfListed := map[string]bool{}, map[string]string{}, false
 	for _, m := range f.Members {
 		switch _, port, err := net.SplitHostPort(m.Address); {
 		case m.Name == "":
@@ -27,14 +27,14 @@
 			r.fail("fleet.members", "%q and %q have the same address", addresses[m.Address], m.Name)
 		}
 		names[m.Name], addresses[m.Address] = true, m.Name
-		here = here || m.Name == name
+		selfListed = selfListed || m.Name == name
 	}
 	switch _, _, err := net.SplitHostPort(f.Address); {
 	case err != nil:
 		r.fail("fleet.address", "%q is no address:port", f.Address)
 	case len(f.Members) > maxMembers:
 		r.fail("fleet.members", "%d members, at most %d", len(f.Members), maxMembers)
-	case name != "" && !here: // operators have none
+	case name != "" && !selfListed: // operators have none
 		r.fail("fleet.members", "this sidecar's name, %q, is not among them", name)
 	case f.StateDir == "":
 		r.fail("fleet.state_dir", "needed for a fleet")
@@ -42,7 +42,7 @@
 }
 
 // checkTakeover checks the table [takeover] against the fleet.
-func (r *reader) checkTakeover(o *Options) {
+func (r *valueReader) checkTakeover(o *Options) {
 	t := &o.Takeover
 	if t.Enabled && o.Fleet.Address == "" {
 		r.fail("takeover.enabled", "needs a fleet.address")
@@ -61,7 +61,7 @@
 }
 
 // checkAudit checks the table [audit] against the others.
-func (r *reader) checkAudit(o *Options) {
+func (r *valueReader) checkAudit(o *Options) {
 	if o.Audit.Enabled && !o.Takeover.Enabled {
 		r.fail("audit.enabled", "needs takeover.enabled: what a member that is shut out had in hand is taken over")
 	}
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -38,14 +38,14 @@
 	Leader     string // its name, for the commands' author
 	WaitReason string // why Step returned nothing, for operators
 
-	plan        *Plan     // of the last step
-	stableSince time.Time // all canaries have acted on the target since then, or it was promoted then; zero: neither
-	proposedAt  time.Time // of the last command
+	plan       *Plan     // of the last step
+	waitSince  time.Time // all canaries have acted on the target since then, or it was promoted then; zero: neither
+	proposedAt time.Time // of the last command
 }
 
 // Reset begins a term: times of another one do not count.
 func (c *Controller) Reset() {
-	c.plan, c.stableSince, c.proposedAt, c.WaitReason = nil, time.Time{}, time.Time{}, ""
+	c.plan, c.waitSince, c.proposedAt, c.WaitReason = nil, time.Time{}, time.Time{}, ""
 }
 
 // WithoutLease returns the names that would be without a lease at a fence: those without a fresh report, those excluded, and those that act
@@ -79,7 +79,7 @@
 // is the leader's clock, and reports are those received in this term.
 func (c *Controller) Step(now time.Time, p *Plan, names, living []string, reports map[string]ReceivedReport) *Command {
 	if c.plan == nil || c.plan.Target != p.Target || c.plan.SharePermille != p.SharePermille {
-		c.stableSince, c.proposedAt = time.Time{}, time.Time{}
+		c.waitSince, c.proposedAt = time.Time{}, time.Time{}
 	}
 	c.plan, c.WaitReason = p, ""
 	if p.Target == 0 || p.Fence == p.Target || p.PauseReason != "" || !c.proposedAt.IsZero() && now.Sub(c.proposedAt) < commandInterval {
@@ -101,13 +101,13 @@
 		return c.propose(now, ReselectCanaries, p.Target, "no canary is living: "+strings.Join(p.Canaries, ", "))
 	}
 	if len(WithoutLease(p.Target, nil, canaries, reports, now)) > 0 {
-		c.stableSince, c.WaitReason = time.Time{}, "for the canaries to adopt it: "+strings.Join(p.Canaries, ", ")
+		c.waitSince, c.WaitReason = time.Time{}, "for the canaries to adopt it: "+strings.Join(p.Canaries, ", ")
 		return nil
 	}
-	if c.stableSince.IsZero() {
-		c.stableSince = now
+	if c.waitSince.IsZero() {
+		c.waitSince = now
 	}
-	if left := remaining(p.SettleMs, c.stableSince, now); left > 0 {
+	if left := remaining(p.SettleMs, c.waitSince, now); left > 0 {
 		c.WaitReason = fmt.Sprintf("for the settle time, %v", left.Round(time.Millisecond))
 		return nil
 	}
@@ -117,10 +117,10 @@
 // stepAll raises the fence to the target once all members act on it, or after the grace period if the guard allows it.
 func (c *Controller) stepAll(now time.Time, p *Plan, names []string, reports map[string]ReceivedReport) *Command {
 	behind := WithoutLease(p.Target, nil, names, reports, now)
-	if c.stableSince.IsZero() {
-		c.stableSince = now
+	if c.waitSince.IsZero() {
+		c.waitSince = now
 	}
-	if left := remaining(p.GraceMs, c.stableSince, now); left > 0 && len(behind) > 0 {
+	if left := remaining(p.GraceMs, c.waitSince, now); left > 0 && len(behind) > 0 {
 		c.WaitReason = fmt.Sprintf("for %s to adopt it, or the grace period, %v", strings.Join(behind, ", "), left.Round(time.Millisecond))
 		return nil
 	}
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -7,7 +7,7 @@
 )
 
 // Messages have the bytes, and kinds the numbers and names, that commit 2029d41 gave them.
-func TestStoredBytes(t *testing.T) {
+func TestEncodedFormIsUnchanged(t *testing.T) {
 	version := Version{Number: 4, Digest: Digest{1, 2, 3}, SizeBytes: 99, Author: "who", Reason: "why", RollbackOf: 2}
 	messages := map[string]any{
 		"version": version,
