--- a/internal/audit/codec.go
+++ b/internal/audit/codec.go
@@ -8,28 +8,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Errors of segments that can't be opened.
+// Errors of Codec.Open.
 var (
-	ErrCorrupt     = errors.New("content does not match its hash")
-	ErrOtherFleet  = errors.New("of another fleet")
-	ErrNewerFormat = errors.New("written by a newer build: not readable here")
-	ErrInvalid     = errors.New("fields contradict each other")
+	ErrCorrupt     = errors.New("segment content does not match its hash")
+	ErrOtherFleet  = errors.New("segment belongs to another fleet")
+	ErrNewerFormat = errors.New("segment was written by a newer build and cannot be read by this one")
+	ErrInvalid     = errors.New("segment has inconsistent fields")
 )
 
-// SealedSegment is an encoded segment with its hash, as it is stored and sent.
+// SealedSegment is an encoded segment with its hash. Segments are stored and sent in this form.
 type SealedSegment struct {
 	_       struct{} `cbor:",toarray"`
 	Encoded []byte
 	Hash    Hash
 }
 
-// Codec encodes and decodes segments. It may be used from any goroutine.
+// Codec encodes and decodes segments. It is safe for concurrent use.
 type Codec struct {
 	decoder cbor.DecMode
 	encoder cbor.EncMode
 }
 
-// NewCodec returns a codec that decodes no more than a bounded number of elements.
+// NewCodec returns a codec whose decoder bounds the number of array elements and the depth of nesting.
 func NewCodec() (*Codec, error) {
 	decoder, err := cbor.DecOptions{
 		MaxArrayElements: maxSegmentEntries, MaxMapPairs: 16, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
@@ -41,17 +41,17 @@
 	return &Codec{decoder, encoder}, err
 }
 
-// seal encodes a segment.
+// seal encodes a segment and hashes the encoding.
 func (c *Codec) seal(s *Segment) (SealedSegment, error) {
 	encoded, err := c.encoder.Marshal(s)
 	return SealedSegment{Encoded: encoded, Hash: sha256.Sum256(encoded)}, err
 }
 
-// Open checks a segment of a fleet and decodes it, but for its events. Its errors wrap ErrCorrupt, ErrOtherFleet, ErrNewerFormat or
-// ErrInvalid, or say that the encoding is too long or malformed.
+// Open verifies a segment of a fleet and decodes all fields except the events, which Segment.Events decodes. The error is ErrCorrupt,
+// ErrOtherFleet, ErrNewerFormat or ErrInvalid, or says that the encoding is too long or malformed.
 func (c *Codec) Open(fleet uint64, sealed *SealedSegment) (*Segment, error) {
 	if len(sealed.Encoded) > maxSegmentBytes {
-		return nil, fmt.Errorf("%d bytes, at most %d", len(sealed.Encoded), maxSegmentBytes)
+		return nil, fmt.Errorf("encoded segment has %d bytes, want at most %d", len(sealed.Encoded), maxSegmentBytes)
 	}
 	if sha256.Sum256(sealed.Encoded) != sealed.Hash {
 		return nil, ErrCorrupt
@@ -74,7 +74,7 @@
 	return s, nil
 }
 
-// formatOf returns the format of a segment that may have more fields than this build knows; 0: it can't be read.
+// formatOf returns the format version of a segment that may have more fields than this build knows, or 0 if it is malformed.
 func (c *Codec) formatOf(encoded []byte) uint8 {
 	var fields []cbor.RawMessage
 	if c.decoder.Unmarshal(encoded, &fields) != nil || len(fields) == 0 {
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -22,7 +22,7 @@
 	goldenCount   = VersionCounts{Version: goldenVersion, ByKind: [auditevent.KindCount]uint64{11, 12, 13, 14, 15, 16, 17, 18, 19, 20}, Merged: true}
 )
 
-// Messages have the bytes that commit 2029d41 gave them.
+// Stored and sent types encode to the bytes of the fixture, which commit 2029d41 wrote.
 func TestEncodedFormIsUnchanged(t *testing.T) {
 	number := uint64(5)
 	golden.CheckCBOR(t, "testdata/messages.json", map[string]any{
@@ -39,17 +39,17 @@
 	})
 }
 
-// A directory that commit 2029d41 wrote is read act by act, with the gap of a segment that was lost.
+// The segment files of the fixture, which commit 2029d41 wrote, are read event by event, with the gap of a lost segment.
 func TestStoredSegmentFilesAreReadCompletely(t *testing.T) {
-	var all []SealedSegment
+	var segments []SealedSegment
 	for _, path := range []string{"a-1.segments", "a-2.segments", "b-1.segments"} {
-		all = append(all, readSegmentFile(t, filepath.Join("testdata/directory", path))...)
+		segments = append(segments, readSegmentFile(t, filepath.Join("testdata/directory", path))...)
 	}
 	text, err := os.ReadFile("testdata/accounts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	type trailText struct {
+	type trailText struct { // layout of accounts.json
 		Member string
 		Last   uint64
 		Ended  bool
@@ -63,36 +63,39 @@
 		t.Fatal(err)
 	}
 	c := newTestCodec(t)
-	for _, a := range c.AssembleTrails(directoryFleetID, all, &Query{}) {
-		one := trailText{Member: fmt.Sprintf("%s/%x", a.Member.Name, a.Member.Incarnation), Last: a.LastEvent, Ended: a.Ended, Gaps: fmt.Sprint(a.Gaps()), Faults: a.Faults}
-		for _, n := range a.Counts {
-			one.Counts = append(one.Counts, fmt.Sprint(n.Version, n.ByKind, n.Merged))
+	for _, trail := range c.AssembleTrails(directoryFleetID, segments, &Query{}) {
+		text := trailText{
+			Member: fmt.Sprintf("%s/%x", trail.Member.Name, trail.Member.Incarnation), Last: trail.LastEvent, Ended: trail.Ended, Gaps: fmt.Sprint(trail.Gaps()),
+			Faults: trail.Faults,
 		}
-		for _, act := range a.Events {
-			one.Acts = append(one.Acts, fmt.Sprint(act.Number, act.Kind, act.Version, act.AtMicros, act.ID, act.Note))
+		for _, counts := range trail.Counts {
+			text.Counts = append(text.Counts, fmt.Sprint(counts.Version, counts.ByKind, counts.Merged))
 		}
-		got = append(got, one)
+		for _, event := range trail.Events {
+			text.Acts = append(text.Acts, fmt.Sprint(event.Number, event.Kind, event.Version, event.AtMicros, event.ID, event.Note))
+		}
+		got = append(got, text)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
+		t.Errorf("read trails %+v, want %+v", got, want)
 	}
 }
 
-// directoryFleetID is the number of the fleet of a, b and c.
+// directoryFleetID is the id of the fleet of members a, b and c.
 const directoryFleetID = 12677899732819060529
 
-// readSegmentFile reads the frames of a file of segments.
-func readSegmentFile(t *testing.T, path string) (out []SealedSegment) {
+// readSegmentFile reads the segments of a file.
+func readSegmentFile(t *testing.T, path string) (segments []SealedSegment) {
 	t.Helper()
-	in, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
+	defer file.Close()
 	for {
-		_, payload, err := frame.Read(in)
+		_, payload, err := frame.Read(file)
 		if err == io.EOF {
-			return out
+			return segments
 		}
 		var segment SealedSegment
 		if err == nil {
@@ -101,6 +104,6 @@
 		if err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
-		out = append(out, segment)
+		segments = append(segments, segment)
 	}
 }
--- a/internal/audit/reader.go
+++ b/internal/audit/reader.go
@@ -2,10 +2,10 @@
 
 import "encoding/binary"
 
-// eventReader reads what SegmentWriter appends.
+// eventReader decodes the fields of events that SegmentWriter.appendEvent encodes. After malformed input it returns zero values.
 type eventReader struct {
 	rest      []byte
-	malformed bool // sticky
+	malformed bool // set by the first read that fails; never cleared
 }
 
 // byte reads one byte.
@@ -19,7 +19,7 @@
 	return v
 }
 
-// uvarint reads a number.
+// uvarint reads an unsigned varint.
 func (r *eventReader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
@@ -30,7 +30,7 @@
 	return v
 }
 
-// field reads a text with its length.
+// field reads a length-prefixed string.
 func (r *eventReader) field() string {
 	n := r.uvarint()
 	if n > uint64(len(r.rest)) {
--- a/internal/audit/replication.go
+++ b/internal/audit/replication.go
@@ -2,30 +2,30 @@
 
 import "damsonscale/internal/takeover"
 
-// neverSent is the time of a segment that was not sent yet.
+// neverSent is the value in pendingSegment.lastSent for a member to which the segment has not been sent.
 const neverSent = -1
 
-// Replication tracks the segments that a member has to send to the members that replicate them, until each has acknowledged. It is not
-// safe for concurrent use.
+// Replication tracks the segments that this member sends to its replicas, until every replica has acknowledged them. It is not safe for
+// concurrent use.
 type Replication struct {
-	Dropped int // segments that were dropped unacknowledged, for lack of space
+	Dropped int // number of unacknowledged segments that were dropped to stay within maxBytes
 
 	maxBytes int
-	bytes    int
+	bytes    int // of pending, encoded
 	pending  []pendingSegment
 }
 
-// pendingSegment is a segment that not all have acknowledged.
+// pendingSegment is a segment that at least one replica has not acknowledged.
 type pendingSegment struct {
 	sealed   SealedSegment
 	key      segmentKey
-	lastSent map[string]int64 // µs, by the names that have not acknowledged
+	lastSent map[string]int64 // µs, or neverSent; by name of each replica that has not acknowledged
 }
 
-// NewReplication returns a tracker that keeps at most so many bytes of segments, or one segment.
+// NewReplication returns a tracker that keeps at most maxBytes of encoded segments, but always the latest segment.
 func NewReplication(maxBytes int) *Replication { return &Replication{maxBytes: maxBytes} }
 
-// Add adds a segment that is to be sent to some names. seg is the same one opened.
+// Add adds a segment that is to be sent to the named members. seg is the decoded form of sealed.
 func (r *Replication) Add(sealed SealedSegment, seg *Segment, to []string) {
 	if len(to) == 0 {
 		return
@@ -41,8 +41,9 @@
 	}
 }
 
-// Due returns the segments to send to a name now, oldest first: those never sent, and those sent resendMicros ago or longer. It returns at
-// most maxBytes of them, but one if there is any.
+// Due returns the segments to send to a member now, oldest first: segments that have not been sent to it, and unacknowledged segments that
+// were sent at least resendMicros ago. It returns at most maxBytes of encoded segments, but at least one segment if any is due. Returned
+// segments count as sent at nowMicros.
 func (r *Replication) Due(nowMicros int64, name string, resendMicros int64, maxBytes int) (due []SealedSegment) {
 	for i := range r.pending {
 		p := &r.pending[i]
@@ -59,7 +60,7 @@
 	return due
 }
 
-// Acknowledge notes that a name has stored a segment.
+// Acknowledge records that the named replica has stored a segment.
 func (r *Replication) Acknowledge(name string, member takeover.Member, index uint64) {
 	for i := range r.pending {
 		p := &r.pending[i]
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -12,34 +12,35 @@
 
 const (
 	formatVersion     = 1
-	maxBodyBytes      = 4 << 20 // of a segment's events, decompressed
-	maxSegmentBytes   = 1 << 20 // of an encoded segment
-	maxSegmentEntries = 1 << 14 // of an array in it
+	maxBodyBytes      = 4 << 20 // bytes of a segment's decompressed events
+	maxSegmentBytes   = 1 << 20 // bytes of an encoded segment
+	maxSegmentEntries = 1 << 14 // elements of an array in an encoded segment
 )
 
-// numberedVersion is a version with its id.
+// numberedVersion is a version with the id that the events of a segment refer to it by.
 type numberedVersion struct {
 	_       struct{} `cbor:",toarray"`
 	ID      auditevent.ConfigVersionID
 	Version auditevent.ConfigVersion
 }
 
-// Segment is a part of the trail of one incarnation. It is stored and sent as CBOR: order and types of its fields stay.
+// Segment is a contiguous part of the trail of one incarnation. It is stored and sent as a CBOR array: the order and types of its fields
+// must not change.
 type Segment struct {
 	_             struct{} `cbor:",toarray"`
-	Format        uint8
-	Fleet         uint64
+	Format        uint8    // formatVersion of the build that wrote the segment
+	Fleet         uint64   // id of the fleet
 	Member        takeover.Member
-	Index         uint64 // from 1
-	FirstEvent    uint64 // number of its first event
-	LastEvent     uint64 // number of its last event; First-1: it has none
-	StartMicros   int64  // since the start of the process; its events count from there
-	CutUnixMillis int64  // by the member's own clock, for information only; 0: not known
-	Final         bool   // the incarnation ended in good order: no event comes after
-	PreviousHash  Hash   // of the segment before; zero: it is the first
-	Counts        []VersionCounts
-	Versions      []numberedVersion
-	Body          []byte // events, compressed with S2
+	Index         uint64            // position in the chain, from 1
+	FirstEvent    uint64            // number of the first event
+	LastEvent     uint64            // number of the last event; FirstEvent-1 if the segment has no events
+	StartMicros   int64             // since the process started; base of the times in Body
+	CutUnixMillis int64             // by the member's wall clock, informational only; 0 if unknown
+	Final         bool              // the incarnation ended cleanly: no segment follows
+	PreviousHash  Hash              // hash of the preceding segment; zero in the first segment
+	Counts        []VersionCounts   // of the incarnation up to LastEvent
+	Versions      []numberedVersion // used in Body
+	Body          []byte            // encoded events, compressed with S2
 }
 
 // Events decodes the events of a segment.
@@ -51,20 +52,20 @@
 	return s.decode(body)
 }
 
-// unpack returns the events of a segment as SegmentWriter appended them.
+// unpack decompresses the encoded events of a segment.
 func (s *Segment) unpack() ([]byte, error) {
 	n, err := s2.DecodedLen(s.Body)
 	if err != nil || n > maxBodyBytes {
-		return nil, fmt.Errorf("events of segment %d: %d bytes: %w", s.Index, n, errors.Join(err, ErrCorrupt))
+		return nil, fmt.Errorf("events of segment %d: decompressed length %d: %w", s.Index, n, errors.Join(err, ErrCorrupt))
 	}
 	body, err := s2.Decode(nil, s.Body)
 	if err != nil {
-		return nil, fmt.Errorf("events of segment %d: %w", s.Index, err)
+		return nil, fmt.Errorf("events of segment %d: decompress: %w", s.Index, err)
 	}
 	return body, nil
 }
 
-// decode decodes events as SegmentWriter appended them.
+// decode decodes the events that SegmentWriter.appendEvent encoded.
 func (s *Segment) decode(body []byte) ([]auditevent.Event, error) {
 	versions := map[auditevent.ConfigVersionID]auditevent.ConfigVersion{}
 	for _, v := range s.Versions {
@@ -72,19 +73,19 @@
 	}
 	r := &eventReader{rest: body}
 	var events []auditevent.Event
-	at := s.StartMicros
+	atMicros := s.StartMicros
 	for n := s.FirstEvent; len(r.rest) > 0; n++ {
 		kind := auditevent.Kind(r.byte())
 		version := auditevent.ConfigVersionID(r.uvarint())
-		at += int64(r.uvarint())
-		e := auditevent.Event{Number: n, Kind: kind, Version: versions[version], AtMicros: at, ID: r.field(), Note: r.field()}
+		atMicros += int64(r.uvarint())
+		e := auditevent.Event{Number: n, Kind: kind, Version: versions[version], AtMicros: atMicros, ID: r.field(), Note: r.field()}
 		if r.malformed || n > s.LastEvent {
 			break
 		}
 		events = append(events, e)
 	}
 	if r.malformed || uint64(len(events)) != s.LastEvent+1-s.FirstEvent || len(r.rest) > 0 {
-		return nil, fmt.Errorf("events of segment %d: %d read, %d to %d stated", s.Index, len(events), s.FirstEvent, s.LastEvent)
+		return nil, fmt.Errorf("events of segment %d: decoded %d events, want events %d to %d", s.Index, len(events), s.FirstEvent, s.LastEvent)
 	}
 	return events, nil
 }
--- a/internal/audit/store.go
+++ b/internal/audit/store.go
@@ -6,18 +6,18 @@
 	"damsonscale/internal/takeover"
 )
 
-// ErrConflict says that the store has another segment with the same member and index.
-var ErrConflict = errors.New("another segment of this index is stored")
+// ErrConflict means that the store already has a different segment with the same member and index.
+var ErrConflict = errors.New("a different segment with this member and index is already stored")
 
-// SegmentStore stores segments of this member and of others in memory, up to a number of bytes. It is not safe for concurrent use.
+// SegmentStore keeps segments of this member and of other members in memory, within a bound in bytes. It is not safe for concurrent use.
 type SegmentStore struct {
 	codec        *Codec
 	fleet        uint64
 	maxBytes     int
-	bytes        int
-	segments     map[takeover.Member]map[uint64]*SealedSegment // by index
-	latest       map[takeover.Member]uint64                    // index
-	arrivalOrder []segmentKey                                  // of arrival
+	bytes        int                                           // of all stored segments, encoded
+	segments     map[takeover.Member]map[uint64]*SealedSegment // by segment index
+	latest       map[takeover.Member]uint64                    // highest stored segment index
+	arrivalOrder []segmentKey
 }
 
 // segmentKey identifies a segment.
@@ -26,14 +26,15 @@
 	index  uint64
 }
 
-// NewSegmentStore returns a store for segments of one fleet.
+// NewSegmentStore returns a store for segments of one fleet that keeps at most maxBytes of encoded segments, but always the latest one.
 func NewSegmentStore(codec *Codec, fleet uint64, maxBytes int) *SegmentStore {
 	return &SegmentStore{
 		codec: codec, fleet: fleet, maxBytes: maxBytes, segments: map[takeover.Member]map[uint64]*SealedSegment{}, latest: map[takeover.Member]uint64{},
 	}
 }
 
-// Put stores a segment, and returns it opened. A segment that is stored already changes nothing. Its error is ErrConflict or one of Codec.Open.
+// Put stores a segment and returns its decoded form. Storing the same segment again has no effect. The error is ErrConflict or an error of
+// Codec.Open.
 func (s *SegmentStore) Put(sealed SealedSegment) (*Segment, error) {
 	seg, err := s.codec.Open(s.fleet, &sealed)
 	if err != nil {
@@ -58,8 +59,8 @@
 	return seg, nil
 }
 
-// evict removes the oldest segments while the store is over its bytes. The latest segment of each incarnation, which has its counts, is
-// removed only once there are no others. The segment that was put last stays.
+// evict removes the oldest segments while the store exceeds maxBytes. The latest segment of an incarnation, which has the incarnation's
+// counts, is removed only if no other segments are left. The segment that was stored last is never removed.
 func (s *SegmentStore) evict() {
 	for includeLatest := false; s.bytes > s.maxBytes && len(s.arrivalOrder) > 1; {
 		index := s.oldestEvictable(includeLatest)
@@ -74,7 +75,8 @@
 	}
 }
 
-// oldestEvictable returns the place in order of the oldestEvictable segment that may be removed; -1: there is none.
+// oldestEvictable returns the index in arrivalOrder of the oldest segment that evict may remove, or -1. Latest segments of incarnations
+// qualify only with includeLatest.
 func (s *SegmentStore) oldestEvictable(includeLatest bool) int {
 	for i, key := range s.arrivalOrder[:len(s.arrivalOrder)-1] {
 		if includeLatest || s.latest[key.member] != key.index {
@@ -84,7 +86,7 @@
 	return -1
 }
 
-// remove removes the segment at a place in order.
+// remove removes the segment at an index of arrivalOrder.
 func (s *SegmentStore) remove(index int) {
 	key := s.arrivalOrder[index]
 	s.arrivalOrder = append(s.arrivalOrder[:index], s.arrivalOrder[index+1:]...)
@@ -95,7 +97,7 @@
 	}
 }
 
-// Segments returns the stored segments of a member's name, or of all members if it is empty, in order of arrival.
+// Segments returns the stored segments of the named member, or of all members if name is empty, in order of arrival.
 func (s *SegmentStore) Segments(name string) (segments []SealedSegment) {
 	for _, key := range s.arrivalOrder {
 		if name == "" || key.member.Name == name {
@@ -105,5 +107,5 @@
 	return segments
 }
 
-// Bytes returns how many bytes of encoded segments are stored.
+// Bytes returns the total size of the stored segments in bytes, encoded.
 func (s *SegmentStore) Bytes() int { return s.bytes }
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -10,25 +10,26 @@
 	"damsonscale/internal/takeover"
 )
 
-// EventRange is a range of event numbers, both ends included.
+// EventRange is an inclusive range of event numbers.
 type EventRange struct {
 	First uint64 `json:"First"`
 	Last  uint64 `json:"Last"`
 }
 
-// Trail is what is known of one incarnation of a member.
+// Trail holds the known events of one incarnation of a member.
 type Trail struct {
-	Member        takeover.Member    `json:"Member"` // without a name: the trail holds the faults of segments that could not be opened
-	KnownEvents   []EventRange       `json:"Known"`  // events whose segments were read, in order
-	LastEvent     uint64             `json:"Last"`   // number of the last event that is known of, read or counted
-	Ended         bool               `json:"Ended"`  // the incarnation ended in good order: there are no events after Last
-	Counts        []VersionCounts    `json:"Counts"`
-	Faults        []string           `json:"Faults"` // segments that are corrupt or contradict each other
-	Events        []auditevent.Event `json:"Acts"`   // those that the query selects
-	CutUnixMillis int64              `json:"Wall"`   // of its last segment, by the member's own clock; 0: not known
+	Member        takeover.Member    `json:"Member"` // without a name if the trail holds only the faults of segments that could not be opened
+	KnownEvents   []EventRange       `json:"Known"`  // events whose segments were read, in ascending order
+	LastEvent     uint64             `json:"Last"`   // number of the incarnation's last known event
+	Ended         bool               `json:"Ended"`  // the incarnation ended cleanly: there are no events after LastEvent
+	Counts        []VersionCounts    `json:"Counts"` // of the events up to LastEvent
+	Faults        []string           `json:"Faults"` // descriptions of corrupt or inconsistent segments
+	Events        []auditevent.Event `json:"Acts"`   // selected by the query
+	CutUnixMillis int64              `json:"Wall"`   // time of the last segment, by the member's wall clock; 0 if unknown
 }
 
-// Gaps returns the events up to Last that no segment was read for. Those before the first known event were dropped for lack of space, or lost.
+// Gaps returns the ranges of events up to LastEvent whose segments are missing. Events before the first known event were evicted to save
+// space, or lost.
 func (t *Trail) Gaps() (gaps []EventRange) {
 	next := uint64(1)
 	for _, k := range t.KnownEvents {
@@ -43,22 +44,22 @@
 	return gaps
 }
 
-// Query selects events. Its zero value selects all.
+// Query selects events. The zero value selects all events.
 type Query struct {
 	_               struct{} `cbor:",toarray"`
-	ID              string   // of the request
-	Member          string   // its name
-	Version         *uint64  // number of the settings
-	SinceUnixMillis int64    // by the clock of the member that acted; 0: no bound
+	ID              string   // of the request; empty for any
+	Member          string   // name of the member that recorded the event; empty for any
+	Version         *uint64  // number of the settings; nil for any
+	SinceUnixMillis int64    // lower bound, by the wall clock of the member that recorded the event; 0 for none
 }
 
-// matches reports whether a query selects an event of a segment that was read.
+// matches reports whether a query selects an event by request id and version.
 func (q *Query) matches(e *auditevent.Event) bool {
 	return (q.ID == "" || q.ID == e.ID) && (q.Version == nil || *q.Version == e.Version.Settings)
 }
 
-// AssembleTrails builds one trail for each incarnation from segments in any order, which may be duplicated or corrupt. Segments that can't
-// be opened are listed as the faults of a trail without a member.
+// AssembleTrails builds one trail for each incarnation. The segments may be in any order, and may be duplicated or corrupt. Segments that
+// can't be opened are listed as faults of a trail without a member.
 func (c *Codec) AssembleTrails(fleet uint64, segments []SealedSegment, q *Query) []Trail {
 	chains := map[takeover.Member][]*chainSegment{}
 	var unreadable []string
@@ -87,13 +88,13 @@
 	return trails
 }
 
-// chainSegment is a segment of a chain, with its hash.
+// chainSegment is a decoded segment with its hash.
 type chainSegment struct {
 	*Segment
 	hash Hash
 }
 
-// assemble builds the trail of one incarnation.
+// assemble builds the trail of one incarnation from its segments.
 func assemble(m takeover.Member, chain []*chainSegment, q *Query) Trail {
 	t := Trail{Member: m}
 	slices.SortStableFunc(chain, func(x, y *chainSegment) int { return cmp.Compare(x.Index, y.Index) })
@@ -113,29 +114,30 @@
 	return t
 }
 
-// checkSuccessor reports whether a segment can be used after the previous one (nil: there is none), and what is wrong with it. A duplicate is
-// neither used nor a fault; a segment that names another predecessor, or comes after a final one, is used all the same.
+// checkSuccessor reports whether a trail can use segment l after the previous segment, which is nil for the first one, and returns a
+// description of the fault if there is one. A duplicate is skipped without a fault. A segment whose PreviousHash does not match, or that
+// follows a final segment, is a fault, but its events are used.
 func checkSuccessor(previous, l *chainSegment) (usable bool, fault string) {
 	switch {
 	case previous == nil && l.Index == 1 && (l.FirstEvent != 1 || l.PreviousHash != Hash{}):
-		return false, fmt.Sprintf("segment 1 begins with event %d", l.FirstEvent)
+		return false, fmt.Sprintf("segment 1 begins with event %d: want event 1 and no previous hash", l.FirstEvent)
 	case previous == nil:
 		return true, ""
 	case l.Index == previous.Index && l.hash == previous.hash:
 		return false, ""
 	case l.Index == previous.Index:
-		return false, fmt.Sprintf("two segments %d: %v and %v", l.Index, previous.hash, l.hash)
+		return false, fmt.Sprintf("two segments with index %d: hashes %v and %v", l.Index, previous.hash, l.hash)
 	case l.Index == previous.Index+1 && l.PreviousHash != previous.hash:
-		return true, fmt.Sprintf("segment %d names %v as the one before, which is %v", l.Index, l.PreviousHash, previous.hash)
+		return true, fmt.Sprintf("segment %d has previous hash %v, but the preceding segment has hash %v", l.Index, l.PreviousHash, previous.hash)
 	case l.FirstEvent <= previous.LastEvent || l.Index == previous.Index+1 && l.FirstEvent != previous.LastEvent+1:
-		return false, fmt.Sprintf("segment %d begins with event %d, the one before ends with %d", l.Index, l.FirstEvent, previous.LastEvent)
+		return false, fmt.Sprintf("segment %d begins with event %d, but the preceding segment ends with event %d", l.Index, l.FirstEvent, previous.LastEvent)
 	case previous.Final:
-		return true, fmt.Sprintf("segment %d comes after the end", l.Index)
+		return true, fmt.Sprintf("segment %d follows a final segment", l.Index)
 	}
 	return true, ""
 }
 
-// add adds a segment that follows those added before.
+// add appends the next segment of the chain to the trail.
 func (t *Trail) add(l *chainSegment, q *Query) {
 	t.LastEvent, t.Ended, t.Counts, t.CutUnixMillis = l.LastEvent, l.Final, l.Counts, cmp.Or(l.CutUnixMillis, t.CutUnixMillis)
 	if l.LastEvent < l.FirstEvent {
@@ -143,7 +145,7 @@
 	}
 	body, err := l.unpack()
 	var events []auditevent.Event
-	if err == nil && (q.ID == "" || bytes.Contains(body, []byte(q.ID))) { // decoding takes most of a query's time
+	if err == nil && (q.ID == "" || bytes.Contains(body, []byte(q.ID))) { // decoding takes most of a query's time: skip bodies without the id
 		events, err = l.decode(body)
 	}
 	if err != nil {
@@ -165,7 +167,7 @@
 	}
 }
 
-// checkCounts compares the counts of the last segment with the number of its last event.
+// checkCounts adds a fault if the counts of the last segment do not add up to the number of its last event.
 func (t *Trail) checkCounts() {
 	total := uint64(0)
 	for _, c := range t.Counts {
@@ -174,6 +176,6 @@
 		}
 	}
 	if t.LastEvent > 0 && total != t.LastEvent {
-		t.Faults = append(t.Faults, fmt.Sprintf("%d events counted, %d numbered", total, t.LastEvent))
+		t.Faults = append(t.Faults, fmt.Sprintf("counts add up to %d events, but the last event has number %d", total, t.LastEvent))
 	}
 }
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -13,55 +13,55 @@
 )
 
 const (
-	segmentBytes    = 64 << 10 // of encoded events; the event that reaches it ends the segment
-	eventSlackBytes = 4 << 10  // room past segmentBytes for that event
-	maxFieldBytes   = 255      // of an event's id or note; the rest is cut off
-	maxUncollected  = 1024     // cut segments that Cut has not collected; the oldest are dropped
+	segmentBytes    = 64 << 10 // bytes of encoded events at which a segment is cut; its last event may exceed them
+	eventSlackBytes = 4 << 10  // buffer capacity above segmentBytes, for that last event
+	maxFieldBytes   = 255      // bytes of an event's id or note; longer values are truncated
+	maxUncollected  = 1024     // number of cut segments that wait for collection; above it the oldest are dropped
 )
 
-// InjectedFault is a fault that tests inject to show that the auditor finds it. The numbers are those of DAMSONSCALE_PLANT, less 10.
+// InjectedFault is a fault that tests inject to check that the auditor detects it. Values are those of DAMSONSCALE_PLANT minus 10.
 type InjectedFault uint8
 
 // Injected faults.
 const (
 	NoFault         InjectedFault = 0
-	VersionReadLate InjectedFault = 1 // events bear the version in force when they are recorded, not when they were decided
-	EventDropped    InjectedFault = 2 // each hundredth event is counted and not recorded
-	ChainBroken     InjectedFault = 3 // segments do not name the one before
+	VersionReadLate InjectedFault = 1 // events get the version in force when they are recorded, not when they were decided
+	EventDropped    InjectedFault = 2 // every hundredth event is counted but not recorded
+	ChainBroken     InjectedFault = 3 // segments do not have the hash of the preceding segment
 )
 
-// errUncollected reports segments that were dropped before Cut collected them.
-var errUncollected = errors.New("segments were not collected in time")
+// errUncollected means that cut segments were dropped before they were collected.
+var errUncollected = errors.New("audit segments were dropped because too many were not collected")
 
-// SegmentWriter records the events of one process and cuts them into segments. It implements auditevent.Recorder. All its methods may be
-// called from any goroutine.
+// SegmentWriter records the events of one process and cuts them into segments. It implements auditevent.Recorder and is safe for
+// concurrent use.
 type SegmentWriter struct {
 	codec *Codec
-	fleet uint64
-	build auditevent.ConfigVersion // what stays the same while the process runs
-	now   func() int64             // µs of the process's own clock
+	fleet uint64                   // id of the fleet
+	build auditevent.ConfigVersion // with the fields that are constant for the process: Build and Protocol
+	now   func() int64             // µs since the process started
 	fault InjectedFault
 
 	mu           sync.Mutex
 	member       takeover.Member
-	versions     []auditevent.ConfigVersion // by id
+	versions     []auditevent.ConfigVersion // by version id
 	counts       eventCounter
-	lastEvent    uint64 // of events
-	skipped      uint64 // by EventDropped
-	index        uint64 // of the last segment that was cut
-	previousHash Hash   // of that segment
-	uncollected  []SealedSegment
-	collectErr   error // since the last call that collected segments
-
-	// The open segment.
+	lastEvent    uint64          // number of the last event
+	skipped      uint64          // events not recorded because of EventDropped
+	index        uint64          // of the last segment that was cut
+	previousHash Hash            // hash of that segment
+	uncollected  []SealedSegment // cut segments, oldest first
+	collectErr   error           // last error since segments were collected
+
+	// The open segment, which has not been cut yet.
 	firstEvent   uint64 // number of its first event
-	startMicros  int64  // µs
-	lastMicros   int64  // of its last event
+	startMicros  int64  // time base of its events
+	lastMicros   int64  // time of its last event
 	body         []byte
 	usedVersions []auditevent.ConfigVersionID
 }
 
-// NewSegmentWriter returns a writer for a member of a fleet. now returns µs of the process's own clock.
+// NewSegmentWriter returns a writer for a member of a fleet. now returns the time since the process started in µs.
 func NewSegmentWriter(fleet uint64, member takeover.Member, build string, protocol uint16, now func() int64, fault InjectedFault) (*SegmentWriter, error) {
 	codec, err := NewCodec()
 	if err != nil {
@@ -75,7 +75,7 @@
 	return w, nil
 }
 
-// beginIncarnation begins the trail of an incarnation. The caller holds mu, or has the writer to itself.
+// beginIncarnation resets the state for the trail of a new incarnation. The caller holds mu, or has exclusive access to the writer.
 func (w *SegmentWriter) beginIncarnation() {
 	w.lastEvent, w.index, w.firstEvent, w.previousHash = 0, 0, 1, Hash{}
 	w.counts.reset()
@@ -112,7 +112,7 @@
 	ref := auditevent.Ref{Member: w.member, Number: w.lastEvent, Version: w.versions[version]}
 	if w.fault == EventDropped && (w.lastEvent+w.skipped)%100 == 0 {
 		w.skipped++
-		w.lastEvent-- // the next event gets this number
+		w.lastEvent-- // the next event gets the same number
 		return ref
 	}
 	w.appendEvent(k, version, id, note)
@@ -122,7 +122,7 @@
 	return ref
 }
 
-// appendEvent appends an event to the open segment. Segment.decode reads it.
+// appendEvent encodes an event at the end of the open segment. Segment.decode decodes it. The caller holds mu.
 func (w *SegmentWriter) appendEvent(k auditevent.Kind, version auditevent.ConfigVersionID, id, note string) {
 	if !slices.Contains(w.usedVersions, version) {
 		w.usedVersions = append(w.usedVersions, version)
@@ -138,13 +138,13 @@
 	w.body, w.lastMicros = appendField(b, note), now
 }
 
-// appendField appends a text with its length, cut off at maxFieldBytes.
+// appendField appends a length-prefixed string, truncated to maxFieldBytes.
 func appendField(b []byte, s string) []byte {
 	s = s[:min(len(s), maxFieldBytes)]
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// seal cuts the open segment. The caller holds mu.
+// seal cuts the open segment and begins the next one. The caller holds mu.
 func (w *SegmentWriter) seal(unixMillis int64, final bool) {
 	s := &Segment{
 		Format: formatVersion, Fleet: w.fleet, Member: w.member, Index: w.index + 1, FirstEvent: w.firstEvent, LastEvent: w.lastEvent, StartMicros: w.startMicros,
@@ -169,8 +169,8 @@
 	w.uncollected = append(w.uncollected, sealed)
 }
 
-// Cut ends the open segment if it has any event, and returns the segments cut since the last call. unixMillis is the wall clock's time. An
-// error says that events were lost.
+// Cut cuts the open segment if it has events, and returns the segments cut since segments were last collected. unixMillis is the wall clock
+// time. An error means that events were lost.
 func (w *SegmentWriter) Cut(unixMillis int64) ([]SealedSegment, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,7 +180,8 @@
 	return w.collect()
 }
 
-// EndIncarnation ends the trail in good order, and returns the segments cut since the last call. Later events begin the trail of next.
+// EndIncarnation ends the trail of the present incarnation with a final segment, and returns the segments cut since segments were last
+// collected. Later events belong to the trail of next.
 func (w *SegmentWriter) EndIncarnation(unixMillis int64, next takeover.Member) ([]SealedSegment, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,14 +192,15 @@
 	return segments, err
 }
 
-// collect returns the segments cut and the error met since it was called last.
+// collect returns and clears the cut segments and the last error. The caller holds mu.
 func (w *SegmentWriter) collect() (segments []SealedSegment, err error) {
 	segments, err = w.uncollected, w.collectErr
 	w.uncollected, w.collectErr = nil, nil
 	return segments, err
 }
 
-// AnswerCounts returns how many requests were answered under a number of the settings, and how many of those answers a server gave.
+// AnswerCounts returns the number of requests of this incarnation that were answered under a version of the settings, and the number of
+// those that were answered with a server's response.
 func (w *SegmentWriter) AnswerCounts(settings uint64) (answered, served uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
