--- a/internal/auditevent/doc.go
+++ b/internal/auditevent/doc.go
@@ -1,6 +1,6 @@
-// Package auditevent defines what an audited sidecar records about its work: events, and the version of the configuration that each
-// one was decided under. docs/audit.md explains the design.
+// Package auditevent defines the audit events that a sidecar records about requests, and the configuration version that each event was
+// decided under. docs/audit.md explains the design.
 //
-// The package has no state. Events are recorded through Recorder by the sidecar's goroutine and by the handlers of client connections;
-// internal/audit implements it.
+// The package has no state. The sidecar's goroutine and the handlers of client connections record events through a Recorder, which
+// internal/audit implements.
 package auditevent
--- a/internal/auditevent/ref.go
+++ b/internal/auditevent/ref.go
@@ -8,20 +8,21 @@
 	"damsonscale/internal/takeover"
 )
 
-// RefHeader is the HTTP header that carries a Ref from a member to a server or a client.
+// RefHeader is the HTTP header in which a member sends a Ref to a server or a client.
 const RefHeader = "Req-Actor"
 
-// refFields is how many fields follow the member's name in a Ref's text.
+// refFields is the number of fields after the member's name in the text form of a Ref.
 const refFields = 5
 
-// Ref refers to an event.
+// Ref identifies an event, with the configuration version that the event was decided under.
 type Ref struct {
 	Member  takeover.Member
 	Number  uint64
 	Version ConfigVersion
 }
 
-// Append appends the reference as text: name, incarnation (hex), event, settings, digest (hex) and endpoint list, separated by slashes.
+// Append appends the text form of the reference to b: member name, incarnation (hex), event number, settings number, settings digest (hex)
+// and endpoint list number, separated by slashes.
 func (r *Ref) Append(b []byte) []byte {
 	b = append(append(b, r.Member.Name...), '/')
 	b = append(strconv.AppendUint(b, r.Member.Incarnation, 16), '/')
@@ -31,11 +32,11 @@
 	return strconv.AppendInt(b, r.Version.ListSeq, 10)
 }
 
-// ParseRef reads what Append wrote. The name may contain slashes.
+// ParseRef parses the text form that Append writes. The member name may contain slashes.
 func ParseRef(text string) (r Ref, err error) {
 	fields := strings.Split(text, "/")
 	if len(fields) < refFields+1 {
-		return r, fmt.Errorf("%s: expected six fields, got %q", RefHeader, text)
+		return r, fmt.Errorf("%s: expected at least 6 fields separated by slashes, got %q", RefHeader, text)
 	}
 	name, numbers := strings.Join(fields[:len(fields)-refFields], "/"), fields[len(fields)-refFields:]
 	var errs [refFields]error
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -7,16 +7,16 @@
 	"slices"
 )
 
-// Errors of commands that change nothing.
+// Errors of commands that have no effect.
 var (
-	ErrAlreadyApplied = errors.New("this command was applied before")
-	ErrUnknownVersion = errors.New("no such version is kept")
-	ErrStaleTarget    = errors.New("the target has changed or is paused")
-	ErrNoChange       = errors.New("nothing to do")
+	ErrAlreadyApplied = errors.New("command was already applied")
+	ErrUnknownVersion = errors.New("no such version is available for a rollback")
+	ErrStaleTarget    = errors.New("command is for another target, or the rollout is paused")
+	ErrNoChange       = errors.New("nothing to do: the command would not change the plan")
 )
 
-// Apply returns the plan after a command, or the same plan and an error if the command changes nothing. names are all members, living those
-// with a process: only these are chosen as canaries, since the rollout waits for them.
+// Apply returns the plan after a command, or p and an error if the command has no effect. names are the names of all members, and living the
+// names of members with a running process. Only living members become canaries, because the rollout waits for the canaries.
 func (p *Plan) Apply(c *Command, names, living []string) (*Plan, error) {
 	if err := c.Check(); err != nil {
 		return p, err
@@ -50,7 +50,7 @@
 	return next, nil
 }
 
-// copyFor returns a copy that may be changed by a command, whose id it has.
+// copyFor returns a copy of the plan to which c is applied, with the id of c in AppliedIDs.
 func (p *Plan) copyFor(c *Command) *Plan {
 	next := *p
 	next.Versions, next.Excluded, next.AppliedIDs = slices.Clone(p.Versions), slices.Clone(p.Excluded), append(slices.Clone(p.AppliedIDs), c.ID)
@@ -60,17 +60,17 @@
 	return &next
 }
 
-// rollOut makes new settings the target, for a share of the members first.
+// rollOut makes new settings the target, at first for a share of the members.
 func (p *Plan) rollOut(c *Command, names, living []string) {
 	p.Canaries = canaries(p.LastNumber+1, living, max(1, len(names)*c.SharePermille/FullSharePermille))
 	p.setTarget(Version{Digest: DigestOf(c.Settings), SizeBytes: len(c.Settings), Author: c.Author, Reason: c.Reason}, c, c.SharePermille)
 }
 
-// rollback makes the settings of an earlier version the target for all members, as a new version: numbers only grow.
+// rollback makes the settings of an earlier version the target for all members, as a new version: version numbers only increase.
 func (p *Plan) rollback(c *Command) error {
 	old, ok := p.Find(c.Number)
 	if !ok {
-		return fmt.Errorf("%d: %w", c.Number, ErrUnknownVersion)
+		return fmt.Errorf("version %d: %w", c.Number, ErrUnknownVersion)
 	}
 	origin := old.Number
 	if old.RollbackOf > 0 {
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// setTarget gives a version the next number and makes it the target.
+// setTarget assigns the next number to a version and makes it the target.
 func (p *Plan) setTarget(v Version, c *Command, share int) {
-	if p.SharePermille == FullSharePermille { // members outside the new share stay on what all members had
+	if p.SharePermille == FullSharePermille { // members outside the new share keep the version that all members use
 		p.Base = p.Target
 	}
 	p.LastNumber++
@@ -95,7 +95,7 @@
 	p.dropVersions()
 }
 
-// dropVersions drops the oldest versions over the bound, but for those in use.
+// dropVersions drops the oldest versions above maxVersions, except those in use.
 func (p *Plan) dropVersions() {
 	for i := 0; len(p.Versions) > maxVersions && i < len(p.Versions); {
 		if n := p.Versions[i].Number; n == p.Base || n == p.Target || n == p.Fence {
@@ -114,11 +114,11 @@
 	case p.Target == 0 || p.PauseReason != "" || p.Fence == p.Target:
 		return ErrNoChange
 	}
-	p.PauseReason = cmp.Or(c.Reason, "held by "+c.Author) // members of all builds must compute the same plan: the text stays
+	p.PauseReason = cmp.Or(c.Reason, "held by "+c.Author) // part of the state that members of all builds must compute alike: the text must not change
 	return nil
 }
 
-// exclude keeps a member from getting leases.
+// exclude denies leases to a member.
 func (p *Plan) exclude(name string) error {
 	if slices.Contains(p.Excluded, name) {
 		return ErrNoChange
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// reselectCanaries chooses other canaries for the target.
+// reselectCanaries chooses canaries for the target among the living members.
 func (p *Plan) reselectCanaries(c *Command, names, living []string) error {
 	if err := p.checkTarget(c); err != nil {
 		return err
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// promote makes the target that of all members.
+// promote extends the target to all members.
 func (p *Plan) promote(c *Command) error {
 	if err := p.checkTarget(c); err != nil {
 		return err
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// raiseFence keeps members that act on a version below the target from getting leases.
+// raiseFence denies leases to members that use a version below the target.
 func (p *Plan) raiseFence(c *Command) error {
 	if err := p.checkTarget(c); err != nil {
 		return err
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// checkTarget reports whether a leader's command still is about the present target, and that is not paused.
+// checkTarget returns an error if a leader's command is not for the present target, or the rollout is paused.
 func (p *Plan) checkTarget(c *Command) error {
 	if c.Number != p.Target || p.PauseReason != "" {
 		return ErrStaleTarget
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -6,7 +6,7 @@
 	"damsonscale/internal/lab/golden"
 )
 
-// Messages have the bytes, and kinds the numbers and names, that commit 2029d41 gave them.
+// Stored and sent types encode to the bytes of the fixture, which commit 2029d41 wrote, and kinds keep their names.
 func TestEncodedFormIsUnchanged(t *testing.T) {
 	version := Version{Number: 4, Digest: Digest{1, 2, 3}, SizeBytes: 99, Author: "who", Reason: "why", RollbackOf: 2}
 	messages := map[string]any{
@@ -29,7 +29,7 @@
 	} {
 		messages["kind "+name] = kind
 		if kind.String() != name {
-			t.Errorf("%d is named %s, want %s", kind, kind, name)
+			t.Errorf("kind %d has name %s, want %s", kind, kind, name)
 		}
 	}
 	golden.CheckCBOR(t, "testdata/messages.json", messages)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -10,142 +10,149 @@
 	"pgregory.net/rapid"
 )
 
+// lastCommandID is the id of the last command that newCommand returned.
 var lastCommandID uint64
 
-func newCommand(k Kind, o Command) *Command {
+// newCommand returns a command of a kind with a new id and an author.
+func newCommand(k Kind, c Command) *Command {
 	lastCommandID++
-	o.Kind, o.ID, o.Author = k, lastCommandID, "me"
-	return &o
+	c.Kind, c.ID, c.Author = k, lastCommandID, "me"
+	return &c
 }
 
-func applyAll(t *testing.T, p *Plan, all ...*Command) *Plan {
+// applyAll returns the plan of ten living members after commands.
+func applyAll(t *testing.T, p *Plan, commands ...*Command) *Plan {
 	t.Helper()
-	for _, o := range all {
-		next, err := p.Apply(o, memberNames(10), memberNames(10))
+	for _, c := range commands {
+		next, err := p.Apply(c, memberNames(10), memberNames(10))
 		if err != nil {
-			t.Fatalf("%v: %v", o.Kind, err)
+			t.Fatalf("applying %v: %v", c.Kind, err)
 		}
 		p = next
 	}
 	return p
 }
 
-func rollOutOf(s string, share int) Command {
-	return Command{Settings: []byte(s), SharePermille: share, GraceMs: 1000, SettleMs: 500}
+// rollOutOf returns a rollout of settings without its kind, with a settle time of 500 ms and a grace period of 1 s.
+func rollOutOf(settings string, sharePermille int) Command {
+	return Command{Settings: []byte(settings), SharePermille: sharePermille, GraceMs: 1000, SettleMs: 500}
 }
 
-func memberNames(n int) (out []string) {
+// memberNames returns n1 up to the given number.
+func memberNames(n int) (names []string) {
 	for i := range n {
-		out = append(out, fmt.Sprintf("n%d", i+1))
+		names = append(names, fmt.Sprintf("n%d", i+1))
 	}
-	return out
+	return names
 }
 
-// Numbers are given once; members outside the share stay; a rollback is a new number with old settings.
+// Version numbers are never reused, members outside the share keep their version, a rollback gets a new number with the settings of the earlier
+// version, and invalid commands return an error and the same plan.
 func TestCommandsChangeThePlan(t *testing.T) {
 	all := memberNames(10)
 	first := newCommand(RollOut, rollOutOf("one", FullSharePermille))
 	p := applyAll(t, &Plan{}, first, newCommand(RollOut, rollOutOf("two", 200)))
 	if n := p.Canaries; len(n) != 2 || p.TargetFor(n[0]) != 2 || p.Base != 1 {
-		t.Fatalf("%v %+v", n, p)
+		t.Fatalf("canaries %v of plan %+v, want 2 that are to use version 2, and base 1", n, p)
 	}
-	if one, err := p.Apply(newCommand(RollOut, rollOutOf("three", 900)), all, all[:1]); err != nil || len(one.Canaries) != 1 || one.Canaries[0] != all[0] || one.Base != 1 {
-		t.Errorf("%+v %v", one, err)
+	if next, err := p.Apply(newCommand(RollOut, rollOutOf("three", 900)), all, all[:1]); err != nil || len(next.Canaries) != 1 || next.Canaries[0] != all[0] || next.Base != 1 {
+		t.Errorf("plan with one living member %+v, error %v, want that member as the only canary, and base 1", next, err)
 	}
-	adopt := 0
+	targeted := 0
 	for _, n := range all {
 		if p.TargetFor(n) == 2 {
-			adopt++
+			targeted++
 		}
 	}
-	if adopt != 2 {
-		t.Error(adopt)
+	if targeted != 2 {
+		t.Errorf("%d members are to use version 2, want 2", targeted)
 	}
 	if _, err := p.Apply(first, all, all); !errors.Is(err, ErrAlreadyApplied) {
-		t.Error(err)
+		t.Errorf("second application of a command: error %v, want %v", err, ErrAlreadyApplied)
 	}
 	paused := applyAll(t, p, newCommand(Pause, Command{Reason: "wait"}))
-	for name, o := range map[string]*Command{
+	for name, c := range map[string]*Command{
 		"promoted while paused": newCommand(Promote, Command{Number: 2}), "fenced while paused": newCommand(Fence, Command{Number: 2}), "paused twice": newCommand(Pause, Command{}),
-		"of another target": newCommand(Pause, Command{Number: 1}), "rolled back to nothing": newCommand(Rollback, Command{Number: 7}), "readmitted": newCommand(Readmit, Command{Name: "x"}),
-		"nobody": {Kind: Pause, ID: 1e6}, "no id": {Kind: Pause, Author: "me"}, "unknown": newCommand(99, Command{}), "no text": newCommand(RollOut, Command{SharePermille: 1}),
-		"no share": newCommand(RollOut, rollOutOf("x", 0)), "fenced before it is promoted": newCommand(Fence, Command{Number: 2}),
+		"pause of another target": newCommand(Pause, Command{Number: 1}), "rollback to an unknown version": newCommand(Rollback, Command{Number: 7}), "readmission of a member that is not excluded": newCommand(Readmit, Command{Name: "x"}),
+		"no author": {Kind: Pause, ID: 1e6}, "no id": {Kind: Pause, Author: "me"}, "unknown kind": newCommand(99, Command{}), "no settings": newCommand(RollOut, Command{SharePermille: 1}),
+		"no share": newCommand(RollOut, rollOutOf("x", 0)), "fenced before promotion": newCommand(Fence, Command{Number: 2}),
 	} {
-		if next, err := paused.Apply(o, all, all); err == nil || next != paused {
-			t.Errorf("%s: %v", name, err)
+		if next, err := paused.Apply(c, all, all); err == nil || next != paused {
+			t.Errorf("%s: error %v, plan changed: %t, want an error and the same plan", name, err, next != paused)
 		}
 	}
 	if p := applyAll(t, p, newCommand(Pause, Command{})); p.PauseReason != "held by me" {
-		t.Errorf("paused for %q, and not as members of other builds compute it", p.PauseReason)
+		t.Errorf("pause reason is %q, want \"held by me\", as members of other builds compute it", p.PauseReason)
 	}
-	back := applyAll(t, paused, newCommand(Rollback, Command{Number: 1}))
-	v, _ := back.Find(3)
-	if back.Target != 3 || v.RollbackOf != 1 || v.Digest != DigestOf([]byte("one")) || back.SharePermille != FullSharePermille || back.PauseReason != "" {
-		t.Errorf("%+v", back)
+	rolledBack := applyAll(t, paused, newCommand(Rollback, Command{Number: 1}))
+	v, _ := rolledBack.Find(3)
+	if rolledBack.Target != 3 || v.RollbackOf != 1 || v.Digest != DigestOf([]byte("one")) || rolledBack.SharePermille != FullSharePermille || rolledBack.PauseReason != "" {
+		t.Errorf("plan after a rollback %+v, want version 3 with the settings of version 1 as the target for all members, not paused", rolledBack)
 	}
-	fenced := applyAll(t, back, newCommand(Fence, Command{Number: 3}), newCommand(Exclude, Command{Name: "n4"}))
+	fenced := applyAll(t, rolledBack, newCommand(Fence, Command{Number: 3}), newCommand(Exclude, Command{Name: "n4"}))
 	if fenced.MayLease("n1", 2) || !fenced.MayLease("n1", 3) || fenced.MayLease("n4", 3) {
-		t.Errorf("%+v", fenced)
+		t.Errorf("plan %+v, want a lease for n1 at version 3, none at version 2, and none for the excluded n4", fenced)
 	}
-	if open := applyAll(t, fenced, newCommand(Readmit, Command{Name: "n4"})); !open.MayLease("n4", 3) || open.Validate() != nil {
-		t.Errorf("%+v", open)
+	if readmitted := applyAll(t, fenced, newCommand(Readmit, Command{Name: "n4"})); !readmitted.MayLease("n4", 3) || readmitted.Validate() != nil {
+		t.Errorf("plan %+v, want a valid plan and a lease for the readmitted n4 at version 3", readmitted)
 	}
 	for i := range 30 {
 		fenced = applyAll(t, fenced, newCommand(RollOut, rollOutOf(fmt.Sprint(i), 100)))
 	}
-	if len(fenced.Versions) != maxVersions || fenced.TargetFor("nobody") != 3 || fenced.Validate() != nil {
-		t.Errorf("%+v", fenced)
+	if len(fenced.Versions) != maxVersions || fenced.TargetFor("unlisted") != 3 || fenced.Validate() != nil {
+		t.Errorf("plan after 30 rollouts %+v, want a valid plan with %d versions that keeps the fence at version 3", fenced, maxVersions)
 	}
 	if (&Plan{LastNumber: 1, Target: 2}).Validate() == nil || (&Plan{Target: 1, LastNumber: 1}).Validate() == nil {
-		t.Error("an invalid plan is valid")
+		t.Error("Validate accepted a plan whose target has no version")
 	}
 }
 
-// reportsActing has all names act on a version, with some exceptions.
-func reportsActing(now time.Time, all []string, acts uint64, but map[string]Report) map[string]ReceivedReport {
-	out := map[string]ReceivedReport{}
-	for _, n := range all {
-		out[n] = ReceivedReport{Report{ActiveVersion: acts}, now}
+// reportsActing returns reports received at now, in which all named members use a version, except those with a report in exceptions.
+func reportsActing(now time.Time, names []string, version uint64, exceptions map[string]Report) map[string]ReceivedReport {
+	reports := map[string]ReceivedReport{}
+	for _, n := range names {
+		reports[n] = ReceivedReport{Report{ActiveVersion: version}, now}
 	}
-	for n, r := range but {
-		out[n] = ReceivedReport{r, now}
+	for n, r := range exceptions {
+		reports[n] = ReceivedReport{r, now}
 	}
-	return out
+	return reports
 }
 
-// The controller promotes what has settled, raises the fence after the grace period, and pauses by itself.
+// The controller promotes a version after the settle time, raises the fence after the grace period, and pauses a rollout that members reject or
+// that serves fewer requests, all within the guard's limit of members without a lease.
 func TestControllerPromotesFencesAndPauses(t *testing.T) {
 	all := memberNames(9)
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
 	base := applyAll(t, &Plan{}, newCommand(RollOut, rollOutOf("one", FullSharePermille)))
-	canary := applyAll(t, base, newCommand(RollOut, rollOutOf("two", 300)))
-	cohort := canary.Canaries
-	onTwo := map[string]Report{}
-	for _, n := range cohort {
-		onTwo[n] = Report{ActiveVersion: 2}
-	}
-	promoted := applyAll(t, canary, newCommand(Promote, Command{Number: 2}))
-	rejects := func(n int) map[string]Report {
-		out := map[string]Report{}
+	onCanaries := applyAll(t, base, newCommand(RollOut, rollOutOf("two", 300)))
+	canaryNames := onCanaries.Canaries
+	canaryReports := map[string]Report{}
+	for _, n := range canaryNames {
+		canaryReports[n] = Report{ActiveVersion: 2}
+	}
+	promoted := applyAll(t, onCanaries, newCommand(Promote, Command{Number: 2}))
+	rejectedBy := func(n int) map[string]Report {
+		reports := map[string]Report{}
 		for _, name := range all[:n] {
-			out[name] = Report{ActiveVersion: 1, RejectedVersion: 2, RejectReason: "Limits: odd"}
+			reports[name] = Report{ActiveVersion: 1, RejectedVersion: 2, RejectReason: "Limits: odd"}
 		}
-		return out
+		return reports
 	}
-	falls := func(now uint64) map[string]Report {
-		return map[string]Report{all[0]: {ActiveVersion: 2, Current: ServiceCounts{Answered: 100, Served: now}, Previous: ServiceCounts{Answered: 100, Served: 95}}}
+	servedPercent := func(served uint64) map[string]Report { // 95 % before
+		return map[string]Report{all[0]: {ActiveVersion: 2, Current: ServiceCounts{Answered: 100, Served: served}, Previous: ServiceCounts{Answered: 100, Served: 95}}}
 	}
-	guard := Guard{MaxUnleasedPermille: 340} // 3 of 9
+	guard := Guard{MaxUnleasedPermille: 340} // 3 of 9 members
 	for name, c := range map[string]struct {
 		plan    *Plan
 		reports func(ms int) map[string]ReceivedReport
-		want    Kind // 0: none within 5 s
-		ms      int  // no sooner
+		want    Kind // 0: no command within 5 s
+		ms      int  // earliest time of the command
 	}{
-		"not adopted yet":     {canary, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, nil) }, 0, 0},
-		"no canary is living": {canary, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, nil) }, ReselectCanaries, 0},
-		"settled":             {canary, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, onTwo) }, Promote, 500},
-		"all act on it":       {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, nil) }, Fence, 0},
+		"not adopted yet":         {onCanaries, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, nil) }, 0, 0},
+		"no canary has a process": {onCanaries, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, nil) }, ReselectCanaries, 0},
+		"settled":                 {onCanaries, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, canaryReports) }, Promote, 500},
+		"all have adopted":        {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, nil) }, Fence, 0},
 		"three behind": {promoted, func(ms int) map[string]ReceivedReport {
 			return reportsActing(at(ms), all, 2, map[string]Report{"n1": {ActiveVersion: 1}, "n2": {ActiveVersion: 1}, "n3": {ActiveVersion: 1}})
 		}, Fence, 1000},
@@ -159,74 +166,75 @@
 			p.Excluded = all[:4]
 			return &p
 		}(), func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, nil) }, 0, 0},
-		"three reject":        {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, rejects(3)) }, Fence, 1000},
-		"four reject":         {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, rejects(4)) }, Pause, 0},
-		"all canaries reject": {applyAll(t, base, newCommand(RollOut, rollOutOf("three", 1))), func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, rejects(9)) }, Pause, 0},
-		"service falls":       {canary, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, falls(80)) }, Pause, 0},
-		"it hardly falls":     {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, falls(90)) }, Fence, 0},
-		"paused":              {applyAll(t, promoted, newCommand(Pause, Command{})), func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, nil) }, 0, 0},
+		"three reject":          {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, rejectedBy(3)) }, Fence, 1000},
+		"four reject":           {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, rejectedBy(4)) }, Pause, 0},
+		"all canaries reject":   {applyAll(t, base, newCommand(RollOut, rollOutOf("three", 1))), func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, rejectedBy(9)) }, Pause, 0},
+		"service falls by 15 %": {onCanaries, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, servedPercent(80)) }, Pause, 0},
+		"service falls by 5 %":  {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, servedPercent(90)) }, Fence, 0},
+		"paused":                {applyAll(t, promoted, newCommand(Pause, Command{})), func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, nil) }, 0, 0},
 	} {
 		living := all
 		if c.want == ReselectCanaries {
 			living = slices.DeleteFunc(slices.Clone(all), func(n string) bool { return slices.Contains(c.plan.Canaries, n) })
 		}
-		d := &Controller{Guard: guard, Leader: "n1"}
-		var o *Command
+		controller := &Controller{Guard: guard, Leader: "n1"}
+		var proposed *Command
 		ms := 0
-		for ; ms <= 5000 && o == nil; ms += 10 {
-			o = d.Step(at(ms), c.plan, all, living, c.reports(ms))
+		for ; ms <= 5000 && proposed == nil; ms += 10 {
+			proposed = controller.Step(at(ms), c.plan, all, living, c.reports(ms))
 		}
 		switch {
-		case o == nil && c.want != 0, o != nil && (o.Kind != c.want || ms-10 < c.ms):
-			t.Errorf("%s: %+v after %d ms", name, o, ms-10)
-		case o != nil:
-			if next, err := c.plan.Apply(o, all, living); err != nil || next == c.plan {
-				t.Errorf("%s: %v", name, err)
+		case proposed == nil && c.want != 0, proposed != nil && (proposed.Kind != c.want || ms-10 < c.ms):
+			t.Errorf("%s: command %+v after %d ms, want %v after at least %d ms", name, proposed, ms-10, c.want, c.ms)
+		case proposed != nil:
+			if next, err := c.plan.Apply(proposed, all, living); err != nil || next == c.plan {
+				t.Errorf("%s: proposed command has error %v, plan changed: %t, want a changed plan", name, err, next != c.plan)
 			}
-			if again := d.Step(at(ms), c.plan, all, living, c.reports(ms)); again != nil {
-				t.Errorf("%s: proposed again at once", name)
+			if again := controller.Step(at(ms), c.plan, all, living, c.reports(ms)); again != nil {
+				t.Errorf("%s: proposed %+v before the command interval had passed", name, again)
 			}
 		}
 	}
-	d := &Controller{Guard: guard}
-	if err := d.CheckExclude("n1", promoted, all, reportsActing(at(0), all, 2, nil), at(0)); err != nil {
-		t.Error(err)
+	controller := &Controller{Guard: guard}
+	if err := controller.CheckExclude("n1", promoted, all, reportsActing(at(0), all, 2, nil), at(0)); err != nil {
+		t.Errorf("exclusion of the first of 9 members: %v", err)
 	}
-	if err := d.CheckExclude("n1", promoted, all, reportsActing(at(0), all[3:], 2, nil), at(0)); err != nil {
-		t.Error(err) // n1 is one of the three without a report
+	if err := controller.CheckExclude("n1", promoted, all, reportsActing(at(0), all[3:], 2, nil), at(0)); err != nil {
+		t.Errorf("exclusion of n1, one of three members without a report: %v", err)
 	}
-	if err := d.CheckExclude("n9", promoted, all, reportsActing(at(0), all[3:], 2, nil), at(0)); err == nil {
-		t.Error("a fourth may be excluded")
+	if err := controller.CheckExclude("n9", promoted, all, reportsActing(at(0), all[3:], 2, nil), at(0)); err == nil {
+		t.Error("a fourth of 9 members may be without a lease, want at most 3")
 	}
 }
 
-// Whatever commands come in whatever order, numbers only grow, the fence never passes the target, and each name has a version to act on.
+// Under random commands the plan stays valid, its numbers never decrease, and the target of each member is a known version that is not below the
+// fence.
 func TestPlanStaysValidUnderRandomCommands(t *testing.T) {
 	all := memberNames(7)
 	rapid.Check(t, func(r *rapid.T) {
 		p := &Plan{}
 		for range rapid.IntRange(1, 40).Draw(r, "commands") {
-			o := newCommand(rapid.SampledFrom([]Kind{RollOut, Pause, Rollback, Exclude, Readmit, Promote, Fence, ReselectCanaries}).Draw(r, "kind"), Command{
+			c := newCommand(rapid.SampledFrom([]Kind{RollOut, Pause, Rollback, Exclude, Readmit, Promote, Fence, ReselectCanaries}).Draw(r, "kind"), Command{
 				Number: rapid.Uint64Range(0, 12).Draw(r, "number"), Name: rapid.SampledFrom(all).Draw(r, "name"),
 			})
-			if o.Kind == RollOut {
-				o.Settings, o.SharePermille = []byte{byte(o.ID)}, rapid.IntRange(1, FullSharePermille).Draw(r, "share")
+			if c.Kind == RollOut {
+				c.Settings, c.SharePermille = []byte{byte(c.ID)}, rapid.IntRange(1, FullSharePermille).Draw(r, "share")
 			}
-			next, err := p.Apply(o, all, all)
+			next, err := p.Apply(c, all, all)
 			if err != nil && next != p {
-				t.Fatal("a command with an error changed the plan")
+				t.Fatalf("command %+v with error %v changed the plan", c, err)
 			}
 			if next.Validate() != nil || next.Fence < p.Fence || next.LastNumber < p.LastNumber || next.Target < p.Target || len(next.AppliedIDs) > maxAppliedIDs {
-				t.Fatalf("%+v after %+v by %+v", next, p, o)
+				t.Fatalf("plan %+v follows %+v by command %+v, want a valid plan without lower numbers", next, p, c)
 			}
 			for _, n := range all {
-				w := next.TargetFor(n)
-				if _, kept := next.Find(w); w > 0 && !kept || w < next.Fence {
-					t.Fatalf("%s wants %d of %+v", n, w, next)
+				target := next.TargetFor(n)
+				if _, known := next.Find(target); target > 0 && !known || target < next.Fence {
+					t.Fatalf("target of %s is version %d of plan %+v, want a known version not below the fence", n, target, next)
 				}
 			}
 			if slices.Contains(next.Excluded, "") {
-				t.Fatal("an empty name is excluded")
+				t.Fatalf("plan %+v excludes an empty name", next)
 			}
 			p = next
 		}
--- a/internal/rollout/version.go
+++ b/internal/rollout/version.go
@@ -8,7 +8,8 @@
 // DigestOf returns the digest of settings.
 func DigestOf(settings []byte) Digest { return sha256.Sum256(settings) }
 
-// Version is a version of the settings that was given a number. It is part of the fleet's log: order and types of its fields stay.
+// Version describes a numbered version of the settings. Snapshots and messages contain it as a CBOR array: the order and types of its fields
+// must not change.
 type Version struct {
 	_          struct{} `cbor:",toarray"`
 	Number     uint64   `json:"Number"` // from 1, never reused
@@ -16,5 +17,5 @@
 	SizeBytes  int      `json:"Size"`
 	Author     string   `json:"Who"`
 	Reason     string   `json:"Why"`
-	RollbackOf uint64   `json:"Back"` // the version whose settings it has; 0: its own
+	RollbackOf uint64   `json:"Back"` // number of the version that first had these settings; 0 unless this version is a rollback
 }
