--- a/internal/app/upgrade.go
+++ b/internal/app/upgrade.go
@@ -110,7 +110,7 @@
 	}()
 	go func() {
 		<-u.predecessor.Done()
-		u.sidecar.SetPeerInFlight(nil)
+		u.sidecar.SetPeerProcessInFlightIDs(nil)
 		u.sidecar.SetPeerProcessActive(false)
 		u.shares.setPredecessor(false)
 	}()
@@ -127,10 +127,10 @@
 		eventlog.Warn(eventHandoverMalformed, err)
 		return
 	}
-	u.sidecar.SetPeerInFlight(notice.RequestIDs)
+	u.sidecar.SetPeerProcessInFlightIDs(notice.RequestIDs)
 	select {
 	case <-u.predecessor.Done(): // it may have exited before its requests were noted
-		u.sidecar.SetPeerInFlight(nil)
+		u.sidecar.SetPeerProcessInFlightIDs(nil)
 	default:
 	}
 }
@@ -198,7 +198,7 @@
 	var handOver frontend.StreamHandover
 	if server.Successor() == handover.SuccessorServing {
 		handOver = server.TransferStream
-		if err := server.Notify(inFlightNotice{RequestIDs: u.sidecar.InFlight()}); err != nil {
+		if err := server.Notify(inFlightNotice{RequestIDs: u.sidecar.InFlightIDs()}); err != nil {
 			eventlog.Warn(eventHandoverNotifyFailed, err)
 		}
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -26,7 +26,7 @@
 
 // Source describes how the list is served.
 type Source struct {
-	Pushed        bool // by an agent beside this process, which serves it alone
+	FromAgent     bool // by an agent beside this process, which serves it alone
 	BalancerCount int  // how many balancers poll the same service
 }
 
@@ -64,7 +64,7 @@
 type sourceChanged struct{ source Source }
 
 func (m sourceChanged) handle(c *Client) {
-	c.schedule.fromAgent, c.schedule.balancerCount = m.source.Pushed, m.source.BalancerCount
+	c.schedule.fromAgent, c.schedule.balancerCount = m.source.FromAgent, m.source.BalancerCount
 }
 
 // addressChanged says that the list is served at another address.
@@ -78,12 +78,12 @@
 	c := &Client{
 		Endpoints: &EndpointSet{}, addr: addr, listener: listener, resumeSeq: -1, appliedSeq: -1,
 		mailbox: make(chan message, mailboxSize), pollTimer: time.NewTimer(time.Hour),
-		schedule: pollSchedule{balancerCount: source.BalancerCount, fromAgent: source.Pushed, random: rand.Float64},
+		schedule: pollSchedule{balancerCount: source.BalancerCount, fromAgent: source.FromAgent, random: rand.Float64},
 	}
 	c.pollTimer.Stop()
 	switch {
 	case known == nil || len(known.Endpoints) == 0:
-	case source.Pushed:
+	case source.FromAgent:
 		c.fallback = known
 	default:
 		c.resumeSeq = known.Seq
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -49,7 +49,7 @@
 		w.Left()
 	})
 	to := make(notifications, 16)
-	c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{Pushed: true}, to)
+	c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{FromAgent: true}, to)
 	if _, ready := c.Endpoints.Address("a"); ready {
 		t.Fatal("what was known goes before the agent")
 	}
@@ -82,7 +82,7 @@
 				w.Left()
 			})
 			to := make(notifications, 16)
-			c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{Pushed: true}, to)
+			c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{FromAgent: true}, to)
 			runClient(t, c)
 			nextNotification(t, to)
 			if _, ready := c.Endpoints.Address("a"); !ready {
@@ -117,7 +117,7 @@
 		held := make(chan *subscription, 2)
 		look := onActor(func() { held <- c.active })
 		c.mailbox <- look
-		c.SetSource(Source{Pushed: pushed, BalancerCount: 1})
+		c.SetSource(Source{FromAgent: pushed, BalancerCount: 1})
 		c.mailbox <- look
 		if before, after := <-held, <-held; before != after {
 			t.Fatal("the watch was left")
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -276,7 +276,7 @@
 					}
 					io.WriteString(client, request)
 					eventually(t, "the leaver with the module", func() bool {
-						return slices.Contains(s.side.InFlight(), "leaver")
+						return slices.Contains(s.side.InFlightIDs(), "leaver")
 					})
 					eventually(t, "the leaver at its place", func() bool { return s.Got("leaver") == s.sent })
 					if strings.Contains(how, "advance") {
@@ -293,7 +293,7 @@
 					s.on()
 					usual := dial(t, s.ln)
 					exchange(t, usual, bufio.NewReader(usual), text("look", "usual", 0), 200) // after all that waited before it
-					eventually(t, "nothing under way", func() bool { return len(s.side.InFlight()) == 0 })
+					eventually(t, "nothing under way", func() bool { return len(s.side.InFlightIDs()) == 0 })
 					if n := s.Got("leaver"); n != s.sent {
 						t.Fatalf("sent %d times, want %d", n, s.sent)
 					}
@@ -517,7 +517,7 @@
 		c.Close()
 	}
 	usual("first")
-	eventually(t, "a quiet start", func() bool { return f.count() == 0 && len(side.InFlight()) == 0 })
+	eventually(t, "a quiet start", func() bool { return f.count() == 0 && len(side.InFlightIDs()) == 0 })
 	for i, bad := range []string{
 		"", "\r\n\r\n", "GET\r\n\r\n", "GET /none HTTP/1.1\r\nHost: h\r\n\r\n", strings.Repeat("x", 20<<10), look[:30],
 		text("make", "half", 4000)[:300], text("make", "long", 0) + strings.Repeat(text("look", "more", 0), 400),
@@ -533,7 +533,7 @@
 			io.WriteString(c, bad)
 			leaves(c, n%2 == 0)
 		}
-		eventually(t, fmt.Sprintf("the end of crowd %d", i), func() bool { return f.count() == 0 && len(side.InFlight()) == 0 })
+		eventually(t, fmt.Sprintf("the end of crowd %d", i), func() bool { return f.count() == 0 && len(side.InFlightIDs()) == 0 })
 		usual(fmt.Sprint("after", i))
 		eventually(t, fmt.Sprintf("no goroutine more after crowd %d", i), func() bool { return runtime.NumGoroutine() <= before+8 })
 	}
--- a/internal/frontend/replication.go
+++ b/internal/frontend/replication.go
@@ -60,7 +60,7 @@
 	call.OnBodyComplete = c.watchDisconnect
 	r := takeover.Request{
 		ID: p.request.ID, Class: class.Name, Idempotency: idempotency, Resume: isResumed(h), Strict: policy == options.StrictReplication,
-		Timeout: min(call.TimeLeft(time.Now()), p.timeLeft), MaxDuration: call.TimeLeft(time.Now()),
+		Timeout: min(call.TimeToResponseDeadline(time.Now()), p.timeLeft), MaxDuration: call.TimeToResponseDeadline(time.Now()),
 		Digest: requestDigest(class.Name, h.Peek(idempotencyKeyHeader), p.request.Key, b.buffered),
 	}
 	switch {
@@ -81,7 +81,7 @@
 		b.rejection(bodyErr).write(ctx)
 		f.recordResponse(ctx, r.ID, f.sidecar.ConfigVersion())
 	} else {
-		timeLeft := min(call.TimeLeft(time.Now()), p.timeLeft-time.Since(start)) // the former counts from the body's end
+		timeLeft := min(call.TimeToResponseDeadline(time.Now()), p.timeLeft-time.Since(start)) // the former counts from the body's end
 		f.writeOutcome(ctx, c, call, &outcome, timeLeft)
 	}
 	if bodyErr != nil || outcome.Kind == takeover.OutcomeCallerGone {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -109,7 +109,7 @@
 
 // answerReadiness answers a request for readinessPath: 200 if the sidecar wants traffic, else 503.
 func (f *Frontend) answerReadiness(ctx *fasthttp.RequestCtx) {
-	if lease := f.requiredLease(); f.sidecar.Ready() && !f.isDraining() && (lease == nil || lease.Valid()) {
+	if lease := f.requiredLease(); f.sidecar.HasEndpoints() && !f.isDraining() && (lease == nil || lease.Valid()) {
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		return
 	}
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -118,8 +118,10 @@
 	return c.decisionDeadline
 }
 
-// TimeLeft returns the time from now until Do returns at the latest.
-func (c *Call) TimeLeft(now time.Time) time.Duration { return c.responseDeadline.Sub(now) }
+// TimeToResponseDeadline returns the time from now until Do returns at the latest.
+func (c *Call) TimeToResponseDeadline(now time.Time) time.Duration {
+	return c.responseDeadline.Sub(now)
+}
 
 // respond gives the call its response; false: it had one.
 func (c *Call) respond(r Response) bool {
--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -38,9 +38,9 @@
 // one attempt budget.
 func (s *Sidecar) SetPeerProcessActive(active bool) { s.mailbox <- peerProcessChanged{active} }
 
-// SetPeerInFlight replaces the ids of the requests that another process of this sidecar has in flight. Requests with
+// SetPeerProcessInFlightIDs replaces the ids of the requests that another process of this sidecar has in flight. Requests with
 // such an id are answered as duplicates.
-func (s *Sidecar) SetPeerInFlight(ids []string) {
+func (s *Sidecar) SetPeerProcessInFlightIDs(ids []string) {
 	set := map[string]bool{}
 	for _, id := range ids {
 		set[id] = true
@@ -79,7 +79,7 @@
 
 // sourceOf returns how the settings say that the endpoint list is served.
 func sourceOf(settings *decide.Settings) discovery.Source {
-	return discovery.Source{Pushed: settings.EndpointsPushed, BalancerCount: settings.BalancerCount}
+	return discovery.Source{FromAgent: settings.EndpointsPushed, BalancerCount: settings.BalancerCount}
 }
 
 // withPushedEndpoints returns the settings for the balancer: to it the list is always pushed, since discovery.Client polls.
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -6,14 +6,14 @@
 	"damsonscale/internal/shadow"
 )
 
-// Ready reports whether any server is known.
-func (s *Sidecar) Ready() bool { return s.discovery.Endpoints.HasEndpoints() }
+// HasEndpoints reports whether any server is known.
+func (s *Sidecar) HasEndpoints() bool { return s.discovery.Endpoints.HasEndpoints() }
 
 // EndpointsKnown returns a channel that is closed once any server has been known.
 func (s *Sidecar) EndpointsKnown() <-chan struct{} { return s.endpointsKnown }
 
 func (s *Sidecar) signalEndpointsKnown() {
-	if s.Ready() {
+	if s.HasEndpoints() {
 		s.endpointsKnownOnce.Do(func() { close(s.endpointsKnown) })
 	}
 }
--- a/internal/sidecar/overloaded_discovery_test.go
+++ b/internal/sidecar/overloaded_discovery_test.go
@@ -37,7 +37,7 @@
 			back := r.Return(t)
 			known := func() (k int) {
 				for _, s := range fleet {
-					if s.Ready() {
+					if s.HasEndpoints() {
 						k++
 					}
 				}
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// InFlight returns the ids of the requests in flight.
-func (s *Sidecar) InFlight() []string {
+// InFlightIDs returns the ids of the requests in flight.
+func (s *Sidecar) InFlightIDs() []string {
 	reply := make(chan []string, 1)
 	s.mailbox <- inFlightQuery{reply}
 	return <-reply
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -346,7 +346,7 @@
 		foreign []string
 		want    Status
 	}{{[]string{"a", "b"}, DuplicateID}, {[]string{"b"}, Served}, {[]string{"a"}, DuplicateID}, {nil, Served}} {
-		s.SetPeerInFlight(step.foreign)
+		s.SetPeerProcessInFlightIDs(step.foreign)
 		if a, _ := s.Do(newTestCall("a", 0, time.Minute), nil); a.Status != step.want {
 			t.Fatalf("beside %v: %+v", step.foreign, a)
 		}
@@ -361,12 +361,12 @@
 	done := make(chan bool)
 	go func() { s.Do(newTestCall("a", 0, time.Minute), nil); done <- true }()
 	<-came
-	if ids := s.InFlight(); len(ids) != 1 || ids[0] != "a" {
+	if ids := s.InFlightIDs(); len(ids) != 1 || ids[0] != "a" {
 		t.Fatal(ids)
 	}
 	close(finish)
 	<-done
-	eventually(t, func() bool { return len(s.InFlight()) == 0 })
+	eventually(t, func() bool { return len(s.InFlightIDs()) == 0 })
 }
 
 // A call that requires a lease is rejected at once without it, when it is admitted and when the lease is lost afterwards.
