--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -45,16 +45,16 @@
 	schedule  pollSchedule
 	log       limitedLog
 
-	active        *subscription   // the watch in force, or the one of a previous address until the next speaks; nil: none
-	activeSuspect bool            // it has missed a heartbeat
-	pending       []*subscription // polls without a response, oldest first
-	polls         int             // begun so far
+	activeWatch        *subscription   // the watch in force, or the one of a previous address until the next speaks; nil: none
+	activeWatchSuspect bool            // it has missed a heartbeat
+	pendingPolls       []*subscription // polls without a response, oldest first
+	pollCount          int             // begun so far
 
 	resumeSeq    int64 // the next poll resumes from here; -1: requests the full list
 	appliedSeq   int64 // of the list in force, for comparison; -1: none of this service
 	staleUpdates int   // received in a row
 
-	fallback *Update // the list known at the start, used while an agent is silent; nil: none, or used
+	initialList *Update // the list known at the start, used while an agent is silent; nil: none, or used
 }
 
 // message is what the mailbox takes. handle runs on the Client's goroutine.
@@ -84,7 +84,7 @@
 	switch {
 	case known == nil || len(known.Endpoints) == 0:
 	case source.FromAgent:
-		c.fallback = known
+		c.initialList = known
 	default:
 		c.resumeSeq = known.Seq
 		c.Endpoints.Replace(known)
@@ -105,7 +105,7 @@
 		select {
 		case <-ctx.Done():
 			c.pollTimer.Stop()
-			c.active.cancel()
+			c.activeWatch.cancel()
 			c.cancelPending()
 			return
 		case m := <-c.mailbox:
@@ -113,7 +113,7 @@
 		case <-c.pollTimer.C:
 			c.startPoll(time.Now())
 		case <-agentTimer.C:
-			c.useFallback()
+			c.applyInitialList()
 		}
 	}
 }
@@ -132,16 +132,16 @@
 	}
 	c.cancelPending()
 	c.addr, c.resumeSeq, c.appliedSeq, c.staleUpdates = addr, -1, -1, 0
-	c.activeSuspect = c.active != nil && c.active.addr == addr // back at a service left before: its numbers were dropped
+	c.activeWatchSuspect = c.activeWatch != nil && c.activeWatch.addr == addr // back at a service left before: its numbers were dropped
 	now := time.Now()
 	c.schedule.onSourceChanged(now)
 	c.startPoll(now)
 }
 
-// useFallback puts the list known at the start in force: the agent has not answered.
-func (c *Client) useFallback() {
-	if known := c.fallback; known != nil {
-		c.fallback = nil
+// applyInitialList puts the list known at the start in force: the agent has not answered.
+func (c *Client) applyInitialList() {
+	if known := c.initialList; known != nil {
+		c.initialList = nil
 		c.Endpoints.Replace(known)
 		c.listener.OnEndpoints(&Update{Seq: known.Seq, Full: true, Endpoints: known.Endpoints})
 	}
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -115,7 +115,7 @@
 			t.Fatal(word)
 		}
 		held := make(chan *subscription, 2)
-		look := onActor(func() { held <- c.active })
+		look := onActor(func() { held <- c.activeWatch })
 		c.mailbox <- look
 		c.SetSource(Source{FromAgent: pushed, BalancerCount: 1})
 		c.mailbox <- look
@@ -402,7 +402,7 @@
 	another := func(now time.Time) int {
 		c.mailbox <- onActor(func() {
 			c.startPoll(now)
-			waiting <- c.polls
+			waiting <- c.pollCount
 		})
 		return <-waiting
 	}
@@ -443,7 +443,7 @@
 			}
 			c.startPoll(time.Now())
 			if speaks {
-				to <- fmt.Sprint(c.active == old, len(c.pending))
+				to <- fmt.Sprint(c.activeWatch == old, len(c.pendingPolls))
 			}
 		})
 		if speaks {
@@ -496,7 +496,7 @@
 		s := withActiveWatch(c)
 		c.onUpdate(s, &Update{Seq: 9, Full: true, Endpoints: []Endpoint{gone}})
 		if waits {
-			c.active, c.pending = nil, []*subscription{s}
+			c.activeWatch, c.pendingPolls = nil, []*subscription{s}
 		}
 		c.onUpdate(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
 		if _, is := c.Endpoints.Address("a"); is || s.ctx.Err() == nil || c.resumeSeq != -1 {
@@ -512,11 +512,11 @@
 		if _, is := c.Endpoints.Address("a"); !is || c.resumeSeq != 8 {
 			t.Fatal("a service that counts anew is not believed")
 		}
-		c.active.addr = "before"
-		c.onUpdate(c.active, &Update{Seq: 1, Endpoints: []Endpoint{gone}})
+		c.activeWatch.addr = "before"
+		c.onUpdate(c.activeWatch, &Update{Seq: 1, Endpoints: []Endpoint{gone}})
 		if _, is := c.Endpoints.Address("a"); is {
 			t.Fatal("another service's versions were compared")
 		}
-		c.active.cancel()
+		c.activeWatch.cancel()
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -205,28 +205,28 @@
 	if !c.Endpoints.HasEndpoints() || c.resumeSeq != -1 {
 		t.Fatalf("the old address is not heard, or its version %d kept", c.resumeSeq)
 	}
-	c.onUpdate(c.pending[0], &Update{Seq: 2, Full: true, Endpoints: []Endpoint{endpoint("b", "2", Ready)}})
+	c.onUpdate(c.pendingPolls[0], &Update{Seq: 2, Full: true, Endpoints: []Endpoint{endpoint("b", "2", Ready)}})
 	c.onUpdate(old, &Update{Seq: 91, Endpoints: []Endpoint{endpoint("c", "3", Ready)}})
 	if _, stale := c.Endpoints.Lookup("c"); stale || old.ctx.Err() == nil || c.resumeSeq != 2 {
 		t.Fatalf("the old address is still heard: %v %d", stale, c.resumeSeq)
 	}
-	held, begun := c.active, c.polls
+	held, begun := c.activeWatch, c.pollCount
 	c.switchAddress(addr)
-	if c.active != held || c.polls != begun {
+	if c.activeWatch != held || c.pollCount != begun {
 		t.Fatal("a move to the same address began a watch anew")
 	}
 	c.startPoll(time.Now())
-	if c.active != held || c.polls != begun {
+	if c.activeWatch != held || c.pollCount != begun {
 		t.Fatal("a call that was due began the watch anew")
 	}
-	c.active.cancel()
+	c.activeWatch.cancel()
 }
 
 // withActiveWatch gives a client that is not running an active watch at its address.
 func withActiveWatch(c *Client) *subscription {
 	s := &subscription{addr: c.addr, startedAt: time.Now()}
 	s.ctx, s.cancelContext = context.WithCancel(context.Background())
-	c.active = s
+	c.activeWatch = s
 	return s
 }
 
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -48,48 +48,48 @@
 	err  error
 }
 
-func (m watchEnded) handle(c *Client) { c.onEnded(m.from, m.err) }
+func (m watchEnded) handle(c *Client) { c.onWatchEnded(m.from, m.err) }
 
-// isActiveHealthy reports whether the active watch makes polls unnecessary.
-func (c *Client) isActiveHealthy() bool {
-	return c.active != nil && c.active.addr == c.addr && !c.activeSuspect
+// hasHealthyWatch reports whether the active watch makes polls unnecessary.
+func (c *Client) hasHealthyWatch() bool {
+	return c.activeWatch != nil && c.activeWatch.addr == c.addr && !c.activeWatchSuspect
 }
 
 // startPoll begins a poll, and sets the timer for the next in case that it is not answered.
 func (c *Client) startPoll(now time.Time) {
-	if c.isActiveHealthy() {
+	if c.hasHealthyWatch() {
 		return
 	}
-	if wait := c.reservePoll(now); wait > 0 {
+	if wait := c.makeRoomForPoll(now); wait > 0 {
 		c.pollTimer.Reset(wait)
 		return
 	}
-	c.polls++
-	s := &subscription{addr: c.addr, number: c.polls, startedAt: now}
+	c.pollCount++
+	s := &subscription{addr: c.addr, number: c.pollCount, startedAt: now}
 	s.ctx, s.cancelContext = context.WithCancel(context.Background())
-	c.pending = append(c.pending, s)
+	c.pendingPolls = append(c.pendingPolls, s)
 	c.log.info(now, eventPollStarted, "poll", s.number, "discovery", c.addr, "from_seq", c.resumeSeq,
-		"endpoints_age_ms", c.Endpoints.Staleness().Milliseconds(), "pending", len(c.pending)-1)
+		"endpoints_age_ms", c.Endpoints.Staleness().Milliseconds(), "pending", len(c.pendingPolls)-1)
 	c.pollTimer.Reset(c.schedule.onPollStarted(now))
 	go c.runSubscription(s, c.resumeSeq, c.schedule.fromAgent)
 }
 
-// reservePoll cancels the oldest pending poll where too many are open, or returns how long to wait until it may be: a
+// makeRoomForPoll cancels the oldest pending poll where too many are open, or returns how long to wait until it may be: a
 // service that works through its requests in turn answers the oldest first.
-func (c *Client) reservePoll(now time.Time) (wait time.Duration) {
+func (c *Client) makeRoomForPoll(now time.Time) (wait time.Duration) {
 	limit, minAge := maxPendingPolls, maxHeadWait
 	if c.schedule.fromAgent {
 		limit, minAge = maxPendingAgentPolls, 0
 	}
-	if len(c.pending) < limit {
+	if len(c.pendingPolls) < limit {
 		return 0
 	}
-	oldest := c.pending[0]
+	oldest := c.pendingPolls[0]
 	if wait = minAge - now.Sub(oldest.startedAt); wait > 0 {
 		return wait
 	}
 	oldest.cancel()
-	c.pending = c.pending[1:]
+	c.pendingPolls = c.pendingPolls[1:]
 	return 0
 }
 
@@ -117,16 +117,16 @@
 // onMessage handles a complete heartbeat or update: the list is as that service has it. A pending poll becomes the
 // active watch by it.
 func (c *Client) onMessage(s *subscription) {
-	if i := slices.Index(c.pending, s); i >= 0 {
-		c.pending = slices.Delete(c.pending, i, i+1)
-		c.active.cancel()
-		c.active = s
+	if i := slices.Index(c.pendingPolls, s); i >= 0 {
+		c.pendingPolls = slices.Delete(c.pendingPolls, i, i+1)
+		c.activeWatch.cancel()
+		c.activeWatch = s
 	}
-	if s != c.active || s.addr != c.addr {
+	if s != c.activeWatch || s.addr != c.addr {
 		return
 	}
 	now := time.Now()
-	c.activeSuspect = false
+	c.activeWatchSuspect = false
 	c.schedule.onMessage(now)
 	c.Endpoints.markSynced(now)
 	c.pollTimer.Stop()
@@ -135,30 +135,30 @@
 
 // onQuiet plans a poll beside an active watch that has missed a heartbeat. The watch is read on until one is answered.
 func (c *Client) onQuiet(s *subscription) {
-	if s != c.active || s.addr != c.addr || c.activeSuspect {
+	if s != c.activeWatch || s.addr != c.addr || c.activeWatchSuspect {
 		return
 	}
 	now := time.Now()
-	c.activeSuspect = true
+	c.activeWatchSuspect = true
 	c.log.warn(now, eventWatchSuspect, nil, "poll", s.number, "endpoints_age_ms", c.Endpoints.Staleness().Milliseconds())
 	c.pollTimer.Reset(c.schedule.onWatchLost(now))
 }
 
 // onUpdate applies an update, unless a later one of the same service is in force.
 func (c *Client) onUpdate(s *subscription, u *Update) {
-	if s != c.active && !slices.Contains(c.pending, s) {
+	if s != c.activeWatch && !slices.Contains(c.pendingPolls, s) {
 		return
 	}
 	if s.addr == c.addr && u.Seq < c.appliedSeq && !c.sequenceRestarted(u) {
 		c.log.warn(time.Now(), eventStaleIgnored, nil, "poll", s.number, "seq", u.Seq, "applied_seq", c.appliedSeq)
-		c.onEnded(s, errStale)
+		c.onWatchEnded(s, errStale)
 		return
 	}
 	c.onMessage(s)
 	if s.addr == c.addr {
 		c.resumeSeq, c.appliedSeq, c.staleUpdates = u.Seq, u.Seq, 0
 	}
-	c.fallback = nil
+	c.initialList = nil
 	c.log.info(time.Now(), eventApplied, "poll", s.number, "seq", u.Seq, "full", u.Full, "entries", len(u.Endpoints))
 	c.Endpoints.apply(u)
 	c.listener.OnEndpoints(u)
@@ -172,16 +172,16 @@
 	return c.staleUpdates > 1 && u.Full
 }
 
-// onEnded handles the end of a poll or of a watch.
-func (c *Client) onEnded(s *subscription, err error) {
+// onWatchEnded handles the end of a poll or of a watch.
+func (c *Client) onWatchEnded(s *subscription, err error) {
 	s.cancel()
 	now := time.Now()
-	at := slices.Index(c.pending, s)
+	at := slices.Index(c.pendingPolls, s)
 	answered := at < 0
-	if answered && s != c.active {
+	if answered && s != c.activeWatch {
 		return
 	}
-	if !c.schedule.fromAgent || !c.schedule.failing { // an agent that is away is polled several times a second
+	if !c.schedule.fromAgent || !c.schedule.lastPollFailed { // an agent that is away is polled several times a second
 		c.log.warn(now, eventWatchEnded, err, "discovery", s.addr, "poll", s.number, "after_ms", now.Sub(s.startedAt).Milliseconds(),
 			"answered", answered, "endpoints_age_ms", c.Endpoints.Staleness().Milliseconds())
 	}
@@ -192,10 +192,10 @@
 		c.onWatchLost(now, s)
 		return
 	}
-	latest := at == len(c.pending)-1
-	c.pending = slices.Delete(c.pending, at, at+1)
+	latest := at == len(c.pendingPolls)-1
+	c.pendingPolls = slices.Delete(c.pendingPolls, at, at+1)
 	if c.schedule.fromAgent {
-		c.useFallback()
+		c.applyInitialList()
 	}
 	if latest {
 		if wait, changed := c.schedule.onPollFailed(now, errors.Is(err, syscall.ECONNREFUSED)); changed {
@@ -206,16 +206,16 @@
 
 // onWatchLost plans a poll in place of the active watch, unless one is planned already.
 func (c *Client) onWatchLost(now time.Time, s *subscription) {
-	c.active = nil
-	if !c.activeSuspect && s.addr == c.addr {
+	c.activeWatch = nil
+	if !c.activeWatchSuspect && s.addr == c.addr {
 		c.pollTimer.Reset(c.schedule.onWatchLost(now))
 	}
-	c.activeSuspect = false
+	c.activeWatchSuspect = false
 }
 
 func (c *Client) cancelPending() {
-	for _, s := range c.pending {
+	for _, s := range c.pendingPolls {
 		s.cancel()
 	}
-	c.pending = nil
+	c.pendingPolls = nil
 }
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -8,11 +8,11 @@
 
 // Polls after a watch is lost: a burst within the bound, then one each steadyInterval.
 const (
-	burstPolls       = 3                       // begin between the loss and the end of the bound: two may fail
-	responseReserve  = 900 * time.Millisecond  // of the bound, left for the response to the last of them
-	minBurstInterval = 750 * time.Millisecond  // between two polls of a burst, before jitter
-	steadyInterval   = 2700 * time.Millisecond // between two polls after a burst: one may fail within the bound
-	jitterShare      = 0.1                     // of each interval, taken off at random
+	burstPolls          = 3                       // begin between the loss and the end of the bound: two may fail
+	responseTimeReserve = 900 * time.Millisecond  // of the bound, left for the response to the last of them
+	minBurstInterval    = 750 * time.Millisecond  // between two polls of a burst, before jitter
+	steadyInterval      = 2700 * time.Millisecond // between two polls after a burst: one may fail within the bound
+	jitterShare         = 0.1                     // of each interval, taken off at random
 )
 
 // The first poll of a burst is spread at random, so that a fleet that loses its watches together does not poll together.
@@ -29,8 +29,8 @@
 // The list that a process starts with may be older than the bound: only the time that draining servers wait for stragglers
 // (2 s) is left, in which the second poll begins.
 const (
-	maxStartSpread  = 800 * time.Millisecond
-	assumedStartAge = 2800 * time.Millisecond
+	maxInitialSpread = 800 * time.Millisecond
+	initialStaleness = 2800 * time.Millisecond
 )
 
 // An agent beside this process serves it alone: it answers at once or not at all, and is polled again soon.
@@ -50,15 +50,15 @@
 	// later.
 	lastSynced time.Time
 
-	polls        int       // begun since the watch was lost
-	lastPollAt   time.Time // when the latest of them began
-	burstRefused bool      // connections were refused after a burst: the first other failure begins a new burst
-	failing      bool      // a poll has failed since the last message
+	burstPollCount int       // begun since the watch was lost
+	lastPollAt     time.Time // when the latest of them began
+	burstRefused   bool      // connections were refused after a burst: the first other failure begins a new burst
+	lastPollFailed bool      // a poll has failed since the last message
 }
 
 // onMessage records a complete message on the active watch: the list is as discovery has it.
 func (s *pollSchedule) onMessage(now time.Time) {
-	s.lastSynced, s.polls, s.burstRefused, s.failing = now, 0, false, false
+	s.lastSynced, s.burstPollCount, s.burstRefused, s.lastPollFailed = now, 0, false, false
 }
 
 // onSourceChanged records that another service counts from now on, whose first poll begins at once.
@@ -66,16 +66,16 @@
 
 // initialDelay returns how long a process that starts with a known list waits before its first poll.
 func (s *pollSchedule) initialDelay(now time.Time) time.Duration {
-	s.lastSynced = now.Add(-assumedStartAge)
+	s.lastSynced = now.Add(-initialStaleness)
 	if s.fromAgent {
 		return 0
 	}
-	return s.randomWithin(min(s.fleetSpread(), maxStartSpread))
+	return s.randomWithin(min(s.fleetSpread(), maxInitialSpread))
 }
 
 // onWatchLost records that the watch has ended or is suspect, and returns the wait before the first poll.
 func (s *pollSchedule) onWatchLost(now time.Time) time.Duration {
-	s.polls = 0
+	s.burstPollCount = 0
 	if s.fromAgent {
 		return s.agentBackoff(agentBackoffBase)
 	}
@@ -86,10 +86,10 @@
 
 // onPollStarted records the beginning of a poll, and returns the wait before the next in case that none is answered.
 func (s *pollSchedule) onPollStarted(now time.Time) time.Duration {
-	s.polls++
+	s.burstPollCount++
 	s.lastPollAt = now
 	switch {
-	case s.fromAgent && (s.failing || s.polls > 1):
+	case s.fromAgent && (s.lastPollFailed || s.burstPollCount > 1):
 		return 2 * agentPollInterval
 	case s.fromAgent:
 		return agentPollInterval
@@ -101,31 +101,31 @@
 // steadyInterval. The first interval after a burst is random, to spread a fleet whose bursts end together.
 func (s *pollSchedule) nextInterval(now time.Time) time.Duration {
 	switch {
-	case s.polls == burstPolls:
+	case s.burstPollCount == burstPolls:
 		return minBurstInterval + time.Duration(s.random()*float64(steadyInterval-minBurstInterval))
-	case s.polls > burstPolls:
+	case s.burstPollCount > burstPolls:
 		return s.jittered(steadyInterval)
 	}
-	return s.jittered(max(minBurstInterval, min(s.timeToLastPoll(now)/time.Duration(burstPolls-s.polls), steadyInterval)))
+	return s.jittered(max(minBurstInterval, min(s.timeToLastPoll(now)/time.Duration(burstPolls-s.burstPollCount), steadyInterval)))
 }
 
 // onPollFailed records that the latest poll has failed, and whether the connection was refused. Where that changes the
 // beginning of the next poll it returns the wait from now on.
 func (s *pollSchedule) onPollFailed(now time.Time, refused bool) (wait time.Duration, changed bool) {
-	again := s.failing
-	s.failing = true
+	again := s.lastPollFailed
+	s.lastPollFailed = true
 	switch {
 	case s.fromAgent && again:
 		return s.agentBackoff(2 * agentBackoffBase), true
 	case s.fromAgent:
 		return s.agentBackoff(agentBackoffBase), true
-	case s.polls < burstPolls:
+	case s.burstPollCount < burstPolls:
 		return 0, false
 	case refused: // no change could be fetched up to that poll
 		s.lastSynced, s.burstRefused = s.lastPollAt, true
 		return 0, false
 	case s.burstRefused: // the service listens again since the poll before
-		s.burstRefused, s.polls = false, 1
+		s.burstRefused, s.burstPollCount = false, 1
 		return s.nextInterval(now), true
 	}
 	return 0, false
@@ -133,7 +133,7 @@
 
 // timeToLastPoll returns the time until the last poll of a burst has to begin.
 func (s *pollSchedule) timeToLastPoll(now time.Time) time.Duration {
-	return StalenessBound - responseReserve - now.Sub(s.lastSynced)
+	return StalenessBound - responseTimeReserve - now.Sub(s.lastSynced)
 }
 
 // fleetSpread returns the time over which a fleet of this size spreads its polls.
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -8,7 +8,7 @@
 )
 
 // lastPollOfBurst is when, after lastSynced, the last poll of a burst begins at the latest.
-const lastPollOfBurst = StalenessBound - responseReserve
+const lastPollOfBurst = StalenessBound - responseTimeReserve
 
 // forEachDraw calls f with a schedule for each of many random sequences, the extremes among them.
 func forEachDraw(balancers int, pushed bool, f func(s *pollSchedule)) {
@@ -68,7 +68,7 @@
 		forEachDraw(balancers, false, func(s *pollSchedule) {
 			begins := pollTimes(s, t0.Add(s.initialDelay(t0)), true, burstPolls)
 			first, second, last := begins[0].Sub(t0), begins[1].Sub(t0), begins[2].Sub(t0)
-			if first > maxStartSpread || second > 1600*time.Millisecond || last > lastPollOfBurst-assumedStartAge+time.Millisecond {
+			if first > maxInitialSpread || second > 1600*time.Millisecond || last > lastPollOfBurst-initialStaleness+time.Millisecond {
 				t.Fatalf("%d balancers: calls after %v, %v and %v", balancers, first, second, last)
 			}
 		})
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -29,7 +29,7 @@
 	}
 	if c.Message.Remainder == nil {
 		a.Deadline = c.attemptDeadline(now, timeout)
-	} else if a.TimeoutAfterBody = c.decisionTime(); timeout > 0 {
+	} else if a.TimeoutAfterBody = c.decisionTimeout(); timeout > 0 {
 		a.TimeoutAfterBody = min(a.TimeoutAfterBody, time.Duration(timeout)*time.Microsecond)
 	}
 	if class := c.class; class.Semantics == decide.IdempotencyKeyed && !c.firstEffectAt.IsZero() {
@@ -85,7 +85,7 @@
 // CloseIdleConnections closes the idle connections to a server before attempts that are sent after this.
 func (x actions) CloseIdleConnections(server string) {
 	x.s.noteAction(shadow.Action{Kind: shadow.CloseIdleConnections, Server: server})
-	x.s.peerFor(server).CloseIdleConnections()
+	x.s.endpointFor(server).CloseIdleConnections()
 }
 
 // SendGossip is never called: config refuses settings with gossip.
--- a/internal/sidecar/attempts.go
+++ b/internal/sidecar/attempts.go
@@ -27,11 +27,11 @@
 // onAttemptEnded handles the end of an attempt. A server's successful response ends the call.
 func (s *Sidecar) onAttemptEnded(now int64, m attemptEnded) {
 	c, a, r := m.call, m.attempt, m.result
-	if !c.answered && c.gate.ClosedByDisconnect() { // no retry while the client's own goroutine has not seen it yet
+	if !c.responded && c.gate.ClosedByDisconnect() { // no retry while the client's own goroutine has not seen it yet
 		s.onClientDisconnected(now, c)
 		close(c.disconnected)
 	}
-	p := s.peers[a.Host]
+	p := s.serverEndpoints[a.Host]
 	p.inFlight--
 	c.inFlight--
 	result := r.Reason.DecisionResult()
@@ -58,7 +58,7 @@
 	}
 	s.dispatch(e)
 	s.forgetIfDone(c)
-	s.retirePeer(a.Host)
+	s.retireEndpoint(a.Host)
 }
 
 // outcomeOf converts the end of an attempt to the balancer's form.
@@ -69,17 +69,17 @@
 	}
 	return decide.Outcome{
 		Request: m.call.Request.ID, Attempt: m.number, Server: m.attempt.Host, Result: m.result.Reason.DecisionResult(),
-		Latency: m.result.ObservedAt.Sub(sentAt).Microseconds(), RequestAnswered: m.call.answered, Load: m.result.Load,
+		Latency: m.result.ObservedAt.Sub(sentAt).Microseconds(), RequestAnswered: m.call.responded, Load: m.result.Load,
 		BodyConsumed: m.result.BodyConsumed,
 	}
 }
 
 // onHealthCheckEnded handles the end of a health check.
 func (s *Sidecar) onHealthCheckEnded(now int64, m healthCheckEnded) {
-	s.peers[m.server].inFlight--
+	s.serverEndpoints[m.server].inFlight--
 	s.balancer.OnHealthCheck(now, decide.HealthCheckOutcome{
 		Server: m.server, Result: m.result.Reason.DecisionResult(),
 		Latency: m.result.ObservedAt.Sub(m.check.DecidedAt).Microseconds(), Load: m.result.Load,
 	})
-	s.retirePeer(m.server)
+	s.retireEndpoint(m.server)
 }
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -51,7 +51,7 @@
 	disconnected     chan struct{} // closed by the actor when an attempt has found that the client left
 	attempts         []*upstream.Attempt
 	inFlight         int       // attempts without their end
-	answered         bool      // by the actor, or ended by the client
+	responded        bool      // by the actor, or ended by the client
 	firstEffectAt    time.Time // when the first attempt that may have run was sent; zero: none may have
 }
 
@@ -75,7 +75,7 @@
 		c.Request.BodyUnbuffered, c.responseDeadline = true, receivedAt.Add(maxBodyDuration)
 		return c
 	}
-	c.decisionDeadline, c.responseDeadline = receivedAt.Add(c.decisionTime()), c.responseDeadlineFrom(receivedAt)
+	c.decisionDeadline, c.responseDeadline = receivedAt.Add(c.decisionTimeout()), c.responseDeadlineFrom(receivedAt)
 	return c
 }
 
@@ -100,8 +100,8 @@
 // leaseHeld reports whether this process holds the lease that the call requires, if any.
 func (c *Call) leaseHeld() bool { return !c.leaseRequired || c.gate.LeaseHeld() }
 
-// decisionTime is the balancer's time for the call.
-func (c *Call) decisionTime() time.Duration {
+// decisionTimeout is the balancer's time for the call.
+func (c *Call) decisionTimeout() time.Duration {
 	return c.timeout - min(decisionMargin, c.timeout/decisionMarginPart)
 }
 
@@ -125,10 +125,10 @@
 
 // respond gives the call its response; false: it had one.
 func (c *Call) respond(r Response) bool {
-	if c.answered {
+	if c.responded {
 		return false
 	}
-	c.answered = true
+	c.responded = true
 	c.response <- r
 	return true
 }
--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -21,7 +21,7 @@
 	s.settings, s.transport = &conf.Settings, conf.Transport
 	s.settingsVersion, s.settingsDigest = conf.SettingsVersion, conf.SettingsDigest
 	s.updateConfigVersion()
-	s.peerShared.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
+	s.endpointConfig.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
 	settings := withPushedEndpoints(conf.Settings)
 	e := shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.UpdateSettings(now, settings) }}
 	if conf.Shadow != nil {
@@ -32,7 +32,7 @@
 }
 
 // SetSocketLimit changes how many connections to servers may be open. None is closed for it.
-func (s *Sidecar) SetSocketLimit(sockets int) { s.peerShared.Sockets.SetLimit(sockets) }
+func (s *Sidecar) SetSocketLimit(sockets int) { s.endpointConfig.Sockets.SetLimit(sockets) }
 
 // SetPeerProcessActive says whether another process of this sidecar serves too, as during an upgrade: the two then share
 // one attempt budget.
@@ -45,7 +45,7 @@
 	for _, id := range ids {
 		set[id] = true
 	}
-	s.mailbox <- peerInFlightChanged{set}
+	s.mailbox <- peerProcessInFlightChanged{set}
 }
 
 // SetRecorder has an audit trail kept. It must be called before Run.
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -32,8 +32,8 @@
 	s.updateConfigVersion()
 	endpoints := s.toEndpoints(now, u)
 	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnEndpoints(now, endpoints, u.Full) }})
-	for host := range s.peers {
-		s.retirePeer(host)
+	for host := range s.serverEndpoints {
+		s.retireEndpoint(host)
 	}
 }
 
--- a/internal/sidecar/log.go
+++ b/internal/sidecar/log.go
@@ -10,8 +10,8 @@
 
 // Events of the log.
 const (
-	eventPeerMailboxFull   = "peer_mailbox_full"
-	eventStaleEndpointSend = "stale_endpoint_send"
+	eventEndpointMailboxFull = "peer_mailbox_full"
+	eventStaleEndpointSend   = "stale_endpoint_send"
 )
 
 // staleSendLogInterval is the time between two lines of eventStaleEndpointSend, at least.
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -84,10 +84,10 @@
 	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.SetPeerProcessActive(now, m.active) }})
 }
 
-// peerInFlightChanged names the requests that another process of this sidecar has in flight.
-type peerInFlightChanged struct{ ids map[string]bool }
+// peerProcessInFlightChanged names the requests that another process of this sidecar has in flight.
+type peerProcessInFlightChanged struct{ ids map[string]bool }
 
-func (m peerInFlightChanged) handle(s *Sidecar, _ int64) { s.peerInFlight = m.ids }
+func (m peerProcessInFlightChanged) handle(s *Sidecar, _ int64) { s.peerProcessInFlight = m.ids }
 
 // inFlightQuery asks for the ids of the requests in flight.
 type inFlightQuery struct{ reply chan<- []string }
@@ -98,7 +98,7 @@
 type closeIdleConnections struct{}
 
 func (closeIdleConnections) handle(s *Sidecar, _ int64) {
-	for _, p := range s.peers {
+	for _, p := range s.serverEndpoints {
 		p.CloseIdleConnections()
 	}
 }
@@ -107,7 +107,7 @@
 type socketShortage struct{}
 
 func (socketShortage) handle(s *Sidecar, _ int64) {
-	for _, p := range s.peers {
+	for _, p := range s.serverEndpoints {
 		p.CloseOldestIdle()
 	}
 }
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -23,7 +23,7 @@
 	case <-gone:
 		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, true
 	}
-	r, left, answered := s.await(c, gone, deadline)
+	r, left, answered := s.awaitResponse(c, gone, deadline)
 	if answered {
 		c.gate.Close()
 		return r, false
@@ -34,8 +34,8 @@
 	return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, left
 }
 
-// await waits for the response, the client's disconnection, or the deadline.
-func (s *Sidecar) await(c *Call, gone <-chan struct{}, deadline *time.Timer) (r Response, left, answered bool) {
+// awaitResponse waits for the response, the client's disconnection, or the deadline.
+func (s *Sidecar) awaitResponse(c *Call, gone <-chan struct{}, deadline *time.Timer) (r Response, left, answered bool) {
 	var bodyDone <-chan struct{}
 	if c.Message.Remainder != nil {
 		bodyDone = c.Message.Remainder.Done()
@@ -81,7 +81,7 @@
 	if c.gate.Closed() { // it ended while it waited in the mailbox
 		return
 	}
-	if s.calls[c.Request.ID] != nil || s.peerInFlight[c.Request.ID] { // attempts of two requests with one id can't be told apart
+	if s.calls[c.Request.ID] != nil || s.peerProcessInFlight[c.Request.ID] { // attempts of two requests with one id can't be told apart
 		s.respond(c, Response{Status: DuplicateID})
 		return
 	}
@@ -96,7 +96,7 @@
 		}
 		s.record(kind, c.Request.ID, c.class.Name)
 	}
-	if c.Request.TimeLeft = c.decisionTime().Microseconds(); !c.Request.BodyUnbuffered {
+	if c.Request.TimeLeft = c.decisionTimeout().Microseconds(); !c.Request.BodyUnbuffered {
 		c.Request.TimeLeft = max(0, s.clockTime(c.decisionDeadline)-now)
 	}
 	request := c.Request
@@ -125,11 +125,11 @@
 
 // onClientDisconnected ends a call that nobody waits for any more.
 func (s *Sidecar) onClientDisconnected(now int64, c *Call) {
-	if c.answered || s.calls[c.Request.ID] != c {
+	if c.responded || s.calls[c.Request.ID] != c {
 		c.discardResponse()
 		return
 	}
-	c.answered = true
+	c.responded = true
 	id := c.Request.ID
 	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnClientDisconnected(now, id) }, RequestEnded: id})
 	s.forgetIfDone(c)
@@ -143,7 +143,7 @@
 
 // forgetIfDone drops a call that is answered and has nothing in flight.
 func (s *Sidecar) forgetIfDone(c *Call) {
-	if c.answered && c.inFlight == 0 && s.calls[c.Request.ID] == c {
+	if c.responded && c.inFlight == 0 && s.calls[c.Request.ID] == c {
 		delete(s.calls, c.Request.ID)
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -20,24 +20,24 @@
 // Sidecar is the actor around the decision module. All methods but Run and SetRecorder may be called from any goroutine
 // while Run runs.
 type Sidecar struct {
-	mailbox    chan message
-	startedAt  time.Time
-	discovery  *discovery.Client
-	peerShared upstream.EndpointConfig
+	mailbox        chan message
+	startedAt      time.Time
+	discovery      *discovery.Client
+	endpointConfig upstream.EndpointConfig
 
 	// Owned by the goroutine of Run.
 
-	startConfig       *config.Config   // of the start
-	settings          *decide.Settings // in force
-	transport         config.Transport
-	balancer          *decide.Balancer
-	evaluator         *shadow.Evaluator // nil: none
-	eventActions      []shadow.Action   // of the event at hand, for the evaluator
-	calls             map[string]*Call  // in flight, by request id
-	peerInFlight      map[string]bool   // ids that another process of this sidecar has in flight
-	peers             map[string]*peer  // by host
-	startTimes        *serverStartTimes
-	staleSendLoggedAt time.Time
+	startConfig         *config.Config   // of the start
+	settings            *decide.Settings // in force
+	transport           config.Transport
+	balancer            *decide.Balancer
+	evaluator           *shadow.Evaluator          // nil: none
+	eventActions        []shadow.Action            // of the event at hand, for the evaluator
+	calls               map[string]*Call           // in flight, by request id
+	peerProcessInFlight map[string]bool            // ids that another process of this sidecar has in flight
+	serverEndpoints     map[string]*serverEndpoint // by host
+	startTimes          *serverStartTimes
+	staleSendLoggedAt   time.Time
 
 	recorder        auditevent.Recorder // nil: no audit
 	endpointsSeq    int64               // of the endpoint list; -1: none yet
@@ -57,15 +57,15 @@
 func New(conf *config.Config, sockets int) *Sidecar {
 	s := &Sidecar{
 		startConfig: conf, settings: &conf.Settings, transport: conf.Transport, mailbox: make(chan message, mailboxSize), startedAt: time.Now(),
-		calls: map[string]*Call{}, peers: map[string]*peer{},
+		calls: map[string]*Call{}, serverEndpoints: map[string]*serverEndpoint{},
 		endpointsKnown: make(chan struct{}), aborted: make(chan struct{}), startTimes: newServerStartTimes(),
 	}
 	s.discovery = discovery.New(conf.Discovery, conf.LastEndpoints, sourceOf(&conf.Settings), s)
-	s.peerShared = upstream.EndpointConfig{
+	s.endpointConfig = upstream.EndpointConfig{
 		Sockets: upstream.NewSocketBudget(sockets), Resolve: s.discovery.Endpoints.Address,
 		OnSocketShortage: func() { s.mailbox <- socketShortage{} }, ReuseDelay: connectionReuseDelay,
 	}
-	s.peerShared.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
+	s.endpointConfig.SetTimeouts(conf.Transport.DialTimeout, conf.Transport.ConnIdle)
 	s.signalEndpointsKnown()
 	s.balancer = decide.New(withPushedEndpoints(conf.Settings), conf.Seed, actions{s})
 	if conf.Shadow != nil {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -215,7 +215,7 @@
 		t.Errorf("asked %s", path)
 	}
 	(<-s.mailbox).handle(s, s.now())
-	if out := s.peers["s1"].inFlight; out != 0 {
+	if out := s.serverEndpoints["s1"].inFlight; out != 0 {
 		t.Errorf("%d out", out)
 	}
 }
@@ -237,14 +237,14 @@
 	gone := &discovery.Update{Seq: 2, Full: true}
 	askActor(s, func() bool { s.discovery.Endpoints.Replace(gone); return true })
 	s.OnEndpoints(gone)
-	if n := askActor(s, func() int { return len(s.peers) }); n != 1 {
+	if n := askActor(s, func() int { return len(s.serverEndpoints) }); n != 1 {
 		t.Fatalf("%d peers while an attempt is out", n)
 	}
 	finish <- true
 	if a := <-done; a.Status != Served {
 		t.Fatalf("%+v", a)
 	}
-	eventually(t, func() bool { return askActor(s, func() int { return len(s.peers) }) == 0 })
+	eventually(t, func() bool { return askActor(s, func() int { return len(s.serverEndpoints) }) == 0 })
 }
 
 func TestToEndpoints(t *testing.T) {
--- a/internal/sidecar/start_times_test.go
+++ b/internal/sidecar/start_times_test.go
@@ -9,7 +9,7 @@
 
 // Servers that start around a step of the wall clock count as their age or younger: never older, and never started in the
 // future. One start has one time, however often it is listed.
-func TestStartTimesAcrossAStepOfTheWallClock(t *testing.T) {
+func TestServerAgeIsNeverOverstatedAfterWallClockStep(t *testing.T) {
 	const warm = 5 * time.Second
 	start := time.Now()
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
