--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -8,72 +8,72 @@
 
 const (
 	mailboxSize          = 64
-	maxPendingPolls      = 6 // without a response at the same time
-	maxPendingAgentPolls = 3 // the same for an agent, which has no queue
+	maxPendingPolls      = 6 // bounds the polls that wait for a response at the same time
+	maxPendingAgentPolls = 3 // bounds the pending polls of an agent, which has no request queue
 
-	// MaxSockets is how many sockets a Client uses at most: the active watch and the pending polls.
+	// MaxSockets bounds the sockets of a Client: one for the active watch and one for each pending poll.
 	MaxSockets = 1 + maxPendingPolls
 
-	// agentGrace is how long a starting process with an agent waits for the agent's list before it serves the list that
-	// it was started with: the agent's list counts as known from the process's first moment.
+	// agentGrace is how long a starting process waits for the agent's list before it uses the list that it was started
+	// with: a change that the agent knows at the start must be in force from the first request on.
 	agentGrace = 300 * time.Millisecond
 )
 
-// Listener is notified of each update. OnEndpoints may block; the Client's goroutine then waits.
+// Listener is notified of each update that is applied. OnEndpoints may block; the Client's goroutine then waits.
 type Listener interface {
 	OnEndpoints(*Update)
 }
 
-// Source describes how the list is served.
+// Source describes how the endpoint list is served.
 type Source struct {
-	FromAgent     bool // by an agent beside this process, which serves it alone
-	BalancerCount int  // how many balancers poll the same service
+	FromAgent     bool // an agent on this machine serves the list, to this process only
+	BalancerCount int  // number of balancers that poll the discovery service
 }
 
-// Client follows the list of servers. All fields but Endpoints belong to the goroutine of Run.
+// Client keeps the endpoint list up to date. All fields except Endpoints belong to the goroutine of Run.
 //
-// A poll without a response stays open beside the next ones; the first to be answered becomes the active watch, and the
-// others are cancelled. A service that works through its requests in turn would otherwise never reach one that is
-// still wanted.
+// A poll without a response stays open while later polls begin. The first poll that gets a response becomes the active
+// watch, and the other polls are cancelled. If each poll cancelled the previous one, an overloaded service that handles
+// requests in order would only ever reach cancelled requests.
 type Client struct {
 	Endpoints *EndpointSet
 
 	addr      string
 	listener  Listener
 	mailbox   chan message
-	pollTimer *time.Timer // runs out when the next poll begins
+	pollTimer *time.Timer // fires when the next poll is due
 	schedule  pollSchedule
 	log       limitedLog
 
-	activeWatch        *subscription   // the watch in force, or the one of a previous address until the next speaks; nil: none
-	activeWatchSuspect bool            // it has missed a heartbeat
-	pendingPolls       []*subscription // polls without a response, oldest first
-	pollCount          int             // begun so far
+	activeWatch        *subscription   // delivers updates; may be of the previous address until the new service sends a message; nil: none
+	activeWatchSuspect bool            // activeWatch has missed a heartbeat
+	pendingPolls       []*subscription // polls without a message yet, oldest first
+	pollCount          int             // polls started by this Client
 
-	resumeSeq    int64 // the next poll resumes from here; -1: requests the full list
-	appliedSeq   int64 // of the list in force, for comparison; -1: none of this service
-	staleUpdates int   // received in a row
+	resumeSeq    int64 // sequence number that the next poll resumes from; -1: request the full list
+	appliedSeq   int64 // sequence number of the list in force; -1: the list is not of this service
+	staleUpdates int   // consecutive updates with a sequence number below appliedSeq
 
-	initialList *Update // the list known at the start, used while an agent is silent; nil: none, or used
+	initialList *Update // list that the process was started with, kept for an agent that does not respond; nil: none or already used
 }
 
-// message is what the mailbox takes. handle runs on the Client's goroutine.
+// message is an event in the mailbox. handle runs on the Client's goroutine.
 type message interface{ handle(*Client) }
 
-// sourceChanged says that the list is served in another way.
+// sourceChanged reports a change of how the list is served.
 type sourceChanged struct{ source Source }
 
 func (m sourceChanged) handle(c *Client) {
 	c.schedule.fromAgent, c.schedule.balancerCount = m.source.FromAgent, m.source.BalancerCount
 }
 
-// addressChanged says that the list is served at another address.
+// addressChanged reports a new address of the discovery service.
 type addressChanged struct{ addr string }
 
 func (m addressChanged) handle(c *Client) { c.switchAddress(m.addr) }
 
-// New returns a Client whose list is the one last known, which may be nil. With an agent that list is held back: it is
-// used, and the listener notified of it, once the agent has not answered in time.
+// New returns a Client. known is the list that the process was started with, or nil. It is in force at once, unless the
+// source is an agent: then it is applied, and the listener notified, only if the agent does not respond in time.
 func New(addr string, known *Update, source Source, listener Listener) *Client {
 	c := &Client{
 		Endpoints: &EndpointSet{}, addr: addr, listener: listener, resumeSeq: -1, appliedSeq: -1,
@@ -92,10 +92,10 @@
 	return c
 }
 
-// Run serves the mailbox and begins the polls until ctx ends.
+// Run processes the mailbox and starts polls until ctx is done.
 func (c *Client) Run(ctx context.Context) {
 	delay := c.schedule.initialDelay(time.Now())
-	if !c.Endpoints.HasEndpoints() { // nothing can be served before
+	if !c.Endpoints.HasEndpoints() { // no request can be served until a list arrives
 		delay = 0
 	}
 	c.pollTimer.Reset(delay)
@@ -118,27 +118,27 @@
 	}
 }
 
-// SetSource changes how the list is served. The active watch stays.
+// SetSource changes how the list is served. The active watch stays open.
 func (c *Client) SetSource(source Source) { c.mailbox <- sourceChanged{source} }
 
-// SetAddress follows the list at another address. The list stays as it is until that service sends one.
+// SetAddress switches to the discovery service at addr. The current list stays in force until that service sends a list.
 func (c *Client) SetAddress(addr string) { c.mailbox <- addressChanged{addr} }
 
-// switchAddress polls the new address at once and keeps the old watch until it ends or the new service speaks. Sequence
-// numbers of one service mean nothing to another, so the full list is requested.
+// switchAddress polls the new address at once and keeps the old watch until it ends or the new service sends a message.
+// Sequence numbers of two services are not comparable, so the poll requests the full list.
 func (c *Client) switchAddress(addr string) {
 	if addr == c.addr {
 		return
 	}
 	c.cancelPending()
 	c.addr, c.resumeSeq, c.appliedSeq, c.staleUpdates = addr, -1, -1, 0
-	c.activeWatchSuspect = c.activeWatch != nil && c.activeWatch.addr == addr // back at a service left before: its numbers were dropped
+	c.activeWatchSuspect = c.activeWatch != nil && c.activeWatch.addr == addr // back at the address of the watch: poll for the full list
 	now := time.Now()
 	c.schedule.onSourceChanged(now)
 	c.startPoll(now)
 }
 
-// applyInitialList puts the list known at the start in force: the agent has not answered.
+// applyInitialList puts the list that the process was started with in force, because the agent does not respond.
 func (c *Client) applyInitialList() {
 	if known := c.initialList; known != nil {
 		c.initialList = nil
--- a/internal/discovery/heartbeat_reader.go
+++ b/internal/discovery/heartbeat_reader.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// The service writes a line every 2 s at least, a heartbeat where nothing changed.
+// Limits of a watch. The service writes a line at least every 2 s, a heartbeat if nothing changed.
 const (
-	quietTimeout   = 2400 * time.Millisecond // one heartbeat missed: the watch is suspect
-	silenceTimeout = 4200 * time.Millisecond // two missed: the watch is broken
-	maxUpdateBytes = 4 << 20
+	quietTimeout   = 2400 * time.Millisecond // without a line: one heartbeat is missing and the watch is suspect
+	silenceTimeout = 4200 * time.Millisecond // without a line: two heartbeats are missing and the watch is broken
+	maxUpdateBytes = 4 << 20                 // size of one update
 )
 
-// readUpdates passes on the updates of a watch until it ends or falls silent. An update may span several lines.
+// readUpdates calls onUpdate for each update of a watch until the watch ends or is silent for silenceTimeout. It returns
+// the reason. An update may span several lines.
 func readUpdates(r *heartbeatReader, onUpdate func(*Update)) error {
 	for decoder := json.NewDecoder(r); ; {
 		var text json.RawMessage
@@ -40,19 +41,19 @@
 	}
 }
 
-// heartbeatReader reads a watch's body and enforces silenceTimeout between complete messages. Once an update has begun
-// the deadline stays where it is until the update is complete: neither single bytes nor heartbeats in its middle move it.
+// heartbeatReader reads the body of a watch and enforces silenceTimeout between complete messages. While an update is
+// incomplete the read deadline does not move: neither single bytes nor empty lines within the update extend it.
 type heartbeatReader struct {
 	conn       net.Conn // for the read deadline
 	body       io.Reader
-	midUpdate  bool // an update has begun
-	updateSize int  // bytes of it so far
+	midUpdate  bool // an update is incomplete
+	updateSize int  // bytes of the incomplete update read so far
 
 	quietTimer  *time.Timer // nil: quiet periods are not reported
 	onHeartbeat func()      // nil: heartbeats are not reported
 }
 
-// awaitNext moves the deadline: the message before is complete.
+// awaitNext restarts both timeouts after a complete message.
 func (r *heartbeatReader) awaitNext() {
 	r.conn.SetReadDeadline(time.Now().Add(silenceTimeout))
 	if r.quietTimer != nil {
@@ -76,7 +77,7 @@
 		r.updateSize += n
 	}
 	if r.updateSize > maxUpdateBytes {
-		return n, fmt.Errorf("%w: over %d bytes", errMalformed, maxUpdateBytes)
+		return n, fmt.Errorf("%w: an update is larger than %d bytes", errMalformed, maxUpdateBytes)
 	}
 	return n, err
 }
--- a/internal/discovery/limited_log.go
+++ b/internal/discovery/limited_log.go
@@ -6,7 +6,7 @@
 	"damsonscale/internal/eventlog"
 )
 
-// Events of the log.
+// Log events.
 const (
 	eventPollStarted  = "endpoint_poll_started"
 	eventWatchSuspect = "endpoint_watch_suspect"
@@ -16,32 +16,33 @@
 )
 
 const (
-	logBurst          = 40                     // lines that may be written at once
-	logRefillInterval = 500 * time.Millisecond // until one more may be
+	logBurst          = 40                     // log lines that may be written at once
+	logRefillInterval = 500 * time.Millisecond // until the rate limit allows one more line
 )
 
-// limitedLog writes log lines through a token bucket and counts those that it drops. Only one goroutine may use it.
+// limitedLog is a log with a rate limit (a token bucket); it counts the lines that it drops. It is not safe for concurrent
+// use.
 type limitedLog struct {
-	tokensUsed int // not refilled yet
+	tokensUsed int // tokens taken and not refilled yet
 	refilledAt time.Time
-	dropped    int // lines since the last one written
+	dropped    int // lines dropped since the last line that was written
 }
 
-// info logs an event of normal operation, as eventlog.Info does.
+// info logs an event of normal operation with eventlog.Info.
 func (l *limitedLog) info(now time.Time, event string, args ...any) {
 	if l.allow(now) {
 		eventlog.Info(event, l.withDropped(args)...)
 	}
 }
 
-// warn logs an event that the client copes with by itself, as eventlog.Warn does.
+// warn logs a fault that the client recovers from with eventlog.Warn.
 func (l *limitedLog) warn(now time.Time, event string, cause error, args ...any) {
 	if l.allow(now) {
 		eventlog.Warn(event, cause, l.withDropped(args)...)
 	}
 }
 
-// allow takes a token for a line, or counts the line as dropped where there is none.
+// allow takes a token for a line. If no token is left it counts the line as dropped and returns false.
 func (l *limitedLog) allow(now time.Time) bool {
 	refilled := int(now.Sub(l.refilledAt) / logRefillInterval)
 	if l.tokensUsed = max(0, l.tokensUsed-refilled); l.tokensUsed == 0 {
@@ -57,7 +58,7 @@
 	return true
 }
 
-// withDropped adds the number of lines dropped since the last one, if any.
+// withDropped adds the number of lines dropped since the last written line, if any.
 func (l *limitedLog) withDropped(args []any) []any {
 	if l.dropped > 0 {
 		args = append(args, "lines_left_out", l.dropped)
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -8,33 +8,34 @@
 	"time"
 )
 
-// subscription is one poll, and the watch that it becomes once it is answered. Messages of a cancelled one are dropped.
+// subscription is a poll, and the watch that the poll becomes with its first message. Messages of a cancelled
+// subscription are ignored.
 type subscription struct {
 	ctx           context.Context
 	cancelContext context.CancelFunc
 	addr          string
-	number        int // of the polls of this process, from 1
+	number        int // number of the poll, from 1 in each Client
 	startedAt     time.Time
 }
 
-// cancel ends the subscription; nil is allowed.
+// cancel ends the subscription. It may be called on nil.
 func (s *subscription) cancel() {
 	if s != nil {
 		s.cancelContext()
 	}
 }
 
-// heartbeatReceived is an empty line of a watch.
+// heartbeatReceived reports an empty line of a watch.
 type heartbeatReceived struct{ from *subscription }
 
 func (m heartbeatReceived) handle(c *Client) { c.onMessage(m.from) }
 
-// watchQuiet says that a watch has missed a heartbeat.
+// watchQuiet reports that a watch has missed a heartbeat.
 type watchQuiet struct{ from *subscription }
 
 func (m watchQuiet) handle(c *Client) { c.onQuiet(m.from) }
 
-// updateReceived is an update of a watch.
+// updateReceived delivers an update of a watch.
 type updateReceived struct {
 	from   *subscription
 	update *Update
@@ -42,20 +43,20 @@
 
 func (m updateReceived) handle(c *Client) { c.onUpdate(m.from, m.update) }
 
-// watchEnded is the end of a poll or of a watch.
+// watchEnded reports the end of a poll or of a watch, with its cause.
 type watchEnded struct {
 	from *subscription
 	err  error
 }
 
-func (m watchEnded) handle(c *Client) { c.onWatchEnded(m.from, m.err) }
+func (m watchEnded) handle(c *Client) { c.onSubscriptionEnded(m.from, m.err) }
 
-// hasHealthyWatch reports whether the active watch makes polls unnecessary.
+// hasHealthyWatch reports whether a watch of the current address is active and not suspect, so that no poll is needed.
 func (c *Client) hasHealthyWatch() bool {
 	return c.activeWatch != nil && c.activeWatch.addr == c.addr && !c.activeWatchSuspect
 }
 
-// startPoll begins a poll, and sets the timer for the next in case that it is not answered.
+// startPoll starts a poll unless the watch is healthy, and sets the timer for the next poll.
 func (c *Client) startPoll(now time.Time) {
 	if c.hasHealthyWatch() {
 		return
@@ -74,8 +75,8 @@
 	go c.runSubscription(s, c.resumeSeq, c.schedule.fromAgent)
 }
 
-// makeRoomForPoll cancels the oldest pending poll where too many are open, or returns how long to wait until it may be: a
-// service that works through its requests in turn answers the oldest first.
+// makeRoomForPoll cancels the oldest pending poll if the limit of pending polls is reached. If that poll is too young to be
+// cancelled, it returns the time until it may be: a service that handles requests in order answers the oldest poll first.
 func (c *Client) makeRoomForPoll(now time.Time) (wait time.Duration) {
 	limit, minAge := maxPendingPolls, maxHeadWait
 	if c.schedule.fromAgent {
@@ -93,7 +94,7 @@
 	return 0
 }
 
-// runSubscription makes the request, reads its watch to the end, and posts what comes of it.
+// runSubscription sends the request, reads the watch until it ends, and posts its messages to the mailbox.
 func (c *Client) runSubscription(s *subscription, fromSeq int64, fromAgent bool) {
 	call := watchCall{addr: s.addr, fromSeq: fromSeq, dialTimeout: dialTimeout, headTimeout: maxHeadWait}
 	if fromAgent {
@@ -106,7 +107,7 @@
 	c.post(s, watchEnded{s, err})
 }
 
-// post puts a subscription's message into the mailbox, unless the subscription is cancelled.
+// post puts a subscription's message into the mailbox. It gives up when the subscription is cancelled.
 func (c *Client) post(s *subscription, m message) {
 	select {
 	case c.mailbox <- m:
@@ -114,8 +115,8 @@
 	}
 }
 
-// onMessage handles a complete heartbeat or update: the list is as that service has it. A pending poll becomes the
-// active watch by it.
+// onMessage handles a complete heartbeat or update. With its first message a pending poll replaces the active watch. If
+// the subscription is of the current address, the list is in sync and all pending polls are cancelled.
 func (c *Client) onMessage(s *subscription) {
 	if i := slices.Index(c.pendingPolls, s); i >= 0 {
 		c.pendingPolls = slices.Delete(c.pendingPolls, i, i+1)
@@ -133,7 +134,8 @@
 	c.cancelPending()
 }
 
-// onQuiet plans a poll beside an active watch that has missed a heartbeat. The watch is read on until one is answered.
+// onQuiet schedules a poll after the active watch has missed a heartbeat. The suspect watch stays open until a poll gets a
+// message.
 func (c *Client) onQuiet(s *subscription) {
 	if s != c.activeWatch || s.addr != c.addr || c.activeWatchSuspect {
 		return
@@ -144,14 +146,14 @@
 	c.pollTimer.Reset(c.schedule.onWatchLost(now))
 }
 
-// onUpdate applies an update, unless a later one of the same service is in force.
+// onUpdate applies an update, unless the list in force is newer and of the service that sent the update.
 func (c *Client) onUpdate(s *subscription, u *Update) {
 	if s != c.activeWatch && !slices.Contains(c.pendingPolls, s) {
 		return
 	}
 	if s.addr == c.addr && u.Seq < c.appliedSeq && !c.sequenceRestarted(u) {
 		c.log.warn(time.Now(), eventStaleIgnored, nil, "poll", s.number, "seq", u.Seq, "applied_seq", c.appliedSeq)
-		c.onWatchEnded(s, errStale)
+		c.onSubscriptionEnded(s, errStale)
 		return
 	}
 	c.onMessage(s)
@@ -164,16 +166,16 @@
 	c.listener.OnEndpoints(u)
 }
 
-// sequenceRestarted decides whether a service that sends a lower number counts from the start again: only where it does
-// so twice in a row, the second time with a full list. One such update alone may come from a replica that lags, and
-// would list servers that have left.
+// sequenceRestarted reports whether a service that sends a lower sequence number has restarted its numbering: it has if it
+// sends two lower numbers in a row, the second with a full list. A single one may come from a lagging replica, whose list
+// would bring back servers that were removed.
 func (c *Client) sequenceRestarted(u *Update) bool {
 	c.staleUpdates++
 	return c.staleUpdates > 1 && u.Full
 }
 
-// onWatchEnded handles the end of a poll or of a watch.
-func (c *Client) onWatchEnded(s *subscription, err error) {
+// onSubscriptionEnded handles the end of a poll or of a watch, and decides when the next poll begins.
+func (c *Client) onSubscriptionEnded(s *subscription, err error) {
 	s.cancel()
 	now := time.Now()
 	at := slices.Index(c.pendingPolls, s)
@@ -181,12 +183,12 @@
 	if answered && s != c.activeWatch {
 		return
 	}
-	if !c.schedule.fromAgent || !c.schedule.lastPollFailed { // an agent that is away is polled several times a second
+	if !c.schedule.fromAgent || !c.schedule.failedSinceMessage { // do not log each failure: an agent that is down is polled several times a second
 		c.log.warn(now, eventWatchEnded, err, "discovery", s.addr, "poll", s.number, "after_ms", now.Sub(s.startedAt).Milliseconds(),
 			"answered", answered, "endpoints_age_ms", c.Endpoints.Staleness().Milliseconds())
 	}
 	if s.addr == c.addr && (errors.Is(err, errMalformed) || errors.Is(err, errStale)) {
-		c.resumeSeq = -1 // the changes that it carried are lost
+		c.resumeSeq = -1 // the changes in the rejected update are missing here: request the full list
 	}
 	if answered {
 		c.onWatchLost(now, s)
@@ -204,7 +206,7 @@
 	}
 }
 
-// onWatchLost plans a poll in place of the active watch, unless one is planned already.
+// onWatchLost schedules a poll to replace the active watch, unless onQuiet has already scheduled it.
 func (c *Client) onWatchLost(now time.Time, s *subscription) {
 	c.activeWatch = nil
 	if !c.activeWatchSuspect && s.addr == c.addr {
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -2,69 +2,71 @@
 
 import "time"
 
-// StalenessBound is the time after which a change has to be in force here, counted from when discovery had it and could
-// be reached.
+// StalenessBound is the time within which a change must be in force here, counted from when the discovery service knows
+// the change and is reachable.
 const StalenessBound = 6 * time.Second
 
-// Polls after a watch is lost: a burst within the bound, then one each steadyInterval.
+// Polls after a watch is lost: a burst within StalenessBound, then one poll per steadyInterval.
 const (
-	burstPolls          = 3                       // begin between the loss and the end of the bound: two may fail
-	responseTimeReserve = 900 * time.Millisecond  // of the bound, left for the response to the last of them
-	minBurstInterval    = 750 * time.Millisecond  // between two polls of a burst, before jitter
-	steadyInterval      = 2700 * time.Millisecond // between two polls after a burst: one may fail within the bound
-	jitterShare         = 0.1                     // of each interval, taken off at random
+	burstPolls          = 3                       // polls between the loss of the watch and the end of the bound, of which two may fail
+	responseTimeReserve = 900 * time.Millisecond  // part of the bound that is reserved for the response to the last poll of the burst
+	minBurstInterval    = 750 * time.Millisecond  // minimum time between the starts of two polls of a burst, before jitter
+	steadyInterval      = 2700 * time.Millisecond // between the starts of two polls after a burst, so that two fit into the bound and one may fail
+	jitterShare         = 0.1                     // maximum share of an interval by which jitter shortens it
 )
 
-// The first poll of a burst is spread at random, so that a fleet that loses its watches together does not poll together.
-// The bound limits the spread.
+// The first poll of a burst is delayed at random, so that balancers that lose their watches at the same moment do not poll
+// at the same moment. The spread is the longest such delay; StalenessBound limits it.
 const (
-	spreadPerBalancer = 50 * time.Millisecond
-	minSpread         = 200 * time.Millisecond
+	spreadPerBalancer = 50 * time.Millisecond  // times the number of balancers: the spread if the bound allows it
+	minSpread         = 200 * time.Millisecond // lower limit of the spread
 
-	// minSpreadPerBalancer holds even where the bound then leaves time for fewer polls: in fleets of over a thousand.
+	// minSpreadPerBalancer limits the spread from below even if the bound then leaves time for fewer polls, which is the
+	// case with more than a thousand balancers.
 	minSpreadPerBalancer = 500 * time.Microsecond
-	maxMinSpread         = 2 * time.Second
+	maxMinSpread         = 2 * time.Second // upper limit of what minSpreadPerBalancer enforces
 )
 
-// The list that a process starts with may be older than the bound: only the time that draining servers wait for stragglers
-// (2 s) is left, in which the second poll begins.
+// The list that a process starts with may be older than StalenessBound. A server that drains still accepts requests for 2 s;
+// the second poll must begin within that time.
 const (
-	maxInitialSpread = 800 * time.Millisecond
-	initialStaleness = 2800 * time.Millisecond
+	maxInitialSpread = 800 * time.Millisecond  // upper limit of the delay of the first poll
+	initialStaleness = 2800 * time.Millisecond // assumed age of the list at the start
 )
 
-// An agent beside this process serves it alone: it answers at once or not at all, and is polled again soon.
+// An agent on this machine serves only this process. It responds at once or not at all, so it is polled again soon.
 const (
-	agentPollInterval = 600 * time.Millisecond // twice that after a failure
-	agentBackoffBase  = 200 * time.Millisecond // half to all of it after a failure, twice that after the next
+	agentPollInterval = 600 * time.Millisecond // between the starts of the first two polls; doubled for later polls and after a failure
+	agentBackoffBase  = 200 * time.Millisecond // the wait after a failure is 50% to 100% of it; doubled after the next failure
 )
 
-// pollSchedule owns the deadline of the list: it derives the beginning of each poll from it. It performs no I/O, reads no
-// clock and sets no timer. Times passed in must carry the monotonic clock; the waits that it returns count from them.
+// pollSchedule decides when each poll begins, from the deadline by which the list must be in sync again. It performs no
+// I/O, reads no clock and sets no timer. Times passed in must have a monotonic clock reading; returned waits count from
+// them.
 type pollSchedule struct {
-	balancerCount int            // that poll the same service
-	fromAgent     bool           // the list comes from an agent beside this process
-	random        func() float64 // in [0, 1)
+	balancerCount int            // number of balancers that poll the discovery service
+	fromAgent     bool           // an agent on this machine serves the list
+	random        func() float64 // returns values in [0, 1)
 
-	// lastSynced is the time before which every change is in force, or could not be fetched. The deadline is StalenessBound
-	// later.
+	// lastSynced is the time up to which all changes are in force here, or could not be fetched because the service refused
+	// connections. The deadline is lastSynced + StalenessBound.
 	lastSynced time.Time
 
-	burstPollCount int       // begun since the watch was lost
-	lastPollAt     time.Time // when the latest of them began
-	burstRefused   bool      // connections were refused after a burst: the first other failure begins a new burst
-	lastPollFailed bool      // a poll has failed since the last message
+	pollsSinceLoss     int       // polls started since the watch was lost
+	lastPollAt         time.Time // when the latest poll started
+	burstRefused       bool      // the service refused a connection after a burst; the first failure of another kind starts a new burst
+	failedSinceMessage bool      // a poll has failed since the last message was received
 }
 
-// onMessage records a complete message on the active watch: the list is as discovery has it.
+// onMessage records a complete message on the active watch: the list matches the discovery service's.
 func (s *pollSchedule) onMessage(now time.Time) {
-	s.lastSynced, s.burstPollCount, s.burstRefused, s.lastPollFailed = now, 0, false, false
+	s.lastSynced, s.pollsSinceLoss, s.burstRefused, s.failedSinceMessage = now, 0, false, false
 }
 
-// onSourceChanged records that another service counts from now on, whose first poll begins at once.
+// onSourceChanged records the switch to another service, which the caller polls at once.
 func (s *pollSchedule) onSourceChanged(now time.Time) { s.onMessage(now) }
 
-// initialDelay returns how long a process that starts with a known list waits before its first poll.
+// initialDelay returns the wait before the first poll of a process that starts with a known list.
 func (s *pollSchedule) initialDelay(now time.Time) time.Duration {
 	s.lastSynced = now.Add(-initialStaleness)
 	if s.fromAgent {
@@ -73,9 +75,9 @@
 	return s.randomWithin(min(s.fleetSpread(), maxInitialSpread))
 }
 
-// onWatchLost records that the watch has ended or is suspect, and returns the wait before the first poll.
+// onWatchLost records that the watch has ended or is suspect, and returns the wait before the next poll.
 func (s *pollSchedule) onWatchLost(now time.Time) time.Duration {
-	s.burstPollCount = 0
+	s.pollsSinceLoss = 0
 	if s.fromAgent {
 		return s.agentBackoff(agentBackoffBase)
 	}
@@ -84,12 +86,12 @@
 	return s.randomWithin(min(max(inBound, least, minSpread), s.fleetSpread()))
 }
 
-// onPollStarted records the beginning of a poll, and returns the wait before the next in case that none is answered.
+// onPollStarted records the start of a poll, and returns the wait before the next poll if none gets a response.
 func (s *pollSchedule) onPollStarted(now time.Time) time.Duration {
-	s.burstPollCount++
+	s.pollsSinceLoss++
 	s.lastPollAt = now
 	switch {
-	case s.fromAgent && (s.lastPollFailed || s.burstPollCount > 1):
+	case s.fromAgent && (s.failedSinceMessage || s.pollsSinceLoss > 1):
 		return 2 * agentPollInterval
 	case s.fromAgent:
 		return agentPollInterval
@@ -97,61 +99,62 @@
 	return s.nextInterval(now)
 }
 
-// nextInterval returns the time from a poll to the next: within a burst an equal part of what the bound leaves, then
-// steadyInterval. The first interval after a burst is random, to spread a fleet whose bursts end together.
+// nextInterval returns the time from one poll to the next: within a burst an equal part of the time that the bound leaves,
+// then steadyInterval. The first interval after a burst is random, to spread the polls of balancers whose bursts end at the
+// same moment.
 func (s *pollSchedule) nextInterval(now time.Time) time.Duration {
 	switch {
-	case s.burstPollCount == burstPolls:
+	case s.pollsSinceLoss == burstPolls:
 		return minBurstInterval + time.Duration(s.random()*float64(steadyInterval-minBurstInterval))
-	case s.burstPollCount > burstPolls:
+	case s.pollsSinceLoss > burstPolls:
 		return s.jittered(steadyInterval)
 	}
-	return s.jittered(max(minBurstInterval, min(s.timeToLastPoll(now)/time.Duration(burstPolls-s.burstPollCount), steadyInterval)))
+	return s.jittered(max(minBurstInterval, min(s.timeToLastPoll(now)/time.Duration(burstPolls-s.pollsSinceLoss), steadyInterval)))
 }
 
-// onPollFailed records that the latest poll has failed, and whether the connection was refused. Where that changes the
-// beginning of the next poll it returns the wait from now on.
+// onPollFailed records that the latest poll has failed, and whether the connection was refused. changed reports whether
+// the next poll is rescheduled; wait then counts from now.
 func (s *pollSchedule) onPollFailed(now time.Time, refused bool) (wait time.Duration, changed bool) {
-	again := s.lastPollFailed
-	s.lastPollFailed = true
+	again := s.failedSinceMessage
+	s.failedSinceMessage = true
 	switch {
 	case s.fromAgent && again:
 		return s.agentBackoff(2 * agentBackoffBase), true
 	case s.fromAgent:
 		return s.agentBackoff(agentBackoffBase), true
-	case s.burstPollCount < burstPolls:
+	case s.pollsSinceLoss < burstPolls:
 		return 0, false
-	case refused: // no change could be fetched up to that poll
+	case refused: // no change could be fetched before that poll
 		s.lastSynced, s.burstRefused = s.lastPollAt, true
 		return 0, false
-	case s.burstRefused: // the service listens again since the poll before
-		s.burstRefused, s.burstPollCount = false, 1
+	case s.burstRefused: // the service accepts connections again since the previous poll
+		s.burstRefused, s.pollsSinceLoss = false, 1
 		return s.nextInterval(now), true
 	}
 	return 0, false
 }
 
-// timeToLastPoll returns the time until the last poll of a burst has to begin.
+// timeToLastPoll returns the time until the last poll of a burst must begin.
 func (s *pollSchedule) timeToLastPoll(now time.Time) time.Duration {
 	return StalenessBound - responseTimeReserve - now.Sub(s.lastSynced)
 }
 
-// fleetSpread returns the time over which a fleet of this size spreads its polls.
+// fleetSpread returns the time over which all balancers spread their polls if no deadline limits it.
 func (s *pollSchedule) fleetSpread() time.Duration {
 	return max(minSpread, time.Duration(s.balancerCount)*spreadPerBalancer)
 }
 
-// randomWithin draws from the last nine tenths of a spread.
+// randomWithin returns a random delay of 10% to 100% of a spread.
 func (s *pollSchedule) randomWithin(spread time.Duration) time.Duration {
 	return time.Duration((0.1 + 0.9*s.random()) * float64(spread))
 }
 
-// agentBackoff draws from the second half of a wait.
+// agentBackoff returns a random wait of 50% to 100% of the given wait.
 func (s *pollSchedule) agentBackoff(wait time.Duration) time.Duration {
 	return time.Duration((0.5 + 0.5*s.random()) * float64(wait))
 }
 
-// jittered takes up to jitterShare off an interval.
+// jittered returns an interval shortened by a random share of up to jitterShare.
 func (s *pollSchedule) jittered(interval time.Duration) time.Duration {
 	return time.Duration((1 - jitterShare*s.random()) * float64(interval))
 }
--- a/internal/discovery/watch_call.go
+++ b/internal/discovery/watch_call.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	dialTimeout = time.Second
-	maxHeadWait = 12 * time.Second // from the connection to the end of the response's head
+	dialTimeout = time.Second      // for the connection to the discovery service
+	maxHeadWait = 12 * time.Second // from the established connection to the end of the response's header
 )
 
 var (
 	errMalformed = errors.New("malformed endpoint list")
 	errSilent    = errors.New("no heartbeat on the watch")
-	errStale     = errors.New("endpoint list older than the one applied")
+	errStale     = errors.New("endpoint list is older than the list in force")
 )
 
-// watchCall is one request for a watch. Its callbacks run on the goroutine of run; none may be nil.
+// watchCall is a request for a watch. onHeartbeat and onUpdate run on the goroutine of run, onQuiet on a goroutine of its
+// own; none of them may be nil.
 type watchCall struct {
 	addr        string
-	fromSeq     int64         // the last sequence number seen; -1 requests the full list
-	dialTimeout time.Duration // limit for the connection
-	headTimeout time.Duration // limit from there to the end of the response's head
-	onQuiet     func()        // no heartbeat or update for quietTimeout
-	onHeartbeat func()        // an empty line
+	fromSeq     int64         // last sequence number received; -1: request the full list
+	dialTimeout time.Duration // for the connection
+	headTimeout time.Duration // from the established connection to the end of the response's header
+	onQuiet     func()        // called after quietTimeout without a heartbeat or update
+	onHeartbeat func()        // called for each empty line outside an update
 	onUpdate    func(*Update)
 }
 
-// run opens the watch, reads it until it ends, and returns why.
+// run opens the watch, reads it until it ends, and returns the cause of its end.
 func (c *watchCall) run(ctx context.Context) error {
 	dialer := net.Dialer{Timeout: c.dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", c.addr)
@@ -55,7 +56,7 @@
 		return err
 	}
 	if head.StatusCode() != fasthttp.StatusOK {
-		return fmt.Errorf("discovery answered %d", head.StatusCode())
+		return fmt.Errorf("discovery service responded with status %d, want 200", head.StatusCode())
 	}
 	body := io.Reader(br)
 	if head.ContentLength() == -1 {
