--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -9,13 +9,13 @@
 	"damsonscale/internal/upstream"
 )
 
-// healthCheckTimeout is how long a health check may take.
+// healthCheckTimeout limits the duration of a health check.
 const healthCheckTimeout = 300 * time.Millisecond
 
-// actions implements decide.Actions. Its methods run on the actor and never wait.
+// actions implements decide.Actions. Its methods run on the Sidecar's goroutine and never block.
 type actions struct{ s *Sidecar }
 
-// SendAttempt starts an attempt. timeout is in µs; 0: the request's own deadline alone counts.
+// SendAttempt starts an attempt. timeout is in µs; with 0 only the deadline of the request limits the attempt.
 func (x actions) SendAttempt(request, server string, timeout int64) {
 	s, c := x.s, x.s.calls[request]
 	s.noteAction(shadow.Action{Kind: shadow.SendAttempt, Request: request, Server: server, Timeout: timeout})
@@ -33,7 +33,7 @@
 		a.TimeoutAfterBody = min(a.TimeoutAfterBody, time.Duration(timeout)*time.Microsecond)
 	}
 	if class := c.class; class.Semantics == decide.IdempotencyKeyed && !c.firstEffectAt.IsZero() {
-		a.LatestStart = c.firstEffectAt.Add(time.Duration(class.DedupWindow) * time.Microsecond) // later, servers would run a repeat
+		a.LatestStart = c.firstEffectAt.Add(time.Duration(class.DedupWindow) * time.Microsecond) // after the window servers no longer recognise the duplicate and would execute it again
 	}
 	a.OnDone = func(a *upstream.Attempt, r upstream.AttemptResult) {
 		s.mailbox <- attemptEnded{c, number, a, r}
@@ -55,7 +55,7 @@
 	}
 }
 
-// Reject responds that the request had no effect and may be retried, after retryAfter µs.
+// Reject responds that the request had no effect and may be retried after retryAfter, in µs.
 func (x actions) Reject(request string, retryAfter int64) {
 	x.s.noteAction(shadow.Action{Kind: shadow.Reject, Request: request})
 	x.respond(request, Response{Status: Rejected, RetryAfter: time.Duration(retryAfter) * time.Microsecond})
@@ -74,7 +74,7 @@
 	}
 }
 
-// CheckHealth asks a server for its state, or for its load report where the settings say so.
+// CheckHealth sends a health check to a server, or a request for its load report if the settings ask for load probes.
 func (x actions) CheckHealth(server string) {
 	s := x.s
 	s.offerAttempt(upstream.NewHealthCheck(server, s.transport.ProbeLoad, healthCheckTimeout, func(a *upstream.Attempt, r upstream.AttemptResult) {
@@ -82,19 +82,19 @@
 	}))
 }
 
-// CloseIdleConnections closes the idle connections to a server before attempts that are sent after this.
+// CloseIdleConnections closes the idle connections to a server, so that later attempts dial new ones.
 func (x actions) CloseIdleConnections(server string) {
 	x.s.noteAction(shadow.Action{Kind: shadow.CloseIdleConnections, Server: server})
 	x.s.endpointFor(server).CloseIdleConnections()
 }
 
-// SendGossip is never called: config refuses settings with gossip.
+// SendGossip is never called: package config rejects settings with gossip.
 func (x actions) SendGossip(int, []byte) {}
 
-// WatchEndpoints is never called: the balancer's settings say that the list is pushed.
+// WatchEndpoints is never called: withPushedEndpoints makes the balancer expect a pushed list.
 func (x actions) WatchEndpoints(bool) {}
 
-// SetTimer has the balancer's OnTimer called with the token after a time, µs.
+// SetTimer calls the balancer's OnTimer with token after a delay, in µs.
 func (x actions) SetTimer(after, token int64) {
 	mailbox := x.s.mailbox
 	time.AfterFunc(time.Duration(after)*time.Microsecond, func() { mailbox <- timerFired{token} })
--- a/internal/sidecar/attempts.go
+++ b/internal/sidecar/attempts.go
@@ -7,14 +7,14 @@
 	"damsonscale/internal/upstream"
 )
 
-// streamHandler returns the OnStream of a call's attempt.
+// streamHandler returns the OnStream callback of an attempt.
 func (s *Sidecar) streamHandler(c *Call, number int) func(*upstream.Attempt, *upstream.Stream) {
 	return func(_ *upstream.Attempt, stream *upstream.Stream) {
 		s.mailbox <- streamStarted{c, number, stream}
 	}
 }
 
-// onStreamStarted makes a stream the call's response, or closes it where the call has one.
+// onStreamStarted makes a stream the response of its call, or closes the stream if the call has a response already.
 func (s *Sidecar) onStreamStarted(now int64, m streamStarted) {
 	if !s.respond(m.call, Response{Status: Served, Stream: m.stream, ContentType: m.stream.ContentType}) {
 		m.stream.Close()
@@ -24,10 +24,10 @@
 	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnStreamStarted(now, id, number) }})
 }
 
-// onAttemptEnded handles the end of an attempt. A server's successful response ends the call.
+// onAttemptEnded handles the end of an attempt. A successful response ends the call.
 func (s *Sidecar) onAttemptEnded(now int64, m attemptEnded) {
 	c, a, r := m.call, m.attempt, m.result
-	if !c.responded && c.gate.ClosedByDisconnect() { // no retry while the client's own goroutine has not seen it yet
+	if !c.responded && c.gate.ClosedByDisconnect() { // the balancer must not retry, even if the client's goroutine has not noticed the disconnection yet
 		s.onClientDisconnected(now, c)
 		close(c.disconnected)
 	}
@@ -41,7 +41,7 @@
 	if result == decide.Succeeded {
 		s.respond(c, Response{Status: Served, Body: r.Body, ContentType: r.ContentType})
 	}
-	if c.inFlight == 0 && !c.leaseHeld() { // retries would all end as NotSent, while the client waits for nothing
+	if c.inFlight == 0 && !c.leaseHeld() { // without the lease every retry would end as NotSent while the client waits
 		status := Failed
 		if c.firstEffectAt.IsZero() {
 			status = Rejected
@@ -64,7 +64,7 @@
 // outcomeOf converts the end of an attempt to the balancer's form.
 func outcomeOf(m attemptEnded) decide.Outcome {
 	sentAt := m.attempt.DecidedAt
-	if !m.result.BodySentAt.IsZero() { // the server could not begin before
+	if !m.result.BodySentAt.IsZero() { // the server cannot begin before it has the complete body
 		sentAt = m.result.BodySentAt
 	}
 	return decide.Outcome{
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -8,64 +8,65 @@
 	"damsonscale/internal/upstream"
 )
 
-// Status is the kind of a response.
+// Status is the outcome that a response reports.
 type Status uint8
 
-// The kinds of a response. Package frontend maps them to HTTP.
+// The outcomes of a request. Package frontend maps them to HTTP.
 const (
 	Served           Status = iota // a server's response
-	Rejected                       // no effect: a retry is harmless
+	Rejected                       // the request had no effect: a retry is safe
 	Failed                         // an attempt may have had an effect
-	DuplicateID                    // another request of this id is in flight
-	DeadlineExceeded               // the client left, the deadline passed or the process exits before there was a response; it may have been executed
+	DuplicateID                    // another request with this id is in flight
+	DeadlineExceeded               // the client disconnected, the deadline passed or the process exits before a response; the request may have been executed
 )
 
 // Response is the final response to a request.
 type Response struct {
 	Status        Status
 	Body          []byte
-	Stream        *upstream.Stream // with Served, where the body is passed on as it comes; the receiver must close it
+	Stream        *upstream.Stream // with Served, if the body is streamed: the receiver must close it; nil: the body is in Body
 	ContentType   []byte
-	RetryAfter    time.Duration              // with Rejected; 0: no advice
-	ConfigVersion auditevent.ConfigVersionID // the configuration that it was decided under, where there is an audit trail
+	RetryAfter    time.Duration              // with Rejected: how long the client should wait before a retry; 0: not specified
+	ConfigVersion auditevent.ConfigVersionID // the configuration under which the response was decided; 0 without an audit log
 }
 
-// Call is a request of a client, which gets exactly one response. Unexported fields without another remark belong to the
-// actor once the call is given to Do.
+// Call is a request of a client, which gets exactly one response. After the call to Do the goroutine of Sidecar.Run owns
+// the unexported fields, unless their comments say otherwise.
 type Call struct {
-	Request decide.Request // its TimeLeft is set by the actor
+	Request decide.Request // the Sidecar sets its TimeLeft
 	Message upstream.Message
 
-	// OnBodyComplete is called once a body that is not buffered has been read to its end. The channel that it returns is
-	// closed when the client disconnects.
+	// OnBodyComplete is called after an unbuffered body has been read to its end. It returns a channel that is closed when
+	// the client disconnects.
 	OnBodyComplete func() <-chan struct{}
 
-	settings         *decide.Settings // that Request's class and tenant are indices into
-	class            *decide.Class    // as of those settings
-	timeout          time.Duration    // from the request's last byte on
-	decisionDeadline time.Time        // when the balancer's time for it ends; zero: its last byte has not come yet
-	responseDeadline time.Time        // when Do returns, whatever the balancer does
+	settings         *decide.Settings // the settings that the class and tenant indices of Request refer to
+	class            *decide.Class    // the class of Request in settings
+	timeout          time.Duration    // of the client, from the last byte of the request
+	decisionDeadline time.Time        // when the balancer's time for the call ends; zero: the body is not complete yet
+	responseDeadline time.Time        // when Do returns at the latest, even if the balancer has not decided
 	gate             upstream.Gate
-	leaseRequired    bool          // without the lease it is answered at once; otherwise it waits for the lease
-	response         chan Response // holds the one response of the actor
-	disconnected     chan struct{} // closed by the actor when an attempt has found that the client left
+	leaseRequired    bool          // true: without the lease the call is answered at once; false: the call waits for the lease
+	response         chan Response // receives the one response
+	disconnected     chan struct{} // closed when an attempt finds that the client has disconnected
 	attempts         []*upstream.Attempt
-	inFlight         int       // attempts without their end
-	responded        bool      // by the actor, or ended by the client
-	firstEffectAt    time.Time // when the first attempt that may have run was sent; zero: none may have
+	inFlight         int       // attempts that have not ended
+	responded        bool      // the response has been decided, or the client has disconnected
+	firstEffectAt    time.Time // when the first attempt that may have been executed was sent; zero: no attempt may have been executed
 }
 
-// Margins before the client's deadline, for scheduling delays and the way back; short deadlines give up a part instead.
+// Margins before the client's deadline, for scheduling delays and for the response's transfer to the client. With a short
+// timeout the margin is a fraction of the timeout instead.
 const (
-	decisionMargin, decisionMarginPart = 20 * time.Millisecond, 8  // the balancer's time ends: 20 ms, or 1/8 of the timeout
-	responseMargin, responseMarginPart = 12 * time.Millisecond, 14 // Do returns: 12 ms, or 1/14 of the timeout
+	decisionMargin, decisionMarginPart = 20 * time.Millisecond, 8  // the balancer's time ends this long before the deadline: 20 ms, or 1/8 of the timeout if that is less
+	responseMargin, responseMarginPart = 12 * time.Millisecond, 14 // Do returns this long before the deadline: 12 ms, or 1/14 of the timeout if that is less
 )
 
-// maxBodyDuration is how long a body that is not buffered may keep coming, however steadily.
+// maxBodyDuration limits the time to receive an unbuffered body, even if its data arrives steadily.
 const maxBodyDuration = 15 * time.Minute
 
-// NewCall returns a call for a request that was received at a time under settings, and is to be answered within timeout.
-// Where a part of its body is not buffered the timeout counts from the last byte of that.
+// NewCall returns a call for a request that was received at receivedAt under settings. Its response is due within timeout,
+// counted from receivedAt or, if the body is not completely buffered, from the last byte of the body.
 func NewCall(settings *decide.Settings, r decide.Request, m upstream.Message, receivedAt time.Time, timeout time.Duration) *Call {
 	c := &Call{
 		Request: r, Message: m, settings: settings, class: &settings.Classes[r.Class], response: make(chan Response, 1),
@@ -79,12 +80,12 @@
 	return c
 }
 
-// RequireLease has the call admitted and sent only while valid reports that this process holds its lease, and answered at
-// once where it does not.
+// RequireLease makes the call depend on a lease: it is admitted and sent only while valid reports that this process holds
+// the lease. Without the lease it is answered at once.
 func (c *Call) RequireLease(valid func() bool) { c.gate.LeaseValid, c.leaseRequired = valid, true }
 
-// UseLease has the call sent only while valid reports that this process holds its lease. priorAttemptAge is the time since
-// another sidecar may have sent it; 0: none has.
+// UseLease makes attempts depend on a lease: they are sent only while valid reports that this process holds the lease.
+// priorAttemptAge is the time since another sidecar may have sent the request; 0: no other sidecar has sent it.
 func (c *Call) UseLease(valid func() bool, priorAttemptAge time.Duration) {
 	c.gate.LeaseValid = valid
 	if priorAttemptAge > 0 {
@@ -93,24 +94,25 @@
 	}
 }
 
-// SetDisconnectCheck has the call end without another attempt where isDisconnected reports, right before an attempt's
-// first byte, that the client has left. It must not block.
+// SetDisconnectCheck sets a check for the client's disconnection that runs right before the first byte of an attempt. If it
+// returns true the call ends and no further attempt is sent. isDisconnected must not block.
 func (c *Call) SetDisconnectCheck(isDisconnected func() bool) { c.gate.IsDisconnected = isDisconnected }
 
-// leaseHeld reports whether this process holds the lease that the call requires, if any.
+// leaseHeld reports whether the call requires no lease or this process holds the required lease.
 func (c *Call) leaseHeld() bool { return !c.leaseRequired || c.gate.LeaseHeld() }
 
-// decisionTimeout is the balancer's time for the call.
+// decisionTimeout returns the balancer's time for the call: timeout less the margin.
 func (c *Call) decisionTimeout() time.Duration {
 	return c.timeout - min(decisionMargin, c.timeout/decisionMarginPart)
 }
 
-// responseDeadlineFrom is when Do returns at the latest for a request whose last byte came at a time.
+// responseDeadlineFrom returns when Do returns at the latest, for a request whose last byte was received at receivedAt.
 func (c *Call) responseDeadlineFrom(receivedAt time.Time) time.Time {
 	return receivedAt.Add(c.timeout - min(responseMargin, c.timeout/responseMarginPart))
 }
 
-// attemptDeadline is when an attempt with a timeout in µs ends: never past the balancer's time for the call.
+// attemptDeadline returns the deadline of an attempt with a timeout in µs, or decisionDeadline if that is earlier or
+// timeout is 0.
 func (c *Call) attemptDeadline(now time.Time, timeout int64) time.Time {
 	if t := now.Add(time.Duration(timeout) * time.Microsecond); timeout > 0 && t.Before(c.decisionDeadline) {
 		return t
@@ -118,12 +120,12 @@
 	return c.decisionDeadline
 }
 
-// TimeToResponseDeadline returns the time from now until Do returns at the latest.
+// TimeToResponseDeadline returns the time from now until Do must return.
 func (c *Call) TimeToResponseDeadline(now time.Time) time.Duration {
 	return c.responseDeadline.Sub(now)
 }
 
-// respond gives the call its response; false: it had one.
+// respond delivers the response of the call. It returns false if the call has a response already.
 func (c *Call) respond(r Response) bool {
 	if c.responded {
 		return false
@@ -133,7 +135,7 @@
 	return true
 }
 
-// discardResponse closes the stream of a response that nobody takes any more: its attempt would wait for the reader.
+// discardResponse closes the stream of a response that the client does not receive: its attempt would wait for a reader.
 func (c *Call) discardResponse() {
 	select {
 	case r := <-c.response:
--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -8,8 +8,8 @@
 	"damsonscale/internal/shadow"
 )
 
-// ApplyConfig puts a configuration in force for the balancer and, by notify, for those who read requests: both happen in
-// one event of the actor. It returns once that is done.
+// ApplyConfig puts a configuration in force. It calls notify with the new settings in the same event in which the balancer
+// gets them, so that the readers of requests and the balancer switch together. It returns after notify.
 func (s *Sidecar) ApplyConfig(conf *config.Config, notify func(*decide.Settings)) {
 	done := make(chan struct{})
 	s.mailbox <- configChanged{conf, notify, done}
@@ -31,15 +31,15 @@
 	s.dispatch(e)
 }
 
-// SetSocketLimit changes how many connections to servers may be open. None is closed for it.
+// SetSocketLimit changes the limit of open connections to servers. It closes no open connection.
 func (s *Sidecar) SetSocketLimit(sockets int) { s.endpointConfig.Sockets.SetLimit(sockets) }
 
-// SetPeerProcessActive says whether another process of this sidecar serves too, as during an upgrade: the two then share
-// one attempt budget.
+// SetPeerProcessActive sets whether another process of this sidecar also serves requests, as during an upgrade. The two
+// processes then share one attempt budget.
 func (s *Sidecar) SetPeerProcessActive(active bool) { s.mailbox <- peerProcessChanged{active} }
 
-// SetPeerProcessInFlightIDs replaces the ids of the requests that another process of this sidecar has in flight. Requests with
-// such an id are answered as duplicates.
+// SetPeerProcessInFlightIDs replaces the ids of the requests that another process of this sidecar has in flight. A request
+// with such an id gets the response DuplicateID.
 func (s *Sidecar) SetPeerProcessInFlightIDs(ids []string) {
 	set := map[string]bool{}
 	for _, id := range ids {
@@ -48,7 +48,7 @@
 	s.mailbox <- peerProcessInFlightChanged{set}
 }
 
-// SetRecorder has an audit trail kept. It must be called before Run.
+// SetRecorder sets the recorder of the audit log. It must be called before Run.
 func (s *Sidecar) SetRecorder(recorder auditevent.Recorder) {
 	if s.recorder, s.endpointsSeq = recorder, -1; s.startConfig.LastEndpoints != nil {
 		s.endpointsSeq = s.startConfig.LastEndpoints.Seq
@@ -57,19 +57,19 @@
 	s.updateConfigVersion()
 }
 
-// ConfigVersion returns the audit id of the configuration in force; 0 without an audit trail.
+// ConfigVersion returns the id in the audit log of the configuration in force, or 0 without an audit log.
 func (s *Sidecar) ConfigVersion() auditevent.ConfigVersionID {
 	return auditevent.ConfigVersionID(s.configVersion.Load())
 }
 
-// updateConfigVersion has the recorder assign an id to the settings and the endpoint list in force.
+// updateConfigVersion gets the id of the settings and the endpoint list in force from the recorder.
 func (s *Sidecar) updateConfigVersion() {
 	if s.recorder != nil {
 		s.configVersion.Store(uint32(s.recorder.SetVersion(s.settingsVersion, s.settingsDigest, s.endpointsSeq)))
 	}
 }
 
-// record adds an audit event under the configuration in force.
+// record writes an event to the audit log, if there is one, under the configuration in force.
 func (s *Sidecar) record(kind auditevent.Kind, requestID, note string) (ref auditevent.Ref) {
 	if s.recorder != nil {
 		ref = s.recorder.Record(kind, s.ConfigVersion(), requestID, note)
@@ -77,12 +77,13 @@
 	return ref
 }
 
-// sourceOf returns how the settings say that the endpoint list is served.
+// sourceOf returns the source of the endpoint list according to the settings.
 func sourceOf(settings *decide.Settings) discovery.Source {
 	return discovery.Source{FromAgent: settings.EndpointsPushed, BalancerCount: settings.BalancerCount}
 }
 
-// withPushedEndpoints returns the settings for the balancer: to it the list is always pushed, since discovery.Client polls.
+// withPushedEndpoints returns the settings for the balancer. In them the list is always pushed, because discovery.Client
+// does the polling.
 func withPushedEndpoints(settings decide.Settings) decide.Settings {
 	settings.EndpointsPushed = true
 	return settings
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -6,10 +6,10 @@
 	"damsonscale/internal/shadow"
 )
 
-// HasEndpoints reports whether any server is known.
+// HasEndpoints reports whether at least one server is listed.
 func (s *Sidecar) HasEndpoints() bool { return s.discovery.Endpoints.HasEndpoints() }
 
-// EndpointsKnown returns a channel that is closed once any server has been known.
+// EndpointsKnown returns a channel that is closed as soon as a server has been listed.
 func (s *Sidecar) EndpointsKnown() <-chan struct{} { return s.endpointsKnown }
 
 func (s *Sidecar) signalEndpointsKnown() {
@@ -18,7 +18,8 @@
 	}
 }
 
-// SetDiscoveryAddress follows the endpoint list at another address. The list stays until that service sends one.
+// SetDiscoveryAddress switches to the discovery service at addr. The current list stays in force until that service sends a
+// list.
 func (s *Sidecar) SetDiscoveryAddress(addr string) { s.discovery.SetAddress(addr) }
 
 // OnEndpoints implements discovery.Listener.
@@ -53,7 +54,7 @@
 			endpoint.Phase = decide.InService
 		case discovery.Removed:
 			endpoint.Phase = decide.Removed
-		default: // an unknown state takes no new work either
+		default: // a server in an unknown state gets no new requests either
 			endpoint.Phase = decide.Draining
 		}
 		out = append(out, endpoint)
--- a/internal/sidecar/log.go
+++ b/internal/sidecar/log.go
@@ -8,22 +8,22 @@
 	"damsonscale/internal/eventlog"
 )
 
-// Events of the log.
+// Log events.
 const (
 	eventEndpointMailboxFull = "peer_mailbox_full"
 	eventStaleEndpointSend   = "stale_endpoint_send"
 )
 
-// staleSendLogInterval is the time between two lines of eventStaleEndpointSend, at least.
+// staleSendLogInterval is the minimum time between two log lines with eventStaleEndpointSend.
 const staleSendLogInterval = time.Second
 
-// Log implements decide.Actions: the line's first word is the event, the rest is fields (key=value) or plain text.
+// Log implements decide.Actions. The first word of the line is the event, the rest is fields (key=value) or plain text.
 func (x actions) Log(line string) {
 	event, rest, _ := strings.Cut(line, " ")
 	eventlog.Info(event, append([]any{"source", "decide"}, logFields(rest)...)...)
 }
 
-// logFields splits "key=value key=value" into keys and values; other text becomes the value of the key detail.
+// logFields splits "key=value key=value" into keys and values. Text of any other form becomes the value of the key detail.
 func logFields(text string) (fields []any) {
 	for word := range strings.FieldsSeq(text) {
 		key, value, isField := strings.Cut(word, "=")
@@ -35,7 +35,8 @@
 	return fields
 }
 
-// logStaleSend logs that an attempt goes by an endpoint list whose changes may be in force elsewhere.
+// logStaleSend logs that an attempt is sent with an endpoint list older than the staleness bound: other balancers may already
+// have a newer list.
 func (s *Sidecar) logStaleSend(now time.Time, request, server string) {
 	staleness := s.discovery.Endpoints.Staleness()
 	if staleness <= discovery.StalenessBound || now.Sub(s.staleSendLoggedAt) < staleSendLogInterval {
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -11,29 +11,29 @@
 	"damsonscale/internal/upstream"
 )
 
-// message is what the mailbox takes. handle runs on the actor's goroutine; now is the balancer's clock, in µs.
+// message is an event in the mailbox. handle runs on the goroutine of Run; now is the balancer's time, in µs.
 type message interface{ handle(s *Sidecar, now int64) }
 
-// requestReceived is a request of a client.
+// requestReceived delivers a request of a client.
 type requestReceived struct{ call *Call }
 
 func (m requestReceived) handle(s *Sidecar, now int64) { s.onRequest(now, m.call) }
 
-// clientDisconnected says that nobody waits for a call's response any more.
+// clientDisconnected reports that Do no longer waits for the response of a call.
 type clientDisconnected struct{ call *Call }
 
 func (m clientDisconnected) handle(s *Sidecar, now int64) { s.onClientDisconnected(now, m.call) }
 
-// streamStarted says that an attempt has a response which is passed on as it comes.
+// streamStarted reports that an attempt has a response that is streamed.
 type streamStarted struct {
 	call   *Call
-	number int // of the attempt
+	number int // of the attempt, from 0 in the order of sending
 	stream *upstream.Stream
 }
 
 func (m streamStarted) handle(s *Sidecar, now int64) { s.onStreamStarted(now, m) }
 
-// attemptEnded is the end of an attempt.
+// attemptEnded reports the end of an attempt.
 type attemptEnded struct {
 	call    *Call
 	number  int // of the attempt, from 0 in the order of sending
@@ -43,7 +43,7 @@
 
 func (m attemptEnded) handle(s *Sidecar, now int64) { s.onAttemptEnded(now, m) }
 
-// healthCheckEnded is the end of a health check.
+// healthCheckEnded reports the end of a health check.
 type healthCheckEnded struct {
 	server string
 	check  *upstream.Attempt
@@ -52,19 +52,19 @@
 
 func (m healthCheckEnded) handle(s *Sidecar, now int64) { s.onHealthCheckEnded(now, m) }
 
-// timerFired is a timer that the balancer has set.
+// timerFired reports the expiry of a timer that the balancer has set.
 type timerFired struct{ token int64 }
 
 func (m timerFired) handle(s *Sidecar, now int64) {
 	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnTimer(now, m.token) }})
 }
 
-// endpointsUpdated is an update of the endpoint list.
+// endpointsUpdated delivers an update of the endpoint list.
 type endpointsUpdated struct{ update *discovery.Update }
 
 func (m endpointsUpdated) handle(s *Sidecar, now int64) { s.onEndpointsUpdated(now, m.update) }
 
-// configChanged puts a configuration in force. notify runs on the actor; done is closed afterwards.
+// configChanged puts a configuration in force. notify runs on the goroutine of Run; done is closed after it.
 type configChanged struct {
 	config *config.Config
 	notify func(*decide.Settings)
@@ -77,24 +77,24 @@
 	m.notify(s.settings)
 }
 
-// peerProcessChanged says whether another process of this sidecar serves too.
+// peerProcessChanged reports whether another process of this sidecar also serves requests.
 type peerProcessChanged struct{ active bool }
 
 func (m peerProcessChanged) handle(s *Sidecar, now int64) {
 	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.SetPeerProcessActive(now, m.active) }})
 }
 
-// peerProcessInFlightChanged names the requests that another process of this sidecar has in flight.
+// peerProcessInFlightChanged replaces the ids of the requests that another process of this sidecar has in flight.
 type peerProcessInFlightChanged struct{ ids map[string]bool }
 
 func (m peerProcessInFlightChanged) handle(s *Sidecar, _ int64) { s.peerProcessInFlight = m.ids }
 
-// inFlightQuery asks for the ids of the requests in flight.
+// inFlightQuery requests the ids of the requests in flight.
 type inFlightQuery struct{ reply chan<- []string }
 
 func (m inFlightQuery) handle(s *Sidecar, _ int64) { m.reply <- slices.Collect(maps.Keys(s.calls)) }
 
-// closeIdleConnections closes all idle connections to servers.
+// closeIdleConnections requests that all idle connections to servers be closed.
 type closeIdleConnections struct{}
 
 func (closeIdleConnections) handle(s *Sidecar, _ int64) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// socketShortage says that an attempt waits for a socket: each peer closes its longest idle connection.
+// socketShortage reports that an attempt waits for a socket. Each server endpoint then closes its longest idle connection.
 type socketShortage struct{}
 
 func (socketShortage) handle(s *Sidecar, _ int64) {
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -9,33 +9,34 @@
 	"damsonscale/internal/shadow"
 )
 
-// Do serves a call and returns its response. gone is closed when the call need not be served any longer: the client has
-// disconnected, or the lease is over. left reports that, or that the rest of the body could not be read.
-func (s *Sidecar) Do(c *Call, gone <-chan struct{}) (r Response, left bool) {
+// Do serves a call and returns its response. The caller closes abandon when the call need not be served any longer, because
+// the client has disconnected or the lease has ended. abandoned reports that Do returns for that reason, because an attempt
+// has found the client disconnected, or because the rest of the body could not be read.
+func (s *Sidecar) Do(c *Call, abandon <-chan struct{}) (r Response, abandoned bool) {
 	deadline := time.NewTimer(time.Until(c.responseDeadline))
 	defer deadline.Stop()
 	select {
 	case s.mailbox <- requestReceived{c}:
-	case <-deadline.C: // the mailbox is full: nothing was sent, nothing will be
+	case <-deadline.C: // the mailbox is full: the request is not admitted and nothing is sent
 		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, false
 	case <-s.aborted:
 		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, false
-	case <-gone:
+	case <-abandon:
 		return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, true
 	}
-	r, left, answered := s.awaitResponse(c, gone, deadline)
+	r, abandoned, answered := s.awaitResponse(c, abandon, deadline)
 	if answered {
 		c.gate.Close()
 		return r, false
 	}
-	// The balancer cancels what is in flight first: a write under way holds the gate until it ends or is cancelled.
+	// Gate.Close waits for a write in progress, so the balancer must be able to cancel the attempts in the meantime.
 	go func() { s.mailbox <- clientDisconnected{c} }()
 	c.gate.Close()
-	return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, left
+	return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, abandoned
 }
 
-// awaitResponse waits for the response, the client's disconnection, or the deadline.
-func (s *Sidecar) awaitResponse(c *Call, gone <-chan struct{}, deadline *time.Timer) (r Response, left, answered bool) {
+// awaitResponse waits for the response, the client's disconnection or the deadline.
+func (s *Sidecar) awaitResponse(c *Call, abandon <-chan struct{}, deadline *time.Timer) (r Response, abandoned, answered bool) {
 	var bodyDone <-chan struct{}
 	if c.Message.Remainder != nil {
 		bodyDone = c.Message.Remainder.Done()
@@ -44,14 +45,14 @@
 		select {
 		case r = <-c.response:
 			return r, false, true
-		case <-gone:
+		case <-abandon:
 			return r, true, false
 		case <-c.disconnected:
 			return r, true, false
 		case <-deadline.C:
 			return r, false, false
 		case <-s.aborted:
-			select { // a response that is there takes precedence
+			select { // a response that is already available takes precedence
 			case r = <-c.response:
 				return r, false, true
 			default:
@@ -64,7 +65,7 @@
 				return r, true, false
 			}
 			deadline.Reset(time.Until(c.responseDeadlineFrom(at)))
-			gone = c.OnBodyComplete()
+			abandon = c.OnBodyComplete()
 		}
 	}
 }
@@ -76,17 +77,17 @@
 	return <-reply
 }
 
-// onRequest admits a call and gives it to the balancer.
+// onRequest admits a call and passes it to the balancer, or rejects it.
 func (s *Sidecar) onRequest(now int64, c *Call) {
-	if c.gate.Closed() { // it ended while it waited in the mailbox
+	if c.gate.Closed() { // Do has returned while the call waited in the mailbox
 		return
 	}
-	if s.calls[c.Request.ID] != nil || s.peerProcessInFlight[c.Request.ID] { // attempts of two requests with one id can't be told apart
+	if s.calls[c.Request.ID] != nil || s.peerProcessInFlight[c.Request.ID] { // servers cannot distinguish the attempts of two requests with one id
 		s.respond(c, Response{Status: DuplicateID})
 		return
 	}
 	if !c.leaseHeld() || !s.mapToCurrentSettings(c) {
-		s.respond(c, Response{Status: Rejected}) // nothing was sent: a retry is harmless
+		s.respond(c, Response{Status: Rejected}) // nothing was sent: a retry is safe
 		return
 	}
 	s.calls[c.Request.ID] = c
@@ -103,8 +104,8 @@
 	s.dispatch(shadow.Event{Now: now, Apply: func(b *decide.Balancer) { b.OnRequest(now, request) }})
 }
 
-// mapToCurrentSettings finds the class and the tenant of a call that was read under earlier settings by their names;
-// false: there is no such class any more, or its semantics have changed.
+// mapToCurrentSettings finds the class and the tenant of a call that was read under earlier settings by their names. It
+// returns false if the class no longer exists or its semantics have changed.
 func (s *Sidecar) mapToCurrentSettings(c *Call) bool {
 	if c.settings == s.settings {
 		return true
@@ -123,7 +124,7 @@
 	return class >= 0
 }
 
-// onClientDisconnected ends a call that nobody waits for any more.
+// onClientDisconnected ends a call whose client no longer waits for the response.
 func (s *Sidecar) onClientDisconnected(now int64, c *Call) {
 	if c.responded || s.calls[c.Request.ID] != c {
 		c.discardResponse()
@@ -135,13 +136,14 @@
 	s.forgetIfDone(c)
 }
 
-// respond gives a call its response under the configuration in force; false: it had one.
+// respond delivers the response of a call under the configuration in force. It returns false if the call has a response
+// already.
 func (s *Sidecar) respond(c *Call, r Response) bool {
 	r.ConfigVersion = s.ConfigVersion()
 	return c.respond(r)
 }
 
-// forgetIfDone drops a call that is answered and has nothing in flight.
+// forgetIfDone removes a call that is answered and has no attempt in flight.
 func (s *Sidecar) forgetIfDone(c *Call) {
 	if c.responded && c.inFlight == 0 && s.calls[c.Request.ID] == c {
 		delete(s.calls, c.Request.ID)
--- a/internal/sidecar/server_endpoints.go
+++ b/internal/sidecar/server_endpoints.go
@@ -7,17 +7,17 @@
 	"damsonscale/internal/upstream"
 )
 
-// connectionReuseDelay is how long a connection rests after a response: a second response to the same request, which
-// faulty servers send within some ms, would be read as the next request's.
+// connectionReuseDelay is how long a connection stays unused after a response. Faulty servers send a second response to a
+// request 1.2 to 5 ms after the first; on a reused connection it would be taken for the response to the next request.
 const connectionReuseDelay = 8 * time.Millisecond
 
-// serverEndpoint is a server's actor, with what the balancer has in flight there.
+// serverEndpoint is the actor that sends to a server.
 type serverEndpoint struct {
 	*upstream.Endpoint
-	inFlight int // attempts and health checks without their end
+	inFlight int // attempts and health checks that have not ended
 }
 
-// endpointFor returns the peer of a host, and starts it where there is none.
+// endpointFor returns the endpoint of a host. If there is none it starts one.
 func (s *Sidecar) endpointFor(host string) *serverEndpoint {
 	p := s.serverEndpoints[host]
 	if p == nil {
@@ -27,7 +27,7 @@
 	return p
 }
 
-// retireEndpoint stops the peer of a host that is no longer listed, once nothing is in flight there.
+// retireEndpoint stops the endpoint of a host that is not listed and has nothing in flight.
 func (s *Sidecar) retireEndpoint(host string) {
 	p := s.serverEndpoints[host]
 	if _, listed := s.discovery.Endpoints.Lookup(host); p != nil && p.inFlight == 0 && !listed {
@@ -36,13 +36,13 @@
 	}
 }
 
-// offerAttempt hands an attempt to its peer. Where the peer's mailbox is full the attempt ends as NotSent.
+// offerAttempt offers an attempt to its server's endpoint. If the endpoint's mailbox is full the attempt ends as NotSent.
 func (s *Sidecar) offerAttempt(a *upstream.Attempt) {
 	p := s.endpointFor(a.Host)
 	p.inFlight++
 	if !p.Offer(a) {
 		eventlog.Warn(eventEndpointMailboxFull, nil, "peer", a.Host)
-		go a.OnDone(a, upstream.AttemptResult{Reason: upstream.NotSent, ObservedAt: time.Now()}) // it posts to this actor, which must not wait
+		go a.OnDone(a, upstream.AttemptResult{Reason: upstream.NotSent, ObservedAt: time.Now()}) // OnDone posts to the Sidecar's mailbox, and its own goroutine must not block on that
 	}
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -14,11 +14,11 @@
 	"damsonscale/internal/upstream"
 )
 
-// mailboxSize is how many messages may wait for the actor.
+// mailboxSize is the number of messages that the mailbox can hold.
 const mailboxSize = 1024
 
-// Sidecar is the actor around the decision module. All methods but Run and SetRecorder may be called from any goroutine
-// while Run runs.
+// Sidecar is the actor that runs the balancer of package decide. All methods except Run and SetRecorder may be called from
+// any goroutine while Run is running.
 type Sidecar struct {
 	mailbox        chan message
 	startedAt      time.Time
@@ -27,33 +27,33 @@
 
 	// Owned by the goroutine of Run.
 
-	startConfig         *config.Config   // of the start
-	settings            *decide.Settings // in force
+	startConfig         *config.Config   // the configuration that the process was started with
+	settings            *decide.Settings // the settings in force
 	transport           config.Transport
 	balancer            *decide.Balancer
-	evaluator           *shadow.Evaluator          // nil: none
-	eventActions        []shadow.Action            // of the event at hand, for the evaluator
-	calls               map[string]*Call           // in flight, by request id
-	peerProcessInFlight map[string]bool            // ids that another process of this sidecar has in flight
+	evaluator           *shadow.Evaluator          // evaluates other settings on the same events; nil: not configured
+	eventActions        []shadow.Action            // the balancer's actions in the current event, for the evaluator
+	calls               map[string]*Call           // calls in flight, by request id
+	peerProcessInFlight map[string]bool            // ids of the requests that another process of this sidecar has in flight
 	serverEndpoints     map[string]*serverEndpoint // by host
 	startTimes          *serverStartTimes
 	staleSendLoggedAt   time.Time
 
-	recorder        auditevent.Recorder // nil: no audit
-	endpointsSeq    int64               // of the endpoint list; -1: none yet
-	settingsVersion uint64              // of the settings in force, where a fleet numbers them
-	settingsDigest  uint64              // of their bytes, likewise
+	recorder        auditevent.Recorder // nil: no audit log
+	endpointsSeq    int64               // sequence number of the endpoint list in force; -1: no list yet
+	settingsVersion uint64              // version of the settings in force, if a fleet distributes them
+	settingsDigest  uint64              // digest of the settings' bytes, if a fleet distributes them
 
 	// Readable from any goroutine.
 
-	configVersion      atomic.Uint32 // the auditevent id of the configuration in force
-	endpointsKnown     chan struct{} // closed once any server is known
+	configVersion      atomic.Uint32 // the auditevent.ConfigVersionID of the configuration in force
+	endpointsKnown     chan struct{} // closed as soon as a server has been listed
 	endpointsKnownOnce sync.Once
 	aborted            chan struct{} // closed by AbortAll
 	abortOnce          sync.Once
 }
 
-// New returns a Sidecar for a configuration. sockets is how many connections to servers it may hold.
+// New returns a Sidecar with a configuration. sockets limits the number of open connections to servers.
 func New(conf *config.Config, sockets int) *Sidecar {
 	s := &Sidecar{
 		startConfig: conf, settings: &conf.Settings, transport: conf.Transport, mailbox: make(chan message, mailboxSize), startedAt: time.Now(),
@@ -74,7 +74,7 @@
 	return s
 }
 
-// Run serves the mailbox until ctx ends.
+// Run processes the mailbox until ctx is done.
 func (s *Sidecar) Run(ctx context.Context) {
 	go s.discovery.Run(ctx)
 	if s.evaluator != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// dispatch gives the balancer an event, and the evaluator both the event and what the balancer did.
+// dispatch passes an event to the balancer, and the event with the balancer's actions to the evaluator.
 func (s *Sidecar) dispatch(e shadow.Event) {
 	e.Apply(s.balancer)
 	if s.evaluator != nil {
@@ -106,21 +106,21 @@
 	}
 }
 
-// noteAction keeps an action of the balancer for the evaluator.
+// noteAction records an action of the balancer for the evaluator.
 func (s *Sidecar) noteAction(a shadow.Action) {
 	if s.evaluator != nil {
 		s.eventActions = append(s.eventActions, a)
 	}
 }
 
-// now returns the balancer's time, µs.
+// now returns the balancer's time, in µs.
 func (s *Sidecar) now() int64 { return s.clockTime(time.Now()) }
 
-// clockTime converts a time with a monotonic reading to the balancer's clock, µs.
+// clockTime converts a time with a monotonic clock reading to the balancer's time, in µs.
 func (s *Sidecar) clockTime(t time.Time) int64 {
 	return s.startedAt.UnixMicro() + t.Sub(s.startedAt).Microseconds()
 }
 
-// AbortAll ends all requests in flight, and all that come later, with DeadlineExceeded at once: the process is about to
-// exit, and clients get a failure rather than no response.
+// AbortAll ends all requests in flight and all later requests with DeadlineExceeded at once. It is called before the process
+// exits, so that clients get an error response and not a closed connection.
 func (s *Sidecar) AbortAll() { s.abortOnce.Do(func() { close(s.aborted) }) }
