--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -33,7 +33,8 @@
 		a.TimeoutAfterBody = min(a.TimeoutAfterBody, time.Duration(timeout)*time.Microsecond)
 	}
 	if class := c.class; class.Semantics == decide.IdempotencyKeyed && !c.firstEffectAt.IsZero() {
-		a.LatestStart = c.firstEffectAt.Add(time.Duration(class.DedupWindow) * time.Microsecond) // after the window servers no longer recognise the duplicate and would execute it again
+		// After the dedup window servers would execute the request again.
+		a.LatestStart = c.firstEffectAt.Add(time.Duration(class.DedupWindow) * time.Microsecond)
 	}
 	a.OnDone = func(a *upstream.Attempt, r upstream.AttemptResult) {
 		s.mailbox <- attemptEnded{c, number, a, r}
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -17,7 +17,7 @@
 	Rejected                       // the request had no effect: a retry is safe
 	Failed                         // an attempt may have had an effect
 	DuplicateID                    // another request with this id is in flight
-	DeadlineExceeded               // the client disconnected, the deadline passed or the process exits before a response; the request may have been executed
+	DeadlineExceeded               // no response before the deadline, disconnection or process exit; the request may have been executed
 )
 
 // Response is the final response to a request.
@@ -55,11 +55,11 @@
 	firstEffectAt    time.Time // when the first attempt that may have been executed was sent; zero: no attempt may have been executed
 }
 
-// Margins before the client's deadline, for scheduling delays and for the response's transfer to the client. With a short
-// timeout the margin is a fraction of the timeout instead.
+// Margins before the client's deadline, for scheduling delays and for the response's transfer to the client. A margin is at
+// most the given fraction of the timeout: 1/8 and 1/14.
 const (
-	decisionMargin, decisionMarginPart = 20 * time.Millisecond, 8  // the balancer's time ends this long before the deadline: 20 ms, or 1/8 of the timeout if that is less
-	responseMargin, responseMarginPart = 12 * time.Millisecond, 14 // Do returns this long before the deadline: 12 ms, or 1/14 of the timeout if that is less
+	decisionMargin, decisionMarginPart = 20 * time.Millisecond, 8  // before the end of the balancer's time
+	responseMargin, responseMarginPart = 12 * time.Millisecond, 14 // before the return of Do
 )
 
 // maxBodyDuration limits the time to receive an unbuffered body, even if its data arrives steadily.
--- a/internal/sidecar/log_test.go
+++ b/internal/sidecar/log_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The balancer's log lines keep their fields as keys and values; any other text is one value.
+// Fields in a log line of the balancer become keys and values; any other text is one value.
 func TestLogFields(t *testing.T) {
 	for text, want := range map[string][]any{
 		"":                            nil,
@@ -15,7 +15,7 @@
 		"server=s1 with plain words":  {"detail", "server=s1 with plain words"},
 	} {
 		if got := logFields(text); !slices.Equal(got, want) {
-			t.Errorf("%q: %q, want %q", text, got, want)
+			t.Errorf("logFields(%q) = %q, want %q", text, got, want)
 		}
 	}
 }
--- a/internal/sidecar/overloaded_discovery_test.go
+++ b/internal/sidecar/overloaded_discovery_test.go
@@ -10,10 +10,10 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// A discovery service that works through requests in turn, also through cancelled ones, hangs or is down and comes back
-// overloaded: it needs 5 s for a fleet that has 6. It serves all of them by their first polls: a poll that is cancelled for the
-// next loses its place in the queue, and the service works for nobody.
-func TestAServiceThatWorksInTurnServesAll(t *testing.T) {
+// A discovery service that handles requests in order, including cancelled requests, recovers from a fault and is overloaded:
+// it needs 5 s for all sidecars, which have 6 s. It serves each sidecar by its first poll. If a sidecar cancelled a poll to
+// start the next, it would lose its place in the queue, and the service would spend its time on cancelled requests.
+func TestOverloadedDiscoveryServiceServesAllSidecars(t *testing.T) {
 	const n, each = 30, 160 * time.Millisecond
 	for name, fault := range map[string]standin.Fault{"stuck": standin.Hangs, "refuses": standin.Refuses} {
 		t.Run(name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 				}, 8)
 				runSidecar(t, fleet[i])
 			}
-			time.Sleep(5500 * time.Millisecond) // calls that were given up are long so by then, and the next have begun
+			time.Sleep(5500 * time.Millisecond) // long enough for a client that cancels a poll to have started the next
 			before := r.Calls()
 			back := r.Return(t)
 			known := func() (k int) {
@@ -43,14 +43,14 @@
 				}
 				return k
 			}
-			standin.Eventually(t, fmt.Sprintf("a list for all %d", n), func() bool { return known() == n })
+			standin.Eventually(t, fmt.Sprintf("a list on all %d sidecars", n), func() bool { return known() == n })
 			took, worked, calls := time.Since(back), r.Worked(), r.Calls()
-			t.Logf("all told after %.2f s and %d calls worked through; %d had come before, %d after", took.Seconds(), worked, before, calls-before)
+			t.Logf("all sidecars have the list after %.2f s; the service handled %d polls; %d polls arrived before its recovery, %d after", took.Seconds(), worked, before, calls-before)
 			if worked > n+n/2 {
-				t.Errorf("%d calls were worked through for %d sidecars: places were given away", worked, n)
+				t.Errorf("the service handled %d polls for %d sidecars, want at most 1.5 per sidecar", worked, n)
 			}
 			if calls-before > 2*n {
-				t.Errorf("%d calls in %v", calls-before, took)
+				t.Errorf("%d polls arrived in the %v after the recovery, want at most 2 per sidecar", calls-before, took)
 			}
 		})
 	}
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -29,7 +29,7 @@
 		c.gate.Close()
 		return r, false
 	}
-	// Gate.Close waits for a write in progress, so the balancer must be able to cancel the attempts in the meantime.
+	// The disconnection is posted first: Gate.Close waits for a write in progress, which the balancer then cancels.
 	go func() { s.mailbox <- clientDisconnected{c} }()
 	c.gate.Close()
 	return Response{Status: DeadlineExceeded, ConfigVersion: s.ConfigVersion()}, abandoned
--- a/internal/sidecar/server_endpoints.go
+++ b/internal/sidecar/server_endpoints.go
@@ -42,7 +42,8 @@
 	p.inFlight++
 	if !p.Offer(a) {
 		eventlog.Warn(eventEndpointMailboxFull, nil, "peer", a.Host)
-		go a.OnDone(a, upstream.AttemptResult{Reason: upstream.NotSent, ObservedAt: time.Now()}) // OnDone posts to the Sidecar's mailbox, and its own goroutine must not block on that
+		// OnDone posts to the mailbox of the Sidecar, whose goroutine must not block on it.
+		go a.OnDone(a, upstream.AttemptResult{Reason: upstream.NotSent, ObservedAt: time.Now()})
 	}
 }
 
