--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/client_test.go
@@ -30,7 +30,7 @@
 	case word := <-to:
 		return word
 	case <-time.After(standin.Patience):
-		t.Fatal("told nothing")
+		t.Fatalf("no notification within %v", standin.Patience)
 		return ""
 	}
 }
@@ -40,9 +40,9 @@
 	update2Draining = `{"seq":2,"whole":true,"hosts":[{"host":"a","dial":"1","health":"Terminating"}]}` + "\n"
 )
 
-// With an agent a watch is opened at the start, and the agent's list takes precedence over the one known before: a server
-// that drains there is never ready here.
-func TestAPushedListIsWatched(t *testing.T) {
+// With an agent the client opens a watch at its start, and the agent's list takes precedence over the initial list: a server
+// that drains in the agent's list is never ready.
+func TestAgentListTakesPrecedenceOverInitialList(t *testing.T) {
 	addr := standin.NewDiscovery(t, func(w *standin.Watch) {
 		w.Begin()
 		w.Tell(update2Draining)
@@ -51,20 +51,20 @@
 	to := make(notifications, 16)
 	c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{FromAgent: true}, to)
 	if _, ready := c.Endpoints.Address("a"); ready {
-		t.Fatal("what was known goes before the agent")
+		t.Fatal("the initial list is in force before the agent responds")
 	}
 	runClient(t, c)
 	if word := nextNotification(t, to); word != "listed" {
-		t.Fatal(word)
+		t.Fatalf("got notification %q, want listed", word)
 	}
 	if _, ready := c.Endpoints.Address("a"); ready || !c.Endpoints.HasEndpoints() {
-		t.Fatal("not what the agent has")
+		t.Fatal("the agent's list is not in force")
 	}
 }
 
-// While the agent is down the list known before is used, and the agent is polled until it is back: its list counts from
-// then on.
-func TestAnAgentThatIsAway(t *testing.T) {
+// While the agent does not respond, the initial list is in force and the agent is polled. Once the agent responds, its list
+// replaces the initial list.
+func TestInitialListIsUsedWhileAgentIsDown(t *testing.T) {
 	for _, how := range []string{"hangs up", "hangs"} {
 		t.Run(how, func(t *testing.T) {
 			back := make(chan bool)
@@ -86,21 +86,22 @@
 			runClient(t, c)
 			nextNotification(t, to)
 			if _, ready := c.Endpoints.Address("a"); !ready {
-				t.Fatal("what was known does not serve")
+				t.Fatal("the initial list is not in force while the agent is down")
 			}
 			close(back)
 			if word := nextNotification(t, to); word != "listed" {
-				t.Fatal(word)
+				t.Fatalf("got notification %q, want listed", word)
 			}
 			if _, ready := c.Endpoints.Address("a"); ready {
-				t.Fatal("not what the agent has")
+				t.Fatal("the agent's list is not in force")
 			}
 		})
 	}
 }
 
-// A reload that changes whether lists come from an agent keeps the watch; one that ends is opened again either way.
-func TestPushedByAReload(t *testing.T) {
+// A configuration change between an agent and a shared discovery service keeps the active watch. A watch that ends is opened
+// again with either source.
+func TestSourceChangeKeepsWatch(t *testing.T) {
 	end := make(chan bool)
 	addr := standin.NewDiscovery(t, func(w *standin.Watch) {
 		w.Begin()
@@ -112,26 +113,26 @@
 	runClient(t, c)
 	for _, pushed := range []bool{true, false, true} {
 		if word := nextNotification(t, to); word != "listed" {
-			t.Fatal(word)
+			t.Fatalf("got notification %q, want listed", word)
 		}
-		held := make(chan *subscription, 2)
-		look := onActor(func() { held <- c.activeWatch })
-		c.mailbox <- look
+		watches := make(chan *subscription, 2)
+		sendWatch := onActor(func() { watches <- c.activeWatch })
+		c.mailbox <- sendWatch
 		c.SetSource(Source{FromAgent: pushed, BalancerCount: 1})
-		c.mailbox <- look
-		if before, after := <-held, <-held; before != after {
-			t.Fatal("the watch was left")
+		c.mailbox <- sendWatch
+		if before, after := <-watches, <-watches; before != after {
+			t.Fatal("the change of the source replaced the active watch")
 		}
 		end <- true
 	}
 	if word := nextNotification(t, to); word != "listed" {
-		t.Fatal(word)
+		t.Fatalf("got notification %q, want listed", word)
 	}
 	close(end)
 }
 
-// An update that stops in its middle is broken, whether nothing follows, empty lines, or single bytes.
-func TestAListThatStops(t *testing.T) {
+// An incomplete update times out, whether nothing, empty lines or single bytes follow it.
+func TestIncompleteUpdateTimesOut(t *testing.T) {
 	for _, after := range []string{"", "\n", "\n \n", "x"} {
 		client, server := net.Pipe()
 		go func() {
@@ -148,18 +149,18 @@
 		select {
 		case err := <-ended:
 			if err == nil {
-				t.Errorf("after %q: no error", after)
+				t.Errorf("incomplete update followed by %q: no error", after)
 			}
 		case <-time.After(standin.Patience):
-			t.Errorf("after %q: it is waited for", after)
+			t.Errorf("incomplete update followed by %q: no timeout within %v", after, standin.Patience)
 		}
 		client.Close()
 		server.Close()
 	}
 }
 
-// A service that never completes the head of its response costs no more than the time limit for it.
-func TestNoHeadEverComes(t *testing.T) {
+// A poll times out if the service never completes the header of its response.
+func TestIncompleteResponseHeaderTimesOut(t *testing.T) {
 	for _, text := range []string{"", "HTTP/1.1 200 OK\r\nX: "} {
 		addr := standin.NewDiscovery(t, func(w *standin.Watch) {
 			io.WriteString(w, text)
@@ -169,25 +170,25 @@
 		call.headTimeout = 20 * time.Millisecond
 		err := call.run(context.Background())
 		if err == nil || !strings.Contains(err.Error(), "timeout") {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("response %q: error %v, want a timeout", text, err)
 		}
 	}
 }
 
-// Changes of the address that cross: there, back, and a third before the second has answered. The last one counts, the others
-// are ignored once it has sent a message, and sequence numbers of one are not sent to another.
-func TestMovesThatCross(t *testing.T) {
-	speak := make(chan bool)
+// The address changes to a second service, back, and to a third service before the second has responded. The last service's
+// list is in force once that service sends a message, and no sequence number of one service is sent to another.
+func TestOverlappingAddressChanges(t *testing.T) {
+	respond := make(chan bool)
 	var addr [3]string
-	asked := make(chan string, 16)
+	queries := make(chan string, 16)
 	for i := range addr {
 		addr[i] = standin.NewDiscovery(t, func(w *standin.Watch) {
-			asked <- w.Query
+			queries <- w.Query
 			w.Begin()
 			if i == 0 {
 				w.Tell(update9Ready)
 			} else {
-				<-speak
+				<-respond
 				w.Tell(update2Draining)
 			}
 			w.Left()
@@ -198,8 +199,8 @@
 	runClient(t, c)
 	query := func() {
 		t.Helper()
-		if q := <-asked; strings.Contains(q, "from") {
-			t.Fatalf("asked %q", q)
+		if q := <-queries; strings.Contains(q, "from") {
+			t.Fatalf("query %q resumes from a sequence number of another service", q)
 		}
 	}
 	query()
@@ -208,19 +209,19 @@
 	query()
 	c.SetAddress(addr[0])
 	query()
-	nextNotification(t, to) // the first service, asked again, speaks
+	nextNotification(t, to) // the update of the first service, which was polled again
 	c.SetAddress(addr[2])
 	query()
-	close(speak)
+	close(respond)
 	standin.Eventually(t, "the last service's list", func() bool {
 		_, ready := c.Endpoints.Address("a")
 		return !ready
 	})
 }
 
-// However a watch ends, it is opened again and resumes from the last sequence number; after malformed data the full list is
+// A watch that ends is opened again and resumes from the last sequence number. After malformed data the full list is
 // requested.
-func TestAWatchThatEndsIsOpenedAnew(t *testing.T) {
+func TestEndedWatchIsReopened(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
@@ -242,66 +243,66 @@
 			runClient(t, d)
 			d.mailbox <- watchEnded{s, c.err}
 			if word := nextNotification(t, to); word != c.want {
-				t.Fatal(word)
+				t.Fatalf("poll after the end of the watch has query %q, want %q", word, c.want)
 			}
 		})
 	}
 }
 
-// errSilent is returned for silence only.
-func TestSilenceIsCalledSo(t *testing.T) {
+// errSilent is returned only for a silent watch.
+func TestErrSilentOnlyForSilence(t *testing.T) {
 	for _, c := range []struct {
-		hangUp, silent bool
+		close, silent bool
 	}{{true, false}, {false, true}} {
 		client, server := net.Pipe()
 		go func() {
 			io.WriteString(server, update9Ready)
-			if c.hangUp {
+			if c.close {
 				server.Close()
 			}
 		}()
 		err := readUpdates(&heartbeatReader{conn: fastDeadlines{client}, body: client}, func(*Update) {})
 		if errors.Is(err, errSilent) != c.silent {
-			t.Errorf("hung up %v: %v", c.hangUp, err)
+			t.Errorf("connection closed %v: error %v, want errSilent %v", c.close, err, c.silent)
 		}
 		server.Close()
 	}
 }
 
-// Two failures that cross: the poll that replaces a silent watch fails too, and so does the first one after a change of the
-// address. The next goes to the address in force; messages of the old watch still count.
-func TestAFailureAfterSilenceOrAMove(t *testing.T) {
-	for _, move := range []bool{false, true} {
+// If the poll after a silent watch or after a change of the address fails, the next poll goes to the current address. After a
+// change of the address, messages of the old watch still count.
+func TestPollFailureAfterSilenceOrAddressChange(t *testing.T) {
+	for _, addressChanges := range []bool{false, true} {
 		to := make(notifications, 16)
-		hangsUp := standin.NewDiscovery(t, func(*standin.Watch) { to <- "asked" })
-		d := New(hangsUp, nil, Source{BalancerCount: 1}, to)
-		if move {
+		closesAtOnce := standin.NewDiscovery(t, func(*standin.Watch) { to <- "asked" })
+		d := New(closesAtOnce, nil, Source{BalancerCount: 1}, to)
+		if addressChanges {
 			d.addr = "127.0.0.1:1"
 		}
 		old := withActiveWatch(d)
 		runClient(t, d)
-		if move {
-			d.SetAddress(hangsUp)
+		if addressChanges {
+			d.SetAddress(closesAtOnce)
 		} else {
 			d.mailbox <- watchEnded{old, errSilent}
 		}
 		for range 2 {
 			if word := nextNotification(t, to); word != "asked" {
-				t.Fatalf("after a move %v: %s", move, word)
+				t.Fatalf("address changed %v: got %q, want a poll", addressChanges, word)
 			}
 		}
-		if move {
+		if addressChanges {
 			d.mailbox <- updateReceived{old, &Update{Endpoints: []Endpoint{endpoint("a", "1", Ready)}}}
 			for word := nextNotification(t, to); word != "listed"; word = nextNotification(t, to) {
 				if word != "asked" {
-					t.Fatalf("the old watch: %s", word)
+					t.Fatalf("after an update of the old watch: got %q, want a poll or listed", word)
 				}
 			}
 		}
 	}
 }
 
-// queueingService is a discovery service whose polls wait until respondTo.
+// queueingService is a discovery service that responds to a poll only after respondTo.
 type queueingService struct {
 	addr          string
 	polled, ended chan int
@@ -332,40 +333,41 @@
 	return q
 }
 
-// nextNumber waits for a poll to arrive or to end, and returns its number.
+// nextNumber waits for the next poll on calls, and returns its number.
 func nextNumber(t *testing.T, calls chan int) int {
 	t.Helper()
 	select {
 	case n := <-calls:
 		return n
 	case <-time.After(standin.Patience):
-		t.Fatal("no call")
+		t.Fatalf("no poll arrived or ended within %v", standin.Patience)
 		return -1
 	}
 }
 
-// poll has the next poll begin.
+// poll starts a poll and checks that it arrives with number n.
 func (q *queueingService) poll(t *testing.T, c *Client, n int) {
 	t.Helper()
 	c.mailbox <- onActor(func() { c.startPoll(time.Now()) })
 	if nextNumber(t, q.polled) != n {
-		t.Fatal("asked out of order")
+		t.Fatalf("another poll than poll %d arrived", n)
 	}
 }
 
-// respondTo answers a pending poll.
+// respondTo responds to a pending poll with an update.
 func (q *queueingService) respondTo(t *testing.T, n int) {
 	t.Helper()
 	select {
 	case q.respond[n] <- true:
 	case <-time.After(standin.Patience):
-		t.Fatalf("call %d waits no more", n)
+		t.Fatalf("poll %d is not pending", n)
 	}
 }
 
-// Pending polls stay open beside the next, and whichever is answered first becomes the watch and ends the others; at the limit
-// the oldest is cancelled only after its time: it is the next to be answered by a service that works through them in turn.
-func TestACallKeepsItsPlace(t *testing.T) {
+// Pending polls stay open while later polls begin. The first poll that gets a response becomes the watch, and the others are
+// cancelled. At the limit the oldest poll is cancelled only after maxHeadWait: a service that handles requests in order
+// responds to the oldest poll first.
+func TestPendingPollsKeepTheirPlaceInQueue(t *testing.T) {
 	for answered := range 3 {
 		q, to := newQueueingService(t), make(notifications, 16)
 		c := New(q.addr, nil, Source{BalancerCount: 1}, to)
@@ -375,21 +377,21 @@
 		}
 		q.respondTo(t, answered)
 		if word := nextNotification(t, to); word != "listed" {
-			t.Fatal(word)
+			t.Fatalf("got notification %q, want listed", word)
 		}
 		for range 2 {
 			if n := nextNumber(t, q.ended); n == answered {
-				t.Errorf("call %d was answered, and ended", n)
+				t.Errorf("poll %d got a response, but ended", n)
 			}
 		}
 		done := make(chan bool)
 		c.mailbox <- onActor(func() {
-			c.startPoll(time.Now()) // one is held
+			c.startPoll(time.Now()) // must do nothing: a watch is active
 			close(done)
 		})
 		<-done
 		if len(q.polled) > 0 {
-			t.Error("asked again")
+			t.Error("a poll began although a watch is active")
 		}
 	}
 	q, to := newQueueingService(t), make(notifications, 16)
@@ -398,23 +400,23 @@
 	for n := range maxPendingPolls {
 		q.poll(t, c, n)
 	}
-	waiting := make(chan int)
-	another := func(now time.Time) int {
+	pollCounts := make(chan int)
+	startPollAt := func(now time.Time) int {
 		c.mailbox <- onActor(func() {
 			c.startPoll(now)
-			waiting <- c.pollCount
+			pollCounts <- c.pollCount
 		})
-		return <-waiting
+		return <-pollCounts
 	}
-	if n := another(time.Now()); n != maxPendingPolls {
-		t.Errorf("call %d beside %d that wait", n, maxPendingPolls)
+	if n := startPollAt(time.Now()); n != maxPendingPolls {
+		t.Errorf("%d polls have begun, want %d: the limit of pending polls was exceeded", n, maxPendingPolls)
 	}
-	if n := another(time.Now().Add(maxHeadWait)); n != maxPendingPolls+1 || nextNumber(t, q.ended) != 0 {
-		t.Errorf("%d calls, and the oldest is not given up in its time", n)
+	if n := startPollAt(time.Now().Add(maxHeadWait)); n != maxPendingPolls+1 || nextNumber(t, q.ended) != 0 {
+		t.Errorf("%d polls have begun, want %d, with the oldest cancelled after %v", n, maxPendingPolls+1, maxHeadWait)
 	}
 }
 
-// serveMailbox serves a client's mailbox only: no poll begins by itself.
+// serveMailbox processes a client's mailbox without its poll timer, so that only the test starts polls.
 func serveMailbox(t *testing.T, c *Client) {
 	for {
 		select {
@@ -427,10 +429,10 @@
 	}
 }
 
-// Beside a watch that has missed a heartbeat a poll begins, and the watch counts until the poll is answered; one that has sent
-// a message since is healthy again.
-func TestASuspectWatchIsHeardOn(t *testing.T) {
-	for _, speaks := range []bool{false, true} {
+// After a missed heartbeat a poll begins, and the suspect watch stays open until the poll gets a response. If the watch sends a
+// message before, it is healthy again and no poll begins.
+func TestSuspectWatchStaysOpenUntilPollResponse(t *testing.T) {
+	for _, sendsMessage := range []bool{false, true} {
 		q, to := newQueueingService(t), make(notifications, 16)
 		c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 		go serveMailbox(t, c)
@@ -438,33 +440,33 @@
 		c.mailbox <- onActor(func() {
 			old = withActiveWatch(c)
 			c.onQuiet(old)
-			if speaks {
+			if sendsMessage {
 				c.onMessage(old)
 			}
 			c.startPoll(time.Now())
-			if speaks {
+			if sendsMessage {
 				to <- fmt.Sprint(c.activeWatch == old, len(c.pendingPolls))
 			}
 		})
-		if speaks {
+		if sendsMessage {
 			if word := nextNotification(t, to); word != "true 0" {
-				t.Errorf("opened anew although it spoke: %s", word)
+				t.Errorf("after a message on the suspect watch: watch is active and number of pending polls: %s, want true 0", word)
 			}
 			continue
 		}
 		if n := nextNumber(t, q.polled); n != 0 {
-			t.Fatal(n)
+			t.Fatalf("poll %d arrived, want poll 0", n)
 		}
-		c.mailbox <- watchQuiet{old} // again: nothing more is planned for it
+		c.mailbox <- watchQuiet{old} // a second report must not schedule another poll
 		q.respondTo(t, 0)
 		if word := nextNotification(t, to); word != "listed" || old.ctx.Err() == nil {
-			t.Fatalf("the new watch: %s; the old one ended: %v", word, old.ctx.Err())
+			t.Fatalf("got notification %q, want listed; old watch ended with %v, want cancelled", word, old.ctx.Err())
 		}
 	}
 }
 
-// A message of a suspect watch counts, and cancels the poll beside it: the list is as discovery has it.
-func TestASuspectWatchThatSpeaksIsInForce(t *testing.T) {
+// A message on a suspect watch shows that the list is in sync, and cancels the pending poll.
+func TestMessageOnSuspectWatchCancelsPoll(t *testing.T) {
 	q, to := newQueueingService(t), make(notifications, 16)
 	c := New(q.addr, nil, Source{BalancerCount: 1}, to)
 	go serveMailbox(t, c)
@@ -475,47 +477,47 @@
 		c.startPoll(time.Now())
 	})
 	if n := nextNumber(t, q.polled); n != 0 {
-		t.Fatal(n)
+		t.Fatalf("poll %d arrived, want poll 0", n)
 	}
 	c.mailbox <- updateReceived{old, &Update{Endpoints: []Endpoint{endpoint("a", "1", Ready)}}}
 	if word := nextNotification(t, to); word != "listed" {
-		t.Fatalf("the suspect watch: %s", word)
+		t.Fatalf("after an update of the suspect watch: got notification %q, want listed", word)
 	}
 	if n := nextNumber(t, q.ended); n != 0 || old.ctx.Err() != nil {
-		t.Fatalf("call %d ended; the watch: %v", n, old.ctx.Err())
+		t.Fatalf("poll %d ended, want poll 0; watch ended with %v, want open", n, old.ctx.Err())
 	}
 }
 
-// An older update of the same service is not applied, whichever watch it comes from, and the full list is requested. Where the
-// next update is older too, and full, the service has restarted its sequence, and it is applied. Sequence numbers of another
-// service are not compared.
-func TestAnOlderListIsNotTaken(t *testing.T) {
-	ready, gone := endpoint("a", "1", Ready), endpoint("a", "1", Terminating)
-	for _, waits := range []bool{false, true} {
+// An update with a lower sequence number is not applied, neither on the active watch nor on a pending poll, and the full list is
+// requested. If the next update is also lower, and full, the service has restarted its numbering, and the update is applied.
+// Sequence numbers of two services are not compared.
+func TestStaleUpdateIsNotApplied(t *testing.T) {
+	ready, draining := endpoint("a", "1", Ready), endpoint("a", "1", Terminating)
+	for _, isPending := range []bool{false, true} {
 		c := New("here", nil, Source{BalancerCount: 1}, make(notifications, 16))
 		s := withActiveWatch(c)
-		c.onUpdate(s, &Update{Seq: 9, Full: true, Endpoints: []Endpoint{gone}})
-		if waits {
+		c.onUpdate(s, &Update{Seq: 9, Full: true, Endpoints: []Endpoint{draining}})
+		if isPending {
 			c.activeWatch, c.pendingPolls = nil, []*subscription{s}
 		}
 		c.onUpdate(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
-		if _, is := c.Endpoints.Address("a"); is || s.ctx.Err() == nil || c.resumeSeq != -1 {
-			t.Fatalf("waits %v: an older list was taken, or its call goes on, or its version is asked from: %d", waits, c.resumeSeq)
+		if _, isReady := c.Endpoints.Address("a"); isReady || s.ctx.Err() == nil || c.resumeSeq != -1 {
+			t.Fatalf("pending %v: a stale update was applied, or its poll was not cancelled, or resumeSeq is %d, want -1", isPending, c.resumeSeq)
 		}
 		s = withActiveWatch(c)
 		c.onUpdate(s, &Update{Seq: 7, Endpoints: []Endpoint{ready}})
-		if _, is := c.Endpoints.Address("a"); is {
-			t.Fatal("a part of an older list was taken")
+		if _, isReady := c.Endpoints.Address("a"); isReady {
+			t.Fatal("a second stale update that is incremental was applied")
 		}
 		s = withActiveWatch(c)
 		c.onUpdate(s, &Update{Seq: 8, Full: true, Endpoints: []Endpoint{ready}})
-		if _, is := c.Endpoints.Address("a"); !is || c.resumeSeq != 8 {
-			t.Fatal("a service that counts anew is not believed")
+		if _, isReady := c.Endpoints.Address("a"); !isReady || c.resumeSeq != 8 {
+			t.Fatal("the full update of a service that has restarted its numbering was not applied")
 		}
 		c.activeWatch.addr = "before"
-		c.onUpdate(c.activeWatch, &Update{Seq: 1, Endpoints: []Endpoint{gone}})
-		if _, is := c.Endpoints.Address("a"); is {
-			t.Fatal("another service's versions were compared")
+		c.onUpdate(c.activeWatch, &Update{Seq: 1, Endpoints: []Endpoint{draining}})
+		if _, isReady := c.Endpoints.Address("a"); isReady {
+			t.Fatal("the update of another service was not applied: its sequence number was compared")
 		}
 		c.activeWatch.cancel()
 	}
