--- a/decide/retry_budget_test.go
+++ b/decide/retry_budget_test.go
@@ -24,8 +24,8 @@
 			t.Errorf("no retry with %v retries left in the attempt budget", b.attemptBudgetRemaining(w.now))
 		}
 	}
-	assertNear(t, "success rate after a failed retry", recordRetryOutcome(b, Errored, Errored), 0.01*(1-1/successRateRetries), 1e-9)
-	assertNear(t, "success rate after a successful retry", recordRetryOutcome(b, Saturated, Succeeded), 0.9+0.1/successRateRetries, 1e-9)
+	assertNear(t, "success rate after a failed retry", recordRetryOutcome(b, Errored, Errored), 0.01*(1-1/successRateWindow), 1e-9)
+	assertNear(t, "success rate after a successful retry", recordRetryOutcome(b, Saturated, Succeeded), 0.9+0.1/successRateWindow, 1e-9)
 }
 
 // recordRetryOutcome records a retry after cause that ended with result, and returns the success rate.
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -29,8 +29,8 @@
 	select {
 	case word := <-to:
 		return word
-	case <-time.After(standin.Patience):
-		t.Fatalf("no notification within %v", standin.Patience)
+	case <-time.After(standin.WaitTimeout):
+		t.Fatalf("no notification within %v", standin.WaitTimeout)
 		return ""
 	}
 }
@@ -43,10 +43,10 @@
 // With an agent the client opens a watch at its start, and the agent's list takes precedence over the initial list: a server
 // that drains in the agent's list is never ready.
 func TestAgentListTakesPrecedenceOverInitialList(t *testing.T) {
-	addr := standin.NewDiscovery(t, func(w *standin.Watch) {
-		w.Begin()
-		w.Tell(update2Draining)
-		w.Left()
+	addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
+		w.WriteHeaders()
+		w.WriteChunk(update2Draining)
+		w.WaitForClose()
 	})
 	to := make(notifications, 16)
 	c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{FromAgent: true}, to)
@@ -68,18 +68,18 @@
 	for _, how := range []string{"hangs up", "hangs"} {
 		t.Run(how, func(t *testing.T) {
 			back := make(chan bool)
-			addr := standin.NewDiscovery(t, func(w *standin.Watch) {
+			addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
 				select {
 				case <-back:
 				default:
 					if how == "hangs" {
-						w.Left()
+						w.WaitForClose()
 					}
 					return
 				}
-				w.Begin()
-				w.Tell(update2Draining)
-				w.Left()
+				w.WriteHeaders()
+				w.WriteChunk(update2Draining)
+				w.WaitForClose()
 			})
 			to := make(notifications, 16)
 			c := New(addr, &Update{Seq: 9, Endpoints: []Endpoint{endpoint("a", "1", Ready)}}, Source{FromAgent: true}, to)
@@ -103,9 +103,9 @@
 // again with either source.
 func TestSourceChangeKeepsWatch(t *testing.T) {
 	end := make(chan bool)
-	addr := standin.NewDiscovery(t, func(w *standin.Watch) {
-		w.Begin()
-		w.Tell(update9Ready)
+	addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
+		w.WriteHeaders()
+		w.WriteChunk(update9Ready)
 		<-end
 	})
 	to := make(notifications, 16)
@@ -151,8 +151,8 @@
 			if err == nil {
 				t.Errorf("incomplete update followed by %q: no error", after)
 			}
-		case <-time.After(standin.Patience):
-			t.Errorf("incomplete update followed by %q: no timeout within %v", after, standin.Patience)
+		case <-time.After(standin.WaitTimeout):
+			t.Errorf("incomplete update followed by %q: no timeout within %v", after, standin.WaitTimeout)
 		}
 		client.Close()
 		server.Close()
@@ -162,9 +162,9 @@
 // A poll times out if the service never completes the header of its response.
 func TestIncompleteResponseHeaderTimesOut(t *testing.T) {
 	for _, text := range []string{"", "HTTP/1.1 200 OK\r\nX: "} {
-		addr := standin.NewDiscovery(t, func(w *standin.Watch) {
+		addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
 			io.WriteString(w, text)
-			w.Left()
+			w.WaitForClose()
 		})
 		call := newWatchCall(addr, -1, nil)
 		call.headTimeout = 20 * time.Millisecond
@@ -182,16 +182,16 @@
 	var addr [3]string
 	queries := make(chan string, 16)
 	for i := range addr {
-		addr[i] = standin.NewDiscovery(t, func(w *standin.Watch) {
+		addr[i] = standin.ListenDiscovery(t, func(w *standin.Watch) {
 			queries <- w.Query
-			w.Begin()
+			w.WriteHeaders()
 			if i == 0 {
-				w.Tell(update9Ready)
+				w.WriteChunk(update9Ready)
 			} else {
 				<-respond
-				w.Tell(update2Draining)
+				w.WriteChunk(update2Draining)
 			}
-			w.Left()
+			w.WaitForClose()
 		})
 	}
 	to := make(notifications, 16)
@@ -233,9 +233,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			to := make(notifications, 16)
-			addr := standin.NewDiscovery(t, func(w *standin.Watch) {
+			addr := standin.ListenDiscovery(t, func(w *standin.Watch) {
 				to <- w.Query
-				w.Left()
+				w.WaitForClose()
 			})
 			d := New(addr, nil, Source{BalancerCount: 1}, to)
 			d.resumeSeq = 3
@@ -274,7 +274,7 @@
 func TestPollFailureAfterSilenceOrAddressChange(t *testing.T) {
 	for _, addressChanges := range []bool{false, true} {
 		to := make(notifications, 16)
-		closesAtOnce := standin.NewDiscovery(t, func(*standin.Watch) { to <- "asked" })
+		closesAtOnce := standin.ListenDiscovery(t, func(*standin.Watch) { to <- "asked" })
 		d := New(closesAtOnce, nil, Source{BalancerCount: 1}, to)
 		if addressChanges {
 			d.addr = "127.0.0.1:1"
@@ -314,21 +314,21 @@
 	for i := range q.respond {
 		q.respond[i] = make(chan bool)
 	}
-	q.addr = standin.NewDiscovery(t, func(w *standin.Watch) {
+	q.addr = standin.ListenDiscovery(t, func(w *standin.Watch) {
 		left := make(chan bool)
 		go func() {
-			w.Left()
+			w.WaitForClose()
 			close(left)
 		}()
-		q.polled <- w.N
+		q.polled <- w.Index
 		select {
-		case <-q.respond[w.N]:
-			w.Begin()
-			w.Tell(update2Draining)
+		case <-q.respond[w.Index]:
+			w.WriteHeaders()
+			w.WriteChunk(update2Draining)
 			<-left
 		case <-left:
 		}
-		q.ended <- w.N
+		q.ended <- w.Index
 	})
 	return q
 }
@@ -339,8 +339,8 @@
 	select {
 	case n := <-calls:
 		return n
-	case <-time.After(standin.Patience):
-		t.Fatalf("no poll arrived or ended within %v", standin.Patience)
+	case <-time.After(standin.WaitTimeout):
+		t.Fatalf("no poll arrived or ended within %v", standin.WaitTimeout)
 		return -1
 	}
 }
@@ -359,7 +359,7 @@
 	t.Helper()
 	select {
 	case q.respond[n] <- true:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatalf("poll %d is not pending", n)
 	}
 }
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -78,7 +78,7 @@
 // CheckHealth sends a health check to a server, or a request for its load report if the settings ask for load probes.
 func (x actions) CheckHealth(server string) {
 	s := x.s
-	s.offerAttempt(upstream.NewHealthCheck(server, s.transport.ProbeLoad, healthCheckTimeout, func(a *upstream.Attempt, r upstream.AttemptResult) {
+	s.offerAttempt(upstream.NewHealthCheck(server, s.transport.HealthCheckLoad, healthCheckTimeout, func(a *upstream.Attempt, r upstream.AttemptResult) {
 		s.mailbox <- healthCheckEnded{server, a, r}
 	}))
 }
--- a/internal/sidecar/overloaded_discovery_test.go
+++ b/internal/sidecar/overloaded_discovery_test.go
@@ -15,12 +15,12 @@
 // start the next, it would lose its place in the queue, and the service would spend its time on cancelled requests.
 func TestOverloadedDiscoveryServiceServesAllSidecars(t *testing.T) {
 	const n, each = 30, 160 * time.Millisecond
-	for name, fault := range map[string]standin.Fault{"stuck": standin.Hangs, "refuses": standin.Refuses} {
+	for name, fault := range map[string]standin.Fault{"stuck": standin.NeverRespond, "refuses": standin.RefuseConnections} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := standin.NewRegistry(t, fault)
-			r.InTurn(each)
-			r.List(1, `{"seq":1,"whole":true,"hosts":[{"host":"s1","dial":"127.0.0.1:1","health":"Ready"}]}`)
+			r.ServeSequentially(each)
+			r.SetList(1, `{"seq":1,"whole":true,"hosts":[{"host":"s1","dial":"127.0.0.1:1","health":"Ready"}]}`)
 			fleet := make([]*Sidecar, n)
 			for i := range fleet {
 				set := testSettings()
@@ -34,7 +34,7 @@
 			}
 			time.Sleep(5500 * time.Millisecond) // long enough for a client that cancels a poll to have started the next
 			before := r.Calls()
-			back := r.Return(t)
+			back := r.Recover(t)
 			known := func() (k int) {
 				for _, s := range fleet {
 					if s.HasEndpoints() {
@@ -44,7 +44,7 @@
 				return k
 			}
 			standin.Eventually(t, fmt.Sprintf("a list on all %d sidecars", n), func() bool { return known() == n })
-			took, worked, calls := time.Since(back), r.Worked(), r.Calls()
+			took, worked, calls := time.Since(back), r.Served(), r.Calls()
 			t.Logf("all sidecars have the list after %.2f s; the service handled %d polls; %d polls arrived before its recovery, %d after", took.Seconds(), worked, before, calls-before)
 			if worked > n+n/2 {
 				t.Errorf("the service handled %d polls for %d sidecars, want at most 1.5 per sidecar", worked, n)
