--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -277,7 +277,7 @@
 					}
 					io.WriteString(client, request)
 					eventually(t, "the request to reach the balancer", func() bool {
-						return slices.Contains(s.side.InFlight(), "leaver")
+						return slices.Contains(s.side.InFlightIDs(), "leaver")
 					})
 					eventually(t, "the request to wait", func() bool { return s.RequestCount("leaver") == s.sent })
 					if strings.Contains(how, "advance") {
@@ -294,7 +294,7 @@
 					s.resume()
 					other := dial(t, s.ln)
 					expectStatus(t, other, bufio.NewReader(other), requestText("look", "usual", 0), 200) // served after the requests that waited before it
-					eventually(t, "no request in flight", func() bool { return len(s.side.InFlight()) == 0 })
+					eventually(t, "no request in flight", func() bool { return len(s.side.InFlightIDs()) == 0 })
 					if n := s.RequestCount("leaver"); n != s.sent {
 						t.Fatalf("server got %d attempts, want %d", n, s.sent)
 					}
@@ -520,7 +520,7 @@
 		c.Close()
 	}
 	sendValid("first")
-	eventually(t, "no connection and no request in flight", func() bool { return f.openConns() == 0 && len(side.InFlight()) == 0 })
+	eventually(t, "no connection and no request in flight", func() bool { return f.openConns() == 0 && len(side.InFlightIDs()) == 0 })
 	for i, bad := range []string{
 		"", "\r\n\r\n", "GET\r\n\r\n", "GET /none HTTP/1.1\r\nHost: h\r\n\r\n", strings.Repeat("x", 20<<10), lookRequest[:30],
 		requestText("make", "half", 4000)[:300], requestText("make", "long", 0) + strings.Repeat(requestText("look", "more", 0), 400),
@@ -536,7 +536,7 @@
 			io.WriteString(c, bad)
 			disconnect(c, n%2 == 0)
 		}
-		eventually(t, fmt.Sprintf("the end of the clients of case %d", i), func() bool { return f.openConns() == 0 && len(side.InFlight()) == 0 })
+		eventually(t, fmt.Sprintf("the end of the clients of case %d", i), func() bool { return f.openConns() == 0 && len(side.InFlightIDs()) == 0 })
 		sendValid(fmt.Sprint("after", i))
 		eventually(t, fmt.Sprintf("the goroutines of case %d to end", i), func() bool { return runtime.NumGoroutine() <= before+8 })
 	}
