--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -117,12 +117,12 @@
 		_, abandoned := s.Do(c, abandon)
 		done <- abandoned
 	}()
-	peer, err := ln.Accept()
+	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer peer.Close()
-	peer.Read(make([]byte, 1)) // the write has begun
+	defer conn.Close()
+	conn.Read(make([]byte, 1)) // the write has begun
 	close(abandon)
 	select {
 	case abandoned := <-done:
