--- a/internal/audit/reader.go
+++ b/internal/audit/reader.go
@@ -2,14 +2,14 @@
 
 import "encoding/binary"
 
-// reader reads what SegmentWriter appends.
-type reader struct {
+// eventReader decodes the fields of events that SegmentWriter.appendEvent encodes. After malformed input it returns zero values.
+type eventReader struct {
 	rest      []byte
-	malformed bool // sticky
+	malformed bool // set by the first read that fails; never cleared
 }
 
 // byte reads one byte.
-func (r *reader) byte() byte {
+func (r *eventReader) byte() byte {
 	if len(r.rest) == 0 {
 		r.malformed = true
 		return 0
@@ -19,8 +19,8 @@
 	return v
 }
 
-// uvarint reads a number.
-func (r *reader) uvarint() uint64 {
+// uvarint reads an unsigned varint.
+func (r *eventReader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
 		r.malformed, r.rest = true, nil
@@ -30,8 +30,8 @@
 	return v
 }
 
-// field reads a text with its length.
-func (r *reader) field() string {
+// field reads a length-prefixed string.
+func (r *eventReader) field() string {
 	n := r.uvarint()
 	if n > uint64(len(r.rest)) {
 		r.malformed, r.rest = true, nil
--- a/internal/lab/fleetscale/sample.go
+++ b/internal/lab/fleetscale/sample.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sample is all that can be read at a moment.
+// sample holds the cumulative counts at one time.
 type sample struct {
 	at     time.Time
 	usage  map[*child]Usage
@@ -14,24 +14,24 @@
 	list   ListServiceCounts
 }
 
-// ListUse is what the list service has seen.
+// ListServiceCounts are the cumulative counts of the list service and its open watches.
 type ListServiceCounts struct{ Calls, Messages, BytesIn, BytesOut, Open int64 }
 
 func (r *run) sample(ctx context.Context) (*sample, error) {
 	s := &sample{at: time.Now(), usage: map[*child]Usage{}}
-	for _, one := range r.children.all {
-		u, err := usageOf(one.cmd.Process.Pid)
+	for _, p := range r.children.all {
+		u, err := usageOf(p.cmd.Process.Pid)
 		if err == nil {
-			s.usage[one] = u
-		} else if !one.killed {
-			return nil, fmt.Errorf("%s: %w", one.name, err)
+			s.usage[p] = u
+		} else if !p.killed {
+			return nil, fmt.Errorf("%s: %w", p.name, err)
 		}
 	}
 	var err error
-	if s.counts, _, err = r.children.counts(ctx); err != nil {
+	if s.counts, _, err = r.children.linkCounts(ctx); err != nil {
 		return nil, err
 	}
 	l := r.list
-	s.list = ListServiceCounts{l.calls.Load(), l.messages.Load(), l.bytesIn.Load(), l.bytesOut.Load(), l.open.Load()}
+	s.list = ListServiceCounts{l.calls.Load(), l.messages.Load(), l.bytesIn.Load(), l.bytesOut.Load(), l.openWatches.Load()}
 	return s, nil
 }
