--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -151,7 +151,7 @@
 		for n := 0; q.Next(l) == Forward && n < 3; n++ {
 			l = a
 		}
-		if s, assign := q.NotFound(a); s != Forward || !assign || q.At != 2 {
+		if s, assign := q.NotFound(a); s != Forward || !assign || q.Cell != 2 {
 			t.Errorf("a request unknown to the first cell is not assigned to the second: %v %v %+v", s, assign, q)
 		}
 		if s, _ := q.NotFound(b); q.Next(b) != SearchHere || s != SearchHere {
@@ -281,7 +281,7 @@
 	if g.Grant(0, a, m, 0) {
 		t.Error("a lease to one that is to go")
 	}
-	g.Relinquished(m)
+	g.MarkRelinquished(m)
 	due := g.DueEntries(1, a)
 	if len(due) != 1 || due[0].Kind != Depart {
 		t.Fatalf("%+v", due)
@@ -369,7 +369,7 @@
 	apply(t, a, j.update(a), &Entry{Kind: Join, Member: m})
 	g := NewLeaseTable(lease, NoFault)
 	g.Grant(5, a, m, 0)
-	g.Relinquished(m)
+	g.MarkRelinquished(m)
 	if due := g.DueEntries(6, a); g.Grant(6, a, m, 0) || len(due) != 1 || due[0].Kind != Evict {
 		t.Errorf("a lease after its yield, or %+v", due)
 	}
@@ -390,13 +390,13 @@
 	j.do(Command{Kind: Arrived, Cell: 2, Names: []string{name}, Number: b.ArrivedMoves[name]})
 	apply(t, a, j.update(a), &Entry{Kind: ForgetDeparture, Member: member(name, 0)})
 	q := NewLookup(name, 2)
-	if s := q.Next(b); s != Forward || q.At != 1 || q.Next(a) != SearchHere {
+	if s := q.Next(b); s != Forward || q.Cell != 1 || q.Next(a) != SearchHere {
 		t.Fatalf("it does not look at the first cell: %v %+v", s, q)
 	}
-	if p := *q; p.CellForgotten() != Forward || p.At != 2 || p.CellForgotten() != Unknown {
+	if p := *q; p.CellForgotten() != Forward || p.Cell != 2 || p.CellForgotten() != Unknown {
 		t.Errorf("a forgotten cell is not passed: %+v", p)
 	}
-	if s, assign := q.NotFound(a); s != Forward || assign || q.At != 2 || q.Next(b) != SearchHere {
+	if s, assign := q.NotFound(a); s != Forward || assign || q.Cell != 2 || q.Next(b) != SearchHere {
 		t.Errorf("%v %v %+v", s, assign, q)
 	}
 }
--- a/internal/cells/lease_table.go
+++ b/internal/cells/lease_table.go
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Relinquished notes that a member has said that it acts no more as this incarnation.
-func (t *LeaseTable) Relinquished(m takeover.Member) { t.relinquished[m] = true }
+// MarkRelinquished notes that a member has said that it acts no more as this incarnation.
+func (t *LeaseTable) MarkRelinquished(m takeover.Member) { t.relinquished[m] = true }
 
 // expired reports whether no lease of a member can be valid by any clock. Of a member without a grant in this term an earlier leader may have
 // granted one until now.
--- a/internal/cells/log.go
+++ b/internal/cells/log.go
@@ -97,12 +97,12 @@
 	return changed
 }
 
-// Matches reports whether an update without a record can be applied: the cell's record is the directory's.
-func (l *Log) Matches(u *DirectoryUpdate) bool { return u.Record != nil || l.recordSum == u.RecordSum }
+// RecordMatches reports whether an update without a record can be applied: the cell's record is the directory's.
+func (l *Log) RecordMatches(u *DirectoryUpdate) bool { return u.Record != nil || l.recordSum == u.RecordSum }
 
 // applyUpdate applies an update of the directory. One that is not newer is ignored: after a partition it may come from the side without a quorum.
 func (l *Log) applyUpdate(u *DirectoryUpdate) bool {
-	if u == nil || u.Record != nil && u.Record.ID != l.ID || !l.Matches(u) {
+	if u == nil || u.Record != nil && u.Record.ID != l.ID || !l.RecordMatches(u) {
 		return false
 	}
 	if !u.Version.Newer(l.LastUpdate.Version) && (l.fault != StaleUpdateAccepted || u.Version == l.LastUpdate.Version) {
--- a/internal/cells/lookup.go
+++ b/internal/cells/lookup.go
@@ -4,18 +4,18 @@
 // has the record or assigns the request to the next one for good, so that one cell alone decides, whoever asks.
 type Lookup struct {
 	FirstAsked string // the member that the client asked first
-	At         ID     // the cell to ask
+	Cell         ID     // the cell to ask
 	path       []ID   // cells after At, by the cell that began
 	begun      bool   // At is the oldest cell, or comes after it
 	assigned   bool   // a cell before has assigned the request to At
 }
 
 // NewLookup begins a lookup at a cell that may know the member that was asked first.
-func NewLookup(firstAsked string, at ID) *Lookup { return &Lookup{FirstAsked: firstAsked, At: at} }
+func NewLookup(firstAsked string, at ID) *Lookup { return &Lookup{FirstAsked: firstAsked, Cell: at} }
 
 // NewLocalLookup begins a lookup at a cell that has the record, or that the request was assigned to.
 func NewLocalLookup(firstAsked string, at ID) *Lookup {
-	return &Lookup{FirstAsked: firstAsked, At: at, begun: true, assigned: true}
+	return &Lookup{FirstAsked: firstAsked, Cell: at, begun: true, assigned: true}
 }
 
 // LookupStep is the next step of a lookup.
@@ -48,7 +48,7 @@
 		}
 		q.path, q.begun = append(q.path, l.ID), true
 	}
-	q.At = start
+	q.Cell = start
 	return Forward
 }
 
@@ -58,7 +58,7 @@
 	_, departed := l.Departures[q.FirstAsked]
 	belongsHere := departed || q.assigned || l.record().Slot(q.FirstAsked) != nil
 	if to := l.Successor(q.FirstAsked); belongsHere && to != l.ID {
-		q.At, q.assigned = to, true
+		q.Cell, q.assigned = to, true
 		if len(q.path) > 0 && q.path[0] == to {
 			q.path = q.path[1:]
 		}
@@ -79,6 +79,6 @@
 	if len(q.path) == 0 {
 		return Unknown
 	}
-	q.At, q.path = q.path[0], q.path[1:]
+	q.Cell, q.path = q.path[0], q.path[1:]
 	return Forward
 }
--- a/internal/cells/node.go
+++ b/internal/cells/node.go
@@ -54,8 +54,8 @@
 // Relinquish ends this incarnation's leases, so that its cell need not wait for them to expire.
 func (n *Node) Relinquish() { n.relinquished = true }
 
-// Adopt acts on a version of the settings from now on.
-func (n *Node) Adopt(number uint64) { n.ActiveSettings = max(n.ActiveSettings, number) }
+// AdoptSettings acts on a version of the settings from now on.
+func (n *Node) AdoptSettings(number uint64) { n.ActiveSettings = max(n.ActiveSettings, number) }
 
 // Depart makes it another incarnation, of the cell that its certificate names. Its leases end before. It reports whether the certificate is its own.
 func (n *Node) Depart(c *Certificate, incarnation uint64) bool {
--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -14,8 +14,8 @@
 // minZonesToSpread is how many zones a region must have for its cells to be spread over them.
 const minZonesToSpread = 3
 
-// Group is a cell as a plan sees it: its members by zone.
-type Group struct {
+// PlannedCell is a cell as a plan sees it: its members by zone.
+type PlannedCell struct {
 	ID    ID
 	Slots []MemberSlot
 }
@@ -31,7 +31,7 @@
 }
 
 // PlaceMember returns the cell for a new member of a zone: the one with the fewest of that zone, and of these the smallest. 0: none has room.
-func PlaceMember(groups []Group, zone string, l SizeLimits) ID {
+func PlaceMember(groups []PlannedCell, zone string, l SizeLimits) ID {
 	best := -1
 	for i := range groups {
 		if len(groups[i].Slots) >= l.Max {
@@ -50,12 +50,12 @@
 
 // NextAction returns the first thing to do to bring a region's cells within the limits and spread them over its zones; false: there is none. It
 // changes as few assignments as it can.
-func NextAction(groups []Group, l SizeLimits) (Action, bool) {
+func NextAction(groups []PlannedCell, l SizeLimits) (Action, bool) {
 	if len(groups) == 0 {
 		return Action{}, false
 	}
 	sorted := slices.Clone(groups)
-	slices.SortFunc(sorted, func(a, b Group) int { return cmp.Or(cmp.Compare(len(a.Slots), len(b.Slots)), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(sorted, func(a, b PlannedCell) int { return cmp.Or(cmp.Compare(len(a.Slots), len(b.Slots)), cmp.Compare(a.ID, b.ID)) })
 	small, large := &sorted[0], &sorted[len(sorted)-1]
 	switch {
 	case len(large.Slots) >= l.Max && len(large.Slots) >= 2*l.Min:
@@ -70,7 +70,7 @@
 }
 
 // splitHalf returns the names of one of two halves that have the same share of each zone.
-func splitHalf(g *Group) (names []string) {
+func splitHalf(g *PlannedCell) (names []string) {
 	slots := slices.Clone(g.Slots)
 	slices.SortFunc(slots, func(a, b MemberSlot) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
 	for i := 0; i < len(slots); i += 2 {
@@ -80,9 +80,9 @@
 }
 
 // memberToGive returns the member that a cell gives to another: of the zone of which it has most more.
-func memberToGive(from, to *Group) string {
+func memberToGive(from, to *PlannedCell) string {
 	bestZone, most := "", 0
-	for _, zone := range zonesOf([]Group{*from}) {
+	for _, zone := range zonesOf([]PlannedCell{*from}) {
 		if n := 2*from.countIn(zone) - to.countIn(zone); from.countIn(zone) > 0 && n > most {
 			bestZone, most = zone, n
 		}
@@ -92,7 +92,7 @@
 
 // spreadZones gives a cell that lacks a zone a member of it, from the cell that has most of them. Where sizes allow no more, another member goes
 // the other way.
-func spreadZones(groups []Group, l SizeLimits) (Action, bool) {
+func spreadZones(groups []PlannedCell, l SizeLimits) (Action, bool) {
 	zones := zonesOf(groups)
 	if len(zones) < minZonesToSpread {
 		return Action{}, false
@@ -123,7 +123,7 @@
 }
 
 // richestIn returns the group with most members of a zone, if it has two or more.
-func richestIn(groups []Group, zone string) (richest *Group) {
+func richestIn(groups []PlannedCell, zone string) (richest *PlannedCell) {
 	for i := range groups {
 		if n := groups[i].countIn(zone); n > 1 && (richest == nil || n > richest.countIn(zone)) {
 			richest = &groups[i]
@@ -133,7 +133,7 @@
 }
 
 // memberToSwap returns a member of the zone of which a group has most, if it has two or more; empty: there is none.
-func memberToSwap(g *Group, zones []string) string {
+func memberToSwap(g *PlannedCell, zones []string) string {
 	name, most := "", 1
 	for _, zone := range zones {
 		if n := g.countIn(zone); n > most {
@@ -144,7 +144,7 @@
 }
 
 // countIn returns the number of members of a zone.
-func (g *Group) countIn(zone string) (n int) {
+func (g *PlannedCell) countIn(zone string) (n int) {
 	for _, s := range g.Slots {
 		if s.Zone == zone {
 			n++
@@ -154,7 +154,7 @@
 }
 
 // zonesOf returns the zones of some groups, sorted.
-func zonesOf(groups []Group) (zones []string) {
+func zonesOf(groups []PlannedCell) (zones []string) {
 	for _, g := range groups {
 		for _, s := range g.Slots {
 			zones = append(zones, s.Zone)
@@ -165,7 +165,7 @@
 }
 
 // firstOfZone returns the first member of a zone by name; empty: there is none.
-func firstOfZone(g *Group, zone string) string {
+func firstOfZone(g *PlannedCell, zone string) string {
 	name := ""
 	for _, s := range g.Slots {
 		if s.Zone == zone && (name == "" || s.Name < name) {
--- a/internal/cells/plan_test.go
+++ b/internal/cells/plan_test.go
@@ -10,7 +10,7 @@
 
 // region simulates a region's joins and leaves by the plan.
 type region struct {
-	groups []Group
+	groups []PlannedCell
 	last   ID
 	limits SizeLimits
 	moves  int
@@ -18,8 +18,8 @@
 	merges int
 }
 
-func (g *region) at(id ID) *Group {
-	i := slices.IndexFunc(g.groups, func(x Group) bool { return x.ID == id })
+func (g *region) at(id ID) *PlannedCell {
+	i := slices.IndexFunc(g.groups, func(x PlannedCell) bool { return x.ID == id })
 	return &g.groups[i]
 }
 
@@ -28,12 +28,12 @@
 	if id == 0 {
 		g.last++
 		id = g.last
-		g.groups = append(g.groups, Group{ID: id})
+		g.groups = append(g.groups, PlannedCell{ID: id})
 	}
 	g.at(id).Slots = append(g.at(id).Slots, s)
 }
 
-func (g *region) move(name string, from, to *Group) {
+func (g *region) move(name string, from, to *PlannedCell) {
 	i := slices.IndexFunc(from.Slots, func(s MemberSlot) bool { return s.Name == name })
 	s := from.Slots[i]
 	from.Slots = slices.Delete(slices.Clone(from.Slots), i, i+1)
@@ -56,7 +56,7 @@
 				g.move(a.SwapName, g.at(a.To), from)
 			}
 		case Split:
-			one, two := Group{ID: g.last + 1}, Group{ID: g.last + 2}
+			one, two := PlannedCell{ID: g.last + 1}, PlannedCell{ID: g.last + 2}
 			g.last += 2
 			for _, s := range from.Slots {
 				if slices.Contains(a.Names, s.Name) {
@@ -65,12 +65,12 @@
 					two.Slots = append(two.Slots, s)
 				}
 			}
-			g.groups = append(slices.DeleteFunc(g.groups, func(x Group) bool { return x.ID == a.From }), one, two)
+			g.groups = append(slices.DeleteFunc(g.groups, func(x PlannedCell) bool { return x.ID == a.From }), one, two)
 			g.splits++
 		case Merge:
 			g.last++
-			one := Group{ID: g.last, Slots: append(slices.Clone(from.Slots), g.at(a.To).Slots...)}
-			g.groups = append(slices.DeleteFunc(g.groups, func(x Group) bool { return x.ID == a.From || x.ID == a.To }), one)
+			one := PlannedCell{ID: g.last, Slots: append(slices.Clone(from.Slots), g.at(a.To).Slots...)}
+			g.groups = append(slices.DeleteFunc(g.groups, func(x PlannedCell) bool { return x.ID == a.From || x.ID == a.To }), one)
 			g.merges++
 		}
 	}
@@ -133,7 +133,7 @@
 					r.Fatalf("%d voters", len(v))
 				}
 				for z, n := range count {
-					if len(zonesOf([]Group{c})) >= 3 && n > len(v)/2 {
+					if len(zonesOf([]PlannedCell{c})) >= 3 && n > len(v)/2 {
 						r.Fatalf("zone %s has %d of %d voters", z, n, len(v))
 					}
 				}
@@ -154,7 +154,7 @@
 	least, most := 1800, 0
 	for _, c := range g.groups {
 		least, most = min(least, len(c.Slots)), max(most, len(c.Slots))
-		if v := Voters(c.Slots); len(v) != maxVoters || len(zonesOf([]Group{c})) != 3 {
+		if v := Voters(c.Slots); len(v) != maxVoters || len(zonesOf([]PlannedCell{c})) != 3 {
 			t.Errorf("cell %d: voters %v", c.ID, v)
 		}
 	}
--- a/internal/cells/voters.go
+++ b/internal/cells/voters.go
@@ -13,7 +13,7 @@
 func Voters(slots []MemberSlot) (names []string) {
 	sorted := slices.Clone(slots)
 	slices.SortFunc(sorted, func(a, b MemberSlot) int { return cmp.Compare(a.Name, b.Name) })
-	zones := zonesOf([]Group{{Slots: sorted}})
+	zones := zonesOf([]PlannedCell{{Slots: sorted}})
 	for n := min(maxVoters, len(slots)-(len(slots)+1)%2); n > 0; n -= 2 {
 		perZone := n
 		if len(zones) >= minZonesToSpread {
--- a/internal/lab/modelcheck/cells_membership.go
+++ b/internal/lab/modelcheck/cells_membership.go
@@ -88,7 +88,7 @@
 	r := w.relays[relay]
 	has := c.state().LastUpdate.Version
 	u := r.UpdateFor(c.id, has, false)
-	if u == nil && w.conf.Fault == cells.StaleUpdateAccepted || u != nil && !c.state().Matches(u) {
+	if u == nil && w.conf.Fault == cells.StaleUpdateAccepted || u != nil && !c.state().RecordMatches(u) {
 		u = r.UpdateFor(c.id, has, true)
 	}
 	if u != nil {
@@ -232,6 +232,6 @@
 	p := w.processes[n]
 	if c := w.cell(p.node.Cell); c != nil && c.state().IsMember(p.node.Self) {
 		p.appliedIndex = len(c.log) - 1
-		p.node.Adopt(c.state().LastUpdate.Global.Settings)
+		p.node.AdoptSettings(c.state().LastUpdate.Global.Settings)
 	}
 }
--- a/internal/lab/modelcheck/cells_requests.go
+++ b/internal/lab/modelcheck/cells_requests.go
@@ -82,7 +82,7 @@
 	if l.route == nil {
 		w.beginLookup(p, l, own)
 	}
-	c := w.cell(l.route.At)
+	c := w.cell(l.route.Cell)
 	if c == nil && l.route.CellForgotten() == cells.Forward {
 		return
 	}
@@ -112,7 +112,7 @@
 	}
 	p.appliedIndex = len(own.log) - 1
 	if _, ok := own.state().LookupStart(firstAsked); !ok && !own.partitioned {
-		l.route.At = w.relays[w.random.IntN(2)].CurrentCell(firstAsked)
+		l.route.Cell = w.relays[w.random.IntN(2)].CurrentCell(firstAsked)
 	}
 }
 
@@ -176,8 +176,8 @@
 		w.lookupFailed(p, l)
 	case step == cells.Forward && assign:
 		w.coverage.Assigned++
-		c.records[l.request] = &requestRecord{assignedTo: l.route.At}
-		w.log("r%d was never begun in cell %d: it is assigned to %d", l.request, c.id, l.route.At)
+		c.records[l.request] = &requestRecord{assignedTo: l.route.Cell}
+		w.log("r%d was never begun in cell %d: it is assigned to %d", l.request, c.id, l.route.Cell)
 	case step == cells.SearchHere:
 		w.takeOver(c, p, l)
 	}
