--- a/internal/cells/delta.go
+++ b/internal/cells/delta.go
@@ -40,7 +40,7 @@
 		if p.Region != region {
 			continue
 		}
-		if delta.Digest ^= d.sums[id]; p.ChangedAt.Newer(from) {
+		if delta.Digest ^= d.recordSums[id]; p.ChangedAt.Newer(from) {
 			changed = append(changed, p)
 		}
 	}
--- a/internal/cells/directory.go
+++ b/internal/cells/directory.go
@@ -24,7 +24,7 @@
 	global          GlobalState
 	lastID          ID
 	records         map[ID]*CellRecord
-	sums            map[ID]uint64
+	recordSums      map[ID]uint64
 	cellOf          map[string]ID // the cell that a member is in, or the new one while it moves
 	tombstones      []tombstone
 	tombstonesSince Version // of older changes tombstones may have been dropped
@@ -34,13 +34,13 @@
 
 // NewDirectory returns an empty directory.
 func NewDirectory(f InjectedFault) *Directory {
-	return &Directory{records: map[ID]*CellRecord{}, sums: map[ID]uint64{}, cellOf: map[string]ID{}, fault: f}
+	return &Directory{records: map[ID]*CellRecord{}, recordSums: map[ID]uint64{}, cellOf: map[string]ID{}, fault: f}
 }
 
 // Clone returns a copy. Records are shared, since they are never changed.
 func (d *Directory) Clone() *Directory {
 	c := *d
-	c.records, c.sums, c.cellOf = maps.Clone(d.records), maps.Clone(d.sums), maps.Clone(d.cellOf)
+	c.records, c.recordSums, c.cellOf = maps.Clone(d.records), maps.Clone(d.recordSums), maps.Clone(d.cellOf)
 	c.tombstones, c.appliedIDs = slices.Clone(d.tombstones), slices.Clone(d.appliedIDs)
 	return &c
 }
@@ -134,15 +134,15 @@
 	return nil
 }
 
-// edit returns a copy of a record that may be changed until it is put.
-func (d *Directory) edit(id ID) *CellRecord { return d.records[id].copyRecord() }
+// editableRecord returns a copy of a record that may be changed until it is put.
+func (d *Directory) editableRecord(id ID) *CellRecord { return d.records[id].copyRecord() }
 
-// put publishes a record.
-func (d *Directory) put(p *CellRecord) {
+// publish publishes a record.
+func (d *Directory) publish(p *CellRecord) {
 	slices.SortFunc(p.Slots, func(a, b MemberSlot) int { return cmp.Compare(a.Name, b.Name) })
 	p.Contacts = d.contactsOf(p)
 	p.ChangedAt = d.version
-	d.records[p.ID], d.sums[p.ID] = p, sumOf(p)
+	d.records[p.ID], d.recordSums[p.ID] = p, checksumOf(p)
 }
 
 // contactsOf returns contacts of the cells that a cell's members come from or go to.
--- a/internal/cells/directory_cells.go
+++ b/internal/cells/directory_cells.go
@@ -24,18 +24,18 @@
 	if err != nil {
 		return err
 	}
-	one, two := d.newRecord(p.Region), d.newRecord(p.Region)
+	first, second := d.newRecord(p.Region), d.newRecord(p.Region)
 	successorOf, n := map[string]*CellRecord{}, 0
 	for _, s := range p.Slots {
-		if successorOf[s.Name] = two; slices.Contains(c.Names, s.Name) {
-			successorOf[s.Name] = one
+		if successorOf[s.Name] = second; slices.Contains(c.Names, s.Name) {
+			successorOf[s.Name] = first
 			n++
 		}
 	}
 	if n == 0 || n == len(p.Slots) || n != len(c.Names) {
 		return ErrInvalidNames
 	}
-	return d.replace([]*CellRecord{p}, successorOf, []*CellRecord{one, two})
+	return d.replace([]*CellRecord{p}, successorOf, []*CellRecord{first, second})
 }
 
 // merge replaces two cells by one.
@@ -54,13 +54,13 @@
 	if old[0].Region != old[1].Region {
 		return ErrCellNotFound
 	}
-	one, successorOf := d.newRecord(old[0].Region), map[string]*CellRecord{}
+	successor, successorOf := d.newRecord(old[0].Region), map[string]*CellRecord{}
 	for _, o := range old {
 		for _, s := range o.Slots {
-			successorOf[s.Name] = one
+			successorOf[s.Name] = successor
 		}
 	}
-	return d.replace(old, successorOf, []*CellRecord{one})
+	return d.replace(old, successorOf, []*CellRecord{successor})
 }
 
 // replace replaces cells by successors, which expect their members from now on.
@@ -83,14 +83,14 @@
 			p.Slots = append(p.Slots, d.arrivingSlot(s, o.ID))
 			d.cellOf[s.Name] = p.ID
 		}
-		next := d.edit(o.ID)
+		next := d.editableRecord(o.ID)
 		if next.PendingSuccessors = ids; len(o.Slots) == 0 { // no members that a successor has to expect first
 			next.Successors, next.PendingSuccessors = ids, nil
 		}
-		d.put(next)
+		d.publish(next)
 	}
 	for _, p := range successors {
-		d.put(p)
+		d.publish(p)
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 			if d.records[s.From] == nil {
 				continue
 			}
-			o = d.edit(s.From)
+			o = d.editableRecord(s.From)
 		}
 		if old := o.Slot(s.Name); old != nil && old.To == 0 {
 			old.To, old.ToMoveIndex = p.ID, s.MoveIndex
@@ -128,7 +128,7 @@
 		if len(o.PendingSuccessors) > 0 && !slices.ContainsFunc(o.Slots, func(s MemberSlot) bool { return s.To == 0 }) {
 			o.Successors, o.PendingSuccessors = o.PendingSuccessors, nil
 		}
-		d.put(o)
+		d.publish(o)
 	}
 	return nil
 }
@@ -138,9 +138,9 @@
 	if p := d.records[c.Cell]; p == nil || p.Sealed || len(p.Successors) == 0 {
 		return ErrNoChange
 	}
-	p := d.edit(c.Cell)
+	p := d.editableRecord(c.Cell)
 	p.Sealed, p.FinalEpoch = true, c.Epoch
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 		return ErrNoChange
 	}
 	delete(d.records, p.ID)
-	delete(d.sums, p.ID)
+	delete(d.recordSums, p.ID)
 	if d.tombstones = append(d.tombstones, tombstone{p.ID, p.Region, d.version}); len(d.tombstones) > maxTombstones {
 		d.tombstonesSince = d.tombstones[0].at
 		d.tombstones = slices.Clone(d.tombstones[1:])
--- a/internal/cells/directory_members.go
+++ b/internal/cells/directory_members.go
@@ -16,9 +16,9 @@
 	}
 	p := d.newRecord(c.Region)
 	for _, s := range c.Slots {
-		d.addNew(p, s)
+		d.addMember(p, s)
 	}
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
@@ -34,14 +34,14 @@
 	if p := d.records[c.Cell]; p == nil || p.Sealed || p.replaced() {
 		return ErrCellNotFound
 	}
-	p := d.edit(c.Cell)
-	d.addNew(p, s)
-	d.put(p)
+	p := d.editableRecord(c.Cell)
+	d.addMember(p, s)
+	d.publish(p)
 	return nil
 }
 
-// addNew adds the slot of a new member to a record.
-func (d *Directory) addNew(p *CellRecord, s MemberSlot) {
+// addMember adds the slot of a new member to a record.
+func (d *Directory) addMember(p *CellRecord, s MemberSlot) {
 	p.Slots = append(p.Slots, MemberSlot{Name: s.Name, Address: s.Address, Zone: s.Zone, MoveIndex: d.version.Index})
 	d.cellOf[s.Name] = p.ID
 }
@@ -51,7 +51,7 @@
 	if len(c.Names) != 1 || d.cellOf[c.Names[0]] == 0 {
 		return nil, nil, ErrMemberNotFound
 	}
-	p := d.edit(d.cellOf[c.Names[0]])
+	p := d.editableRecord(d.cellOf[c.Names[0]])
 	return p, p.Slot(c.Names[0]), nil
 }
 
@@ -64,11 +64,11 @@
 	if s.From != 0 || s.To != 0 || p.replaced() {
 		return ErrChangeInProgress
 	}
-	if d.onlyStaying(p, s.Name) && d.hasOtherCell(p) {
+	if d.isLastStaying(p, s.Name) && d.hasOtherCell(p) {
 		return ErrLastMember
 	}
 	s.To, s.ToMoveIndex = RemovedID, d.version.Index
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
@@ -93,7 +93,7 @@
 		return ErrNoChange
 	}
 	s.Removed = true
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
@@ -112,20 +112,20 @@
 		return ErrNoChange
 	case s.From != 0 || s.To != 0 || from.replaced() || to.replaced():
 		return ErrChangeInProgress
-	case d.onlyStaying(from, s.Name):
+	case d.isLastStaying(from, s.Name):
 		return ErrLastMember // nobody would be left to take over its requests
 	case slices.Contains(s.FormerCells, to.ID) || len(s.FormerCells) >= maxFormerCells:
 		return ErrRecentMember // in a circle, the cell of a request could not be told
 	}
-	p := d.edit(to.ID)
+	p := d.editableRecord(to.ID)
 	p.Slots = append(p.Slots, d.arrivingSlot(s, from.ID))
 	d.cellOf[s.Name] = p.ID
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
-// onlyStaying reports whether no other member stays in a cell.
-func (d *Directory) onlyStaying(p *CellRecord, name string) bool {
+// isLastStaying reports whether no other member stays in a cell.
+func (d *Directory) isLastStaying(p *CellRecord, name string) bool {
 	return !slices.ContainsFunc(p.Slots, func(o MemberSlot) bool { return o.Name != name && o.From == 0 && o.To == 0 && d.cellOf[o.Name] == p.ID })
 }
 
@@ -141,18 +141,18 @@
 	if len(c.Names) != 1 || d.records[c.Cell] == nil {
 		return ErrMemberNotFound
 	}
-	p := d.edit(c.Cell)
+	p := d.editableRecord(c.Cell)
 	s := p.Slot(c.Names[0])
 	if s == nil || s.From == 0 || s.MoveIndex != c.Number {
 		return ErrNoChange
 	}
 	if d.records[s.From] != nil {
-		former := d.edit(s.From)
+		former := d.editableRecord(s.From)
 		former.removeSlot(s.Name)
-		d.put(former)
+		d.publish(former)
 	}
 	s.From = 0
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
@@ -161,7 +161,7 @@
 	if d.cellOf[name] == 0 {
 		return ErrMemberNotFound
 	}
-	p := d.edit(d.cellOf[name])
+	p := d.editableRecord(d.cellOf[name])
 	s := p.Slot(name)
 	switch {
 	case s.Removed:
@@ -172,6 +172,6 @@
 	default:
 		s.FormerCells = nil
 	}
-	d.put(p)
+	d.publish(p)
 	return nil
 }
--- a/internal/cells/lease_table.go
+++ b/internal/cells/lease_table.go
@@ -66,7 +66,7 @@
 	if l.Sealed {
 		return nil
 	}
-	t.dropNonMembers(l)
+	t.forgetNonMembers(l)
 	expired, allExpired := map[takeover.Member]bool{}, true
 	for _, m := range l.membersOf("") {
 		expired[m] = t.expired(now, m)
@@ -98,8 +98,8 @@
 	return due
 }
 
-// dropNonMembers drops what is known of processes that were evicted.
-func (t *LeaseTable) dropNonMembers(l *Log) {
+// forgetNonMembers drops what is known of processes that were evicted.
+func (t *LeaseTable) forgetNonMembers(l *Log) {
 	for m := range t.lastGrant {
 		if !l.IsMember(m) {
 			delete(t.lastGrant, m)
--- a/internal/cells/log.go
+++ b/internal/cells/log.go
@@ -98,7 +98,9 @@
 }
 
 // RecordMatches reports whether an update without a record can be applied: the cell's record is the directory's.
-func (l *Log) RecordMatches(u *DirectoryUpdate) bool { return u.Record != nil || l.recordSum == u.RecordSum }
+func (l *Log) RecordMatches(u *DirectoryUpdate) bool {
+	return u.Record != nil || l.recordSum == u.RecordSum
+}
 
 // applyUpdate applies an update of the directory. One that is not newer is ignored: after a partition it may come from the side without a quorum.
 func (l *Log) applyUpdate(u *DirectoryUpdate) bool {
@@ -112,7 +114,7 @@
 	if l.LastUpdate = *u; u.Record == nil {
 		l.LastUpdate.Record = record
 	} else {
-		l.recordSum = sumOf(u.Record)
+		l.recordSum = checksumOf(u.Record)
 	}
 	if l.fault != StaleUpdateAccepted && global.ChangedAt.Newer(u.Global.ChangedAt) {
 		l.LastUpdate.Global = global // it came with a member's certificate, ahead of the relay
--- a/internal/cells/lookup.go
+++ b/internal/cells/lookup.go
@@ -4,9 +4,9 @@
 // has the record or assigns the request to the next one for good, so that one cell alone decides, whoever asks.
 type Lookup struct {
 	FirstAsked string // the member that the client asked first
-	Cell         ID     // the cell to ask
+	Cell       ID     // the cell to ask
 	path       []ID   // cells after At, by the cell that began
-	begun      bool   // At is the oldest cell, or comes after it
+	started    bool   // At is the oldest cell, or comes after it
 	assigned   bool   // a cell before has assigned the request to At
 }
 
@@ -15,7 +15,7 @@
 
 // NewLocalLookup begins a lookup at a cell that has the record, or that the request was assigned to.
 func NewLocalLookup(firstAsked string, at ID) *Lookup {
-	return &Lookup{FirstAsked: firstAsked, Cell: at, begun: true, assigned: true}
+	return &Lookup{FirstAsked: firstAsked, Cell: at, started: true, assigned: true}
 }
 
 // LookupStep is the next step of a lookup.
@@ -30,7 +30,7 @@
 
 // Next returns the step at the cell At, whose log is given.
 func (q *Lookup) Next(l *Log) LookupStep {
-	if q.begun {
+	if q.started {
 		return SearchHere
 	}
 	start, ok := l.LookupStart(q.FirstAsked)
@@ -38,7 +38,7 @@
 	case !ok:
 		return Unknown
 	case start == l.ID:
-		q.begun = true
+		q.started = true
 		return SearchHere
 	}
 	if former := l.FormerCells[q.FirstAsked]; len(former) > 0 {
@@ -46,7 +46,7 @@
 		for _, d := range former[1:] {
 			q.path = append(q.path, d.Cell)
 		}
-		q.path, q.begun = append(q.path, l.ID), true
+		q.path, q.started = append(q.path, l.ID), true
 	}
 	q.Cell = start
 	return Forward
--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -55,7 +55,9 @@
 		return Action{}, false
 	}
 	sorted := slices.Clone(groups)
-	slices.SortFunc(sorted, func(a, b PlannedCell) int { return cmp.Or(cmp.Compare(len(a.Slots), len(b.Slots)), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(sorted, func(a, b PlannedCell) int {
+		return cmp.Or(cmp.Compare(len(a.Slots), len(b.Slots)), cmp.Compare(a.ID, b.ID))
+	})
 	small, large := &sorted[0], &sorted[len(sorted)-1]
 	switch {
 	case len(large.Slots) >= l.Max && len(large.Slots) >= 2*l.Min:
@@ -106,7 +108,7 @@
 			if g.countIn(zone) > 0 {
 				continue
 			}
-			donor := richestIn(groups, zone)
+			donor := donorOf(groups, zone)
 			if donor == nil {
 				continue
 			}
@@ -122,14 +124,14 @@
 	return Action{}, false
 }
 
-// richestIn returns the group with most members of a zone, if it has two or more.
-func richestIn(groups []PlannedCell, zone string) (richest *PlannedCell) {
+// donorOf returns the group with most members of a zone, if it has two or more.
+func donorOf(groups []PlannedCell, zone string) (donor *PlannedCell) {
 	for i := range groups {
-		if n := groups[i].countIn(zone); n > 1 && (richest == nil || n > richest.countIn(zone)) {
-			richest = &groups[i]
+		if n := groups[i].countIn(zone); n > 1 && (donor == nil || n > donor.countIn(zone)) {
+			donor = &groups[i]
 		}
 	}
-	return richest
+	return donor
 }
 
 // memberToSwap returns a member of the zone of which a group has most, if it has two or more; empty: there is none.
--- a/internal/cells/plan_test.go
+++ b/internal/cells/plan_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// region simulates a region's joins and leaves by the plan.
-type region struct {
+// simulatedRegion simulates a simulatedRegion's joins and leaves by the plan.
+type simulatedRegion struct {
 	groups []PlannedCell
 	last   ID
 	limits SizeLimits
@@ -18,22 +18,22 @@
 	merges int
 }
 
-func (g *region) at(id ID) *PlannedCell {
+func (g *simulatedRegion) cell(id ID) *PlannedCell {
 	i := slices.IndexFunc(g.groups, func(x PlannedCell) bool { return x.ID == id })
 	return &g.groups[i]
 }
 
-func (g *region) join(s MemberSlot) {
+func (g *simulatedRegion) join(s MemberSlot) {
 	id := PlaceMember(g.groups, s.Zone, g.limits)
 	if id == 0 {
 		g.last++
 		id = g.last
 		g.groups = append(g.groups, PlannedCell{ID: id})
 	}
-	g.at(id).Slots = append(g.at(id).Slots, s)
+	g.cell(id).Slots = append(g.cell(id).Slots, s)
 }
 
-func (g *region) move(name string, from, to *PlannedCell) {
+func (g *simulatedRegion) move(name string, from, to *PlannedCell) {
 	i := slices.IndexFunc(from.Slots, func(s MemberSlot) bool { return s.Name == name })
 	s := from.Slots[i]
 	from.Slots = slices.Delete(slices.Clone(from.Slots), i, i+1)
@@ -42,18 +42,18 @@
 }
 
 // settle carries out the plan until nothing is left to do.
-func (g *region) settle() error {
+func (g *simulatedRegion) settle() error {
 	for range 200 {
 		a, ok := NextAction(g.groups, g.limits)
 		if !ok {
 			return nil
 		}
-		from := g.at(a.From)
+		from := g.cell(a.From)
 		switch a.Kind {
 		case Move:
-			g.move(a.Name, from, g.at(a.To))
+			g.move(a.Name, from, g.cell(a.To))
 			if a.SwapName != "" {
-				g.move(a.SwapName, g.at(a.To), from)
+				g.move(a.SwapName, g.cell(a.To), from)
 			}
 		case Split:
 			one, two := PlannedCell{ID: g.last + 1}, PlannedCell{ID: g.last + 2}
@@ -69,7 +69,7 @@
 			g.splits++
 		case Merge:
 			g.last++
-			one := PlannedCell{ID: g.last, Slots: append(slices.Clone(from.Slots), g.at(a.To).Slots...)}
+			one := PlannedCell{ID: g.last, Slots: append(slices.Clone(from.Slots), g.cell(a.To).Slots...)}
 			g.groups = append(slices.DeleteFunc(g.groups, func(x PlannedCell) bool { return x.ID == a.From || x.ID == a.To }), one)
 			g.merges++
 		}
@@ -82,7 +82,7 @@
 func TestPlanKeepsSizesAndZones(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(r, "zones")
-		g := &region{limits: SizeLimits{Min: 5, Target: 9, Max: 14}}
+		g := &simulatedRegion{limits: SizeLimits{Min: 5, Target: 9, Max: 14}}
 		next := 0
 		join := func() {
 			z := rapid.IntRange(0, 2*zones-1).Draw(r, "zone") % zones
@@ -144,8 +144,8 @@
 
 // A region of even zones, as large as the largest of eleven: every cell has three zones and five voters, and survives the loss of any.
 func TestPlanOfARegion(t *testing.T) {
-	g := &region{limits: DefaultSizeLimits}
-	for _, s := range slotsOf("r", 0, 1800, 3) {
+	g := &simulatedRegion{limits: DefaultSizeLimits}
+	for _, s := range makeSlots("r", 0, 1800, 3) {
 		g.join(s)
 		if err := g.settle(); err != nil {
 			t.Fatal(err)
--- a/internal/cells/record.go
+++ b/internal/cells/record.go
@@ -101,5 +101,5 @@
 	return encoded
 }
 
-// sumOf returns the checksum of a record's encoding.
-func sumOf(p *CellRecord) uint64 { return xxhash.Sum64(Encode(p)) }
+// checksumOf returns the checksum of a record's encoding.
+func checksumOf(p *CellRecord) uint64 { return xxhash.Sum64(Encode(p)) }
--- a/internal/cells/relay.go
+++ b/internal/cells/relay.go
@@ -64,7 +64,7 @@
 		}
 	}
 	for _, p := range d.Records {
-		r.staged[p.ID] = summedRecord{p, sumOf(p)}
+		r.staged[p.ID] = summedRecord{p, checksumOf(p)}
 	}
 	if d.More {
 		r.stagedTo = d.To
