--- a/internal/cells/delta.go
+++ b/internal/cells/delta.go
@@ -5,31 +5,33 @@
 	"slices"
 )
 
-// DeltaRequest is a relay's request for what has changed. It is sent: order and types of its fields stay.
+// DeltaRequest is a relay's request for the changes of its region. It is sent as an array: its fields keep their order and types.
 type DeltaRequest struct {
 	_           struct{} `cbor:",toarray"`
 	Region      string
-	Since, From Version // From: with Complete, the version up to which pages were received
-	Complete    bool    // all records, whatever has changed
+	Since, From Version // From is the version up to which pages of a complete delta were received
+	Complete    bool    // requests all records, changed or not
 }
 
-// Delta is what has changed in a region since a version, or all its records, in pages. It is sent: order and types of its fields stay.
+// Delta is a page of the records of a region that changed since a version, or of all its records. It is sent as an array: its fields keep
+// their order and types.
 type Delta struct {
 	_          struct{} `cbor:",toarray"`
 	Region     string
 	Since      Version
 	To         Version
-	Complete   bool // all records: cells that are not among them are no more
-	More       bool // further pages follow; Global, Tombstones and Digest are in the last
+	Complete   bool // the pages contain all records: other cells no longer exist
+	More       bool // further pages follow; only the last has Global, Tombstones and Digest
 	Global     GlobalState
 	Records    []*CellRecord
 	Tombstones []ID
-	Digest     uint64 // of all records of the region, as of To
+	Digest     uint64 // XOR of the checksums of all records of the region at version To
 }
 
-// Delta returns what has changed in a region since a version, in a page of at most maxBytes, or more where one command changed more. It is complete
-// if asked for, or if tombstones since then were dropped; then from is the version up to which pages were received. If the asker is ahead of
-// this directory the delta is empty: complete ones would reach all relays after each change of the leader, and be rejected.
+// Delta returns the next page of the records of a region that changed since a version. A page has at most maxBytes, or more if a single command
+// changed more. The delta is complete if requested, or if tombstones newer than since were dropped; from is then the version up to which the
+// relay received pages. If the relay is ahead of this directory, the delta is empty: a complete delta would be sent to every relay after each
+// change of the directory's leader, and every relay would reject it.
 func (d *Directory) Delta(region string, since, from Version, complete bool, maxBytes int) Delta {
 	delta := Delta{Region: region, Since: since, To: d.version, Complete: complete || d.tombstonesSince.Newer(since)}
 	if !delta.Complete {
--- a/internal/cells/departure.go
+++ b/internal/cells/departure.go
@@ -2,21 +2,22 @@
 
 import "damsonscale/internal/takeover"
 
-// Departure says that a member has left a cell: no lease that the cell granted it is valid any more. It is sent: order and types of its fields
-// stay.
+// Departure records that a member has left a cell and that no lease that the cell granted to the member is valid any more. It is sent as an
+// array: its fields keep their order and types.
 type Departure struct {
 	_         struct{} `cbor:",toarray"`
 	Cell      ID
-	Epoch     uint64          // of that cell's log
-	Member    takeover.Member // its last incarnation there; incarnation 0: it had none when it left
-	To        ID              // the cell that it goes to, or RemovedID
-	MoveIndex uint64          // of its slot there
+	Epoch     uint64          // of the departure's entry in the cell's log
+	Member    takeover.Member // its last evicted incarnation in the cell; 0 if it never joined
+	To        ID              // the cell that the member moves to, or RemovedID
+	MoveIndex uint64          // of the member's slot in the cell To, or of the removal
 }
 
-// Certificate is a departure with the earlier ones that still count, oldest first, and the global state that the former cell knew.
+// Certificate proves to the new cell of a member that the member has left its former cell. It is sent as an array: its fields keep their order
+// and types.
 type Certificate struct {
 	_ struct{} `cbor:",toarray"`
 	Departure
-	Earlier []Departure
-	Global  GlobalState
+	Earlier []Departure // departures from cells that may still have records of the member's requests, oldest first
+	Global  GlobalState // that the former cell had applied
 }
--- a/internal/cells/directory.go
+++ b/internal/cells/directory.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	maxAppliedIDs = 64   // of commands; an older one that is sent again is applied again
-	maxTombstones = 1024 // past it, deltas from before the oldest are complete
+	maxAppliedIDs = 64   // of commands; a duplicate of an older command is applied again
+	maxTombstones = 1024 // beyond it the oldest is dropped, and requests since an earlier version get a complete delta
 )
 
-// tombstone marks a cell that the directory has forgotten, so that relays delete it too.
+// tombstone marks a cell that the directory has deleted, so that relays delete the cell as well.
 type tombstone struct {
 	id     ID
 	region string
 	at     Version
 }
 
-// Directory is the state after some entries of the directory's log.
+// Directory is the state of the directory after the applied entries of its log.
 type Directory struct {
 	version         Version
 	global          GlobalState
 	lastID          ID
 	records         map[ID]*CellRecord
 	recordSums      map[ID]uint64
-	cellOf          map[string]ID // the cell that a member is in, or the new one while it moves
+	cellOf          map[string]ID // cell of each member; the new cell during a move
 	tombstones      []tombstone
-	tombstonesSince Version // of older changes tombstones may have been dropped
+	tombstonesSince Version // tombstones of changes up to this version may have been dropped
 	appliedIDs      []uint64
 	fault           InjectedFault
 }
@@ -37,7 +37,7 @@
 	return &Directory{records: map[ID]*CellRecord{}, recordSums: map[ID]uint64{}, cellOf: map[string]ID{}, fault: f}
 }
 
-// Clone returns a copy. Records are shared, since they are never changed.
+// Clone returns a copy. Records are shared, since they are immutable.
 func (d *Directory) Clone() *Directory {
 	c := *d
 	c.records, c.recordSums, c.cellOf = maps.Clone(d.records), maps.Clone(d.recordSums), maps.Clone(d.cellOf)
@@ -45,22 +45,22 @@
 	return &c
 }
 
-// Version returns the position in the log up to which entries are applied.
+// Version returns the position of the last applied entry in the log.
 func (d *Directory) Version() Version { return d.version }
 
 // Global returns the state that all cells share.
 func (d *Directory) Global() GlobalState { return d.global }
 
-// Record returns a cell's record; nil: there is no such cell.
+// Record returns the record of a cell, or nil if the cell does not exist.
 func (d *Directory) Record(id ID) *CellRecord { return d.records[id] }
 
-// CellOf returns the cell that a member is assigned to, the new one while it moves; 0: none.
+// CellOf returns the cell that a member is assigned to, during a move the new one, or 0 if the member is unknown.
 func (d *Directory) CellOf(name string) ID { return d.cellOf[name] }
 
-// CellIDs returns the numbers of all cells, sorted.
+// CellIDs returns the IDs of all cells, sorted.
 func (d *Directory) CellIDs() []ID { return slices.Sorted(maps.Keys(d.records)) }
 
-// Apply applies the entry of the log at a version. With an error nothing has changed but the version.
+// Apply applies the entry of the log at a version. If it returns an error, it has changed at most the version.
 func (d *Directory) Apply(at Version, c *Command) error {
 	if at.Index <= d.version.Index || at.Term < d.version.Term {
 		if d.fault != TermIgnored {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// apply applies a command. Each kind checks before it changes anything.
+// apply applies a command. Each kind of command is validated before it changes the state.
 func (d *Directory) apply(c *Command) error {
 	switch c.Kind {
 	case Open:
@@ -118,7 +118,7 @@
 	return ErrNoChange
 }
 
-// setGlobal sets the target or the fence; both only grow.
+// setGlobal sets the number of the settings or the fence. Neither may decrease, and the fence may not exceed the settings.
 func (d *Directory) setGlobal(c *Command) error {
 	next := d.global
 	if c.Kind == SetTarget {
@@ -134,10 +134,10 @@
 	return nil
 }
 
-// editableRecord returns a copy of a record that may be changed until it is put.
+// editableRecord returns a copy of a record that may be changed until it is published.
 func (d *Directory) editableRecord(id ID) *CellRecord { return d.records[id].copyRecord() }
 
-// publish publishes a record.
+// publish sorts the slots of a record, sets its contacts and version, and stores it. The record must not be changed afterwards.
 func (d *Directory) publish(p *CellRecord) {
 	slices.SortFunc(p.Slots, func(a, b MemberSlot) int { return cmp.Compare(a.Name, b.Name) })
 	p.Contacts = d.contactsOf(p)
@@ -145,7 +145,7 @@
 	d.records[p.ID], d.recordSums[p.ID] = p, checksumOf(p)
 }
 
-// contactsOf returns contacts of the cells that a cell's members come from or go to.
+// contactsOf returns contacts of the cells that members of a cell come from or move to.
 func (d *Directory) contactsOf(p *CellRecord) (contacts []Contact) {
 	var ids []ID
 	for _, s := range p.Slots {
@@ -166,19 +166,19 @@
 	return contacts
 }
 
-// newRecord returns the record of a new cell.
+// newRecord returns the record of a new cell with the next ID.
 func (d *Directory) newRecord(region string) *CellRecord {
 	d.lastID++
 	return &CellRecord{ID: d.lastID, Region: region}
 }
 
-// EncodedBytes returns the length of the whole state, encoded.
+// EncodedBytes returns the approximate size of the encoded state in bytes.
 func (d *Directory) EncodedBytes() int {
 	n := len(Encode(d.version)) + len(Encode(d.global)) + 8*len(d.appliedIDs) + 16*len(d.tombstones)
 	for _, p := range d.records {
 		n += len(Encode(p)) + 8
 		for _, s := range p.Slots {
-			n += len(s.Name) + 4 // in cellOf
+			n += len(s.Name) + 4 // entry in cellOf
 		}
 	}
 	return n
--- a/internal/cells/directory_cells.go
+++ b/internal/cells/directory_cells.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// stableRecord returns the record of a cell that is open and changes neither itself nor its members.
+// stableRecord returns the record of a cell, or an error if the cell is sealed or being replaced, or if a member is arriving or leaving.
 func (d *Directory) stableRecord(id ID) (*CellRecord, error) {
 	p := d.records[id]
 	if p == nil || p.Sealed {
@@ -18,7 +18,7 @@
 	return p, nil
 }
 
-// split replaces a cell by two.
+// split replaces a cell by two: the first gets the named members, the second the others.
 func (d *Directory) split(c *Command) error {
 	p, err := d.stableRecord(c.Cell)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return d.replace([]*CellRecord{p}, successorOf, []*CellRecord{first, second})
 }
 
-// merge replaces two cells by one.
+// merge replaces two cells of a region by one.
 func (d *Directory) merge(c *Command) error {
 	if len(c.Cells) != 2 || c.Cells[0] == c.Cells[1] {
 		return ErrCellNotFound
@@ -63,7 +63,7 @@
 	return d.replace(old, successorOf, []*CellRecord{successor})
 }
 
-// replace replaces cells by successors, which expect their members from now on.
+// replace replaces cells by successors and assigns the members to the successors.
 func (d *Directory) replace(old []*CellRecord, successorOf map[string]*CellRecord, successors []*CellRecord) error {
 	for _, o := range old {
 		for i := range o.Slots {
@@ -84,7 +84,7 @@
 			d.cellOf[s.Name] = p.ID
 		}
 		next := d.editableRecord(o.ID)
-		if next.PendingSuccessors = ids; len(o.Slots) == 0 { // no members that a successor has to expect first
+		if next.PendingSuccessors = ids; len(o.Slots) == 0 { // an empty cell can be sealed at once: no successor has to expect members
 			next.Successors, next.PendingSuccessors = ids, nil
 		}
 		d.publish(next)
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// ready has members leave for a cell that expects them. Before that they stay: with the directory down, a member that has left would be accepted
-// nowhere.
+// ready lets members leave their former cells for a cell whose log now expects them. A member that left earlier could join no cell if the
+// directory failed before the new cell learned of the move.
 func (d *Directory) ready(c *Command) error {
 	p := d.records[c.Cell]
 	if p == nil || p.Sealed {
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// sealed notes that a cell's log has ended.
+// sealed records that a cell's log has ended.
 func (d *Directory) sealed(c *Command) error {
 	if p := d.records[c.Cell]; p == nil || p.Sealed || len(p.Successors) == 0 {
 		return ErrNoChange
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// forgetCell drops a sealed cell whose members have all arrived elsewhere, and leaves a tombstone.
+// forgetCell deletes a sealed cell whose members have all arrived in other cells, and adds a tombstone.
 func (d *Directory) forgetCell(id ID) error {
 	p := d.records[id]
 	if p == nil || !p.Sealed || len(p.Slots) > 0 {
--- a/internal/cells/directory_members.go
+++ b/internal/cells/directory_members.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// open opens a cell for new members.
+// open creates a cell for new members.
 func (d *Directory) open(c *Command) error {
 	if len(c.Slots) == 0 || c.Region == "" {
 		return ErrInvalidNames
@@ -46,7 +46,7 @@
 	d.cellOf[s.Name] = p.ID
 }
 
-// editMember returns the record of the cell that a command's one member is assigned to, to be changed, and its slot in it.
+// editMember returns an editable record of the cell of the single member that a command names, and the member's slot in that record.
 func (d *Directory) editMember(c *Command) (*CellRecord, *MemberSlot, error) {
 	if len(c.Names) != 1 || d.cellOf[c.Names[0]] == 0 {
 		return nil, nil, ErrMemberNotFound
@@ -55,7 +55,7 @@
 	return p, p.Slot(c.Names[0]), nil
 }
 
-// remove has a member's cell let it go for good.
+// remove asks a member's cell to remove the member permanently. The last member of a cell stays if the region has another cell to merge with.
 func (d *Directory) remove(c *Command) error {
 	p, s, err := d.editMember(c)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// hasOtherCell reports whether the region of a cell has another one that is not sealed.
+// hasOtherCell reports whether the region of a cell has another cell that is not sealed.
 func (d *Directory) hasOtherCell(p *CellRecord) bool {
 	for _, o := range d.records {
 		if o.ID != p.ID && o.Region == p.Region && !o.Sealed {
@@ -82,8 +82,9 @@
 	return false
 }
 
-// removed notes that a member's cell has let it go. Its slot stays until forgotten: in another cell it would be looked up as if its requests had
-// begun there, and its former cell, cut off from the directory, might still grant it leases.
+// removed records that a member's cell has removed the member. The slot stays until it is forgotten: if the name were assigned to another cell
+// earlier, that cell would treat the member's earlier requests as its own, and the former cell, if it is partitioned from the directory, might
+// still grant leases to the member.
 func (d *Directory) removed(c *Command) error {
 	p, s, err := d.editMember(c)
 	if err != nil {
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// move has another cell expect a member. It leaves its present one once the other is ready.
+// move assigns a member to another cell. The member leaves its present cell once the new cell's log expects it.
 func (d *Directory) move(c *Command) error {
 	if len(c.Names) != 1 || d.cellOf[c.Names[0]] == 0 {
 		return ErrMemberNotFound
@@ -113,9 +114,9 @@
 	case s.From != 0 || s.To != 0 || from.replaced() || to.replaced():
 		return ErrChangeInProgress
 	case d.isLastStaying(from, s.Name):
-		return ErrLastMember // nobody would be left to take over its requests
+		return ErrLastMember // no member would be left to take over its requests
 	case slices.Contains(s.FormerCells, to.ID) || len(s.FormerCells) >= maxFormerCells:
-		return ErrRecentMember // in a circle, the cell of a request could not be told
+		return ErrRecentMember // if a member returned to a former cell, the cell of a request would be ambiguous
 	}
 	p := d.editableRecord(to.ID)
 	p.Slots = append(p.Slots, d.arrivingSlot(s, from.ID))
@@ -124,19 +125,19 @@
 	return nil
 }
 
-// isLastStaying reports whether no other member stays in a cell.
+// isLastStaying reports whether all other members of a cell are arriving or leaving.
 func (d *Directory) isLastStaying(p *CellRecord, name string) bool {
 	return !slices.ContainsFunc(p.Slots, func(o MemberSlot) bool { return o.Name != name && o.From == 0 && o.To == 0 && d.cellOf[o.Name] == p.ID })
 }
 
-// arrivingSlot returns the new slot of a member that comes from a cell.
+// arrivingSlot returns the slot in the new cell for a member that moves from another cell.
 func (d *Directory) arrivingSlot(s *MemberSlot, from ID) MemberSlot {
 	return MemberSlot{
 		Name: s.Name, Address: s.Address, Zone: s.Zone, MoveIndex: d.version.Index, From: from, FormerCells: append(slices.Clone(s.FormerCells), from),
 	}
 }
 
-// arrived ends a move: the slot in the former cell is removed.
+// arrived completes a move and removes the member's slot in the former cell.
 func (d *Directory) arrived(c *Command) error {
 	if len(c.Names) != 1 || d.records[c.Cell] == nil {
 		return ErrMemberNotFound
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// forgetMember drops a member's former cells, or a member that was removed.
+// forgetMember deletes a removed member, or drops the former cells of a member.
 func (d *Directory) forgetMember(name string) error {
 	if d.cellOf[name] == 0 {
 		return ErrMemberNotFound
--- a/internal/cells/errors.go
+++ b/internal/cells/errors.go
@@ -2,16 +2,16 @@
 
 import "errors"
 
-// Errors of the directory's commands. With each of them the command has changed nothing.
+// Errors of directory commands. A command that returns one of these errors has not changed the state.
 var (
-	ErrStale            = errors.New("an older term or index")
-	ErrAlreadyApplied   = errors.New("this command was applied before")
-	ErrNoChange         = errors.New("nothing to do")
-	ErrCellNotFound     = errors.New("no such cell is open")
-	ErrMemberNotFound   = errors.New("no such member")
-	ErrAlreadyAssigned  = errors.New("this member is assigned to a cell")
-	ErrChangeInProgress = errors.New("the member or cell is being moved, split or merged")
-	ErrRecentMember     = errors.New("the member was in this cell, or in too many, within the longest deadline")
-	ErrLastMember       = errors.New("the last member of its cell: merge the cell instead")
-	ErrInvalidNames     = errors.New("members' names are missing, repeated or unknown")
+	ErrStale            = errors.New("command has an older term or index than the directory")
+	ErrAlreadyApplied   = errors.New("command has already been applied")
+	ErrNoChange         = errors.New("command changes nothing")
+	ErrCellNotFound     = errors.New("cell does not exist or accepts no changes")
+	ErrMemberNotFound   = errors.New("member does not exist")
+	ErrAlreadyAssigned  = errors.New("member is already assigned to a cell")
+	ErrChangeInProgress = errors.New("member or cell is being moved, split or merged")
+	ErrRecentMember     = errors.New("member was in this cell, or in too many cells, within the longest deadline")
+	ErrLastMember       = errors.New("member is the last one of its cell; merge the cell instead")
+	ErrInvalidNames     = errors.New("member names are missing, repeated or unknown")
 )
--- a/internal/cells/lease_table.go
+++ b/internal/cells/lease_table.go
@@ -7,18 +7,19 @@
 	"damsonscale/internal/takeover"
 )
 
-// maxLeaseSpan returns how long a lease may last by any member's clock, counted by the leader's: clocks may differ by 2% in speed.
+// maxLeaseSpan returns the longest time, by the leader's clock, that a lease may be valid by a member's clock. Clock rates may differ by 2%.
 func maxLeaseSpan(lease int64) int64 { return lease + lease/50 }
 
-// LeaseTable is what a cell's leader knows of the leases that it granted. It is made anew for each term. Times are µs by the leader's clock.
+// LeaseTable is the leader's record of the leases that it has granted to members of its cell. Each term starts with a new table. Times are µs
+// by the leader's clock.
 type LeaseTable struct {
 	LeaseMicros  int64
-	lastGrant    map[takeover.Member]int64
+	lastGrant    map[takeover.Member]int64 // time of the last grant, or of the first check if this leader has granted none
 	relinquished map[takeover.Member]bool
 	fault        InjectedFault
 }
 
-// NewLeaseTable returns the table of a term.
+// NewLeaseTable returns an empty table for a new term.
 func NewLeaseTable(leaseMicros int64, f InjectedFault) *LeaseTable {
 	return &LeaseTable{LeaseMicros: leaseMicros, lastGrant: map[takeover.Member]int64{}, relinquished: map[takeover.Member]bool{}, fault: f}
 }
@@ -30,8 +31,9 @@
 	return &c
 }
 
-// Grant reports whether a member that acts on a version of the settings gets a lease, and notes it. The log must have all that was agreed before a
-// quorum confirmed, after the request came, that this is the leader.
+// Grant reports whether a member gets a lease, and records the grant. activeSettings is the number of the settings that the member acts on. The
+// caller must first get a quorum's confirmation, after the request arrived, that it is the leader, and l must have all entries committed
+// before that confirmation.
 func (t *LeaseTable) Grant(now int64, l *Log, m takeover.Member, activeSettings uint64) bool {
 	s := l.record().Slot(m.Name)
 	if !l.IsMember(m) || l.Sealed || s == nil || t.relinquished[m] || activeSettings < l.LastUpdate.Global.Fence {
@@ -44,11 +46,11 @@
 	return true
 }
 
-// MarkRelinquished notes that a member has said that it acts no more as this incarnation.
+// MarkRelinquished records that an incarnation of a member has given up its leases.
 func (t *LeaseTable) MarkRelinquished(m takeover.Member) { t.relinquished[m] = true }
 
-// expired reports whether no lease of a member can be valid by any clock. Of a member without a grant in this term an earlier leader may have
-// granted one until now.
+// expired reports whether no lease of a member can be valid by any clock. If this leader has not granted the member a lease, an earlier leader
+// may have granted one up to the first call, so the time counts from that call.
 func (t *LeaseTable) expired(now int64, m takeover.Member) bool {
 	if t.relinquished[m] {
 		return true
@@ -61,7 +63,7 @@
 	return now-granted >= maxLeaseSpan(t.LeaseMicros)
 }
 
-// DueEntries returns the entries that the leader is to propose now: evictions, departures, and the seal.
+// DueEntries returns the evictions and departures, or the seal, that the leader must propose now.
 func (t *LeaseTable) DueEntries(now int64, l *Log) (due []Entry) {
 	if l.Sealed {
 		return nil
@@ -98,7 +100,7 @@
 	return due
 }
 
-// forgetNonMembers drops what is known of processes that were evicted.
+// forgetNonMembers drops the state of evicted processes.
 func (t *LeaseTable) forgetNonMembers(l *Log) {
 	for m := range t.lastGrant {
 		if !l.IsMember(m) {
@@ -108,7 +110,7 @@
 	}
 }
 
-// EncodedBytes returns the length of the table, encoded.
+// EncodedBytes returns the approximate size of the encoded table in bytes.
 func (t *LeaseTable) EncodedBytes() (n int) {
 	for m := range t.lastGrant {
 		n += len(m.Name) + 16
--- a/internal/cells/log.go
+++ b/internal/cells/log.go
@@ -6,46 +6,46 @@
 	"damsonscale/internal/takeover"
 )
 
-// EntryKind says what an entry of a cell's log does. Kinds are part of the log by number.
+// EntryKind is the kind of an entry of a cell's log. Its numbers are stored in the log.
 type EntryKind uint8
 
-// Kinds of entries.
+// Kinds of log entries.
 const (
-	UpdateDirectory EntryKind = 1 // applies an update of the directory
-	Join            EntryKind = 2 // a process joins
-	Evict           EntryKind = 3 // a process is evicted: its lease has expired
-	Depart          EntryKind = 4 // a member leaves for another cell, or for good: its leases have expired
-	Seal            EntryKind = 5 // the last entry: all leases have expired
-	ExpectMember    EntryKind = 6 // a member arrives by its certificate, without a process: it may be down for good
-	ForgetDeparture EntryKind = 7 // drops a member's former cells, or its departure: the longest deadline has passed
+	UpdateDirectory EntryKind = 1 // applies an update from the directory
+	Join            EntryKind = 2 // adds a process
+	Evict           EntryKind = 3 // removes a process whose lease has expired
+	Depart          EntryKind = 4 // lets a member leave for another cell, or removes it permanently, after its leases have expired
+	Seal            EntryKind = 5 // ends the log after all leases have expired
+	ExpectMember    EntryKind = 6 // completes the move of a member by its certificate, without a process, since the process may never restart
+	ForgetDeparture EntryKind = 7 // drops a member's former cells and its departure, once the longest deadline has passed
 )
 
-// Entry is an entry of a cell's log: order and types of its fields stay.
+// Entry is an entry of a cell's log. It is stored and sent as an array: its fields keep their order and types.
 type Entry struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        EntryKind
 	Update      *DirectoryUpdate
-	Member      takeover.Member // with Depart, ExpectMember and ForgetDeparture its name counts
-	Certificate *Certificate    // with Join and ExpectMember, of a member that comes from another cell
-	MoveIndex   uint64          // with Depart: of the slot that the member goes to
+	Member      takeover.Member // with Depart, ExpectMember and ForgetDeparture only the name is used
+	Certificate *Certificate    // with Join and ExpectMember, if the member moves from another cell
+	MoveIndex   uint64          // with Depart: MoveIndex of the slot that the member moves to
 }
 
-// Log is the state after some entries of a cell's log.
+// Log is the state of a cell after the applied entries of its log.
 type Log struct {
 	ID           ID
-	Epoch        uint64 // number of entries that changed something
+	Epoch        uint64 // number of entries that changed the state
 	LastUpdate   DirectoryUpdate
-	Members      map[takeover.Member]uint64 // processes, by the epoch in which they joined
-	Evicted      map[string][]uint64        // evicted incarnations by name, oldest first
-	ArrivedMoves map[string]uint64          // MoveIndex of the slot that a member has arrived at
-	Departures   map[string]Departure
-	FormerCells  map[string][]Departure // from cells that may have records of a member's requests, oldest first
+	Members      map[takeover.Member]uint64 // epoch in which each process joined
+	Evicted      map[string][]uint64        // evicted incarnations of each member, oldest first
+	ArrivedMoves map[string]uint64          // MoveIndex of the slot in which each member has arrived
+	Departures   map[string]Departure       // of members that have left this cell
+	FormerCells  map[string][]Departure     // departures from cells that may have records of a member's requests, oldest first
 	Sealed       bool
 	recordSum    uint64
 	fault        InjectedFault
 }
 
-// NewLog returns the state of a cell that has no update of the directory yet.
+// NewLog returns the state of a cell that has not applied an update from the directory.
 func NewLog(id ID, f InjectedFault) *Log {
 	return &Log{
 		ID: id, LastUpdate: DirectoryUpdate{Record: &CellRecord{ID: id}}, Members: map[takeover.Member]uint64{}, Evicted: map[string][]uint64{},
@@ -53,7 +53,7 @@
 	}
 }
 
-// Clone returns a copy. Its lists are shared, since they are never changed in place.
+// Clone returns a copy. Slices are shared, since they are never changed in place.
 func (l *Log) Clone() *Log {
 	c := *l
 	c.Members, c.Evicted, c.ArrivedMoves = maps.Clone(l.Members), maps.Clone(l.Evicted), maps.Clone(l.ArrivedMoves)
@@ -64,7 +64,7 @@
 // record returns the directory's record of this cell.
 func (l *Log) record() *CellRecord { return l.LastUpdate.Record }
 
-// Apply applies an entry, and reports whether it changed anything. Whether an entry is allowed is decided here alone, in the order of the log, so
+// Apply applies an entry and reports whether it changed the state. Only Apply decides whether an entry is allowed, in the order of the log, so
 // that successive leaders can't disagree.
 func (l *Log) Apply(e *Entry) bool {
 	if l.Sealed && e.Kind != ForgetDeparture {
@@ -97,12 +97,13 @@
 	return changed
 }
 
-// RecordMatches reports whether an update without a record can be applied: the cell's record is the directory's.
+// RecordMatches reports whether an update has a record, or the cell's record has the update's checksum.
 func (l *Log) RecordMatches(u *DirectoryUpdate) bool {
 	return u.Record != nil || l.recordSum == u.RecordSum
 }
 
-// applyUpdate applies an update of the directory. One that is not newer is ignored: after a partition it may come from the side without a quorum.
+// applyUpdate applies an update from the directory. It ignores an update that is not newer, which may come from the side of a partition that had
+// no quorum.
 func (l *Log) applyUpdate(u *DirectoryUpdate) bool {
 	if u == nil || u.Record != nil && u.Record.ID != l.ID || !l.RecordMatches(u) {
 		return false
@@ -117,7 +118,7 @@
 		l.recordSum = checksumOf(u.Record)
 	}
 	if l.fault != StaleUpdateAccepted && global.ChangedAt.Newer(u.Global.ChangedAt) {
-		l.LastUpdate.Global = global // it came with a member's certificate, ahead of the relay
+		l.LastUpdate.Global = global // a member's certificate has brought a newer state than the relay
 	}
 	for name := range l.ArrivedMoves {
 		if l.record().Slot(name) == nil {
@@ -127,7 +128,7 @@
 	return true
 }
 
-// seal ends the log: all members depart, and all processes are evicted.
+// seal ends the log: all members depart and all processes are evicted.
 func (l *Log) seal() bool {
 	p := l.record()
 	if len(p.Successors) == 0 {
@@ -145,7 +146,7 @@
 	return true
 }
 
-// EncodedBytes returns the length of the whole state, encoded.
+// EncodedBytes returns the approximate size of the encoded state in bytes.
 func (l *Log) EncodedBytes() int {
 	n := len(Encode(l.LastUpdate)) + 16
 	for m := range l.Members {
--- a/internal/cells/log_members.go
+++ b/internal/cells/log_members.go
@@ -6,13 +6,13 @@
 	"damsonscale/internal/takeover"
 )
 
-// maxEvicted bounds the evicted incarnations that are remembered of a member.
+// maxEvicted bounds the evicted incarnations that a cell remembers for each member.
 const maxEvicted = 16
 
-// IsMember reports whether a process has joined and is not evicted.
+// IsMember reports whether a process has joined and has not been evicted.
 func (l *Log) IsMember(m takeover.Member) bool { _, ok := l.Members[m]; return ok }
 
-// membersOf returns the processes of a name, or of all with an empty one, in a fixed order.
+// membersOf returns the processes of a member, or of all members if name is empty, in a fixed order.
 func (l *Log) membersOf(name string) (members []takeover.Member) {
 	for m := range l.Members {
 		if name == "" || m.Name == name {
@@ -25,7 +25,7 @@
 	return members
 }
 
-// MayJoin reports whether a process may join now. cert is needed if its member comes from another cell and has not arrived yet.
+// MayJoin reports whether a process may join now. cert is required if the member moves from another cell and has not arrived.
 func (l *Log) MayJoin(m takeover.Member, cert *Certificate) bool {
 	s := l.record().Slot(m.Name)
 	switch {
@@ -34,7 +34,7 @@
 	case l.hasLeft(s):
 		return false
 	case slices.ContainsFunc(l.FormerCells[m.Name], func(d Departure) bool { return d.Member == m }):
-		return false // that incarnation was of another cell
+		return false // the incarnation belonged to another cell
 	case s.From == 0 || l.ArrivedMoves[m.Name] == s.MoveIndex:
 		return true
 	case l.fault == CertificateIgnored:
@@ -43,20 +43,20 @@
 	return l.accepts(m.Name, cert) && cert.Member != m
 }
 
-// accepts reports whether a certificate is that of a member that this cell expects, for the slot that it has here.
+// accepts reports whether a certificate is valid for the slot of a member that this cell expects.
 func (l *Log) accepts(name string, cert *Certificate) bool {
 	s := l.record().Slot(name)
 	return s != nil && cert != nil && s.From != 0 && l.ArrivedMoves[name] != s.MoveIndex && cert.Cell == s.From && cert.To == l.ID &&
 		cert.MoveIndex == s.MoveIndex && cert.Member.Name == name && !slices.ContainsFunc(cert.Earlier, func(d Departure) bool { return d.Cell == l.ID })
 }
 
-// hasLeft reports whether a member has left since it was assigned its slot.
+// hasLeft reports whether a member has left since it was assigned its present slot.
 func (l *Log) hasLeft(s *MemberSlot) bool {
 	d, ok := l.Departures[s.Name]
 	return ok && d.MoveIndex > s.MoveIndex
 }
 
-// join adds a process.
+// join adds a process, and completes the move of its member if that has not arrived.
 func (l *Log) join(e *Entry) bool {
 	if !l.MayJoin(e.Member, e.Certificate) {
 		return false
@@ -68,8 +68,8 @@
 	return true
 }
 
-// arrive has a member arrive at its slot. The global state of its certificate counts here too, or the member might act below a fence that only
-// its former cell knew.
+// arrive completes the move of a member. This cell adopts the global state of the certificate if that is newer: otherwise the member might act
+// below a fence that only its former cell has applied.
 func (l *Log) arrive(name string, cert *Certificate) {
 	l.ArrivedMoves[name] = l.record().Slot(name).MoveIndex
 	delete(l.Departures, name)
@@ -91,7 +91,7 @@
 	l.Evicted[m.Name] = evicted[max(0, len(evicted)-maxEvicted):]
 }
 
-// applyDepart has a member leave if the directory says so and it has not left yet.
+// applyDepart lets a member leave if the directory requires it and the member has not left.
 func (l *Log) applyDepart(e *Entry) bool {
 	s := l.record().Slot(e.Member.Name)
 	if s == nil || !l.record().leaving(s) || s.ToMoveIndex != e.MoveIndex || l.Departures[s.Name].MoveIndex == e.MoveIndex {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// depart evicts a member's processes and records its departure, with the last of them.
+// depart evicts a member's processes and records its departure with its last evicted incarnation.
 func (l *Log) depart(s *MemberSlot) {
 	d := Departure{Cell: l.ID, Epoch: l.Epoch + 1, Member: takeover.Member{Name: s.Name}, To: s.To, MoveIndex: s.ToMoveIndex}
 	if evicted := l.Evicted[s.Name]; len(evicted) > 0 {
@@ -114,7 +114,7 @@
 	l.Departures[s.Name] = d
 }
 
-// forgetDeparture drops a member's former cells, and its departure unless it is still on its way and needs its certificate.
+// forgetDeparture drops a member's former cells. It drops the member's departure too, unless the move is in progress and needs the certificate.
 func (l *Log) forgetDeparture(name string) bool {
 	_, changed := l.FormerCells[name]
 	delete(l.FormerCells, name)
@@ -126,7 +126,7 @@
 	return changed
 }
 
-// Certificate returns the certificate of a member that has left; nil: it has not.
+// Certificate returns the certificate of a member that has left, or nil if the member has not left.
 func (l *Log) Certificate(name string) *Certificate {
 	d, ok := l.Departures[name]
 	if !ok {
@@ -135,8 +135,8 @@
 	return &Certificate{Departure: d, Earlier: l.FormerCells[name], Global: l.LastUpdate.Global}
 }
 
-// LookupStart returns the cell where the lookup of a request begins whose client asked a member first: the oldest that may have the request's
-// record. false: this cell can't tell.
+// LookupStart returns the cell where the lookup of a request starts if its client asked the given member first: the oldest cell that may have
+// the request's record. It returns false if this cell does not know the member.
 func (l *Log) LookupStart(firstAsked string) (ID, bool) {
 	s := l.record().Slot(firstAsked)
 	_, departed := l.Departures[firstAsked]
@@ -153,8 +153,8 @@
 	return l.ID, true
 }
 
-// Successor returns the cell that takes over the requests that a member had in flight here: where it went; this cell if it went nowhere; the first
-// successor of a sealed cell then.
+// Successor returns the cell that takes over the requests that a member had in flight in this cell: the cell that the member moved to, else the
+// first successor if this cell is sealed, else this cell.
 func (l *Log) Successor(name string) ID {
 	d, departed := l.Departures[name]
 	switch {
--- a/internal/cells/lookup.go
+++ b/internal/cells/lookup.go
@@ -1,19 +1,19 @@
 package cells
 
-// Lookup is the way of a request that a client repeats, through the cells that may have its record, from the oldest onwards. Each of them either
-// has the record or assigns the request to the next one for good, so that one cell alone decides, whoever asks.
+// Lookup is the search for the record of a retried request through the cells that may have it, oldest first. Each cell either has the record or
+// permanently assigns the request to the next cell, so that a single cell decides about the request, whichever member the client asks.
 type Lookup struct {
 	FirstAsked string // the member that the client asked first
-	Cell       ID     // the cell to ask
-	path       []ID   // cells after At, by the cell that began
-	started    bool   // At is the oldest cell, or comes after it
-	assigned   bool   // a cell before has assigned the request to At
+	Cell       ID     // the cell to search next
+	path       []ID   // cells to search after Cell, as listed by the cell where the lookup started
+	started    bool   // the lookup has reached the oldest cell
+	assigned   bool   // an earlier cell has assigned the request to Cell
 }
 
-// NewLookup begins a lookup at a cell that may know the member that was asked first.
+// NewLookup starts a lookup at a cell that may know the member that the client asked first.
 func NewLookup(firstAsked string, at ID) *Lookup { return &Lookup{FirstAsked: firstAsked, Cell: at} }
 
-// NewLocalLookup begins a lookup at a cell that has the record, or that the request was assigned to.
+// NewLocalLookup starts a lookup at a cell that has the record or that the request was assigned to.
 func NewLocalLookup(firstAsked string, at ID) *Lookup {
 	return &Lookup{FirstAsked: firstAsked, Cell: at, started: true, assigned: true}
 }
@@ -21,14 +21,14 @@
 // LookupStep is the next step of a lookup.
 type LookupStep uint8
 
-// Steps of a lookup.
+// Lookup steps.
 const (
-	SearchHere LookupStep = iota // search the records of this cell, or begin the request here
-	Forward                      // ask the cell At, which has changed
-	Unknown                      // no cell can tell: work that is not idempotent fails
+	SearchHere LookupStep = iota // search the records of this cell, or execute the request here if there is no record
+	Forward                      // continue at Lookup.Cell, which has changed
+	Unknown                      // no cell can be found: a request that is not idempotent fails
 )
 
-// Next returns the step at the cell At, whose log is given.
+// Next returns the step at q.Cell. l is the log of that cell.
 func (q *Lookup) Next(l *Log) LookupStep {
 	if q.started {
 		return SearchHere
@@ -52,8 +52,8 @@
 	return Forward
 }
 
-// NotFound returns the step where no replica of the cell At has a record. SearchHere: a member of this cell may begin the request. Forward with
-// assign: the replicas must first note that the request is assigned to the new At, for good.
+// NotFound returns the step after no replica of q.Cell has a record. With SearchHere a member of this cell may execute the request. With Forward
+// and assign the replicas must first record that the request is permanently assigned to the new q.Cell.
 func (q *Lookup) NotFound(l *Log) (step LookupStep, assign bool) {
 	_, departed := l.Departures[q.FirstAsked]
 	belongsHere := departed || q.assigned || l.record().Slot(q.FirstAsked) != nil
@@ -67,14 +67,14 @@
 	if belongsHere {
 		return SearchHere, false
 	}
-	return q.followPath(), false // the member left this cell before the longest deadline
+	return q.followPath(), false // the member left this cell longer ago than the longest deadline
 }
 
-// CellForgotten returns the step where the directory has forgotten the cell At: it was sealed, and its last member arrived elsewhere, before the
-// longest deadline.
+// CellForgotten returns the step if the directory has deleted q.Cell: that cell was sealed, and its last member arrived in another cell, longer
+// ago than the longest deadline.
 func (q *Lookup) CellForgotten() LookupStep { return q.followPath() }
 
-// followPath goes on to the next cell of the path.
+// followPath continues at the next cell of the path.
 func (q *Lookup) followPath() LookupStep {
 	if len(q.path) == 0 {
 		return Unknown
--- a/internal/cells/pacing.go
+++ b/internal/cells/pacing.go
@@ -4,14 +4,14 @@
 
 const (
 	microsPerSecond  = 1_000_000
-	maxBackoffShifts = 32 // attempts past which the pause is no longer doubled
+	maxBackoffShifts = 32 // attempt number from which the pause is the limit, to avoid overflow
 )
 
-// RateLimiter bounds the calls that a server admits in a second; others are told to come again. Its zero value can't be used: PerSecond must be set.
+// RateLimiter bounds the calls that a server admits per second. Rejected callers retry later. PerSecond must be set: the zero value is not usable.
 type RateLimiter struct {
-	PerSecond int64
+	PerSecond int64 // calls
 	Burst     int64 // calls
-	busyUntil int64 // µs
+	busyUntil int64 // time in µs until which admitted calls use up the rate
 }
 
 // Allow reports whether a call is admitted now.
@@ -25,8 +25,9 @@
 	return true
 }
 
-// Backoff returns the pause before an attempt, counted from 1: first, doubled each time up to limit, and of that between a half and all, by the
-// caller's name, so that callers that lost the same peer at once do not come back at once. All are in the same unit.
+// Backoff returns the pause before an attempt; attempts count from 1. The pause starts at first, doubles with each attempt up to limit, and is
+// then reduced by up to a half, depending on the caller's name and the attempt: callers that lost the same peer at the same time do not retry at
+// the same time. All durations are in the same unit.
 func Backoff(name string, attempt int, first, limit int64) int64 {
 	span := limit
 	if attempt < maxBackoffShifts && first<<(attempt-1) < limit {
--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -5,32 +5,33 @@
 	"slices"
 )
 
-// SizeLimits bound a cell's members.
+// SizeLimits bound the number of members of a cell.
 type SizeLimits struct{ Min, Target, Max int }
 
-// DefaultSizeLimits keep a leader under 3.7% of a core: docs/cells.md.
+// DefaultSizeLimits keep the load of a cell's leader under 3.7% of a core; see docs/cells.md.
 var DefaultSizeLimits = SizeLimits{Min: 10, Target: 24, Max: 30}
 
-// minZonesToSpread is how many zones a region must have for its cells to be spread over them.
+// minZonesToSpread is the number of zones from which the members and voters of a cell are spread over zones.
 const minZonesToSpread = 3
 
-// PlannedCell is a cell as a plan sees it: its members by zone.
+// PlannedCell is the input of the planner for one cell.
 type PlannedCell struct {
 	ID    ID
 	Slots []MemberSlot
 }
 
-// Action is one step of a plan: a Move, a Split or a Merge, which become commands.
+// Action is one step of a plan: a Move, a Split or a Merge. The caller turns it into directory commands.
 type Action struct {
 	Kind     CommandKind
-	Name     string // with Move
-	SwapName string // with Move: the member that goes the other way, since sizes allow no more; empty: none
+	Name     string // with Move: the member to move
+	SwapName string // with Move: a member that moves in the opposite direction if the size limits require a swap; else empty
 	From     ID
 	To       ID       // with Move and Merge
-	Names    []string // with Split: those of the first half
+	Names    []string // with Split: the members of the first half
 }
 
-// PlaceMember returns the cell for a new member of a zone: the one with the fewest of that zone, and of these the smallest. 0: none has room.
+// PlaceMember returns the cell for a new member of a zone: the cell with the fewest members of that zone, and the smallest among equals. It
+// returns 0 if no cell is below its maximum size.
 func PlaceMember(groups []PlannedCell, zone string, l SizeLimits) ID {
 	best := -1
 	for i := range groups {
@@ -48,8 +49,8 @@
 	return groups[best].ID
 }
 
-// NextAction returns the first thing to do to bring a region's cells within the limits and spread them over its zones; false: there is none. It
-// changes as few assignments as it can.
+// NextAction returns the next action that brings the cells of a region within the size limits and spreads them over the zones, or false if no
+// action is needed. It changes as few assignments as possible.
 func NextAction(groups []PlannedCell, l SizeLimits) (Action, bool) {
 	if len(groups) == 0 {
 		return Action{}, false
@@ -71,7 +72,7 @@
 	return spreadZones(sorted, l)
 }
 
-// splitHalf returns the names of one of two halves that have the same share of each zone.
+// splitHalf returns the names of half the members, such that both halves have about the same number of each zone.
 func splitHalf(g *PlannedCell) (names []string) {
 	slots := slices.Clone(g.Slots)
 	slices.SortFunc(slots, func(a, b MemberSlot) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
@@ -81,7 +82,7 @@
 	return names
 }
 
-// memberToGive returns the member that a cell gives to another: of the zone of which it has most more.
+// memberToGive returns the member to move from one cell to another: a member of the zone in which the first cell has the largest surplus.
 func memberToGive(from, to *PlannedCell) string {
 	bestZone, most := "", 0
 	for _, zone := range zonesOf([]PlannedCell{*from}) {
@@ -92,8 +93,8 @@
 	return firstOfZone(from, bestZone)
 }
 
-// spreadZones gives a cell that lacks a zone a member of it, from the cell that has most of them. Where sizes allow no more, another member goes
-// the other way.
+// spreadZones returns a move that gives a cell without members of some zone a member of that zone, from the cell that has the most of them. If
+// the size limits do not allow a plain move, the action swaps two members.
 func spreadZones(groups []PlannedCell, l SizeLimits) (Action, bool) {
 	zones := zonesOf(groups)
 	if len(zones) < minZonesToSpread {
@@ -124,7 +125,7 @@
 	return Action{}, false
 }
 
-// donorOf returns the group with most members of a zone, if it has two or more.
+// donorOf returns the cell with the most members of a zone, or nil if no cell has two or more.
 func donorOf(groups []PlannedCell, zone string) (donor *PlannedCell) {
 	for i := range groups {
 		if n := groups[i].countIn(zone); n > 1 && (donor == nil || n > donor.countIn(zone)) {
@@ -134,7 +135,7 @@
 	return donor
 }
 
-// memberToSwap returns a member of the zone of which a group has most, if it has two or more; empty: there is none.
+// memberToSwap returns a member of the zone that has the most members in a cell, or an empty name if no zone has two or more.
 func memberToSwap(g *PlannedCell, zones []string) string {
 	name, most := "", 1
 	for _, zone := range zones {
@@ -145,7 +146,7 @@
 	return name
 }
 
-// countIn returns the number of members of a zone.
+// countIn returns the number of the cell's members in a zone.
 func (g *PlannedCell) countIn(zone string) (n int) {
 	for _, s := range g.Slots {
 		if s.Zone == zone {
@@ -155,7 +156,7 @@
 	return n
 }
 
-// zonesOf returns the zones of some groups, sorted.
+// zonesOf returns the zones of all members of some cells, sorted.
 func zonesOf(groups []PlannedCell) (zones []string) {
 	for _, g := range groups {
 		for _, s := range g.Slots {
@@ -166,7 +167,7 @@
 	return slices.Compact(zones)
 }
 
-// firstOfZone returns the first member of a zone by name; empty: there is none.
+// firstOfZone returns the first member of a zone by name, or an empty name if the cell has none.
 func firstOfZone(g *PlannedCell, zone string) string {
 	name := ""
 	for _, s := range g.Slots {
--- a/internal/cells/record.go
+++ b/internal/cells/record.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	maxFormerCells = 4 // that a member may have been in within the longest deadline
-	maxContacts    = 3 // addresses of another cell
+	maxFormerCells = 4 // cells that a member may have left within the longest deadline
+	maxContacts    = 3 // addresses of each cell in a record's contacts
 )
 
-// MemberSlot is a member's place in a cell. It is sent: order and types of its fields stay.
+// MemberSlot is the entry of a member in a cell's record. It is sent as an array: its fields keep their order and types.
 type MemberSlot struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Address     string
 	Zone        string
-	MoveIndex   uint64 // log index of the command that assigned the member to this cell
-	From        ID     // the cell that it comes from, until it has arrived; 0: none
-	To          ID     // the cell that it goes to, once that one expects it, or RemovedID; 0: none
-	ToMoveIndex uint64 // with To: MoveIndex of its slot there
-	FormerCells []ID   // that may have records of its requests
-	Removed     bool   // it has left for RemovedID; the slot stays until none of its requests can be looked up
+	MoveIndex   uint64 // index in the directory's log of the command that assigned the member to this cell
+	From        ID     // the former cell, until the member has arrived; 0 if there is none
+	To          ID     // the new cell, once that cell expects the member, or RemovedID; 0 if the member stays
+	ToMoveIndex uint64 // with To: MoveIndex of the member's slot in that cell, or of the removal
+	FormerCells []ID   // cells that may have records of the member's requests
+	Removed     bool   // the member has been removed; the slot stays until the longest deadline of its requests has passed
 }
 
-// Contact is where another cell can be asked.
+// Contact lists addresses of members of another cell. It is sent as an array: its fields keep their order and types.
 type Contact struct {
 	_         struct{} `cbor:",toarray"`
 	Cell      ID
 	Addresses []string
 }
 
-// CellRecord is the directory's record of one cell. One that was published is never changed. It is sent: order and types of its fields stay.
+// CellRecord is the directory's record of one cell. A published record is immutable. It is sent as an array: its fields keep their order and types.
 type CellRecord struct {
 	_                 struct{} `cbor:",toarray"`
 	ID                ID
 	Region            string
 	ChangedAt         Version
-	PendingSuccessors []ID // cells that it is to be replaced by, not all of which expect its members yet
-	Successors        []ID // cells that it is to be replaced by: it is to be sealed
+	PendingSuccessors []ID // cells that will replace this one, while some of them do not yet expect its members
+	Successors        []ID // cells that will replace this one, once all expect its members: this cell is to be sealed
 	Sealed            bool
-	FinalEpoch        uint64       // with Sealed: the last of its log
-	Slots             []MemberSlot // by name
-	Contacts          []Contact    // of the cells that members go to or come from
+	FinalEpoch        uint64       // with Sealed: the last epoch of the cell's log
+	Slots             []MemberSlot // sorted by name
+	Contacts          []Contact    // of the cells that members move to or come from
 }
 
-// Slot returns a member's slot; nil: it has none.
+// Slot returns the slot of a member, or nil if the cell has none.
 func (p *CellRecord) Slot(name string) *MemberSlot {
 	if i, ok := slices.BinarySearchFunc(p.Slots, name, func(s MemberSlot, n string) int { return cmp.Compare(s.Name, n) }); ok {
 		return &p.Slots[i]
@@ -56,10 +56,10 @@
 	return nil
 }
 
-// leaving reports whether a slot's member is to leave now. Members of a cell that is to be replaced stay until all successors expect them.
+// leaving reports whether the member of a slot must leave now. Members of a cell that is being replaced stay until all successors expect them.
 func (p *CellRecord) leaving(s *MemberSlot) bool { return s.To != 0 && len(p.PendingSuccessors) == 0 }
 
-// replaced reports whether the cell is to be replaced by others.
+// replaced reports whether the cell is being replaced by others.
 func (p *CellRecord) replaced() bool { return len(p.PendingSuccessors)+len(p.Successors) > 0 }
 
 // copyRecord returns a copy that may be changed until it is published.
@@ -74,13 +74,13 @@
 	p.Slots = slices.DeleteFunc(p.Slots, func(s MemberSlot) bool { return s.Name == name })
 }
 
-// DirectoryUpdate is what a cell is sent of the directory. Order and types of its fields stay.
+// DirectoryUpdate is an update of the directory's state for one cell. It is sent as an array: its fields keep their order and types.
 type DirectoryUpdate struct {
 	_         struct{} `cbor:",toarray"`
 	Version   Version
 	Global    GlobalState
-	Record    *CellRecord // nil: the cell has it already
-	RecordSum uint64      // of the record
+	Record    *CellRecord // nil if the cell's record is current
+	RecordSum uint64      // checksum of the cell's record in the directory
 }
 
 // encoder encodes all messages of this package.
@@ -96,10 +96,10 @@
 func Encode(v any) []byte {
 	encoded, err := encoder.Marshal(v)
 	if err != nil {
-		panic(err) // all types here can be encoded
+		panic(err) // all types of this package can be encoded
 	}
 	return encoded
 }
 
-// checksumOf returns the checksum of a record's encoding.
+// checksumOf returns the checksum of an encoded record.
 func checksumOf(p *CellRecord) uint64 { return xxhash.Sum64(Encode(p)) }
--- a/internal/cells/relay.go
+++ b/internal/cells/relay.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// Relay caches the directory's records of one region, and passes updates on to its cells. What it passes on has the directory's digest.
+// Relay caches the directory's records of one region and passes updates on to the cells of the region. It passes on only records that match the
+// directory's digest.
 type Relay struct {
 	region          string
 	version         Version
 	global          GlobalState
 	records         map[ID]summedRecord
-	staged          map[ID]summedRecord // while pages come; nil: none has come
-	stagedTo        Version             // of the pages that have come
-	stagingComplete bool                // the pages are of a complete delta
-	wantComplete    bool                // the digest differed
+	staged          map[ID]summedRecord // records of an incomplete transfer; nil if no page has been received
+	stagedTo        Version             // version up to which pages have been received
+	stagingComplete bool                // the pages belong to a complete delta
+	wantComplete    bool                // request a complete delta, since the last digest did not match
 	fault           InjectedFault
 }
 
@@ -24,22 +25,22 @@
 	sum uint64
 }
 
-// NewRelay returns a relay that knows no cell.
+// NewRelay returns a relay without records.
 func NewRelay(region string, f InjectedFault) *Relay {
 	return &Relay{region: region, records: map[ID]summedRecord{}, fault: f}
 }
 
-// Clone returns a copy. Records are shared, since they are never changed.
+// Clone returns a copy. Records are shared, since they are immutable.
 func (r *Relay) Clone() *Relay {
 	c := *r
 	c.records, c.staged = maps.Clone(r.records), maps.Clone(r.staged)
 	return &c
 }
 
-// Version returns the version that cells are sent.
+// Version returns the version of the directory that the relay passes on.
 func (r *Relay) Version() Version { return r.version }
 
-// NextRequest returns what to ask the directory for next.
+// NextRequest returns the next request to the directory.
 func (r *Relay) NextRequest() DeltaRequest {
 	request := DeltaRequest{Region: r.region, Since: r.version, Complete: r.wantComplete || r.stagingComplete}
 	switch {
@@ -51,8 +52,8 @@
 	return request
 }
 
-// ApplyDelta applies the answer to the last request, and reports whether to ask again at once. A delta that answers another request, or of a
-// directory that is behind, is ignored.
+// ApplyDelta applies the answer to the last request and reports whether to send the next request at once. It ignores a delta that answers another
+// request or comes from a directory that is behind this relay.
 func (r *Relay) ApplyDelta(d Delta) (again bool) {
 	if !r.expects(&d) {
 		return false
@@ -76,7 +77,7 @@
 	records := r.staged
 	r.staged, r.stagingComplete, r.stagedTo = nil, false, Version{}
 	if digestOf(records) != d.Digest && r.fault != DigestIgnored {
-		r.wantComplete = true // a record was missed, and would be for good
+		r.wantComplete = true // a record is missing or outdated, and later deltas would not repair it
 		return true
 	}
 	r.records, r.version, r.global, r.wantComplete = records, d.To, d.Global, false
@@ -93,12 +94,12 @@
 	case d.Region != r.region || !d.Complete && d.Since != since:
 		return false
 	case r.version.Newer(d.To) && !d.More:
-		return r.fault == StaleUpdateAccepted // of a directory that is behind
+		return r.fault == StaleUpdateAccepted // the directory is behind this relay
 	}
 	return true
 }
 
-// digestOf returns the digest of some records, in any order.
+// digestOf returns the XOR of the checksums of some records.
 func digestOf(records map[ID]summedRecord) (digest uint64) {
 	for _, p := range records {
 		digest ^= p.sum
@@ -106,8 +107,8 @@
 	return digest
 }
 
-// UpdateFor returns the update for a cell that has the directory's state up to a version; nil: nothing has changed for it. withRecord: its record
-// is sent in any case, since the one it has does not match the sum it was sent.
+// UpdateFor returns the update for a cell that has applied the directory's state up to a version, or nil if nothing has changed for the cell.
+// withRecord includes the record even if it has not changed: the cell sets it when its record does not match the checksum of an update.
 func (r *Relay) UpdateFor(id ID, has Version, withRecord bool) *DirectoryUpdate {
 	p, ok := r.records[id]
 	if !ok || !withRecord && !p.ChangedAt.Newer(has) && !r.global.ChangedAt.Newer(has) {
@@ -120,7 +121,8 @@
 	return u
 }
 
-// CurrentCell returns the cell of a member in this region, the former one while it moves: that one knows whether it has left. 0: none.
+// CurrentCell returns the cell of a member in this region, or 0 if there is none. During a move it returns the former cell, whose log determines
+// whether the member has left.
 func (r *Relay) CurrentCell(name string) ID {
 	found, oldest := ID(0), uint64(0)
 	for _, id := range slices.Sorted(maps.Keys(r.records)) {
@@ -131,7 +133,7 @@
 	return found
 }
 
-// AssignedCell returns the cell of a member in this region, the new one while it moves: there a process that starts asks. 0: none.
+// AssignedCell returns the cell that a starting process of a member joins, or 0 if the region has none. During a move it returns the new cell.
 func (r *Relay) AssignedCell(name string) ID {
 	found, newest := ID(0), uint64(0)
 	for _, id := range slices.Sorted(maps.Keys(r.records)) {
@@ -142,7 +144,7 @@
 	return found
 }
 
-// EncodedBytes returns the length of all records, encoded.
+// EncodedBytes returns the approximate size of the encoded records in bytes.
 func (r *Relay) EncodedBytes() (n int) {
 	for _, p := range r.records {
 		n += len(Encode(p.CellRecord)) + 8
--- a/internal/cells/voters.go
+++ b/internal/cells/voters.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// maxVoters bounds the voters of a cell's log.
+// maxVoters bounds the number of voters of a cell's log.
 const maxVoters = 5
 
-// Voters returns the members that replicate a cell's log: an odd number, up to maxVoters. Where the cell has three zones or more no zone has a
-// quorum of them, so that a quorum is left when a zone is lost.
+// Voters returns the members that replicate a cell's log: an odd number, at most maxVoters. If the cell spans at least minZonesToSpread zones, no
+// zone has a majority of the voters, so that the loss of one zone leaves a quorum.
 func Voters(slots []MemberSlot) (names []string) {
 	sorted := slices.Clone(slots)
 	slices.SortFunc(sorted, func(a, b MemberSlot) int { return cmp.Compare(a.Name, b.Name) })
@@ -27,7 +27,7 @@
 	return names
 }
 
-// roundRobin returns up to n names, the first of each zone, then the second of each, and so on to perZone.
+// roundRobin returns up to n names: the first member of each zone, then the second of each zone, and so on, with at most perZone of any zone.
 func roundRobin(sorted []MemberSlot, zones []string, n, perZone int) (names []string) {
 	for round := range perZone {
 		for _, zone := range zones {
@@ -39,7 +39,7 @@
 	return names
 }
 
-// nthOfZone returns the name of a zone's slot at an index; false: it has fewer.
+// nthOfZone returns the name of the member at an index among a zone's members, or false if the zone has fewer.
 func nthOfZone(slots []MemberSlot, zone string, index int) (string, bool) {
 	for _, s := range slots {
 		if s.Zone != zone {
