--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -11,8 +11,9 @@
 	"damsonscale/internal/takeover"
 )
 
-const leaseMicros = 600_000 // µs
+const leaseMicros = 600_000
 
+// makeSlots returns n slots of a region, numbered from an index and spread evenly over its zones.
 func makeSlots(region string, from, n, zones int) (out []MemberSlot) {
 	for i := from; i < from+n; i++ {
 		name := fmt.Sprintf("%s-n%05d", region, i)
@@ -21,27 +22,27 @@
 	return out
 }
 
-// commandLog numbers commands as the directory's log does.
+// commandLog applies commands to a directory and numbers them like the directory's log.
 type commandLog struct {
-	t     testing.TB
-	d     *Directory
-	term  uint64
-	index uint64
+	t         testing.TB
+	directory *Directory
+	term      uint64
+	index     uint64
 }
 
 func newCommandLog(t testing.TB) *commandLog {
-	return &commandLog{t: t, d: NewDirectory(NoFault), term: 1}
+	return &commandLog{t: t, directory: NewDirectory(NoFault), term: 1}
 }
 
 func (j *commandLog) tryApply(c Command) error {
 	j.index++
-	return j.d.Apply(Version{Term: j.term, Index: j.index}, &c)
+	return j.directory.Apply(Version{Term: j.term, Index: j.index}, &c)
 }
 
 func (j *commandLog) mustApply(c Command) {
 	j.t.Helper()
 	if err := j.tryApply(c); err != nil {
-		j.t.Fatalf("%+v: %v", c, err)
+		j.t.Fatalf("command %+v failed: %v", c, err)
 	}
 }
 
@@ -52,9 +53,9 @@
 	return out
 }
 
-// updateEntry returns the directory's updateEntry for a cell; nil: nothing has changed for it.
+// updateEntry returns an entry that updates a cell to the present state of the directory.
 func (j *commandLog) updateEntry(l *Log) *Entry {
-	return &Entry{Kind: UpdateDirectory, Update: &DirectoryUpdate{Version: j.d.Version(), Global: j.d.Global(), Record: j.d.Record(l.ID)}}
+	return &Entry{Kind: UpdateDirectory, Update: &DirectoryUpdate{Version: j.directory.Version(), Global: j.directory.Global(), Record: j.directory.Record(l.ID)}}
 }
 
 func member(name string, inc uint64) takeover.Member {
@@ -65,14 +66,14 @@
 	t.Helper()
 	for _, e := range all {
 		if !l.Apply(e) {
-			t.Fatalf("cell %d at %d: %+v changes nothing", l.ID, l.Epoch, e)
+			t.Fatalf("cell %d at epoch %d: entry %+v changed nothing, want a change", l.ID, l.Epoch, e)
 		}
 	}
 }
 
-// A member's move: the new cell expects it, the old one lets it depart once its lease has expired, the new one accepts another incarnation
-// with the old one's certificate, once.
-func TestMove(t *testing.T) {
+// In a move the new cell first expects the member, then the old cell lets it depart once its lease has expired, and then the new cell accepts
+// another incarnation, once, with the old cell's certificate.
+func TestMovedMemberJoinsOnceWithCertificate(t *testing.T) {
 	j := newCommandLog(t)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: makeSlots("r", 0, 3, 3)})
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: makeSlots("r", 3, 3, 3)})
@@ -80,49 +81,49 @@
 	one, two := member("r-n00000", 1), member("r-n00000", 2)
 	mustApplyEntries(t, a, j.updateEntry(a), &Entry{Kind: Join, Member: one})
 	mustApplyEntries(t, b, j.updateEntry(b))
-	g := NewLeaseTable(leaseMicros, NoFault)
-	if !g.Grant(0, a, one, 0) || b.Apply(&Entry{Kind: Join, Member: two}) {
-		t.Fatal("no lease, or a name that joins a cell which is not its own")
+	leases := NewLeaseTable(leaseMicros, NoFault)
+	if !leases.Grant(0, a, one, 0) || b.Apply(&Entry{Kind: Join, Member: two}) {
+		t.Fatal("member got no lease in its own cell, or joined a cell that it is not assigned to")
 	}
 
 	for _, c := range []Command{{Kind: Ready, Cell: 2, At: b.LastUpdate.Version}, {Kind: Ready, Cell: 9}} {
 		if j.tryApply(c) == nil {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("command %+v was accepted, want an error", c)
 		}
 	}
 	j.mustApply(Command{Kind: Move, Names: []string{one.Name}, Cell: 2})
 	if err := j.tryApply(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version}); !errors.Is(err, ErrNoChange) {
-		t.Errorf("ready by an update from before the move: %v", err)
+		t.Errorf("Ready with a version from before the move: got error %v, want ErrNoChange", err)
 	}
-	if s := j.d.Record(1).Slot(one.Name); s.To != 0 {
-		t.Fatal("it is to leave before the new cell expects it")
+	if s := j.directory.Record(1).Slot(one.Name); s.To != 0 {
+		t.Fatalf("member must leave for cell %d before the new cell expects it", s.To)
 	}
 	mustApplyEntries(t, b, j.updateEntry(b))
 	j.mustApply(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
 	mustApplyEntries(t, a, j.updateEntry(a))
-	if g.Grant(1, a, one, 0) || len(g.DueEntries(leaseMicros, a)) > 0 {
-		t.Error("a lease to one that is to leave, or it leaves while its lease may run")
+	if leases.Grant(1, a, one, 0) || len(leases.DueEntries(leaseMicros, a)) > 0 {
+		t.Error("a leaving member got a lease, or its departure was due while its lease may be valid")
 	}
 	if at, ok := b.LookupStart(one.Name); !ok || at != 1 {
-		t.Errorf("before it has arrived its requests are looked up at %d", at)
+		t.Errorf("before the arrival, lookups start at cell %d (known %t), want cell 1", at, ok)
 	}
-	due := g.DueEntries(maxLeaseSpan(leaseMicros), a)
+	due := leases.DueEntries(maxLeaseSpan(leaseMicros), a)
 	if len(due) != 1 || due[0].Kind != Depart {
 		t.Fatalf("%+v", due)
 	}
 	if a.Apply(&Entry{Kind: Depart, Member: one, MoveIndex: due[0].MoveIndex - 1}) {
-		t.Error("it leaves by another move")
+		t.Error("member departed with the MoveIndex of another move")
 	}
 	mustApplyEntries(t, a, &due[0])
 	if a.Apply(&due[0]) {
-		t.Error("it leaves twice")
+		t.Error("member departed twice")
 	}
 	if a.Apply(&Entry{Kind: ForgetDeparture, Member: one}) {
-		t.Error("its certificate is forgotten before it has arrived")
+		t.Error("departure was forgotten before the member arrived in its new cell")
 	}
 	cert := a.Certificate(one.Name)
 	if cert == nil || cert.Member != one || cert.To != 2 || a.Apply(&Entry{Kind: Join, Member: member(one.Name, 9)}) {
-		t.Fatalf("%+v, or the old cell takes it again", cert)
+		t.Fatalf("certificate is %+v, want one of %+v for cell 2; or the old cell accepted the member again", cert, one)
 	}
 	forged := []*Certificate{nil}
 	for _, change := range []func(c *Certificate){
@@ -135,103 +136,103 @@
 	}
 	for _, c := range forged {
 		if b.Apply(&Entry{Kind: Join, Member: two, Certificate: c}) {
-			t.Errorf("joined with %+v", c)
+			t.Errorf("member joined with the invalid certificate %+v", c)
 		}
 	}
 	if b.Apply(&Entry{Kind: Join, Member: one, Certificate: cert}) {
-		t.Error("one incarnation is of two cells")
+		t.Error("the same incarnation joined a second cell")
 	}
 	mustApplyEntries(t, b, &Entry{Kind: Join, Member: two, Certificate: cert})
 	if b.Apply(&Entry{Kind: Join, Member: two, Certificate: cert}) {
-		t.Error("it joined twice")
+		t.Error("the same incarnation joined twice")
 	}
 	for _, l := range []*Log{a, b} {
 		if at, ok := l.LookupStart(one.Name); !ok || at != 1 {
-			t.Errorf("a lookup at %d begins at %d", l.ID, at)
+			t.Errorf("lookup at cell %d starts at cell %d (known %t), want cell 1", l.ID, at, ok)
 		}
 		q := NewLookup(one.Name, l.ID)
 		for n := 0; q.Next(l) == Forward && n < 3; n++ {
 			l = a
 		}
 		if s, assign := q.NotFound(a); s != Forward || !assign || q.Cell != 2 {
-			t.Errorf("a request unknown to the first cell is not assigned to the second: %v %v %+v", s, assign, q)
+			t.Errorf("request without a record in cell 1: got step %v, assign %t, lookup %+v; want it assigned to cell 2", s, assign, q)
 		}
 		if s, _ := q.NotFound(b); q.Next(b) != SearchHere || s != SearchHere {
-			t.Error("nor begun there")
+			t.Errorf("request assigned to cell 2: got step %v after no record was found, want SearchHere before and after", s)
 		}
 	}
 	if s := NewLookup("r-n00099", 2).Next(b); s != Unknown {
-		t.Errorf("of an unknown member: %v", s)
+		t.Errorf("lookup of an unknown member: got step %v, want Unknown", s)
 	}
 	j.mustApply(Command{Kind: Arrived, Cell: 2, Names: []string{one.Name}, Number: cert.MoveIndex})
 	if err := j.tryApply(Command{Kind: Move, Names: []string{one.Name}, Cell: 1}); !errors.Is(err, ErrRecentMember) {
-		t.Errorf("back at once: %v", err)
+		t.Errorf("move back to the former cell: got error %v, want ErrRecentMember", err)
 	}
 	mustApplyEntries(t, a, j.updateEntry(a), &Entry{Kind: ForgetDeparture, Member: one})
 	mustApplyEntries(t, b, j.updateEntry(b), &Entry{Kind: ForgetDeparture, Member: one}, &Entry{Kind: Evict, Member: two}, &Entry{Kind: Join, Member: member(one.Name, 3)})
 	j.mustApply(Command{Kind: Forget, Names: []string{one.Name}})
 	if _, ok := a.LookupStart(one.Name); ok || len(a.Departures)+len(b.FormerCells) > 0 {
-		t.Error("what is over is not forgotten")
+		t.Errorf("after the move was forgotten: lookup start known %t, departures %+v, former cells %+v; want none", ok, a.Departures, b.FormerCells)
 	}
 	j.mustApply(Command{Kind: Move, Names: []string{one.Name}, Cell: 1})
 	mustApplyEntries(t, a, j.updateEntry(a))
 	if a.Apply(&Entry{Kind: Join, Member: member(one.Name, 4), Certificate: cert}) {
-		t.Error("the certificate of the first move does for the second")
+		t.Error("member joined with the certificate of an earlier move")
 	}
 }
 
-// A split ends a log once no lease of it can be valid; all its members join the successors; a merge makes one cell of two.
-func TestSplitAndMerge(t *testing.T) {
+// A split seals a cell once none of its leases can be valid, and its members join the successors. A merge replaces two cells by one.
+func TestSplitAndMergeMoveAllMembers(t *testing.T) {
 	j := newCommandLog(t)
 	all := makeSlots("r", 0, 6, 3)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all})
 	a := NewLog(1, NoFault)
 	mustApplyEntries(t, a, j.updateEntry(a))
-	g := NewLeaseTable(leaseMicros, NoFault)
+	leases := NewLeaseTable(leaseMicros, NoFault)
 	for _, s := range all[:5] {
 		mustApplyEntries(t, a, &Entry{Kind: Join, Member: member(s.Name, 1)})
-		g.Grant(10, a, member(s.Name, 1), 0)
+		leases.Grant(10, a, member(s.Name, 1), 0)
 	}
 	split := Command{Kind: Split, ID: 7, Cell: 1, Names: namesOf(all[:3])}
 	j.mustApply(split)
 	if err := j.tryApply(split); !errors.Is(err, ErrAlreadyApplied) {
-		t.Errorf("twice: %v", err)
+		t.Errorf("split applied twice: got error %v, want ErrAlreadyApplied", err)
 	}
 	if err := j.tryApply(Command{Kind: Merge, Cells: []ID{1, 2}}); !errors.Is(err, ErrChangeInProgress) {
-		t.Errorf("merge of what is split: %v", err)
+		t.Errorf("merge of a cell that is being split: got error %v, want ErrChangeInProgress", err)
 	}
 	b, c := NewLog(2, NoFault), NewLog(3, NoFault)
 	mustApplyEntries(t, b, j.updateEntry(b))
 	mustApplyEntries(t, c, j.updateEntry(c))
 	j.mustApply(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
-	if len(j.d.Record(1).Successors) > 0 {
-		t.Fatal("to be sealed before both successors expect its members")
+	if len(j.directory.Record(1).Successors) > 0 {
+		t.Fatal("cell is to be sealed before both successors expect its members")
 	}
 	mustApplyEntries(t, a, j.updateEntry(a))
-	if !g.Grant(10, a, member(all[0].Name, 1), 0) {
-		t.Error("no lease, while one of the successors does not expect its members")
+	if !leases.Grant(10, a, member(all[0].Name, 1), 0) {
+		t.Error("member got no lease while one of the successors does not expect its members")
 	}
-	if due := g.DueEntries(10+2*leaseMicros, a); len(due) != 5 || slices.ContainsFunc(due, func(e Entry) bool { return e.Kind != Evict }) {
-		t.Fatalf("without lease requests: evicted as ever, and no departure one by one: %+v", due)
+	if due := leases.DueEntries(10+2*leaseMicros, a); len(due) != 5 || slices.ContainsFunc(due, func(e Entry) bool { return e.Kind != Evict }) {
+		t.Fatalf("due entries without lease requests: got %+v, want 5 evictions", due)
 	}
-	g = NewLeaseTable(leaseMicros, NoFault)
+	leases = NewLeaseTable(leaseMicros, NoFault)
 	for _, m := range a.membersOf("") {
-		g.lastGrant[m] = 10
+		leases.lastGrant[m] = 10
 	}
 	j.mustApply(Command{Kind: Ready, Cell: 3, At: c.LastUpdate.Version})
 	mustApplyEntries(t, a, j.updateEntry(a))
-	if len(j.d.Record(1).Successors) != 2 || g.Grant(11, a, member(all[0].Name, 1), 0) || len(g.DueEntries(10+leaseMicros, a)) > 0 {
-		t.Fatal("not to be sealed, or leases go on, or sealed while one may run")
+	if len(j.directory.Record(1).Successors) != 2 || leases.Grant(11, a, member(all[0].Name, 1), 0) || len(leases.DueEntries(10+leaseMicros, a)) > 0 {
+		t.Fatal("cell is not to be sealed, still grants leases, or has due entries while a lease may be valid")
 	}
-	due := g.DueEntries(10+maxLeaseSpan(leaseMicros), a)
+	due := leases.DueEntries(10+maxLeaseSpan(leaseMicros), a)
 	if len(due) != 1 || due[0].Kind != Seal {
 		t.Fatalf("%+v", due)
 	}
 	mustApplyEntries(t, a, &due[0])
-	if a.Apply(j.updateEntry(a)) || a.Apply(&due[0]) || len(a.Members) > 0 || g.Grant(2*leaseMicros, a, member(all[0].Name, 1), 0) {
-		t.Error("a sealed log goes on")
+	if a.Apply(j.updateEntry(a)) || a.Apply(&due[0]) || len(a.Members) > 0 || leases.Grant(2*leaseMicros, a, member(all[0].Name, 1), 0) {
+		t.Errorf("sealed cell applied an entry, granted a lease or kept members: %+v", a.Members)
 	}
-	for i, s := range all { // the last one never joined: it arrives as any other
+	for i, s := range all { // the last member never joined, and arrives like the others
 		l := b
 		if i >= 3 {
 			l = c
@@ -240,7 +241,7 @@
 		j.mustApply(Command{Kind: Arrived, Cell: l.ID, Names: []string{s.Name}, Number: l.ArrivedMoves[s.Name]})
 	}
 	if err := j.tryApply(Command{Kind: Forget, Cell: 1}); !errors.Is(err, ErrNoChange) {
-		t.Errorf("forgotten before it is sealed: %v", err)
+		t.Errorf("Forget of a cell that is not sealed: got error %v, want ErrNoChange", err)
 	}
 	j.mustApply(Command{Kind: Sealed, Cell: 1, Epoch: a.Epoch})
 	j.mustApply(Command{Kind: Forget, Cell: 1})
@@ -262,54 +263,54 @@
 		cert := l.Certificate(s.Name)
 		mustApplyEntries(t, m, &Entry{Kind: Join, Member: member(s.Name, 3), Certificate: cert})
 		if at, _ := m.LookupStart(s.Name); len(cert.Earlier) != 1 || at != 1 {
-			t.Errorf("%s: a lookup begins at %d, %+v", s.Name, at, cert)
+			t.Errorf("member %s: lookup starts at cell %d, want cell 1; certificate %+v, want one earlier departure", s.Name, at, cert)
 		}
 	}
 }
 
-// A member that is removed for good is not assigned elsewhere before its cell has let it go.
-func TestRemove(t *testing.T) {
+// The name of a removed member can be assigned again only after its cell has removed it and the directory has forgotten it.
+func TestRemovedNameIsAssignableOnceForgotten(t *testing.T) {
 	j := newCommandLog(t)
 	all := makeSlots("r", 0, 4, 3)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all})
 	j.mustApply(Command{Kind: Remove, Names: []string{all[0].Name}})
 	if err := j.tryApply(Command{Kind: Open, Region: "r", Slots: all[:1]}); !errors.Is(err, ErrAlreadyAssigned) {
-		t.Errorf("a second place: %v", err)
+		t.Errorf("Open with a member that is being removed: got error %v, want ErrAlreadyAssigned", err)
 	}
 	a, m := NewLog(1, NoFault), member(all[0].Name, 1)
 	mustApplyEntries(t, a, j.updateEntry(a))
 	mustApplyEntries(t, a, &Entry{Kind: Join, Member: m})
-	g := NewLeaseTable(leaseMicros, NoFault)
-	if g.Grant(0, a, m, 0) {
-		t.Error("a lease to one that is to go")
+	leases := NewLeaseTable(leaseMicros, NoFault)
+	if leases.Grant(0, a, m, 0) {
+		t.Error("a member that is being removed got a lease")
 	}
-	g.MarkRelinquished(m)
-	due := g.DueEntries(1, a)
+	leases.MarkRelinquished(m)
+	due := leases.DueEntries(1, a)
 	if len(due) != 1 || due[0].Kind != Depart {
 		t.Fatalf("%+v", due)
 	}
 	mustApplyEntries(t, a, &due[0])
 	if err := j.tryApply(Command{Kind: Removed, Names: []string{m.Name}, Number: a.Departures[m.Name].MoveIndex - 1}); !errors.Is(err, ErrNoChange) {
-		t.Errorf("removed by an earlier move: %v", err)
+		t.Errorf("Removed with an earlier MoveIndex: got error %v, want ErrNoChange", err)
 	}
 	j.mustApply(Command{Kind: Removed, Names: []string{m.Name}, Number: a.Departures[m.Name].MoveIndex})
 	for _, c := range []Command{{Kind: Open, Region: "r", Slots: all[:1]}, {Kind: Assign, Cell: 1, Slots: all[:1]}} {
 		if err := j.tryApply(c); !errors.Is(err, ErrAlreadyAssigned) {
-			t.Errorf("assigned while its requests may be looked up: %v", err)
+			t.Errorf("assignment while requests of the member may be looked up: got error %v, want ErrAlreadyAssigned", err)
 		}
 	}
 	mustApplyEntries(t, a, j.updateEntry(a))
 	if q := NewLookup(m.Name, 1); q.Next(a) != SearchHere {
-		t.Error("its requests can't be looked up")
+		t.Error("requests of the removed member can't be looked up")
 	} else if s, _ := q.NotFound(a); s != SearchHere {
-		t.Errorf("%v: what it never began is begun by nobody", s)
+		t.Errorf("request without a record: got step %v, want SearchHere", s)
 	}
 	j.mustApply(Command{Kind: Forget, Names: []string{m.Name}})
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all[:1]})
 }
 
-// Fence and target only grow, and a cell applies no older update: the newer side of a partition wins.
-func TestNewerVersionWins(t *testing.T) {
+// The fence and the settings number never decrease, and cells and relays apply no older state, so that the newer side of a partition wins.
+func TestStaleCommandsAndUpdatesAreRejected(t *testing.T) {
 	j := newCommandLog(t)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: makeSlots("r", 0, 3, 3)})
 	j.mustApply(Command{Kind: SetTarget, Number: 3})
@@ -317,68 +318,68 @@
 	before := j.updateEntry(a)
 	j.mustApply(Command{Kind: SetFence, Number: 3})
 	if err := j.tryApply(Command{Kind: Open, Region: "r", Slots: append(makeSlots("r", 5, 1, 3), makeSlots("r", 5, 1, 3)...)}); !errors.Is(err, ErrAlreadyAssigned) {
-		t.Errorf("a name twice in one cell: %v", err)
+		t.Errorf("Open with a repeated name: got error %v, want ErrAlreadyAssigned", err)
 	}
 	for _, c := range []Command{{Kind: SetTarget, Number: 2}, {Kind: SetFence, Number: 2}, {Kind: SetFence, Number: 4}, {Kind: SetFence, Number: 3}} {
 		if err := j.tryApply(c); !errors.Is(err, ErrNoChange) {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("command %+v: got error %v, want ErrNoChange", c, err)
 		}
 	}
 	mustApplyEntries(t, a, j.updateEntry(a), &Entry{Kind: Join, Member: m})
 	if a.Apply(before) {
-		t.Error("an older update is applied")
+		t.Error("cell applied an update older than its state")
 	}
-	g := NewLeaseTable(leaseMicros, NoFault)
-	if g.Grant(0, a, m, 2) || !g.Grant(0, a, m, 3) {
-		t.Error("a lease below the fence, or none at it")
+	leases := NewLeaseTable(leaseMicros, NoFault)
+	if leases.Grant(0, a, m, 2) || !leases.Grant(0, a, m, 3) {
+		t.Error("member with settings 2 got a lease below fence 3, or member with settings 3 got none")
 	}
-	old := j.d.Clone()
-	if err := j.d.Apply(Version{Term: 2, Index: j.index + 1}, &Command{Kind: SetTarget, Number: 9}); err != nil {
+	old := j.directory.Clone()
+	if err := j.directory.Apply(Version{Term: 2, Index: j.index + 1}, &Command{Kind: SetTarget, Number: 9}); err != nil {
 		t.Fatal(err)
 	}
-	if err := j.d.Apply(Version{Term: 1, Index: j.index + 2}, &Command{Kind: SetTarget, Number: 10}); !errors.Is(err, ErrStale) || j.d.Global().Settings != 9 {
-		t.Errorf("a command of an earlier term: %v", err)
+	if err := j.directory.Apply(Version{Term: 1, Index: j.index + 2}, &Command{Kind: SetTarget, Number: 10}); !errors.Is(err, ErrStale) || j.directory.Global().Settings != 9 {
+		t.Errorf("command of an earlier term: got error %v, settings %d; want ErrStale and settings 9", err, j.directory.Global().Settings)
 	}
-	// A relay that has the newer directory applies nothing of one that is behind.
+	// A relay applies no delta of a directory that is behind its own version.
 	r := NewRelay("r", NoFault)
-	r.ApplyDelta(j.d.Delta("r", Version{}, Version{}, true, 1<<20))
+	r.ApplyDelta(j.directory.Delta("r", Version{}, Version{}, true, 1<<20))
 	if d := old.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20); len(d.Records) > 0 || r.ApplyDelta(d) {
-		t.Errorf("one that is behind answers with %d records, or is asked again at once", len(d.Records))
+		t.Errorf("directory that is behind sent %d records, want 0, or the relay wants to ask again at once", len(d.Records))
 	}
 	r.ApplyDelta(old.Delta("r", Version{}, Version{}, true, 1<<20))
-	if r.version != j.d.Version() || r.global.Settings != 9 {
-		t.Errorf("%+v %+v", r.version, r.global)
+	if r.version != j.directory.Version() || r.global.Settings != 9 {
+		t.Errorf("relay has version %+v, global state %+v; want version %+v and settings 9", r.version, r.global, j.directory.Version())
 	}
 }
 
-// The last member of a cell can't leave it: nobody would be left for the requests in flight there.
-func TestLastMemberStays(t *testing.T) {
+// The last member of a cell can't leave it: no member would be left to take over the requests in flight.
+func TestLastMemberCannotLeaveItsCell(t *testing.T) {
 	j := newCommandLog(t)
 	all := makeSlots("r", 0, 4, 3)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all[:2]})
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all[2:]})
 	j.mustApply(Command{Kind: Move, Names: []string{all[0].Name}, Cell: 2})
 	if err := j.tryApply(Command{Kind: Move, Names: []string{all[1].Name}, Cell: 2}); !errors.Is(err, ErrLastMember) {
-		t.Errorf("both leave: %v", err)
+		t.Errorf("move of the last member: got error %v, want ErrLastMember", err)
 	}
 }
 
-// A member that has relinquished its leases gets no other, and need not be waited for.
-func TestRelinquish(t *testing.T) {
+// A member that has relinquished its leases gets no further lease and is evicted without waiting for the expiry.
+func TestRelinquishingMemberIsEvictedAtOnce(t *testing.T) {
 	j := newCommandLog(t)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: makeSlots("r", 0, 3, 3)})
 	a, m := NewLog(1, NoFault), member("r-n00000", 1)
 	mustApplyEntries(t, a, j.updateEntry(a), &Entry{Kind: Join, Member: m})
-	g := NewLeaseTable(leaseMicros, NoFault)
-	g.Grant(5, a, m, 0)
-	g.MarkRelinquished(m)
-	if due := g.DueEntries(6, a); g.Grant(6, a, m, 0) || len(due) != 1 || due[0].Kind != Evict {
-		t.Errorf("a lease after its yield, or %+v", due)
+	leases := NewLeaseTable(leaseMicros, NoFault)
+	leases.Grant(5, a, m, 0)
+	leases.MarkRelinquished(m)
+	if due := leases.DueEntries(6, a); leases.Grant(6, a, m, 0) || len(due) != 1 || due[0].Kind != Evict {
+		t.Errorf("member got a lease after it relinquished its leases, or due entries are %+v, want one eviction", due)
 	}
 }
 
-// Where the first cell has forgotten that a member left it, a lookup passes it by: its records are older than the longest deadline.
-func TestLookupPassesForgottenCells(t *testing.T) {
+// A lookup skips a cell that has forgotten the departure of a member: its records of the member's requests are older than the longest deadline.
+func TestLookupSkipsCellThatForgotDeparture(t *testing.T) {
 	j := newCommandLog(t)
 	all := makeSlots("r", 0, 5, 3)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all[:3]})
@@ -387,25 +388,25 @@
 	j.mustApply(Command{Kind: Move, Names: []string{name}, Cell: 2})
 	mustApplyEntries(t, b, j.updateEntry(b))
 	j.mustApply(Command{Kind: Ready, Cell: 2, At: b.LastUpdate.Version})
-	mustApplyEntries(t, a, j.updateEntry(a), &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.d.Record(1).Slot(name).ToMoveIndex})
+	mustApplyEntries(t, a, j.updateEntry(a), &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.directory.Record(1).Slot(name).ToMoveIndex})
 	mustApplyEntries(t, b, &Entry{Kind: Join, Member: member(name, 1), Certificate: a.Certificate(name)})
 	j.mustApply(Command{Kind: Arrived, Cell: 2, Names: []string{name}, Number: b.ArrivedMoves[name]})
 	mustApplyEntries(t, a, j.updateEntry(a), &Entry{Kind: ForgetDeparture, Member: member(name, 0)})
 	q := NewLookup(name, 2)
 	if s := q.Next(b); s != Forward || q.Cell != 1 || q.Next(a) != SearchHere {
-		t.Fatalf("it does not look at the first cell: %v %+v", s, q)
+		t.Fatalf("lookup does not search cell 1 first: got step %v, lookup %+v", s, q)
 	}
 	if p := *q; p.CellForgotten() != Forward || p.Cell != 2 || p.CellForgotten() != Unknown {
-		t.Errorf("a forgotten cell is not passed: %+v", p)
+		t.Errorf("lookup does not skip a forgotten cell: %+v", p)
 	}
 	if s, assign := q.NotFound(a); s != Forward || assign || q.Cell != 2 || q.Next(b) != SearchHere {
-		t.Errorf("%v %v %+v", s, assign, q)
+		t.Errorf("request without a record in cell 1: got step %v, assign %t, lookup %+v; want Forward to cell 2 without assignment", s, assign, q)
 	}
 }
 
-// A member whose process is down for good still arrives, by its certificate: the move ends, and it can be removed. The global state of its old
-// cell counts in the new one, against an older update of a relay too; its old incarnation can't join there.
-func TestArrivalWithoutAProcess(t *testing.T) {
+// The move of a member whose process never restarts is completed by its certificate, so that the member can be removed. The new cell adopts the
+// global state of the certificate and keeps it against an older update of a relay. The old incarnation can't join the new cell.
+func TestMemberArrivesWithoutProcess(t *testing.T) {
 	j := newCommandLog(t)
 	all := makeSlots("r", 0, 5, 3)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all[:3]})
@@ -417,147 +418,147 @@
 	late := j.updateEntry(b)
 	j.mustApply(Command{Kind: SetTarget, Number: 4})
 	j.mustApply(Command{Kind: SetFence, Number: 4})
-	mustApplyEntries(t, a, j.updateEntry(a), &Entry{Kind: Join, Member: member(name, 1)}, &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.d.Record(1).Slot(name).ToMoveIndex})
+	mustApplyEntries(t, a, j.updateEntry(a), &Entry{Kind: Join, Member: member(name, 1)}, &Entry{Kind: Depart, Member: member(name, 0), MoveIndex: j.directory.Record(1).Slot(name).ToMoveIndex})
 	if b.Apply(&Entry{Kind: ExpectMember, Member: member(name, 0)}) || b.Apply(&Entry{Kind: ExpectMember, Member: member(all[1].Name, 0), Certificate: a.Certificate(name)}) {
-		t.Error("a place without its certificate")
+		t.Error("member arrived without its own certificate")
 	}
 	expect := &Entry{Kind: ExpectMember, Member: member(name, 0), Certificate: a.Certificate(name)}
 	mustApplyEntries(t, b, expect)
 	if b.Apply(expect) || len(b.Members) > 0 {
-		t.Error("twice, or with a process")
+		t.Errorf("member arrived twice, or the new cell has processes %+v, want none", b.Members)
 	}
 	mustApplyEntries(t, b, late)
 	if b.LastUpdate.Global.Fence != 4 {
-		t.Errorf("%+v: the fence of the cell that it has left is lost", b.LastUpdate.Global)
+		t.Errorf("global state is %+v, want fence 4 of the former cell", b.LastUpdate.Global)
 	}
 	if at, ok := b.LookupStart(name); !ok || at != 1 {
-		t.Errorf("a lookup begins at %d", at)
+		t.Errorf("lookup starts at cell %d (known %t), want cell 1", at, ok)
 	}
 	if b.MayJoin(member(name, 1), nil) || !b.MayJoin(member(name, 2), nil) {
-		t.Error("the old incarnation may join, or a new one may not")
+		t.Error("the old incarnation may join the new cell, or a new incarnation may not")
 	}
 	if err := j.tryApply(Command{Kind: Remove, Names: []string{name}}); !errors.Is(err, ErrChangeInProgress) {
-		t.Errorf("removed while it moves: %v", err)
+		t.Errorf("Remove of a moving member: got error %v, want ErrChangeInProgress", err)
 	}
 	j.mustApply(Command{Kind: Arrived, Cell: 2, Names: []string{name}, Number: b.ArrivedMoves[name]})
 	j.mustApply(Command{Kind: Remove, Names: []string{name}})
 }
 
-// A request that a cell before has assigned is decided here, whatever this cell knows of the member; a cell without members is merged
-// without waiting for anybody.
-func TestAssignedRequestAndEmptyCell(t *testing.T) {
+// A cell decides about a request that an earlier cell has assigned to it, even if it does not know the member. A cell without members merges
+// without waiting for its successor to expect any.
+func TestCellDecidesAssignedRequestAndMergesWhenEmpty(t *testing.T) {
 	j := newCommandLog(t)
 	all := makeSlots("r", 0, 3, 3)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all[:1]})
 	a := NewLog(1, NoFault)
 	mustApplyEntries(t, a, j.updateEntry(a))
 	if s, _ := NewLocalLookup("elsewhere", 1).NotFound(a); s != SearchHere {
-		t.Errorf("of a request assigned to this cell: %v", s)
+		t.Errorf("request assigned to this cell: got step %v, want SearchHere", s)
 	}
 	if q := NewLookup("elsewhere", 1); q.Next(a) != Unknown {
-		t.Error("it takes itself for the home of an unknown member's requests")
+		t.Error("cell does not return Unknown for a request of an unknown member")
 	}
 	j.mustApply(Command{Kind: Remove, Names: namesOf(all[:1])})
-	j.mustApply(Command{Kind: Removed, Names: namesOf(all[:1]), Number: j.d.Record(1).Slots[0].ToMoveIndex})
+	j.mustApply(Command{Kind: Removed, Names: namesOf(all[:1]), Number: j.directory.Record(1).Slots[0].ToMoveIndex})
 	j.mustApply(Command{Kind: Forget, Names: namesOf(all[:1])})
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all[1:]})
 	j.mustApply(Command{Kind: Merge, Cells: []ID{1, 2}})
-	if p := j.d.Record(1); len(p.Successors) != 1 || len(p.PendingSuccessors) > 0 {
-		t.Errorf("an empty cell waits: %+v", p)
+	if p := j.directory.Record(1); len(p.Successors) != 1 || len(p.PendingSuccessors) > 0 {
+		t.Errorf("empty cell waits for its successor: %+v", p)
 	}
 	mustApplyEntries(t, a, j.updateEntry(a))
 	if due := NewLeaseTable(leaseMicros, NoFault).DueEntries(0, a); len(due) != 1 || due[0].Kind != Seal {
-		t.Errorf("%+v", due)
+		t.Errorf("due entries of an empty cell: got %+v, want one seal", due)
 	}
 }
 
-// A forgotten cell is deleted by a tombstone in a delta, without a complete transfer.
-func TestTombstonesInADelta(t *testing.T) {
+// A relay deletes a forgotten cell by a tombstone in a delta, without a complete transfer.
+func TestTombstoneDeletesCellAtRelay(t *testing.T) {
 	j := newCommandLog(t)
 	all := makeSlots("r", 0, 4, 3)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: all})
 	j.mustApply(Command{Kind: Split, Cell: 1, Names: namesOf(all[:2])})
 	r := NewRelay("r", NoFault)
-	r.ApplyDelta(j.d.Delta("r", Version{}, Version{}, true, 1<<20))
+	r.ApplyDelta(j.directory.Delta("r", Version{}, Version{}, true, 1<<20))
 	for _, id := range []ID{2, 3} {
-		j.mustApply(Command{Kind: Ready, Cell: id, At: j.d.Version()})
+		j.mustApply(Command{Kind: Ready, Cell: id, At: j.directory.Version()})
 	}
 	j.mustApply(Command{Kind: Sealed, Cell: 1, Epoch: 9})
-	for _, s := range j.d.Record(1).Slots {
+	for _, s := range j.directory.Record(1).Slots {
 		j.mustApply(Command{Kind: Arrived, Cell: s.To, Names: []string{s.Name}, Number: s.ToMoveIndex})
 	}
 	j.mustApply(Command{Kind: Forget, Cell: 1})
-	d := j.d.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20)
-	if again := r.ApplyDelta(d); d.Complete || again || len(r.records) != 2 || r.Version() != j.d.Version() {
-		t.Errorf("complete %t, again %t, %d records", d.Complete, again, len(r.records))
+	d := j.directory.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20)
+	if again := r.ApplyDelta(d); d.Complete || again || len(r.records) != 2 || r.Version() != j.directory.Version() {
+		t.Errorf("got complete %t, again %t, %d records; want an incomplete delta, no further request, 2 records and the directory's version", d.Complete, again, len(r.records))
 	}
 }
 
-// Only its own cell grants a member leases, for its own incarnation, and they end before it departs.
-func TestMemberActsForOneCell(t *testing.T) {
+// A node accepts grants only of its own cell for its own incarnation, and its leases end before it departs.
+func TestNodeActsOnlyUnderLeasesOfItsCell(t *testing.T) {
 	n := NewNode(member("x", 1), 1)
 	ask := n.LeaseRequest(100, 0)
 	n.HandleGrant(LeaseGrant{Cell: 2, Member: ask.Member, RequestSentMicros: ask.SentMicros}, leaseMicros)
 	n.HandleGrant(LeaseGrant{Cell: 1, Member: member("x", 2), RequestSentMicros: ask.SentMicros}, leaseMicros)
 	if n.LeaseValid(101) {
-		t.Fatal("a lease of another cell or incarnation")
+		t.Fatal("node accepted a lease of another cell or for another incarnation")
 	}
 	n.HandleGrant(LeaseGrant{Cell: 1, Member: ask.Member, RequestSentMicros: ask.SentMicros}, leaseMicros)
 	if !n.LeaseValid(100+leaseMicros-1) || n.LeaseValid(100+leaseMicros) {
-		t.Fatal("a lease counts from when it was requested")
+		t.Fatal("lease does not count from the time of its request")
 	}
 	cert := &Certificate{Departure: Departure{Cell: 1, To: 2, Member: n.Self, MoveIndex: 5}}
 	if n.Depart(cert, 1) || n.Depart(&Certificate{Departure: Departure{Cell: 3, To: 2, Member: n.Self}}, 2) || !n.Depart(cert, 2) {
-		t.Fatal("it departs as the same incarnation, or by the certificate of another cell")
+		t.Fatal("node departed as the same incarnation or with the certificate of another cell, or did not depart with its own")
 	}
 	n.HandleGrant(LeaseGrant{Cell: 1, Member: member("x", 1), RequestSentMicros: 200}, leaseMicros)
 	if n.LeaseValid(201) || n.Cell != 2 {
-		t.Error("a late grant of the cell that it left")
+		t.Errorf("node accepted a late grant of the cell that it left, or is in cell %d, want cell 2", n.Cell)
 	}
 	n.Relinquish()
 	n.HandleGrant(LeaseGrant{Cell: 2, Member: n.Self, RequestSentMicros: 300}, leaseMicros)
 	if n.LeaseValid(301) {
-		t.Error("it acts after it has said that it does not")
+		t.Error("node has a valid lease after it relinquished its leases")
 	}
 }
 
-// An update without its record is applied where the cell's record is the directory's; else the record is requested.
-func TestUpdateWithoutItsRecord(t *testing.T) {
+// A cell applies an update without a record only if its own record has the update's checksum; otherwise it requests the record.
+func TestUpdateWithoutRecordNeedsMatchingChecksum(t *testing.T) {
 	j := newCommandLog(t)
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: makeSlots("r", 0, 3, 3)})
 	r := NewRelay("r", NoFault)
-	pull := func() { r.ApplyDelta(j.d.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20)) }
+	pull := func() { r.ApplyDelta(j.directory.Delta("r", r.NextRequest().Since, Version{}, false, 1<<20)) }
 	a := NewLog(1, NoFault)
 	pull()
 	first := r.UpdateFor(1, a.LastUpdate.Version, false)
 	mustApplyEntries(t, a, &Entry{Kind: UpdateDirectory, Update: first})
 	if r.UpdateFor(1, a.LastUpdate.Version, false) != nil {
-		t.Error("sent what it has")
+		t.Error("relay sent an update to a cell that is up to date")
 	}
 	j.mustApply(Command{Kind: Open, Region: "r", Slots: makeSlots("r", 3, 3, 3)})
 	if pull(); r.UpdateFor(1, a.LastUpdate.Version, false) != nil {
-		t.Error("sent a change of another cell")
+		t.Error("relay sent a change of another cell")
 	}
 	j.mustApply(Command{Kind: SetTarget, Number: 1})
 	pull()
 	second := r.UpdateFor(1, a.LastUpdate.Version, false)
 	if second.Record != nil || len(Encode(second)) > 60 {
-		t.Errorf("the record is sent with a change of the settings: %d bytes", len(Encode(second)))
+		t.Errorf("update of the settings has a record or %d bytes, want no record and at most 60 bytes", len(Encode(second)))
 	}
 	if NewLog(1, NoFault).Apply(&Entry{Kind: UpdateDirectory, Update: second}) {
-		t.Error("applied by one that has another record")
+		t.Error("a cell with another record applied the update")
 	}
 	mustApplyEntries(t, a, &Entry{Kind: UpdateDirectory, Update: second})
 	if a.LastUpdate.Record != first.Record || a.LastUpdate.Global.Settings != 1 {
-		t.Errorf("%+v", a.LastUpdate)
+		t.Errorf("last update is %+v, want the unchanged record and settings 1", a.LastUpdate)
 	}
 	b := NewLog(1, NoFault)
 	mustApplyEntries(t, b, &Entry{Kind: UpdateDirectory, Update: r.UpdateFor(1, Version{}, true)})
 }
 
-// Relays end with the directory's records, whatever is lost, corrupt or duplicated, and a digest that differs costs one complete transfer
-// in pages of a bounded size.
-func TestRelaysFollowTheDirectory(t *testing.T) {
+// A relay converges to the directory's records after lost records, lost tombstones and duplicate deltas. A digest that differs costs one complete
+// transfer in pages of bounded size.
+func TestRelayConvergesAfterLossAndDuplicates(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		j := newCommandLog(t)
 		for i := range 8 {
@@ -566,9 +567,9 @@
 		relay, next := NewRelay("r", NoFault), 100
 		pull := func(spoil int) bool {
 			p := relay.NextRequest()
-			d := j.d.Delta(p.Region, p.Since, p.From, p.Complete, 700)
+			d := j.directory.Delta(p.Region, p.Since, p.From, p.Complete, 700)
 			if size := len(Encode(d)); size > 2500 {
-				r.Fatalf("a page of %d bytes", size)
+				r.Fatalf("page has %d bytes, want at most 2500", size)
 			}
 			if spoil == 1 && len(d.Records) > 0 {
 				d.Records = d.Records[1:]
@@ -590,15 +591,15 @@
 				j.tryApply(Command{Kind: SetTarget, Number: uint64(next)})
 				next++
 			case 2:
-				if p := j.d.Record(ID(rapid.IntRange(1, 8).Draw(r, "cell"))); p != nil && len(p.Slots) > 1 {
+				if p := j.directory.Record(ID(rapid.IntRange(1, 8).Draw(r, "cell"))); p != nil && len(p.Slots) > 1 {
 					j.tryApply(Command{Kind: Split, Cell: p.ID, Names: namesOf(p.Slots[:len(p.Slots)/2])})
 				}
-			case 3: // a split is carried out: the old cell is forgotten
-				for _, id := range j.d.CellIDs() {
-					j.tryApply(Command{Kind: Ready, Cell: id, At: j.d.Version()})
+			case 3: // carry out all splits and forget the old cells
+				for _, id := range j.directory.CellIDs() {
+					j.tryApply(Command{Kind: Ready, Cell: id, At: j.directory.Version()})
 				}
-				for _, id := range j.d.CellIDs() {
-					if p := j.d.Record(id); len(p.Successors) > 0 {
+				for _, id := range j.directory.CellIDs() {
+					if p := j.directory.Record(id); len(p.Successors) > 0 {
 						j.mustApply(Command{Kind: Sealed, Cell: id, Epoch: 1})
 						for _, s := range p.Slots {
 							j.mustApply(Command{Kind: Arrived, Cell: s.To, Names: []string{s.Name}, Number: s.ToMoveIndex})
@@ -612,27 +613,28 @@
 		}
 		j.mustApply(Command{Kind: SetTarget, Number: uint64(next)})
 		calls := 0
-		for ; calls < 100 && (relay.Version() != j.d.Version() || pull(0)); calls++ {
+		for ; calls < 100 && (relay.Version() != j.directory.Version() || pull(0)); calls++ {
 			pull(0)
 		}
-		if relay.Version() != j.d.Version() || relay.global != j.d.Global() || calls > 40 {
-			r.Fatalf("%v after %d calls, the directory is at %v", relay.Version(), calls, j.d.Version())
+		if relay.Version() != j.directory.Version() || relay.global != j.directory.Global() || calls > 40 {
+			r.Fatalf("relay has version %v after %d calls, want version %v of the directory, its global state, and at most 40 calls", relay.Version(), calls, j.directory.Version())
 		}
-		for _, id := range j.d.CellIDs() {
-			if p := j.d.Record(id); p.Region == "r" && relay.records[id].CellRecord != p {
-				r.Fatalf("cell %d differs", id)
+		for _, id := range j.directory.CellIDs() {
+			if p := j.directory.Record(id); p.Region == "r" && relay.records[id].CellRecord != p {
+				r.Fatalf("record of cell %d differs from the directory's", id)
 			}
 		}
 		for id := range relay.records {
-			if j.d.Record(id) == nil {
-				r.Fatalf("cell %d is no more", id)
+			if j.directory.Record(id) == nil {
+				r.Fatalf("relay has a record of cell %d, which the directory has deleted", id)
 			}
 		}
 	})
 }
 
-// Random commands never assign a member two slots, but the old and the new one of a single move, and the same commands assign the same state.
-func TestDirectoryCommands(t *testing.T) {
+// Random commands never give a member more than one slot, except the old and the new slot of a single move. The same commands produce the same
+// state.
+func TestRandomCommandsKeepOneSlotPerMember(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		j, twin := newCommandLog(t), NewDirectory(NoFault)
 		j.mustApply(Command{Kind: Open, Region: "r", Slots: makeSlots("r", 0, 4, 3)})
@@ -641,19 +643,19 @@
 		twin.Apply(Version{Term: 1, Index: 2}, &Command{Kind: Open, Region: "r", Slots: makeSlots("r", 4, 4, 3)})
 		for range rapid.IntRange(1, 60).Draw(r, "n") {
 			name := namesOf(makeSlots("r", rapid.IntRange(0, 8).Draw(r, "name"), 1, 3))
-			cell := ID(rapid.IntRange(0, int(j.d.lastID)+1).Draw(r, "cell"))
-			c := Command{Kind: CommandKind(rapid.IntRange(int(Open), int(Forget)).Draw(r, "kind")), Region: "r", Cell: cell, Names: name, At: j.d.Version()}
+			cell := ID(rapid.IntRange(0, int(j.directory.lastID)+1).Draw(r, "cell"))
+			c := Command{Kind: CommandKind(rapid.IntRange(int(Open), int(Forget)).Draw(r, "kind")), Region: "r", Cell: cell, Names: name, At: j.directory.Version()}
 			switch c.Kind {
 			case Open, Assign:
 				c.Slots = makeSlots("r", rapid.IntRange(0, 8).Draw(r, "name"), 1, 3)
 			case Merge:
-				c.Cells = []ID{cell, ID(rapid.IntRange(0, int(j.d.lastID)+1).Draw(r, "other"))}
+				c.Cells = []ID{cell, ID(rapid.IntRange(0, int(j.directory.lastID)+1).Draw(r, "other"))}
 			case Arrived:
-				if p := j.d.Record(cell); p != nil && p.Slot(name[0]) != nil {
+				if p := j.directory.Record(cell); p != nil && p.Slot(name[0]) != nil {
 					c.Number = p.Slot(name[0]).MoveIndex
 				}
 			case Removed:
-				if p := j.d.Record(j.d.CellOf(name[0])); p != nil {
+				if p := j.directory.Record(j.directory.CellOf(name[0])); p != nil {
 					c.Number = p.Slot(name[0]).ToMoveIndex
 				}
 			case Forget:
@@ -662,29 +664,29 @@
 				}
 			}
 			state := func() string {
-				return string(Encode([]any{j.d.records, j.d.cellOf, j.d.lastID, j.d.global, j.d.recordSums, len(j.d.tombstones)}))
+				return string(Encode([]any{j.directory.records, j.directory.cellOf, j.directory.lastID, j.directory.global, j.directory.recordSums, len(j.directory.tombstones)}))
 			}
 			before := state()
 			err := j.tryApply(c)
 			if err != nil && state() != before {
-				r.Fatalf("%+v is refused, %v, and changes something", c, err)
+				r.Fatalf("command %+v failed with %v but changed the state", c, err)
 			}
-			if twice := twin.Apply(j.d.Version(), &c); (err == nil) != (twice == nil) || string(Encode(twin.records)) != string(Encode(j.d.records)) {
-				r.Fatalf("%+v gives two states: %v, %v", c, err, twice)
+			if twice := twin.Apply(j.directory.Version(), &c); (err == nil) != (twice == nil) || string(Encode(twin.records)) != string(Encode(j.directory.records)) {
+				r.Fatalf("command %+v produced different states in two directories; errors: %v, %v", c, err, twice)
 			}
 			met := map[string][]MemberSlot{}
-			for _, id := range j.d.CellIDs() {
-				for _, s := range j.d.Record(id).Slots {
+			for _, id := range j.directory.CellIDs() {
+				for _, s := range j.directory.Record(id).Slots {
 					met[s.Name] = append(met[s.Name], s)
-					if j.d.Record(j.d.CellOf(s.Name)).Slot(s.Name) == nil {
-						r.Fatalf("%s is not where it is said to be", s.Name)
+					if j.directory.Record(j.directory.CellOf(s.Name)).Slot(s.Name) == nil {
+						r.Fatalf("CellOf returns a cell without a slot of member %s", s.Name)
 					}
 				}
 			}
 			for n, all := range met {
 				slices.SortFunc(all, func(a, b MemberSlot) int { return int(a.MoveIndex) - int(b.MoveIndex) })
 				if len(all) > 2 || len(all) == 2 && (all[1].From == 0 || all[0].From != 0) {
-					r.Fatalf("%s has %d places: %+v after %+v", n, len(all), all, c)
+					r.Fatalf("member %s has %d slots: %+v after command %+v", n, len(all), all, c)
 				}
 			}
 		}
--- a/internal/cells/plan_test.go
+++ b/internal/cells/plan_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// simulatedRegion simulates a simulatedRegion's joins and leaves by the plan.
+// simulatedRegion applies joins, leaves and the planned actions to the cells of a region.
 type simulatedRegion struct {
 	groups []PlannedCell
 	last   ID
@@ -41,7 +41,7 @@
 	g.moves++
 }
 
-// settle carries out the plan until nothing is left to do.
+// settle carries out planned actions until none is left. It fails after 200 actions.
 func (g *simulatedRegion) settle() error {
 	for range 200 {
 		a, ok := NextAction(g.groups, g.limits)
@@ -74,11 +74,11 @@
 			g.merges++
 		}
 	}
-	return fmt.Errorf("no end: %+v", g.groups)
+	return fmt.Errorf("plan is not finished after 200 actions: %+v", g.groups)
 }
 
-// Random joins and leaves: sizes stay within the limits, a cell has all of the region's three zones where there are enough of each,
-// no zone has a quorum of its voters, and one change moves few members.
+// After random joins and leaves the sizes of cells are within the limits, each cell has members of every zone if the region has at least three
+// zones and enough members of each, no zone has a majority of a cell's voters, and one change moves few members.
 func TestPlanKeepsSizesAndZones(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(r, "zones")
@@ -104,7 +104,7 @@
 				r.Fatal(err)
 			}
 			if g.moves-moves > zones+2 || g.splits-splits+g.merges-merges > 1 {
-				r.Fatalf("one change: %d moves, %d splits, %d merges", g.moves-moves, g.splits-splits, g.merges-merges)
+				r.Fatalf("one change caused %d moves, %d splits, %d merges; want at most %d moves and one split or merge", g.moves-moves, g.splits-splits, g.merges-merges, zones+2)
 			}
 			total, by := 0, map[string]int{}
 			for _, c := range g.groups {
@@ -115,11 +115,11 @@
 			}
 			for _, c := range g.groups {
 				if n := len(c.Slots); n >= g.limits.Max || n < g.limits.Min && total > g.limits.Min && n != total {
-					r.Fatalf("a cell of %d, of %d in all: %+v", n, total, g.groups)
+					r.Fatalf("a cell has %d of the region's %d members, outside the limits: %+v", n, total, g.groups)
 				}
 				for z, n := range by {
 					if len(by) >= 3 && n >= len(g.groups) && c.countIn(z) == 0 && len(c.Slots) > 0 {
-						r.Fatalf("cell %d has nobody of %s, of which there are %d in %d cells", c.ID, z, n, len(g.groups))
+						r.Fatalf("cell %d has no member of zone %s, which has %d members in %d cells", c.ID, z, n, len(g.groups))
 					}
 				}
 				v := Voters(c.Slots)
@@ -130,11 +130,11 @@
 					}
 				}
 				if len(c.Slots) > 0 && len(v)%2 != 1 {
-					r.Fatalf("%d voters", len(v))
+					r.Fatalf("cell has %d voters, want an odd number", len(v))
 				}
 				for z, n := range count {
 					if len(zonesOf([]PlannedCell{c})) >= 3 && n > len(v)/2 {
-						r.Fatalf("zone %s has %d of %d voters", z, n, len(v))
+						r.Fatalf("zone %s has a majority: %d of %d voters", z, n, len(v))
 					}
 				}
 			}
@@ -142,8 +142,9 @@
 	})
 }
 
-// A region of even zones, as large as the largest of eleven: every cell has three zones and five voters, and survives the loss of any.
-func TestPlanOfARegion(t *testing.T) {
+// In a region of 1800 members in three zones of equal size every cell spans all zones and has five voters, so that it survives the loss of any
+// zone. The largest of eleven regions has 1800 members.
+func TestPlanForLargestRegion(t *testing.T) {
 	g := &simulatedRegion{limits: DefaultSizeLimits}
 	for _, s := range makeSlots("r", 0, 1800, 3) {
 		g.join(s)
@@ -155,11 +156,11 @@
 	for _, c := range g.groups {
 		least, most = min(least, len(c.Slots)), max(most, len(c.Slots))
 		if v := Voters(c.Slots); len(v) != maxVoters || len(zonesOf([]PlannedCell{c})) != 3 {
-			t.Errorf("cell %d: voters %v", c.ID, v)
+			t.Errorf("cell %d has voters %v in %d zones, want %d voters in 3 zones", c.ID, v, len(zonesOf([]PlannedCell{c})), maxVoters)
 		}
 	}
-	t.Logf("%d cells of %d to %d; %d splits, %d merges, %d moves for 1800 joins", len(g.groups), least, most, g.splits, g.merges, g.moves)
+	t.Logf("%d cells of %d to %d members; %d splits, %d merges, %d moves for 1800 joins", len(g.groups), least, most, g.splits, g.merges, g.moves)
 	if least < g.limits.Min || most > g.limits.Max {
-		t.Errorf("cells of %d to %d", least, most)
+		t.Errorf("cells have %d to %d members, want %d to %d", least, most, g.limits.Min, g.limits.Max)
 	}
 }
--- a/internal/cells/scale_test.go
+++ b/internal/cells/scale_test.go
@@ -9,24 +9,24 @@
 
 const (
 	secondMicros    = int64(1_000_000)
-	relaysPerRegion = 2 // of a region
+	relaysPerRegion = 2
 	relayPageBytes  = 64 << 10
-	settingsBytes   = 4 << 10 // bytes of a change of the settings, assumed
+	settingsBytes   = 4 << 10 // assumed size of a change of the settings
 )
 
-// fleet is a simulated fleet: a directory, two relays a region, the logs of all cells.
+// fleet is a simulated fleet: a directory, relaysPerRegion relays in each region, and the logs of all cells.
 type fleet struct {
-	directory   *commandLog
+	commands    *commandLog
 	relays      []*Relay
 	logs        []*Log
-	largestCell *Log // one cell of the middle size
+	largestCell *Log // a cell with the most members
 	sizes       []int
 }
 
-// newFleet returns a fleet of so many members: eight regions of three zones, three of two.
+// newFleet returns a fleet of the given number of members in up to eleven regions: eight of three zones, the others of two.
 func newFleet(t testing.TB, members int) *fleet {
 	t.Helper()
-	f := &fleet{directory: newCommandLog(t)}
+	f := &fleet{commands: newCommandLog(t)}
 	regions := min(11, members/100)
 	for r := range regions {
 		region, zones := fmt.Sprintf("region%02d", r), 3
@@ -44,17 +44,17 @@
 			for i := c * n / count; i < (c+1)*n/count; i++ {
 				mine = append(mine, all[i])
 			}
-			f.directory.mustApply(Command{Kind: Open, Region: region, Slots: mine})
+			f.commands.mustApply(Command{Kind: Open, Region: region, Slots: mine})
 			f.sizes = append(f.sizes, len(mine))
 		}
 		for range relaysPerRegion {
 			f.relays = append(f.relays, NewRelay(region, NoFault))
 		}
 	}
-	for _, id := range f.directory.d.CellIDs() {
+	for _, id := range f.commands.directory.CellIDs() {
 		l := NewLog(id, NoFault)
-		mustApplyEntries(t, l, f.directory.updateEntry(l))
-		for _, s := range f.directory.d.Record(id).Slots {
+		mustApplyEntries(t, l, f.commands.updateEntry(l))
+		for _, s := range f.commands.directory.Record(id).Slots {
 			mustApplyEntries(t, l, &Entry{Kind: Join, Member: member(s.Name, 1)})
 		}
 		f.logs = append(f.logs, l)
@@ -66,61 +66,61 @@
 	return f
 }
 
-// traffic counts calls and bytes.
+// traffic counts calls and their bytes.
 type traffic struct {
 	calls, bytes int
 }
 
 func (t *traffic) add(bytes int) { t.calls, t.bytes = t.calls+1, t.bytes+bytes }
 
-// syncRelay has a relay ask until it is up to date, and counts its calls.
+// syncRelay sends a relay's requests to the directory until the relay is up to date, and counts the calls.
 func (f *fleet) syncRelay(r *Relay, t *traffic) {
 	for range 1000 {
 		p := r.NextRequest()
-		if p.Since == f.directory.d.Version() && !p.Complete {
+		if p.Since == f.commands.directory.Version() && !p.Complete {
 			return
 		}
-		d := f.directory.d.Delta(p.Region, p.Since, p.From, p.Complete, relayPageBytes)
+		d := f.commands.directory.Delta(p.Region, p.Since, p.From, p.Complete, relayPageBytes)
 		t.add(len(Encode(p)) + len(Encode(d)))
 		r.ApplyDelta(d)
 	}
 }
 
-// The state of a member and of a leader is the same in a fleet of 300 and of 18,000: that of their cell. A relay's grows with its region, the
-// directory's with the fleet, and both stay far below their bounds.
-func TestStateByRole(t *testing.T) {
+// The state of a member and of a leader depends on the size of their cell, not on whether the fleet has 300 or 18,000 members. The state of a
+// relay grows with its region and the state of the directory with the fleet; both stay within their bounds.
+func TestStateSizeByRole(t *testing.T) {
 	var first [2]int // bytes for each member of the cell
 	for _, n := range []int{300, 3_000, 18_000} {
 		f := newFleet(t, n)
 		for _, r := range f.relays {
 			f.syncRelay(r, &traffic{})
 		}
-		g := NewLeaseTable(leaseMicros, NoFault)
+		leases := NewLeaseTable(leaseMicros, NoFault)
 		for _, m := range f.largestCell.membersOf("") {
-			g.Grant(1, f.largestCell, m, 0)
+			leases.Grant(1, f.largestCell, m, 0)
 		}
-		own, lead, size := f.largestCell.EncodedBytes(), f.largestCell.EncodedBytes()+g.EncodedBytes(), len(f.largestCell.Members)
+		own, lead, size := f.largestCell.EncodedBytes(), f.largestCell.EncodedBytes()+leases.EncodedBytes(), len(f.largestCell.Members)
 		relay := 0
 		for _, r := range f.relays {
 			relay = max(relay, r.EncodedBytes())
 		}
-		t.Logf("%d members: %d cells of %d to %d; bytes: member %d, leader %d, relay %d, directory %d", n, len(f.logs), slices.Min(f.sizes),
-			slices.Max(f.sizes), own, lead, relay, f.directory.d.EncodedBytes())
+		t.Logf("%d members: %d cells of %d to %d members; bytes: member %d, leader %d, relay %d, directory %d", n, len(f.logs), slices.Min(f.sizes),
+			slices.Max(f.sizes), own, lead, relay, f.commands.directory.EncodedBytes())
 		if first[0] == 0 {
 			first = [2]int{own / size, lead / size}
 		}
 		if own/size > first[0]*11/10 || lead/size > first[1]*11/10 || own/size > 120 || lead/size > 160 || size > DefaultSizeLimits.Max {
-			t.Errorf("%d members, a cell of %d: a member has %d bytes, a leader %d; of 300, for each of the cell: %v", n, size, own, lead, first)
+			t.Errorf("%d members, cell of %d: a member stores %d bytes, a leader %d; a fleet of 300 stores %v bytes per member of the cell", n, size, own, lead, first)
 		}
-		if f.directory.d.EncodedBytes() > 200*n || relay > f.directory.d.EncodedBytes() {
-			t.Errorf("%d members: the directory has %d bytes, a relay %d", n, f.directory.d.EncodedBytes(), relay)
+		if f.commands.directory.EncodedBytes() > 200*n || relay > f.commands.directory.EncodedBytes() {
+			t.Errorf("%d members: the directory stores %d bytes, want at most %d; a relay stores %d, want at most the directory's size", n, f.commands.directory.EncodedBytes(), 200*n, relay)
 		}
 	}
 }
 
-// A burst of 100 changes in a minute, each hop polling once a second: calls and bytes of each hop, and how late the last cell is updated. A
-// member is updated with its lease grants, five times a lease.
-func TestBurstOfChanges(t *testing.T) {
+// 100 changes within a minute reach every cell within 3 s, with a bounded number of calls of each relay and cell, if every hop polls once a
+// second. Members get updates with their lease grants, five times per lease.
+func TestBurstOfChangesReachesAllCells(t *testing.T) {
 	for _, n := range []int{300, 18_000} {
 		f := newFleet(t, n)
 		for _, r := range f.relays {
@@ -132,10 +132,10 @@
 		for now := int64(0); now < 70*secondMicros; now += secondMicros / 10 {
 			for changes < 100 && int64(changes)*60*secondMicros/100 <= now {
 				changes++
-				f.directory.mustApply(Command{Kind: SetTarget, Number: uint64(changes)})
-				given[f.directory.d.Version()] = now
+				f.commands.mustApply(Command{Kind: SetTarget, Number: uint64(changes)})
+				given[f.commands.directory.Version()] = now
 			}
-			for i, r := range f.relays { // each at its own tenth of a second
+			for i, r := range f.relays { // the relays poll in different tenths of a second
 				if now/(secondMicros/10)%10 == int64(i)%10 {
 					f.syncRelay(r, &up)
 				}
@@ -144,7 +144,7 @@
 				if now/(secondMicros/10)%10 != int64(i)%10 {
 					continue
 				}
-				for _, r := range f.relays { // one of its region
+				for _, r := range f.relays { // the first relay of the region that has an update
 					if update := r.UpdateFor(l.ID, l.LastUpdate.Version, false); update != nil {
 						before := l.LastUpdate.Version
 						mustApplyEntries(t, l, &Entry{Kind: UpdateDirectory, Update: update})
@@ -160,25 +160,25 @@
 			}
 		}
 		for _, l := range f.logs {
-			if l.LastUpdate.Global != f.directory.d.Global() {
-				t.Fatalf("cell %d is at %v", l.ID, l.LastUpdate.Global)
+			if l.LastUpdate.Global != f.commands.directory.Global() {
+				t.Fatalf("cell %d has global state %v, want that of the directory", l.ID, l.LastUpdate.Global)
 			}
 		}
 		perCell, perRelay := float64(down.calls)/float64(len(f.logs)), float64(up.calls)/float64(len(f.relays))
-		t.Logf("%d members, 100 changes in 60 s: %d calls to the directory that brought something (%.0f a relay, %d bytes each), %d to relays (%.0f a cell, %d bytes each), the last cell %.1f s late",
+		t.Logf("%d members, 100 changes in 60 s: %d calls to the directory (%.0f per relay, %d bytes each), %d updates from relays (%.0f per cell, %d bytes each), maximum delay %.1f s",
 			n, up.calls, perRelay, up.bytes/up.calls, down.calls, perCell, down.bytes/down.calls, float64(lag)/1e6)
 		if perCell > 70 || perRelay > 70 || lag > 3*secondMicros {
-			t.Errorf("%d members: %.0f calls a cell, %.0f a relay, %d µs late", n, perCell, perRelay, lag)
+			t.Errorf("%d members: %.0f updates per cell, %.0f calls per relay, want at most 70; delay %d µs, want at most %d µs", n, perCell, perRelay, lag, 3*secondMicros)
 		}
 	}
 }
 
-// All control machines have restarted, or a region has returned: relays and cells come back paced, no callee serves more calls a second
-// than it admits, and all have the newest update within 10 s.
-func TestReturnIsPaced(t *testing.T) {
+// After a restart of all control machines or the return of a region, relays and cells reconnect at a limited rate: no server serves more calls
+// per second than it admits, and all cells have the newest update within 10 s.
+func TestReconnectionIsRateLimited(t *testing.T) {
 	for _, n := range []int{3_000, 18_000} {
 		f := newFleet(t, n)
-		f.directory.mustApply(Command{Kind: SetTarget, Number: 1})
+		f.commands.mustApply(Command{Kind: SetTarget, Number: 1})
 		type caller struct {
 			attempt int
 			due     int64
@@ -203,7 +203,7 @@
 				worst = max(worst, served[k])
 			}
 			for i, r := range f.relays {
-				if c := &relays[i]; c.due <= now && r.Version() != f.directory.d.Version() {
+				if c := &relays[i]; c.due <= now && r.Version() != f.commands.directory.Version() {
 					c.attempt++
 					if !directoryLimiter.Allow(now) {
 						refused++
@@ -212,7 +212,7 @@
 					}
 					serve("directory")
 					p := r.NextRequest()
-					d := f.directory.d.Delta(p.Region, p.Since, p.From, p.Complete, relayPageBytes)
+					d := f.commands.directory.Delta(p.Region, p.Since, p.From, p.Complete, relayPageBytes)
 					up.add(len(Encode(p)) + len(Encode(d)))
 					if c.due = now + secondMicros; r.ApplyDelta(d) {
 						c.due = now + secondMicros/10
@@ -221,11 +221,11 @@
 			}
 			for i, l := range f.logs {
 				c := &leaders[i]
-				if c.due > now || l.LastUpdate.Global == f.directory.d.Global() {
+				if c.due > now || l.LastUpdate.Global == f.commands.directory.Global() {
 					continue
 				}
 				c.attempt++
-				region := f.directory.d.Record(l.ID).Region
+				region := f.commands.directory.Record(l.ID).Region
 				for k, r := range f.relays {
 					if r.region != region || k%relaysPerRegion != (i+c.attempt)%relaysPerRegion {
 						continue
@@ -242,15 +242,15 @@
 				}
 			}
 		}
-		t.Logf("%d members: %d of %d cells are updated within %.1f s; %d calls to the directory of %d bytes in all, at most %d calls a second at one callee, %d update to come again",
+		t.Logf("%d members: %d of %d cells are updated within %.1f s; %d calls to the directory of %d bytes in total, at most %d calls per second at one server, %d calls rejected",
 			n, done, len(f.logs), float64(last)/1e6, up.calls, up.bytes, worst, refused)
 		if done < len(f.logs) || last > 10*secondMicros || worst > 120 {
-			t.Errorf("%d members: %d cells, %d µs, %d calls a second", n, done, last, worst)
+			t.Errorf("%d members: %d of %d cells updated after %d µs, want all within %d µs; %d calls per second at one server, want at most 120", n, done, len(f.logs), last, 10*secondMicros, worst)
 		}
 	}
 }
 
-// Calls over the rate are update to come again, and callers that begin together do not come back together.
+// Calls above the rate are rejected, and callers that start at the same time do not retry at the same time.
 func TestRateLimiterAndBackoff(t *testing.T) {
 	a := RateLimiter{PerSecond: 10, Burst: 3}
 	served := 0
@@ -260,27 +260,28 @@
 		}
 	}
 	if served < 20 || served > 24 {
-		t.Errorf("%d of 2000 calls in 2 s served", served)
+		t.Errorf("%d of 2000 calls in 2 s admitted, want 20 to 24", served)
 	}
 	tenths := map[int64]int{}
 	for i := range 1000 {
 		p := Backoff(fmt.Sprint("n", i), 3, secondMicros/4, 2*secondMicros)
 		if p < secondMicros/2 || p > secondMicros {
-			t.Fatalf("third wait: %d µs", p)
+			t.Fatalf("pause before attempt 3 is %d µs, want %d to %d µs", p, secondMicros/2, secondMicros)
 		}
 		tenths[p/(secondMicros/10)]++
 	}
 	for k, n := range tenths {
 		if n > 300 {
-			t.Errorf("%d of 1000 come back in tenth %d", n, k)
+			t.Errorf("%d of 1000 callers retry in tenth %d of a second, want at most 300", n, k)
 		}
 	}
 	if p := Backoff("n", 60, secondMicros/4, 2*secondMicros); p < secondMicros || p > 2*secondMicros {
-		t.Errorf("a late wait: %d µs", p)
+		t.Errorf("pause before attempt 60 is %d µs, want %d to %d µs", p, secondMicros, 2*secondMicros)
 	}
 }
 
-// What a command costs a control machine, a delta the one that answers, an update a relay, and a round a cell's leader, in a fleet of 18,000.
+// BenchmarkRoles measures, in a fleet of 18,000 members, the cost of a command and a delta at the directory, of an update at a relay, and of one
+// round of grants and due entries at a cell's leader.
 func BenchmarkRoles(b *testing.B) {
 	f := newFleet(b, 18_000)
 	for _, r := range f.relays {
@@ -288,19 +289,19 @@
 	}
 	b.Run("command", func(b *testing.B) {
 		for i := range b.N {
-			f.directory.mustApply(Command{Kind: SetTarget, Number: uint64(i) + f.directory.d.Global().Settings + 1})
+			f.commands.mustApply(Command{Kind: SetTarget, Number: uint64(i) + f.commands.directory.Global().Settings + 1})
 		}
 	})
-	since := f.directory.d.Version()
-	f.directory.mustApply(Command{Kind: SetTarget, Number: f.directory.d.Global().Settings + 1})
+	since := f.commands.directory.Version()
+	f.commands.mustApply(Command{Kind: SetTarget, Number: f.commands.directory.Global().Settings + 1})
 	b.Run("delta", func(b *testing.B) {
 		for range b.N {
-			f.directory.d.Delta("region00", since, Version{}, false, relayPageBytes)
+			f.commands.directory.Delta("region00", since, Version{}, false, relayPageBytes)
 		}
 	})
 	b.Run("complete", func(b *testing.B) {
 		for range b.N {
-			f.directory.d.Delta("region00", Version{}, Version{}, true, 1<<20)
+			f.commands.directory.Delta("region00", Version{}, Version{}, true, 1<<20)
 		}
 	})
 	b.Run("update", func(b *testing.B) {
@@ -308,13 +309,13 @@
 			f.relays[0].UpdateFor(1, Version{}, false)
 		}
 	})
-	g := NewLeaseTable(leaseMicros, NoFault)
+	leases := NewLeaseTable(leaseMicros, NoFault)
 	b.Run("turn", func(b *testing.B) {
 		for i := range b.N {
 			for m := range f.largestCell.Members {
-				g.Grant(int64(i), f.largestCell, m, 1)
+				leases.Grant(int64(i), f.largestCell, m, 1)
 			}
-			g.DueEntries(int64(i), f.largestCell)
+			leases.DueEntries(int64(i), f.largestCell)
 		}
 	})
 }
