--- a/internal/cells/directory_members.go
+++ b/internal/cells/directory_members.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// open opens a cell for new members.
+// open creates a cell for new members.
 func (d *Directory) open(c *Command) error {
 	if len(c.Slots) == 0 || c.Region == "" {
 		return ErrInvalidNames
@@ -16,9 +16,9 @@
 	}
 	p := d.newRecord(c.Region)
 	for _, s := range c.Slots {
-		d.addNew(p, s)
+		d.addMember(p, s)
 	}
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
@@ -34,28 +34,28 @@
 	if p := d.records[c.Cell]; p == nil || p.Sealed || p.replaced() {
 		return ErrCellNotFound
 	}
-	p := d.edit(c.Cell)
-	d.addNew(p, s)
-	d.put(p)
+	p := d.editableRecord(c.Cell)
+	d.addMember(p, s)
+	d.publish(p)
 	return nil
 }
 
-// addNew adds the slot of a new member to a record.
-func (d *Directory) addNew(p *CellRecord, s MemberSlot) {
+// addMember adds the slot of a new member to a record.
+func (d *Directory) addMember(p *CellRecord, s MemberSlot) {
 	p.Slots = append(p.Slots, MemberSlot{Name: s.Name, Address: s.Address, Zone: s.Zone, MoveIndex: d.version.Index})
 	d.cellOf[s.Name] = p.ID
 }
 
-// editMember returns the record of the cell that a command's one member is assigned to, to be changed, and its slot in it.
+// editMember returns an editable record of the cell of the single member that a command names, and the member's slot in that record.
 func (d *Directory) editMember(c *Command) (*CellRecord, *MemberSlot, error) {
 	if len(c.Names) != 1 || d.cellOf[c.Names[0]] == 0 {
 		return nil, nil, ErrMemberNotFound
 	}
-	p := d.edit(d.cellOf[c.Names[0]])
+	p := d.editableRecord(d.cellOf[c.Names[0]])
 	return p, p.Slot(c.Names[0]), nil
 }
 
-// remove has a member's cell let it go for good.
+// remove asks a member's cell to remove the member permanently. The last member of a cell stays if the region has another cell to merge with.
 func (d *Directory) remove(c *Command) error {
 	p, s, err := d.editMember(c)
 	if err != nil {
@@ -64,15 +64,15 @@
 	if s.From != 0 || s.To != 0 || p.replaced() {
 		return ErrChangeInProgress
 	}
-	if d.onlyStaying(p, s.Name) && d.hasOtherCell(p) {
+	if d.isLastStaying(p, s.Name) && d.hasOtherCell(p) {
 		return ErrLastMember
 	}
 	s.To, s.ToMoveIndex = RemovedID, d.version.Index
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
-// hasOtherCell reports whether the region of a cell has another one that is not sealed.
+// hasOtherCell reports whether the region of a cell has another cell that is not sealed.
 func (d *Directory) hasOtherCell(p *CellRecord) bool {
 	for _, o := range d.records {
 		if o.ID != p.ID && o.Region == p.Region && !o.Sealed {
@@ -82,8 +82,9 @@
 	return false
 }
 
-// removed notes that a member's cell has let it go. Its slot stays until forgotten: in another cell it would be looked up as if its requests had
-// begun there, and its former cell, cut off from the directory, might still grant it leases.
+// removed records that a member's cell has removed the member. The slot stays until it is forgotten: if the name were assigned to another cell
+// earlier, that cell would treat the member's earlier requests as its own, and the former cell, if it is partitioned from the directory, might
+// still grant leases to the member.
 func (d *Directory) removed(c *Command) error {
 	p, s, err := d.editMember(c)
 	if err != nil {
@@ -93,11 +94,11 @@
 		return ErrNoChange
 	}
 	s.Removed = true
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
-// move has another cell expect a member. It leaves its present one once the other is ready.
+// move assigns a member to another cell. The member leaves its present cell once the new cell's log expects it.
 func (d *Directory) move(c *Command) error {
 	if len(c.Names) != 1 || d.cellOf[c.Names[0]] == 0 {
 		return ErrMemberNotFound
@@ -112,56 +113,56 @@
 		return ErrNoChange
 	case s.From != 0 || s.To != 0 || from.replaced() || to.replaced():
 		return ErrChangeInProgress
-	case d.onlyStaying(from, s.Name):
-		return ErrLastMember // nobody would be left to take over its requests
+	case d.isLastStaying(from, s.Name):
+		return ErrLastMember // no member would be left to take over its requests
 	case slices.Contains(s.FormerCells, to.ID) || len(s.FormerCells) >= maxFormerCells:
-		return ErrRecentMember // in a circle, the cell of a request could not be told
+		return ErrRecentMember // if a member returned to a former cell, the cell of a request would be ambiguous
 	}
-	p := d.edit(to.ID)
+	p := d.editableRecord(to.ID)
 	p.Slots = append(p.Slots, d.arrivingSlot(s, from.ID))
 	d.cellOf[s.Name] = p.ID
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
-// onlyStaying reports whether no other member stays in a cell.
-func (d *Directory) onlyStaying(p *CellRecord, name string) bool {
+// isLastStaying reports whether all other members of a cell are arriving or leaving.
+func (d *Directory) isLastStaying(p *CellRecord, name string) bool {
 	return !slices.ContainsFunc(p.Slots, func(o MemberSlot) bool { return o.Name != name && o.From == 0 && o.To == 0 && d.cellOf[o.Name] == p.ID })
 }
 
-// arrivingSlot returns the new slot of a member that comes from a cell.
+// arrivingSlot returns the slot in the new cell for a member that moves from another cell.
 func (d *Directory) arrivingSlot(s *MemberSlot, from ID) MemberSlot {
 	return MemberSlot{
 		Name: s.Name, Address: s.Address, Zone: s.Zone, MoveIndex: d.version.Index, From: from, FormerCells: append(slices.Clone(s.FormerCells), from),
 	}
 }
 
-// arrived ends a move: the slot in the former cell is removed.
+// arrived completes a move and removes the member's slot in the former cell.
 func (d *Directory) arrived(c *Command) error {
 	if len(c.Names) != 1 || d.records[c.Cell] == nil {
 		return ErrMemberNotFound
 	}
-	p := d.edit(c.Cell)
+	p := d.editableRecord(c.Cell)
 	s := p.Slot(c.Names[0])
 	if s == nil || s.From == 0 || s.MoveIndex != c.Number {
 		return ErrNoChange
 	}
 	if d.records[s.From] != nil {
-		former := d.edit(s.From)
+		former := d.editableRecord(s.From)
 		former.removeSlot(s.Name)
-		d.put(former)
+		d.publish(former)
 	}
 	s.From = 0
-	d.put(p)
+	d.publish(p)
 	return nil
 }
 
-// forgetMember drops a member's former cells, or a member that was removed.
+// forgetMember deletes a removed member, or drops the former cells of a member.
 func (d *Directory) forgetMember(name string) error {
 	if d.cellOf[name] == 0 {
 		return ErrMemberNotFound
 	}
-	p := d.edit(d.cellOf[name])
+	p := d.editableRecord(d.cellOf[name])
 	s := p.Slot(name)
 	switch {
 	case s.Removed:
@@ -172,6 +173,6 @@
 	default:
 		s.FormerCells = nil
 	}
-	d.put(p)
+	d.publish(p)
 	return nil
 }
