--- a/internal/operator/audit.go
+++ b/internal/operator/audit.go
@@ -12,12 +12,12 @@
 	"damsonscale/internal/fleet"
 )
 
-// auditCommand prints the audit trails of members, as the segments that all members store tell them.
+// auditCommand prints audit trails, assembled from the segments that all members store.
 type auditCommand struct {
-	ID      string        `help:"Id of a request." name:"id"`
-	Member  string        `help:"The member that acted."`
-	Version *uint64       `help:"Number of the settings."`
-	Since   time.Duration `help:"Nothing older, by the clock of the member that acted."`
+	ID      string        `help:"Only events of the request with this id." name:"id"`
+	Member  string        `help:"Only events that this member recorded."`
+	Version *uint64       `help:"Only events under the settings with this number."`
+	Since   time.Duration `help:"Only events that are at most this old, by the clock of the member that recorded them."`
 }
 
 // Run runs the command.
@@ -35,7 +35,7 @@
 	segments, failed := s.collectSegments(c.Member)
 	if len(failed) == len(s.members) {
 		for name, reason := range failed {
-			return exitError{ExitNoAnswer, fmt.Errorf("no member has answered; %s: %s", name, reason)}
+			return exitError{ExitNoAnswer, fmt.Errorf("no member returned audit segments; %s: %s", name, reason)}
 		}
 	}
 	q := audit.Query{ID: c.ID, Member: c.Member, Version: c.Version}
@@ -49,8 +49,8 @@
 	return s.printTrails(trails, failed)
 }
 
-// collectSegments asks all members at the same time for the segments that they store, of one member or, with an empty name, of all. It also
-// returns the members that gave none, and why.
+// collectSegments requests the stored segments from all members concurrently: segments of the named member, or of all members if name is
+// empty. failed holds the error of each member that returned no segments.
 func (s *session) collectSegments(name string) (segments []audit.SealedSegment, failed map[string]string) {
 	failed = map[string]string{}
 	var mu sync.Mutex
@@ -74,14 +74,14 @@
 	return segments, failed
 }
 
-// trailsOutput is what --json prints of audit trails.
+// trailsOutput is the JSON output of audit trails.
 type trailsOutput struct {
 	Trails []audit.Trail                 `json:"Accounts"`
-	Gaps   map[string][]audit.EventRange `json:"Gaps"`    // by name/incarnation
-	Failed map[string]string             `json:"Unheard"` // members that gave no segments, and why
+	Gaps   map[string][]audit.EventRange `json:"Gaps"`    // by member name and incarnation (hex), separated by a slash
+	Failed map[string]string             `json:"Unheard"` // error by name of each member that returned no segments
 }
 
-// printTrails prints audit trails, and returns an error if any has faults.
+// printTrails prints audit trails, and returns an error with ExitAuditFault if any trail has faults.
 func (s *session) printTrails(trails []audit.Trail, failed map[string]string) error {
 	output := trailsOutput{Gaps: map[string][]audit.EventRange{}, Failed: failed}
 	faults := 0
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// printTrail prints one trail as tables.
+// printTrail prints the faults, counts and events of a trail.
 func (s *session) printTrail(t *audit.Trail) {
 	for _, fault := range t.Faults {
 		fmt.Fprintln(s.out, "fault:", fault)
@@ -116,9 +116,9 @@
 	if t.Member.Name == "" {
 		return
 	}
-	end := "then nothing is known"
+	end := "end of the incarnation not recorded"
 	if t.Ended {
-		end = "then it ended in good order"
+		end = "incarnation ended cleanly"
 	}
 	fmt.Fprintf(s.out, "%s/%x: events 1 to %d, %s; gaps %v\n", t.Member.Name, t.Member.Incarnation, t.LastEvent, end, t.Gaps())
 	counts := s.table("settings", "digest", "list", "build", "took", "took over", "sent", "unsent", "served", "refused", "failed", "turned away", "doubled", "left")
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -15,13 +15,13 @@
 	"damsonscale/internal/frame"
 )
 
-// fakeFleet answers operators with frames that commit 2029d41 recorded. Its members are a, b and c.
+// fakeFleet is a fleet of members a, b and c that answer admin requests with frames recorded at commit 2029d41.
 type fakeFleet struct {
-	options  string
-	commands chan []any // orders that came, as arrays
+	options  string     // path of the options file
+	commands chan []any // rollout commands received, as decoded CBOR arrays
 }
 
-// newFakeFleet starts members that answer with a file of testdata each.
+// newFakeFleet starts the members. replies names the fixture that each member answers with, by member name.
 func newFakeFleet(t *testing.T, replies map[string]string) *fakeFleet {
 	t.Helper()
 	f := &fakeFleet{options: filepath.Join(t.TempDir(), "options.toml"), commands: make(chan []any, 16)}
@@ -46,7 +46,7 @@
 	return f
 }
 
-// serve answers each connection with one reply.
+// serve answers one request on each connection with reply, and forwards the request's rollout command.
 func (f *fakeFleet) serve(listener net.Listener, reply []byte) {
 	for {
 		conn, err := listener.Accept()
@@ -55,8 +55,8 @@
 		}
 		var request []any
 		if _, payload, err := frame.Read(conn); err == nil && cbor.Unmarshal(payload, &request) == nil && len(request) == 4 {
-			if order, ok := request[2].([]any); ok {
-				f.commands <- order
+			if command, ok := request[2].([]any); ok {
+				f.commands <- command
 			}
 			conn.Write(reply)
 		}
@@ -64,14 +64,14 @@
 	}
 }
 
-// run runs a command against the fake fleet, and returns its exit code and what it wrote.
-func (f *fakeFleet) run(args ...string) (code int, out, errs string) {
+// run runs a command line against the fake fleet, and returns the exit code and the output.
+func (f *fakeFleet) run(args ...string) (code int, out, errOut string) {
 	var stdout, stderr bytes.Buffer
 	code = Main(append([]string{"--options", f.options, "--who", "me"}, args...), &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
-// compareGolden compares an output with a file of testdata.
+// compareGolden compares an output with a fixture.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
@@ -79,11 +79,11 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s: wrote %s\nwant %s", name, got, want)
+		t.Errorf("output differs from %s: got %s\nwant %s", name, got, want)
 	}
 }
 
-// The keys and the form of --json are those that commit 2029d41 printed.
+// The output of --json is that of commit 2029d41.
 func TestJSONOutputIsUnchanged(t *testing.T) {
 	status := newFakeFleet(t, map[string]string{"a": "status", "b": "status", "c": "status"})
 	segments := newFakeFleet(t, map[string]string{"a": "segments", "b": "busy", "c": "segments"})
@@ -105,51 +105,52 @@
 		{"audit_version.json", segments, 0, []string{"--json", "audit", "--version", "1"}},
 		{"verify.json", segments, 4, []string{"--json", "verify", directory}},
 	} {
-		code, out, errs := c.fleet.run(c.args...)
+		code, out, errOut := c.fleet.run(c.args...)
 		if code != c.code {
-			t.Errorf("%v: exit code %d, want %d; %s", c.args, code, c.code, errs)
+			t.Errorf("%v: exit code %d, want %d; standard error: %s", c.args, code, c.code, errOut)
 		}
 		compareGolden(t, c.golden, strings.ReplaceAll(out, directory, "/audit"))
 	}
 }
 
-// Commands become the orders that they were at commit 2029d41.
+// Each command line is sent to the leader as the rollout command of commit 2029d41.
 func TestCommandLineBecomesRolloutCommand(t *testing.T) {
 	f := newFakeFleet(t, map[string]string{"a": "status", "b": "status", "c": "status"})
 	settings := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(settings, []byte("{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	none := []byte(nil)
+	noSettings := []byte(nil)
 	for _, c := range []struct {
 		args []string
-		want []any // kind, id, who, why, text, number, name, share, settle, grace
+		want []any // kind, id, author, reason, settings, number, name, share, settle and grace in ms
 	}{
 		{[]string{"rollout", settings, "--share", "0.25", "--settle", "3s", "--grace", "4s", "--why", "w"},
 			[]any{uint64(1), nil, "me", "w", []byte("{}"), uint64(0), "", uint64(250), uint64(3000), uint64(4000)}},
 		{[]string{"rollout", settings}, []any{uint64(1), nil, "me", "", []byte("{}"), uint64(0), "", uint64(100), uint64(30000), uint64(30000)}},
-		{[]string{"hold", "--why", "w"}, []any{uint64(2), nil, "me", "w", none, uint64(0), "", uint64(0), uint64(0), uint64(0)}},
-		{[]string{"back", "4", "--grace", "5s"}, []any{uint64(3), nil, "me", "", none, uint64(4), "", uint64(0), uint64(0), uint64(5000)}},
-		{[]string{"out", "b", "--why", "w"}, []any{uint64(4), nil, "me", "w", none, uint64(0), "b", uint64(0), uint64(0), uint64(0)}},
-		{[]string{"readmit", "b"}, []any{uint64(5), nil, "me", "", none, uint64(0), "b", uint64(0), uint64(0), uint64(0)}},
+		{[]string{"hold", "--why", "w"}, []any{uint64(2), nil, "me", "w", noSettings, uint64(0), "", uint64(0), uint64(0), uint64(0)}},
+		{[]string{"back", "4", "--grace", "5s"}, []any{uint64(3), nil, "me", "", noSettings, uint64(4), "", uint64(0), uint64(0), uint64(5000)}},
+		{[]string{"out", "b", "--why", "w"}, []any{uint64(4), nil, "me", "w", noSettings, uint64(0), "b", uint64(0), uint64(0), uint64(0)}},
+		{[]string{"readmit", "b"}, []any{uint64(5), nil, "me", "", noSettings, uint64(0), "b", uint64(0), uint64(0), uint64(0)}},
 	} {
-		if code, _, errs := f.run(c.args...); code != 0 {
-			t.Fatalf("%v: exit code %d, %s", c.args, code, errs)
+		if code, _, errOut := f.run(c.args...); code != 0 {
+			t.Fatalf("%v: exit code %d, want 0; standard error: %s", c.args, code, errOut)
 		}
 		got := <-f.commands
 		if id, ok := got[1].(uint64); !ok || id&1 == 0 || id>>63 != 0 {
-			t.Errorf("%v: id %v", c.args, got[1])
+			t.Errorf("%v: command id %v, want an odd number with the highest bit clear", c.args, got[1])
 		}
 		if got[1] = nil; got[4] == nil {
-			got[4] = none
+			got[4] = noSettings
 		}
 		if !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%v: order %#v, want %#v", c.args, got, c.want)
+			t.Errorf("%v: sent command %#v, want %#v", c.args, got, c.want)
 		}
 	}
 }
 
-// Exit codes tell a refusal, a wrong use and a silent fleet apart, and a member that does not lead is not the last one asked.
+// Exit codes distinguish rejected commands, invalid usage, a fleet that does not answer and audit faults. After the answer of a member that does
+// not lead, other members are tried.
 func TestExitCodesDistinguishFailures(t *testing.T) {
 	all := func(reply string) *fakeFleet {
 		return newFakeFleet(t, map[string]string{"a": reply, "b": reply, "c": reply})
@@ -160,23 +161,23 @@
 		args  []string
 		code  int
 	}{
-		"done":                 {all("status"), []string{"hold"}, 0},
+		"command is applied":   {all("status"), []string{"hold"}, 0},
 		"status":               {redirected, []string{"status"}, 0},
-		"the leader is named":  {redirected, []string{"hold"}, 0},
-		"refused":              {all("refused"), []string{"back", "400"}, 1},
-		"not known":            {all("unknown"), []string{"hold"}, 3},
-		"nobody leads":         {all("not_leading"), []string{"hold"}, 3},
-		"no account is told":   {all("busy"), []string{"audit"}, 3},
-		"no such command":      {all("status"), []string{"halt"}, 2},
-		"no such file":         {all("status"), []string{"rollout", "/nonexistent"}, 2},
-		"no share":             {all("status"), []string{"rollout", "operator_test.go", "--share", "0"}, 2},
-		"no such member":       {all("segments"), []string{"audit", "--member", "x"}, 2},
-		"no segments":          {all("status"), []string{"verify", t.TempDir()}, 2},
-		"faults in an account": {all("status"), []string{"verify", "../audit/testdata/directory"}, 4},
+		"redirect to leader":   {redirected, []string{"hold"}, 0},
+		"command is rejected":  {all("refused"), []string{"back", "400"}, 1},
+		"outcome is unknown":   {all("unknown"), []string{"hold"}, 3},
+		"no leader":            {all("not_leading"), []string{"hold"}, 3},
+		"no segments received": {all("busy"), []string{"audit"}, 3},
+		"unknown command":      {all("status"), []string{"halt"}, 2},
+		"missing file":         {all("status"), []string{"rollout", "/nonexistent"}, 2},
+		"share of 0":           {all("status"), []string{"rollout", "operator_test.go", "--share", "0"}, 2},
+		"unknown member":       {all("segments"), []string{"audit", "--member", "x"}, 2},
+		"empty directory":      {all("status"), []string{"verify", t.TempDir()}, 2},
+		"faults in a trail":    {all("status"), []string{"verify", "../audit/testdata/directory"}, 4},
 		"help":                 {all("status"), []string{"--help"}, 0},
 	} {
-		if code, out, errs := c.fleet.run(c.args...); code != c.code {
-			t.Errorf("%s: exit code %d, want %d: %s%s", name, code, c.code, out, errs)
+		if code, out, errOut := c.fleet.run(c.args...); code != c.code {
+			t.Errorf("%s: exit code %d, want %d; output: %s%s", name, code, c.code, out, errOut)
 		}
 	}
 }
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -11,7 +11,7 @@
 	"damsonscale/internal/rollout"
 )
 
-// sendCommand sends a command to the leader and prints the status after it.
+// sendCommand sends a command to the leader and prints the resulting status.
 func (s *session) sendCommand(c rollout.Command) error {
 	id, err := newCommandID()
 	if err != nil {
@@ -31,7 +31,7 @@
 	return s.printStatus(r.Status)
 }
 
-// newCommandID returns a random id that is not 0. Its highest bit is clear: ids with that bit are the leader's own.
+// newCommandID returns a random nonzero id. Its highest bit is clear, because the ids of the leader's own commands have it set.
 func newCommandID() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -40,13 +40,13 @@
 	return binary.BigEndian.Uint64(b[:])>>1 | 1, nil
 }
 
-// rolloutCommand rolls out settings.
+// rolloutCommand rolls out the settings in a file.
 type rolloutCommand struct {
-	File   string        `arg:"" type:"existingfile" help:"Settings: a platform's file, or {\"settings\": {...}}; Me and Zone stay each member's own."`
-	Share  float64       `help:"Share of the members that adopt it first, up to 1." default:"0.1"`
-	Settle time.Duration `help:"How long all of these must have acted on it before the others follow." default:"30s"`
-	Grace  time.Duration `help:"From then on, after which members that have not adopted it lose their lease." default:"30s"`
-	Why    string        `help:"The reason, for the log."`
+	File   string        `arg:"" type:"existingfile" help:"File with the settings: a platform's configuration file, or {\"settings\": {...}}. Each member keeps its own Me and Zone."`
+	Share  float64       `help:"Share of the members that adopt the settings first, above 0 and up to 1." default:"0.1"`
+	Settle time.Duration `help:"Time for which all of these members must have used the settings before the others adopt them." default:"30s"`
+	Grace  time.Duration `help:"Time from then on, after which members that have not adopted the settings lose their lease." default:"30s"`
+	Why    string        `help:"Reason for the command, for the log."`
 }
 
 // Run runs the command.
@@ -56,7 +56,7 @@
 		return exitError{ExitUsage, err}
 	}
 	if !(c.Share > 0 && c.Share <= 1) { // also false for NaN
-		return usageError("--share: %v is not within 0 to 1", c.Share)
+		return usageError("--share: %v is out of range, want above 0 and at most 1", c.Share)
 	}
 	return s.sendCommand(rollout.Command{
 		Kind: rollout.RollOut, Settings: settings, SharePermille: max(1, int(c.Share*rollout.FullSharePermille)), SettleMs: c.Settle.Milliseconds(),
@@ -66,7 +66,7 @@
 
 // holdCommand pauses the rollout.
 type holdCommand struct {
-	Why string `help:"The reason, for the log."`
+	Why string `help:"Reason for the command, for the log."`
 }
 
 // Run runs the command.
@@ -77,8 +77,8 @@
 // backCommand rolls back to an earlier version.
 type backCommand struct {
 	Number uint64        `arg:"" help:"Number of the version to roll back to."`
-	Grace  time.Duration `help:"After which members that have not adopted it lose their lease." default:"30s"`
-	Why    string        `help:"The reason, for the log."`
+	Grace  time.Duration `help:"Time after which members that have not adopted the version lose their lease." default:"30s"`
+	Why    string        `help:"Reason for the command, for the log."`
 }
 
 // Run runs the command.
@@ -89,7 +89,7 @@
 // outCommand excludes a member.
 type outCommand struct {
 	Name string `arg:""`
-	Why  string `help:"The reason, for the log."`
+	Why  string `help:"Reason for the command, for the log."`
 }
 
 // Run runs the command.
@@ -100,7 +100,7 @@
 // readmitCommand readmits an excluded member.
 type readmitCommand struct {
 	Name string `arg:""`
-	Why  string `help:"The reason, for the log."`
+	Why  string `help:"Reason for the command, for the log."`
 }
 
 // Run runs the command.
--- a/internal/operator/session.go
+++ b/internal/operator/session.go
@@ -13,31 +13,31 @@
 	"damsonscale/internal/options"
 )
 
-// session is one run of a command. It belongs to one goroutine.
+// session is the state of one run of a command. It belongs to one goroutine.
 type session struct {
 	ctx     context.Context
 	flags   *commandLine
 	out     io.Writer
-	members []options.Member // from load on
+	members []options.Member // set by loadMembers
 }
 
-// loadMembers reads the members from the options file.
+// loadMembers reads the list of members from the options file.
 func (s *session) loadMembers() error {
 	if s.flags.Options == "" {
-		return usageError("--options: expected the options file of a member")
+		return usageError("--options is required: expected the options file of a member")
 	}
 	o, err := options.Load(func(string) string { return s.flags.Options }, "")
 	if err != nil {
 		return exitError{ExitUsage, err}
 	}
 	if len(o.Fleet.Members) == 0 {
-		return usageError("%s: fleet.members: none", s.flags.Options)
+		return usageError("%s: fleet.members is empty", s.flags.Options)
 	}
 	s.members = o.Fleet.Members
 	return nil
 }
 
-// names returns the members' names.
+// names returns the names of all members.
 func (s *session) names() (names []string) {
 	for _, m := range s.members {
 		names = append(names, m.Name)
@@ -45,7 +45,7 @@
 	return names
 }
 
-// addressOf returns a member's address; empty: there is no such member.
+// addressOf returns the address of a member, or an empty string if there is no such member.
 func (s *session) addressOf(name string) string {
 	for _, m := range s.members {
 		if m.Name == name {
@@ -55,21 +55,22 @@
 	return ""
 }
 
-// askLeader asks one member after the other, the leader as soon as one names it, until the leader has answered. A status request is answered
-// by any member if the leader can't be reached. A command that members pass on keeps its id, so that it is applied once whoever is asked.
+// askLeader sends a request to one member after the other until the leader answers. Once a member has named the leader, the leader is next. If
+// the leader can't be reached, the answer of another member to a status request is returned. Members that forward a command keep its id, so
+// that the command is applied once even if several members receive it.
 func (s *session) askLeader(request fleet.AdminRequest) (*fleet.AdminResponse, error) {
 	if err := s.loadMembers(); err != nil {
 		return nil, err
 	}
-	asked := map[string]bool{}
+	tried := map[string]bool{}
 	var follower *fleet.AdminResponse
 	var failures error
 	for next := s.names(); len(next) > 0 && s.ctx.Err() == nil; {
 		name := next[0]
-		if next = next[1:]; asked[name] || s.addressOf(name) == "" {
+		if next = next[1:]; tried[name] || s.addressOf(name) == "" {
 			continue
 		}
-		asked[name] = true
+		tried[name] = true
 		r, err := fleet.SendAdminRequest(s.ctx, s.addressOf(name), s.names(), request)
 		switch {
 		case err != nil:
@@ -92,14 +93,14 @@
 	return nil, exitError{ExitNoAnswer, fmt.Errorf("no answer from the leader: %w", errors.Join(failures, s.ctx.Err()))}
 }
 
-// printJSON prints a value.
+// printJSON prints a value as indented JSON.
 func (s *session) printJSON(v any) error {
 	encoder := json.NewEncoder(s.out)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(v)
 }
 
-// table returns a table with a header.
+// table returns a table with a header, which renders to the session's output.
 func (s *session) table(header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(s.out)
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -21,7 +21,7 @@
 	return s.printStatus(r.Status)
 }
 
-// printStatus prints the status of the fleet as one member knows it; the leader also has the members' reports.
+// printStatus prints the status of the fleet as known to one member. Only the leader has the members' reports.
 func (s *session) printStatus(st *fleet.ClusterStatus) error {
 	if s.flags.JSON {
 		return s.printJSON(st)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// printVersions prints the versions that a rollback may go to.
+// printVersions prints the versions that are available for a rollback.
 func (s *session) printVersions(st *fleet.ClusterStatus) {
 	if len(st.Plan.Versions) == 0 {
 		return
@@ -52,7 +52,7 @@
 	versions.Render()
 }
 
-// printMembers prints what each member acts on, by its last report.
+// printMembers prints the version in use and the counts of each member, by its last report.
 func (s *session) printMembers(st *fleet.ClusterStatus) {
 	members := s.table("member", "processes", "acts on", "target", "behind", "rejected", "why", "build", "answers", "served", "reported")
 	for _, name := range st.MemberNames {
--- a/internal/operator/verify.go
+++ b/internal/operator/verify.go
@@ -10,12 +10,12 @@
 	"damsonscale/internal/fleet/segmentfile"
 )
 
-// impossibleID is the id of no request: a query for it selects no events, and checks all segments.
+// impossibleID is never the id of a request: a query for it selects no events, but checks all segments.
 const impossibleID = "\x00"
 
-// verifyCommand checks the audit segments in a directory.
+// verifyCommand verifies the audit segments in a directory.
 type verifyCommand struct {
-	Dir string `arg:"" type:"existingdir"`
+	Dir string `arg:"" type:"existingdir" help:"Directory with the segment files."`
 }
 
 // Run runs the command.
@@ -28,7 +28,7 @@
 		return exitError{ExitUsage, err}
 	}
 	if len(files) == 0 {
-		return usageError("%s: no segments", c.Dir)
+		return usageError("%s: no segments: expected files named *.segments", c.Dir)
 	}
 	codec, err := audit.NewCodec()
 	if err != nil {
@@ -49,12 +49,12 @@
 		return err
 	}
 	if truncated > 0 {
-		return exitError{ExitAuditFault, fmt.Errorf("%d files are incomplete", truncated)}
+		return exitError{ExitAuditFault, fmt.Errorf("%d files have invalid content", truncated)}
 	}
 	return nil
 }
 
-// sizeOf returns a file's size in bytes; 0: it can't be read.
+// sizeOf returns the size of a file in bytes, or 0 if it can't be read.
 func sizeOf(path string) int64 {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -1,85 +1,88 @@
-// Package options reads the project's own options file, apart from the platform's configuration. The keys of the file
-// are translated to the fields of Options here and nowhere else.
+// Package options reads the options file of a sidecar's fleet, takeover and audit features, which is separate from the
+// platform's configuration. No other package knows the keys of the file.
 package options
 
 import "time"
 
-// EnvVar names the environment variable that holds the path of the options file. Without it there is no fleet.
+// EnvVar is the environment variable with the path of the options file. If it is empty, the sidecar is in no fleet.
 const EnvVar = "DAMSONSCALE_OPTIONS"
 
-// Options are the contents of the file, with defaults filled in.
+// Options are the contents of the options file, with defaults for absent keys.
 type Options struct {
 	Fleet    Fleet
 	Takeover Takeover
 	Audit    Audit
 }
 
-// Fleet is the table [fleet]: which sidecars belong together.
+// Fleet is the table [fleet]: the sidecars of the fleet and this member's place in it.
 type Fleet struct {
-	// Address (address) is the address:port at which this member listens for others. Default: empty, no fleet.
+	// Address (address) is the address:port on which this member listens for other members. Default: empty, no fleet.
 	Address string
-	// Members (members) are all members, this one too, at most 1024 with names and addresses of their own.
+	// Members (members) are all members, including this one: at most 1024, with unique names and addresses.
 	Members []Member
-	// StateDir (state_dir) is the directory that keeps the membership log over a restart. Required in a fleet.
+	// StateDir (state_dir) is the directory in which the membership log is stored. Required in a fleet.
 	StateDir string
-	// LeaseDuration (lease_ms) is how long a member may act after it has asked for its lease. Range: 100 ms to 10 s.
-	// Default: 600 ms.
+	// LeaseDuration (lease_ms) is the time for which a lease is valid after the member has requested it. Range: 100 ms
+	// to 10 s. Default: 600 ms.
 	LeaseDuration time.Duration
 }
 
-// Member is one sidecar of the fleet.
+// Member is a sidecar of the fleet.
 type Member struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 }
 
-// ReplicationPolicy is what happens to a class's requests while their replicas can't be reached.
+// ReplicationPolicy determines how requests of a class are handled while their replicas are unreachable.
 type ReplicationPolicy string
 
-// Policies, as the file names them.
+// Replication policies, with their names in the file.
 const (
 	NoReplication         ReplicationPolicy = "none"        // requests are never replicated
-	BestEffortReplication ReplicationPolicy = "best_effort" // a request proceeds without replication, and is counted
-	StrictReplication     ReplicationPolicy = "strict"      // a request is rejected before anything is sent
+	BestEffortReplication ReplicationPolicy = "best_effort" // requests proceed without replication, and are counted
+	StrictReplication     ReplicationPolicy = "strict"      // requests are rejected before anything is sent
 )
 
-// Takeover is the table [takeover]: how requests in flight outlive the member that serves them.
+// Takeover is the table [takeover]: how other members complete the requests in flight of a member that fails.
 type Takeover struct {
-	// Enabled (enabled) needs fleet.address. Default: false.
+	// Enabled (enabled) turns takeover on. Requires fleet.address. Default: false.
 	Enabled bool
-	// Replicas (holders) is how many members keep each record: an odd number from 1 to 7, at most the number of
-	// members. Default: 3.
+	// Replicas (holders) is the number of members that store the record of a request: an odd number from 1 to 7, at
+	// most the number of members. Default: 3.
 	Replicas int
-	// AnswerRetention (keep_answers_ms) is how long an answer is kept for a client that asks again. Range: 100 ms to
-	// 10 min. Default: 10 s.
+	// AnswerRetention (keep_answers_ms) is the time for which an answer is kept for a client that repeats the request.
+	// Range: 100 ms to 10 min. Default: 10 s.
 	AnswerRetention time.Duration
-	// MaxRequestDuration (longest_ms) is the longest time for which a request is replicated. Range: 100 ms to 10 min.
-	// Default: 0, the longest deadline of a class.
+	// MaxRequestDuration (longest_ms) is the maximum time for which a request is replicated. Range: 100 ms to 10 min.
+	// Default: 0, which stands for the longest deadline of all classes.
 	MaxRequestDuration time.Duration
-	// MaxRecords (records) is how many records are kept for other members. Range: 1 to 10,000,000. Default: 20,000.
+	// MaxRecords (records) is the maximum number of records stored for other members. Range: 1 to 10,000,000.
+	// Default: 20,000.
 	MaxRecords int
-	// MaxBytes (bytes) bounds the requests and answers kept for other members. Range: 1 KiB to 16 GiB.
-	// Default: 32 MiB.
+	// MaxBytes (bytes) is the maximum size of the requests and answers stored for other members. Range: 1 KiB to
+	// 16 GiB. Default: 32 MiB.
 	MaxBytes int
-	// PolicyByClass ([takeover.custody]) names the policy of a class; other classes go by their semantics: none where a
-	// request is idempotent, best_effort where it has an idempotency key, strict otherwise.
+	// PolicyByClass ([takeover.custody]) maps classes to policies. The default of a class follows from its semantics:
+	// none if requests are idempotent, best_effort if they have an idempotency key, strict otherwise.
 	PolicyByClass map[string]ReplicationPolicy
 }
 
-// Audit is the table [audit]: the audit log of this member, and versions of the settings.
+// Audit is the table [audit]: this member's audit trail, and rollouts of settings.
 type Audit struct {
-	// Enabled (enabled) needs takeover.enabled, and the same value at all members. Default: false.
+	// Enabled (enabled) turns the audit trail on. Requires takeover.enabled, and must be equal at all members.
+	// Default: false.
 	Enabled bool
-	// SegmentReplicas (holders) is how many other members keep each segment. Range: 0 to 6. Default: 2.
+	// SegmentReplicas (holders) is the number of other members that store each segment. Range: 0 to 6. Default: 2.
 	SegmentReplicas int
-	// MaxMemoryBytes (bytes) bounds the segments kept in memory, this member's and others'. Range: 64 KiB to 16 GiB.
-	// Default: 16 MiB.
+	// MaxMemoryBytes (bytes) is the maximum size of the segments in memory, of this member and of others. Range: 64 KiB
+	// to 16 GiB. Default: 16 MiB.
 	MaxMemoryBytes int
-	// SegmentDir (dir) is the directory that keeps segments over a restart. Default: empty, memory alone.
+	// SegmentDir (dir) is the directory in which segments are stored. Default: empty, segments are kept in memory only.
 	SegmentDir string
-	// MaxDiskBytes (disk_bytes) bounds the segments in SegmentDir. Range: 1 MiB to 1 TiB. Default: 256 MiB.
+	// MaxDiskBytes (disk_bytes) is the maximum size of the segments in SegmentDir. Range: 1 MiB to 1 TiB.
+	// Default: 256 MiB.
 	MaxDiskBytes int
-	// MaxUnleasedPermille (most_out, a share from 0 to 1 in the file) is how many thousandths of all members may be
-	// without a lease because of a fence or an excluded member. Default: 340.
+	// MaxUnleasedPermille (most_out, in the file a share from 0 to 1) is the share of members, in thousandths, up to
+	// which a fence or an exclusion may leave members without a lease. Default: 340.
 	MaxUnleasedPermille int
 }
--- a/internal/options/parse.go
+++ b/internal/options/parse.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxFileBytes = 1 << 20
+	maxFileBytes = 1 << 20 // size of the options file
 	maxMembers   = 1024
 )
 
-// file is the layout of the options file: the one place of its keys' names.
+// file is the layout of the options file. Keys are named only here and in the checks of this package.
 type file struct {
 	Fleet struct {
 		Address  string   `toml:"address"`
@@ -41,7 +41,8 @@
 	} `toml:"audit"`
 }
 
-// Load reads the file that the environment names for the member of that name; nil without an error where it names none.
+// Load reads the options file named by EnvVar for the named member, or for an operator if name is empty. If EnvVar is not
+// set, it returns nil without an error.
 func Load(getenv func(string) string, name string) (*Options, error) {
 	path := getenv(EnvVar)
 	if path == "" {
@@ -52,7 +53,7 @@
 		return nil, fmt.Errorf("%s: %w", EnvVar, err)
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%s: %s: %d bytes, at most %d are read", EnvVar, path, info.Size(), maxFileBytes)
+		return nil, fmt.Errorf("%s: %s: file has %d bytes, want at most %d", EnvVar, path, info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -65,13 +66,13 @@
 	return o, nil
 }
 
-// Parse reads options for the member of that name, or for an operator where name is empty. The error joins all faults
-// found, each with its line and key.
+// Parse parses options for the named member, or for an operator if name is empty. The error joins all faults found, each
+// with its line and key.
 func Parse(text []byte, name string) (*Options, error) {
 	var f file
-	in := toml.NewDecoder(bytes.NewReader(text))
-	in.DisallowUnknownFields()
-	if err := in.Decode(&f); err != nil {
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&f); err != nil {
 		return nil, describeDecodeError(err)
 	}
 	r := valueReader{lines: lineNumbers(text)}
--- a/internal/options/reader.go
+++ b/internal/options/reader.go
@@ -11,22 +11,22 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// describeDecodeError makes one line of each fault that the TOML library found: line, key, reason.
+// describeDecodeError formats each fault that the TOML library found as one line of text: line, key, reason.
 func describeDecodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
-		var all []error
+		var faults []error
 		for i := range strict.Errors {
 			e := &strict.Errors[i]
 			line, _ := e.Position()
-			all = append(all, fmt.Errorf("line %d: %s: unknown key", line, strings.Join(e.Key(), ".")))
+			faults = append(faults, fmt.Errorf("line %d: %s: unknown key", line, strings.Join(e.Key(), ".")))
 		}
-		return errors.Join(all...)
+		return errors.Join(faults...)
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		line, _ := wrong.Position()
-		if key := strings.Join(wrong.Key(), "."); key != "" {
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		line, _ := decodeError.Position()
+		if key := strings.Join(decodeError.Key(), "."); key != "" {
 			return fmt.Errorf("line %d: %s: %w", line, key, err)
 		}
 		return fmt.Errorf("line %d: %w", line, err)
@@ -34,37 +34,37 @@
 	return err
 }
 
-// valueReader takes values from the file and collects faults.
+// valueReader checks values of the file and collects faults.
 type valueReader struct {
-	lines  map[string]int
+	lines  map[string]int // line number by key
 	faults []error
 }
 
-// fail records a fault of a key, with its line where the file has the key.
+// fail records a fault of a key, with its line if the file has the key.
 func (r *valueReader) fail(key, format string, args ...any) {
-	why := fmt.Sprintf(format, args...)
+	reason := fmt.Sprintf(format, args...)
 	if line := r.lines[key]; line > 0 {
-		r.faults = append(r.faults, fmt.Errorf("line %d: %s: %s", line, key, why))
+		r.faults = append(r.faults, fmt.Errorf("line %d: %s: %s", line, key, reason))
 		return
 	}
-	r.faults = append(r.faults, fmt.Errorf("%s: %s", key, why))
+	r.faults = append(r.faults, fmt.Errorf("%s: %s", key, reason))
 }
 
-// number returns a whole number within a range, or its default where the file has none.
-func (r *valueReader) number(key string, v *int64, byDefault, lowest, highest int64) int64 {
+// number returns an integer, or its default if the file does not have the key. A value outside the range is a fault.
+func (r *valueReader) number(key string, v *int64, defaultValue, minimum, maximum int64) int64 {
 	if v == nil {
-		return byDefault
+		return defaultValue
 	}
-	if *v < lowest || *v > highest {
-		r.fail(key, "%d is not within %d to %d", *v, lowest, highest)
+	if *v < minimum || *v > maximum {
+		r.fail(key, "%d is not within %d to %d", *v, minimum, maximum)
 	}
 	return *v
 }
 
-// share returns a number from 0 to 1, or its default where the file has none.
-func (r *valueReader) share(key string, v *float64, byDefault float64) float64 {
+// share returns a number from 0 to 1, or its default if the file does not have the key.
+func (r *valueReader) share(key string, v *float64, defaultValue float64) float64 {
 	if v == nil {
-		return byDefault
+		return defaultValue
 	}
 	if !(*v >= 0 && *v <= 1) {
 		r.fail(key, "%v is not within 0 to 1", *v)
@@ -72,12 +72,12 @@
 	return *v
 }
 
-// ms returns a number of milliseconds as a duration.
-func (r *valueReader) ms(key string, v *int64, byDefault, lowest, highest int64) time.Duration {
-	return time.Duration(r.number(key, v, byDefault, lowest, highest)) * time.Millisecond
+// ms returns a duration that the file states in milliseconds. Default and range are in milliseconds.
+func (r *valueReader) ms(key string, v *int64, defaultValue, minimum, maximum int64) time.Duration {
+	return time.Duration(r.number(key, v, defaultValue, minimum, maximum)) * time.Millisecond
 }
 
-// lineNumbers returns the line of each key, in a text that is known to parse.
+// lineNumbers returns the line of each key in valid TOML text.
 func lineNumbers(text []byte) map[string]int {
 	lines := map[string]int{}
 	p := unstable.Parser{}
@@ -86,11 +86,11 @@
 	for p.NextExpression() {
 		e := p.Expression()
 		var parts []string
-		at := -1
+		offset := -1
 		for it := e.Key(); it.Next(); {
 			n := it.Node()
-			if at < 0 {
-				at = int(n.Raw.Offset)
+			if offset < 0 {
+				offset = int(n.Raw.Offset)
 			}
 			parts = append(parts, string(n.Data))
 		}
@@ -100,8 +100,8 @@
 		} else if table != "" {
 			key = table + "." + key
 		}
-		if at >= 0 && lines[key] == 0 {
-			lines[key] = 1 + bytes.Count(text[:at], []byte{'\n'})
+		if offset >= 0 && lines[key] == 0 {
+			lines[key] = 1 + bytes.Count(text[:offset], []byte{'\n'})
 		}
 	}
 	return lines
--- a/internal/options/validate.go
+++ b/internal/options/validate.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// checkFleet checks the table [fleet] for the member of that name.
+// checkFleet checks the table [fleet] for the named member, or for an operator if name is empty.
 func (r *valueReader) checkFleet(f *Fleet, name string) {
 	if f.Address == "" {
 		if len(f.Members) > 0 {
-			r.fail("fleet.members", "given without fleet.address")
+			r.fail("fleet.members", "requires fleet.address")
 		}
 		return
 	}
@@ -20,9 +20,9 @@
 		case m.Name == "":
 			r.fail("fleet.members", "a member without a name")
 		case names[m.Name]:
-			r.fail("fleet.members", "%q is there twice", m.Name)
+			r.fail("fleet.members", "name %q is listed twice", m.Name)
 		case err != nil || port == "" || port == "0":
-			r.fail("fleet.members", "%q: address %q is no address:port", m.Name, m.Address)
+			r.fail("fleet.members", "%q: address %q is not an address:port", m.Name, m.Address)
 		case addresses[m.Address] != "":
 			r.fail("fleet.members", "%q and %q have the same address", addresses[m.Address], m.Name)
 		}
@@ -31,38 +31,38 @@
 	}
 	switch _, _, err := net.SplitHostPort(f.Address); {
 	case err != nil:
-		r.fail("fleet.address", "%q is no address:port", f.Address)
+		r.fail("fleet.address", "%q is not an address:port", f.Address)
 	case len(f.Members) > maxMembers:
-		r.fail("fleet.members", "%d members, at most %d", len(f.Members), maxMembers)
-	case name != "" && !selfListed: // operators have none
-		r.fail("fleet.members", "this sidecar's name, %q, is not among them", name)
+		r.fail("fleet.members", "%d members, want at most %d", len(f.Members), maxMembers)
+	case name != "" && !selfListed: // operators have no name
+		r.fail("fleet.members", "this sidecar's name, %q, is not listed", name)
 	case f.StateDir == "":
-		r.fail("fleet.state_dir", "needed for a fleet")
+		r.fail("fleet.state_dir", "required in a fleet")
 	}
 }
 
-// checkTakeover checks the table [takeover] against the fleet.
+// checkTakeover checks the table [takeover], also against the table [fleet].
 func (r *valueReader) checkTakeover(o *Options) {
 	t := &o.Takeover
 	if t.Enabled && o.Fleet.Address == "" {
-		r.fail("takeover.enabled", "needs a fleet.address")
+		r.fail("takeover.enabled", "requires fleet.address")
 	}
 	if t.Replicas%2 == 0 {
-		r.fail("takeover.holders", "%d is even: a quorum of it is no smaller than of one more", t.Replicas)
+		r.fail("takeover.holders", "%d is even: expected an odd number, since the quorum of an even number is no smaller than that of the next odd number", t.Replicas)
 	}
 	if n := len(o.Fleet.Members); t.Enabled && n > 0 && t.Replicas > n {
-		r.fail("takeover.holders", "%d holders of %d members", t.Replicas, n)
+		r.fail("takeover.holders", "%d holders, but the fleet has %d members", t.Replicas, n)
 	}
 	for _, c := range slices.Sorted(maps.Keys(t.PolicyByClass)) {
 		if v := t.PolicyByClass[c]; v != NoReplication && v != BestEffortReplication && v != StrictReplication {
-			r.fail("takeover.custody."+c, "%q is none of none, best_effort, strict", string(v))
+			r.fail("takeover.custody."+c, "unknown policy %q, expected none, best_effort or strict", string(v))
 		}
 	}
 }
 
-// checkAudit checks the table [audit] against the others.
+// checkAudit checks the table [audit] against the table [takeover].
 func (r *valueReader) checkAudit(o *Options) {
 	if o.Audit.Enabled && !o.Takeover.Enabled {
-		r.fail("audit.enabled", "needs takeover.enabled: what a member that is shut out had in hand is taken over")
+		r.fail("audit.enabled", "requires takeover.enabled: other members take over the requests in flight of an excluded member")
 	}
 }
