--- a/cmd/damsonscale-lab/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -87,7 +87,7 @@
 }
 
 func (c *replayCmd) Run(p *player) error {
-	t, err := faultinjection.Read(c.File)
+	t, err := faultinjection.ReadTimeline(c.File)
 	if err != nil {
 		return err
 	}
@@ -175,7 +175,7 @@
 }
 
 func (c *shrinkCmd) Run(p *player) error {
-	t, err := faultinjection.Read(c.File)
+	t, err := faultinjection.ReadTimeline(c.File)
 	if err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 	var lines []byte
 	for i := range c.Times {
 		r, err := faultinjection.MeasureOverhead(p.ctx, p.setup(filepath.Join(p.dir, fmt.Sprint(i))), &faultinjection.OverheadConfig{
-			PerSecond: c.PerSecond, For: c.For, Servers: c.Servers, Balancers: c.Balancers, Members: c.Members, Class: c.Class, ServerMs: c.ServerMs, Seed: c.Seed + uint64(i),
+			PerSecond: c.PerSecond, Duration: c.For, Servers: c.Servers, Balancers: c.Balancers, Members: c.Members, Class: c.Class, ServerMs: c.ServerMs, Seed: c.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
--- a/internal/lab/faultinjection/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -158,7 +158,7 @@
 	}
 	p.mu.Lock()
 	a := &auditor{report: r, accounts: map[takeover.Member]*memberAccount{}, alive: alive, fenceSeenAt: p.fenceSeenAt, rolloutTimes: p.rolloutTimes, lease: ms(p.timeline.LeaseMs)}
-	r.Steps, r.OverGuard = p.stepResults, p.maxOverGuard
+	r.Steps, r.OverExclusionLimit = p.stepResults, p.maxOverGuard
 	p.mu.Unlock()
 	if a.lease == 0 {
 		a.lease = 600 * time.Millisecond // the program's default
@@ -255,7 +255,7 @@
 	a.report.RolloutMs = map[uint64]int64{}
 	for id, runs := range rec.executions {
 		for _, run := range runs {
-			ref, ok := a.compareEvent("a run at "+run.Server, run.Actor, id, run.Server, auditevent.Sent)
+			ref, ok := a.compareEvent("a run at "+run.Server, run.AuditRef, id, run.Server, auditevent.Sent)
 			if !ok {
 				continue
 			}
@@ -271,7 +271,7 @@
 			for fence, at := range a.fenceSeenAt {
 				if ref.Version.Settings < fence && run.At.After(at.Add(a.lease+fenceSlack)) {
 					a.addViolation(&a.report.BelowFence, "below the fence", fmt.Sprintf("%s ran under %d, %d ms after fence %d was seen, by %s", id, ref.Version.Settings,
-						run.At.Sub(at).Milliseconds(), fence, run.Actor))
+						run.At.Sub(at).Milliseconds(), fence, run.AuditRef))
 				}
 			}
 		}
@@ -290,7 +290,7 @@
 	for _, q := range rec.requests {
 		for i := range q.Attempts {
 			ask := &q.Attempts[i]
-			if ask.Status == 0 || ask.Actor == "" && strings.HasPrefix(ask.Err, "EOF") {
+			if ask.Status == 0 || ask.AuditRef == "" && strings.HasPrefix(ask.Err, "EOF") {
 				continue
 			}
 			kinds := []auditevent.Kind{auditevent.Failed, auditevent.ClientLeft}
@@ -302,7 +302,7 @@
 			case http.StatusConflict:
 				kinds = []auditevent.Kind{auditevent.DuplicateID}
 			}
-			a.compareEvent("an answer", ask.Actor, q.ID, fmt.Sprint(ask.Status), kinds...)
+			a.compareEvent("an answer", ask.AuditRef, q.ID, fmt.Sprint(ask.Status), kinds...)
 		}
 	}
 }
--- a/internal/lab/faultinjection/client.go
+++ b/internal/lab/faultinjection/client.go
@@ -29,7 +29,7 @@
 	Status   int // HTTP status; 0: no complete response
 	Body     string
 	Err      string
-	Actor    string // the audit reference in the response
+	AuditRef string // the audit reference in the response
 	index    int
 	Extra    bool // duplicate of the first attempt, or repeated after the response
 	Ignored  bool // a rejection that does not end the request, since another attempt may be in flight
@@ -226,7 +226,7 @@
 		a.Err = err.Error()
 		return a
 	}
-	a.Status, a.Body, a.Actor = resp.StatusCode, string(text), resp.Header.Get(auditevent.RefHeader)
+	a.Status, a.Body, a.AuditRef = resp.StatusCode, string(text), resp.Header.Get(auditevent.RefHeader)
 	return a
 }
 
--- a/internal/lab/faultinjection/evaluate.go
+++ b/internal/lab/faultinjection/evaluate.go
@@ -38,26 +38,27 @@
 	RSSMB   float64 `json:"rss_mb"`             // resident memory of the largest of them
 	StallMs int64   `json:"stall_ms,omitempty"` // longest stall of this process
 
-	AuditEvents     int              `json:"acts,omitempty"`        // in the fleet's audit log
-	AuditMatches    int              `json:"matched,omitempty"`     // executions and responses that the log has as observed
-	AuditGaps       int              `json:"in_gaps,omitempty"`     // executions and responses in gaps that the log states
-	AuditMismatches int              `json:"misstated,omitempty"`   // logged differently, or missing where no gap is stated
-	BelowFence      int              `json:"below_fence,omitempty"` // executions under a version below the fence, later than a lease after it
-	OverGuard       int              `json:"over_guard,omitempty"`  // most members without a lease at once beyond the allowed share
-	NotConverged    int              `json:"unagreed,omitempty"`    // members that had not reached the target at the end
-	Steps           []string         `json:"steps,omitempty"`       // operators' commands with their replies
-	RolloutMs       map[uint64]int64 `json:"turn_ms,omitempty"`     // by version: from its command to the last execution under an older one
-	PauseReason     string           `json:"held,omitempty"`        // why the last rollout was paused
-	WaitingFor      string           `json:"waits,omitempty"`       // what an unfinished rollout waited for
-
-	P50Ms, P99Ms           float64  // latency of all served requests
-	AgainP50Ms, AgainP99Ms float64  // of retried requests: from the first retry to the response
-	Violations             []string `json:"breaks,omitempty"` // the first of each kind, described
+	AuditEvents        int              `json:"acts,omitempty"`        // in the fleet's audit log
+	AuditMatches       int              `json:"matched,omitempty"`     // executions and responses that the log has as observed
+	AuditGaps          int              `json:"in_gaps,omitempty"`     // executions and responses in gaps that the log states
+	AuditMismatches    int              `json:"misstated,omitempty"`   // logged differently, or missing where no gap is stated
+	BelowFence         int              `json:"below_fence,omitempty"` // executions under a version below the fence, later than a lease after it
+	OverExclusionLimit int              `json:"over_guard,omitempty"`  // most members without a lease at once beyond the allowed share
+	NotConverged       int              `json:"unagreed,omitempty"`    // members that had not reached the target at the end
+	Steps              []string         `json:"steps,omitempty"`       // operators' commands with their replies
+	RolloutMs          map[uint64]int64 `json:"turn_ms,omitempty"`     // by version: from its command to the last execution under an older one
+	PauseReason        string           `json:"held,omitempty"`        // why the last rollout was paused
+	WaitingFor         string           `json:"waits,omitempty"`       // what an unfinished rollout waited for
+
+	P50Ms, P99Ms float64  // latency of all served requests
+	RetryP50Ms   float64  `json:"AgainP50Ms"` // of retried requests: from the first retry to the response
+	RetryP99Ms   float64  `json:"AgainP99Ms"`
+	Violations   []string `json:"breaks,omitempty"` // the first of each kind, described
 }
 
 // Passed reports whether no rule was violated.
 func (r *Report) Passed() bool {
-	return r.Lost+r.DuplicateEffects+r.FalseRejections+r.ConflictingResponses+r.CorruptResponses+r.Crashes+r.AuditMismatches+r.BelowFence+r.OverGuard == 0
+	return r.Lost+r.DuplicateEffects+r.FalseRejections+r.ConflictingResponses+r.CorruptResponses+r.Crashes+r.AuditMismatches+r.BelowFence+r.OverExclusionLimit == 0
 }
 
 // Inconclusive reports whether the machine stalled for so long that violations say nothing about the program.
@@ -71,7 +72,7 @@
 		n    int
 	}{
 		{"lost", r.Lost}, {"twice", r.DuplicateEffects}, {"false refusals", r.FalseRejections}, {"two answers", r.ConflictingResponses},
-		{"spoilt", r.CorruptResponses}, {"crashes", r.Crashes}, {"misstated", r.AuditMismatches}, {"below the fence", r.BelowFence}, {"over the guard", r.OverGuard},
+		{"spoilt", r.CorruptResponses}, {"crashes", r.Crashes}, {"misstated", r.AuditMismatches}, {"below the fence", r.BelowFence}, {"over the guard", r.OverExclusionLimit},
 	} {
 		if b.n > 0 {
 			all = append(all, fmt.Sprintf("%d %s", b.n, b.name))
@@ -97,7 +98,7 @@
 		r.evaluateRequest(rec, q, latency, retryLatency)
 	}
 	inMs := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	r.P50Ms, r.P99Ms, r.AgainP50Ms, r.AgainP99Ms = inMs(latency, 50), inMs(latency, 99), inMs(retryLatency, 50), inMs(retryLatency, 99)
+	r.P50Ms, r.P99Ms, r.RetryP50Ms, r.RetryP99Ms = inMs(latency, 50), inMs(latency, 99), inMs(retryLatency, 50), inMs(retryLatency, 99)
 	return r
 }
 
@@ -183,7 +184,7 @@
 }
 
 func producedBy(runs []Execution, answer string) bool {
-	return slices.ContainsFunc(runs, func(run Execution) bool { return run.Answer == answer })
+	return slices.ContainsFunc(runs, func(run Execution) bool { return run.Response == answer })
 }
 
 // reachable reports whether some member ran long enough before the request's deadline to answer it.
@@ -217,13 +218,13 @@
 		{&r.Rejected, &o.Rejected}, {&r.Failed, &o.Failed}, {&r.Unreachable, &o.Unreachable}, {&r.Lost, &o.Lost}, {&r.DuplicateEffects, &o.DuplicateEffects},
 		{&r.FalseRejections, &o.FalseRejections}, {&r.ConflictingResponses, &o.ConflictingResponses}, {&r.CorruptResponses, &o.CorruptResponses}, {&r.Crashes, &o.Crashes},
 		{&r.AuditEvents, &o.AuditEvents}, {&r.AuditMatches, &o.AuditMatches}, {&r.AuditGaps, &o.AuditGaps}, {&r.AuditMismatches, &o.AuditMismatches}, {&r.BelowFence, &o.BelowFence},
-		{&r.OverGuard, &o.OverGuard}, {&r.NotConverged, &o.NotConverged},
+		{&r.OverExclusionLimit, &o.OverExclusionLimit}, {&r.NotConverged, &o.NotConverged},
 	} {
 		*p.to += *p.from
 	}
 	r.StallMs, r.CPUUs, r.RSSMB = max(r.StallMs, o.StallMs), max(r.CPUUs, o.CPUUs), max(r.RSSMB, o.RSSMB)
 	r.P50Ms, r.P99Ms = max(r.P50Ms, o.P50Ms), max(r.P99Ms, o.P99Ms)
-	r.AgainP50Ms, r.AgainP99Ms = max(r.AgainP50Ms, o.AgainP50Ms), max(r.AgainP99Ms, o.AgainP99Ms)
+	r.RetryP50Ms, r.RetryP99Ms = max(r.RetryP50Ms, o.RetryP50Ms), max(r.RetryP99Ms, o.RetryP99Ms)
 }
 
 // Line formats a report in one line.
@@ -231,5 +232,5 @@
 	return fmt.Sprintf("requests=%d asked_again=%d served=%d again_served=%d refused=%d failed=%d excused=%d lost=%d twice=%d false_refusals=%d "+
 		"two_answers=%d spoilt=%d crashes=%d acts=%d matched=%d in_gaps=%d misstated=%d below_fence=%d over_guard=%d unagreed=%d stall_ms=%d cpu_us=%d rss_mb=%.1f p50_ms=%.1f p99_ms=%.1f again_p50_ms=%.1f again_p99_ms=%.1f",
 		r.Requests, r.Retried, r.Served, r.RetriedServed, r.Rejected, r.Failed, r.Unreachable, r.Lost, r.DuplicateEffects, r.FalseRejections,
-		r.ConflictingResponses, r.CorruptResponses, r.Crashes, r.AuditEvents, r.AuditMatches, r.AuditGaps, r.AuditMismatches, r.BelowFence, r.OverGuard, r.NotConverged, r.StallMs, r.CPUUs, r.RSSMB, r.P50Ms, r.P99Ms, r.AgainP50Ms, r.AgainP99Ms)
+		r.ConflictingResponses, r.CorruptResponses, r.Crashes, r.AuditEvents, r.AuditMatches, r.AuditGaps, r.AuditMismatches, r.BelowFence, r.OverExclusionLimit, r.NotConverged, r.StallMs, r.CPUUs, r.RSSMB, r.P50Ms, r.P99Ms, r.RetryP50Ms, r.RetryP99Ms)
 }
--- a/internal/lab/faultinjection/evaluate_test.go
+++ b/internal/lab/faultinjection/evaluate_test.go
@@ -13,7 +13,7 @@
 	up := [][]interval{{{from: at.Add(-time.Second)}}}
 	ran := func(repeat ...bool) (runs []Execution) {
 		for i, r := range repeat {
-			runs = append(runs, Execution{Server: "s-1", At: at, Repeat: r, Answer: string(rune('A' + i))})
+			runs = append(runs, Execution{Server: "s-1", At: at, Repeat: r, Response: string(rune('A' + i))})
 		}
 		return runs
 	}
@@ -56,7 +56,7 @@
 		if err := a.Write(path); err != nil {
 			t.Fatal(err)
 		}
-		again, err := Read(path)
+		again, err := ReadTimeline(path)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/faultinjection/faultinjection_test.go
+++ b/internal/lab/faultinjection/faultinjection_test.go
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	for _, path := range kept {
-		line, err := Read(path)
+		line, err := ReadTimeline(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -215,7 +215,7 @@
 // Without a fleet the same loss runs unsafe work twice. Guards against a rig that can find nothing.
 func TestWithoutAFleetWorkRunsTwice(t *testing.T) {
 	line := short("without a fleet", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2500, DurationMs: 1500, Kind: Stop, Process: 1})
-	line.Fleet, line.PerSecond, line.Workload = false, 100, []Workload{{Class: "once", Share: 1}}
+	line.Fleet, line.PerSecond, line.Workload = false, 100, []ClassShare{{Class: "once", Share: 1}}
 	if r := played(t, line); r.DuplicateEffects == 0 {
 		t.Errorf("nothing ran twice: %s", r.Line())
 	}
--- a/internal/lab/faultinjection/overhead.go
+++ b/internal/lab/faultinjection/overhead.go
@@ -25,7 +25,7 @@
 // OverheadConfig configures a measurement of the latency that the sidecar adds: calls are sent directly and through it in turn.
 type OverheadConfig struct {
 	PerSecond int           // calls a second through the sidecar, and as many direct ones; 1 to 20000
-	For       time.Duration // measured time, after 2 s of warm-up; 1 s to 10 min
+	Duration  time.Duration // measured time, after 2 s of warm-up; 1 s to 10 min
 	Servers   int           // on the endpoint list; 1 to 20000
 	Balancers int           // in the settings; 0 to 100000, 0: as many as there are members
 	Members   int           // 0: no fleet; else 3 to 9, with takeover on, one of which is called
@@ -43,8 +43,8 @@
 	switch {
 	case o.PerSecond < 1 || o.PerSecond > 20_000:
 		return fmt.Errorf("per-second is %d: 1 to 20000 are allowed", o.PerSecond)
-	case o.For < time.Second || o.For > 10*time.Minute:
-		return fmt.Errorf("for is %v: 1s to 10m are allowed", o.For)
+	case o.Duration < time.Second || o.Duration > 10*time.Minute:
+		return fmt.Errorf("for is %v: 1s to 10m are allowed", o.Duration)
 	case o.Servers < 1 || o.Servers > 20_000:
 		return fmt.Errorf("servers is %d: 1 to 20000 are allowed", o.Servers)
 	case o.Balancers < 0 || o.Balancers > 100_000:
@@ -67,7 +67,7 @@
 	P90    int64 `json:"p90_us"`
 	P99    int64 `json:"p99_us"`
 	P999   int64 `json:"p999_us"`
-	Most   int64 `json:"most_us"`
+	Max    int64 `json:"most_us"`
 }
 
 // OverheadReport is the result of MeasureOverhead.
@@ -83,7 +83,7 @@
 
 func (r *OverheadReport) String() string {
 	row := func(name string, p PathStats) string {
-		return fmt.Sprintf("%-8s calls=%d failed=%d p50=%d p90=%d p99=%d p99.9=%d most=%d us\n", name, p.Calls, p.Failed, p.P50, p.P90, p.P99, p.P999, p.Most)
+		return fmt.Sprintf("%-8s calls=%d failed=%d p50=%d p90=%d p99=%d p99.9=%d most=%d us\n", name, p.Calls, p.Failed, p.P50, p.P90, p.P99, p.P999, p.Max)
 	}
 	return row("direct", r.Direct) + row("sidecar", r.Sidecar) + fmt.Sprintf(
 		"added_p50_us=%d added_p99_us=%d cpu=%.3f rss_mb=%.1f stall_ms=%d", r.AddedP50, r.AddedP99, r.CPU, r.RSSMB, r.StallMs)
@@ -190,7 +190,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q := l.times.ValueAtQuantile
-	l.stats.P50, l.stats.P90, l.stats.P99, l.stats.P999, l.stats.Most = q(50), q(90), q(99), q(99.9), l.times.Max()
+	l.stats.P50, l.stats.P90, l.stats.P99, l.stats.P999, l.stats.Max = q(50), q(90), q(99), q(99.9), l.times.Max()
 	return l.stats
 }
 
@@ -216,7 +216,7 @@
 	random := rand.New(rand.NewPCG(o.Seed, 5))
 	for n := 0; ctx.Err() == nil; n++ {
 		at := time.Duration(n) * step
-		if at >= overheadWarmup+o.For {
+		if at >= overheadWarmup+o.Duration {
 			break
 		}
 		if warm && at >= overheadWarmup {
--- a/internal/lab/faultinjection/overhead_test.go
+++ b/internal/lab/faultinjection/overhead_test.go
@@ -14,14 +14,14 @@
 func TestOverheadNamesWhatIsOutOfRange(t *testing.T) {
 	for name, change := range map[string]func(*OverheadConfig){
 		"per-second": func(o *OverheadConfig) { o.PerSecond = 0 },
-		"for":        func(o *OverheadConfig) { o.For = time.Hour },
+		"for":        func(o *OverheadConfig) { o.Duration = time.Hour },
 		"servers":    func(o *OverheadConfig) { o.Servers = 20_001 },
 		"balancers":  func(o *OverheadConfig) { o.Balancers = -1 },
 		"members":    func(o *OverheadConfig) { o.Members = 2 },
 		"class":      func(o *OverheadConfig) { o.Class = "none" },
 		"server-ms":  func(o *OverheadConfig) { o.ServerMs = -1 },
 	} {
-		o := &OverheadConfig{PerSecond: 1, For: time.Second, Servers: 1, Class: "look"}
+		o := &OverheadConfig{PerSecond: 1, Duration: time.Second, Servers: 1, Class: "look"}
 		if err := o.Validate(); err != nil {
 			t.Fatal(err)
 		}
@@ -40,13 +40,13 @@
 			slots <- true
 			defer func() { <-slots }()
 			set := Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: t.TempDir()}
-			o := &OverheadConfig{PerSecond: 20, For: time.Second, Servers: 40, Members: members, Class: class, ServerMs: 1}
+			o := &OverheadConfig{PerSecond: 20, Duration: time.Second, Servers: 40, Members: members, Class: class, ServerMs: 1}
 			r, err := MeasureOverhead(context.Background(), set, o)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, p := range []PathStats{r.Direct, r.Sidecar} {
-				if p.Calls != 20 || p.Failed != 0 || p.P50 < 1 || p.Most < p.P99 {
+				if p.Calls != 20 || p.Failed != 0 || p.P50 < 1 || p.Max < p.P99 {
 					t.Errorf("%+v", p)
 				}
 			}
@@ -66,7 +66,7 @@
 	l := newMeasuredPath(ln.Addr().String())
 	l.call(classes[0], "1", false)
 	l.call(classes[0], "2", true)
-	if p := l.summarize(); p.Calls != 1 || p.Failed != 0 || p.Most != 1 {
+	if p := l.summarize(); p.Calls != 1 || p.Failed != 0 || p.Max != 1 {
 		t.Errorf("%+v", p)
 	}
 	body = "done"
--- a/internal/lab/faultinjection/random_timeline.go
+++ b/internal/lab/faultinjection/random_timeline.go
@@ -25,8 +25,8 @@
 	return []ServerConfig{{MinMs: 20, MaxMs: 60}, {MinMs: 50, MaxMs: 150}, {MinMs: 100, MaxMs: 250}, {MinMs: 200, MaxMs: 400}}
 }
 
-func defaultWorkload() []Workload {
-	return []Workload{{Class: "look", Share: 4}, {Class: "make", Share: 3}, {Class: "once", Share: 3}}
+func defaultWorkload() []ClassShare {
+	return []ClassShare{{Class: "look", Share: 4}, {Class: "make", Share: 3}, {Class: "once", Share: 3}}
 }
 
 // Rollouts is the standard rollout experiment: one version after the other while a member is partitioned ("cut"), paused
--- a/internal/lab/faultinjection/servers.go
+++ b/internal/lab/faultinjection/servers.go
@@ -30,11 +30,11 @@
 
 // Execution is one execution of a request at a server, from when its body was complete.
 type Execution struct {
-	Server string
-	At     time.Time
-	Repeat bool   // its idempotency key was known: no effect
-	Answer string // body of the server's response
-	Actor  string // the audit reference in the request
+	Server   string
+	At       time.Time
+	Repeat   bool   // its idempotency key was known: no effect
+	Response string // body of the server's response
+	AuditRef string // the audit reference in the request
 }
 
 // servers is a group of test servers that share a store of idempotency keys, and record every execution.
@@ -98,23 +98,23 @@
 	c := strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	run := Execution{Server: name, At: time.Now(), Actor: r.Header.Get(auditevent.RefHeader)}
+	run := Execution{Server: name, At: time.Now(), AuditRef: r.Header.Get(auditevent.RefHeader)}
 	switch answer, known := s.keys[key]; {
 	case r.Method == http.MethodGet:
-		run.Answer = fmt.Sprintf("%s %s", c, id)
+		run.Response = fmt.Sprintf("%s %s", c, id)
 	case key != "" && known:
-		run.Repeat, run.Answer = true, answer
+		run.Repeat, run.Response = true, answer
 	default:
-		run.Answer = fmt.Sprintf("%s %s run %d at %s of %d bytes", c, id, s.count.Add(1), name, len(body))
+		run.Response = fmt.Sprintf("%s %s run %d at %s of %d bytes", c, id, s.count.Add(1), name, len(body))
 		if len(body) > largeBytes {
-			run.Answer += strings.Repeat(".", largeBytes)
+			run.Response += strings.Repeat(".", largeBytes)
 		}
 		if key != "" {
-			s.keys[key] = run.Answer
+			s.keys[key] = run.Response
 		}
 	}
 	s.executions[id] = append(s.executions[id], run)
-	return ms(set.MinMs) + time.Duration(s.random.Float64()*float64(ms(set.MaxMs-set.MinMs))), run.Answer
+	return ms(set.MinMs) + time.Duration(s.random.Float64()*float64(ms(set.MaxMs-set.MinMs))), run.Response
 }
 
 // executionsByRequest returns a copy of all executions, by request ID.
--- a/internal/lab/faultinjection/timeline.go
+++ b/internal/lab/faultinjection/timeline.go
@@ -55,8 +55,8 @@
 	ReorderShare   float64   `json:"swap,omitempty"`
 }
 
-// Workload is the share of a request class.
-type Workload struct {
+// ClassShare is the share of a request class.
+type ClassShare struct {
 	Class string `json:"class"` // look (safe), make (with an idempotency key), once (unsafe)
 	Share int    `json:"share"` // relative to the sum of all shares
 }
@@ -92,7 +92,7 @@
 	DuplicateShare float64        `json:"twins,omitempty"`     // share of requests that are sent to two members at once
 	LargeShare     float64        `json:"big,omitempty"`       // share of requests with an effect whose body and response are large
 	Servers        []ServerConfig `json:"servers"`
-	Workload       []Workload     `json:"work"`
+	Workload       []ClassShare   `json:"work"`
 	LeaseMs        int64          `json:"lease_ms,omitempty"` // 0: the program's default
 	Disks          []Disk         `json:"disks,omitempty"`    // by process index
 	Strict         []string       `json:"strict,omitempty"`   // classes that are rejected where no quorum of replicas answers
@@ -224,8 +224,8 @@
 	return nil
 }
 
-// Read reads a timeline from a JSON file; unknown keys are an error.
-func Read(path string) (*Timeline, error) {
+// ReadTimeline reads a timeline from a JSON file; unknown keys are an error.
+func ReadTimeline(path string) (*Timeline, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
