--- a/internal/lab/faultinjection/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -98,7 +98,7 @@
 				if f := r.Status.Plan.Fence; f > 0 && p.fenceSeenAt[f].IsZero() {
 					p.fenceSeenAt[f] = time.Now()
 				}
-				p.maxOverGuard = max(p.maxOverGuard, overGuard(r.Status))
+				p.maxOverLimit = max(p.maxOverLimit, unleasedOverLimit(r.Status))
 				p.mu.Unlock()
 			}
 		}()
@@ -111,9 +111,9 @@
 // maxExcludedShare is the program's default for the share of members that may be without a lease.
 const maxExcludedShare = 0.34
 
-// overGuard counts the members without a lease by the plan beyond the allowed share: excluded ones, and those that rejected
+// unleasedOverLimit counts the members without a lease by the plan beyond the allowed share: excluded ones, and those that rejected
 // the version that the fence asks for.
-func overGuard(s *fleet.ClusterStatus) int {
+func unleasedOverLimit(s *fleet.ClusterStatus) int {
 	out := len(s.Plan.Excluded)
 	for name, t := range s.Reports {
 		if !slices.Contains(s.Plan.Excluded, name) && t.Report.RejectedVersion >= s.Plan.Fence && t.Report.ActiveVersion < s.Plan.Fence {
@@ -157,8 +157,8 @@
 		return errors.New("no member tells the account")
 	}
 	p.mu.Lock()
-	a := &auditor{report: r, accounts: map[takeover.Member]*memberAccount{}, alive: alive, fenceSeenAt: p.fenceSeenAt, rolloutTimes: p.rolloutTimes, lease: ms(p.timeline.LeaseMs)}
-	r.Steps, r.OverExclusionLimit = p.stepResults, p.maxOverGuard
+	a := &auditor{report: r, trails: map[takeover.Member]*memberTrail{}, alive: alive, fenceSeenAt: p.fenceSeenAt, rolloutTimes: p.rolloutTimes, lease: ms(p.timeline.LeaseMs)}
+	r.Steps, r.OverExclusionLimit = p.stepResults, p.maxOverLimit
 	p.mu.Unlock()
 	if a.lease == 0 {
 		a.lease = 600 * time.Millisecond // the program's default
@@ -167,7 +167,7 @@
 		for _, f := range one.Faults {
 			a.addViolation(&r.AuditMismatches, "account", fmt.Sprintf("%s/%x: %s", one.Member.Name, one.Member.Incarnation, f))
 		}
-		a.add(&one)
+		a.addTrail(&one)
 	}
 	a.compare(rec)
 	return nil
@@ -176,22 +176,22 @@
 // auditor compares the audit log of each member with the observations.
 type auditor struct {
 	report       *Report
-	accounts     map[takeover.Member]*memberAccount
+	trails       map[takeover.Member]*memberTrail
 	alive        map[takeover.Member]bool
 	fenceSeenAt  map[uint64]time.Time
 	rolloutTimes map[uint64]time.Time
 	lease        time.Duration
 }
 
-// memberAccount indexes a member's audit events.
-type memberAccount struct {
+// memberTrail indexes a member's audit events.
+type memberTrail struct {
 	*audit.Trail
 	byNumber      map[uint64]auditevent.Event
 	sentByRequest map[string]int // by "request server": sends, less those that were not written
 }
 
-func (a *auditor) add(one *audit.Trail) {
-	t := &memberAccount{Trail: one, byNumber: map[uint64]auditevent.Event{}, sentByRequest: map[string]int{}}
+func (a *auditor) addTrail(one *audit.Trail) {
+	t := &memberTrail{Trail: one, byNumber: map[uint64]auditevent.Event{}, sentByRequest: map[string]int{}}
 	for _, act := range one.Events {
 		t.byNumber[act.Number] = act
 		switch act.Kind {
@@ -202,11 +202,11 @@
 		}
 	}
 	a.report.AuditEvents += len(one.Events)
-	a.accounts[one.Member] = t
+	a.trails[one.Member] = t
 }
 
 func (a *auditor) addViolation(count *int, kind, why string) {
-	if *count++; *count <= maxReported {
+	if *count++; *count <= maxDescribed {
 		a.report.Violations = append(a.report.Violations, kind+": "+why)
 	}
 }
@@ -221,7 +221,7 @@
 		wrong("%v", err)
 		return ref, false
 	}
-	t := a.accounts[ref.Member]
+	t := a.trails[ref.Member]
 	switch {
 	case t == nil && a.alive[ref.Member]:
 		wrong("its member tells nothing")
@@ -277,7 +277,7 @@
 		}
 	}
 	for m, runs := range seen { // a server can't have executed more than the log says was sent
-		t := a.accounts[m]
+		t := a.trails[m]
 		if t == nil || len(t.Gaps()) > 0 || !t.Ended && !a.alive[m] {
 			continue
 		}
--- a/internal/lab/faultinjection/client.go
+++ b/internal/lab/faultinjection/client.go
@@ -17,7 +17,7 @@
 
 const (
 	largeBytes   = 100 << 10             // of a large body, and added to a large response: more than the sidecar buffers
-	retryPause   = 25 * time.Millisecond // between attempts at members that refuse connections
+	retryDelay   = 25 * time.Millisecond // between attempts at members that refuse connections
 	resumeHeader = "Req-Resume"          // set on every attempt but the first
 )
 
@@ -119,7 +119,7 @@
 // for SilenceMs is given up, or, with KeepOpen, left open beside the next.
 func (c *clients) sendRequest(ctx context.Context, r *Request, member int) {
 	r.StartedAt = time.Now()
-	ctx, cancel := context.WithDeadline(ctx, r.StartedAt.Add(ms(c.timeline.DeadlineMs)+finalAnswerGrace))
+	ctx, cancel := context.WithDeadline(ctx, r.StartedAt.Add(ms(c.timeline.DeadlineMs)+finalResponseGrace))
 	defer cancel()
 	answers := make(chan Attempt, 64)
 	inFlight := 0
@@ -161,7 +161,7 @@
 					return
 				}
 				if a.index == n { // only the end of the newest attempt moves on to the next member
-					sleep(ctx, retryPause)
+					sleep(ctx, retryDelay)
 					waits = false
 				}
 			case <-silence.C:
@@ -195,7 +195,7 @@
 	defer func() { a.Duration = time.Since(began) }()
 	kind := classes[slices.IndexFunc(classes, func(k class) bool { return k.name == r.Class })] // Validate checked the name
 	method, body := http.MethodGet, io.Reader(nil)
-	if kind.post {
+	if kind.isPost {
 		method, body = http.MethodPost, strings.NewReader("clip "+r.ID)
 		if r.large {
 			body = strings.NewReader("clip " + r.ID + strings.Repeat(" ", largeBytes))
@@ -209,7 +209,7 @@
 	q.Header["Req-Id"] = []string{r.ID}
 	q.Header["Req-Deadline-Ms"] = []string{fmt.Sprint(max(1, left.Milliseconds()))}
 	q.Header["Req-Owner"] = []string{"acme"}
-	if kind.key {
+	if kind.hasKey {
 		q.Header["Idempotency-Key"] = []string{"k" + r.ID}
 	}
 	if resume {
--- a/internal/lab/faultinjection/evaluate.go
+++ b/internal/lab/faultinjection/evaluate.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	finalAnswerGrace = 500 * time.Millisecond // a final response this long after the deadline still counts
-	minReachable     = time.Second            // a member that ran this long before the deadline could have responded
-	maxStall         = 250 * time.Millisecond // of this process; less than half of a lease
-	maxReported      = 20                     // violations of a kind that are described
+	finalResponseGrace = 500 * time.Millisecond // a final response this long after the deadline still counts
+	minUptime          = time.Second            // a member that ran this long before the deadline could have responded
+	maxStall           = 250 * time.Millisecond // of this process; less than half of a lease
+	maxDescribed       = 20                     // violations of a kind that are described
 )
 
 // Report is the outcome of a timeline, from the records of clients and servers alone. JSON keys are those of stored reports.
@@ -159,7 +159,7 @@
 
 // addViolation counts a violation and describes the first ones.
 func (r *Report) addViolation(count *int, kind string, q *Request, runs []Execution) {
-	if *count++; *count > maxReported {
+	if *count++; *count > maxDescribed {
 		return
 	}
 	var b strings.Builder
@@ -196,7 +196,7 @@
 			if !s.to.IsZero() && s.to.Before(to) {
 				end = s.to
 			}
-			if end.Sub(begin) >= minReachable {
+			if end.Sub(begin) >= minUptime {
 				return true
 			}
 		}
--- a/internal/lab/faultinjection/evaluate_test.go
+++ b/internal/lab/faultinjection/evaluate_test.go
@@ -76,12 +76,12 @@
 		change func(*Timeline)
 		want   string
 	}{
-		"processes": {func(t *Timeline) { t.Processes = 0 }, "processes: 0 is not within 1 to 32"},
-		"class":     {func(t *Timeline) { t.Workload[0].Class = "x" }, `work[0].class: "x" is none of`},
-		"who":       {func(t *Timeline) { t.Faults[0].Process = 3 }, "faults[0]: kill: who 3 is none of 3"},
-		"kind":      {func(t *Timeline) { t.Faults[1].Kind = "burn" }, `faults[1]: "burn" is no kind of fault`},
-		"link":      {func(t *Timeline) { t.Faults[0] = Fault{Kind: Partition, Process: 1, Peer: 1} }, "faults[0]: cut: no link from 1 to 1"},
-		"servers":   {func(t *Timeline) { t.Servers = nil }, "servers: none"},
+		"processes": {func(t *Timeline) { t.Processes = 0 }, "processes: got 0, want 1 to 32"},
+		"class":     {func(t *Timeline) { t.Workload[0].Class = "x" }, `work[0].class: got "x", want `},
+		"who":       {func(t *Timeline) { t.Faults[0].Process = 3 }, "faults[0]: kill: got who 3, want the index of one of 3"},
+		"kind":      {func(t *Timeline) { t.Faults[1].Kind = "burn" }, `faults[1]: kind: "burn" is not a fault kind`},
+		"link":      {func(t *Timeline) { t.Faults[0] = Fault{Kind: Partition, Process: 1, Peer: 1} }, "faults[0]: cut: there is no link from process 1 to process 1"},
+		"servers":   {func(t *Timeline) { t.Servers = nil }, "servers: got none"},
 	} {
 		line := KillsAndPause(1, true)
 		c.change(line)
--- a/internal/lab/faultinjection/faultinjection_test.go
+++ b/internal/lab/faultinjection/faultinjection_test.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// slots bounds how many timelines are played at a time.
-var slots = make(chan bool, 3)
+// timelineSlots bounds how many timelines are played at a time.
+var timelineSlots = make(chan bool, 3)
 
-// programs is where the program was built, once for all tests.
-var programs string
+// binaryDir is where the program was built, once for all tests.
+var binaryDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "rig-test-")
@@ -33,15 +33,15 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	programs = dir
+	binaryDir = dir
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-func played(t *testing.T, line *Timeline) *Report {
+func runTimeline(t *testing.T, line *Timeline) *Report {
 	t.Helper()
-	set := Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: t.TempDir()}
+	set := Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: t.TempDir()}
 	r, err := Run(context.Background(), set, line)
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	return r
 }
 
-func short(name string, faults ...Fault) *Timeline {
+func shortTimeline(name string, faults ...Fault) *Timeline {
 	line := KillsAndPause(7, true)
 	line.Note, line.LengthMs, line.PerSecond, line.Faults = name, 5000, 60, faults
 	return line
@@ -58,18 +58,18 @@
 // Work in hand survives what these timelines break: nothing is lost, run twice, answered in two ways, or refused though it ran.
 // The verdict is what happened, never how fast.
 func TestTakeover(t *testing.T) {
-	keep := short("a member stopped past its lease, its client still connected", Fault{AtMs: 1000, DurationMs: 1500, Kind: Stop, Process: 1})
+	keep := shortTimeline("a member stopped past its lease, its client still connected", Fault{AtMs: 1000, DurationMs: 1500, Kind: Stop, Process: 1})
 	keep.KeepOpen, keep.SilenceMs = true, 150
-	bad := short("killed beside a member whose disk is full", Fault{AtMs: 1500, DurationMs: 800, Kind: Kill, Process: 2})
+	bad := shortTimeline("killed beside a member whose disk is full", Fault{AtMs: 1500, DurationMs: 800, Kind: Kill, Process: 2})
 	bad.Disks = []Disk{FullDisk}
 	lines := []*Timeline{
-		short("killed, then another killed", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2600, DurationMs: 700, Kind: Kill, Process: 1}),
+		shortTimeline("killed, then another killed", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2600, DurationMs: 700, Kind: Kill, Process: 1}),
 		keep, bad,
-		short("cut from one other both ways, then killed", Fault{AtMs: 800, DurationMs: 2500, Kind: Partition, Process: 0, Peer: 1, BothWays: true}, Fault{AtMs: 2000, DurationMs: 900, Kind: Kill, Process: 0}),
-		short("cut one way from all", Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 1}, Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 2}),
-		short("frames lost, doubled and swapped; a rolling restart", Fault{AtMs: 300, DurationMs: 4000, Kind: FrameFaults, Process: 0, Peer: 1, BothWays: true, LossShare: 0.2, DuplicateShare: 0.2, ReorderShare: 0.2},
+		shortTimeline("cut from one other both ways, then killed", Fault{AtMs: 800, DurationMs: 2500, Kind: Partition, Process: 0, Peer: 1, BothWays: true}, Fault{AtMs: 2000, DurationMs: 900, Kind: Kill, Process: 0}),
+		shortTimeline("cut one way from all", Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 1}, Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 2}),
+		shortTimeline("frames lost, doubled and swapped; a rolling restart", Fault{AtMs: 300, DurationMs: 4000, Kind: FrameFaults, Process: 0, Peer: 1, BothWays: true, LossShare: 0.2, DuplicateShare: 0.2, ReorderShare: 0.2},
 			Fault{AtMs: 1000, Kind: Terminate, Process: 1}, Fault{AtMs: 2500, Kind: Upgrade, Process: 2}),
-		short("a restart loop", Fault{AtMs: 500, DurationMs: 3500, Kind: RestartLoop, Process: 1, IntervalMs: 400}),
+		shortTimeline("a restart loop", Fault{AtMs: 500, DurationMs: 3500, Kind: RestartLoop, Process: 1, IntervalMs: 400}),
 	}
 	kept, err := filepath.Glob("testdata/*.json") // each that ever failed
 	if err != nil {
@@ -85,9 +85,9 @@
 	for _, line := range lines {
 		t.Run(line.Note, func(t *testing.T) {
 			t.Parallel()
-			slots <- true
-			defer func() { <-slots }()
-			r := played(t, line)
+			timelineSlots <- true
+			defer func() { <-timelineSlots }()
+			r := runTimeline(t, line)
 			if !r.Passed() || r.Served == 0 {
 				t.Errorf("%s\n%s", r.Line(), strings.Join(r.Violations, "\n"))
 			}
@@ -99,7 +99,7 @@
 func TestAudit(t *testing.T) {
 	good := Step{AtMs: 600, Action: "rollout", Share: 340, SettleMs: 200, GraceMs: 600}
 	with := func(name string, steps []Step, faults ...Fault) *Timeline {
-		line := short(name, faults...)
+		line := shortTimeline(name, faults...)
 		line.Audit, line.Steps = true, steps
 		return line
 	}
@@ -135,9 +135,9 @@
 	} {
 		t.Run(c.line.Note, func(t *testing.T) {
 			t.Parallel()
-			slots <- true
-			defer func() { <-slots }()
-			r := played(t, c.line)
+			timelineSlots <- true
+			defer func() { <-timelineSlots }()
+			r := runTimeline(t, c.line)
 			if !r.Passed() || r.Served == 0 || r.AuditMatches == 0 || c.want != nil && !c.want(r) {
 				t.Errorf("%s\n%s\n%s\n%s", r.Line(), strings.Join(r.Violations, "\n"), strings.Join(r.Steps, "\n"), r.WaitingFor)
 			}
@@ -147,10 +147,10 @@
 
 // Operators are told in words and by the exit code; what is refused changes nothing.
 func TestOperators(t *testing.T) {
-	line := short("")
+	line := shortTimeline("")
 	line.Audit, line.LeaseMs = true, 2000
 	dir := t.TempDir()
-	p := newExperiment(Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: dir}, line)
+	p := newExperiment(Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: dir}, line)
 	defer p.close()
 	if err := p.start(context.Background()); err != nil {
 		t.Fatal(err)
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	run := func(opts string, args ...string) (int, string) {
-		cmd := exec.Command(filepath.Join(programs, "damsonscale"), append([]string{"fleet", "--options", opts}, args...)...)
+		cmd := exec.Command(filepath.Join(binaryDir, "damsonscale"), append([]string{"fleet", "--options", opts}, args...)...)
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		if err != nil && !errors.As(err, &exit) {
@@ -214,18 +214,18 @@
 
 // Without a fleet the same loss runs unsafe work twice. Guards against a rig that can find nothing.
 func TestWithoutAFleetWorkRunsTwice(t *testing.T) {
-	line := short("without a fleet", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2500, DurationMs: 1500, Kind: Stop, Process: 1})
+	line := shortTimeline("without a fleet", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2500, DurationMs: 1500, Kind: Stop, Process: 1})
 	line.Fleet, line.PerSecond, line.Workload = false, 100, []ClassShare{{Class: "once", Share: 1}}
-	if r := played(t, line); r.DuplicateEffects == 0 {
+	if r := runTimeline(t, line); r.DuplicateEffects == 0 {
 		t.Errorf("nothing ran twice: %s", r.Line())
 	}
 }
 
 // A recorded answer is given again, the same bytes; a request of another body under its id is refused by name.
 func TestAskedAgainAfterTheAnswer(t *testing.T) {
-	line := short("")
+	line := shortTimeline("")
 	line.LeaseMs = 2000 // a busy machine must not end a lease here
-	p := newExperiment(Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: t.TempDir()}, line)
+	p := newExperiment(Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: t.TempDir()}, line)
 	defer p.close()
 	if err := p.start(context.Background()); err != nil {
 		t.Fatal(err)
@@ -282,8 +282,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(2500*time.Millisecond, cancel)
 	dir := t.TempDir()
-	line := short("", Fault{AtMs: 300, DurationMs: 4000, Kind: Stop, Process: 0})
-	if _, err := Run(ctx, Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: dir}, line); err == nil {
+	line := shortTimeline("", Fault{AtMs: 300, DurationMs: 4000, Kind: Stop, Process: 0})
+	if _, err := Run(ctx, Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: dir}, line); err == nil {
 		t.Fatal("no error")
 	}
 	all, _ := filepath.Glob("/proc/[0-9]*/environ")
--- a/internal/lab/faultinjection/link.go
+++ b/internal/lab/faultinjection/link.go
@@ -11,7 +11,7 @@
 	"damsonscale/internal/frame"
 )
 
-const linkDial = time.Second
+const linkDialTimeout = time.Second
 
 // link is the path from one member to another: a relay that the sender dials instead of the receiver. Each direction has a
 // link of its own, so that one can fail alone. Bytes that flow back on a connection are relayed unchanged.
@@ -21,14 +21,14 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	conns  map[*pair]bool
+	conns  map[*relayedConn]bool
 	faults []*Fault
 	change chan struct{} // closed and replaced at each change of faults
 	closed bool
 }
 
-// pair is a relayed connection.
-type pair struct{ near, far net.Conn }
+// relayedConn is a relayed connection.
+type relayedConn struct{ sender, receiver net.Conn }
 
 func startLink(target string, seed uint64) (*link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 		return nil, err
 	}
 	l := &link{
-		ln: ln, target: target, random: rand.New(rand.NewPCG(seed, 2)), conns: map[*pair]bool{}, change: make(chan struct{}),
+		ln: ln, target: target, random: rand.New(rand.NewPCG(seed, 2)), conns: map[*relayedConn]bool{}, change: make(chan struct{}),
 	}
 	go l.accept()
 	return l, nil
@@ -49,21 +49,21 @@
 	l.mu.Lock()
 	l.closed = true
 	for p := range l.conns {
-		p.near.Close()
-		p.far.Close()
+		p.sender.Close()
+		p.receiver.Close()
 	}
-	l.notify()
+	l.notifyChange()
 	l.mu.Unlock()
 }
 
-// notify wakes all that wait for a change. The caller holds mu.
-func (l *link) notify() {
+// notifyChange wakes all that wait for a change. The caller holds mu.
+func (l *link) notifyChange() {
 	close(l.change)
 	l.change = make(chan struct{})
 }
 
-// set starts or ends a fault.
-func (l *link) set(f *Fault, on bool) {
+// setFault starts or ends a fault.
+func (l *link) setFault(f *Fault, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if on {
@@ -71,13 +71,13 @@
 		for p := range l.conns {
 			switch f.Kind {
 			case Reset:
-				if t, ok := p.near.(*net.TCPConn); ok {
+				if t, ok := p.sender.(*net.TCPConn); ok {
 					t.SetLinger(0)
 				}
-				p.near.Close()
-				p.far.Close()
+				p.sender.Close()
+				p.receiver.Close()
 			case HalfOpen:
-				p.far.Close() // bytes from the sender are still read, and dropped
+				p.receiver.Close() // bytes from the sender are still read, and dropped
 			}
 		}
 	} else {
@@ -88,7 +88,7 @@
 			}
 		}
 	}
-	l.notify()
+	l.notifyChange()
 }
 
 // active returns the active fault of a kind, and a channel that is closed when the faults change.
@@ -103,7 +103,7 @@
 	return nil, l.change, l.closed
 }
 
-func (l *link) draw() float64 {
+func (l *link) randomFloat() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.random.Float64()
@@ -138,12 +138,12 @@
 	if !l.waitConnected() {
 		return
 	}
-	far, err := net.DialTimeout("tcp", l.target, linkDial)
+	far, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
 	if err != nil {
 		return
 	}
 	defer far.Close()
-	p := &pair{near, far}
+	p := &relayedConn{near, far}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
@@ -162,10 +162,10 @@
 }
 
 // forward relays frames, subject to the active faults.
-func (l *link) forward(p *pair) {
+func (l *link) forward(p *relayedConn) {
 	var reordered []byte // reordered: goes out behind the next frame
 	for {
-		current, err := nextFrame(p.near)
+		current, err := nextFrame(p.sender)
 		if err != nil || !l.waitConnected() {
 			return
 		}
@@ -177,7 +177,7 @@
 		}
 		out := [][]byte{current}
 		if f, _, _ := l.active(FrameFaults); f != nil {
-			switch x := l.draw(); {
+			switch x := l.randomFloat(); {
 			case x < f.LossShare:
 				out = nil
 			case x < f.LossShare+f.DuplicateShare:
@@ -190,7 +190,7 @@
 			out, reordered = append(out, reordered), nil
 		}
 		for _, b := range out {
-			if _, err := p.far.Write(b); err != nil {
+			if _, err := p.receiver.Write(b); err != nil {
 				if f, _, _ := l.active(HalfOpen); f == nil {
 					return
 				}
--- a/internal/lab/faultinjection/overhead.go
+++ b/internal/lab/faultinjection/overhead.go
@@ -98,7 +98,7 @@
 		Seed: o.Seed, Processes: max(1, o.Members), Fleet: o.Members > 0, DeadlineMs: overheadTimeout.Milliseconds(),
 	})
 	defer p.close()
-	p.settingsBalancers = o.Balancers
+	p.configuredBalancers = o.Balancers
 	p.servers = &servers{}
 	if err := p.servers.startFixedDelay(o); err != nil {
 		return nil, err
@@ -153,8 +153,8 @@
 	}
 }
 
-// call sends one call, and records it unless this is the warm-up.
-func (l *measuredPath) call(class class, id string, counts bool) {
+// sendCall sends one sendCall, and records it unless this is the warm-up.
+func (l *measuredPath) sendCall(class class, id string, counts bool) {
 	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(a)
@@ -162,11 +162,11 @@
 	q.Header.Set("Req-Id", id)
 	q.Header.Set("Req-Deadline-Ms", strconv.FormatInt(overheadTimeout.Milliseconds(), 10))
 	q.Header.Set("Req-Owner", "acme")
-	if class.post {
+	if class.isPost {
 		q.Header.SetMethod(fasthttp.MethodPost)
 		q.SetBodyString("clip " + id)
 	}
-	if class.key {
+	if class.hasKey {
 		q.Header.Set("Idempotency-Key", "k"+id)
 	}
 	began := time.Now()
@@ -227,7 +227,7 @@
 			time.Sleep(d)
 		}
 		l, id, counts := lanes[n%2], fmt.Sprintf("%016x", random.Uint64()), !warm
-		open.Go(func() { l.call(kind, id, counts) })
+		open.Go(func() { l.sendCall(kind, id, counts) })
 	}
 	open.Wait()
 	cpu, rss := through.usage()
--- a/internal/lab/faultinjection/overhead_test.go
+++ b/internal/lab/faultinjection/overhead_test.go
@@ -37,9 +37,9 @@
 	for class, members := range map[string]int{"look": 0, "make": 3} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			slots <- true
-			defer func() { <-slots }()
-			set := Setup{Binary: filepath.Join(programs, "damsonscale"), Dir: t.TempDir()}
+			timelineSlots <- true
+			defer func() { <-timelineSlots }()
+			set := Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: t.TempDir()}
 			o := &OverheadConfig{PerSecond: 20, Duration: time.Second, Servers: 40, Members: members, Class: class, ServerMs: 1}
 			r, err := MeasureOverhead(context.Background(), set, o)
 			if err != nil {
@@ -64,13 +64,13 @@
 	defer ln.Close()
 	go fasthttp.Serve(ln, func(c *fasthttp.RequestCtx) { c.WriteString(body) })
 	l := newMeasuredPath(ln.Addr().String())
-	l.call(classes[0], "1", false)
-	l.call(classes[0], "2", true)
+	l.sendCall(classes[0], "1", false)
+	l.sendCall(classes[0], "2", true)
 	if p := l.summarize(); p.Calls != 1 || p.Failed != 0 || p.Max != 1 {
 		t.Errorf("%+v", p)
 	}
 	body = "done"
-	l.call(classes[0], "3", true)
+	l.sendCall(classes[0], "3", true)
 	if p := l.summarize(); p.Calls != 2 || p.Failed != 1 {
 		t.Errorf("%+v", p)
 	}
--- a/internal/lab/faultinjection/process.go
+++ b/internal/lab/faultinjection/process.go
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// term ends the process with SIGTERM and starts it again.
-func (p *process) term() error {
+// terminateAndRestart ends the process with SIGTERM and starts it again.
+func (p *process) terminateAndRestart() error {
 	p.mu.Lock()
 	if p.killedBy > 0 || p.pausedBy > 0 || p.closed {
 		p.mu.Unlock()
@@ -285,8 +285,8 @@
 	return time.Duration(user+system) * tick, pages * int64(os.Getpagesize())
 }
 
-// ready waits until the process reports readiness.
-func (p *process) ready(ctx context.Context) error {
+// waitReady waits until the process reports readiness.
+func (p *process) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
--- a/internal/lab/faultinjection/random_timeline.go
+++ b/internal/lab/faultinjection/random_timeline.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// KillsAndPause is the standard takeover experiment: two processes killed, one paused for 3 s.
+// KillsAndPause returns the standard takeover experiment: two processes are killed, and one is paused for 3 s.
 func KillsAndPause(seed uint64, fleet bool) *Timeline {
 	return &Timeline{
-		Seed: seed, Note: "two processes killed outright, one stopped for 3 s", Processes: 3, Fleet: fleet, LengthMs: 14_000, PerSecond: 200,
+		Seed: seed, Note: "two processes are killed, one is stopped for 3 s", Processes: 3, Fleet: fleet, LengthMs: 14_000, PerSecond: 200,
 		DeadlineMs: 2000, SilenceMs: 700, Servers: defaultServers(), Workload: defaultWorkload(),
 		Faults: []Fault{
 			{AtMs: 3000, DurationMs: 1000, Kind: Kill, Process: 0},
@@ -29,18 +29,19 @@
 	return []ClassShare{{Class: "look", Share: 4}, {Class: "make", Share: 3}, {Class: "once", Share: 3}}
 }
 
-// Rollouts is the standard rollout experiment: one version after the other while a member is partitioned ("cut"), paused
-// ("stopped"), rejects the version ("refused") or is excluded ("barred").
-func Rollouts(seed uint64, broken string) *Timeline {
+// Rollouts returns the standard rollout experiment: two versions are rolled out one after the other while a member is partitioned
+// (condition "cut"), is paused ("stopped") or rejects the first version ("refused"). With the condition "barred", two members are
+// excluded instead. Any other condition adds no fault.
+func Rollouts(seed uint64, condition string) *Timeline {
 	t := &Timeline{
-		Seed: seed, Note: "rollouts, " + broken, Processes: 3, Fleet: true, Audit: true, LengthMs: 12_000, PerSecond: 200, DeadlineMs: 2000, SilenceMs: 700,
+		Seed: seed, Note: "rollouts, " + condition, Processes: 3, Fleet: true, Audit: true, LengthMs: 12_000, PerSecond: 200, DeadlineMs: 2000, SilenceMs: 700,
 		Servers: defaultServers(), Workload: defaultWorkload(),
 		Steps: []Step{
 			{AtMs: 1500, Action: "rollout", Via: 0, Share: 340, SettleMs: 500, GraceMs: 1500},
 			{AtMs: 7000, Action: "rollout", Via: 1, Share: 340, SettleMs: 500, GraceMs: 1500},
 		},
 	}
-	switch broken {
+	switch condition {
 	case "stopped":
 		t.Faults = []Fault{{AtMs: 1400, DurationMs: 6000, Kind: Stop, Process: 2}}
 	case "refused":
@@ -55,10 +56,10 @@
 	return t
 }
 
-// WithOperatorSteps adds operators' commands to a timeline, generated from its seed.
+// WithOperatorSteps adds commands of operators to a timeline, generated from the timeline's seed, and turns on its audit log.
 func WithOperatorSteps(t *Timeline) *Timeline {
 	steps := rapid.Custom(func(r *rapid.T) []Step {
-		var out []Step
+		var generated []Step
 		for n := rapid.IntRange(1, 4).Draw(r, "steps"); n > 0; n-- {
 			s := Step{
 				AtMs: t.LengthMs * rapid.SampledFrom([]int64{2, 5, 10, 15, 20, 25, 30, 35, 40, 45, 50, 60, 70}).Draw(r, "at") / 100, Via: rapid.IntRange(0, t.Processes-1).Draw(r, "via"),
@@ -70,24 +71,24 @@
 				s.GraceMs = rapid.Int64Range(0, 2000).Draw(r, "grace")
 				s.Settings = rapid.SampledFrom([]SettingsKind{ValidSettings, ValidSettings, ValidSettings, DegradingSettings, UnknownKeySettings}).Draw(r, "file")
 				if rapid.IntRange(0, 3).Draw(r, "refuse") == 0 {
-					s.RejectingMembers = []int{rapid.IntRange(0, t.Processes-1).Draw(r, "who refuses")}
+					s.RejectingMembers = []int{rapid.IntRange(0, t.Processes-1).Draw(r, "rejecting member")}
 				}
 			case "back":
 				s.Number, s.GraceMs = rapid.Uint64Range(1, 2).Draw(r, "number"), 500
 			case "out", "readmit":
 				s.Member = rapid.IntRange(0, t.Processes-1).Draw(r, "who")
 			}
-			out = append(out, s)
+			generated = append(generated, s)
 		}
-		slices.SortStableFunc(out, func(a, b Step) int { return int(a.AtMs - b.AtMs) })
-		return out
+		slices.SortStableFunc(generated, func(a, b Step) int { return int(a.AtMs - b.AtMs) })
+		return generated
 	})
 	t.Audit, t.InMemory, t.Steps = true, t.Seed%3 == 0, steps.Example(int(t.Seed&(1<<31-1)))
 	return t
 }
 
-// RandomTimeline generates a timeline from a seed: faults of processes and links that may overlap. The same seed gives the
-// same timeline.
+// RandomTimeline generates a timeline from a seed, with faults of processes and links that may overlap. Equal arguments give equal
+// timelines.
 func RandomTimeline(seed uint64, processes int, lengthMs int64, perSecond int, fleet bool) *Timeline {
 	t := timelineGenerator(processes, lengthMs, perSecond, fleet).Example(int(seed & (1<<31 - 1)))
 	t.Seed = seed
@@ -99,15 +100,15 @@
 		t := &Timeline{
 			Processes: processes, Fleet: fleet, LengthMs: lengthMs, PerSecond: perSecond, DeadlineMs: 2000, Servers: defaultServers(), Workload: defaultWorkload(),
 			SilenceMs: rapid.SampledFrom([]int64{150, 400, 700}).Draw(r, "silence"),
-			KeepOpen:  rapid.Bool().Draw(r, "keep open"),
+			KeepOpen:  rapid.Bool().Draw(r, "client keeps silent attempts open"),
 		}
 		if fleet {
-			part := rapid.SampledFrom([]float64{0, 0, 0.1, 0.3})
-			t.RepeatShare, t.DuplicateShare, t.LargeShare = part.Draw(r, "doubt"), part.Draw(r, "twins"), part.Draw(r, "big")
+			share := rapid.SampledFrom([]float64{0, 0, 0.1, 0.3})
+			t.RepeatShare, t.DuplicateShare, t.LargeShare = share.Draw(r, "doubt"), share.Draw(r, "twins"), share.Draw(r, "big")
 		}
 		if rapid.IntRange(0, 9).Draw(r, "disk") == 0 {
 			t.Disks = make([]Disk, processes)
-			t.Disks[rapid.IntRange(0, processes-1).Draw(r, "bad disk")] = rapid.SampledFrom([]Disk{ReadOnlyDisk, FullDisk}).Draw(r, "disk is")
+			t.Disks[rapid.IntRange(0, processes-1).Draw(r, "process with the failing disk")] = rapid.SampledFrom([]Disk{ReadOnlyDisk, FullDisk}).Draw(r, "condition of the disk")
 		}
 		kinds := []FaultKind{Kill, Kill, Kill, Stop, Stop, Terminate, RestartLoop, Upgrade}
 		if fleet && processes > 1 {
@@ -138,36 +139,36 @@
 	case Throttle:
 		f.BytesPerSecond = rapid.Int64Range(500, 200_000).Draw(r, "rate")
 	case FrameFaults:
-		part := rapid.Float64Range(0, 0.3)
-		f.LossShare, f.DuplicateShare, f.ReorderShare = part.Draw(r, "lose"), part.Draw(r, "double"), part.Draw(r, "swap")
+		share := rapid.Float64Range(0, 0.3)
+		f.LossShare, f.DuplicateShare, f.ReorderShare = share.Draw(r, "lose"), share.Draw(r, "double"), share.Draw(r, "swap")
 	}
 	return f
 }
 
-// Shrink looks for a smaller timeline that still fails. Processes are not deterministic, so a smaller one counts as passing
-// only after it has passed tries times. progress is called with a line for each step.
+// Shrink looks for a smaller timeline that still fails. Runs are not deterministic, so a timeline counts as passing only after it
+// has passed the given number of tries. Shrink calls progress with a description of each smaller timeline that fails.
 func Shrink(ctx context.Context, t *Timeline, tries int, fails func(*Timeline) (bool, error), progress func(string)) (*Timeline, error) {
 	stillFails := func(c *Timeline) (bool, error) {
 		for range tries {
 			if err := ctx.Err(); err != nil {
 				return false, err
 			}
-			if b, err := fails(c); b || err != nil {
-				return b, err
+			if failed, err := fails(c); failed || err != nil {
+				return failed, err
 			}
 		}
 		return false, nil
 	}
-	for smaller := true; smaller; {
-		smaller = false
+	for shrunk := true; shrunk; {
+		shrunk = false
 		for _, c := range t.smallerTimelines() {
-			b, err := stillFails(c)
+			failed, err := stillFails(c)
 			if err != nil {
 				return t, err
 			}
-			if b {
+			if failed {
 				progress(fmt.Sprintf("%d faults, %d ms", len(c.Faults), c.LengthMs))
-				t, smaller = c, true
+				t, shrunk = c, true
 				break
 			}
 		}
@@ -175,39 +176,39 @@
 	return t, nil
 }
 
-// smallerTimelines lists timelines that differ from this one by one reduction, the largest reduction first.
+// smallerTimelines returns the timelines that result from a single reduction of t, the largest reductions first.
 func (t *Timeline) smallerTimelines() (out []*Timeline) {
-	with := func(change func(*Timeline)) {
+	reduce := func(change func(*Timeline)) {
 		c := *t
 		c.Faults = slices.Clone(t.Faults)
 		change(&c)
 		out = append(out, &c)
 	}
 	for i := range t.Faults {
-		with(func(c *Timeline) { c.Faults = slices.Delete(c.Faults, i, i+1) })
+		reduce(func(c *Timeline) { c.Faults = slices.Delete(c.Faults, i, i+1) })
 	}
 	if len(t.Disks) > 0 {
-		with(func(c *Timeline) { c.Disks = nil })
+		reduce(func(c *Timeline) { c.Disks = nil })
 	}
 	for i := range t.Steps {
-		with(func(c *Timeline) { c.Steps = slices.Delete(slices.Clone(t.Steps), i, i+1) })
+		reduce(func(c *Timeline) { c.Steps = slices.Delete(slices.Clone(t.Steps), i, i+1) })
 	}
 	if t.KeepOpen {
-		with(func(c *Timeline) { c.KeepOpen = false })
+		reduce(func(c *Timeline) { c.KeepOpen = false })
 	}
-	last := int64(0)
+	lastEnd := int64(0)
 	for _, f := range t.Faults {
-		last = max(last, f.AtMs+f.DurationMs)
+		lastEnd = max(lastEnd, f.AtMs+f.DurationMs)
 	}
-	if end := last + t.DeadlineMs; end < t.LengthMs {
-		with(func(c *Timeline) { c.LengthMs = end })
+	if end := lastEnd + t.DeadlineMs; end < t.LengthMs {
+		reduce(func(c *Timeline) { c.LengthMs = end })
 	}
 	for i, f := range t.Faults {
 		if f.DurationMs > 200 {
-			with(func(c *Timeline) { c.Faults[i].DurationMs = f.DurationMs / 2 })
+			reduce(func(c *Timeline) { c.Faults[i].DurationMs = f.DurationMs / 2 })
 		}
 		if f.BothWays {
-			with(func(c *Timeline) { c.Faults[i].BothWays = false })
+			reduce(func(c *Timeline) { c.Faults[i].BothWays = false })
 		}
 	}
 	return out
--- a/internal/lab/faultinjection/registry.go
+++ b/internal/lab/faultinjection/registry.go
@@ -10,9 +10,9 @@
 	"damsonscale/internal/discovery"
 )
 
-const heartbeatInterval = 2 * time.Second
+const heartbeatInterval = 2 * time.Second // between the empty lines that keep a watch alive
 
-// registry is a discovery service with a constant endpoint list.
+// registry is a discovery service whose endpoint list does not change.
 type registry struct {
 	addr string
 	*http.Server
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h := func(w http.ResponseWriter, r *http.Request) {
+	serve := func(w http.ResponseWriter, r *http.Request) {
 		json.NewEncoder(w).Encode(list)
 		if r.URL.Query().Get("watch") != "1" {
 			return
@@ -40,7 +40,7 @@
 			}
 		}
 	}
-	g := &registry{addr: ln.Addr().String(), Server: &http.Server{Handler: http.HandlerFunc(h)}}
+	g := &registry{addr: ln.Addr().String(), Server: &http.Server{Handler: http.HandlerFunc(serve)}}
 	go g.Serve(ln)
 	return g, nil
 }
--- a/internal/lab/faultinjection/run.go
+++ b/internal/lab/faultinjection/run.go
@@ -39,14 +39,14 @@
 
 // experiment is a running timeline.
 type experiment struct {
-	setup             Setup
-	timeline          *Timeline
-	starter           *ProcessStarter
-	settingsBalancers int // number of balancers in the settings, where larger than the number of processes
-	servers           *servers
-	registry          *registry
-	processes         []*process
-	links             map[[2]int]*link
+	setup               Setup
+	timeline            *Timeline
+	starter             *ProcessStarter
+	configuredBalancers int // number of balancers in the settings, where larger than the number of processes
+	servers             *servers
+	registry            *registry
+	processes           []*process
+	links               map[[2]int]*link
 
 	memberAddresses []string // the members' own addresses, without links
 
@@ -55,7 +55,7 @@
 	fenceSeenAt  map[uint64]time.Time // by fence: when it was first reported
 	stepResults  []string             // operators' commands with their replies
 	rolloutTimes map[uint64]time.Time // by version: when its command was sent
-	maxOverGuard int                  // most members without a lease at once beyond the allowed share
+	maxOverLimit int                  // most members without a lease at once beyond the allowed share
 }
 
 func newExperiment(set Setup, t *Timeline) *experiment {
@@ -91,7 +91,7 @@
 		}
 	}
 	for _, one := range p.processes {
-		if err := one.ready(ctx); err != nil {
+		if err := one.waitReady(ctx); err != nil {
 			return err
 		}
 	}
@@ -161,13 +161,13 @@
 		s := map[string]any{
 			"Name": c.name, "Semantics": c.semantics, "AimUs": deadline / 2, "DeadlineUs": deadline, "LateShare": 0.3, "Worth": 1,
 		}
-		if c.key {
+		if c.hasKey {
 			s["Group"], s["WindowUs"] = "all", p.timeline.DeadlineMs*4000
 		}
 		services = append(services, s)
 	}
 	settings := map[string]any{
-		"Balancers": max(p.settingsBalancers, p.timeline.Processes), "Me": i, "Zone": "a", "RegistryMode": "on_request", "WeightSource": "nominal", "TickUs": 5000,
+		"Balancers": max(p.configuredBalancers, p.timeline.Processes), "Me": i, "Zone": "a", "RegistryMode": "on_request", "WeightSource": "nominal", "TickUs": 5000,
 		"Services": services,
 		"Realms":   []any{map[string]any{"Name": "acme", "AllowancePerS": 10_000, "Share": 1.0}},
 		"Limits": map[string]any{
@@ -288,7 +288,7 @@
 		return nil, err
 	default:
 	}
-	p.noteCrashes()
+	p.recordCrashes()
 	var cpu time.Duration
 	var rss int64
 	for _, one := range p.processes {
@@ -330,8 +330,8 @@
 	}
 }
 
-// noteCrashes records processes that exited unexpectedly.
-func (p *experiment) noteCrashes() {
+// recordCrashes records processes that exited unexpectedly.
+func (p *experiment) recordCrashes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, one := range p.processes {
@@ -364,7 +364,7 @@
 		}
 		return process.resume(f.Kind == Stop)
 	case Terminate:
-		return process.term()
+		return process.terminateAndRestart()
 	case Upgrade:
 		return process.upgrade(ctx)
 	case RestartLoop:
@@ -384,8 +384,8 @@
 		if l == nil {
 			return nil // without a fleet there are no links
 		}
-		l.set(f, true)
-		defer l.set(f, false)
+		l.setFault(f, true)
+		defer l.setFault(f, false)
 	}
 	waitForEnd()
 	return nil
--- a/internal/lab/faultinjection/servers.go
+++ b/internal/lab/faultinjection/servers.go
@@ -15,52 +15,52 @@
 	"damsonscale/internal/discovery"
 )
 
-// class is a request class of the settings.
+// class is a request class: a service in the settings of the sidecars, and the first segment of the request path.
 type class struct {
-	name      string
-	semantics string
-	post, key bool
+	name           string
+	semantics      string // as the settings name it
+	isPost, hasKey bool   // whether requests use POST, and whether they have an idempotency key
 }
 
 var classes = []class{
 	{name: "look", semantics: "idempotent"},
-	{name: "make", semantics: "deduplicated", post: true, key: true},
-	{name: "once", semantics: "at_most_once", post: true},
+	{name: "make", semantics: "deduplicated", isPost: true, hasKey: true},
+	{name: "once", semantics: "at_most_once", isPost: true},
 }
 
-// Execution is one execution of a request at a server, from when its body was complete.
+// Execution is one execution of a request by a server. It starts when the server has read the request body.
 type Execution struct {
 	Server   string
 	At       time.Time
-	Repeat   bool   // its idempotency key was known: no effect
-	Response string // body of the server's response
-	AuditRef string // the audit reference in the request
+	Repeat   bool   // whether the idempotency key was already known, so that the execution had no effect
+	Response string // body of the response
+	AuditRef string // audit reference in the header of the request
 }
 
-// servers is a group of test servers that share a store of idempotency keys, and record every execution.
+// servers is a group of test servers that share a store of idempotency keys and record every execution.
 type servers struct {
-	mu         sync.Mutex
-	executions map[string][]Execution // by request ID
-	keys       map[string]string      // by key: the first response
-	random     *rand.Rand
-	count      atomic.Int64
-	list       discovery.Update // the endpoint list that discovery serves
-	closers    []io.Closer
+	mu            sync.Mutex
+	executions    map[string][]Execution // by request ID
+	responseByKey map[string]string      // body of the first response, by idempotency key
+	random        *rand.Rand
+	count         atomic.Int64
+	list          discovery.Update // endpoint list that discovery serves
+	closers       []io.Closer
 }
 
 func startServers(set []ServerConfig, seed uint64) (*servers, error) {
 	s := &servers{
-		executions: map[string][]Execution{}, keys: map[string]string{}, random: rand.New(rand.NewPCG(seed, 1)),
+		executions: map[string][]Execution{}, responseByKey: map[string]string{}, random: rand.New(rand.NewPCG(seed, 1)),
 		list: discovery.Update{Seq: 1, Full: true},
 	}
-	for i, one := range set {
+	for i, config := range set {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.close()
 			return nil, err
 		}
 		name := fmt.Sprintf("s-%d", i+1)
-		h := &http.Server{Handler: s.handler(name, one)}
+		h := &http.Server{Handler: s.handler(name, config)}
 		go h.Serve(ln)
 		s.closers = append(s.closers, h)
 		s.list.Endpoints = append(s.list.Endpoints, discovery.Endpoint{
@@ -71,53 +71,54 @@
 }
 
 func (s *servers) close() {
-	for _, e := range s.closers {
-		e.Close()
+	for _, c := range s.closers {
+		c.Close()
 	}
 }
 
-// handler serves a request for the configured service time, whether or not the client is still connected.
-func (s *servers) handler(name string, set ServerConfig) http.HandlerFunc {
+// handler executes each request for a random service time within the configured range, even if the client disconnects.
+func (s *servers) handler(name string, config ServerConfig) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/health/live" {
 			return
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // the request is incomplete
+			return // the request is incomplete and is not executed
 		}
-		took, answer := s.beginExecution(name, set, r, body)
-		time.Sleep(took)
-		io.WriteString(w, answer)
+		serviceTime, response := s.recordExecution(name, config, r, body)
+		time.Sleep(serviceTime)
+		io.WriteString(w, response)
 	}
 }
 
-// beginExecution records an execution. A safe request has one correct response; a key has the response of its first execution.
-func (s *servers) beginExecution(name string, set ServerConfig, r *http.Request, body []byte) (time.Duration, string) {
+// recordExecution records an execution and returns its service time and response body. All executions of a safe request have equal
+// responses. A request with a known idempotency key gets the response of the first execution with that key.
+func (s *servers) recordExecution(name string, config ServerConfig, r *http.Request, body []byte) (time.Duration, string) {
 	id, key := r.Header.Get("Req-Id"), r.Header.Get("Idempotency-Key")
-	c := strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)[0]
+	className := strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	run := Execution{Server: name, At: time.Now(), AuditRef: r.Header.Get(auditevent.RefHeader)}
-	switch answer, known := s.keys[key]; {
+	switch response, known := s.responseByKey[key]; {
 	case r.Method == http.MethodGet:
-		run.Response = fmt.Sprintf("%s %s", c, id)
+		run.Response = fmt.Sprintf("%s %s", className, id)
 	case key != "" && known:
-		run.Repeat, run.Response = true, answer
+		run.Repeat, run.Response = true, response
 	default:
-		run.Response = fmt.Sprintf("%s %s run %d at %s of %d bytes", c, id, s.count.Add(1), name, len(body))
+		run.Response = fmt.Sprintf("%s %s run %d at %s of %d bytes", className, id, s.count.Add(1), name, len(body))
 		if len(body) > largeBytes {
 			run.Response += strings.Repeat(".", largeBytes)
 		}
 		if key != "" {
-			s.keys[key] = run.Response
+			s.responseByKey[key] = run.Response
 		}
 	}
 	s.executions[id] = append(s.executions[id], run)
-	return ms(set.MinMs) + time.Duration(s.random.Float64()*float64(ms(set.MaxMs-set.MinMs))), run.Response
+	return ms(config.MinMs) + time.Duration(s.random.Float64()*float64(ms(config.MaxMs-config.MinMs))), run.Response
 }
 
-// executionsByRequest returns a copy of all executions, by request ID.
+// executionsByRequest returns a copy of the recorded executions, by request ID.
 func (s *servers) executionsByRequest() map[string][]Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
