--- a/internal/lab/faultinjection/client.go
+++ b/internal/lab/faultinjection/client.go
@@ -16,29 +16,30 @@
 )
 
 const (
-	largeBytes   = 100 << 10             // of a large body, and added to a large response: more than the sidecar buffers
-	retryDelay   = 25 * time.Millisecond // between attempts at members that refuse connections
-	resumeHeader = "Req-Resume"          // set on every attempt but the first
+	largeBytes   = 100 << 10             // size of the padding in a large request or response: more than the sidecar buffers
+	retryDelay   = 25 * time.Millisecond // between attempts, so that a member that refuses connections is not retried in a tight loop
+	resumeHeader = "Req-Resume"          // request header that marks each attempt but the first
 )
 
-// Attempt is one attempt of a client at one member.
+// Attempt is one attempt of a request, sent to one member.
 type Attempt struct {
 	Member   int
-	Offset   time.Duration // since the request's start
+	Offset   time.Duration // from the start of the request to the start of the attempt
 	Duration time.Duration
 	Status   int // HTTP status; 0: no complete response
 	Body     string
 	Err      string
-	AuditRef string // the audit reference in the response
-	index    int
-	Extra    bool // duplicate of the first attempt, or repeated after the response
-	Ignored  bool // a rejection that does not end the request, since another attempt may be in flight
+	AuditRef string // audit reference in the header of the response
+	index    int    // number of the attempt, from 0; -1: duplicate of the first attempt
+	Extra    bool   // duplicate of the first attempt, or repetition after the response
+	Ignored  bool   // a rejection that does not end the request, since another attempt may still succeed
 }
 
-// final reports whether the response ends the request.
+// final reports whether the attempt got a response that ends the request. Status 409 does not end it: another
+// attempt of the request is in flight or has been answered.
 func (a *Attempt) final() bool { return a.Status != 0 && !a.Ignored && a.Status != http.StatusConflict }
 
-// rejected reports whether the response promises that a retry is harmless.
+// rejected reports whether the response is a rejection, which promises that the request was not executed and that a retry is harmless.
 func (a *Attempt) rejected() bool {
 	return a.Status == http.StatusTooManyRequests || a.Status == http.StatusServiceUnavailable
 }
@@ -53,7 +54,7 @@
 	repeatsAfterResponse, duplicated, large bool
 }
 
-// firstRetry is the first attempt at another member; nil: none.
+// firstRetry returns the first attempt after the initial one, or nil. Duplicates and repetitions do not count.
 func (r *Request) firstRetry() *Attempt {
 	for i := range r.Attempts {
 		if i > 0 && !r.Attempts[i].Extra {
@@ -63,10 +64,10 @@
 	return nil
 }
 
-// clients send requests at a fixed rate, independent of how earlier ones went (open loop).
+// clients sends requests at a fixed rate that does not depend on the outcome of earlier requests (open loop).
 type clients struct {
 	timeline *Timeline
-	members  []string // addresses
+	members  []string // listen addresses
 	http     *http.Client
 	pending  sync.WaitGroup
 	requests []*Request
@@ -76,11 +77,11 @@
 	dial := &net.Dialer{Timeout: ms(t.DeadlineMs)}
 	return &clients{timeline: t, members: members, http: &http.Client{Transport: &http.Transport{
 		DialContext:       dial.DialContext,
-		DisableKeepAlives: true, // with connection reuse the library would retry by itself
+		DisableKeepAlives: true, // on reused connections net/http retries requests by itself
 	}}}
 }
 
-// run sends requests until the timeline's end and returns them once all have ended.
+// run sends requests until the end of the timeline, and returns all of them when the last one has ended.
 func (c *clients) run(ctx context.Context, start time.Time) []*Request {
 	random := rand.New(rand.NewPCG(c.timeline.Seed, 3))
 	step := time.Second / time.Duration(c.timeline.PerSecond)
@@ -102,11 +103,11 @@
 }
 
 func (c *clients) drawClass(random *rand.Rand) string {
-	all := 0
+	sum := 0
 	for _, w := range c.timeline.Workload {
-		all += w.Share
+		sum += w.Share
 	}
-	n := random.IntN(all)
+	n := random.IntN(sum)
 	for _, w := range c.timeline.Workload {
 		if n -= w.Share; n < 0 {
 			return w.Class
@@ -115,13 +116,13 @@
 	return c.timeline.Workload[0].Class
 }
 
-// sendRequest tries one member after the other until a response is final or the deadline has passed. A member that stays silent
-// for SilenceMs is given up, or, with KeepOpen, left open beside the next.
+// sendRequest sends a request to one member after the other until a response is final or the deadline has passed. An attempt without
+// a response within SilenceMs is cancelled, or, with KeepOpen, stays open while the next attempt starts.
 func (c *clients) sendRequest(ctx context.Context, r *Request, member int) {
 	r.StartedAt = time.Now()
 	ctx, cancel := context.WithDeadline(ctx, r.StartedAt.Add(ms(c.timeline.DeadlineMs)+finalResponseGrace))
 	defer cancel()
-	answers := make(chan Attempt, 64)
+	results := make(chan Attempt, 64)
 	inFlight := 0
 	for n := 0; ; n++ {
 		timeLeft := time.Until(r.StartedAt.Add(ms(c.timeline.DeadlineMs)))
@@ -134,20 +135,20 @@
 		go func(member, n int) {
 			a := c.attempt(attemptContext, r, member, n > 0, timeLeft)
 			a.index = n
-			answers <- a
+			results <- a
 		}(member, n)
 		if n == 0 && r.duplicated {
 			inFlight++
 			go func(member int) {
 				a := c.attempt(attemptContext, r, member, true, timeLeft)
 				a.Extra, a.index = true, -1
-				answers <- a
+				results <- a
 			}((member + 1) % len(c.members))
 		}
 		silence := time.NewTimer(ms(c.timeline.SilenceMs))
-		for waits := true; waits; {
+		for waiting := true; waiting; {
 			select {
-			case a := <-answers:
+			case a := <-results:
 				inFlight--
 				a.Ignored = r.duplicated && a.rejected() && (inFlight > 0 || a.index == 0)
 				r.Attempts = append(r.Attempts, a)
@@ -157,15 +158,15 @@
 						repeated.Extra = true
 						r.Attempts = append(r.Attempts, repeated)
 					}
-					c.drainAttempts(r, &a, answers, inFlight, cancel)
+					c.drainAttempts(r, &a, results, inFlight, cancel)
 					return
 				}
-				if a.index == n { // only the end of the newest attempt moves on to the next member
+				if a.index == n { // an older attempt that fails does not start another one
 					sleep(ctx, retryDelay)
-					waits = false
+					waiting = false
 				}
 			case <-silence.C:
-				if waits = false; !c.timeline.KeepOpen {
+				if waiting = false; !c.timeline.KeepOpen {
 					cancelAttempt()
 				}
 			}
@@ -173,27 +174,28 @@
 		silence.Stop()
 		member = (member + 1) % len(c.members)
 	}
-	for ; inFlight > 0; inFlight-- { // those still in flight may complete
-		r.Attempts = append(r.Attempts, <-answers)
+	for ; inFlight > 0; inFlight-- { // attempts in flight at the deadline may still complete
+		r.Attempts = append(r.Attempts, <-results)
 	}
 }
 
-// drainAttempts collects the attempts still in flight: a second response must not differ. A client that accepts a rejection
-// cancels its other attempts.
-func (c *clients) drainAttempts(r *Request, end *Attempt, answers <-chan Attempt, inFlight int, cancel func()) {
-	if !c.timeline.KeepOpen || end.rejected() {
+// drainAttempts records the attempts in flight after the final response, since a second response must not differ from it. The client
+// cancels these attempts if the final response is a rejection, or without KeepOpen.
+func (c *clients) drainAttempts(r *Request, final *Attempt, results <-chan Attempt, inFlight int, cancel func()) {
+	if !c.timeline.KeepOpen || final.rejected() {
 		cancel()
 	}
 	for ; inFlight > 0; inFlight-- {
-		r.Attempts = append(r.Attempts, <-answers)
+		r.Attempts = append(r.Attempts, <-results)
 	}
 }
 
-func (c *clients) attempt(ctx context.Context, r *Request, member int, resume bool, left time.Duration) (a Attempt) {
+// attempt sends a request to one member and reads the response.
+func (c *clients) attempt(ctx context.Context, r *Request, member int, resume bool, timeLeft time.Duration) (a Attempt) {
 	a = Attempt{Member: member, Offset: time.Since(r.StartedAt)}
-	began := time.Now()
-	defer func() { a.Duration = time.Since(began) }()
-	kind := classes[slices.IndexFunc(classes, func(k class) bool { return k.name == r.Class })] // Validate checked the name
+	start := time.Now()
+	defer func() { a.Duration = time.Since(start) }()
+	kind := classes[slices.IndexFunc(classes, func(c class) bool { return c.name == r.Class })] // Validate has checked that the class exists
 	method, body := http.MethodGet, io.Reader(nil)
 	if kind.isPost {
 		method, body = http.MethodPost, strings.NewReader("clip "+r.ID)
@@ -201,28 +203,28 @@
 			body = strings.NewReader("clip " + r.ID + strings.Repeat(" ", largeBytes))
 		}
 	}
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+c.members[member]+"/"+r.Class+"/x?obj="+r.ID[12:], body)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.members[member]+"/"+r.Class+"/x?obj="+r.ID[12:], body)
 	if err != nil {
 		a.Err = err.Error()
 		return a
 	}
-	q.Header["Req-Id"] = []string{r.ID}
-	q.Header["Req-Deadline-Ms"] = []string{fmt.Sprint(max(1, left.Milliseconds()))}
-	q.Header["Req-Owner"] = []string{"acme"}
+	request.Header["Req-Id"] = []string{r.ID}
+	request.Header["Req-Deadline-Ms"] = []string{fmt.Sprint(max(1, timeLeft.Milliseconds()))}
+	request.Header["Req-Owner"] = []string{"acme"}
 	if kind.hasKey {
-		q.Header["Idempotency-Key"] = []string{"k" + r.ID}
+		request.Header["Idempotency-Key"] = []string{"k" + r.ID}
 	}
 	if resume {
-		q.Header[resumeHeader] = []string{"1"}
+		request.Header[resumeHeader] = []string{"1"}
 	}
-	resp, err := c.http.Do(q)
+	resp, err := c.http.Do(request)
 	if err != nil {
 		a.Err = err.Error()
 		return a
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	if err != nil { // an incomplete response counts as none
+	if err != nil { // an incomplete response counts as no response
 		a.Err = err.Error()
 		return a
 	}
--- a/internal/lab/faultinjection/evaluate.go
+++ b/internal/lab/faultinjection/evaluate.go
@@ -11,99 +11,100 @@
 )
 
 const (
-	finalResponseGrace = 500 * time.Millisecond // a final response this long after the deadline still counts
-	minUptime          = time.Second            // a member that ran this long before the deadline could have responded
-	maxStall           = 250 * time.Millisecond // of this process; less than half of a lease
-	maxDescribed       = 20                     // violations of a kind that are described
+	finalResponseGrace = 500 * time.Millisecond // a final response that arrives this long after the deadline still counts
+	minUptime          = time.Second            // a member that runs this long between the start and the deadline of a request can respond to it
+	maxStall           = 250 * time.Millisecond // longest stall of this process in a conclusive run; less than half of a lease
+	maxDescribed       = 20                     // violations of each kind that a report describes; further ones are only counted
 )
 
-// Report is the outcome of a timeline, from the records of clients and servers alone. JSON keys are those of stored reports.
+// Report is the outcome of a timeline, derived from the records of clients and servers alone. Its JSON keys are part of the format of
+// stored reports.
 type Report struct {
 	Requests      int `json:"requests"`
-	Retried       int `json:"asked_again"`
-	Served        int `json:"served"`
-	RetriedServed int `json:"again_served"` // of the retried ones
-	Rejected      int `json:"refused"`
-	Failed        int `json:"failed"`
-	Unreachable   int `json:"excused"` // no response, and no member ran for long enough to give one
-
-	Lost                 int `json:"lost"`           // no final response though a member could have given one
-	DuplicateEffects     int `json:"twice"`          // requests whose effect happened more than once
-	FalseRejections      int `json:"false_refusals"` // executed, and a rejection promised that a retry is harmless
-	ConflictingResponses int `json:"two_answers"`    // two complete responses that differ
-	CorruptResponses     int `json:"spoilt"`         // a response that no server produced for it
+	Retried       int `json:"asked_again"`  // requests with a retry
+	Served        int `json:"served"`       // requests whose first final response has status 200
+	RetriedServed int `json:"again_served"` // served requests among the retried ones
+	Rejected      int `json:"refused"`      // requests whose first final response is a rejection
+	Failed        int `json:"failed"`       // requests whose first final response has another status
+	Unreachable   int `json:"excused"`      // requests without a final response during which no member ran long enough to respond
+
+	Lost                 int `json:"lost"`           // requests without a final response although a member ran long enough to respond
+	DuplicateEffects     int `json:"twice"`          // requests of which more than one execution had an effect
+	FalseRejections      int `json:"false_refusals"` // requests of class once that were executed although a rejection promised that they were not
+	ConflictingResponses int `json:"two_answers"`    // requests with two responses of status 200 that differ
+	CorruptResponses     int `json:"spoilt"`         // requests with a response of status 200 that no server produced for them
 	Crashes              int `json:"crashes"`        // processes that exited unexpectedly
 
-	CPUUs   int64   `json:"cpu_us"`             // CPU time in µs a request, of the processes alive at the end
-	RSSMB   float64 `json:"rss_mb"`             // resident memory of the largest of them
+	CPUUs   int64   `json:"cpu_us"`             // CPU time per request in µs, of the processes alive at the end
+	RSSMB   float64 `json:"rss_mb"`             // largest resident memory of a process alive at the end, in MiB
 	StallMs int64   `json:"stall_ms,omitempty"` // longest stall of this process
 
-	AuditEvents        int              `json:"acts,omitempty"`        // in the fleet's audit log
-	AuditMatches       int              `json:"matched,omitempty"`     // executions and responses that the log has as observed
-	AuditGaps          int              `json:"in_gaps,omitempty"`     // executions and responses in gaps that the log states
-	AuditMismatches    int              `json:"misstated,omitempty"`   // logged differently, or missing where no gap is stated
-	BelowFence         int              `json:"below_fence,omitempty"` // executions under a version below the fence, later than a lease after it
-	OverExclusionLimit int              `json:"over_guard,omitempty"`  // most members without a lease at once beyond the allowed share
-	NotConverged       int              `json:"unagreed,omitempty"`    // members that had not reached the target at the end
-	Steps              []string         `json:"steps,omitempty"`       // operators' commands with their replies
-	RolloutMs          map[uint64]int64 `json:"turn_ms,omitempty"`     // by version: from its command to the last execution under an older one
+	AuditEvents        int              `json:"acts,omitempty"`        // events in the audit logs of all members
+	AuditMatches       int              `json:"matched,omitempty"`     // executions and responses that agree with their audit event
+	AuditGaps          int              `json:"in_gaps,omitempty"`     // executions and responses whose audit event is in a known gap of the log
+	AuditMismatches    int              `json:"misstated,omitempty"`   // disagreements between audit log and observations, and events missing outside of known gaps
+	BelowFence         int              `json:"below_fence,omitempty"` // executions under a version below the fence, more than a lease after the fence was reported
+	OverExclusionLimit int              `json:"over_guard,omitempty"`  // largest number of members without a lease at a time, in excess of the allowed share
+	NotConverged       int              `json:"unagreed,omitempty"`    // members that had not adopted the target version at the end
+	Steps              []string         `json:"steps,omitempty"`       // commands of operators with their replies
+	RolloutMs          map[uint64]int64 `json:"turn_ms,omitempty"`     // by version: time from its command to the last execution under an older version
 	PauseReason        string           `json:"held,omitempty"`        // why the last rollout was paused
-	WaitingFor         string           `json:"waits,omitempty"`       // what an unfinished rollout waited for
+	WaitingFor         string           `json:"waits,omitempty"`       // what an unfinished rollout was waiting for
 
-	P50Ms, P99Ms float64  // latency of all served requests
-	RetryP50Ms   float64  `json:"AgainP50Ms"` // of retried requests: from the first retry to the response
-	RetryP99Ms   float64  `json:"AgainP99Ms"`
-	Violations   []string `json:"breaks,omitempty"` // the first of each kind, described
+	P50Ms, P99Ms float64  // latency of served requests
+	RetryP50Ms   float64  `json:"AgainP50Ms"`       // median time from the first retry to the response, of retried requests that were served
+	RetryP99Ms   float64  `json:"AgainP99Ms"`       // 99th percentile of that time
+	Violations   []string `json:"breaks,omitempty"` // descriptions of the first maxDescribed violations of each kind
 }
 
-// Passed reports whether no rule was violated.
+// Passed reports whether there was no violation.
 func (r *Report) Passed() bool {
 	return r.Lost+r.DuplicateEffects+r.FalseRejections+r.ConflictingResponses+r.CorruptResponses+r.Crashes+r.AuditMismatches+r.BelowFence+r.OverExclusionLimit == 0
 }
 
-// Inconclusive reports whether the machine stalled for so long that violations say nothing about the program.
+// Inconclusive reports whether this process stalled for so long that a violation may be due to the machine rather than to the program.
 func (r *Report) Inconclusive() bool { return r.StallMs > maxStall.Milliseconds() }
 
-// Summary counts the violations by kind; empty where there are none.
+// Summary returns the number of violations of each kind, under the keys that Line uses, or an empty text if there are none.
 func (r *Report) Summary() string {
-	var all []string
-	for _, b := range []struct {
-		name string
-		n    int
+	var counts []string
+	for _, v := range []struct {
+		key   string
+		count int
 	}{
-		{"lost", r.Lost}, {"twice", r.DuplicateEffects}, {"false refusals", r.FalseRejections}, {"two answers", r.ConflictingResponses},
-		{"spoilt", r.CorruptResponses}, {"crashes", r.Crashes}, {"misstated", r.AuditMismatches}, {"below the fence", r.BelowFence}, {"over the guard", r.OverExclusionLimit},
+		{"lost", r.Lost}, {"twice", r.DuplicateEffects}, {"false_refusals", r.FalseRejections}, {"two_answers", r.ConflictingResponses},
+		{"spoilt", r.CorruptResponses}, {"crashes", r.Crashes}, {"misstated", r.AuditMismatches}, {"below_fence", r.BelowFence}, {"over_guard", r.OverExclusionLimit},
 	} {
-		if b.n > 0 {
-			all = append(all, fmt.Sprintf("%d %s", b.n, b.name))
+		if v.count > 0 {
+			counts = append(counts, fmt.Sprintf("%s=%d", v.key, v.count))
 		}
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(counts, " ")
 }
 
-// observations is what clients and servers recorded during one timeline.
+// observations holds the records of clients and servers during one timeline.
 type observations struct {
 	requests   []*Request
-	executions map[string][]Execution
-	uptimes    [][]interval // by process
-	deadline   time.Duration
-	crashes    []string
+	executions map[string][]Execution // by request ID
+	uptimes    [][]interval           // by process index
+	deadline   time.Duration          // of each request
+	crashes    []string               // a description of each crash
 }
 
-// evaluate classifies each request and counts violations.
-func evaluate(rec *observations) *Report {
-	r := &Report{Requests: len(rec.requests), Crashes: len(rec.crashes), Violations: rec.crashes}
+// evaluate classifies each request by its outcome and counts violations.
+func evaluate(observed *observations) *Report {
+	r := &Report{Requests: len(observed.requests), Crashes: len(observed.crashes), Violations: observed.crashes}
 	latency, retryLatency := hdrhistogram.New(1, 3_600_000_000, 3), hdrhistogram.New(1, 3_600_000_000, 3)
-	for _, q := range rec.requests {
-		r.evaluateRequest(rec, q, latency, retryLatency)
+	for _, q := range observed.requests {
+		r.evaluateRequest(observed, q, latency, retryLatency)
 	}
 	inMs := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	r.P50Ms, r.P99Ms, r.RetryP50Ms, r.RetryP99Ms = inMs(latency, 50), inMs(latency, 99), inMs(retryLatency, 50), inMs(retryLatency, 99)
 	return r
 }
 
-func (r *Report) evaluateRequest(rec *observations, q *Request, latency, retryLatency *hdrhistogram.Histogram) {
-	executions := rec.executions[q.ID]
+func (r *Report) evaluateRequest(observed *observations, q *Request, latency, retryLatency *hdrhistogram.Histogram) {
+	executions := observed.executions[q.ID]
 	firstRetry := q.firstRetry()
 	if firstRetry != nil {
 		r.Retried++
@@ -127,7 +128,7 @@
 		}
 	}
 	switch {
-	case final == nil && !rec.reachable(q):
+	case final == nil && !observed.reachable(q):
 		r.Unreachable++
 	case final == nil:
 		r.addViolation(&r.Lost, "lost", q, executions)
@@ -146,34 +147,43 @@
 	if effects(q.Class, executions) > 1 {
 		r.addViolation(&r.DuplicateEffects, "twice", q, executions)
 	}
-	if rejected && len(executions) > 0 && q.Class == "once" { // with an idempotency key a retry is harmless all the same
-		r.addViolation(&r.FalseRejections, "false refusal", q, executions)
+	if rejected && len(executions) > 0 && q.Class == "once" { // with an idempotency key, a retry is harmless even after an execution
+		r.addViolation(&r.FalseRejections, "false_refusals", q, executions)
 	}
 	if conflicting {
-		r.addViolation(&r.ConflictingResponses, "two answers", q, executions)
+		r.addViolation(&r.ConflictingResponses, "two_answers", q, executions)
 	}
 	if corrupt {
 		r.addViolation(&r.CorruptResponses, "spoilt", q, executions)
 	}
 }
 
-// addViolation counts a violation and describes the first ones.
+// violatedRules describes the kinds of violations by requests, by their key in the report.
+var violatedRules = map[string]string{
+	"lost":           "no final response, although a member ran long enough to respond",
+	"twice":          "more than one execution had an effect",
+	"false_refusals": "the request was rejected although it was executed",
+	"two_answers":    "two responses with status 200 differ",
+	"spoilt":         "no server produced the response with status 200",
+}
+
+// addViolation counts a violation, and describes it if it is among the first of its kind.
 func (r *Report) addViolation(count *int, kind string, q *Request, runs []Execution) {
 	if *count++; *count > maxDescribed {
 		return
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s: %s %s:", kind, q.Class, q.ID)
+	fmt.Fprintf(&b, "%s: %s; request %s of class %s, attempts:", kind, violatedRules[kind], q.ID, q.Class)
 	for _, a := range q.Attempts {
-		fmt.Fprintf(&b, " [n%d after %d ms for %d ms: %d %q %s]", a.Member+1, a.Offset.Milliseconds(), a.Duration.Milliseconds(), a.Status, a.Body[:min(len(a.Body), 80)], a.Err)
+		fmt.Fprintf(&b, " [to n%d after %d ms, took %d ms: status %d, body %q, error %q]", a.Member+1, a.Offset.Milliseconds(), a.Duration.Milliseconds(), a.Status, a.Body[:min(len(a.Body), 80)], a.Err)
 	}
 	for _, run := range runs {
-		fmt.Fprintf(&b, " (ran at %s after %d ms, repeat %t)", run.Server, run.At.Sub(q.StartedAt).Milliseconds(), run.Repeat)
+		fmt.Fprintf(&b, " (executed by %s after %d ms, repeat %t)", run.Server, run.At.Sub(q.StartedAt).Milliseconds(), run.Repeat)
 	}
 	r.Violations = append(r.Violations, b.String())
 }
 
-// effects counts the executions that had an effect.
+// effects returns how many of the executions had an effect.
 func effects(class string, runs []Execution) (n int) {
 	for _, run := range runs {
 		if class != "look" && !run.Repeat {
@@ -183,15 +193,16 @@
 	return n
 }
 
-func producedBy(runs []Execution, answer string) bool {
-	return slices.ContainsFunc(runs, func(run Execution) bool { return run.Response == answer })
+// producedBy reports whether one of the executions produced the response.
+func producedBy(runs []Execution, response string) bool {
+	return slices.ContainsFunc(runs, func(run Execution) bool { return run.Response == response })
 }
 
-// reachable reports whether some member ran long enough before the request's deadline to answer it.
-func (rec *observations) reachable(q *Request) bool {
-	from, to := q.StartedAt, q.StartedAt.Add(rec.deadline)
-	for _, ups := range rec.uptimes {
-		for _, s := range ups {
+// reachable reports whether a member ran for at least minUptime without interruption between the start and the deadline of the request.
+func (observed *observations) reachable(q *Request) bool {
+	from, to := q.StartedAt, q.StartedAt.Add(observed.deadline)
+	for _, uptimes := range observed.uptimes {
+		for _, s := range uptimes {
 			begin, end := laterOf(s.from, from), to
 			if !s.to.IsZero() && s.to.Before(to) {
 				end = s.to
@@ -211,7 +222,7 @@
 	return b
 }
 
-// Add merges another report: counts are added, latencies and stalls take the worse.
+// Add adds the counts of another report, and takes the larger value of latencies, stalls, CPU time and memory.
 func (r *Report) Add(o *Report) {
 	for _, p := range []struct{ to, from *int }{
 		{&r.Requests, &o.Requests}, {&r.Retried, &o.Retried}, {&r.Served, &o.Served}, {&r.RetriedServed, &o.RetriedServed},
@@ -227,7 +238,7 @@
 	r.RetryP50Ms, r.RetryP99Ms = max(r.RetryP50Ms, o.RetryP50Ms), max(r.RetryP99Ms, o.RetryP99Ms)
 }
 
-// Line formats a report in one line.
+// Line formats the report as one line of key=value pairs.
 func (r *Report) Line() string {
 	return fmt.Sprintf("requests=%d asked_again=%d served=%d again_served=%d refused=%d failed=%d excused=%d lost=%d twice=%d false_refusals=%d "+
 		"two_answers=%d spoilt=%d crashes=%d acts=%d matched=%d in_gaps=%d misstated=%d below_fence=%d over_guard=%d unagreed=%d stall_ms=%d cpu_us=%d rss_mb=%.1f p50_ms=%.1f p99_ms=%.1f again_p50_ms=%.1f again_p99_ms=%.1f",
--- a/internal/lab/faultinjection/evaluate_test.go
+++ b/internal/lab/faultinjection/evaluate_test.go
@@ -7,71 +7,71 @@
 	"time"
 )
 
-// The judge is what everything else is measured by: each break is seen, and nothing else is.
-func TestJudge(t *testing.T) {
-	at := time.Now()
-	up := [][]interval{{{from: at.Add(-time.Second)}}}
-	ran := func(repeat ...bool) (runs []Execution) {
+// All other tests of this package rely on the evaluation: it must count each violation, and nothing else.
+func TestEvaluationCountsViolations(t *testing.T) {
+	start := time.Now()
+	alwaysUp := [][]interval{{{from: start.Add(-time.Second)}}}
+	executed := func(repeat ...bool) (runs []Execution) {
 		for i, r := range repeat {
-			runs = append(runs, Execution{Server: "s-1", At: at, Repeat: r, Response: string(rune('A' + i))})
+			runs = append(runs, Execution{Server: "s-1", At: start, Repeat: r, Response: string(rune('A' + i))})
 		}
 		return runs
 	}
-	yes := func(body string) Attempt { return Attempt{Status: http.StatusOK, Body: body} }
+	ok := func(body string) Attempt { return Attempt{Status: http.StatusOK, Body: body} }
 	for name, c := range map[string]struct {
-		class string
-		asks  []Attempt
-		runs  []Execution
-		ups   [][]interval
-		want  string
+		class      string
+		attempts   []Attempt
+		executions []Execution
+		uptimes    [][]interval
+		want       string
 	}{
-		"served":                         {"once", []Attempt{yes("A")}, ran(false), up, ""},
-		"served after a break":           {"once", []Attempt{{}, yes("A")}, ran(false), up, ""},
-		"twice":                          {"once", []Attempt{{}, yes("B")}, ran(false, false), up, "1 twice"},
-		"a key twice, dropped":           {"make", []Attempt{{}, yes("A")}, ran(false, true), up, ""},
-		"safe work twice":                {"look", []Attempt{{}, yes("A")}, ran(false, false), up, ""},
-		"refused, never ran":             {"once", []Attempt{{Status: 503}}, nil, up, ""},
-		"refused, ran":                   {"once", []Attempt{{}, {Status: 429}}, ran(false), up, "1 false refusals"},
-		"failed, ran":                    {"once", []Attempt{{Status: 502}}, ran(false), up, ""},
-		"two answers":                    {"make", []Attempt{yes("A"), yes("B")}, ran(false, true), up, "1 two answers"},
-		"an answer of nobody":            {"once", []Attempt{yes("C")}, ran(false), up, "1 spoilt"},
-		"lost":                           {"once", []Attempt{{}, {Status: http.StatusConflict}}, nil, up, "1 lost"},
-		"nobody was there":               {"once", []Attempt{{}}, nil, [][]interval{{{from: at.Add(-time.Second), to: at.Add(time.Second / 2)}}}, ""},
-		"one was there for long enough":  {"once", []Attempt{{}}, nil, [][]interval{{}, {{from: at.Add(900 * time.Millisecond)}}}, "1 lost"},
-		"one was there for a short time": {"once", []Attempt{{}}, nil, [][]interval{{{from: at.Add(1100 * time.Millisecond)}}}, ""},
+		"served":                           {"once", []Attempt{ok("A")}, executed(false), alwaysUp, ""},
+		"served by a retry":                {"once", []Attempt{{}, ok("A")}, executed(false), alwaysUp, ""},
+		"two effects":                      {"once", []Attempt{{}, ok("B")}, executed(false, false), alwaysUp, "twice=1"},
+		"repeated idempotency key":         {"make", []Attempt{{}, ok("A")}, executed(false, true), alwaysUp, ""},
+		"safe request executed twice":      {"look", []Attempt{{}, ok("A")}, executed(false, false), alwaysUp, ""},
+		"rejected, not executed":           {"once", []Attempt{{Status: 503}}, nil, alwaysUp, ""},
+		"rejected, executed":               {"once", []Attempt{{}, {Status: 429}}, executed(false), alwaysUp, "false_refusals=1"},
+		"failed, executed":                 {"once", []Attempt{{Status: 502}}, executed(false), alwaysUp, ""},
+		"two different responses":          {"make", []Attempt{ok("A"), ok("B")}, executed(false, true), alwaysUp, "two_answers=1"},
+		"response that no server produced": {"once", []Attempt{ok("C")}, executed(false), alwaysUp, "spoilt=1"},
+		"no final response":                {"once", []Attempt{{}, {Status: http.StatusConflict}}, nil, alwaysUp, "lost=1"},
+		"no member up for 1 s":             {"once", []Attempt{{}}, nil, [][]interval{{{from: start.Add(-time.Second), to: start.Add(time.Second / 2)}}}, ""},
+		"a member up for 1.1 s":            {"once", []Attempt{{}}, nil, [][]interval{{}, {{from: start.Add(900 * time.Millisecond)}}}, "lost=1"},
+		"a member up for 0.9 s":            {"once", []Attempt{{}}, nil, [][]interval{{{from: start.Add(1100 * time.Millisecond)}}}, ""},
 	} {
-		q := &Request{ID: "x", Class: c.class, StartedAt: at, Attempts: c.asks}
-		r := evaluate(&observations{requests: []*Request{q}, executions: map[string][]Execution{"x": c.runs}, uptimes: c.ups, deadline: 2 * time.Second})
+		request := &Request{ID: "x", Class: c.class, StartedAt: start, Attempts: c.attempts}
+		r := evaluate(&observations{requests: []*Request{request}, executions: map[string][]Execution{"x": c.executions}, uptimes: c.uptimes, deadline: 2 * time.Second})
 		if r.Summary() != c.want || r.Passed() != (c.want == "") {
-			t.Errorf("%s: %q, want %q", name, r.Summary(), c.want)
+			t.Errorf("%s: got violations %q, want %q", name, r.Summary(), c.want)
 		}
 	}
 }
 
-// A drawn timeline is the same for the same seed, makes sense, and each smaller one does.
-func TestDrawnTimelines(t *testing.T) {
+// A random timeline depends on its seed alone and survives a write and a read. It is valid, and so are the timelines that Shrink derives.
+func TestRandomTimelinesAreReproducibleAndValid(t *testing.T) {
 	for seed := range uint64(200) {
 		a, b := RandomTimeline(seed, 3, 10_000, 100, true), RandomTimeline(seed, 3, 10_000, 100, true)
 		path := t.TempDir() + "/t.json"
 		if err := a.Write(path); err != nil {
 			t.Fatal(err)
 		}
-		again, err := ReadTimeline(path)
+		stored, err := ReadTimeline(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, c := range append(a.smallerTimelines(), b, again) {
+		for _, c := range append(a.smallerTimelines(), b, stored) {
 			if err := c.Validate(); err != nil {
-				t.Fatalf("seed %d: %v", seed, err)
+				t.Fatalf("seed %d: timeline or a smaller one derived from it is invalid: %v", seed, err)
 			}
 		}
-		if len(again.Faults) != len(b.Faults) || len(b.Faults) > 0 && again.Faults[0] != b.Faults[0] {
-			t.Fatalf("seed %d: %+v, then %+v", seed, again.Faults, b.Faults)
+		if len(stored.Faults) != len(b.Faults) || len(b.Faults) > 0 && stored.Faults[0] != b.Faults[0] {
+			t.Fatalf("seed %d: got faults %+v from the file, want %+v as generated again", seed, stored.Faults, b.Faults)
 		}
 	}
 }
 
-func TestTimelinesThatMakeNoSense(t *testing.T) {
+func TestInvalidTimelinesAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Timeline)
 		want   string
@@ -83,10 +83,10 @@
 		"link":      {func(t *Timeline) { t.Faults[0] = Fault{Kind: Partition, Process: 1, Peer: 1} }, "faults[0]: cut: there is no link from process 1 to process 1"},
 		"servers":   {func(t *Timeline) { t.Servers = nil }, "servers: got none"},
 	} {
-		line := KillsAndPause(1, true)
-		c.change(line)
-		if err := line.Validate(); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", name, err, c.want)
+		timeline := KillsAndPause(1, true)
+		c.change(timeline)
+		if err := timeline.Validate(); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: got error %v, want one that contains %q", name, err, c.want)
 		}
 	}
 }
