--- a/internal/lab/faultinjection/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	fenceSlack         = 300 * time.Millisecond // allows for requests in transit and a busy machine
-	statusInterval     = 20 * time.Millisecond
-	auditQueryInterval = 50 // status polls
-	auditTimeout       = 20 * time.Second
+	fenceSlack         = 300 * time.Millisecond // added to the lease: allows for requests in transit and for a busy machine
+	statusInterval     = 20 * time.Millisecond  // between two status polls of a member
+	auditQueryInterval = 50                     // status polls of a member between two reads of its audit log
+	auditTimeout       = 20 * time.Second       // for reading the audit logs of all members
 )
 
-func (p *experiment) memberNames() (out []string) {
+func (p *experiment) memberNames() (names []string) {
 	for i := range p.memberAddresses {
-		out = append(out, processName(i))
+		names = append(names, processName(i))
 	}
-	return out
+	return names
 }
 
-// runStep sends an operator's command, and follows redirects to the leader.
+// runStep sends a command of an operator, follows redirects to the leader and records the reply.
 func (p *experiment) runStep(ctx context.Context, start time.Time, n int, s *Step) {
 	sleep(ctx, time.Until(start.Add(ms(s.AtMs))))
-	o := &rollout.Command{
+	command := &rollout.Command{
 		Kind: commandKinds[s.Action], ID: uint64(n + 1), Author: "rig", Reason: fmt.Sprintf("step %d", n), Number: s.Number, SharePermille: s.Share, SettleMs: s.SettleMs, GraceMs: s.GraceMs,
 	}
-	switch o.Kind {
+	switch command.Kind {
 	case rollout.RollOut:
-		set := p.settings(0, s.Settings)
-		set["TickUs"] = 5001 + n // no two versions have the same bytes
-		o.Settings, _ = json.Marshal(map[string]any{"settings": set})
+		settings := p.settings(0, s.Settings)
+		settings["TickUs"] = 5001 + n // a different value for each command, so that no two versions have equal bytes
+		command.Settings, _ = json.Marshal(map[string]any{"settings": settings})
 	case rollout.Exclude, rollout.Readmit:
-		o.Name = processName(s.Member)
+		command.Name = processName(s.Member)
 	}
 	via, replyError := s.Via, ""
-	asked := time.Now()
+	sentAt := time.Now()
 	target := uint64(0)
 	for range 3 {
-		r, err := fleet.SendAdminRequest(ctx, p.memberAddresses[via], p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestRolloutCommand, RolloutCommand: o})
+		r, err := fleet.SendAdminRequest(ctx, p.memberAddresses[via], p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestRolloutCommand, RolloutCommand: command})
 		if err != nil {
 			replyError = err.Error()
 			break
@@ -64,17 +64,18 @@
 		via--
 	}
 	p.mu.Lock()
-	if replyError == "" && (o.Kind == rollout.RollOut || o.Kind == rollout.Rollback) {
+	if replyError == "" && (command.Kind == rollout.RollOut || command.Kind == rollout.Rollback) {
 		if p.rolloutTimes == nil {
 			p.rolloutTimes = map[uint64]time.Time{}
 		}
-		p.rolloutTimes[target] = asked
+		p.rolloutTimes[target] = sentAt
 	}
 	p.stepResults = append(p.stepResults, fmt.Sprintf("%s via n%d after %d ms: %s", s.Action, s.Via+1, time.Since(start).Milliseconds(), replyError))
 	p.mu.Unlock()
 }
 
-// watchFences polls all members and records when each fence is first reported by one of them.
+// watchFences polls the status of all members until ctx ends. It records when a member first reports each fence, and the largest number
+// of members without a lease beyond the allowed share.
 func (p *experiment) watchFences(ctx context.Context) {
 	if !p.timeline.Audit {
 		return
@@ -87,7 +88,7 @@
 		go func() {
 			defer func() { done <- true }()
 			for n := 0; ctx.Err() == nil; sleep(ctx, statusInterval) {
-				if n++; n%auditQueryInterval == 0 { // reading the audit log must not disturb the fleet
+				if n++; n%auditQueryInterval == 0 { // the reply is not used: reading the audit log must not disturb the fleet
 					fleet.SendAdminRequest(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestSegments})
 				}
 				r, err := fleet.SendAdminRequest(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestStatus})
@@ -108,23 +109,23 @@
 	}
 }
 
-// maxExcludedShare is the program's default for the share of members that may be without a lease.
+// maxExcludedShare is the largest share of the members that may be without a lease, by the default setting of the program.
 const maxExcludedShare = 0.34
 
-// unleasedOverLimit counts the members without a lease by the plan beyond the allowed share: excluded ones, and those that rejected
-// the version that the fence asks for.
+// unleasedOverLimit returns how many members beyond the allowed share get no lease according to the status. These are excluded members,
+// and members that rejected the version of the fence or a later one and run an older version.
 func unleasedOverLimit(s *fleet.ClusterStatus) int {
-	out := len(s.Plan.Excluded)
+	unleased := len(s.Plan.Excluded)
 	for name, t := range s.Reports {
 		if !slices.Contains(s.Plan.Excluded, name) && t.Report.RejectedVersion >= s.Plan.Fence && t.Report.ActiveVersion < s.Plan.Fence {
-			out++
+			unleased++
 		}
 	}
-	return max(0, out-int(maxExcludedShare*float64(len(s.MemberNames))))
+	return max(0, unleased-int(maxExcludedShare*float64(len(s.MemberNames))))
 }
 
-// checkAudit compares the fleet's audit log with what servers and clients recorded, event by event.
-func (p *experiment) checkAudit(ctx context.Context, rec *observations, r *Report) error {
+// checkAudit reads the audit logs of all members and compares them with the records of servers and clients, event by event.
+func (p *experiment) checkAudit(ctx context.Context, observed *observations, r *Report) error {
 	ctx, cancel := context.WithTimeout(ctx, auditTimeout)
 	defer cancel()
 	codec, err := audit.NewCodec()
@@ -132,12 +133,12 @@
 		return err
 	}
 	var all []audit.SealedSegment
-	alive := map[takeover.Member]bool{}
+	alive := map[takeover.Member]bool{} // incarnations that reported their status
 	responding := 0
 	for _, addr := range p.memberAddresses {
 		s, err := fleet.SendAdminRequest(ctx, addr, p.memberNames(), fleet.AdminRequest{Kind: fleet.RequestSegments})
 		if err != nil {
-			continue // it is down
+			continue // the member is down
 		}
 		responding++
 		all = append(all, s.Segments...)
@@ -154,55 +155,55 @@
 		}
 	}
 	if responding == 0 {
-		return errors.New("no member tells the account")
+		return errors.New("no member returned its audit log")
 	}
 	p.mu.Lock()
 	a := &auditor{report: r, trails: map[takeover.Member]*memberTrail{}, alive: alive, fenceSeenAt: p.fenceSeenAt, rolloutTimes: p.rolloutTimes, lease: ms(p.timeline.LeaseMs)}
 	r.Steps, r.OverExclusionLimit = p.stepResults, p.maxOverLimit
 	p.mu.Unlock()
 	if a.lease == 0 {
-		a.lease = 600 * time.Millisecond // the program's default
+		a.lease = 600 * time.Millisecond // the default of the program
 	}
-	for _, one := range codec.AssembleTrails(fleet.ID(p.memberNames()), all, &audit.Query{}) {
-		for _, f := range one.Faults {
-			a.addViolation(&r.AuditMismatches, "account", fmt.Sprintf("%s/%x: %s", one.Member.Name, one.Member.Incarnation, f))
+	for _, trail := range codec.AssembleTrails(fleet.ID(p.memberNames()), all, &audit.Query{}) {
+		for _, f := range trail.Faults {
+			a.addViolation(&r.AuditMismatches, "account", fmt.Sprintf("audit log of member %s/%x: %s", trail.Member.Name, trail.Member.Incarnation, f))
 		}
-		a.addTrail(&one)
+		a.addTrail(&trail)
 	}
-	a.compare(rec)
+	a.compare(observed)
 	return nil
 }
 
-// auditor compares the audit log of each member with the observations.
+// auditor compares the audit logs of the members with the observations.
 type auditor struct {
 	report       *Report
 	trails       map[takeover.Member]*memberTrail
-	alive        map[takeover.Member]bool
-	fenceSeenAt  map[uint64]time.Time
-	rolloutTimes map[uint64]time.Time
+	alive        map[takeover.Member]bool // incarnations that run at the end of the timeline
+	fenceSeenAt  map[uint64]time.Time     // by fence: when it was first reported
+	rolloutTimes map[uint64]time.Time     // by version: when its command was sent
 	lease        time.Duration
 }
 
-// memberTrail indexes a member's audit events.
+// memberTrail indexes the audit events of one incarnation of a member.
 type memberTrail struct {
 	*audit.Trail
-	byNumber      map[uint64]auditevent.Event
-	sentByRequest map[string]int // by "request server": sends, less those that were not written
+	byNumber      map[uint64]auditevent.Event // by event number
+	sentByRequest map[string]int              // by request ID and server, separated by a space: attempts sent, less those that were not written
 }
 
-func (a *auditor) addTrail(one *audit.Trail) {
-	t := &memberTrail{Trail: one, byNumber: map[uint64]auditevent.Event{}, sentByRequest: map[string]int{}}
-	for _, act := range one.Events {
-		t.byNumber[act.Number] = act
-		switch act.Kind {
+func (a *auditor) addTrail(trail *audit.Trail) {
+	t := &memberTrail{Trail: trail, byNumber: map[uint64]auditevent.Event{}, sentByRequest: map[string]int{}}
+	for _, event := range trail.Events {
+		t.byNumber[event.Number] = event
+		switch event.Kind {
 		case auditevent.Sent:
-			t.sentByRequest[act.ID+" "+act.Note]++
+			t.sentByRequest[event.ID+" "+event.Note]++
 		case auditevent.NotSent:
-			t.sentByRequest[act.ID+" "+act.Note]--
+			t.sentByRequest[event.ID+" "+event.Note]--
 		}
 	}
-	a.report.AuditEvents += len(one.Events)
-	a.trails[one.Member] = t
+	a.report.AuditEvents += len(trail.Events)
+	a.trails[trail.Member] = t
 }
 
 func (a *auditor) addViolation(count *int, kind, why string) {
@@ -211,90 +212,93 @@
 	}
 }
 
-// compareEvent compares an observation with the audit event that it names. It returns false where the reference is unreadable.
-func (a *auditor) compareEvent(what, actor, id, note string, kinds ...auditevent.Kind) (auditevent.Ref, bool) {
-	wrong := func(format string, args ...any) {
-		a.addViolation(&a.report.AuditMismatches, "misstated", fmt.Sprintf("%s of %s, by %q: %s", what, id, actor, fmt.Sprintf(format, args...)))
+// compareEvent compares an observed execution or response with the audit event that its audit reference names. It returns the reference,
+// or false if the reference cannot be parsed.
+func (a *auditor) compareEvent(observation, auditRef, id, note string, kinds ...auditevent.Kind) (auditevent.Ref, bool) {
+	mismatch := func(format string, args ...any) {
+		a.addViolation(&a.report.AuditMismatches, "misstated", fmt.Sprintf("%s of request %s, audit reference %q: %s", observation, id, auditRef, fmt.Sprintf(format, args...)))
 	}
-	ref, err := auditevent.ParseRef(actor)
+	ref, err := auditevent.ParseRef(auditRef)
 	if err != nil {
-		wrong("%v", err)
+		mismatch("the audit reference cannot be parsed: %v", err)
 		return ref, false
 	}
 	t := a.trails[ref.Member]
 	switch {
 	case t == nil && a.alive[ref.Member]:
-		wrong("its member tells nothing")
+		mismatch("the member is alive but returned no audit log")
 		return ref, true
 	case t == nil:
-		a.report.AuditGaps++ // no member has segments of that incarnation, and none claims to
+		a.report.AuditGaps++ // the incarnation has ended, and no member has segments of its audit log
 		return ref, true
 	}
-	act, ok := t.byNumber[ref.Number]
+	event, ok := t.byNumber[ref.Number]
 	switch {
 	case !ok && ref.Number > t.LastEvent && (t.Ended || a.alive[ref.Member]):
-		wrong("the account ends with act %d", t.LastEvent)
+		mismatch("the audit log of the member ends with event %d", t.LastEvent)
 	case !ok:
 		for _, k := range t.KnownEvents {
 			if ref.Number >= k.First && ref.Number <= k.Last {
-				wrong("no such act, and no gap")
+				mismatch("the audit log has no event with this number, although it has the segment of the event")
 			}
 		}
 		a.report.AuditGaps++
-	case act.ID != id || act.Note != note || !slices.Contains(kinds, act.Kind) || act.Version.Settings != ref.Version.Settings ||
-		act.Version.Digest != ref.Version.Digest || act.Version.ListSeq != ref.Version.ListSeq:
-		wrong("the account has %+v", act)
+	case event.ID != id || event.Note != note || !slices.Contains(kinds, event.Kind) || event.Version.Settings != ref.Version.Settings ||
+		event.Version.Digest != ref.Version.Digest || event.Version.ListSeq != ref.Version.ListSeq:
+		mismatch("the audit log has a different event with this number: %+v", event)
 	default:
 		a.report.AuditMatches++
 	}
 	return ref, true
 }
 
-func (a *auditor) compare(rec *observations) {
-	seen := map[takeover.Member]map[string]int{}
+// compare compares each observed execution and response with its audit event. It also checks that no execution happened under a version
+// below the fence, and that the audit log has a send for each execution.
+func (a *auditor) compare(observed *observations) {
+	executed := map[takeover.Member]map[string]int{} // by member: executions by request ID and server
 	a.report.RolloutMs = map[uint64]int64{}
-	for id, runs := range rec.executions {
+	for id, runs := range observed.executions {
 		for _, run := range runs {
-			ref, ok := a.compareEvent("a run at "+run.Server, run.AuditRef, id, run.Server, auditevent.Sent)
+			ref, ok := a.compareEvent("execution at "+run.Server, run.AuditRef, id, run.Server, auditevent.Sent)
 			if !ok {
 				continue
 			}
-			if seen[ref.Member] == nil {
-				seen[ref.Member] = map[string]int{}
+			if executed[ref.Member] == nil {
+				executed[ref.Member] = map[string]int{}
 			}
-			seen[ref.Member][id+" "+run.Server]++
+			executed[ref.Member][id+" "+run.Server]++
 			for number, at := range a.rolloutTimes {
-				if late := run.At.Sub(at).Milliseconds(); ref.Version.Settings < number && late > a.report.RolloutMs[number] {
-					a.report.RolloutMs[number] = late
+				if took := run.At.Sub(at).Milliseconds(); ref.Version.Settings < number && took > a.report.RolloutMs[number] {
+					a.report.RolloutMs[number] = took
 				}
 			}
 			for fence, at := range a.fenceSeenAt {
 				if ref.Version.Settings < fence && run.At.After(at.Add(a.lease+fenceSlack)) {
-					a.addViolation(&a.report.BelowFence, "below the fence", fmt.Sprintf("%s ran under %d, %d ms after fence %d was seen, by %s", id, ref.Version.Settings,
+					a.addViolation(&a.report.BelowFence, "below_fence", fmt.Sprintf("request %s was executed under version %d, %d ms after fence %d was first reported; audit reference %s", id, ref.Version.Settings,
 						run.At.Sub(at).Milliseconds(), fence, run.AuditRef))
 				}
 			}
 		}
 	}
-	for m, runs := range seen { // a server can't have executed more than the log says was sent
+	for m, runs := range executed { // a server cannot execute a request more often than the member sent it
 		t := a.trails[m]
 		if t == nil || len(t.Gaps()) > 0 || !t.Ended && !a.alive[m] {
 			continue
 		}
 		for key, n := range runs {
 			if n > t.sentByRequest[key] {
-				a.addViolation(&a.report.AuditMismatches, "misstated", fmt.Sprintf("%s: %d runs, %d sendings told of %s/%x", key, n, t.sentByRequest[key], m.Name, m.Incarnation))
+				a.addViolation(&a.report.AuditMismatches, "misstated", fmt.Sprintf("request and server %s: got %d executions, want at most the %d sends in the audit log of member %s/%x", key, n, t.sentByRequest[key], m.Name, m.Incarnation))
 			}
 		}
 	}
-	for _, q := range rec.requests {
+	for _, q := range observed.requests {
 		for i := range q.Attempts {
-			ask := &q.Attempts[i]
-			if ask.Status == 0 || ask.AuditRef == "" && strings.HasPrefix(ask.Err, "EOF") {
+			attempt := &q.Attempts[i]
+			if attempt.Status == 0 || attempt.AuditRef == "" && strings.HasPrefix(attempt.Err, "EOF") {
 				continue
 			}
 			kinds := []auditevent.Kind{auditevent.Failed, auditevent.ClientLeft}
-			switch ask.Status {
+			switch attempt.Status {
 			case http.StatusOK:
 				kinds = []auditevent.Kind{auditevent.Served}
 			case http.StatusServiceUnavailable:
@@ -302,7 +306,7 @@
 			case http.StatusConflict:
 				kinds = []auditevent.Kind{auditevent.DuplicateID}
 			}
-			a.compareEvent("an answer", ask.AuditRef, q.ID, fmt.Sprint(ask.Status), kinds...)
+			a.compareEvent("response", attempt.AuditRef, q.ID, fmt.Sprint(attempt.Status), kinds...)
 		}
 	}
 }
--- a/internal/lab/faultinjection/client.go
+++ b/internal/lab/faultinjection/client.go
@@ -232,6 +232,7 @@
 	return a
 }
 
+// sleep waits for a duration, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/lab/faultinjection/faultinjection_test.go
+++ b/internal/lab/faultinjection/faultinjection_test.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// timelineSlots bounds how many timelines are played at a time.
+// timelineSlots bounds how many timelines run at a time.
 var timelineSlots = make(chan bool, 3)
 
-// binaryDir is where the program was built, once for all tests.
+// binaryDir is the directory of the programs, which TestMain builds for all tests.
 var binaryDir string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "rig-test-")
+	dir, err := os.MkdirTemp("", "fault-injection-test-")
 	if err == nil {
 		var out []byte
 		if out, err = exec.Command("go", "build", "-o", dir+"/", "damsonscale/cmd/damsonscale", "damsonscale/cmd/damsonscale-fleet").CombinedOutput(); err != nil {
@@ -39,123 +39,126 @@
 	os.Exit(code)
 }
 
-func runTimeline(t *testing.T, line *Timeline) *Report {
+// runTimeline runs a timeline, and fails the test if the run cannot be completed.
+func runTimeline(t *testing.T, timeline *Timeline) *Report {
 	t.Helper()
-	set := Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: t.TempDir()}
-	r, err := Run(context.Background(), set, line)
+	setup := Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: t.TempDir()}
+	r, err := Run(context.Background(), setup, timeline)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func shortTimeline(name string, faults ...Fault) *Timeline {
-	line := KillsAndPause(7, true)
-	line.Note, line.LengthMs, line.PerSecond, line.Faults = name, 5000, 60, faults
-	return line
+// shortTimeline returns a timeline of 5 s with three members and the given faults. Its note names the subtest.
+func shortTimeline(note string, faults ...Fault) *Timeline {
+	timeline := KillsAndPause(7, true)
+	timeline.Note, timeline.LengthMs, timeline.PerSecond, timeline.Faults = note, 5000, 60, faults
+	return timeline
 }
 
-// Work in hand survives what these timelines break: nothing is lost, run twice, answered in two ways, or refused though it ran.
-// The verdict is what happened, never how fast.
-func TestTakeover(t *testing.T) {
-	keep := shortTimeline("a member stopped past its lease, its client still connected", Fault{AtMs: 1000, DurationMs: 1500, Kind: Stop, Process: 1})
-	keep.KeepOpen, keep.SilenceMs = true, 150
-	bad := shortTimeline("killed beside a member whose disk is full", Fault{AtMs: 1500, DurationMs: 800, Kind: Kill, Process: 2})
-	bad.Disks = []Disk{FullDisk}
-	lines := []*Timeline{
-		shortTimeline("killed, then another killed", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2600, DurationMs: 700, Kind: Kill, Process: 1}),
-		keep, bad,
-		shortTimeline("cut from one other both ways, then killed", Fault{AtMs: 800, DurationMs: 2500, Kind: Partition, Process: 0, Peer: 1, BothWays: true}, Fault{AtMs: 2000, DurationMs: 900, Kind: Kill, Process: 0}),
-		shortTimeline("cut one way from all", Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 1}, Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 2}),
-		shortTimeline("frames lost, doubled and swapped; a rolling restart", Fault{AtMs: 300, DurationMs: 4000, Kind: FrameFaults, Process: 0, Peer: 1, BothWays: true, LossShare: 0.2, DuplicateShare: 0.2, ReorderShare: 0.2},
+// Requests survive faults of members, links and disks: none is lost, has its effect twice, gets two different responses, or is rejected
+// although it was executed. Latency is not checked.
+func TestRequestsSurviveFaults(t *testing.T) {
+	keepOpen := shortTimeline("a member is stopped for longer than its lease, and its clients stay connected", Fault{AtMs: 1000, DurationMs: 1500, Kind: Stop, Process: 1})
+	keepOpen.KeepOpen, keepOpen.SilenceMs = true, 150
+	fullDisk := shortTimeline("a member is killed while the disk of another is full", Fault{AtMs: 1500, DurationMs: 800, Kind: Kill, Process: 2})
+	fullDisk.Disks = []Disk{FullDisk}
+	timelines := []*Timeline{
+		shortTimeline("a member is killed, then another", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2600, DurationMs: 700, Kind: Kill, Process: 1}),
+		keepOpen, fullDisk,
+		shortTimeline("a member is partitioned from another in both directions, then killed", Fault{AtMs: 800, DurationMs: 2500, Kind: Partition, Process: 0, Peer: 1, BothWays: true}, Fault{AtMs: 2000, DurationMs: 900, Kind: Kill, Process: 0}),
+		shortTimeline("a member is partitioned from all others in one direction", Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 1}, Fault{AtMs: 1000, DurationMs: 2000, Kind: Partition, Process: 0, Peer: 2}),
+		shortTimeline("frames are lost, duplicated and reordered during a rolling restart", Fault{AtMs: 300, DurationMs: 4000, Kind: FrameFaults, Process: 0, Peer: 1, BothWays: true, LossShare: 0.2, DuplicateShare: 0.2, ReorderShare: 0.2},
 			Fault{AtMs: 1000, Kind: Terminate, Process: 1}, Fault{AtMs: 2500, Kind: Upgrade, Process: 2}),
-		shortTimeline("a restart loop", Fault{AtMs: 500, DurationMs: 3500, Kind: RestartLoop, Process: 1, IntervalMs: 400}),
+		shortTimeline("a member restarts in a loop", Fault{AtMs: 500, DurationMs: 3500, Kind: RestartLoop, Process: 1, IntervalMs: 400}),
 	}
-	kept, err := filepath.Glob("testdata/*.json") // each that ever failed
+	stored, err := filepath.Glob("testdata/*.json") // timelines that failed in the past
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range kept {
-		line, err := ReadTimeline(path)
+	for _, path := range stored {
+		timeline, err := ReadTimeline(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines = append(lines, line)
+		timelines = append(timelines, timeline)
 	}
-	for _, line := range lines {
-		t.Run(line.Note, func(t *testing.T) {
+	for _, timeline := range timelines {
+		t.Run(timeline.Note, func(t *testing.T) {
 			t.Parallel()
 			timelineSlots <- true
 			defer func() { <-timelineSlots }()
-			r := runTimeline(t, line)
+			r := runTimeline(t, timeline)
 			if !r.Passed() || r.Served == 0 {
-				t.Errorf("%s\n%s", r.Line(), strings.Join(r.Violations, "\n"))
+				t.Errorf("got violations or no served request: %s\n%s", r.Line(), strings.Join(r.Violations, "\n"))
 			}
 		})
 	}
 }
 
-// The fleet's account tells what servers and clients saw, act by act, and nobody acts below the fence, whatever breaks meanwhile.
-func TestAudit(t *testing.T) {
-	good := Step{AtMs: 600, Action: "rollout", Share: 340, SettleMs: 200, GraceMs: 600}
-	with := func(name string, steps []Step, faults ...Fault) *Timeline {
-		line := shortTimeline(name, faults...)
-		line.Audit, line.Steps = true, steps
-		return line
+// During rollouts with faults, the audit logs of the fleet agree with the records of servers and clients, event by event, and no request is
+// executed under a version below the fence.
+func TestAuditLogMatchesObservationsDuringRollouts(t *testing.T) {
+	rollout := Step{AtMs: 600, Action: "rollout", Share: 340, SettleMs: 200, GraceMs: 600}
+	withSteps := func(note string, steps []Step, faults ...Fault) *Timeline {
+		timeline := shortTimeline(note, faults...)
+		timeline.Audit, timeline.Steps = true, steps
+		return timeline
 	}
-	via := func(s Step, at int64, member int) Step { s.AtMs, s.Via = at, member; return s }
-	refused, falls := good, good
-	refused.RejectingMembers, falls.Settings = []int{1}, DegradingSettings
-	falls.SettleMs = 4000
-	slow := with("a version that all accept, under which service falls", []Step{falls})
-	slow.PerSecond = 150
+	sentVia := func(s Step, atMs int64, member int) Step { s.AtMs, s.Via = atMs, member; return s }
+	rejected, degrading := rollout, rollout
+	rejected.RejectingMembers, degrading.Settings = []int{1}, DegradingSettings
+	degrading.SettleMs = 4000
+	degraded := withSteps("all members adopt a version that degrades the service", []Step{degrading})
+	degraded.PerSecond = 150
 	for _, c := range []struct {
-		line *Timeline
-		want func(*Report) bool
+		timeline *Timeline
+		want     func(*Report) bool
 	}{
-		{with("a rollout, the leader or another killed", []Step{good}, Fault{AtMs: 900, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2500, DurationMs: 700, Kind: Kill, Process: 1}), nil},
-		{with("a straggler, stopped before the change and across the fence", []Step{via(good, 800, 1)}, Fault{AtMs: 600, DurationMs: 3000, Kind: Stop, Process: 2}), nil},
-		{with("a straggler, cut off from all after the change", []Step{good}, Fault{AtMs: 650, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 0, BothWays: true}, Fault{AtMs: 650, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 1, BothWays: true}), nil},
-		{with("a straggler that hears, and nobody hears it", []Step{good}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 1, Peer: 0}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 1, Peer: 2}), nil},
-		{with("a straggler that is heard, and hears nobody", []Step{good}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 0, Peer: 1}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 2, Peer: 1}), nil},
-		{with("two targets at once on either side of a cut", []Step{good, via(good, 601, 2)}, Fault{AtMs: 500, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 0, BothWays: true}, Fault{AtMs: 500, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 1, BothWays: true}),
+		{withSteps("two members are killed one after the other during a rollout", []Step{rollout}, Fault{AtMs: 900, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2500, DurationMs: 700, Kind: Kill, Process: 1}), nil},
+		{withSteps("a member is stopped from before a rollout until after the fence", []Step{sentVia(rollout, 800, 1)}, Fault{AtMs: 600, DurationMs: 3000, Kind: Stop, Process: 2}), nil},
+		{withSteps("a member is partitioned from all others after a rollout has started", []Step{rollout}, Fault{AtMs: 650, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 0, BothWays: true}, Fault{AtMs: 650, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 1, BothWays: true}), nil},
+		{withSteps("a member can receive from all others but not send to them", []Step{rollout}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 1, Peer: 0}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 1, Peer: 2}), nil},
+		{withSteps("a member can send to all others but not receive from them", []Step{rollout}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 0, Peer: 1}, Fault{AtMs: 500, DurationMs: 3000, Kind: Partition, Process: 2, Peer: 1}), nil},
+		{withSteps("two rollouts at once on either side of a partition", []Step{rollout, sentVia(rollout, 601, 2)}, Fault{AtMs: 500, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 0, BothWays: true}, Fault{AtMs: 500, DurationMs: 2500, Kind: Partition, Process: 2, Peer: 1, BothWays: true}),
 			func(r *Report) bool { return r.NotConverged == 0 }},
-		{with("two targets at once through two members, then back, then another", []Step{good, via(good, 601, 1), {AtMs: 900, Action: "back", Number: 1}, via(good, 1000, 2)}),
+		{withSteps("two rollouts at once through two members, then a rollback, then another rollout", []Step{rollout, sentVia(rollout, 601, 1), {AtMs: 900, Action: "back", Number: 1}, sentVia(rollout, 1000, 2)}),
 			func(r *Report) bool { return r.NotConverged == 0 }},
-		{with("a version that one of three refuses", []Step{refused}),
-			func(r *Report) bool { return r.NotConverged == 1 || strings.Contains(r.Steps[0], "Aside is missing") }}, // it may lead, and then says no at once
-		{slow, func(r *Report) bool { return strings.HasPrefix(r.PauseReason, "service fell") }},
-		{with("a version with a key that no build knows", []Step{{AtMs: 600, Action: "rollout", Share: 1000, Settings: UnknownKeySettings}}),
+		{withSteps("one of three members rejects a version", []Step{rejected}),
+			func(r *Report) bool { return r.NotConverged == 1 || strings.Contains(r.Steps[0], "Aside is missing") }}, // if the rejecting member is the leader, it rejects the command itself
+		{degraded, func(r *Report) bool { return strings.HasPrefix(r.PauseReason, "service fell") }},
+		{withSteps("a version has a key that no member knows", []Step{{AtMs: 600, Action: "rollout", Share: 1000, Settings: UnknownKeySettings}}),
 			func(r *Report) bool {
 				return r.NotConverged == 0 && len(r.Steps) == 1 && strings.Contains(r.Steps[0], "Sideways: unknown key")
 			}},
-		{with("shut out and readmitted, and a second one at once", []Step{{AtMs: 600, Action: "out", Member: 1}, {AtMs: 700, Action: "out", Member: 2}, {AtMs: 2500, Action: "readmit", Member: 1}}),
+		{withSteps("a member is excluded and readmitted, and a second exclusion is attempted", []Step{{AtMs: 600, Action: "out", Member: 1}, {AtMs: 700, Action: "out", Member: 2}, {AtMs: 2500, Action: "readmit", Member: 1}}),
 			func(r *Report) bool { return strings.Contains(r.Steps[1], "without a lease would be") }},
-		{with("an upgrade beside the running process in a rollout; a restart loop", []Step{good, via(good, 2500, 1)}, Fault{AtMs: 700, Kind: Upgrade, Process: 1}, Fault{AtMs: 2200, DurationMs: 1500, Kind: RestartLoop, Process: 2, IntervalMs: 500}), nil},
+		{withSteps("a member is upgraded during a rollout, and another restarts in a loop", []Step{rollout, sentVia(rollout, 2500, 1)}, Fault{AtMs: 700, Kind: Upgrade, Process: 1}, Fault{AtMs: 2200, DurationMs: 1500, Kind: RestartLoop, Process: 2, IntervalMs: 500}), nil},
 	} {
-		t.Run(c.line.Note, func(t *testing.T) {
+		t.Run(c.timeline.Note, func(t *testing.T) {
 			t.Parallel()
 			timelineSlots <- true
 			defer func() { <-timelineSlots }()
-			r := runTimeline(t, c.line)
+			r := runTimeline(t, c.timeline)
 			if !r.Passed() || r.Served == 0 || r.AuditMatches == 0 || c.want != nil && !c.want(r) {
-				t.Errorf("%s\n%s\n%s\n%s", r.Line(), strings.Join(r.Violations, "\n"), strings.Join(r.Steps, "\n"), r.WaitingFor)
+				t.Errorf("got violations, no served request, no matching audit event or an unexpected outcome of the rollout: %s\nviolations: %s\nsteps: %s\nwaiting for: %s", r.Line(), strings.Join(r.Violations, "\n"), strings.Join(r.Steps, "\n"), r.WaitingFor)
 			}
 		})
 	}
 }
 
-// Operators are told in words and by the exit code; what is refused changes nothing.
-func TestOperators(t *testing.T) {
-	line := shortTimeline("")
-	line.Audit, line.LeaseMs = true, 2000
+// Each command of an operator reports its outcome in its output and by its exit code.
+func TestFleetCommandsReportTheirOutcome(t *testing.T) {
+	timeline := shortTimeline("")
+	timeline.Audit, timeline.LeaseMs = true, 2000
 	dir := t.TempDir()
-	p := newExperiment(Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: dir}, line)
+	p := newExperiment(Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: dir}, timeline)
 	defer p.close()
 	if err := p.start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	file := func(name string, v any) string {
+	writeJSON := func(name string, v any) string {
 		text, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
@@ -166,81 +169,82 @@
 		}
 		return path
 	}
-	good, bad := file("good.json", map[string]any{"settings": p.settings(0, ValidSettings)}), file("bad.json", map[string]any{"settings": p.settings(0, UnknownKeySettings)})
-	opts, other := filepath.Join(dir, "n2", "options.toml"), filepath.Join(dir, "other.toml")
-	text, err := os.ReadFile(opts)
+	valid, unknownKey := writeJSON("good.json", map[string]any{"settings": p.settings(0, ValidSettings)}), writeJSON("bad.json", map[string]any{"settings": p.settings(0, UnknownKeySettings)})
+	options, otherFleet := filepath.Join(dir, "n2", "options.toml"), filepath.Join(dir, "other.toml")
+	text, err := os.ReadFile(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(other, []byte(strings.Replace(string(text), `"n1"`, `"m1"`, 1)), 0o600); err != nil {
+	if err := os.WriteFile(otherFleet, []byte(strings.Replace(string(text), `"n1"`, `"m1"`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	run := func(opts string, args ...string) (int, string) {
-		cmd := exec.Command(filepath.Join(binaryDir, "damsonscale"), append([]string{"fleet", "--options", opts}, args...)...)
+	runFleet := func(options string, args ...string) (int, string) {
+		cmd := exec.Command(filepath.Join(binaryDir, "damsonscale"), append([]string{"fleet", "--options", options}, args...)...)
 		out, err := cmd.CombinedOutput()
-		var exit *exec.ExitError
-		if err != nil && !errors.As(err, &exit) {
+		var exitErr *exec.ExitError
+		if err != nil && !errors.As(err, &exitErr) {
 			t.Fatal(err)
 		}
 		return cmd.ProcessState.ExitCode(), string(out)
 	}
 	for _, c := range []struct {
-		opts string
-		args []string
-		code int
-		want string
+		options  string
+		args     []string
+		exitCode int
+		want     string
 	}{
-		{opts, []string{"status"}, 0, "target 0"},
-		{opts, []string{"hold"}, 1, "nothing to do"},
-		{opts, []string{"back", "3"}, 1, "no such version"},
-		{opts, []string{"rollout", bad}, 1, "settings.Sideways: unknown key"},
-		{opts, []string{"rollout", good, "--share", "2"}, 2, "--share"},
-		{opts, []string{"rollout", filepath.Join(dir, "none")}, 2, "none"},
-		{opts, []string{"rollout", good, "--share", "1", "--grace", "0s", "--why", "a test"}, 0, "a test"},
-		{opts, []string{"out", "n7"}, 1, "no member of this fleet"},
-		{opts, []string{"audit", "--member", "n7"}, 2, "no member of this fleet"},
-		{opts, []string{"audit", "--id", "nothing"}, 0, ""},
-		{opts, []string{"verify", dir}, 2, "no segments"},
-		{opts, []string{"dance"}, 2, "dance"},
-		{other, []string{"status"}, 1, "of another fleet"},
-		{other, []string{"audit"}, 3, "of another fleet"},
+		{options, []string{"status"}, 0, "target 0"},
+		{options, []string{"hold"}, 1, "nothing to do"},
+		{options, []string{"back", "3"}, 1, "no such version"},
+		{options, []string{"rollout", unknownKey}, 1, "settings.Sideways: unknown key"},
+		{options, []string{"rollout", valid, "--share", "2"}, 2, "--share"},
+		{options, []string{"rollout", filepath.Join(dir, "none")}, 2, "none"},
+		{options, []string{"rollout", valid, "--share", "1", "--grace", "0s", "--why", "a test"}, 0, "a test"},
+		{options, []string{"out", "n7"}, 1, "no member of this fleet"},
+		{options, []string{"audit", "--member", "n7"}, 2, "no member of this fleet"},
+		{options, []string{"audit", "--id", "nothing"}, 0, ""},
+		{options, []string{"verify", dir}, 2, "no segments"},
+		{options, []string{"dance"}, 2, "dance"},
+		{otherFleet, []string{"status"}, 1, "of another fleet"},
+		{otherFleet, []string{"audit"}, 3, "of another fleet"},
 		{filepath.Join(dir, "none"), []string{"status"}, 2, "none"},
 	} {
-		if code, out := run(c.opts, c.args...); code != c.code || !strings.Contains(out, c.want) {
-			t.Errorf("%v: exit %d, not %d, and %q not in %s", c.args, code, c.code, c.want, out)
+		if code, out := runFleet(c.options, c.args...); code != c.exitCode || !strings.Contains(out, c.want) {
+			t.Errorf("%v: got exit code %d, want %d, with %q in the output %s", c.args, code, c.exitCode, c.want, out)
 		}
 	}
 }
 
-// Without a fleet the same loss runs unsafe work twice. Guards against a rig that can find nothing.
-func TestWithoutAFleetWorkRunsTwice(t *testing.T) {
-	line := shortTimeline("without a fleet", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2500, DurationMs: 1500, Kind: Stop, Process: 1})
-	line.Fleet, line.PerSecond, line.Workload = false, 100, []ClassShare{{Class: "once", Share: 1}}
-	if r := runTimeline(t, line); r.DuplicateEffects == 0 {
-		t.Errorf("nothing ran twice: %s", r.Line())
+// Without a fleet, the same kinds of faults lead to duplicate effects of unsafe requests. Otherwise the other tests could not find any.
+func TestFaultsWithoutAFleetDuplicateEffects(t *testing.T) {
+	timeline := shortTimeline("without a fleet", Fault{AtMs: 1000, DurationMs: 700, Kind: Kill, Process: 0}, Fault{AtMs: 2500, DurationMs: 1500, Kind: Stop, Process: 1})
+	timeline.Fleet, timeline.PerSecond, timeline.Workload = false, 100, []ClassShare{{Class: "once", Share: 1}}
+	if r := runTimeline(t, timeline); r.DuplicateEffects == 0 {
+		t.Errorf("got no request with a duplicate effect, want at least one: %s", r.Line())
 	}
 }
 
-// A recorded answer is given again, the same bytes; a request of another body under its id is refused by name.
-func TestAskedAgainAfterTheAnswer(t *testing.T) {
-	line := shortTimeline("")
-	line.LeaseMs = 2000 // a busy machine must not end a lease here
-	p := newExperiment(Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: t.TempDir()}, line)
+// A request that is resumed after its response gets the recorded response, byte for byte, from any member. A request with another body under
+// the same ID, or one that is not marked as resumed, is rejected with status 409.
+func TestResumedRequestGetsTheRecordedResponse(t *testing.T) {
+	timeline := shortTimeline("")
+	timeline.LeaseMs = 2000 // long enough that no lease expires on a busy machine
+	p := newExperiment(Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: t.TempDir()}, timeline)
 	defer p.close()
 	if err := p.start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	ask := func(member int, class, id, body string, resume bool) (int, string) {
-		q, err := http.NewRequest("POST", "http://"+p.processes[member].listen+"/"+class+"/x?obj=1", strings.NewReader(body))
+	sendRequest := func(member int, class, id, body string, resume bool) (int, string) {
+		request, err := http.NewRequest("POST", "http://"+p.processes[member].listen+"/"+class+"/x?obj=1", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		q.Header["Req-Id"], q.Header["Req-Deadline-Ms"], q.Header["Idempotency-Key"] = []string{id}, []string{"2000"}, []string{"k" + id}
+		request.Header["Req-Id"], request.Header["Req-Deadline-Ms"], request.Header["Idempotency-Key"] = []string{id}, []string{"2000"}, []string{"k" + id}
 		if resume {
-			q.Header[resumeHeader] = []string{"1"}
+			request.Header[resumeHeader] = []string{"1"}
 		}
-		c := newClients(line, nil)
-		resp, err := c.http.Do(q)
+		c := newClients(timeline, nil)
+		resp, err := c.http.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -252,44 +256,44 @@
 		return resp.StatusCode, string(text)
 	}
 	for _, class := range []string{"make", "once"} {
-		status, first := ask(0, class, "id-"+class, "body", false)
+		status, first := sendRequest(0, class, "id-"+class, "body", false)
 		if status != 200 {
-			t.Fatalf("%s: %d %s", class, status, first)
+			t.Fatalf("first request of class %s: got status %d, want 200; body %s", class, status, first)
 		}
-		time.Sleep(100 * time.Millisecond) // the answer is recorded beside: it may not be at a quorum yet
+		time.Sleep(100 * time.Millisecond) // the response is replicated asynchronously and may not have reached a quorum
 		for member := range 3 {
-			if status, again := ask(member, class, "id-"+class, "body", true); status != 200 || again != first {
-				t.Errorf("%s at member %d: %d %q, was %q", class, member, status, again, first)
+			if status, repeated := sendRequest(member, class, "id-"+class, "body", true); status != 200 || repeated != first {
+				t.Errorf("resumed request of class %s at member %d: got status %d and body %q, want 200 and %q", class, member, status, repeated, first)
 			}
-			if status, other := ask(member, class, "id-"+class, "another", true); status != 409 || strings.Contains(other, "run") {
-				t.Errorf("%s at member %d with another body: %d %q", class, member, status, other)
+			if status, other := sendRequest(member, class, "id-"+class, "another", true); status != 409 || strings.Contains(other, "run") {
+				t.Errorf("request of class %s at member %d with another body: got status %d and body %q, want 409 without the recorded response", class, member, status, other)
 			}
-			if status, other := ask(member, class, "id-"+class, "body", false); status != 409 {
-				t.Errorf("%s at member %d as if new: %d %q", class, member, status, other)
+			if status, other := sendRequest(member, class, "id-"+class, "body", false); status != 409 {
+				t.Errorf("request of class %s at member %d not marked as resumed: got status %d and body %q, want 409", class, member, status, other)
 			}
 		}
 		if runs := p.servers.executionsByRequest()["id-"+class]; len(runs) != 1 {
-			t.Errorf("%s: %d runs", class, len(runs))
+			t.Errorf("request of class %s: got %d executions, want 1", class, len(runs))
 		}
-		if status, _ := ask(1, class, "new-"+class, "body", true); status != 200 {
-			t.Errorf("%s: an id never seen, asked for again: %d", class, status)
+		if status, _ := sendRequest(1, class, "new-"+class, "body", true); status != 200 {
+			t.Errorf("resumed request of class %s with an unknown ID: got status %d, want 200", class, status)
 		}
 	}
 }
 
-// An interrupt leaves no process behind.
-func TestInterruptLeavesNothing(t *testing.T) {
+// A run whose context is cancelled ends all processes that it has started.
+func TestCancelledRunEndsItsProcesses(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(2500*time.Millisecond, cancel)
 	dir := t.TempDir()
-	line := shortTimeline("", Fault{AtMs: 300, DurationMs: 4000, Kind: Stop, Process: 0})
-	if _, err := Run(ctx, Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: dir}, line); err == nil {
-		t.Fatal("no error")
+	timeline := shortTimeline("", Fault{AtMs: 300, DurationMs: 4000, Kind: Stop, Process: 0})
+	if _, err := Run(ctx, Setup{Binary: filepath.Join(binaryDir, "damsonscale"), Dir: dir}, timeline); err == nil {
+		t.Fatal("Run returned no error after its context was cancelled")
 	}
-	all, _ := filepath.Glob("/proc/[0-9]*/environ")
-	for _, path := range all {
+	environFiles, _ := filepath.Glob("/proc/[0-9]*/environ")
+	for _, path := range environFiles {
 		if env, err := os.ReadFile(path); err == nil && strings.Contains(string(env), "TMPDIR="+dir) {
-			t.Errorf("left: %s", path)
+			t.Errorf("a process of the run is still alive: %s", path)
 		}
 	}
 }
--- a/internal/lab/faultinjection/link.go
+++ b/internal/lab/faultinjection/link.go
@@ -11,23 +11,23 @@
 	"damsonscale/internal/frame"
 )
 
-const linkDialTimeout = time.Second
+const linkDialTimeout = time.Second // for the connection from a link to the receiving member
 
-// link is the path from one member to another: a relay that the sender dials instead of the receiver. Each direction has a
-// link of its own, so that one can fail alone. Bytes that flow back on a connection are relayed unchanged.
+// link is the path from one member to another: a relay that the sender dials instead of the receiver. Each direction has a link of its
+// own, so that one direction can fail alone. Bytes that the receiver sends back on a connection are relayed unchanged.
 type link struct {
 	ln     net.Listener
-	target string
+	target string // address of the receiving member
 
 	mu     sync.Mutex
 	random *rand.Rand
 	conns  map[*relayedConn]bool
-	faults []*Fault
-	change chan struct{} // closed and replaced at each change of faults
+	faults []*Fault      // active ones, in order of their start
+	change chan struct{} // closed and replaced when faults or closed change
 	closed bool
 }
 
-// relayedConn is a relayed connection.
+// relayedConn is a relayed connection, with the side of the sending and of the receiving member.
 type relayedConn struct{ sender, receiver net.Conn }
 
 func startLink(target string, seed uint64) (*link, error) {
@@ -48,36 +48,36 @@
 	l.ln.Close()
 	l.mu.Lock()
 	l.closed = true
-	for p := range l.conns {
-		p.sender.Close()
-		p.receiver.Close()
+	for c := range l.conns {
+		c.sender.Close()
+		c.receiver.Close()
 	}
 	l.notifyChange()
 	l.mu.Unlock()
 }
 
-// notifyChange wakes all that wait for a change. The caller holds mu.
+// notifyChange wakes the goroutines that wait for a change. The caller holds mu.
 func (l *link) notifyChange() {
 	close(l.change)
 	l.change = make(chan struct{})
 }
 
-// setFault starts or ends a fault.
-func (l *link) setFault(f *Fault, on bool) {
+// setFault activates or deactivates a fault.
+func (l *link) setFault(f *Fault, active bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if on {
+	if active {
 		l.faults = append(l.faults, f)
-		for p := range l.conns {
+		for c := range l.conns {
 			switch f.Kind {
 			case Reset:
-				if t, ok := p.sender.(*net.TCPConn); ok {
+				if t, ok := c.sender.(*net.TCPConn); ok {
 					t.SetLinger(0)
 				}
-				p.sender.Close()
-				p.receiver.Close()
+				c.sender.Close()
+				c.receiver.Close()
 			case HalfOpen:
-				p.receiver.Close() // bytes from the sender are still read, and dropped
+				c.receiver.Close() // forward still reads bytes from the sender, and drops them
 			}
 		}
 	} else {
@@ -91,7 +91,8 @@
 	l.notifyChange()
 }
 
-// active returns the active fault of a kind, and a channel that is closed when the faults change.
+// active returns the active fault of the kind that started last, or nil, a channel that is closed at the next change, and whether the link
+// is closed.
 func (l *link) active(k FaultKind) (*Fault, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,11 +110,11 @@
 	return l.random.Float64()
 }
 
-// waitConnected blocks while the link is partitioned; false: it is closed.
+// waitConnected blocks while the link is partitioned. It returns false if the link is closed.
 func (l *link) waitConnected() bool {
 	for {
-		f, change, over := l.active(Partition)
-		if over {
+		f, change, closed := l.active(Partition)
+		if closed {
 			return false
 		}
 		if f == nil {
@@ -125,47 +126,48 @@
 
 func (l *link) accept() {
 	for {
-		near, err := l.ln.Accept()
+		sender, err := l.ln.Accept()
 		if err != nil {
 			return
 		}
-		go l.relay(near)
+		go l.relay(sender)
 	}
 }
 
-func (l *link) relay(near net.Conn) {
-	defer near.Close()
+// relay connects to the receiver and relays bytes in both directions until the sender's connection ends.
+func (l *link) relay(sender net.Conn) {
+	defer sender.Close()
 	if !l.waitConnected() {
 		return
 	}
-	far, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
+	receiver, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	p := &relayedConn{near, far}
+	defer receiver.Close()
+	c := &relayedConn{sender, receiver}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
 		return
 	}
-	l.conns[p] = true
+	l.conns[c] = true
 	l.mu.Unlock()
-	defer func() { l.mu.Lock(); delete(l.conns, p); l.mu.Unlock() }()
+	defer func() { l.mu.Lock(); delete(l.conns, c); l.mu.Unlock() }()
 	go func() {
-		io.Copy(near, far)
+		io.Copy(sender, receiver)
 		if f, _, _ := l.active(HalfOpen); f == nil {
-			near.Close()
+			sender.Close()
 		}
 	}()
-	l.forward(p)
+	l.forward(c)
 }
 
-// forward relays frames, subject to the active faults.
-func (l *link) forward(p *relayedConn) {
-	var reordered []byte // reordered: goes out behind the next frame
+// forward relays frames from the sender to the receiver, subject to the active faults.
+func (l *link) forward(c *relayedConn) {
+	var reordered []byte // frame that is sent after the next one
 	for {
-		current, err := nextFrame(p.sender)
+		current, err := nextFrame(c.sender)
 		if err != nil || !l.waitConnected() {
 			return
 		}
@@ -175,22 +177,22 @@
 		if f, _, _ := l.active(Throttle); f != nil {
 			time.Sleep(time.Duration(float64(len(current)) / float64(f.BytesPerSecond) * float64(time.Second)))
 		}
-		out := [][]byte{current}
+		frames := [][]byte{current}
 		if f, _, _ := l.active(FrameFaults); f != nil {
 			switch x := l.randomFloat(); {
 			case x < f.LossShare:
-				out = nil
+				frames = nil
 			case x < f.LossShare+f.DuplicateShare:
-				out = append(out, current)
+				frames = append(frames, current)
 			case x < f.LossShare+f.DuplicateShare+f.ReorderShare && reordered == nil:
-				reordered, out = current, nil
+				reordered, frames = current, nil
 			}
 		}
-		if reordered != nil && len(out) > 0 {
-			out, reordered = append(out, reordered), nil
+		if reordered != nil && len(frames) > 0 {
+			frames, reordered = append(frames, reordered), nil
 		}
-		for _, b := range out {
-			if _, err := p.receiver.Write(b); err != nil {
+		for _, b := range frames {
+			if _, err := c.receiver.Write(b); err != nil {
 				if f, _, _ := l.active(HalfOpen); f == nil {
 					return
 				}
@@ -199,23 +201,23 @@
 	}
 }
 
-// nextFrame reads one frame without decoding its payload.
+// nextFrame reads one frame with its header, without decoding the payload.
 func nextFrame(in io.Reader) ([]byte, error) {
-	head := make([]byte, frame.HeaderSize)
-	if _, err := io.ReadFull(in, head); err != nil {
+	header := make([]byte, frame.HeaderSize)
+	if _, err := io.ReadFull(in, header); err != nil {
 		return nil, err
 	}
-	n, err := frame.PayloadSize(head)
+	n, err := frame.PayloadSize(header)
 	var other frame.VersionError
-	if errors.As(err, &other) { // of another build: the length is at the same offset
-		head[2], other.Version = frame.Version, head[2]
-		n, err = frame.PayloadSize(head)
-		head[2] = other.Version
+	if errors.As(err, &other) { // a frame of another version has its length at the same offset
+		header[2], other.Version = frame.Version, header[2]
+		n, err = frame.PayloadSize(header)
+		header[2] = other.Version
 	}
 	if err != nil {
 		return nil, err
 	}
-	one := append(head, make([]byte, n)...)
-	_, err = io.ReadFull(in, one[frame.HeaderSize:])
-	return one, err
+	frameBytes := append(header, make([]byte, n)...)
+	_, err = io.ReadFull(in, frameBytes[frame.HeaderSize:])
+	return frameBytes, err
 }
--- a/internal/lab/faultinjection/overhead.go
+++ b/internal/lab/faultinjection/overhead.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	overheadWarmup  = 2 * time.Second // not measured: connections open and limits adapt
-	overheadTimeout = 2 * time.Second // a client's deadline
-	maxListeners    = 16              // of the test servers; a longer list names each of them several times
+	overheadWarmup  = 2 * time.Second // calls in this time are not measured: connections are opened and limits adapt
+	overheadTimeout = 2 * time.Second // deadline of each call
+	maxListeners    = 16              // listeners of test servers; a longer endpoint list has each of them several times
 )
 
-// OverheadConfig configures a measurement of the latency that the sidecar adds: calls are sent directly and through it in turn.
+// OverheadConfig configures a measurement of the latency that the sidecar adds. Calls are sent alternately to a server directly and
+// through the sidecar.
 type OverheadConfig struct {
-	PerSecond int           // calls a second through the sidecar, and as many direct ones; 1 to 20000
-	Duration  time.Duration // measured time, after 2 s of warm-up; 1 s to 10 min
-	Servers   int           // on the endpoint list; 1 to 20000
-	Balancers int           // in the settings; 0 to 100000, 0: as many as there are members
-	Members   int           // 0: no fleet; else 3 to 9, with takeover on, one of which is called
-	Class     string        // look (safe), make (keyed), once (unsafe)
-	ServerMs  int           // service time in ms; 0 to 1000
-	Seed      uint64
+	PerSecond int           // calls per second on each of the two paths; 1 to 20000
+	Duration  time.Duration // of the measurement, after 2 s of warm-up; 1 s to 10 min
+	Servers   int           // length of the endpoint list; 1 to 20000
+	Balancers int           // number of balancers in the settings, 0 to 100000; 0: the number of members
+	Members   int           // members of a fleet with takeover, 3 to 9, one of which gets all calls; 0: no fleet
+	Class     string        // look (safe), make (unsafe, with an idempotency key) or once (unsafe, executed at most once)
+	ServerMs  int           // service time of the servers; 0 to 1000 ms
+	Seed      uint64        // of the request IDs
 }
 
-// Validate returns an error that names the first argument out of range.
+// Validate returns an error for the first value that is out of range. Its message starts with the name of the command-line flag.
 func (o *OverheadConfig) Validate() error {
 	known := false
 	for _, c := range classes {
@@ -42,27 +43,27 @@
 	}
 	switch {
 	case o.PerSecond < 1 || o.PerSecond > 20_000:
-		return fmt.Errorf("per-second is %d: 1 to 20000 are allowed", o.PerSecond)
+		return fmt.Errorf("per-second is %d, want 1 to 20000", o.PerSecond)
 	case o.Duration < time.Second || o.Duration > 10*time.Minute:
-		return fmt.Errorf("for is %v: 1s to 10m are allowed", o.Duration)
+		return fmt.Errorf("for is %v, want 1s to 10m", o.Duration)
 	case o.Servers < 1 || o.Servers > 20_000:
-		return fmt.Errorf("servers is %d: 1 to 20000 are allowed", o.Servers)
+		return fmt.Errorf("servers is %d, want 1 to 20000", o.Servers)
 	case o.Balancers < 0 || o.Balancers > 100_000:
-		return fmt.Errorf("balancers is %d: 0 to 100000 are allowed", o.Balancers)
+		return fmt.Errorf("balancers is %d, want 0 to 100000", o.Balancers)
 	case o.Members != 0 && (o.Members < 3 || o.Members > 9):
-		return fmt.Errorf("members is %d: 0, or 3 to 9, are allowed", o.Members)
+		return fmt.Errorf("members is %d, want 0 or 3 to 9", o.Members)
 	case !known:
-		return fmt.Errorf("class is %q: look, make and once are known", o.Class)
+		return fmt.Errorf("class is %q, want look, make or once", o.Class)
 	case o.ServerMs < 0 || o.ServerMs > 1000:
-		return fmt.Errorf("server-ms is %d: 0 to 1000 are allowed", o.ServerMs)
+		return fmt.Errorf("server-ms is %d, want 0 to 1000", o.ServerMs)
 	}
 	return nil
 }
 
-// PathStats describes the calls of one path. Latencies are in µs and exclude the server's own time.
+// PathStats describes the measured calls on one path. Latencies are in µs and exclude the service time of the server.
 type PathStats struct {
 	Calls  int64 `json:"calls"`
-	Failed int64 `json:"failed"` // no response, or a status other than 200
+	Failed int64 `json:"failed"` // calls without a valid response of status 200
 	P50    int64 `json:"p50_us"`
 	P90    int64 `json:"p90_us"`
 	P99    int64 `json:"p99_us"`
@@ -74,11 +75,11 @@
 type OverheadReport struct {
 	Direct   PathStats `json:"direct"`
 	Sidecar  PathStats `json:"sidecar"`
-	AddedP50 int64     `json:"added_p50_us"`
-	AddedP99 int64     `json:"added_p99_us"`
-	CPU      float64   `json:"cpu"` // cores used by the sidecar that was called
-	RSSMB    float64   `json:"rss_mb"`
-	StallMs  int64     `json:"stall_ms"` // longest stall of this process
+	AddedP50 int64     `json:"added_p50_us"` // median latency through the sidecar minus the direct one
+	AddedP99 int64     `json:"added_p99_us"` // difference of the 99th percentiles
+	CPU      float64   `json:"cpu"`          // cores used by the sidecar that gets the calls
+	RSSMB    float64   `json:"rss_mb"`       // resident memory of that sidecar in MiB
+	StallMs  int64     `json:"stall_ms"`     // longest stall of this process
 }
 
 func (r *OverheadReport) String() string {
@@ -89,12 +90,12 @@
 		"added_p50_us=%d added_p99_us=%d cpu=%.3f rss_mb=%.1f stall_ms=%d", r.AddedP50, r.AddedP99, r.CPU, r.RSSMB, r.StallMs)
 }
 
-// MeasureOverhead runs the measurement. It ends all processes that it started, also when ctx ends first.
-func MeasureOverhead(ctx context.Context, set Setup, o *OverheadConfig) (*OverheadReport, error) {
+// MeasureOverhead runs the measurement. It ends all processes that it has started, even if ctx ends first.
+func MeasureOverhead(ctx context.Context, setup Setup, o *OverheadConfig) (*OverheadReport, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
 	}
-	p := newExperiment(set, &Timeline{
+	p := newExperiment(setup, &Timeline{
 		Seed: o.Seed, Processes: max(1, o.Members), Fleet: o.Members > 0, DeadlineMs: overheadTimeout.Milliseconds(),
 	})
 	defer p.close()
@@ -109,7 +110,7 @@
 	return p.measureOverhead(ctx, o)
 }
 
-// startFixedDelay starts servers with a constant service time, and lists them.
+// startFixedDelay starts servers with a constant service time, and sets the endpoint list. A response body is the service time in µs.
 func (s *servers) startFixedDelay(o *OverheadConfig) error {
 	var addrs []string
 	for range min(o.Servers, maxListeners) {
@@ -118,9 +119,9 @@
 			return err
 		}
 		h := &fasthttp.Server{Handler: func(c *fasthttp.RequestCtx) {
-			began := time.Now()
+			start := time.Now()
 			time.Sleep(time.Duration(o.ServerMs) * time.Millisecond)
-			c.WriteString(strconv.FormatInt(time.Since(began).Microseconds(), 10)) // its own service time
+			c.WriteString(strconv.FormatInt(time.Since(start).Microseconds(), 10))
 		}}
 		go h.Serve(ln)
 		s.closers = append(s.closers, ln)
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// measuredPath sends calls over one path and records their latency.
+// measuredPath sends calls on one path, to a server or to the sidecar, and records their latency.
 type measuredPath struct {
 	client *fasthttp.HostClient
 	mu     sync.Mutex
@@ -153,37 +154,37 @@
 	}
 }
 
-// sendCall sends one sendCall, and records it unless this is the warm-up.
-func (l *measuredPath) sendCall(class class, id string, counts bool) {
-	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(q)
-	defer fasthttp.ReleaseResponse(a)
-	q.SetRequestURI("http://" + l.client.Addr + "/" + class.name + "/x?obj=" + id)
-	q.Header.Set("Req-Id", id)
-	q.Header.Set("Req-Deadline-Ms", strconv.FormatInt(overheadTimeout.Milliseconds(), 10))
-	q.Header.Set("Req-Owner", "acme")
+// sendCall sends one call, and records it if it is measured.
+func (l *measuredPath) sendCall(class class, id string, measured bool) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI("http://" + l.client.Addr + "/" + class.name + "/x?obj=" + id)
+	request.Header.Set("Req-Id", id)
+	request.Header.Set("Req-Deadline-Ms", strconv.FormatInt(overheadTimeout.Milliseconds(), 10))
+	request.Header.Set("Req-Owner", "acme")
 	if class.isPost {
-		q.Header.SetMethod(fasthttp.MethodPost)
-		q.SetBodyString("clip " + id)
+		request.Header.SetMethod(fasthttp.MethodPost)
+		request.SetBodyString("clip " + id)
 	}
 	if class.hasKey {
-		q.Header.Set("Idempotency-Key", "k"+id)
+		request.Header.Set("Idempotency-Key", "k"+id)
 	}
-	began := time.Now()
-	err := l.client.Do(q, a)
-	took := time.Since(began).Microseconds()
-	if !counts {
+	start := time.Now()
+	err := l.client.Do(request, response)
+	latency := time.Since(start).Microseconds()
+	if !measured {
 		return
 	}
-	worked, wrong := strconv.ParseInt(string(a.Body()), 10, 64)
+	serviceTime, parseErr := strconv.ParseInt(string(response.Body()), 10, 64)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stats.Calls++
-	if err != nil || a.StatusCode() != fasthttp.StatusOK || wrong != nil {
+	if err != nil || response.StatusCode() != fasthttp.StatusOK || parseErr != nil {
 		l.stats.Failed++
 		return
 	}
-	l.times.RecordValue(max(1, took-worked))
+	l.times.RecordValue(max(1, latency-serviceTime))
 }
 
 func (l *measuredPath) summarize() PathStats {
@@ -194,7 +195,7 @@
 	return l.stats
 }
 
-// measureOverhead alternates between the two paths at even intervals, so that disturbances of the machine affect both.
+// measureOverhead sends calls at even intervals and alternates between the two paths, so that disturbances of the machine affect both.
 func (p *experiment) measureOverhead(ctx context.Context, o *OverheadConfig) (*OverheadReport, error) {
 	var kind class
 	for _, c := range classes {
@@ -202,44 +203,44 @@
 			kind = c
 		}
 	}
-	through := p.processes[0]
-	lanes := []*measuredPath{newMeasuredPath(p.servers.list.Endpoints[0].Address), newMeasuredPath(through.listen)}
-	watching, unwatch := context.WithCancel(ctx)
-	defer unwatch()
+	sidecar := p.processes[0]
+	paths := []*measuredPath{newMeasuredPath(p.servers.list.Endpoints[0].Address), newMeasuredPath(sidecar.listen)}
+	stallContext, stopMeasuring := context.WithCancel(ctx)
+	defer stopMeasuring()
 	stall := make(chan time.Duration, 1)
-	go func() { stall <- measureStall(watching) }()
-	var open sync.WaitGroup
+	go func() { stall <- measureStall(stallContext) }()
+	var inFlight sync.WaitGroup
 	step := time.Second / time.Duration(2*o.PerSecond)
 	start := time.Now()
-	cpuBefore, from := time.Duration(0), start
-	warm := true
+	cpuBefore, measuredFrom := time.Duration(0), start
+	warmingUp := true
 	random := rand.New(rand.NewPCG(o.Seed, 5))
 	for n := 0; ctx.Err() == nil; n++ {
 		at := time.Duration(n) * step
 		if at >= overheadWarmup+o.Duration {
 			break
 		}
-		if warm && at >= overheadWarmup {
-			warm, from = false, time.Now()
-			cpuBefore, _ = through.usage()
+		if warmingUp && at >= overheadWarmup {
+			warmingUp, measuredFrom = false, time.Now()
+			cpuBefore, _ = sidecar.usage()
 		}
 		if d := time.Until(start.Add(at)); d > 0 {
 			time.Sleep(d)
 		}
-		l, id, counts := lanes[n%2], fmt.Sprintf("%016x", random.Uint64()), !warm
-		open.Go(func() { l.sendCall(kind, id, counts) })
+		path, id, measured := paths[n%2], fmt.Sprintf("%016x", random.Uint64()), !warmingUp
+		inFlight.Go(func() { path.sendCall(kind, id, measured) })
 	}
-	open.Wait()
-	cpu, rss := through.usage()
-	unwatch()
+	inFlight.Wait()
+	cpu, rss := sidecar.usage()
+	stopMeasuring()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	if through.crashed() {
-		return nil, errors.New("the sidecar ended, see " + through.log.Name())
+	if sidecar.crashed() {
+		return nil, errors.New("the sidecar exited during the measurement; its log is " + sidecar.log.Name())
 	}
-	r := &OverheadReport{Direct: lanes[0].summarize(), Sidecar: lanes[1].summarize(), RSSMB: float64(rss) / (1 << 20), StallMs: (<-stall).Milliseconds()}
-	r.CPU = (cpu - cpuBefore).Seconds() / time.Since(from).Seconds()
+	r := &OverheadReport{Direct: paths[0].summarize(), Sidecar: paths[1].summarize(), RSSMB: float64(rss) / (1 << 20), StallMs: (<-stall).Milliseconds()}
+	r.CPU = (cpu - cpuBefore).Seconds() / time.Since(measuredFrom).Seconds()
 	r.AddedP50, r.AddedP99 = r.Sidecar.P50-r.Direct.P50, r.Sidecar.P99-r.Direct.P99
 	return r, nil
 }
--- a/internal/lab/faultinjection/process.go
+++ b/internal/lab/faultinjection/process.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	readyTimeout      = 20 * time.Second // from the start of a process
-	terminateTimeout  = 10 * time.Second // from SIGTERM; then the process is killed
-	readyPollInterval = 10 * time.Millisecond
+	readyTimeout      = 20 * time.Second      // from the start of a process until it reports readiness
+	terminateTimeout  = 10 * time.Second      // from SIGTERM until the process is killed
+	readyPollInterval = 10 * time.Millisecond // between two readiness checks
 )
 
-// ProcessStarter starts processes from one locked thread with a parent-death signal, so that the kernel kills them when this
-// program ends, however it ends.
+// ProcessStarter starts processes with a parent-death signal, so that the kernel kills them when this program ends, however it ends. The
+// signal is bound to the thread that starts a process, so a single locked thread starts all of them.
 type ProcessStarter struct {
-	requests chan func()
+	requests chan func() // functions to run on the thread
 	done     chan struct{}
 }
 
@@ -41,7 +41,7 @@
 			case f := <-s.requests:
 				f()
 			case <-s.done:
-				return // a locked thread ends with its goroutine
+				return // the thread ends with the goroutine that has locked it
 			}
 		}
 	}()
@@ -51,15 +51,15 @@
 // Start starts a process in a process group of its own. It must not be called after Close.
 func (s *ProcessStarter) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	back := make(chan error, 1)
-	s.requests <- func() { back <- cmd.Start() }
-	return <-back
+	result := make(chan error, 1)
+	s.requests <- func() { result <- cmd.Start() }
+	return <-result
 }
 
-// Close ends the thread.
+// Close ends the thread, so that the kernel kills the processes.
 func (s *ProcessStarter) Close() { close(s.done) }
 
-// process is one sidecar; during an upgrade it consists of two operating-system processes.
+// process is one sidecar. During an upgrade it consists of two operating-system processes.
 type process struct {
 	name, binary, listen, dir string
 	config                    map[string]any
@@ -68,9 +68,9 @@
 	log                       *os.File
 
 	mu       sync.Mutex
-	current  *osProcess
-	killedBy int // number of active faults that keep it from running
-	pausedBy int // number of active faults that keep it paused
+	current  *osProcess // the one started last
+	killedBy int        // number of active faults that keep the process killed
+	pausedBy int        // number of active faults that keep the process stopped by SIGSTOP
 	uptimes  []interval
 	closed   bool
 }
@@ -78,12 +78,13 @@
 // osProcess is one process of the operating system.
 type osProcess struct {
 	cmd  *exec.Cmd
-	done chan struct{}
+	done chan struct{} // closed when the process has exited
 }
 
-// interval is a time during which a process ran and was not paused; one that has not ended has a zero end.
+// interval is a time during which a process ran and was not paused. The end is zero while the interval lasts.
 type interval struct{ from, to time.Time }
 
+// prepare creates the directory, the configuration file and the log file of the process.
 func (p *process) prepare() error {
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return err
@@ -101,7 +102,7 @@
 	return err
 }
 
-// run starts a process of the operating system. The caller holds mu.
+// run starts an operating-system process as the current one. The caller holds mu.
 func (p *process) run() error {
 	cmd := exec.Command(p.binary)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = p.dir, p.log, p.log
@@ -109,20 +110,20 @@
 	if err := p.starter.Start(cmd); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	s := &osProcess{cmd: cmd, done: make(chan struct{})}
-	go func() { cmd.Wait(); close(s.done) }()
-	p.current = s
+	started := &osProcess{cmd: cmd, done: make(chan struct{})}
+	go func() { cmd.Wait(); close(started.done) }()
+	p.current = started
 	p.markRunning(true)
 	return nil
 }
 
-// markRunning records that the process runs from now on, or no longer.
-func (p *process) markRunning(up bool) {
+// markRunning starts an uptime interval, or ends the current one.
+func (p *process) markRunning(running bool) {
 	open := len(p.uptimes) > 0 && p.uptimes[len(p.uptimes)-1].to.IsZero()
 	switch {
-	case up && !open:
+	case running && !open:
 		p.uptimes = append(p.uptimes, interval{from: time.Now()})
-	case !up && open:
+	case !running && open:
 		p.uptimes[len(p.uptimes)-1].to = time.Now()
 	}
 }
@@ -133,7 +134,7 @@
 	return p.run()
 }
 
-// suspend kills the process (or, with pause, stops it) until the matching resume.
+// suspend kills the process, or pauses it with SIGSTOP, until the matching resume.
 func (p *process) suspend(pause bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,6 +149,7 @@
 	p.markRunning(false)
 }
 
+// resume ends a suspension. The process is started or continued when no fault keeps it killed or paused.
 func (p *process) resume(pause bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,7 +176,7 @@
 	return nil
 }
 
-// terminateAndRestart ends the process with SIGTERM and starts it again.
+// terminateAndRestart ends the process with SIGTERM and restarts it. It does nothing if the process is killed, paused or closed.
 func (p *process) terminateAndRestart() error {
 	p.mu.Lock()
 	if p.killedBy > 0 || p.pausedBy > 0 || p.closed {
@@ -190,7 +192,8 @@
 	return p.resume(false)
 }
 
-// upgrade starts a second process beside the first, and ends the first once the second serves.
+// upgrade starts a second process, and ends the first one with SIGTERM a second later. It does nothing if the process is killed, paused or
+// closed.
 func (p *process) upgrade(ctx context.Context) error {
 	p.mu.Lock()
 	if p.killedBy > 0 || p.pausedBy > 0 || p.closed {
@@ -212,7 +215,7 @@
 	return nil
 }
 
-// waitOrKill waits for a process after SIGTERM, and kills it after terminateTimeout.
+// waitOrKill waits until the process has exited after SIGTERM, and kills it after terminateTimeout.
 func (s *osProcess) waitOrKill() {
 	select {
 	case <-s.done:
@@ -234,7 +237,7 @@
 	}
 }
 
-// close kills the process; it is not started again.
+// close kills the process, which cannot be resumed afterwards.
 func (p *process) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -247,7 +250,7 @@
 	}
 }
 
-// crashed reports whether the process exited without having been told to.
+// crashed reports whether the process exited although no fault and no call of close ended it.
 func (p *process) crashed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,39 +265,39 @@
 	}
 }
 
-// usage returns the CPU time and the resident memory in bytes of the process; zeros where /proc can't be read.
+// usage returns the CPU time and the resident memory in bytes of the process, or zeros if the process is killed or /proc cannot be read.
 func (p *process) usage() (cpu time.Duration, rss int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.current == nil || p.killedBy > 0 {
 		return 0, 0
 	}
-	const tick = 10 * time.Millisecond // the kernel's unit
+	const clockTick = 10 * time.Millisecond // unit of CPU times in /proc
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.current.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0
 	}
-	_, after, _ := strings.Cut(string(text), ") ")
-	f := strings.Fields(after)
-	if len(f) < 22 {
+	_, afterName, _ := strings.Cut(string(text), ") ")
+	fields := strings.Fields(afterName)
+	if len(fields) < 22 {
 		return 0, 0
 	}
-	user, _ := strconv.ParseInt(f[11], 10, 64)
-	system, _ := strconv.ParseInt(f[12], 10, 64)
-	pages, _ := strconv.ParseInt(f[21], 10, 64)
-	return time.Duration(user+system) * tick, pages * int64(os.Getpagesize())
+	user, _ := strconv.ParseInt(fields[11], 10, 64)
+	system, _ := strconv.ParseInt(fields[12], 10, 64)
+	pages, _ := strconv.ParseInt(fields[21], 10, 64)
+	return time.Duration(user+system) * clockTick, pages * int64(os.Getpagesize())
 }
 
-// waitReady waits until the process reports readiness.
+// waitReady waits until the process reports readiness, for up to readyTimeout.
 func (p *process) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.listen+"/health/ready", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.listen+"/health/ready", nil)
 		if err != nil {
 			return err
 		}
-		resp, err := http.DefaultClient.Do(ask)
+		resp, err := http.DefaultClient.Do(request)
 		if err == nil {
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
@@ -303,11 +306,11 @@
 			}
 		}
 		if p.crashed() {
-			return errors.New(p.name + " ended at its start, see " + p.log.Name())
+			return errors.New(p.name + " exited before it was ready; its log is " + p.log.Name())
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not ready: %w", p.name, ctx.Err())
+			return fmt.Errorf("%s did not report readiness: %w", p.name, ctx.Err())
 		case <-time.After(readyPollInterval):
 		}
 	}
--- a/internal/lab/faultinjection/run.go
+++ b/internal/lab/faultinjection/run.go
@@ -15,21 +15,21 @@
 	"time"
 )
 
-// fleetSettleTime is how long members get to agree on the membership before the first request.
+// fleetSettleTime is the least time that members have to agree on the membership before the first request.
 const fleetSettleTime = 1500 * time.Millisecond
 
-// Setup says which program to run, and where.
+// Setup names the program to run and the directory for its files.
 type Setup struct {
-	Binary string // path of the program
-	Dir    string // existing directory for configurations, state and logs
+	Binary string // path of the damsonscale executable
+	Dir    string // existing directory for configuration files, state and logs
 }
 
-// Run runs a timeline and evaluates it. It ends all processes that it started, also when ctx ends first.
-func Run(ctx context.Context, set Setup, t *Timeline) (*Report, error) {
+// Run runs a timeline and evaluates the outcome. It ends all processes that it has started, even if ctx ends first.
+func Run(ctx context.Context, setup Setup, t *Timeline) (*Report, error) {
 	if err := t.Validate(); err != nil {
 		return nil, err
 	}
-	p := newExperiment(set, t)
+	p := newExperiment(setup, t)
 	defer p.close()
 	if err := p.start(ctx); err != nil {
 		return nil, err
@@ -37,31 +37,32 @@
 	return p.runFaults(ctx)
 }
 
-// experiment is a running timeline.
+// experiment is a timeline that runs, with its servers, processes and links.
 type experiment struct {
 	setup               Setup
 	timeline            *Timeline
 	starter             *ProcessStarter
-	configuredBalancers int // number of balancers in the settings, where larger than the number of processes
+	configuredBalancers int // number of balancers in the settings, if larger than the number of processes
 	servers             *servers
 	registry            *registry
 	processes           []*process
-	links               map[[2]int]*link
+	links               map[[2]int]*link // by the indexes of the sending and the receiving process
 
-	memberAddresses []string // the members' own addresses, without links
+	memberAddresses []string // addresses at which the members listen, without the links
 
 	mu           sync.Mutex
-	crashes      []string
-	fenceSeenAt  map[uint64]time.Time // by fence: when it was first reported
-	stepResults  []string             // operators' commands with their replies
+	crashes      []string             // a description of each crash
+	fenceSeenAt  map[uint64]time.Time // by fence: when a member first reported it
+	stepResults  []string             // commands of operators with their replies, in order of the replies
 	rolloutTimes map[uint64]time.Time // by version: when its command was sent
-	maxOverLimit int                  // most members without a lease at once beyond the allowed share
+	maxOverLimit int                  // largest number of members without a lease at a time, in excess of the allowed share
 }
 
-func newExperiment(set Setup, t *Timeline) *experiment {
-	return &experiment{setup: set, timeline: t, starter: NewProcessStarter(), links: map[[2]int]*link{}}
+func newExperiment(setup Setup, t *Timeline) *experiment {
+	return &experiment{setup: setup, timeline: t, starter: NewProcessStarter(), links: map[[2]int]*link{}}
 }
 
+// start starts the servers of the timeline, discovery and the processes.
 func (p *experiment) start(ctx context.Context) (err error) {
 	if p.servers, err = startServers(p.timeline.Servers, p.timeline.Seed); err != nil {
 		return err
@@ -74,24 +75,24 @@
 	if p.registry, err = startRegistry(&p.servers.list); err != nil {
 		return err
 	}
-	fleet, err := FreeAddrs(2 * p.timeline.Processes)
+	addrs, err := FreeAddrs(2 * p.timeline.Processes)
 	if err != nil {
 		return err
 	}
-	listens, members := fleet[:p.timeline.Processes], fleet[p.timeline.Processes:]
+	listens, members := addrs[:p.timeline.Processes], addrs[p.timeline.Processes:]
 	p.memberAddresses = members
 	for i := range listens {
-		one, err := p.newProcess(i, listens[i], members)
+		process, err := p.newProcess(i, listens[i], members)
 		if err != nil {
 			return err
 		}
-		p.processes = append(p.processes, one)
-		if err := one.start(); err != nil {
+		p.processes = append(p.processes, process)
+		if err := process.start(); err != nil {
 			return err
 		}
 	}
-	for _, one := range p.processes {
-		if err := one.waitReady(ctx); err != nil {
+	for _, process := range p.processes {
+		if err := process.waitReady(ctx); err != nil {
 			return err
 		}
 	}
@@ -101,10 +102,10 @@
 	return ctx.Err()
 }
 
-// FreeAddrs returns n distinct free addresses on a random loopback host. Ports of 127.0.0.1 could be taken by an outgoing
-// connection before the process listens, or while it is down.
+// FreeAddrs returns n distinct free addresses on a random loopback host. On 127.0.0.1, an outgoing connection could take the port before
+// the process listens, or while it is down.
 func FreeAddrs(n int) ([]string, error) {
-	var out []string
+	var addrs []string
 	host := fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 	for range n {
 		ln, err := net.Listen("tcp", host)
@@ -112,34 +113,35 @@
 			return nil, err
 		}
 		defer ln.Close()
-		out = append(out, ln.Addr().String())
+		addrs = append(addrs, ln.Addr().String())
 	}
-	return out, nil
+	return addrs, nil
 }
 
 func processName(i int) string { return fmt.Sprintf("n%d", i+1) }
 
+// newProcess writes the files of process i, without starting it.
 func (p *experiment) newProcess(i int, listen string, members []string) (*process, error) {
-	one := &process{
+	sidecar := &process{
 		name: processName(i), binary: p.setup.Binary, listen: listen, dir: filepath.Join(p.setup.Dir, processName(i)), starter: p.starter,
 	}
-	one.config = p.config(i, listen)
+	sidecar.config = p.config(i, listen)
 	if p.timeline.Fleet {
-		path, err := p.writeOptions(i, one.dir, members)
+		path, err := p.writeOptions(i, sidecar.dir, members)
 		if err != nil {
 			return nil, err
 		}
-		one.env = append(one.env, "DAMSONSCALE_OPTIONS="+path)
+		sidecar.env = append(sidecar.env, "DAMSONSCALE_OPTIONS="+path)
 	}
-	return one, one.prepare()
+	return sidecar, sidecar.prepare()
 }
 
-// config is the configuration file of one process.
+// config returns the configuration file of process i.
 func (p *experiment) config(i int, listen string) map[string]any {
 	settings := p.settings(i, ValidSettings)
 	for _, s := range p.timeline.Steps {
 		if slices.Contains(s.RejectingMembers, i) {
-			settings["Aside"] = true
+			settings["Aside"] = true // the version does not have this key, so that this process rejects it
 		}
 	}
 	return map[string]any{
@@ -150,12 +152,12 @@
 	}
 }
 
-// settings are the settings of process i, or of a version for all.
-func (p *experiment) settings(i int, f SettingsKind) map[string]any {
+// settings returns the settings of the given kind for process i. A rollout sends the settings of process 0 to all members.
+func (p *experiment) settings(i int, kind SettingsKind) map[string]any {
 	var services []map[string]any
 	for _, c := range classes {
 		deadline := p.timeline.DeadlineMs * 1000
-		if f == DegradingSettings {
+		if kind == DegradingSettings {
 			deadline = 1000
 		}
 		s := map[string]any{
@@ -180,13 +182,14 @@
 			"OverloadFactor": 3, "FallUs": 3_000_000,
 		},
 	}
-	if f == UnknownKeySettings {
+	if kind == UnknownKeySettings {
 		settings["Sideways"] = true
 	}
 	return settings
 }
 
-// writeOptions writes the options file of one process, which reaches each other member over a link of its own.
+// writeOptions writes the options file of process i and returns its path. The process reaches each other member through a link, which
+// writeOptions starts.
 func (p *experiment) writeOptions(i int, dir string, members []string) (string, error) {
 	state, err := p.stateDir(i, dir)
 	if err != nil {
@@ -226,7 +229,7 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-// stateDir prepares the state directory of a process, or one where writes fail.
+// stateDir returns the path of the state directory of process i, prepared so that writes fail if the timeline demands it.
 func (p *experiment) stateDir(i int, dir string) (string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
@@ -236,10 +239,10 @@
 		disk = p.timeline.Disks[i]
 	}
 	switch disk {
-	case ReadOnlyDisk: // a path below a file fails for any user
+	case ReadOnlyDisk: // a path below a regular file cannot be written, not even by root
 		file := filepath.Join(dir, "file")
 		return filepath.Join(file, "state"), os.WriteFile(file, nil, 0o644)
-	case FullDisk: // each write fails with ENOSPC
+	case FullDisk: // each write to the database fails with ENOSPC
 		state := filepath.Join(dir, "state")
 		if err := os.MkdirAll(state, 0o755); err != nil {
 			return "", err
@@ -249,37 +252,37 @@
 	return filepath.Join(dir, "state"), nil
 }
 
-// runFaults injects the faults and operators' steps while clients send requests, then evaluates the observations.
+// runFaults injects the faults and runs the commands of operators while clients send requests, then evaluates the observations.
 func (p *experiment) runFaults(ctx context.Context) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	start := time.Now()
-	var faults sync.WaitGroup
+	var background sync.WaitGroup // faults and steps
 	failed := make(chan error, maxFaults)
 	for i := range p.timeline.Faults {
 		f := &p.timeline.Faults[i]
-		faults.Go(func() {
+		background.Go(func() {
 			if err := p.injectFault(ctx, start, f); err != nil && ctx.Err() == nil {
 				failed <- err
 			}
 		})
 	}
 	addrs := make([]string, len(p.processes))
-	for i, one := range p.processes {
-		addrs[i] = one.listen
+	for i, process := range p.processes {
+		addrs[i] = process.listen
 	}
 	for i := range p.timeline.Steps {
 		s := &p.timeline.Steps[i]
-		faults.Go(func() { p.runStep(ctx, start, i, s) })
+		background.Go(func() { p.runStep(ctx, start, i, s) })
 	}
 	stall := make(chan time.Duration, 1)
-	watched := make(chan struct{})
-	watching, unwatch := context.WithCancel(ctx)
-	go func() { defer close(watched); p.watchFences(watching) }()
-	defer unwatch()
-	go func() { stall <- measureStall(watching) }()
+	watchEnded := make(chan struct{})
+	watchContext, stopWatching := context.WithCancel(ctx)
+	go func() { defer close(watchEnded); p.watchFences(watchContext) }()
+	defer stopWatching()
+	go func() { stall <- measureStall(watchContext) }()
 	requests := newClients(p.timeline, addrs).run(ctx, start)
-	faults.Wait()
+	background.Wait()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -291,41 +294,41 @@
 	p.recordCrashes()
 	var cpu time.Duration
 	var rss int64
-	for _, one := range p.processes {
-		c, m := one.usage()
-		cpu, rss = cpu+c, max(rss, m)
-	}
-	sleep(ctx, ms(p.timeline.DeadlineMs)/2) // executions after the deadline still count
-	rec := &observations{requests: requests, executions: p.servers.executionsByRequest(), deadline: ms(p.timeline.DeadlineMs), crashes: p.crashes}
-	for _, one := range p.processes {
-		one.mu.Lock()
-		rec.uptimes = append(rec.uptimes, append([]interval(nil), one.uptimes...))
-		one.mu.Unlock()
-	}
-	r := evaluate(rec)
+	for _, process := range p.processes {
+		processCPU, processRSS := process.usage()
+		cpu, rss = cpu+processCPU, max(rss, processRSS)
+	}
+	sleep(ctx, ms(p.timeline.DeadlineMs)/2) // executions that start after the deadline still count
+	observed := &observations{requests: requests, executions: p.servers.executionsByRequest(), deadline: ms(p.timeline.DeadlineMs), crashes: p.crashes}
+	for _, process := range p.processes {
+		process.mu.Lock()
+		observed.uptimes = append(observed.uptimes, append([]interval(nil), process.uptimes...))
+		process.mu.Unlock()
+	}
+	r := evaluate(observed)
 	r.CPUUs, r.RSSMB = cpu.Microseconds()/int64(max(1, len(requests))), float64(rss)/(1<<20)
-	unwatch()
-	<-watched
+	stopWatching()
+	<-watchEnded
 	r.StallMs = (<-stall).Milliseconds()
 	if p.timeline.Audit {
-		err := p.checkAudit(ctx, rec, r)
+		err := p.checkAudit(ctx, observed, r)
 		return r, err
 	}
 	return r, nil
 }
 
-// measureStall returns the longest time for which this process did not run, until ctx ends.
-func measureStall(ctx context.Context) (most time.Duration) {
+// measureStall returns the longest time for which this process was not scheduled before ctx ended.
+func measureStall(ctx context.Context) (longest time.Duration) {
 	const step = 10 * time.Millisecond
 	tick := time.NewTicker(step)
 	defer tick.Stop()
 	for last := time.Now(); ; {
 		select {
 		case <-ctx.Done():
-			return most
+			return longest
 		case <-tick.C:
 			now := time.Now()
-			most, last = max(most, now.Sub(last)-step), now
+			longest, last = max(longest, now.Sub(last)-step), now
 		}
 	}
 }
@@ -334,25 +337,25 @@
 func (p *experiment) recordCrashes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, one := range p.processes {
-		if one.crashed() {
-			p.crashes = append(p.crashes, "crash: "+one.name+", see "+one.log.Name())
+	for _, process := range p.processes {
+		if process.crashed() {
+			p.crashes = append(p.crashes, "crash: process "+process.name+" exited unexpectedly; its log is "+process.log.Name())
 		}
 	}
 }
 
-// injectFault starts and ends one fault at its times.
+// injectFault waits for the start of a fault, injects it, and ends it after its duration.
 func (p *experiment) injectFault(ctx context.Context, start time.Time, f *Fault) error {
 	sleep(ctx, time.Until(start.Add(ms(f.AtMs))))
 	if ctx.Err() != nil {
 		return nil
 	}
 	waitForEnd := func() {
-		to := ms(f.AtMs + f.DurationMs)
+		end := ms(f.AtMs + f.DurationMs)
 		if f.DurationMs == 0 {
-			to = ms(p.timeline.LengthMs)
+			end = ms(p.timeline.LengthMs)
 		}
-		sleep(ctx, time.Until(start.Add(to)))
+		sleep(ctx, time.Until(start.Add(end)))
 	}
 	process := p.processes[f.Process]
 	switch f.Kind {
@@ -382,7 +385,7 @@
 	}
 	for _, l := range links {
 		if l == nil {
-			return nil // without a fleet there are no links
+			return nil // there are no links without a fleet
 		}
 		l.setFault(f, true)
 		defer l.setFault(f, false)
@@ -391,9 +394,10 @@
 	return nil
 }
 
+// close ends the processes, links, discovery and servers.
 func (p *experiment) close() {
-	for _, one := range p.processes {
-		one.close()
+	for _, process := range p.processes {
+		process.close()
 	}
 	for _, l := range p.links {
 		l.close()
@@ -407,7 +411,7 @@
 	p.starter.Close()
 }
 
-// Save writes a timeline and its report into dir.
+// Save writes a timeline and its report as JSON files into dir, which it creates if needed.
 func Save(dir string, t *Timeline, r *Report) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
