--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -110,7 +110,7 @@
 
 // handleReadiness answers a request for readinessPath: 200 if the sidecar is ready for traffic, else 503.
 func (f *Frontend) handleReadiness(ctx *fasthttp.RequestCtx) {
-	if lease := f.requiredLease(); f.sidecar.Ready() && !f.isDraining() && (lease == nil || lease.Valid()) {
+	if lease := f.requiredLease(); f.sidecar.HasEndpoints() && !f.isDraining() && (lease == nil || lease.Valid()) {
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		return
 	}
