--- a/internal/lab/faultinjection/auditor.go
+++ b/internal/lab/faultinjection/auditor.go
@@ -188,7 +188,7 @@
 type memberTrail struct {
 	*audit.Trail
 	byNumber      map[uint64]auditevent.Event // by event number
-	sentByRequest map[string]int              // by request ID and server, separated by a space: attempts sent, less those that were not written
+	sentByRequest map[string]int              // by request ID and server, separated by a space: number of attempts sent, less those that were not written
 }
 
 func (a *auditor) addTrail(trail *audit.Trail) {
--- a/internal/lab/faultinjection/link.go
+++ b/internal/lab/faultinjection/link.go
@@ -91,8 +91,8 @@
 	l.notifyChange()
 }
 
-// active returns the active fault of the kind that started last, or nil, a channel that is closed at the next change, and whether the link
-// is closed.
+// active returns three things: the most recently started active fault of the kind, or nil; a channel that is closed at the next change;
+// and whether the link is closed.
 func (l *link) active(k FaultKind) (*Fault, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/faultinjection/timeline.go
+++ b/internal/lab/faultinjection/timeline.go
@@ -1,5 +1,5 @@
 // Package faultinjection runs several processes of the sidecar, injects faults, and checks that no request is lost, executed twice
-// or answered wrongly.
+// or answered incorrectly.
 //
 // It starts the built program together with test servers, a discovery service, clients and the links between members, all on
 // loopback. The evaluation relies on the records of clients and servers alone, never on counters or logs of the program.
@@ -43,7 +43,7 @@
 // Fault is one fault of a timeline.
 type Fault struct {
 	AtMs           int64     `json:"at_ms"`            // start of the fault, from the first request on
-	DurationMs     int64     `json:"for_ms,omitempty"` // 0: until the end of the timeline
+	DurationMs     int64     `json:"for_ms,omitempty"` // length of the fault; 0: until the end of the timeline, but no restart at all for RestartLoop
 	Kind           FaultKind `json:"kind"`
 	Process        int       `json:"who"`                   // index of the process, or of the sender on a link
 	Peer           int       `json:"to,omitempty"`          // index of the receiver on a link
