--- a/cmd/damsonscale-lab/main.go
+++ b/cmd/damsonscale-lab/main.go
@@ -237,7 +237,7 @@
 	steps, coverage := 0, modelcheck.Coverage{}
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
-		f := modelcheck.WalkCells(modelcheck.CellsConfigFor(seed), seed, c.Steps)
+		f := modelcheck.RandomWalkCells(modelcheck.CellsConfigFor(seed), seed, c.Steps)
 		steps, coverage = steps+f.States, coverage.Add(f.Coverage)
 		if f.Violation != "" {
 			fmt.Printf("%s\n%s\nseed=%d\n", f.Violation, strings.Join(f.Trace, "\n"), seed)
@@ -253,7 +253,7 @@
 	conf := modelcheck.FenceConfig{
 		Members: 1, Commands: []rollout.Kind{rollout.RollOut, rollout.Fence}, LeaderChanges: 1, Restarts: 1, Ticks: 4, LeaseRequests: 2,
 	}
-	f, err := modelcheck.ExhaustFence(p.ctx, conf)
+	f, err := modelcheck.ExhaustiveFenceSearch(p.ctx, conf)
 	if err != nil {
 		return err
 	}
@@ -282,8 +282,8 @@
 		return true
 	}
 	for _, strict := range []bool{false, true} {
-		conf := modelcheck.Config{Idempotency: []takeover.Idempotency{takeover.NotIdempotent}, Strict: strict, Budget: modelcheck.SmallBudget}
-		f, err := modelcheck.Exhaust(p.ctx, conf, c.Depth)
+		conf := modelcheck.TakeoverConfig{Idempotency: []takeover.Idempotency{takeover.NotIdempotent}, Strict: strict, Budget: modelcheck.SmallBudget}
+		f, err := modelcheck.ExhaustiveSearch(p.ctx, conf, c.Depth)
 		if err != nil {
 			return err
 		}
@@ -295,7 +295,7 @@
 	steps := 0
 	for i := 0; i < c.Count && p.ctx.Err() == nil; i++ {
 		seed := c.Seed + uint64(i)
-		f := modelcheck.Walk(modelcheck.Config{
+		f := modelcheck.RandomWalk(modelcheck.TakeoverConfig{
 			Idempotency: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}, Strict: seed%2 == 0, Budget: modelcheck.LargeBudget,
 		}, seed, c.Steps)
 		steps += f.States
--- a/internal/lab/callchain/latency.go
+++ b/internal/lab/callchain/latency.go
@@ -65,8 +65,8 @@
 // middleOf returns the latency of a bin in µs, where each term lies in the middle of its own.
 func (h Histogram) middleOf(i int) float64 { return (float64(i) + float64(h.terms)/2) * h.BinMicros }
 
-// Over returns the share of latencies over a number of µs, to the precision of a bin.
-func (h Histogram) Over(micros float64) (share float64) {
+// ShareOver returns the share of latencies over a number of µs, to the precision of a bin.
+func (h Histogram) ShareOver(micros float64) (share float64) {
 	for i := len(h.Shares) - 1; i >= 0 && h.middleOf(i) > micros; i-- {
 		share += h.Shares[i]
 	}
@@ -108,9 +108,9 @@
 	n := float64(hops)
 	return AddedLatency{
 		Hops: hops, HopP50: p50, HopP99: p99,
-		IndependentP50: all.Quantile(0.5), IndependentP99: all.Quantile(0.99), IndependentOver: all.Over(n * p99),
-		DependentP50: n * p50, DependentP99: n * p99, DependentOver: hop.Over(p99),
-		AnyHopOver: 1 - math.Pow(1-hop.Over(p99), n), IndependentOverOneSlow: all.Over((n-1)*p50 + p99),
+		IndependentP50: all.Quantile(0.5), IndependentP99: all.Quantile(0.99), IndependentOver: all.ShareOver(n * p99),
+		DependentP50: n * p50, DependentP99: n * p99, DependentOver: hop.ShareOver(p99),
+		AnyHopOver: 1 - math.Pow(1-hop.ShareOver(p99), n), IndependentOverOneSlow: all.ShareOver((n-1)*p50 + p99),
 	}
 }
 
--- a/internal/lab/callchain/latency_test.go
+++ b/internal/lab/callchain/latency_test.go
@@ -14,8 +14,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !near(h.Quantile(0.5), 100, 0.02) || !near(h.Quantile(0.99), 400, 0.01) || !near(h.Over(400), 0.01, 0.03) {
-			t.Errorf("%s: p50 %v p99 %v over 400: %v", shape, h.Quantile(0.5), h.Quantile(0.99), h.Over(400))
+		if !near(h.Quantile(0.5), 100, 0.02) || !near(h.Quantile(0.99), 400, 0.01) || !near(h.ShareOver(400), 0.01, 0.03) {
+			t.Errorf("%s: p50 %v p99 %v over 400: %v", shape, h.Quantile(0.5), h.Quantile(0.99), h.ShareOver(400))
 		}
 		if _, err := make(400, 100, 2, 20_000); err == nil {
 			t.Errorf("%s: p99 below p50 passed", shape)
@@ -27,8 +27,8 @@
 func TestSumOfTwoValues(t *testing.T) {
 	hop := Histogram{BinMicros: 100, Shares: []float64{0.98, 0, 0, 0.02}, terms: 1} // 50 and 350 µs
 	a := SumOverHops(hop, 3, 50, 350)
-	if want := 3 * 0.02 * 0.02; !near(hop.Plus(hop).Plus(hop).Over(500), 3*0.98*0.02*0.02+math.Pow(0.02, 3), 1e-9) {
-		t.Errorf("two slow of three: %v, about %v", hop.Plus(hop).Plus(hop).Over(500), want)
+	if want := 3 * 0.02 * 0.02; !near(hop.Plus(hop).Plus(hop).ShareOver(500), 3*0.98*0.02*0.02+math.Pow(0.02, 3), 1e-9) {
+		t.Errorf("two slow of three: %v, about %v", hop.Plus(hop).Plus(hop).ShareOver(500), want)
 	}
 	if a.IndependentP50 != 150 || a.IndependentP99 != 450 || a.DependentP99 != 1050 || !near(a.AnyHopOver, 0, 0) {
 		t.Errorf("%+v", a)
--- a/internal/lab/modelcheck/cells_config.go
+++ b/internal/lab/modelcheck/cells_config.go
@@ -10,10 +10,10 @@
 
 // Budgets for runs of some hundred steps: with many faults, and with many requests under moves, splits and merges.
 var (
-	ManyFaultsCells = CellsBudget{
+	ManyFaultsCellsBudget = CellsBudget{
 		Commands: 8, LeaderChanges: 4, Crashes: 3, Duplicates: 1, Partitions: 3, CorruptDeltas: 2, Ticks: 30, Attempts: 24,
 	}
-	ManyRequestsCells = CellsBudget{Commands: 6, LeaderChanges: 1, Crashes: 1, Duplicates: 1, Ticks: 12, Attempts: 40}
+	ManyRequestsCellsBudget = CellsBudget{Commands: 6, LeaderChanges: 1, Crashes: 1, Duplicates: 1, Ticks: 12, Attempts: 40}
 )
 
 // CellsConfig configures a world that begins with two cells of one region, of two members each.
@@ -27,7 +27,7 @@
 func CellsConfigFor(seed uint64) CellsConfig {
 	return CellsConfig{
 		Idempotency: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey, takeover.NotIdempotent, takeover.NotIdempotent},
-		Budget:      []CellsBudget{ManyFaultsCells, ManyRequestsCells}[seed%2],
+		Budget:      []CellsBudget{ManyFaultsCellsBudget, ManyRequestsCellsBudget}[seed%2],
 	}
 }
 
--- a/internal/lab/modelcheck/cells_search.go
+++ b/internal/lab/modelcheck/cells_search.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// WalkCells runs random events from a seed, at most so many, then ends all faults and checks that the world settles.
-func WalkCells(c CellsConfig, seed uint64, steps int) Result {
+// RandomWalkCells runs random events from a seed, at most so many, then ends all faults and checks that the world settles.
+func RandomWalkCells(c CellsConfig, seed uint64, steps int) Result {
 	w := newCellsWorld(&c, seed)
 	result := Result{}
 	for n := 0; n < steps && w.violation == ""; n++ {
--- a/internal/lab/modelcheck/cells_test.go
+++ b/internal/lab/modelcheck/cells_test.go
@@ -11,7 +11,7 @@
 func TestCellsKeepInvariants(t *testing.T) {
 	steps, coverage := 0, Coverage{}
 	for seed := range uint64(1000) {
-		f := WalkCells(CellsConfigFor(seed), seed, 300)
+		f := RandomWalkCells(CellsConfigFor(seed), seed, 300)
 		if steps += f.States; f.Violation != "" {
 			t.Fatalf("seed %d: %s\n%s", seed, f.Violation, strings.Join(f.Trace, "\n"))
 		}
@@ -45,7 +45,7 @@
 			for seed := range uint64(6_000) {
 				conf := CellsConfigFor(seed)
 				conf.Fault = c.fault
-				if f := WalkCells(conf, seed, 300); strings.Contains(f.Violation, c.want) {
+				if f := RandomWalkCells(conf, seed, 300); strings.Contains(f.Violation, c.want) {
 					t.Logf("seed %d: %s", seed, f.Violation)
 					return
 				}
--- a/internal/lab/modelcheck/fence.go
+++ b/internal/lab/modelcheck/fence.go
@@ -247,9 +247,9 @@
 	w.requests = slices.Delete(w.requests, i, i+1)
 }
 
-// ExhaustFence explores all orders of events, each state once, up to the first in which a member acts below the fence later than a lease after it was
+// ExhaustiveFenceSearch explores all orders of events, each state once, up to the first in which a member acts below the fence later than a lease after it was
 // agreed. Its error is that of ctx.
-func ExhaustFence(ctx context.Context, conf FenceConfig) (Result, error) {
+func ExhaustiveFenceSearch(ctx context.Context, conf FenceConfig) (Result, error) {
 	type node struct {
 		world *fenceWorld
 		trace []string
--- a/internal/lab/modelcheck/fence_test.go
+++ b/internal/lab/modelcheck/fence_test.go
@@ -11,7 +11,7 @@
 
 // In no order of events does a member act below the fence later than a lease after it.
 func TestNobodyActsBelowTheFence(t *testing.T) {
-	f, err := ExhaustFence(context.Background(), small)
+	f, err := ExhaustiveFenceSearch(context.Background(), small)
 	if err != nil || f.Violation != "" {
 		t.Fatal(err, f.Violation, f.Trace)
 	}
@@ -23,7 +23,7 @@
 	for _, fault := range []LeaseFault{FenceIgnored, StaleLog, CountedFromGrant, VersionForgotten} {
 		c := small
 		c.Fault = fault
-		f, err := ExhaustFence(context.Background(), c)
+		f, err := ExhaustiveFenceSearch(context.Background(), c)
 		if err != nil || f.Violation == "" {
 			t.Errorf("fault %d is not found in %d states: %v", fault, f.States, err)
 		}
--- a/internal/lab/modelcheck/takeover_requests.go
+++ b/internal/lab/modelcheck/takeover_requests.go
@@ -90,8 +90,8 @@
 	delete(p.waitingClients, i)
 	r := w.requests[i]
 	w.responses = append(w.responses, Response{
-		Request: i, From: p.askedAt[i], To: w.step, Answer: fmt.Sprint(a.Status, a.Body),
-		Undecided: a.Status == takeover.Rejected || a.Reason == outcomeUnknown || r.idempotency == takeover.Idempotent,
+		Request: i, StartStep: p.askedAt[i], EndStep: w.step, Answer: fmt.Sprint(a.Status, a.Body),
+		Indeterminate: a.Status == takeover.Rejected || a.Reason == outcomeUnknown || r.idempotency == takeover.Idempotent,
 	})
 	r.answers = append(r.answers, fmt.Sprint(a.Status, string(a.Body)))
 	switch a.Status {
--- a/internal/lab/modelcheck/takeover_search.go
+++ b/internal/lab/modelcheck/takeover_search.go
@@ -22,8 +22,8 @@
 	return moves
 }
 
-// Exhaust explores all orders of moves up to a depth, breadth first, each state once. Its error is that of ctx.
-func Exhaust(ctx context.Context, c Config, depth int) (Result, error) {
+// ExhaustiveSearch explores all orders of moves up to a depth, breadth first, each state once. Its error is that of ctx.
+func ExhaustiveSearch(ctx context.Context, c TakeoverConfig, depth int) (Result, error) {
 	first := &searchNode{world: newWorld(&c)}
 	seen, level := map[[16]byte]bool{first.world.fingerprint(): true}, []*searchNode{first}
 	for ; depth > 0 && len(level) > 0; depth-- {
@@ -50,8 +50,8 @@
 	return Result{States: len(seen)}, nil
 }
 
-// Walk makes random moves from a seed, at most so many. Its result has a trace if an invariant is violated.
-func Walk(c Config, seed uint64, steps int) Result {
+// RandomWalk makes random moves from a seed, at most so many. Its result has a trace if an invariant is violated.
+func RandomWalk(c TakeoverConfig, seed uint64, steps int) Result {
 	random := rand.New(rand.NewPCG(seed, 4))
 	w := newWorld(&c)
 	result := Result{}
--- a/internal/lab/modelcheck/takeover_test.go
+++ b/internal/lab/modelcheck/takeover_test.go
@@ -18,7 +18,7 @@
 // No order of events violates an invariant: all short ones, and many long ones.
 func TestNoOrderBreaksAnInvariant(t *testing.T) {
 	for _, strict := range []bool{false, true} {
-		f, err := Exhaust(context.Background(), Config{Idempotency: one, Strict: strict, Budget: SmallBudget}, 4)
+		f, err := ExhaustiveSearch(context.Background(), TakeoverConfig{Idempotency: one, Strict: strict, Budget: SmallBudget}, 4)
 		if err != nil || f.Violation != "" {
 			t.Fatalf("strict %t: %v %s\n%s", strict, err, f.Violation, strings.Join(f.Trace, "\n"))
 		}
@@ -26,7 +26,7 @@
 	}
 	steps := 0
 	for seed := range uint64(400) {
-		f := Walk(Config{Idempotency: both, Strict: seed%2 == 0, Budget: LargeBudget}, seed, 200)
+		f := RandomWalk(TakeoverConfig{Idempotency: both, Strict: seed%2 == 0, Budget: LargeBudget}, seed, 200)
 		if steps += f.States; f.Violation != "" {
 			t.Fatalf("seed %d: %s\n%s", seed, f.Violation, strings.Join(f.Trace, "\n"))
 		}
@@ -51,15 +51,15 @@
 	check := func(all []Response) bool {
 		var ops []porcupine.Operation
 		for _, h := range all {
-			if !h.Undecided {
-				ops = append(ops, porcupine.Operation{Input: h.Request, Output: h.Answer, Call: int64(h.From), Return: int64(h.To)})
+			if !h.Indeterminate {
+				ops = append(ops, porcupine.Operation{Input: h.Request, Output: h.Answer, Call: int64(h.StartStep), Return: int64(h.EndStep)})
 			}
 		}
 		decided += len(ops)
 		return porcupine.CheckOperations(model, ops)
 	}
 	for seed := range uint64(1000) {
-		if f := Walk(Config{Idempotency: both, Strict: true, Budget: LargeBudget}, 1_000_000+seed, 150); !check(f.Responses) {
+		if f := RandomWalk(TakeoverConfig{Idempotency: both, Strict: true, Budget: LargeBudget}, 1_000_000+seed, 150); !check(f.Responses) {
 			t.Fatalf("seed %d: %+v\n%s", seed, f.Responses, strings.Join(f.Trace, "\n"))
 		}
 	}
@@ -73,16 +73,16 @@
 	for _, c := range []struct {
 		fault takeover.InjectedFault
 		name  string
-		with  Budget
+		with  TakeoverBudget
 	}{
 		{takeover.IgnoreLease, "lease not checked", LargeBudget},
-		{takeover.SendBeforeQuorum, "sent before a quorum has it", Budget{Attempts: 2, Losses: 4}},
+		{takeover.SendBeforeQuorum, "sent before a quorum has it", TakeoverBudget{Attempts: 2, Losses: 4}},
 		{takeover.InvertMembership, "epoch compared the wrong way", LargeBudget},
-		{takeover.ForgetResponse, "answer forgotten", Budget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
+		{takeover.ForgetResponse, "answer forgotten", TakeoverBudget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
 	} {
 		found, seed := "", uint64(0)
 		for ; seed < 5_000 && found == ""; seed++ {
-			found = Walk(Config{Idempotency: both, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
+			found = RandomWalk(TakeoverConfig{Idempotency: both, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
 		}
 		if found == "" {
 			t.Errorf("%s: not found", c.name)
--- a/internal/lab/modelcheck/takeover_world.go
+++ b/internal/lab/modelcheck/takeover_world.go
@@ -9,8 +9,8 @@
 
 // world is one state of a world of takeover.
 type world struct {
-	conf         *Config
-	budget       Budget // what is left
+	conf         *TakeoverConfig
+	budget       TakeoverBudget // what is left
 	log          []logEntry
 	incarnations map[string]uint64 // the last one, by name
 	processes    []*process        // the last one of each name
@@ -68,14 +68,14 @@
 
 // Response is what a client was told by one member, between two steps.
 type Response struct {
-	Request   int
-	From, To  int // steps: asked, answered
-	Answer    string
-	Undecided bool // rejected, or the outcome is unknown: this says nothing about the request
+	Request            int
+	StartStep, EndStep int // steps: asked, answered
+	Answer             string
+	Indeterminate      bool // rejected, or the outcome is unknown: this says nothing about the request
 }
 
 // newWorld returns a world in which all members have joined and hold leases.
-func newWorld(c *Config) *world {
+func newWorld(c *TakeoverConfig) *world {
 	w := &world{conf: c, budget: c.Budget, incarnations: map[string]uint64{}}
 	for _, idempotency := range c.Idempotency {
 		w.requests = append(w.requests, &request{idempotency: idempotency})
