--- a/internal/lab/callchain/balancer.go
+++ b/internal/lab/callchain/balancer.go
@@ -8,7 +8,7 @@
 
 // balancer is a balancer of one level, and carries out its actions: it implements decide.Actions.
 type balancer struct {
-	world   *world
+	sim     *simulation
 	level   int // 1 is the clients'
 	core    *decide.Balancer
 	pending map[string]*pendingRequest
@@ -39,21 +39,21 @@
 
 // accept hands a request with some time left, in µs, to the balancer.
 func (b *balancer) accept(id string, left int64, answer func(decide.Result)) {
-	w := b.world
+	s := b.sim
 	b.counts().Accepted++
-	b.acceptedAt = append(b.acceptedAt, w.now)
-	b.pending[id] = &pendingRequest{id: id, deadline: w.now + left, answer: answer}
-	b.core.OnRequest(w.now, decide.Request{ID: id, Tenant: -1, TimeLeft: max(0, left)})
+	b.acceptedAt = append(b.acceptedAt, s.now)
+	b.pending[id] = &pendingRequest{id: id, deadline: s.now + left, answer: answer}
+	b.core.OnRequest(s.now, decide.Request{ID: id, Tenant: -1, TimeLeft: max(0, left)})
 }
 
 // counts returns the counts of the balancer's level.
-func (b *balancer) counts() *Level { return &b.world.report.Levels[b.level-1] }
+func (b *balancer) counts() *Level { return &b.sim.report.Levels[b.level-1] }
 
 // finish answers a request, once: a second answer is a fault of the balancer.
 func (b *balancer) finish(id string, result decide.Result) {
 	r := b.pending[id]
 	if r == nil || r.answered {
-		b.world.report.DuplicateAnswers++
+		b.sim.report.DuplicateAnswers++
 		return
 	}
 	r.answered = true
@@ -81,12 +81,12 @@
 
 // SendAttempt sends an attempt to a server, with a timeout in µs; 0: the request's deadline.
 func (b *balancer) SendAttempt(id, server string, timeout int64) {
-	w, r := b.world, b.pending[id]
+	s, r := b.sim, b.pending[id]
 	if r == nil || r.answered {
-		w.report.SentAfterAnswer++
+		s.report.SentAfterAnswer++
 		return
 	}
-	a := &sentAttempt{request: r, number: r.attempts, server: server, sentAt: w.now}
+	a := &sentAttempt{request: r, number: r.attempts, server: server, sentAt: s.now}
 	r.attempts++
 	r.inFlight++
 	b.counts().Attempts++
@@ -94,14 +94,14 @@
 		b.counts().Retries++
 		b.checkBudget()
 	}
-	if b.level == w.conf.Depth {
-		w.deepestAttemptsBySlot[w.slot()]++
+	if b.level == s.conf.Depth {
+		s.deepestAttemptsBySlot[s.slot()]++
 	}
 	if timeout <= 0 {
-		timeout = r.deadline - w.now
+		timeout = r.deadline - s.now
 	}
-	w.schedule(timeout, func() { b.end(a, decide.TimedOut) })
-	w.schedule(transitMicros, func() { b.deliver(a, timeout-transitMicros) })
+	s.schedule(timeout, func() { b.end(a, decide.TimedOut) })
+	s.schedule(transitMicros, func() { b.deliver(a, timeout-transitMicros) })
 }
 
 // deliver has an attempt reach its server, with some time left in µs, unless it has timed out.
@@ -111,8 +111,8 @@
 		return
 	}
 	server, _ := strconv.Atoi(a.server) // endpoints are named by their number
-	b.world.serve(b.level, server, a.request.id+"."+strconv.Itoa(a.number), left, func(result decide.Result) {
-		b.world.schedule(transitMicros, func() { b.end(a, result) })
+	b.sim.serve(b.level, server, a.request.id+"."+strconv.Itoa(a.number), left, func(result decide.Result) {
+		b.sim.schedule(transitMicros, func() { b.end(a, result) })
 	})
 }
 
@@ -122,7 +122,7 @@
 		return
 	}
 	a.ended = true
-	r, now := a.request, b.world.now
+	r, now := a.request, b.sim.now
 	r.inFlight--
 	defer b.dropIfDone(r)
 	if result == decide.Succeeded && !r.answered {
@@ -135,19 +135,19 @@
 
 // checkBudget counts a retry that exceeds the attempt budget in the window that ends with it.
 func (b *balancer) checkBudget() {
-	c := &b.world.conf
+	c := &b.sim.conf
 	if c.BudgetWindow == 0 {
 		return
 	}
 	inWindow := func(times []int64) []int64 {
-		for len(times) > 0 && b.world.now-times[0] >= c.BudgetWindow.Microseconds() {
+		for len(times) > 0 && b.sim.now-times[0] >= c.BudgetWindow.Microseconds() {
 			times = times[1:]
 		}
 		return times
 	}
-	b.acceptedAt, b.retriedAt = inWindow(b.acceptedAt), inWindow(append(b.retriedAt, b.world.now))
+	b.acceptedAt, b.retriedAt = inWindow(b.acceptedAt), inWindow(append(b.retriedAt, b.sim.now))
 	if float64(len(b.retriedAt)) > c.BudgetMin+c.BudgetRatio*float64(len(b.acceptedAt)) {
-		b.world.report.OverBudget++
+		b.sim.report.OverBudget++
 	}
 }
 
@@ -159,7 +159,7 @@
 
 // SetTimer calls the balancer back after a time in µs.
 func (b *balancer) SetTimer(in, token int64) {
-	b.world.schedule(max(in, 1), func() { b.core.OnTimer(b.world.now, token) })
+	b.sim.schedule(max(in, 1), func() { b.core.OnTimer(b.sim.now, token) })
 }
 
 // CancelAttempt does nothing: servers finish what they have begun.
--- a/internal/lab/callchain/latency.go
+++ b/internal/lab/callchain/latency.go
@@ -62,12 +62,12 @@
 	return sum
 }
 
-// middleOf returns the latency of a bin in µs, where each term lies in the middle of its own.
-func (h Histogram) middleOf(i int) float64 { return (float64(i) + float64(h.terms)/2) * h.BinMicros }
+// binMiddle returns the latency of a bin in µs, where each term lies in the middle of its own.
+func (h Histogram) binMiddle(i int) float64 { return (float64(i) + float64(h.terms)/2) * h.BinMicros }
 
 // ShareOver returns the share of latencies over a number of µs, to the precision of a bin.
 func (h Histogram) ShareOver(micros float64) (share float64) {
-	for i := len(h.Shares) - 1; i >= 0 && h.middleOf(i) > micros; i-- {
+	for i := len(h.Shares) - 1; i >= 0 && h.binMiddle(i) > micros; i-- {
 		share += h.Shares[i]
 	}
 	return share
@@ -78,10 +78,10 @@
 	below := 0.0
 	for i, p := range h.Shares {
 		if below += p; below >= q {
-			return h.middleOf(i)
+			return h.binMiddle(i)
 		}
 	}
-	return h.middleOf(len(h.Shares) - 1)
+	return h.binMiddle(len(h.Shares) - 1)
 }
 
 // AddedLatency is what the hops of a chain add to a call together. Times are µs, shares 0 to 1.
--- a/internal/lab/callchain/report.go
+++ b/internal/lab/callchain/report.go
@@ -62,8 +62,8 @@
 }
 
 // summarize fills in the figures of the report from the counts.
-func (w *world) summarize() {
-	c, r := &w.conf, w.report
+func (s *simulation) summarize() {
+	c, r := &s.conf, s.report
 	end := int(c.Duration/time.Second) * slotsPerSecond
 	faultStart := int(c.FaultStart * slotsPerSecond / time.Second)
 	faultEnd := end
@@ -71,14 +71,14 @@
 		faultEnd = int((c.FaultStart + c.FaultDuration) * slotsPerSecond / time.Second)
 	}
 	half := (faultStart + faultEnd) / 2
-	r.Amplification = ratio(sum(w.deepestAttemptsBySlot), sum(w.requestsBySlot))
-	r.SteadyAmplification = w.amplification(half, faultEnd)
-	r.SteadyServedShare = w.servedShare(half, faultEnd)
+	r.Amplification = ratio(sum(s.deepestAttemptsBySlot), sum(s.requestsBySlot))
+	r.SteadyAmplification = s.amplification(half, faultEnd)
+	r.SteadyServedShare = s.servedShare(half, faultEnd)
 	for at := end - slotsPerSecond; at >= 0; at-- {
-		r.WorstAmplification = max(r.WorstAmplification, w.amplification(at, at+slotsPerSecond))
+		r.WorstAmplification = max(r.WorstAmplification, s.amplification(at, at+slotsPerSecond))
 	}
-	settled := firstSlotOfTail(end, func(from, to int) bool { return w.amplification(from, to) < settledAmplification })
-	serving := firstSlotOfTail(end, func(from, to int) bool { return w.servedShare(from, to) >= settledServedShare })
+	settled := firstSlotOfTail(end, func(from, to int) bool { return s.amplification(from, to) < settledAmplification })
+	serving := firstSlotOfTail(end, func(from, to int) bool { return s.servedShare(from, to) >= settledServedShare })
 	sinceFaultEnd := func(slot int) int64 {
 		if c.FaultDuration == 0 || slot > end-slotsPerSecond {
 			return -1
@@ -90,13 +90,13 @@
 }
 
 // amplification returns the attempts at the deepest level for each client's request, over some slots.
-func (w *world) amplification(from, to int) float64 {
-	return ratio(sum(w.deepestAttemptsBySlot[from:to]), sum(w.requestsBySlot[from:to]))
+func (s *simulation) amplification(from, to int) float64 {
+	return ratio(sum(s.deepestAttemptsBySlot[from:to]), sum(s.requestsBySlot[from:to]))
 }
 
 // servedShare returns the share of clients' requests that were served, over the slots in which they were sent.
-func (w *world) servedShare(from, to int) float64 {
-	return ratio(sum(w.servedBySlot[from:to]), sum(w.requestsBySlot[from:to]))
+func (s *simulation) servedShare(from, to int) float64 {
+	return ratio(sum(s.servedBySlot[from:to]), sum(s.requestsBySlot[from:to]))
 }
 
 // firstSlotOfTail returns the first slot from which on each window of a second is good; end: not even the last one is.
--- a/internal/lab/callchain/report_test.go
+++ b/internal/lab/callchain/report_test.go
@@ -9,7 +9,7 @@
 
 // Reports have the keys, and their lines the form, that commit 2029d41 gave them.
 func TestReportForm(t *testing.T) {
-	c := conf(2)
+	c := testConfig(2)
 	c.FaultShare, c.FaultDuration, c.MaxAttemptsAbove = 0.5, 3*time.Second, 2
 	report := Report{
 		Config: c, Requests: 1, DuplicateAnswers: 2, SentAfterAnswer: 3, Unanswered: 4, OverBudget: 5,
--- a/internal/lab/callchain/world.go
+++ b/internal/lab/callchain/simulation.go
@@ -40,8 +40,8 @@
 	return last
 }
 
-// world is the whole chain.
-type world struct {
+// simulation is the whole chain.
+type simulation struct {
 	conf      Config
 	now       int64 // µs
 	seq       int64 // events scheduled
@@ -62,92 +62,92 @@
 		return nil, err
 	}
 	slots := int((conf.Duration + drainTime) / time.Second * slotsPerSecond)
-	w := &world{
+	s := &simulation{
 		conf: conf, now: startMicros, random: rand.New(rand.NewPCG(conf.Seed, 7)), report: &Report{Config: conf, Levels: make([]Level, conf.Depth)},
 		requestsBySlot: make([]int, slots), servedBySlot: make([]int, slots), deepestAttemptsBySlot: make([]int, slots),
 	}
-	w.startBalancers()
+	s.startBalancers()
 	lastRequest := startMicros + conf.Duration.Microseconds()
-	w.scheduleRequest(0, lastRequest)
-	for end := lastRequest + deadlineMicros + answerSlackMicros + sec; w.queue.Len() > 0 && w.queue[0].at <= end; {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+	s.scheduleRequest(0, lastRequest)
+	for end := lastRequest + deadlineMicros + answerSlackMicros + sec; s.queue.Len() > 0 && s.queue[0].at <= end; {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		e.do()
 	}
-	w.summarize()
-	return w.report, nil
+	s.summarize()
+	return s.report, nil
 }
 
 // startBalancers starts the balancers of all levels, with the endpoint list of the service below.
-func (w *world) startBalancers() {
+func (s *simulation) startBalancers() {
 	var endpoints []decide.Endpoint
-	for i := range w.conf.Servers {
+	for i := range s.conf.Servers {
 		endpoints = append(endpoints, decide.Endpoint{ID: strconv.Itoa(i), Capacity: 1})
 	}
-	for level := 1; level <= w.conf.Depth; level++ {
+	for level := 1; level <= s.conf.Depth; level++ {
 		var balancers []*balancer
-		for i := range w.conf.Width {
-			b := &balancer{world: w, level: level, pending: map[string]*pendingRequest{}}
-			settings := w.conf.settings(level)
+		for i := range s.conf.Width {
+			b := &balancer{sim: s, level: level, pending: map[string]*pendingRequest{}}
+			settings := s.conf.settings(level)
 			settings.BalancerIndex = i
-			b.core = decide.New(settings, w.conf.Seed<<16+uint64(level*1000+i), b)
-			b.core.Start(w.now)
-			b.core.OnEndpoints(w.now, endpoints, true)
+			b.core = decide.New(settings, s.conf.Seed<<16+uint64(level*1000+i), b)
+			b.core.Start(s.now)
+			b.core.OnEndpoints(s.now, endpoints, true)
 			balancers = append(balancers, b)
 		}
-		w.balancers = append(w.balancers, balancers)
+		s.balancers = append(s.balancers, balancers)
 	}
 }
 
 // schedule has something happen after a time in µs.
-func (w *world) schedule(in int64, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now + max(0, in), w.seq, do})
+func (s *simulation) schedule(in int64, do func()) {
+	s.seq++
+	heap.Push(&s.queue, event{s.now + max(0, in), s.seq, do})
 }
 
 // slot returns the present slot of counts.
-func (w *world) slot() int {
-	return min(int((w.now-startMicros)*slotsPerSecond/sec), len(w.requestsBySlot)-1)
+func (s *simulation) slot() int {
+	return min(int((s.now-startMicros)*slotsPerSecond/sec), len(s.requestsBySlot)-1)
 }
 
 // scheduleRequest schedules the clients' requests from number i on until a time, evenly spaced.
-func (w *world) scheduleRequest(i int, until int64) {
-	if at := startMicros + int64((float64(i)+0.5)*float64(sec)/w.conf.RequestsPerSecond); at < until {
-		w.schedule(at-w.now, func() {
-			w.scheduleRequest(i+1, until)
-			w.sendRequest(i)
+func (s *simulation) scheduleRequest(i int, until int64) {
+	if at := startMicros + int64((float64(i)+0.5)*float64(sec)/s.conf.RequestsPerSecond); at < until {
+		s.schedule(at-s.now, func() {
+			s.scheduleRequest(i+1, until)
+			s.sendRequest(i)
 		})
 	}
 }
 
 // sendRequest sends a client's request to a random balancer, and counts its answers.
-func (w *world) sendRequest(i int) {
-	slot, answered := w.slot(), false
-	w.requestsBySlot[slot]++
-	w.report.Requests++
-	w.schedule(deadlineMicros+answerSlackMicros, func() {
+func (s *simulation) sendRequest(i int) {
+	slot, answered := s.slot(), false
+	s.requestsBySlot[slot]++
+	s.report.Requests++
+	s.schedule(deadlineMicros+answerSlackMicros, func() {
 		if !answered {
-			w.report.Unanswered++
+			s.report.Unanswered++
 		}
 	})
-	w.balancers[0][w.random.IntN(w.conf.Width)].accept(strconv.Itoa(i), deadlineMicros, func(result decide.Result) {
+	s.balancers[0][s.random.IntN(s.conf.Width)].accept(strconv.Itoa(i), deadlineMicros, func(result decide.Result) {
 		answered = true
 		if result == decide.Succeeded {
-			w.servedBySlot[slot]++
+			s.servedBySlot[slot]++
 		}
 	})
 }
 
 // serve has a server work on an attempt that has reached it with some time left, in µs. The answer may never come.
-func (w *world) serve(level, server int, id string, left int64, answer func(decide.Result)) {
-	if level == w.conf.Depth {
-		w.serveDeepest(server, answer)
+func (s *simulation) serve(level, server int, id string, left int64, answer func(decide.Result)) {
+	if level == s.conf.Depth {
+		s.serveDeepest(server, answer)
 		return
 	}
-	work := msec/2 + w.random.Int64N(msec) // before its own call
-	w.schedule(work, func() {
-		w.balancers[level][server%w.conf.Width].accept(id, left-work-transitMicros, func(result decide.Result) {
-			answer(w.conf.Pass.answer(result))
+	work := msec/2 + s.random.Int64N(msec) // before its own call
+	s.schedule(work, func() {
+		s.balancers[level][server%s.conf.Width].accept(id, left-work-transitMicros, func(result decide.Result) {
+			answer(s.conf.Pass.answer(result))
 		})
 	})
 }
@@ -164,28 +164,28 @@
 }
 
 // serveDeepest has a server of the deepest service work on an attempt, with its faults.
-func (w *world) serveDeepest(server int, answer func(decide.Result)) {
-	work, faulty := 5*msec+w.random.Int64N(10*msec), w.random.Float64() < w.conf.FaultShare
+func (s *simulation) serveDeepest(server int, answer func(decide.Result)) {
+	work, faulty := 5*msec+s.random.Int64N(10*msec), s.random.Float64() < s.conf.FaultShare
 	result := decide.Succeeded
 	switch {
-	case !w.faultActive():
-	case w.conf.Fault == Crash:
-		if float64(server) < math.Ceil(w.conf.FaultShare*float64(w.conf.Servers)) {
+	case !s.faultActive():
+	case s.conf.Fault == Crash:
+		if float64(server) < math.Ceil(s.conf.FaultShare*float64(s.conf.Servers)) {
 			work, result = 0, decide.ConnectFailed
 		}
 	case !faulty:
-	case w.conf.Fault == Rejected:
+	case s.conf.Fault == Rejected:
 		work, result = 0, decide.Saturated
-	case w.conf.Fault == Slow:
+	case s.conf.Fault == Slow:
 		work = slowAnswerMicros
 	default:
 		result = decide.Errored
 	}
-	w.schedule(work, func() { answer(result) })
+	s.schedule(work, func() { answer(result) })
 }
 
 // faultActive reports whether the fault lasts now.
-func (w *world) faultActive() bool {
-	from := startMicros + w.conf.FaultStart.Microseconds()
-	return w.now >= from && (w.conf.FaultDuration == 0 || w.now < from+w.conf.FaultDuration.Microseconds())
+func (s *simulation) faultActive() bool {
+	from := startMicros + s.conf.FaultStart.Microseconds()
+	return s.now >= from && (s.conf.FaultDuration == 0 || s.now < from+s.conf.FaultDuration.Microseconds())
 }
--- a/internal/lab/callchain/world_test.go
+++ b/internal/lab/callchain/simulation_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-func conf(depth int) Config {
+func testConfig(depth int) Config {
 	return Config{Depth: depth, Width: 3, Servers: 4, Fault: Errors, FaultStart: 2 * time.Second, RequestsPerSecond: 100, Duration: 12 * time.Second, Seed: 1,
 		Pass: PassErrors, MaxAttempts: 4, BudgetRatio: 0.1, BudgetMin: 3, BudgetWindow: 5 * time.Second}
 }
 
-func play(t *testing.T, c Config) *Report {
+func mustRun(t *testing.T, c Config) *Report {
 	t.Helper()
 	r, err := Run(c)
 	if err != nil {
@@ -22,13 +22,13 @@
 	return r
 }
 
-// faults are runs of all kinds, few enough for a test.
-func faults() (all []Config) {
+// faultConfigs are runs of all kinds, few enough for a test.
+func faultConfigs() (all []Config) {
 	for _, depth := range []int{1, 3, 7} {
 		for _, fault := range []Fault{Errors, Slow, Rejected, Crash} {
 			for _, share := range []float64{0.1, 0.5, 1} {
 				for _, stated := range []bool{true, false} {
-					c := conf(depth)
+					c := testConfig(depth)
 					c.Fault, c.FaultShare, c.Seed = fault, share, uint64(len(all))
 					if !stated {
 						c.BudgetRatio, c.BudgetMin, c.BudgetWindow = 0, 0, 0
@@ -41,22 +41,22 @@
 	return all
 }
 
-func name(c Config) string {
+func configName(c Config) string {
 	return fmt.Sprintf("%s %g depth %d budget %t", c.Fault, c.FaultShare, c.Depth, c.BudgetWindow > 0)
 }
 
 // The same seed gives the same report: no order of a map and no clock has an effect.
 func TestSameSeedGivesTheSameCounts(t *testing.T) {
-	c := conf(5)
+	c := testConfig(5)
 	c.FaultShare = 0.3
-	first := play(t, c)
+	first := mustRun(t, c)
 	for range 3 {
-		if again := play(t, c); !reflect.DeepEqual(first, again) {
+		if again := mustRun(t, c); !reflect.DeepEqual(first, again) {
 			t.Fatalf("%v\nthen %v", first, again)
 		}
 	}
 	c.Seed++
-	if other := play(t, c); reflect.DeepEqual(first.Levels, other.Levels) {
+	if other := mustRun(t, c); reflect.DeepEqual(first.Levels, other.Levels) {
 		t.Fatalf("another seed gave the same counts: %v", other)
 	}
 }
@@ -64,7 +64,7 @@
 // Without faults the simulation itself adds no attempts.
 func TestWithoutFaultsNothingIsRetried(t *testing.T) {
 	for _, depth := range []int{1, 7} {
-		r := play(t, conf(depth))
+		r := mustRun(t, testConfig(depth))
 		if r.Requests != 1200 || r.Amplification != 1 || r.SteadyAmplification != 1 || r.WorstAmplification != 1 || r.SteadyServedShare != 1 {
 			t.Errorf("depth %d: %v", depth, r)
 		}
@@ -78,20 +78,20 @@
 
 // No request or attempt is lost, or counted twice.
 func TestEveryAcceptedRequestIsAnswered(t *testing.T) {
-	for _, c := range faults() {
-		r := play(t, c)
+	for _, c := range faultConfigs() {
+		r := mustRun(t, c)
 		if !r.GuaranteesMet() || r.Levels[0].Accepted != r.Requests || r.Requests != 1200 {
-			t.Errorf("%s: %v", name(c), r)
+			t.Errorf("%s: %v", configName(c), r)
 		}
 		for i, l := range r.Levels {
 			if l.Served+l.Rejected+l.Failed != l.Accepted {
-				t.Errorf("%s: level %d: not one answer each: %+v", name(c), i+1, l)
+				t.Errorf("%s: level %d: not one answer each: %+v", configName(c), i+1, l)
 			}
 			if l.Attempts != l.Accepted-l.NeverSent+l.Retries || l.Attempts < l.Accepted-l.Rejected-l.Failed {
-				t.Errorf("%s: level %d: attempts: %+v", name(c), i+1, l)
+				t.Errorf("%s: level %d: attempts: %+v", configName(c), i+1, l)
 			}
 			if i > 0 && l.Accepted != r.Levels[i-1].Attempts-r.Levels[i-1].NotDelivered {
-				t.Errorf("%s: level %d took %d of %+v", name(c), i+1, l.Accepted, r.Levels[i-1])
+				t.Errorf("%s: level %d took %d of %+v", configName(c), i+1, l.Accepted, r.Levels[i-1])
 			}
 		}
 	}
@@ -100,18 +100,18 @@
 // Balancers stay within their attempt budgets, while some retries are sent.
 func TestAttemptsStayWithinTheBudgets(t *testing.T) {
 	further := 0
-	for _, c := range faults() {
+	for _, c := range faultConfigs() {
 		if c.BudgetWindow == 0 {
 			continue
 		}
-		r := play(t, c)
+		r := mustRun(t, c)
 		if r.OverBudget > 0 || r.Amplification > r.AmplificationBound || r.WorstAmplification > r.WorstBound {
-			t.Errorf("%s: %v", name(c), r)
+			t.Errorf("%s: %v", configName(c), r)
 		}
 		for i, l := range r.Levels {
 			windows := math.Ceil(float64(c.Duration+5*time.Second) / float64(c.BudgetWindow))
 			if most := c.BudgetRatio*float64(l.Accepted) + windows*c.BudgetMin*float64(c.Width); float64(l.Retries) > most {
-				t.Errorf("%s: level %d sent %d retries, %.1f allowed", name(c), i+1, l.Retries, most)
+				t.Errorf("%s: level %d sent %d retries, %.1f allowed", configName(c), i+1, l.Retries, most)
 			}
 			further += l.Retries
 		}
@@ -123,7 +123,7 @@
 
 // The bound counts each level, its minimum budget and the limit on attempts.
 func TestAmplificationBound(t *testing.T) {
-	c := conf(2) // 1200 requests, 4 windows of 9 further ones
+	c := testConfig(2) // 1200 requests, 4 windows of 9 further ones
 	for _, row := range []struct {
 		change func(*Config)
 		want   float64
@@ -146,14 +146,14 @@
 
 // A fault that ends settles, counted from its end.
 func TestAFaultThatEndsSettles(t *testing.T) {
-	c := conf(3)
+	c := testConfig(3)
 	c.FaultShare, c.FaultDuration = 1, 3*time.Second
-	r := play(t, c)
+	r := mustRun(t, c)
 	if r.SteadyServedShare > 0 || r.SettledMs < 0 || r.ServingMs < 0 || r.ServingMs > 6000 || r.WorstAmplification <= 1.05 {
 		t.Error(r)
 	}
 	c.FaultDuration = 0
-	if r := play(t, c); r.SettledMs != -1 || r.ServingMs != -1 {
+	if r := mustRun(t, c); r.SettledMs != -1 || r.ServingMs != -1 {
 		t.Error(r)
 	}
 }
@@ -161,10 +161,10 @@
 // A failure marked as an invalid request is retried at the deepest level alone.
 func TestInvalidRequestIsNotRetriedAbove(t *testing.T) {
 	for _, change := range []func(*Config){func(c *Config) { c.Pass = PassInvalidRequest }, func(c *Config) { c.MaxAttemptsAbove = 1 }} {
-		c := conf(5)
+		c := testConfig(5)
 		c.FaultShare = 0.5
 		change(&c)
-		r := play(t, c)
+		r := mustRun(t, c)
 		for i, l := range r.Levels {
 			if deepest := i == c.Depth-1; deepest != (l.Retries > 0) {
 				t.Errorf("pass %s, above %d: level %d: %+v", c.Pass, c.MaxAttemptsAbove, i+1, l)
@@ -182,7 +182,7 @@
 		func(c *Config) { c.FaultStart = c.Duration }, func(c *Config) { c.FaultDuration = c.Duration }, func(c *Config) { c.MaxAttempts = 11 },
 		func(c *Config) { c.MaxAttemptsAbove = -1 }, func(c *Config) { c.BudgetWindow = 0 }, func(c *Config) { c.RequestsPerSecond, c.Duration = 100_000, time.Hour },
 	} {
-		c := conf(1)
+		c := testConfig(1)
 		change(&c)
 		if r, err := Run(c); err == nil {
 			t.Errorf("change %d passed: %v", i, r)
--- a/internal/lab/modelcheck/cells_events.go
+++ b/internal/lab/modelcheck/cells_events.go
@@ -19,8 +19,8 @@
 // add adds an event.
 func (l *eventList) add(name string, do func()) { l.events = append(l.events, event{name, do}) }
 
-// spend adds an event that takes one from a budget, if there is any left.
-func (l *eventList) spend(left *int, name string, do func()) {
+// addWithBudget adds an event that takes one from a budget, if there is any left.
+func (l *eventList) addWithBudget(left *int, name string, do func()) {
 	if *left > 0 {
 		l.add(name, func() { *left--; do() })
 	}
@@ -45,7 +45,7 @@
 	case k < 17:
 		w.directoryEvents(l)
 	case k < 18:
-		l.spend(&w.budget.Commands, "a command", w.randomCommand)
+		l.addWithBudget(&w.budget.Commands, "a command", w.randomCommand)
 	case k < 19:
 		w.timeEvents(l)
 	default:
@@ -57,17 +57,17 @@
 // clientEvents adds the attempts of clients.
 func (w *cellsWorld) clientEvents(l *eventList) {
 	for r, q := range w.requests {
-		if q.answered || q.askedAt >= 0 && w.expired(q) || w.budget.Attempts == 0 {
+		if q.answered || q.firstSentAt >= 0 && w.expired(q) || w.budget.Attempts == 0 {
 			continue
 		}
 		for n, p := range w.processes {
 			switch {
 			case !p.up:
-			case q.askedAt < 0 && w.random.IntN(4) > 0: // not all at once
-			case q.askedAt < 0:
+			case q.firstSentAt < 0 && w.random.IntN(4) > 0: // not all at once
+			case q.firstSentAt < 0:
 				l.add(fmt.Sprintf("client asks %s for r%d", p.name, r), func() {
 					w.budget.Attempts--
-					q.askedAt, q.firstAsked = w.now, p.name
+					q.firstSentAt, q.firstMember = w.now, p.name
 					p.unread = append(p.unread, r)
 				})
 			default:
@@ -87,10 +87,10 @@
 			l.add(p.name+" reads an attempt", func() { w.readAttempt(n) })
 		}
 		for k := range p.lookups {
-			l.add(fmt.Sprintf("%s looks up r%d", p.name, p.lookups[k].request), func() { w.stepLookup(n, k) })
+			l.add(fmt.Sprintf("%s looks up r%d", p.name, p.lookups[k].request), func() { w.advanceLookup(n, k) })
 		}
 		for k := range p.attempts {
-			l.add(fmt.Sprintf("%s works on r%d", p.name, p.attempts[k].request), func() { w.stepAttempt(n, k) })
+			l.add(fmt.Sprintf("%s works on r%d", p.name, p.attempts[k].request), func() { w.advanceAttempt(n, k) })
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	for n, p := range w.processes {
 		if p.up {
 			l.add(p.name+" joins", func() { w.join(n) })
-			l.add(p.name+" learns", func() { w.learnLog(n) })
+			l.add(p.name+" learns", func() { w.applyLog(n) })
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	for r := range w.relays {
 		for d := range w.directories {
 			l.add(fmt.Sprintf("relay %d pulls from %d", r, d), func() { w.pullDelta(r, d, false) })
-			l.spend(&w.budget.CorruptDeltas, fmt.Sprintf("relay %d pulls from %d, a record lost", r, d), func() { w.pullDelta(r, d, true) })
+			l.addWithBudget(&w.budget.CorruptDeltas, fmt.Sprintf("relay %d pulls from %d, a record lost", r, d), func() { w.pullDelta(r, d, true) })
 		}
 	}
 	l.add("the other directory catches up", func() { w.applyCommands(1 - w.leader) })
@@ -149,11 +149,11 @@
 
 // timeEvents adds a tick, and a few ticks in which all but at most one process renew their leases.
 func (w *cellsWorld) timeEvents(l *eventList) {
-	l.spend(&w.budget.Ticks, "tick", func() { w.now += cellTickMicros })
+	l.addWithBudget(&w.budget.Ticks, "tick", func() { w.now += cellTickMicros })
 	if w.random.IntN(3) > 0 {
 		return
 	}
-	l.spend(&w.budget.Ticks, "some quiet time", func() {
+	l.addWithBudget(&w.budget.Ticks, "some quiet time", func() {
 		silent := w.random.IntN(2 * len(w.processes))
 		for range 4 {
 			for n, p := range w.processes {
@@ -181,18 +181,18 @@
 			l.add("start "+p.name, func() { w.restart(n) })
 			continue
 		}
-		l.spend(&w.budget.Crashes, "kill "+p.name, func() { w.kill(n) })
-		l.spend(&w.budget.Duplicates, "another process of "+p.name, func() { // the one before is stopped, and goes on later
-			w.processes = append(w.processes, w.newProcessOf(p))
+		l.addWithBudget(&w.budget.Crashes, "kill "+p.name, func() { w.kill(n) })
+		l.addWithBudget(&w.budget.Duplicates, "another process of "+p.name, func() { // the one before is stopped, and goes on later
+			w.processes = append(w.processes, w.newIncarnation(p))
 		})
 	}
 	for _, c := range w.cells {
 		if !c.partitioned {
-			l.spend(&w.budget.Partitions, fmt.Sprintf("cell %d is partitioned", c.id), func() { c.partitioned = true })
+			l.addWithBudget(&w.budget.Partitions, fmt.Sprintf("cell %d is partitioned", c.id), func() { c.partitioned = true })
 		}
-		l.spend(&w.budget.LeaderChanges, fmt.Sprintf("cell %d has another leader", c.id), func() { w.changeLeader(c) })
+		l.addWithBudget(&w.budget.LeaderChanges, fmt.Sprintf("cell %d has another leader", c.id), func() { w.changeLeader(c) })
 	}
-	l.spend(&w.budget.LeaderChanges, "the directory has another leader", func() {
+	l.addWithBudget(&w.budget.LeaderChanges, "the directory has another leader", func() {
 		w.leader, w.term, w.leaderChanged = 1-w.leader, w.term+1, true
 		w.applyCommands(w.leader)
 	})
--- a/internal/lab/modelcheck/cells_invariants.go
+++ b/internal/lab/modelcheck/cells_invariants.go
@@ -13,11 +13,11 @@
 		}
 		w.checkFence(p)
 		if c := w.cell(p.node.Cell); c == nil || !c.state().IsMember(p.node.Self) {
-			w.violate("%s#%d may act, and its cell %d says that it is out", p.name, p.node.Self.Incarnation, p.node.Cell)
+			w.recordViolation("%s#%d may act, and its cell %d says that it is out", p.name, p.node.Self.Incarnation, p.node.Cell)
 		}
 		for _, o := range w.processes[:i] {
 			if o.up && o.name == p.name && o.node.Cell != p.node.Cell && o.node.LeaseValid(w.now) {
-				w.violate("%s may act in cells %d and %d", p.name, o.node.Cell, p.node.Cell)
+				w.recordViolation("%s may act in cells %d and %d", p.name, o.node.Cell, p.node.Cell)
 			}
 		}
 	}
@@ -28,7 +28,7 @@
 	active := p.node.ActiveSettings
 	below := func(f agreedFence) bool { return f.number > active && w.now >= f.at+cellLeaseMicros }
 	if f := w.formerFences[p.name]; below(f) {
-		w.violate("%s may act on %d at %d, a cell that it has left agreed on fence %d at %d", p.name, active, w.now, f.number, f.at)
+		w.recordViolation("%s may act on %d at %d, a cell that it has left agreed on fence %d at %d", p.name, active, w.now, f.number, f.at)
 	}
 	c := w.cell(p.node.Cell)
 	if c == nil {
@@ -36,7 +36,7 @@
 	}
 	for _, f := range c.fences {
 		if below(f) {
-			w.violate("%s may act on %d at %d, its cell agreed on fence %d at %d", p.name, active, w.now, f.number, f.at)
+			w.recordViolation("%s may act on %d at %d, its cell agreed on fence %d at %d", p.name, active, w.now, f.number, f.at)
 		}
 	}
 }
--- a/internal/lab/modelcheck/cells_membership.go
+++ b/internal/lab/modelcheck/cells_membership.go
@@ -17,7 +17,7 @@
 	c.log = append(c.log, next)
 	c.applied[c.leader] = len(c.log) - 1
 	if e.Kind == cells.Depart || e.Kind == cells.Seal {
-		w.carryFences(c, before, next)
+		w.recordFormerFences(c, before, next)
 	}
 	if fence := next.LastUpdate.Global.Fence; fence > before.LastUpdate.Global.Fence {
 		c.fences = append(c.fences, agreedFence{fence, w.now})
@@ -28,13 +28,13 @@
 			c.movedAt[name] = w.now
 		}
 	}
-	w.count(c, &e)
+	w.countEntry(c, &e)
 	w.log("cell %d agrees on %s", c.id, entryText(&e))
 	return true
 }
 
-// carryFences notes the fence that still counts for members that depart.
-func (w *cellsWorld) carryFences(c *cellState, before, next *cells.Log) {
+// recordFormerFences notes the fence that still counts for members that depart.
+func (w *cellsWorld) recordFormerFences(c *cellState, before, next *cells.Log) {
 	if len(c.fences) == 0 {
 		return
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// count counts an entry for the run's coverage.
-func (w *cellsWorld) count(c *cellState, e *cells.Entry) {
+// countEntry counts an entry for the run's coverage.
+func (w *cellsWorld) countEntry(c *cellState, e *cells.Entry) {
 	switch e.Kind {
 	case cells.Seal:
 		w.coverage.Seals++
@@ -120,15 +120,15 @@
 		case l.ArrivedMoves[s.Name] == s.MoveIndex:
 			w.propose(cells.Command{Kind: cells.Arrived, Cell: c.id, Names: []string{s.Name}, Number: s.MoveIndex})
 			w.log("cell %d reports that %s has arrived", c.id, s.Name)
-		case l.LastUpdate.Version.Index >= s.MoveIndex && w.staysIn(s.From, s.Name):
+		case l.LastUpdate.Version.Index >= s.MoveIndex && w.remainsIn(s.From, s.Name):
 			w.propose(cells.Command{Kind: cells.Ready, Cell: c.id, At: l.LastUpdate.Version})
 			w.log("cell %d is ready for %s", c.id, s.Name)
 		}
 	}
 }
 
-// staysIn reports whether by the directory a member has a slot in a cell and is not to leave it yet.
-func (w *cellsWorld) staysIn(id cells.ID, name string) bool {
+// remainsIn reports whether by the directory a member has a slot in a cell and is not to leave it yet.
+func (w *cellsWorld) remainsIn(id cells.ID, name string) bool {
 	p := w.directories[w.leader].Record(id)
 	return p != nil && p.Slot(name) != nil && p.Slot(name).To == 0
 }
@@ -227,8 +227,8 @@
 	}
 }
 
-// learnLog has a process apply its cell's log, and adopt the settings that it names.
-func (w *cellsWorld) learnLog(n int) {
+// applyLog has a process apply its cell's log, and adopt the settings that it names.
+func (w *cellsWorld) applyLog(n int) {
 	p := w.processes[n]
 	if c := w.cell(p.node.Cell); c != nil && c.state().IsMember(p.node.Self) {
 		p.appliedIndex = len(c.log) - 1
--- a/internal/lab/modelcheck/cells_requests.go
+++ b/internal/lab/modelcheck/cells_requests.go
@@ -24,7 +24,7 @@
 	case c.records[r] != nil:
 		p.lookups = append(p.lookups, &cellLookup{request: r, route: cells.NewLocalLookup(p.name, c.id)})
 	default:
-		w.begin(c, p, r)
+		w.startRequest(c, p, r)
 	}
 }
 
@@ -39,16 +39,16 @@
 	p.lookups = append(p.lookups, &cellLookup{request: r})
 }
 
-// begin has a member of a cell own a request.
-func (w *cellsWorld) begin(c *cellState, p *cellProcess, r int) {
+// startRequest has a member of a cell own a request.
+func (w *cellsWorld) startRequest(c *cellState, p *cellProcess, r int) {
 	c.records[r] = &requestRecord{owner: p.node.Self}
-	w.requests[r].everBegun = true
+	w.requests[r].started = true
 	p.attempts = append(p.attempts, &cellAttempt{request: r, cell: c.id, owner: p.node.Self})
 	w.log("%s#%d begins r%d in cell %d", p.name, p.node.Self.Incarnation, r, c.id)
 }
 
 // expired reports whether a request's deadline has passed.
-func (w *cellsWorld) expired(q *cellRequest) bool { return w.now-q.askedAt >= cellDeadlineMicros }
+func (w *cellsWorld) expired(q *cellRequest) bool { return w.now-q.firstSentAt >= cellDeadlineMicros }
 
 // actingMember returns a process of a cell that may act: the one that asks, if it is one; nil: none can be reached.
 func (w *cellsWorld) actingMember(c *cellState, asking *cellProcess) *cellProcess {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// stepLookup takes a lookup of a process one step on.
-func (w *cellsWorld) stepLookup(n, k int) {
+// advanceLookup takes a lookup of a process one step on.
+func (w *cellsWorld) advanceLookup(n, k int) {
 	p := w.processes[n]
 	l := p.lookups[k]
 	q := w.requests[l.request]
@@ -87,14 +87,14 @@
 		return
 	}
 	if l.hops++; c == nil || l.hops > cellMaxHops || c != own && (c.partitioned || own.partitioned) {
-		w.lookupFailed(p, l)
+		w.failLookup(p, l)
 		return
 	}
 	switch l.route.Next(c.state()) {
 	case cells.SearchHere:
 		w.searchRecords(c, p, l)
 	case cells.Unknown:
-		w.lookupFailed(p, l)
+		w.failLookup(p, l)
 	}
 }
 
@@ -105,7 +105,7 @@
 
 // beginLookup begins a lookup at the process's own cell or, if that can't tell, at the one that a relay names.
 func (w *cellsWorld) beginLookup(p *cellProcess, l *cellLookup, own *cellState) {
-	firstAsked := w.requests[l.request].firstAsked
+	firstAsked := w.requests[l.request].firstMember
 	l.route = cells.NewLookup(firstAsked, own.id)
 	if _, ok := own.log[p.appliedIndex].LookupStart(firstAsked); ok {
 		return
@@ -116,13 +116,13 @@
 	}
 }
 
-// lookupFailed ends a lookup that no cell can answer: an idempotent request runs again, within its key's window, any other fails.
-func (w *cellsWorld) lookupFailed(p *cellProcess, l *cellLookup) {
+// failLookup ends a lookup that no cell can answer: an idempotent request runs again, within its key's window, any other fails.
+func (w *cellsWorld) failLookup(p *cellProcess, l *cellLookup) {
 	q := w.requests[l.request]
 	w.coverage.Unknown++
 	p.endLookup(l)
 	if !w.mayBeUnreachable() && !w.firstAskedRemoved(q) {
-		w.violate("nobody can say what became of r%d, though all can be reached", l.request)
+		w.recordViolation("nobody can say what became of r%d, though all can be reached", l.request)
 	}
 	if q.idempotency == takeover.IdempotentByKey {
 		p.attempts = append(p.attempts, &cellAttempt{request: l.request, owner: p.node.Self})
@@ -136,9 +136,9 @@
 	record, state := c.records[l.request], c.state()
 	switch {
 	case record == nil:
-		w.noRecord(c, p, l)
+		w.handleMissingRecord(c, p, l)
 	case record.assignedTo != 0:
-		l.route, l.transferred = cells.NewLocalLookup(w.requests[l.request].firstAsked, record.assignedTo), record.transferred
+		l.route, l.transferred = cells.NewLocalLookup(w.requests[l.request].firstMember, record.assignedTo), record.transferred
 	case record.answer != 0:
 		p.endLookup(l)
 		w.answerClient(l.request, record.answer)
@@ -157,11 +157,11 @@
 	}
 }
 
-// noRecord decides where a cell has no record of a request.
-func (w *cellsWorld) noRecord(c *cellState, p *cellProcess, l *cellLookup) {
+// handleMissingRecord decides where a cell has no record of a request.
+func (w *cellsWorld) handleMissingRecord(c *cellState, p *cellProcess, l *cellLookup) {
 	switch {
 	case l.transferred == nil:
-		w.neverBegun(c, p, l)
+		w.handleUnknownRequest(c, p, l)
 	case c.state().Sealed:
 		c.records[l.request] = &requestRecord{assignedTo: c.state().Successor(l.transferred.owner.Name), transferred: l.transferred}
 	default:
@@ -169,11 +169,11 @@
 	}
 }
 
-// neverBegun decides about a request that a cell has no record of, and that no other has transferred.
-func (w *cellsWorld) neverBegun(c *cellState, p *cellProcess, l *cellLookup) {
+// handleUnknownRequest decides about a request that a cell has no record of, and that no other has transferred.
+func (w *cellsWorld) handleUnknownRequest(c *cellState, p *cellProcess, l *cellLookup) {
 	switch step, assign := l.route.NotFound(c.state()); {
 	case step == cells.Unknown:
-		w.lookupFailed(p, l)
+		w.failLookup(p, l)
 	case step == cells.Forward && assign:
 		w.coverage.Assigned++
 		c.records[l.request] = &requestRecord{assignedTo: l.route.At}
@@ -197,7 +197,7 @@
 		w.log("%s decides that r%d may have run", member.name, l.request)
 		return
 	}
-	w.begin(c, member, l.request)
+	w.startRequest(c, member, l.request)
 }
 
 // mayBeUnreachable reports whether anything is partitioned or down, so that a lookup may fail.
@@ -207,16 +207,16 @@
 
 // firstAskedRemoved reports whether the member that a request's client asked first was removed meanwhile: then its cell need not be known.
 func (w *cellsWorld) firstAskedRemoved(q *cellRequest) bool {
-	if at, ok := w.reassignedAt[q.firstAsked]; ok && at >= q.askedAt {
+	if at, ok := w.reassignedAt[q.firstMember]; ok && at >= q.firstSentAt {
 		return true
 	}
 	d := w.directories[w.leader]
-	p := d.Record(d.CellOf(q.firstAsked))
-	return p == nil || p.Slot(q.firstAsked).Removed
+	p := d.Record(d.CellOf(q.firstMember))
+	return p == nil || p.Slot(q.firstMember).Removed
 }
 
-// stepAttempt takes an attempt of a process one step on: check the lease, send, answer.
-func (w *cellsWorld) stepAttempt(n, k int) {
+// advanceAttempt takes an attempt of a process one step on: check the lease, send, answer.
+func (w *cellsWorld) advanceAttempt(n, k int) {
 	p := w.processes[n]
 	switch a := p.attempts[k]; {
 	case !a.leaseChecked:
@@ -254,7 +254,7 @@
 	a.run = q.runs
 	w.log("%s sends r%d", p.name, a.request)
 	if q.idempotency == takeover.NotIdempotent && q.runs > 1 {
-		w.violate("r%d runs twice", a.request)
+		w.recordViolation("r%d runs twice", a.request)
 	}
 }
 
@@ -287,11 +287,11 @@
 func (w *cellsWorld) answerClient(r, run int) {
 	q := w.requests[r]
 	w.log("client of r%d gets %d", r, run)
-	if run == 0 && !q.everBegun && w.settling && !w.firstAskedRemoved(q) {
-		w.violate("r%d fails though nobody ever began it", r)
+	if run == 0 && !q.started && w.settling && !w.firstAskedRemoved(q) {
+		w.recordViolation("r%d fails though nobody ever began it", r)
 	}
 	if run != 0 && q.servedRun != 0 && q.servedRun != run {
-		w.violate("two answers to r%d", r)
+		w.recordViolation("two answers to r%d", r)
 	}
 	if run != 0 {
 		q.servedRun = run
--- a/internal/lab/modelcheck/cells_search.go
+++ b/internal/lab/modelcheck/cells_search.go
@@ -51,7 +51,7 @@
 	w.processes = w.processes[:len(cellMemberNames)]
 	var open []int
 	for r, q := range w.requests {
-		if q.askedAt >= 0 && !q.answered && w.now-q.askedAt <= cellTickMicros {
+		if q.firstSentAt >= 0 && !q.answered && w.now-q.firstSentAt <= cellTickMicros {
 			open = append(open, r)
 		}
 	}
@@ -65,11 +65,11 @@
 		}
 	}
 	if reason := w.unsettled(); reason != "" {
-		w.violate("%d rounds after all was mended %s", cellSettleRounds, reason)
+		w.recordViolation("%d rounds after all was mended %s", cellSettleRounds, reason)
 	}
 	for _, r := range open {
 		if !w.requests[r].answered {
-			w.violate("r%d is lost", r)
+			w.recordViolation("r%d is lost", r)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	}
 	for n, p := range w.processes {
 		w.join(n)
-		w.learnLog(n)
+		w.applyLog(n)
 		w.renewLease(n)
 		for len(p.unread) > 0 {
 			w.readAttempt(n)
@@ -113,15 +113,15 @@
 	for range 8 {
 		for n, p := range w.processes {
 			for k := len(p.lookups) - 1; k >= 0; k-- {
-				w.stepLookup(n, k)
+				w.advanceLookup(n, k)
 			}
 			for k := len(p.attempts) - 1; k >= 0; k-- {
-				w.stepAttempt(n, k)
+				w.advanceAttempt(n, k)
 			}
 		}
 	}
 	for r, q := range w.requests {
-		if q.askedAt >= 0 && !q.answered && !w.expired(q) {
+		if q.firstSentAt >= 0 && !q.answered && !w.expired(q) {
 			w.retryAttempt(w.random.IntN(len(w.processes)), r)
 		}
 	}
--- a/internal/lab/modelcheck/cells_world.go
+++ b/internal/lab/modelcheck/cells_world.go
@@ -87,10 +87,10 @@
 // cellRequest is a request and what has become of it.
 type cellRequest struct {
 	idempotency takeover.Idempotency
-	firstAsked  string // the member that its client asked first
-	askedAt     int64  // -1: not yet
+	firstMember string // the member that its client asked first
+	firstSentAt int64  // -1: not yet
 	runs        int    // at a server, with an effect
-	everBegun   bool
+	started     bool
 	servedRun   int  // whose answer its client was given; 0: none
 	answered    bool // its client was given an answer
 }
@@ -141,7 +141,7 @@
 		w.directories[i], w.relays[i] = cells.NewDirectory(c.Fault), cells.NewRelay(cellRegion, c.Fault)
 	}
 	for _, idempotency := range c.Idempotency {
-		w.requests = append(w.requests, &cellRequest{idempotency: idempotency, askedAt: -1})
+		w.requests = append(w.requests, &cellRequest{idempotency: idempotency, firstSentAt: -1})
 	}
 	for first := 0; first < len(cellMemberNames); first += 2 {
 		open := cells.Command{Kind: cells.Open, Region: cellRegion}
@@ -175,8 +175,8 @@
 	return &cellProcess{name: name, up: true, node: node}
 }
 
-// newProcessOf returns another process of a member, of the cell that a relay names.
-func (w *cellsWorld) newProcessOf(p *cellProcess) *cellProcess {
+// newIncarnation returns another process of a member, of the cell that a relay names.
+func (w *cellsWorld) newIncarnation(p *cellProcess) *cellProcess {
 	next := w.newProcess(p.name, p.node.Cell)
 	if id := w.relays[w.random.IntN(2)].AssignedCell(p.name); id != 0 && w.cell(id) != nil {
 		next.node.Cell = id
@@ -191,7 +191,7 @@
 }
 
 // restart starts a killed process again.
-func (w *cellsWorld) restart(n int) { w.processes[n] = w.newProcessOf(w.processes[n]) }
+func (w *cellsWorld) restart(n int) { w.processes[n] = w.newIncarnation(w.processes[n]) }
 
 // cell returns a cell; nil: it was never opened, or is forgotten.
 func (w *cellsWorld) cell(id cells.ID) *cellState {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// violate notes that an invariant is violated, unless another one was before.
-func (w *cellsWorld) violate(format string, args ...any) {
+// recordViolation notes that an invariant is violated, unless another one was before.
+func (w *cellsWorld) recordViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, args...)
 	}
--- a/internal/lab/modelcheck/takeover_moves.go
+++ b/internal/lab/modelcheck/takeover_moves.go
@@ -12,24 +12,26 @@
 // move is one thing that may happen next.
 type move struct {
 	name string
-	do   func(*world)
+	do   func(*takeoverWorld)
 }
 
 // moveList collects the moves that may be made next, in a fixed order.
 type moveList struct{ moves []move }
 
 // add adds a move.
-func (l *moveList) add(name string, do func(*world)) { l.moves = append(l.moves, move{name, do}) }
+func (l *moveList) add(name string, do func(*takeoverWorld)) {
+	l.moves = append(l.moves, move{name, do})
+}
 
-// addIf adds a move if its budget has any left. The move itself takes it from the budget of its world.
-func (l *moveList) addIf(left int, name string, do func(*world)) {
+// addWithBudget adds a move if its budget has any left. The move itself takes it from the budget of its world.
+func (l *moveList) addWithBudget(left int, name string, do func(*takeoverWorld)) {
 	if left > 0 {
 		l.add(name, do)
 	}
 }
 
 // moves returns what may happen next, in a fixed order.
-func (w *world) moves() []move {
+func (w *takeoverWorld) moves() []move {
 	l := &moveList{}
 	w.networkMoves(l)
 	for n, p := range w.processes {
@@ -37,7 +39,7 @@
 			w.requestMoves(l, n)
 			w.processMoves(l, n)
 		} else {
-			l.addIf(w.budget.Restarts, "restart "+p.self.Name, func(w *world) { w.budget.Restarts--; w.restart(n) })
+			l.addWithBudget(w.budget.Restarts, "restart "+p.self.Name, func(w *takeoverWorld) { w.budget.Restarts--; w.restart(n) })
 		}
 		w.leaseMoves(l, n)
 	}
@@ -45,16 +47,16 @@
 }
 
 // networkMoves adds the delivery, duplication and loss of each message.
-func (w *world) networkMoves(l *moveList) {
+func (w *takeoverWorld) networkMoves(l *moveList) {
 	for i, m := range w.net {
 		if slices.ContainsFunc(w.net[:i], func(o message) bool { return sameMessage(o, m) }) {
 			continue
 		}
 		what := fmt.Sprintf("%s%d to %s: %s of %s at %d seq %d", m.from.Name, m.from.Incarnation, m.to, messageKindNames[m.body.Kind], m.body.ID,
 			m.body.Ballot.Round, m.body.Seq)
-		l.add("deliver "+what, func(w *world) { w.deliver(i, true) })
-		l.addIf(w.budget.Duplicates, "deliver and keep "+what, func(w *world) { w.budget.Duplicates--; w.deliver(i, false) })
-		l.addIf(w.budget.Losses, "lose "+what, func(w *world) { w.budget.Losses--; w.net = slices.Delete(w.net, i, i+1) })
+		l.add("deliver "+what, func(w *takeoverWorld) { w.deliver(i, true) })
+		l.addWithBudget(w.budget.Duplicates, "deliver and keep "+what, func(w *takeoverWorld) { w.budget.Duplicates--; w.deliver(i, false) })
+		l.addWithBudget(w.budget.Losses, "lose "+what, func(w *takeoverWorld) { w.budget.Losses--; w.net = slices.Delete(w.net, i, i+1) })
 	}
 }
 
@@ -72,13 +74,13 @@
 }
 
 // requestMoves adds attempts of clients at a process, and the next step of each of its own attempts.
-func (w *world) requestMoves(l *moveList, n int) {
+func (w *takeoverWorld) requestMoves(l *moveList, n int) {
 	p := w.processes[n]
 	for i, r := range w.requests {
 		if r.attempts == 0 {
-			l.addIf(w.budget.Attempts, "ask "+p.self.Name+" for "+requestID(i), func(w *world) { w.sendAttempt(n, i, false) })
+			l.addWithBudget(w.budget.Attempts, "ask "+p.self.Name+" for "+requestID(i), func(w *takeoverWorld) { w.sendAttempt(n, i, false) })
 		} else if !p.waitingClients[i] && len(r.answers) == 0 {
-			l.addIf(w.budget.Attempts, "ask "+p.self.Name+" again for "+requestID(i), func(w *world) { w.sendAttempt(n, i, true) })
+			l.addWithBudget(w.budget.Attempts, "ask "+p.self.Name+" again for "+requestID(i), func(w *takeoverWorld) { w.sendAttempt(n, i, true) })
 		}
 		a := p.attempts[i]
 		if a == nil {
@@ -87,39 +89,39 @@
 		name := p.self.Name + " " + requestID(i)
 		switch {
 		case !a.leaseChecked:
-			l.add("check "+name, func(w *world) { w.checkLease(n, i) })
+			l.add("check "+name, func(w *takeoverWorld) { w.checkLease(n, i) })
 		case !a.sent:
-			l.add("write "+name, func(w *world) { w.writeAttempt(n, i) })
+			l.add("write "+name, func(w *takeoverWorld) { w.writeAttempt(n, i) })
 		default:
-			l.add("answer "+name, func(w *world) { w.finishAttempt(n, i) })
+			l.add("answer "+name, func(w *takeoverWorld) { w.finishAttempt(n, i) })
 		}
 	}
 }
 
 // processMoves adds crashes, ticks, and entries of the log that a process has not learned.
-func (w *world) processMoves(l *moveList, n int) {
+func (w *takeoverWorld) processMoves(l *moveList, n int) {
 	p := w.processes[n]
 	name := p.self.Name
-	l.addIf(w.budget.Crashes, "crash "+name, func(w *world) { w.budget.Crashes--; w.processes[n].up = false; w.processes[n].node = nil })
-	l.addIf(w.budget.Ticks, "tick of "+name, func(w *world) { w.budget.Ticks--; w.tick(n, resendInterval) })
-	l.addIf(w.budget.QuorumTimeouts, "quorum timeout of "+name, func(w *world) { w.budget.QuorumTimeouts--; w.tick(n, quorumTimeout) })
+	l.addWithBudget(w.budget.Crashes, "crash "+name, func(w *takeoverWorld) { w.budget.Crashes--; w.processes[n].up = false; w.processes[n].node = nil })
+	l.addWithBudget(w.budget.Ticks, "tick of "+name, func(w *takeoverWorld) { w.budget.Ticks--; w.tick(n, resendInterval) })
+	l.addWithBudget(w.budget.QuorumTimeouts, "quorum timeout of "+name, func(w *takeoverWorld) { w.budget.QuorumTimeouts--; w.tick(n, quorumTimeout) })
 	if p.epoch < len(w.log) {
-		l.add("log to "+name, func(w *world) { w.learn(w.processes[n]) })
+		l.add("log to "+name, func(w *takeoverWorld) { w.applyLog(w.processes[n]) })
 	}
 }
 
 // leaseMoves adds the expiry of a process's lease, and its eviction after that.
-func (w *world) leaseMoves(l *moveList, n int) {
+func (w *takeoverWorld) leaseMoves(l *moveList, n int) {
 	p := w.processes[n]
 	if p.lease {
-		l.addIf(w.budget.LeaseExpiries, "lease of "+p.self.Name+" expires", func(w *world) { w.budget.LeaseExpiries--; w.processes[n].lease = false })
-	} else if w.view(len(w.log)).Contains(p.self) {
-		l.add("evict "+p.self.Name, func(w *world) { w.log = append(w.log, logEntry{w.processes[n].self, true}) })
+		l.addWithBudget(w.budget.LeaseExpiries, "lease of "+p.self.Name+" expires", func(w *takeoverWorld) { w.budget.LeaseExpiries--; w.processes[n].lease = false })
+	} else if w.membershipAt(len(w.log)).Contains(p.self) {
+		l.add("evict "+p.self.Name, func(w *takeoverWorld) { w.log = append(w.log, logEntry{w.processes[n].self, true}) })
 	}
 }
 
 // checkLease lets an attempt be sent if its process holds a lease, or if it needs none. The process may pause between this and the write.
-func (w *world) checkLease(n, i int) {
+func (w *takeoverWorld) checkLease(n, i int) {
 	p := w.processes[n]
 	a := p.attempts[i]
 	if a.owned && !p.lease && w.conf.Fault != takeover.IgnoreLease {
@@ -129,12 +131,12 @@
 	}
 	a.leaseChecked = true
 	if a.owned && !p.lease {
-		w.violate("%s sends %s after its lease", p.self.Name, requestID(i))
+		w.recordViolation("%s sends %s after its lease", p.self.Name, requestID(i))
 	}
 }
 
 // writeAttempt has a server run a request; a known key has no second effect.
-func (w *world) writeAttempt(n, i int) {
+func (w *takeoverWorld) writeAttempt(n, i int) {
 	a, r := w.processes[n].attempts[i], w.requests[i]
 	a.sent = true
 	if r.idempotency != takeover.IdempotentByKey || r.runs == 0 {
@@ -145,15 +147,15 @@
 		r.ownedRuns++
 	}
 	if r.idempotency == takeover.NotIdempotent && r.runs > 1 {
-		w.violate("%s runs twice", requestID(i))
+		w.recordViolation("%s runs twice", requestID(i))
 	}
 	if a.owned && slices.ContainsFunc(r.answers, func(answer string) bool { return strings.HasPrefix(answer, fmt.Sprint(takeover.Rejected)) }) {
-		w.violate("%s runs though it was refused", requestID(i))
+		w.recordViolation("%s runs though it was refused", requestID(i))
 	}
 }
 
 // finishAttempt gives a client the answer of a server. Without a lease the process says nothing.
-func (w *world) finishAttempt(n, i int) {
+func (w *takeoverWorld) finishAttempt(n, i int) {
 	p := w.processes[n]
 	a := p.attempts[i]
 	delete(p.attempts, i)
@@ -166,5 +168,5 @@
 		p.node.Complete(p.now, requestID(i), response)
 	}
 	w.answerClient(p, i, response)
-	w.carryOut(p)
+	w.processOutput(p)
 }
--- a/internal/lab/modelcheck/takeover_requests.go
+++ b/internal/lab/modelcheck/takeover_requests.go
@@ -16,7 +16,7 @@
 }
 
 // record returns the record of a request that a process has received.
-func (w *world) record(i int) takeover.Record {
+func (w *takeoverWorld) record(i int) takeover.Record {
 	r := takeover.Record{ID: requestID(i), Digest: 1, Idempotency: w.requests[i].idempotency, DeadlineAge: maxAge}
 	if r.Idempotency == takeover.IdempotentByKey {
 		r.Request = []byte("x")
@@ -25,7 +25,7 @@
 }
 
 // sendAttempt has a client send a request to a process, or ask again.
-func (w *world) sendAttempt(n, i int, resume bool) {
+func (w *takeoverWorld) sendAttempt(n, i int, resume bool) {
 	p := w.processes[n]
 	w.budget.Attempts--
 	w.requests[i].attempts++
@@ -38,15 +38,15 @@
 	} else {
 		p.node.Begin(p.now, w.record(i))
 	}
-	w.carryOut(p)
+	w.processOutput(p)
 }
 
 // handleEvent does what the program does on a node's event.
-func (w *world) handleEvent(p *process, e takeover.Event) {
+func (w *takeoverWorld) handleEvent(p *process, e takeover.Event) {
 	i := requestIndex(e.ID)
 	concluded := e.Decision == takeover.Execute || e.Decision == takeover.ReturnStored && e.FailedOnTakeover
-	if e.TakenOver && concluded && e.PreviousOwner != p.self && w.view(len(w.log)).Contains(e.PreviousOwner) {
-		w.violate("%s takes over %s from %s, which is a member", p.self.Name, e.ID, e.PreviousOwner.Name)
+	if e.TakenOver && concluded && e.PreviousOwner != p.self && w.membershipAt(len(w.log)).Contains(e.PreviousOwner) {
+		w.recordViolation("%s takes over %s from %s, which is a member", p.self.Name, e.ID, e.PreviousOwner.Name)
 	}
 	switch e.Decision {
 	case takeover.Execute:
@@ -68,7 +68,7 @@
 }
 
 // handleNoQuorum rejects or fails a request whose record no quorum has, or sends it without one.
-func (w *world) handleNoQuorum(p *process, i int, e takeover.Event) {
+func (w *takeoverWorld) handleNoQuorum(p *process, i int, e takeover.Event) {
 	strict := w.conf.Strict || w.requests[i].idempotency == takeover.NotIdempotent // without a record it may run twice
 	switch e.Fallback(strict) {
 	case takeover.RejectRequest:
@@ -83,7 +83,7 @@
 }
 
 // answerClient gives a client that waits at a process its answer, and checks it against earlier answers and runs.
-func (w *world) answerClient(p *process, i int, a takeover.Response) {
+func (w *takeoverWorld) answerClient(p *process, i int, a takeover.Response) {
 	if !p.waitingClients[i] {
 		return
 	}
@@ -98,23 +98,23 @@
 	case takeover.Served:
 		run := int(a.Body[0])
 		if r.idempotency != takeover.Idempotent && r.servedRun != 0 && r.servedRun != run {
-			w.violate("two answers to %s", requestID(i))
+			w.recordViolation("two answers to %s", requestID(i))
 		}
 		r.servedRun = run
 	case takeover.Rejected:
 		if r.ownedRuns > 0 {
-			w.violate("%s is refused though it ran", requestID(i))
+			w.recordViolation("%s is refused though it ran", requestID(i))
 		}
 		w.endOtherAttempts(i)
 	case takeover.Failed:
 		if r.replicated && a.Reason != outcomeUnknown {
-			w.violate("%s fails though a quorum had its answer", requestID(i))
+			w.recordViolation("%s fails though a quorum had its answer", requestID(i))
 		}
 	}
 }
 
 // endOtherAttempts has a client whose request was rejected end its attempts at all processes.
-func (w *world) endOtherAttempts(i int) {
+func (w *takeoverWorld) endOtherAttempts(i int) {
 	for _, p := range w.processes {
 		if delete(p.waitingClients, i); p.up && p.node.IsPreparing(requestID(i)) {
 			p.node.Drop(requestID(i))
--- a/internal/lab/modelcheck/takeover_search.go
+++ b/internal/lab/modelcheck/takeover_search.go
@@ -8,7 +8,7 @@
 
 // searchNode is a state that a search has reached, with the move that led there.
 type searchNode struct {
-	world    *world // nil once its moves were made
+	world    *takeoverWorld // nil once its moves were made
 	previous *searchNode
 	move     string
 }
--- a/internal/lab/modelcheck/takeover_state.go
+++ b/internal/lab/modelcheck/takeover_state.go
@@ -8,7 +8,7 @@
 )
 
 // clone returns a copy that shares nothing that changes.
-func (w *world) clone() *world {
+func (w *takeoverWorld) clone() *takeoverWorld {
 	c := *w
 	c.log, c.net, c.responses = slices.Clone(w.log), slices.Clone(w.net), slices.Clone(w.responses)
 	c.incarnations = maps.Clone(w.incarnations)
@@ -40,7 +40,7 @@
 }
 
 // fingerprint returns a hash of a state: states with the same one have the same future.
-func (w *world) fingerprint() (sum [16]byte) {
+func (w *takeoverWorld) fingerprint() (sum [16]byte) {
 	h := fnv.New128a()
 	fmt.Fprint(h, w.budget, w.log)
 	for _, p := range w.processes {
@@ -63,7 +63,7 @@
 }
 
 // netTexts returns the messages in flight as text, sorted: their order does not matter.
-func (w *world) netTexts() (texts []string) {
+func (w *takeoverWorld) netTexts() (texts []string) {
 	for _, m := range w.net {
 		body := m.body
 		body.Record = nil
--- a/internal/lab/modelcheck/takeover_test.go
+++ b/internal/lab/modelcheck/takeover_test.go
@@ -11,14 +11,14 @@
 )
 
 var (
-	one  = []takeover.Idempotency{takeover.NotIdempotent}
-	both = []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}
+	oneRequest  = []takeover.Idempotency{takeover.NotIdempotent}
+	twoRequests = []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}
 )
 
 // No order of events violates an invariant: all short ones, and many long ones.
 func TestNoOrderBreaksAnInvariant(t *testing.T) {
 	for _, strict := range []bool{false, true} {
-		f, err := ExhaustiveSearch(context.Background(), TakeoverConfig{Idempotency: one, Strict: strict, Budget: SmallBudget}, 4)
+		f, err := ExhaustiveSearch(context.Background(), TakeoverConfig{Idempotency: oneRequest, Strict: strict, Budget: SmallBudget}, 4)
 		if err != nil || f.Violation != "" {
 			t.Fatalf("strict %t: %v %s\n%s", strict, err, f.Violation, strings.Join(f.Trace, "\n"))
 		}
@@ -26,7 +26,7 @@
 	}
 	steps := 0
 	for seed := range uint64(400) {
-		f := RandomWalk(TakeoverConfig{Idempotency: both, Strict: seed%2 == 0, Budget: LargeBudget}, seed, 200)
+		f := RandomWalk(TakeoverConfig{Idempotency: twoRequests, Strict: seed%2 == 0, Budget: LargeBudget}, seed, 200)
 		if steps += f.States; f.Violation != "" {
 			t.Fatalf("seed %d: %s\n%s", seed, f.Violation, strings.Join(f.Trace, "\n"))
 		}
@@ -38,7 +38,7 @@
 func TestHistoriesAreLinearizable(t *testing.T) {
 	model := porcupine.Model{
 		Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
-			parts := make([][]porcupine.Operation, len(both))
+			parts := make([][]porcupine.Operation, len(twoRequests))
 			for _, o := range all {
 				parts[o.Input.(int)] = append(parts[o.Input.(int)], o)
 			}
@@ -59,7 +59,7 @@
 		return porcupine.CheckOperations(model, ops)
 	}
 	for seed := range uint64(1000) {
-		if f := RandomWalk(TakeoverConfig{Idempotency: both, Strict: true, Budget: LargeBudget}, 1_000_000+seed, 150); !check(f.Responses) {
+		if f := RandomWalk(TakeoverConfig{Idempotency: twoRequests, Strict: true, Budget: LargeBudget}, 1_000_000+seed, 150); !check(f.Responses) {
 			t.Fatalf("seed %d: %+v\n%s", seed, f.Responses, strings.Join(f.Trace, "\n"))
 		}
 	}
@@ -82,7 +82,7 @@
 	} {
 		found, seed := "", uint64(0)
 		for ; seed < 5_000 && found == ""; seed++ {
-			found = RandomWalk(TakeoverConfig{Idempotency: both, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
+			found = RandomWalk(TakeoverConfig{Idempotency: twoRequests, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
 		}
 		if found == "" {
 			t.Errorf("%s: not found", c.name)
--- a/internal/lab/modelcheck/takeover_world.go
+++ b/internal/lab/modelcheck/takeover_world.go
@@ -7,8 +7,8 @@
 	"damsonscale/internal/takeover"
 )
 
-// world is one state of a world of takeover.
-type world struct {
+// takeoverWorld is one state of a takeoverWorld of takeover.
+type takeoverWorld struct {
 	conf         *TakeoverConfig
 	budget       TakeoverBudget // what is left
 	log          []logEntry
@@ -75,8 +75,8 @@
 }
 
 // newWorld returns a world in which all members have joined and hold leases.
-func newWorld(c *TakeoverConfig) *world {
-	w := &world{conf: c, budget: c.Budget, incarnations: map[string]uint64{}}
+func newWorld(c *TakeoverConfig) *takeoverWorld {
+	w := &takeoverWorld{conf: c, budget: c.Budget, incarnations: map[string]uint64{}}
 	for _, idempotency := range c.Idempotency {
 		w.requests = append(w.requests, &request{idempotency: idempotency})
 	}
@@ -87,13 +87,13 @@
 	for _, name := range memberNames {
 		p := w.newProcess(name, 1)
 		w.processes = append(w.processes, p)
-		w.learn(p)
+		w.applyLog(p)
 	}
 	return w
 }
 
 // newProcess returns a process that has just started and holds a lease.
-func (w *world) newProcess(name string, incarnation uint64) *process {
+func (w *takeoverWorld) newProcess(name string, incarnation uint64) *process {
 	self := takeover.Member{Name: name, Incarnation: incarnation}
 	return &process{
 		up: true, self: self, lease: true, attempts: map[int]*attempt{}, waitingClients: map[int]bool{}, askedAt: map[int]int{},
@@ -105,20 +105,20 @@
 }
 
 // restart starts another process of a name, once the one before is evicted.
-func (w *world) restart(n int) {
+func (w *takeoverWorld) restart(n int) {
 	old := w.processes[n]
-	if old.lease || w.view(len(w.log)).Contains(old.self) {
+	if old.lease || w.membershipAt(len(w.log)).Contains(old.self) {
 		return
 	}
 	w.incarnations[old.self.Name]++
 	p := w.newProcess(old.self.Name, w.incarnations[old.self.Name])
 	w.log = append(w.log, logEntry{member: p.self})
 	w.processes[n] = p
-	w.learn(p)
+	w.applyLog(p)
 }
 
-// view returns the membership after so many entries of the log.
-func (w *world) view(epoch int) *takeover.View {
+// membershipAt returns the membership after so many entries of the log.
+func (w *takeoverWorld) membershipAt(epoch int) *takeover.View {
 	v := &takeover.View{Epoch: uint64(epoch), Members: map[takeover.Member]takeover.MemberInfo{}}
 	seen := map[string]bool{}
 	for i, e := range w.log[:epoch] {
@@ -132,23 +132,23 @@
 	return v
 }
 
-// learn has a process apply the whole log.
-func (w *world) learn(p *process) {
+// applyLog has a process apply the whole log.
+func (w *takeoverWorld) applyLog(p *process) {
 	p.epoch = len(w.log)
-	p.node.ApplyView(p.now, w.view(p.epoch))
-	w.carryOut(p)
+	p.node.ApplyView(p.now, w.membershipAt(p.epoch))
+	w.processOutput(p)
 }
 
 // tick lets time pass for a process.
-func (w *world) tick(n int, by int64) {
+func (w *takeoverWorld) tick(n int, by int64) {
 	p := w.processes[n]
 	p.now += by
 	p.node.Tick(p.now)
-	w.carryOut(p)
+	w.processOutput(p)
 }
 
 // deliver delivers a message, and removes it from the network unless it is to be delivered again.
-func (w *world) deliver(i int, remove bool) {
+func (w *takeoverWorld) deliver(i int, remove bool) {
 	m := w.net[i]
 	if remove {
 		w.net = slices.Delete(w.net, i, i+1)
@@ -159,15 +159,15 @@
 		}
 		body := m.body
 		if body.Epoch > uint64(p.epoch) { // the program fetches the log first
-			w.learn(p)
+			w.applyLog(p)
 		}
 		p.node.Handle(p.now, m.from, &body)
-		w.carryOut(p)
+		w.processOutput(p)
 	}
 }
 
-// carryOut sends a node's messages and handles its events.
-func (w *world) carryOut(p *process) {
+// processOutput sends a node's messages and handles its events.
+func (w *takeoverWorld) processOutput(p *process) {
 	for {
 		for _, out := range p.node.TakeMessages() {
 			w.net = append(w.net, message{p.self, out.To, out.Message})
@@ -182,8 +182,8 @@
 	}
 }
 
-// violate notes that an invariant is violated, unless another one was before.
-func (w *world) violate(format string, args ...any) {
+// recordViolation notes that an invariant is violated, unless another one was before.
+func (w *takeoverWorld) recordViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, args...)
 	}
