--- a/internal/lab/modelcheck/cells_config.go
+++ b/internal/lab/modelcheck/cells_config.go
@@ -5,10 +5,10 @@
 	"damsonscale/internal/takeover"
 )
 
-// CellsBudget bounds how often each kind of event may happen in one run through a world of cells.
+// CellsBudget is the maximum number of events of each kind in one random walk through the model of cells.
 type CellsBudget struct{ Commands, LeaderChanges, Crashes, Duplicates, Partitions, CorruptDeltas, Ticks, Attempts int }
 
-// Budgets for runs of some hundred steps: with many faults, and with many requests under moves, splits and merges.
+// Budgets for random walks of a few hundred steps: one with many faults, one with many requests during moves, splits and merges.
 var (
 	ManyFaultsCellsBudget = CellsBudget{
 		Commands: 8, LeaderChanges: 4, Crashes: 3, Duplicates: 1, Partitions: 3, CorruptDeltas: 2, Ticks: 30, Attempts: 24,
@@ -16,14 +16,14 @@
 	ManyRequestsCellsBudget = CellsBudget{Commands: 6, LeaderChanges: 1, Crashes: 1, Duplicates: 1, Ticks: 12, Attempts: 40}
 )
 
-// CellsConfig configures a world that begins with two cells of one region, of two members each.
+// CellsConfig configures the model of cells. A walk starts with two cells of two members each, in one region.
 type CellsConfig struct {
-	Idempotency []takeover.Idempotency // of each request
+	Idempotency []takeover.Idempotency // by request
 	Fault       cells.InjectedFault
 	Budget      CellsBudget
 }
 
-// CellsConfigFor returns the configuration for a seed: one with many faults or one with many requests, in turn.
+// CellsConfigFor returns the configuration for a seed: even seeds get many faults, odd seeds many requests.
 func CellsConfigFor(seed uint64) CellsConfig {
 	return CellsConfig{
 		Idempotency: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey, takeover.NotIdempotent, takeover.NotIdempotent},
@@ -34,14 +34,14 @@
 const (
 	cellTickMicros      = 100_000
 	cellLeaseMicros     = 2 * cellTickMicros
-	cellDeadlineMicros  = 10 * cellTickMicros                    // of a request
-	cellRetentionMicros = cellDeadlineMicros + 2*cellLeaseMicros // after a move, until former cells are forgotten
-	cellPageBytes       = 400
-	cellSettleRounds    = 60
-	cellMaxHops         = 40 // of a lookup
-	cellMaxPages        = 50 // of a complete delta
+	cellDeadlineMicros  = 10 * cellTickMicros                    // deadline of each request
+	cellRetentionMicros = cellDeadlineMicros + 2*cellLeaseMicros // time from a move until its former cells are deleted
+	cellPageBytes       = 400 // maximum size of a page of a delta
+	cellSettleRounds    = 60  // rounds without faults in which the model must converge
+	cellMaxHops         = 40  // cells that a lookup may visit
+	cellMaxPages        = 50  // pages that a relay may pull in one round
 	cellRegion          = "r"
 )
 
-// cellMemberNames are the members of a world of cells.
+// cellMemberNames are the names of all members in the model of cells.
 var cellMemberNames = []string{"a", "b", "c", "d"}
--- a/internal/lab/modelcheck/cells_directory.go
+++ b/internal/lab/modelcheck/cells_directory.go
@@ -6,12 +6,12 @@
 	"damsonscale/internal/cells"
 )
 
-// propose has the directory agree on a command. With the injected fault of ignored terms a deposed leader may apply it by itself instead.
+// propose commits a command in the directory. With the fault TermIgnored, the deposed leader may apply the command to its own state instead.
 func (w *cellsWorld) propose(c cells.Command) {
 	if w.conf.Fault == cells.TermIgnored && !w.settling && w.leaderChanged && w.random.IntN(2) == 0 {
 		deposed := w.directories[1-w.leader]
 		next := cells.Version{Term: deposed.Version().Term, Index: deposed.Version().Index + 1}
-		w.log("the deposed directory applies command %d by itself: %v", c.Kind, deposed.Apply(next, &c))
+		w.log("the deposed leader of the directory applies command %d alone: %v", c.Kind, deposed.Apply(next, &c))
 		return
 	}
 	version := cells.Version{Term: w.term, Index: uint64(len(w.commands) + 1)}
@@ -19,14 +19,14 @@
 	w.applyCommands(w.leader)
 }
 
-// applyCommands has a node of the directory apply all that is agreed. Cells that it opens begin with an empty log.
+// applyCommands applies all committed commands at a node of the directory. A cell that a command opens starts with an empty log.
 func (w *cellsWorld) applyCommands(node int) {
 	d := w.directories[node]
 	for ; w.applied[node] < len(w.commands); w.applied[node]++ {
 		c := w.commands[w.applied[node]]
-		d.Apply(c.version, &c.command) // its error is the same at all nodes
+		d.Apply(c.version, &c.command) // the error is ignored: it is the same at all nodes
 		for _, id := range d.CellIDs() {
-			if id > w.lastOpened { // cells are numbered in the order of their opening
+			if id > w.lastOpened { // cell IDs increase in the order in which cells are opened
 				w.lastOpened = id
 				w.cells = append(w.cells, w.newCell(id))
 			}
@@ -42,7 +42,8 @@
 	}
 }
 
-// pullDelta has a relay ask a node of the directory for a delta, and reports whether it is to ask again. A corrupt delta lacks a record.
+// pullDelta lets a relay request a delta from a node of the directory, and reports whether the relay must request the next page. A corrupt delta
+// is missing one record.
 func (w *cellsWorld) pullDelta(relay, node int, corrupt bool) (again bool) {
 	r := w.relays[relay]
 	request := r.NextRequest()
@@ -57,7 +58,7 @@
 	return r.ApplyDelta(delta)
 }
 
-// syncRound brings the directory's state to all relays and cells, and theirs to the directory.
+// syncRound updates all relays and cells from the directory, and sends the reports of the cells to the directory.
 func (w *cellsWorld) syncRound() {
 	w.applyCommands(w.leader)
 	for r := range w.relays {
@@ -73,7 +74,7 @@
 	}
 }
 
-// openCells returns the cells that are neither sealed nor to be replaced.
+// openCells returns the cells that are neither sealed nor being split or merged.
 func (w *cellsWorld) openCells() (open []cells.ID) {
 	d := w.directories[w.leader]
 	for _, id := range d.CellIDs() {
@@ -84,7 +85,7 @@
 	return open
 }
 
-// randomCommand has an operator, or a plan, change something.
+// randomCommand issues a random command of an operator or of a rollout plan.
 func (w *cellsWorld) randomCommand() {
 	d := w.directories[w.leader]
 	open := w.openCells()
@@ -114,7 +115,7 @@
 	case 7:
 		c = cells.Command{Kind: cells.SetFence, Number: d.Global().Settings}
 	case 8:
-		if len(slots) < 2 { // the last member names its cell to others
+		if len(slots) < 2 { // the last member of a cell is not removed: it tells other processes their cell
 			return
 		}
 		c = cells.Command{Kind: cells.Remove, Names: pickName()}
@@ -122,11 +123,11 @@
 		w.assignRemoved(id)
 		return
 	}
-	w.log("command %d: cell %d %v %v to %d", c.Kind, c.Cell, c.Cells, c.Names, c.Number)
+	w.log("command %d: cell %d, cells %v, members %v, number %d", c.Kind, c.Cell, c.Cells, c.Names, c.Number)
 	w.propose(c)
 }
 
-// assignRemoved assigns a member that is in no cell to one.
+// assignRemoved assigns the first member that is in no cell to the given cell.
 func (w *cellsWorld) assignRemoved(id cells.ID) {
 	for _, name := range cellMemberNames {
 		if w.directories[w.leader].CellOf(name) == 0 {
@@ -138,7 +139,7 @@
 	}
 }
 
-// forgetInDirectory has the directory forget what no request can refer to any more.
+// forgetInDirectory deletes the members, cells and former cells from the directory that no unexpired request can refer to.
 func (w *cellsWorld) forgetInDirectory() {
 	for _, name := range cellMemberNames {
 		if at, ok := w.removedAt[name]; ok && w.now-at >= cellRetentionMicros {
@@ -165,10 +166,10 @@
 	}
 }
 
-// forgetCell has the directory forget a sealed cell.
+// forgetCell deletes a sealed cell from the directory and the model.
 func (w *cellsWorld) forgetCell(id cells.ID) {
 	w.coverage.ForgottenCells++
 	w.propose(cells.Command{Kind: cells.Forget, Cell: id})
 	w.cells = slices.DeleteFunc(w.cells, func(c *cellState) bool { return c.id == id })
-	w.log("cell %d is forgotten", id)
+	w.log("cell %d is deleted", id)
 }
--- a/internal/lab/modelcheck/cells_leases.go
+++ b/internal/lab/modelcheck/cells_leases.go
@@ -6,7 +6,7 @@
 	"damsonscale/internal/cells"
 )
 
-// renewLeases has most processes renew their leases.
+// renewLeases renews the lease of each running process with a probability of 7/8.
 func (w *cellsWorld) renewLeases() {
 	for n, p := range w.processes {
 		if p.up && w.random.IntN(8) > 0 {
@@ -15,7 +15,7 @@
 	}
 }
 
-// renewLease takes a lease request of a process through all its steps.
+// renewLease runs all steps of a lease request of a process.
 func (w *cellsWorld) renewLease(n int) {
 	c := w.cell(w.processes[n].node.Cell)
 	if c == nil {
@@ -28,7 +28,7 @@
 	w.deliverLease(i)
 }
 
-// requestLease has a process request a lease of one leader of its cell.
+// requestLease lets a process request a lease from one of its cell's two leaders.
 func (w *cellsWorld) requestLease(n, leader int) {
 	p := w.processes[n]
 	if w.cell(p.node.Cell) == nil {
@@ -38,7 +38,7 @@
 	w.leaseRequests = append(w.leaseRequests, cellLeaseRequest{process: n, request: request, leader: leader, confirmedIndex: -1})
 }
 
-// confirmLeader has a quorum confirm the leader of a request, if it leads.
+// confirmLeader lets a quorum confirm the leader that received a request, if it is the current leader.
 func (w *cellsWorld) confirmLeader(i int) {
 	r := &w.leaseRequests[i]
 	if c := w.cell(r.request.Cell); c != nil && r.confirmedIndex < 0 && c.leader == r.leader {
@@ -46,7 +46,7 @@
 	}
 }
 
-// answerLease has a confirmed leader grant or reject a request, once it has applied the log up to the confirmation.
+// answerLease lets a confirmed leader grant or reject a request after it has applied the log up to the confirmed index.
 func (w *cellsWorld) answerLease(i int) {
 	r := &w.leaseRequests[i]
 	c := w.cell(r.request.Cell)
@@ -57,7 +57,7 @@
 	r.granted = c.leaseTables[r.leader].Grant(w.now, c.log[c.applied[r.leader]], r.request.Member, r.request.ActiveSettings)
 }
 
-// deliverLease ends a request, with its grant if it has one.
+// deliverLease removes a request and delivers its grant, if any, to the process.
 func (w *cellsWorld) deliverLease(i int) {
 	r := w.leaseRequests[i]
 	w.leaseRequests = slices.Delete(w.leaseRequests, i, i+1)
@@ -67,7 +67,7 @@
 	}
 }
 
-// proposeDue has a cell's leader propose the entries that are due by its lease table.
+// proposeDue commits the entries that are due according to the lease table of a cell's leader.
 func (w *cellsWorld) proposeDue(c *cellState) {
 	for _, e := range c.leaseTables[c.leader].DueEntries(w.now, c.log[c.applied[c.leader]]) {
 		w.agree(c, e)
--- a/internal/lab/modelcheck/cells_test.go
+++ b/internal/lab/modelcheck/cells_test.go
@@ -31,14 +31,14 @@
 		fault      cells.InjectedFault
 		name, want string
 	}{
-		{cells.EarlyDeparture, "departure certified while its lease may be valid", "says that it is out"},
-		{cells.LeaseWhileSealing, "a cell that is to be sealed grants leases", "says that it is out"},
+		{cells.EarlyDeparture, "departure certified while its lease may be valid", "is not a member of its cell"},
+		{cells.LeaseWhileSealing, "a cell that is to be sealed grants leases", "is not a member of its cell"},
 		{cells.FormerCellsDropped, "former cells forgotten", "runs twice"},
 		{cells.FirstAttemptUnchecked, "first attempt after a move unchecked", "runs twice"},
-		{cells.StaleUpdateAccepted, "stale update accepted", "agreed on fence"},
+		{cells.StaleUpdateAccepted, "stale update accepted", "committed fence"},
 		{cells.DigestIgnored, "digests ignored", "after all was mended"},
 		{cells.TermIgnored, "two directories assign members", "after all was mended"},
-		{cells.CertificateIgnored, "joined without a certificate", "may act in cells"},
+		{cells.CertificateIgnored, "joined without a certificate", "has valid leases in cells"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/modelcheck/cells_world.go
+++ b/internal/lab/modelcheck/cells_world.go
@@ -8,58 +8,58 @@
 	"damsonscale/internal/takeover"
 )
 
-// cellsWorld is the state of a world of cells: the agreed logs, the processes, the requests, and what is in flight. All random choices are drawn
-// from one generator, so that a seed repeats a run.
+// cellsWorld is a state of the model of cells: the committed logs, the processes, the requests, and the lease requests in flight. All random
+// choices come from one generator, so that a seed reproduces a walk.
 type cellsWorld struct {
 	conf            *CellsConfig
-	budget          CellsBudget // what is left
+	budget          CellsBudget // events that may still happen
 	random          *rand.Rand
 	now             int64 // µs
 	commands        []agreedCommand
 	term            uint64
-	leader          int // of the directory: an index of directories
-	leaderChanged   bool
-	directories     [2]*cells.Directory // nodes of the directory
-	applied         [2]int              // commands, by node
+	leader          int // index of the directory's leader in directories
+	leaderChanged   bool // the directory has had a second leader
+	directories     [2]*cells.Directory // by node
+	applied         [2]int              // number of applied commands, by node
 	relays          [2]*cells.Relay
 	cells           []*cellState
 	lastOpened      cells.ID
 	processes       []*cellProcess
 	leaseRequests   []cellLeaseRequest
-	formerFences    map[string]agreedFence // highest fence of the cells that a member has left
-	removedAt       map[string]int64       // when the directory noted that a member was removed
-	reassignedAt    map[string]int64       // when a removed member was assigned again
+	formerFences    map[string]agreedFence // highest fence of the cells that a member has left, by member name
+	removedAt       map[string]int64       // time at which a cell reported that a member is removed, µs
+	reassignedAt    map[string]int64       // time at which a removed member was assigned to a cell again, µs
 	requests        []*cellRequest
 	lastIncarnation uint64
-	settling        bool // faults have ended
+	settling        bool // no more faults are injected
 	trace           []string
-	violation       string // the first one; empty: none
+	violation       string // the first violated invariant; empty: none
 	coverage        Coverage
 }
 
-// agreedCommand is an entry of the directory's log.
+// agreedCommand is a committed entry of the directory's log.
 type agreedCommand struct {
 	version cells.Version
 	command cells.Command
 }
 
-// cellState is a cell: its agreed log, and two leaders that take turns, each with what it has applied.
+// cellState is a cell: its committed log, and two nodes that alternate as leader, each with its own applied index and lease table.
 type cellState struct {
 	id          cells.ID
-	log         []*cells.Log // the state after each entry
-	leader      int
-	applied     [2]int // index of log, by leader
+	log         []*cells.Log // the state of the cell after each entry
+	leader      int    // index of the current leader
+	applied     [2]int // index of the last applied state in log, by leader
 	leaseTables [2]*cells.LeaseTable
-	records     map[int]*requestRecord // by request
+	records     map[int]*requestRecord // by request index
 	fences      []agreedFence
-	movedAt     map[string]int64 // when a member arrived or departed
-	partitioned bool             // from all others
+	movedAt     map[string]int64 // time of the last arrival or departure of a member, µs
+	partitioned bool             // from all other cells and the relays
 }
 
 // state returns the state after the last entry of the log.
 func (c *cellState) state() *cells.Log { return c.log[len(c.log)-1] }
 
-// lastMove returns when a member arrived or departed last.
+// lastMove returns the time of the last arrival or departure of any member, in µs.
 func (c *cellState) lastMove() (at int64) {
 	for _, t := range c.movedAt {
 		at = max(at, t)
@@ -67,7 +67,7 @@
 	return at
 }
 
-// agreedFence is a fence and when its cell agreed on it.
+// agreedFence is a fence and the time in µs at which its cell committed it.
 type agreedFence struct {
 	number uint64
 	at     int64
@@ -78,46 +78,47 @@
 	name         string
 	up           bool
 	node         *cells.Node
-	appliedIndex int   // of its cell's log
-	unread       []int // requests that clients have sent first, in a socket
+	appliedIndex int   // index of the last applied state in its cell's log
+	unread       []int // first attempts that wait in a socket
 	attempts     []*cellAttempt
 	lookups      []*cellLookup
 }
 
-// cellRequest is a request and what has become of it.
+// cellRequest is a request with its history.
 type cellRequest struct {
 	idempotency takeover.Idempotency
-	firstMember string // the member that its client asked first
-	firstSentAt int64  // -1: not yet
-	runs        int    // at a server, with an effect
+	firstMember string // name of the member to which the client sent the first attempt
+	firstSentAt int64  // µs; -1: not sent yet
+	runs        int    // number of executions at a server that had an effect
 	started     bool
-	servedRun   int  // whose answer its client was given; 0: none
-	answered    bool // its client was given an answer
+	servedRun   int  // number of the run whose answer the client received; 0: none
+	answered    bool // the client received an answer, also a failure
 }
 
-// requestRecord is what the replicas of a cell have agreed on for one request. They act as one: the model of takeover shows that.
+// requestRecord is the state of one request that the replicas of a cell agree on. The replicas are not modelled separately here: the model of
+// takeover checks their protocol.
 type requestRecord struct {
 	owner       takeover.Member
-	answer      int // the run that is the answer; 0: none yet
+	answer      int // number of the run that gave the answer; 0: none yet
 	failed      bool
-	assignedTo  cells.ID       // the cell that decides about it from now on; 0: this one
-	transferred *requestRecord // what that cell is sent
+	assignedTo  cells.ID       // the cell that now decides the request; 0: the cell of this record
+	transferred *requestRecord // the record that the assigned cell receives
 }
 
 // cellAttempt is a request that a process may send to a server.
 type cellAttempt struct {
 	request      int
-	cell         cells.ID // whose records have it; 0: none
+	cell         cells.ID // cell that has a record of the request; 0: sent without a record
 	owner        takeover.Member
 	leaseChecked bool
 	sent         bool
 	run          int
 }
 
-// cellLookup is a lookup of a request that a process carries out.
+// cellLookup is a process's search for the record of a request.
 type cellLookup struct {
 	request     int
-	route       *cells.Lookup // nil: it has not begun
+	route       *cells.Lookup // nil: not started
 	transferred *requestRecord
 	hops        int
 }
@@ -127,11 +128,11 @@
 	process        int
 	request        cells.LeaseRequest
 	leader         int
-	confirmedIndex int // of the log when a quorum confirmed the leader; -1: not yet
+	confirmedIndex int // index of the log at which a quorum confirmed the leader; -1: not confirmed
 	granted        bool
 }
 
-// newCellsWorld returns a world in which all members have joined and hold leases.
+// newCellsWorld returns the initial state, in which all members have joined and hold leases.
 func newCellsWorld(c *CellsConfig, seed uint64) *cellsWorld {
 	w := &cellsWorld{
 		conf: c, budget: c.Budget, random: rand.New(rand.NewPCG(seed, 9)), term: 1, formerFences: map[string]agreedFence{},
@@ -168,7 +169,7 @@
 	return w
 }
 
-// newProcess returns a process that has just started, of a cell that it knows by its options.
+// newProcess returns a newly started process, with the cell from its options.
 func (w *cellsWorld) newProcess(name string, cell cells.ID) *cellProcess {
 	w.lastIncarnation++
 	node := cells.NewNode(takeover.Member{Name: name, Incarnation: w.lastIncarnation}, cell)
@@ -184,16 +185,16 @@
 	return next
 }
 
-// kill ends a process.
+// kill ends a process and its attempts and lookups.
 func (w *cellsWorld) kill(n int) {
 	p := w.processes[n]
 	p.up, p.unread, p.attempts, p.lookups = false, nil, nil, nil
 }
 
-// restart starts a killed process again.
+// restart starts a new incarnation of a killed process.
 func (w *cellsWorld) restart(n int) { w.processes[n] = w.newIncarnation(w.processes[n]) }
 
-// cell returns a cell; nil: it was never opened, or is forgotten.
+// cell returns a cell, or nil if the cell was never opened or has been deleted.
 func (w *cellsWorld) cell(id cells.ID) *cellState {
 	for _, c := range w.cells {
 		if c.id == id {
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// recordViolation notes that an invariant is violated, unless another one was before.
+// recordViolation records the first violation of an invariant and ignores later ones.
 func (w *cellsWorld) recordViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, args...)
--- a/internal/lab/modelcheck/result.go
+++ b/internal/lab/modelcheck/result.go
@@ -2,9 +2,9 @@
 
 // Result is the result of a search.
 type Result struct {
-	States    int        // that were visited
-	Violation string     // of an invariant; empty: none
-	Trace     []string   // the events that led there
-	Responses []Response // that clients were given, with Walk
-	Coverage  Coverage   // with WalkCells
+	States    int        // number of visited states; of steps in a random walk
+	Violation string     // the violated invariant; empty: none
+	Trace     []string   // the events that led to the violation
+	Responses []Response // all responses to clients; only from RandomWalk
+	Coverage  Coverage   // only from RandomWalkCells
 }
