--- a/internal/lab/modelcheck/cells_config.go
+++ b/internal/lab/modelcheck/cells_config.go
@@ -36,10 +36,10 @@
 	cellLeaseMicros     = 2 * cellTickMicros
 	cellDeadlineMicros  = 10 * cellTickMicros                    // deadline of each request
 	cellRetentionMicros = cellDeadlineMicros + 2*cellLeaseMicros // time from a move until its former cells are deleted
-	cellPageBytes       = 400 // maximum size of a page of a delta
-	cellSettleRounds    = 60  // rounds without faults in which the model must converge
-	cellMaxHops         = 40  // cells that a lookup may visit
-	cellMaxPages        = 50  // pages that a relay may pull in one round
+	cellPageBytes       = 400                                    // maximum size of a page of a delta
+	cellSettleRounds    = 60                                     // rounds without faults in which the model must converge
+	cellMaxHops         = 40                                     // cells that a lookup may visit
+	cellMaxPages        = 50                                     // pages that a relay may pull in one round
 	cellRegion          = "r"
 )
 
--- a/internal/lab/modelcheck/cells_membership.go
+++ b/internal/lab/modelcheck/cells_membership.go
@@ -8,7 +8,7 @@
 	"damsonscale/internal/takeover"
 )
 
-// agree appends an entry to a cell's log, and reports whether it changed anything.
+// agree commits an entry to a cell's log, and reports whether the entry changed the state of the cell.
 func (w *cellsWorld) agree(c *cellState, e cells.Entry) bool {
 	before, next := c.state(), c.state().Clone()
 	if !next.Apply(&e) {
@@ -29,11 +29,11 @@
 		}
 	}
 	w.countEntry(c, &e)
-	w.log("cell %d agrees on %s", c.id, entryText(&e))
+	w.log("cell %d commits %s", c.id, entryText(&e))
 	return true
 }
 
-// recordFormerFences notes the fence that still counts for members that depart.
+// recordFormerFences records the cell's latest fence for departing members: it still applies to them.
 func (w *cellsWorld) recordFormerFences(c *cellState, before, next *cells.Log) {
 	if len(c.fences) == 0 {
 		return
@@ -46,7 +46,7 @@
 	}
 }
 
-// countEntry counts an entry for the run's coverage.
+// countEntry adds an entry to the coverage.
 func (w *cellsWorld) countEntry(c *cellState, e *cells.Entry) {
 	switch e.Kind {
 	case cells.Seal:
@@ -65,7 +65,7 @@
 func entryText(e *cells.Entry) string {
 	switch e.Kind {
 	case cells.UpdateDirectory:
-		return fmt.Sprintf("update %v of the directory", e.Update.Version)
+		return fmt.Sprintf("directory update %v", e.Update.Version)
 	case cells.Join:
 		return fmt.Sprintf("join of %s#%d", e.Member.Name, e.Member.Incarnation)
 	case cells.Evict:
@@ -75,12 +75,12 @@
 	case cells.Seal:
 		return "seal"
 	case cells.ExpectMember:
-		return "arrival without a process of " + e.Member.Name
+		return "arrival, without its process, of " + e.Member.Name
 	}
-	return "forgetting departures of " + e.Member.Name
+	return "deletion of the departures of " + e.Member.Name
 }
 
-// updateCell has a cell ask a relay for an update.
+// updateCell lets a cell request an update from a relay. If the update does not apply to its state, the cell requests a complete one.
 func (w *cellsWorld) updateCell(c *cellState, relay int) {
 	if c.partitioned {
 		return
@@ -96,7 +96,7 @@
 	}
 }
 
-// report has a cell report to the directory: its seal, and members that it has let go, that have arrived, or that it expects.
+// report sends the reports of a cell to the directory: its seal, and members that it has removed, that have arrived, or that it is ready for.
 func (w *cellsWorld) report(c *cellState) {
 	if c.partitioned {
 		return
@@ -108,7 +108,7 @@
 	}
 	if l.Sealed && !p.Sealed && len(p.Successors) > 0 {
 		w.propose(cells.Command{Kind: cells.Sealed, Cell: c.id, Epoch: l.Epoch})
-		w.log("cell %d reports its seal", c.id)
+		w.log("cell %d reports that it is sealed", c.id)
 	}
 	for _, s := range p.Slots {
 		switch {
@@ -122,22 +122,22 @@
 			w.log("cell %d reports that %s has arrived", c.id, s.Name)
 		case l.LastUpdate.Version.Index >= s.MoveIndex && w.remainsIn(s.From, s.Name):
 			w.propose(cells.Command{Kind: cells.Ready, Cell: c.id, At: l.LastUpdate.Version})
-			w.log("cell %d is ready for %s", c.id, s.Name)
+			w.log("cell %d reports that it is ready for %s", c.id, s.Name)
 		}
 	}
 }
 
-// remainsIn reports whether by the directory a member has a slot in a cell and is not to leave it yet.
+// remainsIn reports whether the directory has a slot for a member in a cell, without a destination of a move.
 func (w *cellsWorld) remainsIn(id cells.ID, name string) bool {
 	p := w.directories[w.leader].Record(id)
 	return p != nil && p.Slot(name) != nil && p.Slot(name).To == 0
 }
 
-// join has a process join its cell, or go where the cell or the directory sends it.
+// join lets a process join its cell, or move to the cell that its certificate or the directory names.
 func (w *cellsWorld) join(n int) {
 	p := w.processes[n]
 	c := w.cell(p.node.Cell)
-	if c == nil { // forgotten
+	if c == nil { // the cell has been deleted
 		w.reassign(p, 0)
 		return
 	}
@@ -158,7 +158,7 @@
 		}
 		return
 	}
-	if l.Certificate(p.name) != nil { // of a process that has just started, or never joined here
+	if l.Certificate(p.name) != nil { // the process has just started, or never joined this cell
 		w.depart(p, c)
 		return
 	}
@@ -171,7 +171,8 @@
 	}
 }
 
-// depart has a process depart with the certificate of its cell as another incarnation, and reports whether there is one.
+// depart moves a process, with a new incarnation, to the destination in the certificate of its cell. It returns false if there is no usable
+// certificate.
 func (w *cellsWorld) depart(p *cellProcess, c *cellState) bool {
 	w.lastIncarnation++
 	cert := c.state().Certificate(p.name)
@@ -183,7 +184,7 @@
 	return true
 }
 
-// fetchCertificate has a process ask the cell that its member comes from for its certificate.
+// fetchCertificate lets a process fetch its member's certificate from the former cell of the member.
 func (w *cellsWorld) fetchCertificate(p *cellProcess, c *cellState, s *cells.MemberSlot) {
 	former := w.cell(s.From)
 	if former == nil || former.partitioned || c.partitioned {
@@ -194,17 +195,17 @@
 	}
 }
 
-// reassign has a process ask a relay for its cell, and go there unless it is the one that it came from.
+// reassign lets a process request its cell from a relay, and move to that cell unless it is the excluded one.
 func (w *cellsWorld) reassign(p *cellProcess, from cells.ID) {
 	if id := w.relays[w.random.IntN(2)].AssignedCell(p.name); id != 0 && id != from && w.cell(id) != nil {
 		w.lastIncarnation++
 		p.node.Reassign(id, w.lastIncarnation)
 		p.appliedIndex = 0
-		w.log("%s asks at cell %d", p.name, id)
+		w.log("%s is reassigned to cell %d", p.name, id)
 	}
 }
 
-// expectMembers has a cell's leader fetch certificates for members whose processes do not come.
+// expectMembers lets a cell's leader fetch the certificates of arriving members whose processes do not join.
 func (w *cellsWorld) expectMembers(c *cellState) {
 	for _, s := range c.state().LastUpdate.Record.Slots {
 		if former := w.cell(s.From); s.From != 0 && former != nil && !former.partitioned && !c.partitioned {
@@ -213,7 +214,7 @@
 	}
 }
 
-// forgetDepartures has a cell forget moves that are too old to be asked for.
+// forgetDepartures deletes the departures from a cell that no unexpired request can refer to.
 func (w *cellsWorld) forgetDepartures(c *cellState) {
 	for _, name := range cellMemberNames {
 		at, ok := c.movedAt[name]
@@ -227,7 +228,7 @@
 	}
 }
 
-// applyLog has a process apply its cell's log, and adopt the settings that it names.
+// applyLog lets a process apply its cell's log and adopt the settings in it.
 func (w *cellsWorld) applyLog(n int) {
 	p := w.processes[n]
 	if c := w.cell(p.node.Cell); c != nil && c.state().IsMember(p.node.Self) {
--- a/internal/lab/modelcheck/cells_requests.go
+++ b/internal/lab/modelcheck/cells_requests.go
@@ -7,7 +7,7 @@
 	"damsonscale/internal/takeover"
 )
 
-// readAttempt has a process read a first attempt that has waited in a socket for any time.
+// readAttempt lets a process read a first attempt from a socket, after any delay.
 func (w *cellsWorld) readAttempt(n int) {
 	p := w.processes[n]
 	r := p.unread[0]
@@ -15,12 +15,12 @@
 	c := w.cell(p.node.Cell)
 	q := w.requests[r]
 	if c == nil || !p.node.LeaseValid(w.now) || !c.state().IsMember(p.node.Self) || q.answered || w.expired(q) {
-		return // without a lease it does not answer: its client asks another
+		return // a process without a lease does not answer: the client retries at another member
 	}
-	w.log("%s reads r%d", p.name, r)
+	w.log("%s reads the first attempt of r%d", p.name, r)
 	switch {
 	case len(c.state().FormerCells[p.name]) > 0 && w.conf.Fault != cells.FirstAttemptUnchecked:
-		p.lookups = append(p.lookups, &cellLookup{request: r}) // its client may have asked the former cell meanwhile
+		p.lookups = append(p.lookups, &cellLookup{request: r}) // the client may have sent a retry to the former cell
 	case c.records[r] != nil:
 		p.lookups = append(p.lookups, &cellLookup{request: r, route: cells.NewLocalLookup(p.name, c.id)})
 	default:
@@ -28,7 +28,7 @@
 	}
 }
 
-// retryAttempt has a client ask a process again, naming the member that it asked first.
+// retryAttempt lets a client send a retry to a process. The retry names the member that received the first attempt.
 func (w *cellsWorld) retryAttempt(n, r int) {
 	p := w.processes[n]
 	c := w.cell(p.node.Cell)
@@ -39,18 +39,18 @@
 	p.lookups = append(p.lookups, &cellLookup{request: r})
 }
 
-// startRequest has a member of a cell own a request.
+// startRequest records a member of a cell as the owner of a request and starts an attempt.
 func (w *cellsWorld) startRequest(c *cellState, p *cellProcess, r int) {
 	c.records[r] = &requestRecord{owner: p.node.Self}
 	w.requests[r].started = true
 	p.attempts = append(p.attempts, &cellAttempt{request: r, cell: c.id, owner: p.node.Self})
-	w.log("%s#%d begins r%d in cell %d", p.name, p.node.Self.Incarnation, r, c.id)
+	w.log("%s#%d starts r%d in cell %d", p.name, p.node.Self.Incarnation, r, c.id)
 }
 
 // expired reports whether a request's deadline has passed.
 func (w *cellsWorld) expired(q *cellRequest) bool { return w.now-q.firstSentAt >= cellDeadlineMicros }
 
-// actingMember returns a process of a cell that may act: the one that asks, if it is one; nil: none can be reached.
+// actingMember returns a reachable process of a cell with a valid lease, preferably the asking process, or nil.
 func (w *cellsWorld) actingMember(c *cellState, asking *cellProcess) *cellProcess {
 	mayAct := func(p *cellProcess) bool {
 		return p.up && p.node.Cell == c.id && c.state().IsMember(p.node.Self) && p.node.LeaseValid(w.now)
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// advanceLookup takes a lookup of a process one step on.
+// advanceLookup performs the next step of a lookup.
 func (w *cellsWorld) advanceLookup(n, k int) {
 	p := w.processes[n]
 	l := p.lookups[k]
@@ -98,12 +98,12 @@
 	}
 }
 
-// endLookup removes a lookup.
+// endLookup removes a lookup from its process.
 func (p *cellProcess) endLookup(l *cellLookup) {
 	p.lookups = slices.DeleteFunc(p.lookups, func(o *cellLookup) bool { return o == l })
 }
 
-// beginLookup begins a lookup at the process's own cell or, if that can't tell, at the one that a relay names.
+// beginLookup starts a lookup at the process's own cell or, if that cell does not know the member, at the cell that a relay returns.
 func (w *cellsWorld) beginLookup(p *cellProcess, l *cellLookup, own *cellState) {
 	firstAsked := w.requests[l.request].firstMember
 	l.route = cells.NewLookup(firstAsked, own.id)
@@ -116,13 +116,14 @@
 	}
 }
 
-// failLookup ends a lookup that no cell can answer: an idempotent request runs again, within its key's window, any other fails.
+// failLookup ends a lookup that no cell can answer. A request that is idempotent by key runs again, within the retention of its key; any other
+// request fails.
 func (w *cellsWorld) failLookup(p *cellProcess, l *cellLookup) {
 	q := w.requests[l.request]
 	w.coverage.Unknown++
 	p.endLookup(l)
 	if !w.mayBeUnreachable() && !w.firstAskedRemoved(q) {
-		w.recordViolation("nobody can say what became of r%d, though all can be reached", l.request)
+		w.recordViolation("the outcome of r%d is unknown, although all cells are reachable", l.request)
 	}
 	if q.idempotency == takeover.IdempotentByKey {
 		p.attempts = append(p.attempts, &cellAttempt{request: l.request, owner: p.node.Self})
@@ -131,7 +132,7 @@
 	w.answerClient(l.request, 0)
 }
 
-// searchRecords goes by the record that a cell has of a request.
+// searchRecords continues a lookup according to a cell's record of the request.
 func (w *cellsWorld) searchRecords(c *cellState, p *cellProcess, l *cellLookup) {
 	record, state := c.records[l.request], c.state()
 	switch {
@@ -151,13 +152,13 @@
 		record.assignedTo = state.Successor(record.owner.Name)
 		w.log("r%d of %s is transferred from cell %d to %d", l.request, record.owner.Name, c.id, record.assignedTo)
 	case state.IsMember(record.owner):
-		l.hops-- // it waits for the owner
+		l.hops-- // no hop is used while the lookup waits for the owner
 	default:
 		w.takeOver(c, p, l)
 	}
 }
 
-// handleMissingRecord decides where a cell has no record of a request.
+// handleMissingRecord continues a lookup at a cell that has no record of the request.
 func (w *cellsWorld) handleMissingRecord(c *cellState, p *cellProcess, l *cellLookup) {
 	switch {
 	case l.transferred == nil:
@@ -169,7 +170,7 @@
 	}
 }
 
-// handleUnknownRequest decides about a request that a cell has no record of, and that no other has transferred.
+// handleUnknownRequest continues a lookup of a request that the cell has no record of and that no other cell has transferred.
 func (w *cellsWorld) handleUnknownRequest(c *cellState, p *cellProcess, l *cellLookup) {
 	switch step, assign := l.route.NotFound(c.state()); {
 	case step == cells.Unknown:
@@ -177,14 +178,14 @@
 	case step == cells.Forward && assign:
 		w.coverage.Assigned++
 		c.records[l.request] = &requestRecord{assignedTo: l.route.At}
-		w.log("r%d was never begun in cell %d: it is assigned to %d", l.request, c.id, l.route.At)
+		w.log("r%d was never started in cell %d: it is assigned to cell %d", l.request, c.id, l.route.At)
 	case step == cells.SearchHere:
 		w.takeOver(c, p, l)
 	}
 }
 
-// takeOver has a member of a cell take a request: it begins what nobody has begun, and goes on with what another may have sent, but fails that if
-// it is not idempotent.
+// takeOver lets a member of a cell take over a request. The member starts the request unless a former owner may have sent it and it is not
+// idempotent: then the request fails.
 func (w *cellsWorld) takeOver(c *cellState, p *cellProcess, l *cellLookup) {
 	member := w.actingMember(c, p)
 	if member == nil {
@@ -200,7 +201,7 @@
 	w.startRequest(c, member, l.request)
 }
 
-// mayBeUnreachable reports whether anything is partitioned or down, so that a lookup may fail.
+// mayBeUnreachable reports whether a cell may be partitioned or a process down, so that a lookup may fail.
 func (w *cellsWorld) mayBeUnreachable() bool {
 	return !w.settling || slices.ContainsFunc(w.cells, func(c *cellState) bool { return c.partitioned })
 }
@@ -231,20 +232,20 @@
 // removeAttempt removes an attempt.
 func (p *cellProcess) removeAttempt(k int) { p.attempts = slices.Delete(p.attempts, k, k+1) }
 
-// checkLease lets an attempt be sent if its process holds a lease, or if it needs none.
+// checkLease marks an attempt as ready to be sent if its process holds a lease, or if the attempt has no record and needs no lease.
 func (w *cellsWorld) checkLease(p *cellProcess, k int) {
 	a := p.attempts[k]
 	owned := a.cell != 0
 	switch {
 	case owned && a.owner != p.node.Self || !owned && w.requests[a.request].answered:
 		p.removeAttempt(k)
-	case owned && !p.node.LeaseValid(w.now): // it may get a lease again
+	case owned && !p.node.LeaseValid(w.now): // the process may still renew its lease
 	default:
 		a.leaseChecked = true
 	}
 }
 
-// send has a server run a request; a known key has no second effect.
+// send lets a server run a request. A request with a known idempotency key has no second effect.
 func (w *cellsWorld) send(p *cellProcess, a *cellAttempt) {
 	q := w.requests[a.request]
 	a.sent = true
@@ -252,13 +253,14 @@
 		q.runs++
 	}
 	a.run = q.runs
-	w.log("%s sends r%d", p.name, a.request)
+	w.log("%s sends r%d to a server", p.name, a.request)
 	if q.idempotency == takeover.NotIdempotent && q.runs > 1 {
 		w.recordViolation("r%d runs twice", a.request)
 	}
 }
 
-// finish records a server's answer, if its process still owns the request, and gives it to the client.
+// finish returns a server's answer to the client. For an owned request, it first records the answer, and drops it if the process is no longer
+// the owner.
 func (w *cellsWorld) finish(p *cellProcess, k int) {
 	a := p.attempts[k]
 	if a.cell == 0 {
@@ -283,15 +285,15 @@
 	w.answerClient(a.request, a.run)
 }
 
-// answerClient gives a client the answer of a run; 0: that it may have run.
+// answerClient gives a client the answer of a run; run 0 stands for a failure, after which the request may or may not have run.
 func (w *cellsWorld) answerClient(r, run int) {
 	q := w.requests[r]
-	w.log("client of r%d gets %d", r, run)
+	w.log("client of r%d receives the answer of run %d", r, run)
 	if run == 0 && !q.started && w.settling && !w.firstAskedRemoved(q) {
-		w.recordViolation("r%d fails though nobody ever began it", r)
+		w.recordViolation("r%d fails although no member ever started it", r)
 	}
 	if run != 0 && q.servedRun != 0 && q.servedRun != run {
-		w.recordViolation("two answers to r%d", r)
+		w.recordViolation("two different answers to r%d", r)
 	}
 	if run != 0 {
 		q.servedRun = run
--- a/internal/lab/modelcheck/cells_search.go
+++ b/internal/lab/modelcheck/cells_search.go
@@ -1,11 +1,11 @@
 package modelcheck
 
-// Coverage counts what happened in runs through cells: a search in which something never happened shows nothing about it.
+// Coverage counts the events and outcomes of random walks through the model of cells. A search shows nothing about an event that never occurred.
 type Coverage struct {
 	Moves, Seals, Fences, ForgottenDepartures, ForgottenCells, Assigned, Transferred, Answers, Failed, Unknown, CompleteDeltas int
 }
 
-// Add returns the sum of two.
+// Add returns the sum of two coverages.
 func (c Coverage) Add(o Coverage) Coverage {
 	return Coverage{
 		Moves: c.Moves + o.Moves, Seals: c.Seals + o.Seals, Fences: c.Fences + o.Fences,
@@ -15,7 +15,7 @@
 	}
 }
 
-// RandomWalkCells runs random events from a seed, at most so many, then ends all faults and checks that the world settles.
+// RandomWalkCells performs a number of random steps from a seed, then ends all faults and checks that the model converges.
 func RandomWalkCells(c CellsConfig, seed uint64, steps int) Result {
 	w := newCellsWorld(&c, seed)
 	result := Result{}
@@ -40,8 +40,8 @@
 	return result
 }
 
-// settle ends all faults and runs rounds without any, and checks that the world comes to rest: all members in their cells with a lease, on the newest
-// settings, and no request of the last tick lost.
+// settle ends all faults, runs rounds without faults, and checks that the model converges: all members are in their cells with a lease and the newest
+// settings, and each request that was first sent during the last tick has an answer.
 func (w *cellsWorld) settle() {
 	w.settling, w.leaseRequests = true, nil
 	w.log("all faults end")
@@ -65,16 +65,16 @@
 		}
 	}
 	if reason := w.unsettled(); reason != "" {
-		w.recordViolation("%d rounds after all was mended %s", cellSettleRounds, reason)
+		w.recordViolation("%d rounds after the faults ended: %s", cellSettleRounds, reason)
 	}
 	for _, r := range open {
 		if !w.requests[r].answered {
-			w.recordViolation("r%d is lost", r)
+			w.recordViolation("r%d has no answer", r)
 		}
 	}
 }
 
-// settleDirectory starts processes that are down, brings the directory up to date, and assigns members that were removed.
+// settleDirectory restarts processes that are down, synchronizes the directory, and assigns removed members to a cell.
 func (w *cellsWorld) settleDirectory() {
 	for n, p := range w.processes {
 		if !p.up {
@@ -91,7 +91,7 @@
 	}
 }
 
-// settleCells has cells carry out what is due, and processes join and renew their leases.
+// settleCells lets cells commit due entries, and processes join, renew their leases and read first attempts.
 func (w *cellsWorld) settleCells() {
 	for _, c := range w.cells {
 		c.applied = [2]int{len(c.log) - 1, len(c.log) - 1}
@@ -108,7 +108,7 @@
 	}
 }
 
-// settleRequests takes all requests some steps on, and has clients ask again.
+// settleRequests advances all lookups and attempts by eight steps, and sends a retry for each unanswered request.
 func (w *cellsWorld) settleRequests() {
 	for range 8 {
 		for n, p := range w.processes {
--- a/internal/lab/modelcheck/cells_test.go
+++ b/internal/lab/modelcheck/cells_test.go
@@ -7,8 +7,9 @@
 	"damsonscale/internal/cells"
 )
 
-// No random run of moves, splits, merges, late and partitioned directories, two leaders, kills and stops violates an invariant.
-func TestCellsKeepInvariants(t *testing.T) {
+// No random walk with moves, splits, merges, delayed directory updates, partitions, two leaders, kills and pauses violates an invariant, and the walks
+// cover each kind of event and outcome.
+func TestRandomWalksOfCellsKeepInvariants(t *testing.T) {
 	steps, coverage := 0, Coverage{}
 	for seed := range uint64(1000) {
 		f := RandomWalkCells(CellsConfigFor(seed), seed, 300)
@@ -20,24 +21,24 @@
 	t.Logf("%d steps, %+v", steps, coverage)
 	for _, n := range []int{coverage.Moves, coverage.Seals, coverage.Fences, coverage.ForgottenDepartures, coverage.ForgottenCells, coverage.Assigned, coverage.Transferred, coverage.Answers, coverage.Failed, coverage.Unknown, coverage.CompleteDeltas} {
 		if n < 20 {
-			t.Errorf("too rare: %+v", coverage)
+			t.Errorf("an event or outcome occurred %d times, want at least 20: %+v", n, coverage)
 		}
 	}
 }
 
-// Each injected fault is found, by the invariant that it violates: else the search might find nothing at all.
-func TestInjectedFaultsOfCellsAreFound(t *testing.T) {
+// Each injected fault leads to the violation of the expected invariant: this shows that the search can detect faults.
+func TestInjectedFaultsOfCellsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		fault      cells.InjectedFault
 		name, want string
 	}{
 		{cells.EarlyDeparture, "departure certified while its lease may be valid", "is not a member of its cell"},
-		{cells.LeaseWhileSealing, "a cell that is to be sealed grants leases", "is not a member of its cell"},
-		{cells.FormerCellsDropped, "former cells forgotten", "runs twice"},
-		{cells.FirstAttemptUnchecked, "first attempt after a move unchecked", "runs twice"},
+		{cells.LeaseWhileSealing, "cell grants leases before it is sealed", "is not a member of its cell"},
+		{cells.FormerCellsDropped, "former cells deleted", "runs twice"},
+		{cells.FirstAttemptUnchecked, "first attempt after a move not looked up", "runs twice"},
 		{cells.StaleUpdateAccepted, "stale update accepted", "committed fence"},
-		{cells.DigestIgnored, "digests ignored", "after all was mended"},
-		{cells.TermIgnored, "two directories assign members", "after all was mended"},
+		{cells.DigestIgnored, "digests ignored", "after the faults ended"},
+		{cells.TermIgnored, "two directory leaders assign members", "after the faults ended"},
 		{cells.CertificateIgnored, "joined without a certificate", "has valid leases in cells"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,7 +51,7 @@
 					return
 				}
 			}
-			t.Fatal("not found")
+			t.Fatalf("no violation %q in 6000 random walks", c.want)
 		})
 	}
 }
--- a/internal/lab/modelcheck/cells_world.go
+++ b/internal/lab/modelcheck/cells_world.go
@@ -17,8 +17,8 @@
 	now             int64 // µs
 	commands        []agreedCommand
 	term            uint64
-	leader          int // index of the directory's leader in directories
-	leaderChanged   bool // the directory has had a second leader
+	leader          int                 // index of the directory's leader in directories
+	leaderChanged   bool                // the directory has had a second leader
 	directories     [2]*cells.Directory // by node
 	applied         [2]int              // number of applied commands, by node
 	relays          [2]*cells.Relay
@@ -47,8 +47,8 @@
 type cellState struct {
 	id          cells.ID
 	log         []*cells.Log // the state of the cell after each entry
-	leader      int    // index of the current leader
-	applied     [2]int // index of the last applied state in log, by leader
+	leader      int          // index of the current leader
+	applied     [2]int       // index of the last applied state in log, by leader
 	leaseTables [2]*cells.LeaseTable
 	records     map[int]*requestRecord // by request index
 	fences      []agreedFence
@@ -176,7 +176,7 @@
 	return &cellProcess{name: name, up: true, node: node}
 }
 
-// newIncarnation returns another process of a member, of the cell that a relay names.
+// newIncarnation returns a new process of a member, in the cell that a relay returns for the member.
 func (w *cellsWorld) newIncarnation(p *cellProcess) *cellProcess {
 	next := w.newProcess(p.name, p.node.Cell)
 	if id := w.relays[w.random.IntN(2)].AssignedCell(p.name); id != 0 && w.cell(id) != nil {
--- a/internal/lab/modelcheck/fence.go
+++ b/internal/lab/modelcheck/fence.go
@@ -9,30 +9,30 @@
 	"damsonscale/internal/rollout"
 )
 
-// LeaseFault is a fault in how leases follow the fence, which the search must find.
+// LeaseFault is a fault in the granting of leases under the fence, injected to check that the search detects it.
 type LeaseFault uint8
 
 // Faults of leases.
 const (
 	NoLeaseFault     LeaseFault = iota
-	FenceIgnored                // the leader does not look at the fence
-	StaleLog                    // the leader grants by its log as it is when the request comes, unconfirmed
-	CountedFromGrant            // a lease counts from when its grant arrives, not from when it was requested
-	VersionForgotten            // a member goes back to its own file and keeps its lease
+	FenceIgnored                // the leader grants leases regardless of the fence
+	StaleLog                    // the leader grants a lease by its current log, without confirmation that it is the leader
+	CountedFromGrant            // a lease starts when its grant arrives, not when it was requested
+	VersionForgotten            // a member reverts to the settings of its own file and keeps its lease
 )
 
-// FenceConfig configures a world in which members request leases of two leaders, of whom one is the real one, and act.
+// FenceConfig configures the model of fences: members request leases from two leaders, of which only one is current, and act under them.
 type FenceConfig struct {
-	Members       int
-	Commands      []rollout.Kind // that are agreed, in this order
-	LeaderChanges int
-	Restarts      int // of members, which forget everything
-	Ticks         int
-	LeaseRequests int // of all members together
+	Members       int            // number of members
+	Commands      []rollout.Kind // commands to commit, in this order
+	LeaderChanges int            // maximum number of leader changes
+	Restarts      int            // maximum number of restarts of members, which lose their state
+	Ticks         int            // maximum number of ticks
+	LeaseRequests int            // maximum number of lease requests of all members
 	Fault         LeaseFault
 }
 
-// String describes a configuration in a line.
+// String describes the configuration on one line.
 func (c FenceConfig) String() string {
 	var commands []string
 	for _, k := range c.Commands {
@@ -43,44 +43,44 @@
 }
 
 const (
-	fenceLease   = 2 // ticks
-	fenceLeaders = 2
+	fenceLease   = 2 // duration of a lease in ticks
+	fenceLeaders = 2 // number of leaders, current and deposed
 )
 
 // fenceRequest is a lease request in flight.
 type fenceRequest struct {
 	member, leader, incarnation int
-	sent                        int // tick
-	active                      uint64
-	index                       int // of the log when the leader was confirmed; -1: not yet
+	sent                        int    // in ticks
+	active                      uint64 // number of the settings that the member acts on
+	index                       int    // length of the log when the leader was confirmed; -1: not confirmed
 	granted                     bool
 }
 
-// fenceMember is a member.
+// fenceMember is the state of a member.
 type fenceMember struct {
 	incarnation int
 	active      uint64 // number of the settings that it acts on
-	leaseEnd    int    // tick; 0: no lease
-	applied     int    // entries of the log
+	leaseEnd    int    // in ticks; 0: no lease
+	applied     int    // number of applied entries of the log
 }
 
-// fenceWorld is one state.
+// fenceWorld is a state of the model of fences.
 type fenceWorld struct {
 	conf          *FenceConfig
-	now           int             // ticks
-	log           []*rollout.Plan // after each entry
-	agreedAt      []int           // tick, by entry
-	leader        int             // the real one
+	now           int             // in ticks
+	log           []*rollout.Plan // the plan after each entry
+	agreedAt      []int           // in ticks, by entry
+	leader        int             // index of the current leader
 	leaderChanges int
 	restarts      int
-	requested     int               // leases
-	applied       [fenceLeaders]int // entries of the log
+	requested     int               // number of leases requested
+	applied       [fenceLeaders]int // number of applied entries of the log, by leader
 	members       []fenceMember
 	requests      []fenceRequest
 	violation     string // empty: none
 }
 
-// clone returns a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable state.
 func (w *fenceWorld) clone() *fenceWorld {
 	c := *w
 	c.log, c.agreedAt = slices.Clone(w.log), slices.Clone(w.agreedAt)
@@ -88,12 +88,12 @@
 	return &c
 }
 
-// key returns a text of a state: states with the same one have the same future.
+// key returns a text that identifies a state: states with equal keys have equal successors.
 func (w *fenceWorld) key() string {
 	return fmt.Sprint(w.now, len(w.log), w.agreedAt, w.leader, w.leaderChanges, w.restarts, w.requested, w.applied, w.members, w.requests)
 }
 
-// plan returns the plan after so many entries of the log.
+// plan returns the plan after a number of entries of the log.
 func (w *fenceWorld) plan(entries int) *rollout.Plan {
 	if entries == 0 {
 		return &rollout.Plan{}
@@ -104,17 +104,17 @@
 // memberName returns the name of a member.
 func memberName(i int) string { return fmt.Sprint("m", i) }
 
-// checkFence has a member act, and checks that no fence above its version was agreed longer than a lease ago.
+// checkFence checks, for a member that acts, that no fence above the number of its settings was committed more than one lease duration ago.
 func (w *fenceWorld) checkFence(m *fenceMember) {
 	for i, p := range w.log {
 		if p.Fence > m.active && w.now > w.agreedAt[i]+fenceLease {
-			w.violation = fmt.Sprintf("acts on %d at %d, fence %d was agreed at %d", m.active, w.now, p.Fence, w.agreedAt[i])
+			w.violation = fmt.Sprintf("a member acts on settings %d at tick %d, fence %d was committed at tick %d", m.active, w.now, p.Fence, w.agreedAt[i])
 			return
 		}
 	}
 }
 
-// agree appends the next command to the log. The leader has applied it.
+// agree commits the next command to the log and applies it at the current leader.
 func (w *fenceWorld) agree() {
 	names := make([]string, len(w.members))
 	for i := range names {
@@ -134,13 +134,13 @@
 	w.applied[w.leader] = len(w.log)
 }
 
-// fenceStep is one thing that may happen next.
+// fenceStep is a possible next transition of the model.
 type fenceStep struct {
 	name string
 	do   func(*fenceWorld)
 }
 
-// fenceSteps collects what may happen next.
+// fenceSteps collects possible next steps.
 type fenceSteps struct{ steps []fenceStep }
 
 // add adds a step.
@@ -148,7 +148,7 @@
 	s.steps = append(s.steps, fenceStep{name, do})
 }
 
-// steps returns what may happen next, in a fixed order.
+// steps returns all possible next steps in a fixed order.
 func (w *fenceWorld) steps() []fenceStep {
 	s := &fenceSteps{}
 	if w.now < w.conf.Ticks {
@@ -174,13 +174,13 @@
 	return s.steps
 }
 
-// memberSteps adds what a member may do.
+// memberSteps adds the steps of a member.
 func (w *fenceWorld) memberSteps(s *fenceSteps, i int) {
 	add := func(what string, do func(*fenceWorld)) { s.add(memberName(i)+" "+what, do) }
 	m := w.members[i]
 	if w.requested < w.conf.LeaseRequests {
 		for l := range w.applied {
-			add(fmt.Sprintf("requests a lease of leader %d", l), func(w *fenceWorld) {
+			add(fmt.Sprintf("requests a lease from leader %d", l), func(w *fenceWorld) {
 				w.requested++
 				w.requests = append(w.requests, fenceRequest{member: i, leader: l, incarnation: m.incarnation, sent: w.now, active: m.active, index: -1})
 			})
@@ -202,11 +202,11 @@
 		})
 	}
 	if w.conf.Fault == VersionForgotten && m.active > 0 {
-		add("forgets its version", func(w *fenceWorld) { w.members[i].active = 0 })
+		add("reverts to its own settings", func(w *fenceWorld) { w.members[i].active = 0 })
 	}
 }
 
-// requestSteps adds the next step of a lease request.
+// requestSteps adds the possible next steps of a lease request.
 func (w *fenceWorld) requestSteps(s *fenceSteps, i int) {
 	r := w.requests[i]
 	if r.granted {
@@ -222,7 +222,7 @@
 	}
 }
 
-// deliverGrant extends the lease of a member, unless it has restarted since.
+// deliverGrant extends the lease of a member, unless the member has restarted since its request.
 func (w *fenceWorld) deliverGrant(i int) {
 	r := w.requests[i]
 	w.requests = slices.Delete(w.requests, i, i+1)
@@ -237,7 +237,7 @@
 	m.leaseEnd = max(m.leaseEnd, from+fenceLease)
 }
 
-// answerRequest has a leader grant or drop a request.
+// answerRequest lets a leader grant or drop a request.
 func (w *fenceWorld) answerRequest(i int) {
 	r := w.requests[i]
 	if w.conf.Fault == FenceIgnored || w.plan(w.applied[r.leader]).MayLease(memberName(r.member), r.active) {
@@ -247,8 +247,8 @@
 	w.requests = slices.Delete(w.requests, i, i+1)
 }
 
-// ExhaustiveFenceSearch explores all orders of events, each state once, up to the first in which a member acts below the fence later than a lease after it was
-// agreed. Its error is that of ctx.
+// ExhaustiveFenceSearch explores all sequences of events, each state once, until a member acts below a fence more than one lease duration after the
+// fence was committed. It returns the error of ctx if ctx is done first.
 func ExhaustiveFenceSearch(ctx context.Context, conf FenceConfig) (Result, error) {
 	type node struct {
 		world *fenceWorld
