--- a/internal/lab/modelcheck/cells_events.go
+++ b/internal/lab/modelcheck/cells_events.go
@@ -153,7 +153,7 @@
 	if w.random.IntN(3) > 0 {
 		return
 	}
-	l.addWithBudget(&w.budget.Ticks, "four ticks without other events", func() {
+	l.addWithBudget(&w.budget.Ticks, "four ticks with lease renewals only", func() {
 		silent := w.random.IntN(2 * len(w.processes))
 		for range 4 {
 			for n, p := range w.processes {
--- a/internal/lab/modelcheck/cells_requests.go
+++ b/internal/lab/modelcheck/cells_requests.go
@@ -122,7 +122,7 @@
 	q := w.requests[l.request]
 	w.coverage.Unknown++
 	p.endLookup(l)
-	if !w.mayBeUnreachable() && !w.firstAskedRemoved(q) {
+	if !w.mayBeUnreachable() && !w.firstMemberRemoved(q) {
 		w.recordViolation("the outcome of r%d is unknown, although all cells are reachable", l.request)
 	}
 	if q.idempotency == takeover.IdempotentByKey {
@@ -206,8 +206,8 @@
 	return !w.settling || slices.ContainsFunc(w.cells, func(c *cellState) bool { return c.partitioned })
 }
 
-// firstAskedRemoved reports whether the member that a request's client asked first was removed meanwhile: then its cell need not be known.
-func (w *cellsWorld) firstAskedRemoved(q *cellRequest) bool {
+// firstMemberRemoved reports whether the member that received the first attempt of a request has been removed since: its cell may then be unknown.
+func (w *cellsWorld) firstMemberRemoved(q *cellRequest) bool {
 	if at, ok := w.reassignedAt[q.firstMember]; ok && at >= q.firstSentAt {
 		return true
 	}
@@ -216,7 +216,7 @@
 	return p == nil || p.Slot(q.firstMember).Removed
 }
 
-// advanceAttempt takes an attempt of a process one step on: check the lease, send, answer.
+// advanceAttempt performs the next step of an attempt: check the lease, send, or finish.
 func (w *cellsWorld) advanceAttempt(n, k int) {
 	p := w.processes[n]
 	switch a := p.attempts[k]; {
@@ -289,7 +289,7 @@
 func (w *cellsWorld) answerClient(r, run int) {
 	q := w.requests[r]
 	w.log("client of r%d receives the answer of run %d", r, run)
-	if run == 0 && !q.started && w.settling && !w.firstAskedRemoved(q) {
+	if run == 0 && !q.started && w.settling && !w.firstMemberRemoved(q) {
 		w.recordViolation("r%d fails although no member ever started it", r)
 	}
 	if run != 0 && q.servedRun != 0 && q.servedRun != run {
--- a/internal/lab/modelcheck/takeover_config.go
+++ b/internal/lab/modelcheck/takeover_config.go
@@ -2,32 +2,32 @@
 
 import "damsonscale/internal/takeover"
 
-// TakeoverBudget bounds how often each kind of event may happen in one order.
+// TakeoverBudget is the maximum number of events of each kind in one sequence.
 type TakeoverBudget struct{ Crashes, Losses, Duplicates, Ticks, QuorumTimeouts, Attempts, Restarts, LeaseExpiries int }
 
-// Budgets for exploring all orders, and for random ones.
+// Budgets for exhaustive searches and for random walks.
 var (
 	SmallBudget = TakeoverBudget{Crashes: 1, Losses: 1, Duplicates: 1, Ticks: 1, QuorumTimeouts: 1, Attempts: 2, Restarts: 1, LeaseExpiries: 1}
 	LargeBudget = TakeoverBudget{Crashes: 4, Losses: 8, Duplicates: 8, Ticks: 20, QuorumTimeouts: 4, Attempts: 6, Restarts: 4, LeaseExpiries: 5}
 )
 
-// TakeoverConfig configures a world of takeover.
+// TakeoverConfig configures the model of takeover.
 type TakeoverConfig struct {
-	Idempotency []takeover.Idempotency // of each request
-	Strict      bool                   // requests that are idempotent by key too are sent only once a quorum has their record
+	Idempotency []takeover.Idempotency // by request
+	Strict      bool                   // also send requests that are idempotent by key only after a quorum has their record
 	Fault       takeover.InjectedFault
 	Budget      TakeoverBudget
 }
 
-// Times of the world, in its own unit.
+// Durations of the model, in its own unit of time.
 const (
 	resendInterval = 10
 	quorumTimeout  = 100
 	maxAge         = 1000
 )
 
-// outcomeUnknown is why a request fails of which no reachable member can say what became of it.
+// outcomeUnknown is the reason of the failure of a request whose outcome no reachable member knows.
 const outcomeUnknown = "unknown"
 
-// memberNames are the members of a world of takeover.
+// memberNames are the names of all members in the model of takeover.
 var memberNames = []string{"a", "b", "c"}
--- a/internal/lab/modelcheck/takeover_moves.go
+++ b/internal/lab/modelcheck/takeover_moves.go
@@ -9,13 +9,13 @@
 	"damsonscale/internal/takeover"
 )
 
-// move is one thing that may happen next.
+// move is a possible next transition of the model.
 type move struct {
 	name string
 	do   func(*takeoverWorld)
 }
 
-// moveList collects the moves that may be made next, in a fixed order.
+// moveList collects possible next moves in a fixed order.
 type moveList struct{ moves []move }
 
 // add adds a move.
@@ -23,14 +23,14 @@
 	l.moves = append(l.moves, move{name, do})
 }
 
-// addWithBudget adds a move if its budget has any left. The move itself takes it from the budget of its world.
+// addWithBudget adds a move if its budget is not exhausted. The move itself decrements the budget of the state in which it is made.
 func (l *moveList) addWithBudget(left int, name string, do func(*takeoverWorld)) {
 	if left > 0 {
 		l.add(name, do)
 	}
 }
 
-// moves returns what may happen next, in a fixed order.
+// moves returns all possible next moves in a fixed order.
 func (w *takeoverWorld) moves() []move {
 	l := &moveList{}
 	w.networkMoves(l)
@@ -46,21 +46,21 @@
 	return l.moves
 }
 
-// networkMoves adds the delivery, duplication and loss of each message.
+// networkMoves adds the delivery, duplication and loss of each message in flight. Messages with equal effect count once.
 func (w *takeoverWorld) networkMoves(l *moveList) {
 	for i, m := range w.net {
 		if slices.ContainsFunc(w.net[:i], func(o message) bool { return sameMessage(o, m) }) {
 			continue
 		}
-		what := fmt.Sprintf("%s%d to %s: %s of %s at %d seq %d", m.from.Name, m.from.Incarnation, m.to, messageKindNames[m.body.Kind], m.body.ID,
+		what := fmt.Sprintf("%s%d to %s: %s of %s, ballot %d, seq %d", m.from.Name, m.from.Incarnation, m.to, messageKindNames[m.body.Kind], m.body.ID,
 			m.body.Ballot.Round, m.body.Seq)
 		l.add("deliver "+what, func(w *takeoverWorld) { w.deliver(i, true) })
-		l.addWithBudget(w.budget.Duplicates, "deliver and keep "+what, func(w *takeoverWorld) { w.budget.Duplicates--; w.deliver(i, false) })
+		l.addWithBudget(w.budget.Duplicates, "deliver and duplicate "+what, func(w *takeoverWorld) { w.budget.Duplicates--; w.deliver(i, false) })
 		l.addWithBudget(w.budget.Losses, "lose "+what, func(w *takeoverWorld) { w.budget.Losses--; w.net = slices.Delete(w.net, i, i+1) })
 	}
 }
 
-// messageKindNames name kinds of messages in traces, by number.
+// messageKindNames are the names of message kinds in traces.
 var messageKindNames = [...]string{
 	takeover.Write: "write", takeover.Prepare: "prepare", takeover.Accepted: "accepted", takeover.Promised: "promised", takeover.OwnerAlive: "owner alive",
 	takeover.HigherBallot: "higher ballot", takeover.SenderNotMember: "evicted", takeover.StaleEpoch: "stale epoch", takeover.ReplicaTooNew: "not yet a member",
@@ -73,14 +73,14 @@
 		reflect.DeepEqual(a.body, b.body)
 }
 
-// requestMoves adds attempts of clients at a process, and the next step of each of its own attempts.
+// requestMoves adds attempts of clients at a process, and the next step of each attempt that the process makes at a server.
 func (w *takeoverWorld) requestMoves(l *moveList, n int) {
 	p := w.processes[n]
 	for i, r := range w.requests {
 		if r.attempts == 0 {
-			l.addWithBudget(w.budget.Attempts, "ask "+p.self.Name+" for "+requestID(i), func(w *takeoverWorld) { w.sendAttempt(n, i, false) })
+			l.addWithBudget(w.budget.Attempts, "send first attempt of "+requestID(i)+" to "+p.self.Name, func(w *takeoverWorld) { w.sendAttempt(n, i, false) })
 		} else if !p.waitingClients[i] && len(r.answers) == 0 {
-			l.addWithBudget(w.budget.Attempts, "ask "+p.self.Name+" again for "+requestID(i), func(w *takeoverWorld) { w.sendAttempt(n, i, true) })
+			l.addWithBudget(w.budget.Attempts, "retry "+requestID(i)+" at "+p.self.Name, func(w *takeoverWorld) { w.sendAttempt(n, i, true) })
 		}
 		a := p.attempts[i]
 		if a == nil {
@@ -89,16 +89,16 @@
 		name := p.self.Name + " " + requestID(i)
 		switch {
 		case !a.leaseChecked:
-			l.add("check "+name, func(w *takeoverWorld) { w.checkLease(n, i) })
+			l.add("check lease for "+name, func(w *takeoverWorld) { w.checkLease(n, i) })
 		case !a.sent:
-			l.add("write "+name, func(w *takeoverWorld) { w.writeAttempt(n, i) })
+			l.add("send "+name, func(w *takeoverWorld) { w.writeAttempt(n, i) })
 		default:
-			l.add("answer "+name, func(w *takeoverWorld) { w.finishAttempt(n, i) })
+			l.add("finish "+name, func(w *takeoverWorld) { w.finishAttempt(n, i) })
 		}
 	}
 }
 
-// processMoves adds crashes, ticks, and entries of the log that a process has not learned.
+// processMoves adds crashes and ticks, and the application of log entries that a process has not applied.
 func (w *takeoverWorld) processMoves(l *moveList, n int) {
 	p := w.processes[n]
 	name := p.self.Name
@@ -106,11 +106,11 @@
 	l.addWithBudget(w.budget.Ticks, "tick of "+name, func(w *takeoverWorld) { w.budget.Ticks--; w.tick(n, resendInterval) })
 	l.addWithBudget(w.budget.QuorumTimeouts, "quorum timeout of "+name, func(w *takeoverWorld) { w.budget.QuorumTimeouts--; w.tick(n, quorumTimeout) })
 	if p.epoch < len(w.log) {
-		l.add("log to "+name, func(w *takeoverWorld) { w.applyLog(w.processes[n]) })
+		l.add("apply log at "+name, func(w *takeoverWorld) { w.applyLog(w.processes[n]) })
 	}
 }
 
-// leaseMoves adds the expiry of a process's lease, and its eviction after that.
+// leaseMoves adds the expiry of a process's lease, or the eviction of a process without a lease.
 func (w *takeoverWorld) leaseMoves(l *moveList, n int) {
 	p := w.processes[n]
 	if p.lease {
@@ -120,7 +120,8 @@
 	}
 }
 
-// checkLease lets an attempt be sent if its process holds a lease, or if it needs none. The process may pause between this and the write.
+// checkLease marks an attempt as ready to be sent if its process holds a lease, or if the attempt has no record and needs no lease. The process may
+// pause between the check and the write.
 func (w *takeoverWorld) checkLease(n, i int) {
 	p := w.processes[n]
 	a := p.attempts[i]
@@ -131,11 +132,11 @@
 	}
 	a.leaseChecked = true
 	if a.owned && !p.lease {
-		w.recordViolation("%s sends %s after its lease", p.self.Name, requestID(i))
+		w.recordViolation("%s sends %s without a lease", p.self.Name, requestID(i))
 	}
 }
 
-// writeAttempt has a server run a request; a known key has no second effect.
+// writeAttempt lets a server run a request. A request with a known idempotency key has no second effect.
 func (w *takeoverWorld) writeAttempt(n, i int) {
 	a, r := w.processes[n].attempts[i], w.requests[i]
 	a.sent = true
@@ -150,11 +151,11 @@
 		w.recordViolation("%s runs twice", requestID(i))
 	}
 	if a.owned && slices.ContainsFunc(r.answers, func(answer string) bool { return strings.HasPrefix(answer, fmt.Sprint(takeover.Rejected)) }) {
-		w.recordViolation("%s runs though it was refused", requestID(i))
+		w.recordViolation("%s runs although it was rejected", requestID(i))
 	}
 }
 
-// finishAttempt gives a client the answer of a server. Without a lease the process says nothing.
+// finishAttempt returns a server's answer to the client. For an owned request, a process without a lease drops the answer.
 func (w *takeoverWorld) finishAttempt(n, i int) {
 	p := w.processes[n]
 	a := p.attempts[i]
--- a/internal/lab/modelcheck/takeover_requests.go
+++ b/internal/lab/modelcheck/takeover_requests.go
@@ -6,16 +6,16 @@
 	"damsonscale/internal/takeover"
 )
 
-// requestID returns the id of a request.
+// requestID returns the ID of a request.
 func requestID(i int) string { return fmt.Sprint("r", i) }
 
-// requestIndex returns the request of an id.
+// requestIndex returns the index of the request with an ID.
 func requestIndex(id string) (i int) {
 	fmt.Sscanf(id, "r%d", &i)
 	return i
 }
 
-// record returns the record of a request that a process has received.
+// record returns the initial record of a request.
 func (w *takeoverWorld) record(i int) takeover.Record {
 	r := takeover.Record{ID: requestID(i), Digest: 1, Idempotency: w.requests[i].idempotency, DeadlineAge: maxAge}
 	if r.Idempotency == takeover.IdempotentByKey {
@@ -24,14 +24,14 @@
 	return r
 }
 
-// sendAttempt has a client send a request to a process, or ask again.
+// sendAttempt lets a client send the first attempt of a request or, with resume, a retry to a process.
 func (w *takeoverWorld) sendAttempt(n, i int, resume bool) {
 	p := w.processes[n]
 	w.budget.Attempts--
 	w.requests[i].attempts++
 	p.waitingClients[i], p.askedAt[i] = true, w.step
 	if p.attempts[i] != nil {
-		return // it waits for the attempt under way
+		return // the client waits for the attempt in flight
 	}
 	if resume {
 		p.node.Resume(p.now, w.record(i))
@@ -41,12 +41,12 @@
 	w.processOutput(p)
 }
 
-// handleEvent does what the program does on a node's event.
+// handleEvent handles an event of a node as the sidecar does, and checks that no process takes over a request from a member.
 func (w *takeoverWorld) handleEvent(p *process, e takeover.Event) {
 	i := requestIndex(e.ID)
 	concluded := e.Decision == takeover.Execute || e.Decision == takeover.ReturnStored && e.FailedOnTakeover
 	if e.TakenOver && concluded && e.PreviousOwner != p.self && w.membershipAt(len(w.log)).Contains(e.PreviousOwner) {
-		w.recordViolation("%s takes over %s from %s, which is a member", p.self.Name, e.ID, e.PreviousOwner.Name)
+		w.recordViolation("%s takes over %s from %s, which is still a member", p.self.Name, e.ID, e.PreviousOwner.Name)
 	}
 	switch e.Decision {
 	case takeover.Execute:
@@ -67,9 +67,9 @@
 	}
 }
 
-// handleNoQuorum rejects or fails a request whose record no quorum has, or sends it without one.
+// handleNoQuorum rejects or fails a request whose record did not reach a quorum, or sends the request without a record.
 func (w *takeoverWorld) handleNoQuorum(p *process, i int, e takeover.Event) {
-	strict := w.conf.Strict || w.requests[i].idempotency == takeover.NotIdempotent // without a record it may run twice
+	strict := w.conf.Strict || w.requests[i].idempotency == takeover.NotIdempotent // without a record the request may run twice
 	switch e.Fallback(strict) {
 	case takeover.RejectRequest:
 		w.answerClient(p, i, takeover.Response{Status: takeover.Rejected})
@@ -82,7 +82,7 @@
 	}
 }
 
-// answerClient gives a client that waits at a process its answer, and checks it against earlier answers and runs.
+// answerClient answers a client that waits at a process, and checks the answer against earlier answers and runs.
 func (w *takeoverWorld) answerClient(p *process, i int, a takeover.Response) {
 	if !p.waitingClients[i] {
 		return
@@ -98,22 +98,22 @@
 	case takeover.Served:
 		run := int(a.Body[0])
 		if r.idempotency != takeover.Idempotent && r.servedRun != 0 && r.servedRun != run {
-			w.recordViolation("two answers to %s", requestID(i))
+			w.recordViolation("two different answers to %s", requestID(i))
 		}
 		r.servedRun = run
 	case takeover.Rejected:
 		if r.ownedRuns > 0 {
-			w.recordViolation("%s is refused though it ran", requestID(i))
+			w.recordViolation("%s is rejected although it ran", requestID(i))
 		}
 		w.endOtherAttempts(i)
 	case takeover.Failed:
 		if r.replicated && a.Reason != outcomeUnknown {
-			w.recordViolation("%s fails though a quorum had its answer", requestID(i))
+			w.recordViolation("%s fails although a quorum has its answer", requestID(i))
 		}
 	}
 }
 
-// endOtherAttempts has a client whose request was rejected end its attempts at all processes.
+// endOtherAttempts ends all attempts of a client whose request was rejected.
 func (w *takeoverWorld) endOtherAttempts(i int) {
 	for _, p := range w.processes {
 		if delete(p.waitingClients, i); p.up && p.node.IsPreparing(requestID(i)) {
--- a/internal/lab/modelcheck/takeover_search.go
+++ b/internal/lab/modelcheck/takeover_search.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// searchNode is a state that a search has reached, with the move that led there.
+// searchNode is a state that a search has reached, with the move that led to it.
 type searchNode struct {
-	world    *takeoverWorld // nil once its moves were made
+	world    *takeoverWorld // nil after all its moves were made, to free memory
 	previous *searchNode
 	move     string
 }
 
-// trace returns the moves that led to a state.
+// trace returns the moves from the initial state to this state.
 func (n *searchNode) trace() (moves []string) {
 	for ; n.previous != nil; n = n.previous {
 		moves = append(moves, n.move)
@@ -22,7 +22,8 @@
 	return moves
 }
 
-// ExhaustiveSearch explores all orders of moves up to a depth, breadth first, each state once. Its error is that of ctx.
+// ExhaustiveSearch explores all sequences of moves up to a depth, breadth first, each state once, until an invariant is violated. It returns the
+// error of ctx if ctx is done first.
 func ExhaustiveSearch(ctx context.Context, c TakeoverConfig, depth int) (Result, error) {
 	first := &searchNode{world: newWorld(&c)}
 	seen, level := map[[16]byte]bool{first.world.fingerprint(): true}, []*searchNode{first}
@@ -50,7 +51,7 @@
 	return Result{States: len(seen)}, nil
 }
 
-// RandomWalk makes random moves from a seed, at most so many. Its result has a trace if an invariant is violated.
+// RandomWalk makes at most the given number of random moves from a seed. Its result has a trace if an invariant is violated.
 func RandomWalk(c TakeoverConfig, seed uint64, steps int) Result {
 	random := rand.New(rand.NewPCG(seed, 4))
 	w := newWorld(&c)
--- a/internal/lab/modelcheck/takeover_state.go
+++ b/internal/lab/modelcheck/takeover_state.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// clone returns a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable state.
 func (w *takeoverWorld) clone() *takeoverWorld {
 	c := *w
 	c.log, c.net, c.responses = slices.Clone(w.log), slices.Clone(w.net), slices.Clone(w.responses)
@@ -24,7 +24,7 @@
 	return &c
 }
 
-// clone returns a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable state.
 func (p *process) clone() *process {
 	c := *p
 	if p.node != nil {
@@ -39,7 +39,7 @@
 	return &c
 }
 
-// fingerprint returns a hash of a state: states with the same one have the same future.
+// fingerprint returns a hash that identifies a state: states with equal fingerprints have equal successors, except for hash collisions.
 func (w *takeoverWorld) fingerprint() (sum [16]byte) {
 	h := fnv.New128a()
 	fmt.Fprint(h, w.budget, w.log)
@@ -62,7 +62,7 @@
 	return sum
 }
 
-// netTexts returns the messages in flight as text, sorted: their order does not matter.
+// netTexts returns the messages in flight as sorted texts, because the network may deliver them in any order.
 func (w *takeoverWorld) netTexts() (texts []string) {
 	for _, m := range w.net {
 		body := m.body
--- a/internal/lab/modelcheck/takeover_test.go
+++ b/internal/lab/modelcheck/takeover_test.go
@@ -15,8 +15,8 @@
 	twoRequests = []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}
 )
 
-// No order of events violates an invariant: all short ones, and many long ones.
-func TestNoOrderBreaksAnInvariant(t *testing.T) {
+// No short sequence of events and no long random walk violates an invariant.
+func TestTakeoverKeepsInvariants(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		f, err := ExhaustiveSearch(context.Background(), TakeoverConfig{Idempotency: oneRequest, Strict: strict, Budget: SmallBudget}, 4)
 		if err != nil || f.Violation != "" {
@@ -31,10 +31,10 @@
 			t.Fatalf("seed %d: %s\n%s", seed, f.Violation, strings.Join(f.Trace, "\n"))
 		}
 	}
-	t.Logf("%d steps at random", steps)
+	t.Logf("%d steps in random walks", steps)
 }
 
-// What clients are answered is what a single server would answer that runs each request once: each random history is linearizable.
+// The responses to clients are linearizable with respect to a server that runs each request once.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	model := porcupine.Model{
 		Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
@@ -63,20 +63,20 @@
 			t.Fatalf("seed %d: %+v\n%s", seed, f.Responses, strings.Join(f.Trace, "\n"))
 		}
 	}
-	if two := []Response{{0, 1, 2, "a", false}, {0, 3, 4, "b", false}}; decided < 200 || check(two) {
-		t.Errorf("%d answers, or two that differ pass", decided)
+	if contradictory := []Response{{0, 1, 2, "a", false}, {0, 3, 4, "b", false}}; decided < 200 || check(contradictory) {
+		t.Errorf("checked %d responses, want at least 200, and two contradictory responses must not be linearizable", decided)
 	}
 }
 
-// Each injected fault is found: else the search might find nothing at all.
-func TestInjectedFaultsAreFound(t *testing.T) {
+// Each injected fault leads to a violation: this shows that the search can detect faults.
+func TestInjectedTakeoverFaultsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		fault takeover.InjectedFault
 		name  string
 		with  TakeoverBudget
 	}{
 		{takeover.IgnoreLease, "lease not checked", LargeBudget},
-		{takeover.SendBeforeQuorum, "sent before a quorum has it", TakeoverBudget{Attempts: 2, Losses: 4}},
+		{takeover.SendBeforeQuorum, "sent before a quorum has the record", TakeoverBudget{Attempts: 2, Losses: 4}},
 		{takeover.InvertMembership, "epoch compared the wrong way", LargeBudget},
 		{takeover.ForgetResponse, "answer forgotten", TakeoverBudget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
 	} {
@@ -85,7 +85,7 @@
 			found = RandomWalk(TakeoverConfig{Idempotency: twoRequests, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
 		}
 		if found == "" {
-			t.Errorf("%s: not found", c.name)
+			t.Errorf("%s: no violation in %d random walks", c.name, seed)
 		}
 		t.Logf("%s: seed %d: %s", c.name, seed-1, found)
 	}
--- a/internal/lab/modelcheck/takeover_world.go
+++ b/internal/lab/modelcheck/takeover_world.go
@@ -10,13 +10,13 @@
 // takeoverWorld is one state of a takeoverWorld of takeover.
 type takeoverWorld struct {
 	conf         *TakeoverConfig
-	budget       TakeoverBudget // what is left
+	budget       TakeoverBudget // events that may still happen
 	log          []logEntry
-	incarnations map[string]uint64 // the last one, by name
-	processes    []*process        // the last one of each name
+	incarnations map[string]uint64 // latest incarnation, by member name
+	processes    []*process        // the latest process of each member
 	net          []message
 	requests     []*request
-	violation    string // the first one; empty: none
+	violation    string // the first violated invariant; empty: none
 	step         int
 	responses    []Response
 }
@@ -32,21 +32,21 @@
 type process struct {
 	up             bool
 	self           takeover.Member
-	lease          bool // until the world says that it has expired
+	lease          bool // lasts until the model expires it
 	now            int64
-	epoch          int // of the log, as far as it has learned it
+	epoch          int // number of applied entries of the log
 	node           *takeover.Node
-	attempts       map[int]*attempt // by request
-	waitingClients map[int]bool     // requests whose clients wait here
-	askedAt        map[int]int      // the step at which they asked
+	attempts       map[int]*attempt // by request index
+	waitingClients map[int]bool     // requests whose clients wait for an answer of this process, by index
+	askedAt        map[int]int      // step of the latest attempt, by request index
 }
 
 // attempt is a request that a process may send to a server.
 type attempt struct {
-	owned        bool // a quorum has its record: the lease counts
+	owned        bool // a quorum has the record of the request: the attempt needs a lease
 	leaseChecked bool
 	sent         bool
-	run          int // at the server; 0: none
+	run          int // number of the run at the server; 0: none
 }
 
 // logEntry is an entry of the log: a member joins or is evicted.
@@ -55,26 +55,26 @@
 	evicted bool
 }
 
-// request is what the world knows of a request.
+// request is a request with its history.
 type request struct {
 	idempotency takeover.Idempotency
-	attempts    int  // of its client
-	runs        int  // with an effect
-	ownedRuns   int  // of processes that owned it; after one the request must not be rejected
-	servedRun   int  // the run whose answer its client was given; 0: none
+	attempts    int  // attempts of its client
+	runs        int  // executions at a server that had an effect
+	ownedRuns   int  // executions for a process that owned the request; after one the request must not be rejected
+	servedRun   int  // number of the run whose answer the client received; 0: none
 	replicated  bool // a quorum has that answer
 	answers     []string
 }
 
-// Response is what a client was told by one member, between two steps.
+// Response is the response of one member to an attempt of a client.
 type Response struct {
 	Request            int
-	StartStep, EndStep int // steps: asked, answered
+	StartStep, EndStep int // steps at which the attempt was sent and answered
 	Answer             string
-	Indeterminate      bool // rejected, or the outcome is unknown: this says nothing about the request
+	Indeterminate      bool // rejected, outcome unknown, or idempotent without a key: not part of the checked history
 }
 
-// newWorld returns a world in which all members have joined and hold leases.
+// newWorld returns the initial state, in which all members have joined and hold leases.
 func newWorld(c *TakeoverConfig) *takeoverWorld {
 	w := &takeoverWorld{conf: c, budget: c.Budget, incarnations: map[string]uint64{}}
 	for _, idempotency := range c.Idempotency {
@@ -92,7 +92,7 @@
 	return w
 }
 
-// newProcess returns a process that has just started and holds a lease.
+// newProcess returns a newly started process that holds a lease.
 func (w *takeoverWorld) newProcess(name string, incarnation uint64) *process {
 	self := takeover.Member{Name: name, Incarnation: incarnation}
 	return &process{
@@ -104,7 +104,7 @@
 	}
 }
 
-// restart starts another process of a name, once the one before is evicted.
+// restart starts a new incarnation of a member if the previous one has been evicted.
 func (w *takeoverWorld) restart(n int) {
 	old := w.processes[n]
 	if old.lease || w.membershipAt(len(w.log)).Contains(old.self) {
@@ -117,7 +117,7 @@
 	w.applyLog(p)
 }
 
-// membershipAt returns the membership after so many entries of the log.
+// membershipAt returns the membership after a number of entries of the log.
 func (w *takeoverWorld) membershipAt(epoch int) *takeover.View {
 	v := &takeover.View{Epoch: uint64(epoch), Members: map[takeover.Member]takeover.MemberInfo{}}
 	seen := map[string]bool{}
@@ -132,14 +132,14 @@
 	return v
 }
 
-// applyLog has a process apply the whole log.
+// applyLog lets a process apply all entries of the log.
 func (w *takeoverWorld) applyLog(p *process) {
 	p.epoch = len(w.log)
 	p.node.ApplyView(p.now, w.membershipAt(p.epoch))
 	w.processOutput(p)
 }
 
-// tick lets time pass for a process.
+// tick advances a process's clock.
 func (w *takeoverWorld) tick(n int, by int64) {
 	p := w.processes[n]
 	p.now += by
@@ -147,7 +147,7 @@
 	w.processOutput(p)
 }
 
-// deliver delivers a message, and removes it from the network unless it is to be delivered again.
+// deliver delivers a message, and removes it from the network unless it is duplicated.
 func (w *takeoverWorld) deliver(i int, remove bool) {
 	m := w.net[i]
 	if remove {
@@ -158,7 +158,7 @@
 			continue
 		}
 		body := m.body
-		if body.Epoch > uint64(p.epoch) { // the program fetches the log first
+		if body.Epoch > uint64(p.epoch) { // the sidecar also fetches the log before it handles such a message
 			w.applyLog(p)
 		}
 		p.node.Handle(p.now, m.from, &body)
@@ -166,7 +166,7 @@
 	}
 }
 
-// processOutput sends a node's messages and handles its events.
+// processOutput sends a node's messages and handles its events, until there are none.
 func (w *takeoverWorld) processOutput(p *process) {
 	for {
 		for _, out := range p.node.TakeMessages() {
@@ -182,7 +182,7 @@
 	}
 }
 
-// recordViolation notes that an invariant is violated, unless another one was before.
+// recordViolation records the first violation of an invariant and ignores later ones.
 func (w *takeoverWorld) recordViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, args...)
