--- a/internal/lab/modelcheck/takeover_world.go
+++ b/internal/lab/modelcheck/takeover_world.go
@@ -7,7 +7,7 @@
 	"damsonscale/internal/takeover"
 )
 
-// takeoverWorld is one state of a takeoverWorld of takeover.
+// takeoverWorld is a state of the model of takeover.
 type takeoverWorld struct {
 	conf         *TakeoverConfig
 	budget       TakeoverBudget // events that may still happen
