--- a/internal/lab/modelcheck/cells_requests.go
+++ b/internal/lab/modelcheck/cells_requests.go
@@ -105,14 +105,14 @@
 
 // beginLookup starts a lookup at the process's own cell or, if that cell does not know the member, at the cell that a relay returns.
 func (w *cellsWorld) beginLookup(p *cellProcess, l *cellLookup, own *cellState) {
-	firstAsked := w.requests[l.request].firstMember
-	l.route = cells.NewLookup(firstAsked, own.id)
-	if _, ok := own.log[p.appliedIndex].LookupStart(firstAsked); ok {
+	firstMember := w.requests[l.request].firstMember
+	l.route = cells.NewLookup(firstMember, own.id)
+	if _, ok := own.log[p.appliedIndex].LookupStart(firstMember); ok {
 		return
 	}
 	p.appliedIndex = len(own.log) - 1
-	if _, ok := own.state().LookupStart(firstAsked); !ok && !own.partitioned {
-		l.route.At = w.relays[w.random.IntN(2)].CurrentCell(firstAsked)
+	if _, ok := own.state().LookupStart(firstMember); !ok && !own.partitioned {
+		l.route.At = w.relays[w.random.IntN(2)].CurrentCell(firstMember)
 	}
 }
 
--- a/internal/lab/modelcheck/takeover_moves.go
+++ b/internal/lab/modelcheck/takeover_moves.go
@@ -78,9 +78,9 @@
 	p := w.processes[n]
 	for i, r := range w.requests {
 		if r.attempts == 0 {
-			l.addWithBudget(w.budget.Attempts, "send first attempt of "+requestID(i)+" to "+p.self.Name, func(w *takeoverWorld) { w.sendAttempt(n, i, false) })
+			l.addWithBudget(w.budget.Attempts, "at "+p.self.Name+": first attempt of "+requestID(i), func(w *takeoverWorld) { w.sendAttempt(n, i, false) })
 		} else if !p.waitingClients[i] && len(r.answers) == 0 {
-			l.addWithBudget(w.budget.Attempts, "retry "+requestID(i)+" at "+p.self.Name, func(w *takeoverWorld) { w.sendAttempt(n, i, true) })
+			l.addWithBudget(w.budget.Attempts, "at "+p.self.Name+": retry of "+requestID(i), func(w *takeoverWorld) { w.sendAttempt(n, i, true) })
 		}
 		a := p.attempts[i]
 		if a == nil {
