--- a/internal/lab/callchain/balancer.go
+++ b/internal/lab/callchain/balancer.go
@@ -6,38 +6,38 @@
 	"damsonscale/decide"
 )
 
-// balancer is a balancer of one level, and carries out its actions: it implements decide.Actions.
+// balancer is a balancer of one level. It implements decide.Actions to execute the actions of its decide.Balancer.
 type balancer struct {
 	sim     *simulation
-	level   int // 1 is the clients'
+	level   int // 1: called by the clients
 	core    *decide.Balancer
 	pending map[string]*pendingRequest
 
-	// Times within the attempt budget's window, µs.
+	// Times of the accepted requests and the retries within the window of the attempt budget, µs.
 	acceptedAt []int64
 	retriedAt  []int64
 }
 
-// pendingRequest is a request that a balancer has accepted and not finished.
+// pendingRequest is an accepted request that lacks an answer or has attempts in flight.
 type pendingRequest struct {
 	id       string
 	deadline int64 // µs
 	attempts int
 	inFlight int // attempts without a result
 	answered bool
-	answer   func(decide.Result) // Succeeded, Saturated if rejected, Errored if failed
+	answer   func(decide.Result) // called with Succeeded, Saturated if rejected, or Errored if failed
 }
 
-// sentAttempt is an attempt that a balancer has sent.
+// sentAttempt is an attempt that a balancer has sent to a server.
 type sentAttempt struct {
 	request *pendingRequest
-	number  int
+	number  int // 0 for the first attempt
 	server  string
 	sentAt  int64 // µs
 	ended   bool
 }
 
-// accept hands a request with some time left, in µs, to the balancer.
+// accept passes a request to the balancer. left is the time in µs until the deadline.
 func (b *balancer) accept(id string, left int64, answer func(decide.Result)) {
 	s := b.sim
 	b.counts().Accepted++
@@ -46,10 +46,10 @@
 	b.core.OnRequest(s.now, decide.Request{ID: id, Tenant: -1, TimeLeft: max(0, left)})
 }
 
-// counts returns the counts of the balancer's level.
+// counts returns the counters of the balancer's level.
 func (b *balancer) counts() *Level { return &b.sim.report.Levels[b.level-1] }
 
-// finish answers a request, once: a second answer is a fault of the balancer.
+// finish answers a request and counts the result. It counts a second answer to a request as a fault of the balancer.
 func (b *balancer) finish(id string, result decide.Result) {
 	r := b.pending[id]
 	if r == nil || r.answered {
@@ -72,14 +72,14 @@
 	r.answer(result)
 }
 
-// dropIfDone drops a request that has its answer and no attempt in flight.
+// dropIfDone deletes a request that is answered and has no attempt in flight.
 func (b *balancer) dropIfDone(r *pendingRequest) {
 	if r.answered && r.inFlight == 0 {
 		delete(b.pending, r.id)
 	}
 }
 
-// SendAttempt sends an attempt to a server, with a timeout in µs; 0: the request's deadline.
+// SendAttempt sends an attempt to a server, with a timeout in µs; 0: the time until the request's deadline.
 func (b *balancer) SendAttempt(id, server string, timeout int64) {
 	s, r := b.sim, b.pending[id]
 	if r == nil || r.answered {
@@ -104,19 +104,19 @@
 	s.schedule(transitMicros, func() { b.deliver(a, timeout-transitMicros) })
 }
 
-// deliver has an attempt reach its server, with some time left in µs, unless it has timed out.
+// deliver delivers an attempt to its server, unless the attempt has timed out. left is the time in µs until its timeout.
 func (b *balancer) deliver(a *sentAttempt, left int64) {
 	if a.ended {
 		b.counts().NotDelivered++
 		return
 	}
-	server, _ := strconv.Atoi(a.server) // endpoints are named by their number
+	server, _ := strconv.Atoi(a.server) // the ID of an endpoint is the index of its server
 	b.sim.serve(b.level, server, a.request.id+"."+strconv.Itoa(a.number), left, func(result decide.Result) {
 		b.sim.schedule(transitMicros, func() { b.end(a, result) })
 	})
 }
 
-// end ends an attempt, unless it has ended, and reports its result to the balancer.
+// end ends an attempt and reports its result to the balancer, unless the attempt has already ended.
 func (b *balancer) end(a *sentAttempt, result decide.Result) {
 	if a.ended {
 		return
@@ -133,7 +133,7 @@
 	})
 }
 
-// checkBudget counts a retry that exceeds the attempt budget in the window that ends with it.
+// checkBudget counts a retry that exceeds the attempt budget, over the window that ends with this retry.
 func (b *balancer) checkBudget() {
 	c := &b.sim.conf
 	if c.BudgetWindow == 0 {
@@ -157,25 +157,25 @@
 // Fail answers a request as failed.
 func (b *balancer) Fail(id string) { b.finish(id, decide.Errored) }
 
-// SetTimer calls the balancer back after a time in µs.
+// SetTimer calls OnTimer of the balancer after a time in µs.
 func (b *balancer) SetTimer(in, token int64) {
 	b.sim.schedule(max(in, 1), func() { b.core.OnTimer(b.sim.now, token) })
 }
 
-// CancelAttempt does nothing: servers finish what they have begun.
+// CancelAttempt does nothing: servers finish the attempts that they have started.
 func (b *balancer) CancelAttempt(string, int) {}
 
-// CheckHealth does nothing: health checks are off.
+// CheckHealth does nothing: health checks are disabled.
 func (b *balancer) CheckHealth(string) {}
 
 // SendGossip does nothing: balancers of a level do not gossip.
 func (b *balancer) SendGossip(int, []byte) {}
 
-// CloseIdleConnections does nothing: there are no connections.
+// CloseIdleConnections does nothing: connections are not simulated.
 func (b *balancer) CloseIdleConnections(string) {}
 
 // WatchEndpoints does nothing: the endpoint list does not change.
 func (b *balancer) WatchEndpoints(bool) {}
 
-// Log does nothing.
+// Log does nothing: log lines are discarded.
 func (b *balancer) Log(string) {}
--- a/internal/lab/callchain/bounds.go
+++ b/internal/lab/callchain/bounds.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// drainTime is how long after the clients' last request attempts may be made.
+// drainTime is the time after the last client request during which balancers may still send attempts.
 const drainTime = 5 * time.Second
 
-// worstBound returns what the attempt budgets let reach the deepest level in one second, for each client's request of that second: at each level what
-// the one above sends in it, and the retries of a whole window at once. It is approximate: a second at one level is not quite the same at the next.
+// worstBound returns the maximum number of attempts at the deepest level in one second, per client request in that second, under the attempt
+// budgets: at each level the attempts of the level above, plus the retries of a full window at once. The bound is approximate, because attempts of one
+// second at a level may reach the next level in the following second.
 func (c *Config) worstBound() float64 {
-	inSecond, inWindow := c.RequestsPerSecond, c.RequestsPerSecond*c.BudgetWindow.Seconds() // accepted in the second, and in a window that ends with it
+	inSecond, inWindow := c.RequestsPerSecond, c.RequestsPerSecond*c.BudgetWindow.Seconds() // requests accepted in the second, and in the window that ends with the second
 	for level := 1; level <= c.Depth; level++ {
 		attempts := inSecond * float64(c.maxAttempts(level))
 		if c.BudgetWindow > 0 {
@@ -23,8 +24,8 @@
 	return inSecond / c.RequestsPerSecond
 }
 
-// amplificationBound returns the most attempts at the deepest level for each client's request that the levels' budgets allow over the run. What one
-// level may send is what the next accepts.
+// amplificationBound returns the maximum number of attempts at the deepest level, per client request over the run, under the attempt budgets. The
+// maximum number of attempts of a level is the number of requests that the next level accepts.
 func (c *Config) amplificationBound(requests int) float64 {
 	accepted, windows := float64(requests), 0.0
 	if c.BudgetWindow > 0 {
--- a/internal/lab/callchain/latency.go
+++ b/internal/lab/callchain/latency.go
@@ -5,26 +5,26 @@
 	"math"
 )
 
-// maxBins bounds the bins of a histogram.
+// maxBins is the maximum number of bins in a histogram.
 const maxBins = 20_000
 
 // z99 is the 99th percentile of the standard normal distribution.
 const z99 = 2.3263478740408408
 
-// Histogram is a distribution of a latency: the share of all in each bin, the first from 0. The last bin has the rest too.
+// Histogram is the distribution of a latency, in bins of equal width that start at 0. The last bin also contains all higher latencies.
 type Histogram struct {
-	BinMicros float64
-	Shares    []float64
-	terms     int // latencies that were added up: each counts as the middle of its bin
+	BinMicros float64   // width of a bin, µs
+	Shares    []float64 // share of the latencies in each bin, 0 to 1
+	terms     int       // number of latencies in the sum, each represented by the middle of its bin
 }
 
-// LogNormal returns the log-normal distribution with two quantiles, in bins up to a limit. All are in µs.
+// LogNormal returns the log-normal distribution with the given median and 99th percentile, in bins up to a limit. All values are in µs.
 func LogNormal(p50, p99, bin, limit float64) (Histogram, error) {
 	sigma := math.Log(p99/p50) / z99
 	return fromCDF(p50, p99, bin, limit, func(x float64) float64 { return 0.5 * math.Erfc(-math.Log(x/p50)/sigma/math.Sqrt2) })
 }
 
-// Pareto returns a distribution with two quantiles and a heavier tail: a power law above p50, uniform below. All are in µs.
+// Pareto returns a heavy-tailed distribution with the given median and 99th percentile: uniform below p50, a power law above. All values are in µs.
 func Pareto(p50, p99, bin, limit float64) (Histogram, error) {
 	power := math.Log(50) / math.Log(p99/p50)
 	return fromCDF(p50, p99, bin, limit, func(x float64) float64 {
@@ -39,7 +39,7 @@
 func fromCDF(p50, p99, bin, limit float64, cdf func(x float64) float64) (Histogram, error) {
 	n := int(limit / bin)
 	if !(p50 > 0 && p99 > p50 && bin > 0 && limit > p99) || n > maxBins {
-		return Histogram{}, fmt.Errorf("chain: p50 %v, p99 %v, bins of %v up to %v µs: want 0 < p50 < p99 < most, and 20000 bins at most", p50, p99, bin, limit)
+		return Histogram{}, fmt.Errorf("chain: p50 %v µs, p99 %v µs, bins of %v µs up to a limit of %v µs: want 0 < p50 < p99 < limit, and at most 20000 bins", p50, p99, bin, limit)
 	}
 	h := Histogram{BinMicros: bin, Shares: make([]float64, n), terms: 1}
 	below := 0.0
@@ -51,7 +51,7 @@
 	return h, nil
 }
 
-// Plus returns the distribution of the sum of two independent latencies in bins of the same size.
+// Plus returns the distribution of the sum of two independent latencies. Both histograms must have bins of equal width.
 func (h Histogram) Plus(o Histogram) Histogram {
 	sum := Histogram{BinMicros: h.BinMicros, Shares: make([]float64, len(h.Shares)+len(o.Shares)-1), terms: h.terms + o.terms}
 	for i, p := range h.Shares {
@@ -62,10 +62,10 @@
 	return sum
 }
 
-// binMiddle returns the latency of a bin in µs, where each term lies in the middle of its own.
+// binMiddle returns the latency in µs that a bin represents: the sum of the middles of the bins of all terms.
 func (h Histogram) binMiddle(i int) float64 { return (float64(i) + float64(h.terms)/2) * h.BinMicros }
 
-// ShareOver returns the share of latencies over a number of µs, to the precision of a bin.
+// ShareOver returns the share of latencies above a limit in µs, to the precision of a bin.
 func (h Histogram) ShareOver(micros float64) (share float64) {
 	for i := len(h.Shares) - 1; i >= 0 && h.binMiddle(i) > micros; i-- {
 		share += h.Shares[i]
@@ -73,7 +73,7 @@
 	return share
 }
 
-// Quantile returns the latency in µs that a share of q stay within, to the precision of a bin.
+// Quantile returns the q-quantile of the latency in µs, to the precision of a bin.
 func (h Histogram) Quantile(q float64) float64 {
 	below := 0.0
 	for i, p := range h.Shares {
@@ -84,22 +84,22 @@
 	return h.binMiddle(len(h.Shares) - 1)
 }
 
-// AddedLatency is what the hops of a chain add to a call together. Times are µs, shares 0 to 1.
+// AddedLatency is the latency that all hops of a chain together add to a call. Latencies are in µs, shares 0 to 1.
 type AddedLatency struct {
 	Hops                   int     `json:"Hops"`
 	HopP50                 float64 `json:"HopP50"`
 	HopP99                 float64 `json:"HopP99"`
 	IndependentP50         float64 `json:"IndependentP50"`
 	IndependentP99         float64 `json:"IndependentP99"`
-	IndependentOver        float64 `json:"IndependentOver"` // share of calls with more than Hops times HopP99
-	DependentP50           float64 `json:"DependentP50"`    // all hops of a call are slow together: each quantile is Hops times one hop's
+	IndependentOver        float64 `json:"IndependentOver"` // share of calls that take longer than Hops times HopP99
+	DependentP50           float64 `json:"DependentP50"`    // all hops of a call are equally slow: each quantile is Hops times the quantile of a hop
 	DependentP99           float64 `json:"DependentP99"`
 	DependentOver          float64 `json:"DependentOver"`
-	AnyHopOver             float64 `json:"AnyHopOver"`             // share of calls with a hop over HopP99, where hops are independent
-	IndependentOverOneSlow float64 `json:"IndependentOverOneSlow"` // share of calls with more than (Hops-1) times HopP50 and one HopP99
+	AnyHopOver             float64 `json:"AnyHopOver"`             // share of calls with at least one hop above HopP99, for independent hops
+	IndependentOverOneSlow float64 `json:"IndependentOverOneSlow"` // share of calls that take longer than (Hops-1) times HopP50 plus HopP99, for independent hops
 }
 
-// SumOverHops adds up a hop's latency, with its quantiles p50 and p99 in µs, over a chain.
+// SumOverHops returns the added latency of a chain of equal hops, each with the given distribution and its quantiles p50 and p99 in µs.
 func SumOverHops(hop Histogram, hops int, p50, p99 float64) AddedLatency {
 	all := hop
 	for range hops - 1 {
@@ -114,7 +114,7 @@
 	}
 }
 
-// String returns the sum on one line.
+// String returns the added latency on one line.
 func (a AddedLatency) String() string {
 	return fmt.Sprintf("reckoned hops=%d hop_p50=%.0fus hop_p99=%.0fus independent: p50=%.0fus p99=%.0fus over_%.0fus=%.2g "+
 		"dependent: p50=%.0fus p99=%.0fus over=%.2g any_hop_over_p99=%.3f over_one_slow=%.3f",
--- a/internal/lab/callchain/report.go
+++ b/internal/lab/callchain/report.go
@@ -6,44 +6,45 @@
 )
 
 const (
-	slotsPerSecond       = 10   // that counts are kept by
-	settledAmplification = 1.05 // below it a chain counts as settled
-	settledServedShare   = 0.99 // from it on a chain counts as serving
+	slotsPerSecond       = 10   // number of counter slots per second
+	settledAmplification = 1.05 // a chain is settled while its amplification is below this value
+	settledServedShare   = 0.99 // a chain is serving while at least this share of requests is served
 )
 
-// Level counts what happened at one level of balancers, over the whole run.
+// Level counts the requests and attempts at one level of balancers over a run.
 type Level struct {
-	Accepted     int `json:"Taken"`  // requests
-	NeverSent    int `json:"Unsent"` // requests answered without an attempt
-	Attempts     int `json:"Attempts"`
-	Retries      int `json:"Further"` // attempts beyond a request's first
-	NotDelivered int `json:"Lost"`    // attempts that ended before they reached the service
-	Served       int `json:"Served"`  // requests, by their one answer
-	Rejected     int `json:"Refused"`
-	Failed       int `json:"Failed"`
+	Accepted     int `json:"Taken"`    // accepted requests
+	NeverSent    int `json:"Unsent"`   // requests that were answered without an attempt
+	Attempts     int `json:"Attempts"` // attempts, including the first of each request
+	Retries      int `json:"Further"`  // attempts after the first of a request
+	NotDelivered int `json:"Lost"`     // attempts that timed out before they reached a server
+	Served       int `json:"Served"`   // requests that were answered with success
+	Rejected     int `json:"Refused"`  // requests that were rejected
+	Failed       int `json:"Failed"`   // requests that failed
 }
 
-// Report is the result of a run. Shares are 0 to 1; amplifications are attempts at the deepest level for each client's request.
+// Report is the result of a run. Shares are 0 to 1; amplification is the number of attempts at the deepest level per client request.
 type Report struct {
 	Config           Config  `json:"Config"`
-	Requests         int     `json:"Requests"`   // of clients
-	DuplicateAnswers int     `json:"Twice"`      // to requests that had one, at any level
-	SentAfterAnswer  int     `json:"After"`      // attempts for requests that had their answer, at any level
-	Unanswered       int     `json:"Unanswered"` // clients' requests without an answer by the deadline and its slack
-	OverBudget       int     `json:"OverBudget"` // retries past the attempt budget of their balancer
-	Levels           []Level `json:"Levels"`
+	Requests         int     `json:"Requests"`   // client requests
+	DuplicateAnswers int     `json:"Twice"`      // answers to already answered requests, at all levels
+	SentAfterAnswer  int     `json:"After"`      // attempts for already answered requests, at all levels
+	Unanswered       int     `json:"Unanswered"` // client requests without an answer within the deadline plus the answer slack
+	OverBudget       int     `json:"OverBudget"` // retries that exceeded the attempt budget of their balancer
+	Levels           []Level `json:"Levels"`     // from the clients' level to the deepest
 
-	Amplification       float64 `json:"Amplification"` // over the whole run
-	SteadyAmplification float64 `json:"Steady"`        // over the latter half of the fault
-	WorstAmplification  float64 `json:"Worst"`         // in the worst window of a second
-	SteadyServedShare   float64 `json:"Served"`        // of clients' requests, over the latter half of the fault
-	AmplificationBound  float64 `json:"Product"`       // of Amplification, by the levels' budgets
-	WorstBound          float64 `json:"WorstBound"`    // of WorstAmplification, approximately
-	SettledMs           int64   `json:"SettledMs"`     // from the fault's end until it stays under settledAmplification; -1: never, or no end
-	ServingMs           int64   `json:"ServingMs"`     // the same until the share served stays at settledServedShare
+	Amplification       float64 `json:"Amplification"` // over the run
+	SteadyAmplification float64 `json:"Steady"`        // over the second half of the fault
+	WorstAmplification  float64 `json:"Worst"`         // in the worst window of one second
+	SteadyServedShare   float64 `json:"Served"`        // share of client requests that were served, over the second half of the fault
+	AmplificationBound  float64 `json:"Product"`       // upper bound of Amplification by the attempt budgets
+	WorstBound          float64 `json:"WorstBound"`    // approximate upper bound of WorstAmplification
+	SettledMs           int64   `json:"SettledMs"`     // time from the end of the fault until amplification stays below settledAmplification; -1: never, or the fault does not end
+	ServingMs           int64   `json:"ServingMs"`     // time from the end of the fault until the served share stays at or above settledServedShare; -1 as for SettledMs
 }
 
-// GuaranteesMet reports whether the balancers gave one answer in time and stayed within their attempt budgets.
+// GuaranteesMet reports whether the balancers answered each request exactly once and in time, sent no attempt after an answer, and stayed within
+// their attempt budgets.
 func (r *Report) GuaranteesMet() bool {
 	return r.DuplicateAnswers == 0 && r.SentAfterAnswer == 0 && r.Unanswered == 0 && r.OverBudget == 0
 }
@@ -61,7 +62,7 @@
 		r.AmplificationBound, r.SteadyServedShare, r.SettledMs, r.ServingMs, retries, r.DuplicateAnswers, r.SentAfterAnswer, r.Unanswered, r.OverBudget)
 }
 
-// summarize fills in the figures of the report from the counts.
+// summarize computes the figures of the report from the counters.
 func (s *simulation) summarize() {
 	c, r := &s.conf, s.report
 	end := int(c.Duration/time.Second) * slotsPerSecond
@@ -89,26 +90,25 @@
 	r.AmplificationBound, r.WorstBound = c.amplificationBound(r.Requests), c.worstBound()
 }
 
-// amplification returns the attempts at the deepest level for each client's request, over some slots.
+// amplification returns the attempts at the deepest level per client request, over a range of slots.
 func (s *simulation) amplification(from, to int) float64 {
 	return ratio(sum(s.deepestAttemptsBySlot[from:to]), sum(s.requestsBySlot[from:to]))
 }
 
-// servedShare returns the share of clients' requests that were served, over the slots in which they were sent.
+// servedShare returns the share of served requests among the client requests that were sent in a range of slots.
 func (s *simulation) servedShare(from, to int) float64 {
 	return ratio(sum(s.servedBySlot[from:to]), sum(s.requestsBySlot[from:to]))
 }
 
-// firstSlotOfTail returns the first slot from which on each window of a second is good; end: not even the last one is.
-func firstSlotOfTail(end int, good func(from, to int) bool) int {
+// firstSlotOfTail returns the first slot from which every window of one second meets a condition, or end if the last window does not.
+func firstSlotOfTail(end int, met func(from, to int) bool) int {
 	first := end
-	for at := end - slotsPerSecond; at >= 0 && good(at, at+slotsPerSecond); at-- {
+	for at := end - slotsPerSecond; at >= 0 && met(at, at+slotsPerSecond); at-- {
 		first = at
 	}
 	return first
 }
 
-// sum returns the sum of counts.
 func sum(counts []int) (n int) {
 	for _, c := range counts {
 		n += c
@@ -116,7 +116,7 @@
 	return n
 }
 
-// ratio returns n/of; 0 if of is 0.
+// ratio returns n/of, or 0 if of is 0.
 func ratio(n, of int) float64 {
 	if of == 0 {
 		return 0
--- a/internal/lab/callchain/report_test.go
+++ b/internal/lab/callchain/report_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Reports have the keys, and their lines the form, that commit 2029d41 gave them.
-func TestReportForm(t *testing.T) {
+// The JSON keys of reports and the format of their printed lines do not change: other tools read both.
+func TestReportFormatIsStable(t *testing.T) {
 	c := testConfig(2)
 	c.FaultShare, c.FaultDuration, c.MaxAttemptsAbove = 0.5, 3*time.Second, 2
 	report := Report{
@@ -29,6 +29,6 @@
 		t.Fatal(err)
 	}
 	if string(got)+"\n" != string(want) {
-		t.Errorf("wrote %s\nwant %s", got, want)
+		t.Errorf("got reports %s\nwant %s", got, want)
 	}
 }
--- a/internal/lab/callchain/simulation.go
+++ b/internal/lab/callchain/simulation.go
@@ -10,13 +10,13 @@
 	"damsonscale/decide"
 )
 
-// event is something that happens at a time.
+// event is a function that the simulation calls at a simulated time.
 type event struct {
-	at, seq int64 // µs; order of scheduling, for events of one time
+	at, seq int64 // time in µs, and sequence number that orders events of equal time
 	do      func()
 }
 
-// events is a heap of events by time.
+// events is a heap of events ordered by time.
 type events []event
 
 // Len implements heap.Interface.
@@ -44,19 +44,19 @@
 type simulation struct {
 	conf      Config
 	now       int64 // µs
-	seq       int64 // events scheduled
+	seq       int64 // number of scheduled events
 	queue     events
 	random    *rand.Rand
-	balancers [][]*balancer // by level, the clients' first
+	balancers [][]*balancer // by level, from the clients' to the deepest
 	report    *Report
 
-	// Counts by slot of a tenth of a second.
-	requestsBySlot        []int // of clients
-	servedBySlot          []int // of them, by the slot in which they were sent
-	deepestAttemptsBySlot []int
+	// Counters by slot of a tenth of a second.
+	requestsBySlot        []int // client requests
+	servedBySlot          []int // served client requests, by the slot in which they were sent
+	deepestAttemptsBySlot []int // attempts at the deepest level
 }
 
-// Run simulates a chain. It returns the same report for the same configuration. Its error is that of Validate.
+// Run simulates a chain. Equal configurations give equal reports. It returns the error of Validate for an invalid configuration.
 func Run(conf Config) (*Report, error) {
 	if err := conf.Validate(); err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	return s.report, nil
 }
 
-// startBalancers starts the balancers of all levels, with the endpoint list of the service below.
+// startBalancers starts the balancers of all levels. All have the same endpoint list, as all services have equally many servers.
 func (s *simulation) startBalancers() {
 	var endpoints []decide.Endpoint
 	for i := range s.conf.Servers {
@@ -99,18 +99,18 @@
 	}
 }
 
-// schedule has something happen after a time in µs.
+// schedule calls a function after a simulated time in µs.
 func (s *simulation) schedule(in int64, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(0, in), s.seq, do})
 }
 
-// slot returns the present slot of counts.
+// slot returns the current slot.
 func (s *simulation) slot() int {
 	return min(int((s.now-startMicros)*slotsPerSecond/sec), len(s.requestsBySlot)-1)
 }
 
-// scheduleRequest schedules the clients' requests from number i on until a time, evenly spaced.
+// scheduleRequest schedules client requests at equal intervals, from request i up to a time in µs.
 func (s *simulation) scheduleRequest(i int, until int64) {
 	if at := startMicros + int64((float64(i)+0.5)*float64(sec)/s.conf.RequestsPerSecond); at < until {
 		s.schedule(at-s.now, func() {
@@ -120,7 +120,7 @@
 	}
 }
 
-// sendRequest sends a client's request to a random balancer, and counts its answers.
+// sendRequest sends a client request to a random balancer and counts its result.
 func (s *simulation) sendRequest(i int) {
 	slot, answered := s.slot(), false
 	s.requestsBySlot[slot]++
@@ -138,13 +138,13 @@
 	})
 }
 
-// serve has a server work on an attempt that has reached it with some time left, in µs. The answer may never come.
+// serve simulates a server that processes an attempt. left is the time in µs until the timeout of the attempt.
 func (s *simulation) serve(level, server int, id string, left int64, answer func(decide.Result)) {
 	if level == s.conf.Depth {
 		s.serveDeepest(server, answer)
 		return
 	}
-	work := msec/2 + s.random.Int64N(msec) // before its own call
+	work := msec/2 + s.random.Int64N(msec) // processing time before the call to the next service
 	s.schedule(work, func() {
 		s.balancers[level][server%s.conf.Width].accept(id, left-work-transitMicros, func(result decide.Result) {
 			answer(s.conf.Pass.answer(result))
@@ -152,7 +152,7 @@
 	})
 }
 
-// answer returns how a service answers when its own call had a result.
+// answer returns the answer of a service to its caller, given the result of the service's own call.
 func (p PassPolicy) answer(result decide.Result) decide.Result {
 	switch {
 	case result == decide.Succeeded || p == PassRejections:
@@ -163,7 +163,7 @@
 	return decide.Errored
 }
 
-// serveDeepest has a server of the deepest service work on an attempt, with its faults.
+// serveDeepest simulates a server of the deepest service that processes an attempt, with the configured fault.
 func (s *simulation) serveDeepest(server int, answer func(decide.Result)) {
 	work, faulty := 5*msec+s.random.Int64N(10*msec), s.random.Float64() < s.conf.FaultShare
 	result := decide.Succeeded
@@ -184,7 +184,7 @@
 	s.schedule(work, func() { answer(result) })
 }
 
-// faultActive reports whether the fault lasts now.
+// faultActive reports whether the fault is active at the current time.
 func (s *simulation) faultActive() bool {
 	from := startMicros + s.conf.FaultStart.Microseconds()
 	return s.now >= from && (s.conf.FaultDuration == 0 || s.now < from+s.conf.FaultDuration.Microseconds())
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what the program writes and reads with files that an earlier build wrote. Tests use it.
+// Package golden compares encoded messages with golden files, so that tests detect incompatible changes of the encoding.
 package golden
 
 import (
@@ -11,8 +11,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// CheckCBOR compares messages, by name, with the hex of their canonical CBOR in a JSON file, and reads them back. It reports every
-// difference, and a message that stands only in the file or only in the test. The file is never written: a new form gets a new one.
+// CheckCBOR checks that messages encode to the canonical CBOR in a golden file, and that the golden CBOR decodes to the messages. The file is a JSON
+// object that maps the name of each message to its CBOR in hex, and must contain exactly the given messages. Tests never write the file: a new
+// encoding needs a new file.
 func CheckCBOR(t *testing.T, path string, messages map[string]any) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -24,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if len(want) != len(messages) {
-		t.Errorf("%d messages in the file, %d in the test", len(want), len(messages))
+		t.Errorf("%d messages in the golden file, want %d as in the test", len(want), len(messages))
 	}
 	encoder, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
 	if err != nil {
@@ -33,7 +34,7 @@
 	for name, message := range messages {
 		got, err := encoder.Marshal(message)
 		if err != nil || hex.EncodeToString(got) != want[name] {
-			t.Errorf("%s: encoded as %x, %v, want %s", name, got, err, want[name])
+			t.Errorf("%s: encoded as %x, error %v, want %s", name, got, err, want[name])
 		}
 		raw, err := hex.DecodeString(want[name])
 		if err != nil {
@@ -41,7 +42,7 @@
 		}
 		back := reflect.New(reflect.TypeOf(message))
 		if err := cbor.Unmarshal(raw, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), message) {
-			t.Errorf("%s: decoded as %+v, %v, want %+v", name, back.Elem(), err, message)
+			t.Errorf("%s: decoded as %+v, error %v, want %+v", name, back.Elem(), err, message)
 		}
 	}
 }
