--- a/internal/lab/modelcheck/cells_directory.go
+++ b/internal/lab/modelcheck/cells_directory.go
@@ -15,7 +15,7 @@
 		return
 	}
 	version := cells.Version{Term: w.term, Index: uint64(len(w.commands) + 1)}
-	w.commands = append(w.commands, agreedCommand{version, c})
+	w.commands = append(w.commands, committedCommand{version, c})
 	w.applyCommands(w.leader)
 }
 
--- a/internal/lab/modelcheck/cells_events.go
+++ b/internal/lab/modelcheck/cells_events.go
@@ -105,10 +105,10 @@
 		}
 	}
 	for i := range w.leaseRequests {
-		what := "lease request of " + w.processes[w.leaseRequests[i].process].name
-		l.add(what+" is confirmed", func() { w.confirmLeader(i) })
-		l.add(what+" is answered", func() { w.answerLease(i) })
-		l.add(what+" completes", func() { w.deliverLease(i) })
+		label := "lease request of " + w.processes[w.leaseRequests[i].process].name
+		l.add(label+" is confirmed", func() { w.confirmLeader(i) })
+		l.add(label+" is answered", func() { w.answerLease(i) })
+		l.add(label+" completes", func() { w.deliverLease(i) })
 	}
 }
 
--- a/internal/lab/modelcheck/cells_invariants.go
+++ b/internal/lab/modelcheck/cells_invariants.go
@@ -28,7 +28,7 @@
 // one lease duration ago.
 func (w *cellsWorld) checkFence(p *cellProcess) {
 	active := p.node.ActiveSettings
-	below := func(f agreedFence) bool { return f.number > active && w.now >= f.at+cellLeaseMicros }
+	below := func(f committedFence) bool { return f.number > active && w.now >= f.at+cellLeaseMicros }
 	if f := w.formerFences[p.name]; below(f) {
 		w.recordViolation("%s has a valid lease on settings %d at %d, a former cell committed fence %d at %d", p.name, active, w.now, f.number, f.at)
 	}
--- a/internal/lab/modelcheck/cells_leases.go
+++ b/internal/lab/modelcheck/cells_leases.go
@@ -70,6 +70,6 @@
 // proposeDue commits the entries that are due according to the lease table of a cell's leader.
 func (w *cellsWorld) proposeDue(c *cellState) {
 	for _, e := range c.leaseTables[c.leader].DueEntries(w.now, c.log[c.applied[c.leader]]) {
-		w.agree(c, e)
+		w.commit(c, e)
 	}
 }
--- a/internal/lab/modelcheck/cells_membership.go
+++ b/internal/lab/modelcheck/cells_membership.go
@@ -8,8 +8,8 @@
 	"damsonscale/internal/takeover"
 )
 
-// agree commits an entry to a cell's log, and reports whether the entry changed the state of the cell.
-func (w *cellsWorld) agree(c *cellState, e cells.Entry) bool {
+// commit commits an entry to a cell's log, and reports whether the entry changed the state of the cell.
+func (w *cellsWorld) commit(c *cellState, e cells.Entry) bool {
 	before, next := c.state(), c.state().Clone()
 	if !next.Apply(&e) {
 		return false
@@ -20,7 +20,7 @@
 		w.recordFormerFences(c, before, next)
 	}
 	if fence := next.LastUpdate.Global.Fence; fence > before.LastUpdate.Global.Fence {
-		c.fences = append(c.fences, agreedFence{fence, w.now})
+		c.fences = append(c.fences, committedFence{fence, w.now})
 		w.coverage.Fences++
 	}
 	for name := range next.Departures {
@@ -86,13 +86,13 @@
 		return
 	}
 	r := w.relays[relay]
-	has := c.state().LastUpdate.Version
-	u := r.UpdateFor(c.id, has, false)
+	version := c.state().LastUpdate.Version
+	u := r.UpdateFor(c.id, version, false)
 	if u == nil && w.conf.Fault == cells.StaleUpdateAccepted || u != nil && !c.state().Matches(u) {
-		u = r.UpdateFor(c.id, has, true)
+		u = r.UpdateFor(c.id, version, true)
 	}
 	if u != nil {
-		w.agree(c, cells.Entry{Kind: cells.UpdateDirectory, Update: u})
+		w.commit(c, cells.Entry{Kind: cells.UpdateDirectory, Update: u})
 	}
 }
 
@@ -153,7 +153,7 @@
 		p.node.Rejoin(w.lastIncarnation)
 	}
 	if l.MayJoin(p.node.Self, p.node.Certificate) {
-		if w.agree(c, cells.Entry{Kind: cells.Join, Member: p.node.Self, Certificate: p.node.Certificate}) {
+		if w.commit(c, cells.Entry{Kind: cells.Join, Member: p.node.Self, Certificate: p.node.Certificate}) {
 			p.appliedIndex, p.node.Certificate = len(c.log)-1, nil
 		}
 		return
@@ -209,7 +209,7 @@
 func (w *cellsWorld) expectMembers(c *cellState) {
 	for _, s := range c.state().LastUpdate.Record.Slots {
 		if former := w.cell(s.From); s.From != 0 && former != nil && !former.partitioned && !c.partitioned {
-			w.agree(c, cells.Entry{Kind: cells.ExpectMember, Member: takeover.Member{Name: s.Name}, Certificate: former.state().Certificate(s.Name)})
+			w.commit(c, cells.Entry{Kind: cells.ExpectMember, Member: takeover.Member{Name: s.Name}, Certificate: former.state().Certificate(s.Name)})
 		}
 	}
 }
@@ -221,7 +221,7 @@
 		if !ok || w.now-at < cellRetentionMicros {
 			continue
 		}
-		forgotten := w.agree(c, cells.Entry{Kind: cells.ForgetDeparture, Member: takeover.Member{Name: name}})
+		forgotten := w.commit(c, cells.Entry{Kind: cells.ForgetDeparture, Member: takeover.Member{Name: name}})
 		if forgotten && c.state().Departures[name].MoveIndex == 0 {
 			delete(c.movedAt, name)
 		}
--- a/internal/lab/modelcheck/cells_test.go
+++ b/internal/lab/modelcheck/cells_test.go
@@ -32,14 +32,14 @@
 		fault      cells.InjectedFault
 		name, want string
 	}{
-		{cells.EarlyDeparture, "departure certified while its lease may be valid", "is not a member of its cell"},
+		{cells.EarlyDeparture, "departure certified while the lease may be valid", "is not a member of its cell"},
 		{cells.LeaseWhileSealing, "cell grants leases before it is sealed", "is not a member of its cell"},
 		{cells.FormerCellsDropped, "former cells deleted", "runs twice"},
 		{cells.FirstAttemptUnchecked, "first attempt after a move not looked up", "runs twice"},
 		{cells.StaleUpdateAccepted, "stale update accepted", "committed fence"},
 		{cells.DigestIgnored, "digests ignored", "after the faults ended"},
 		{cells.TermIgnored, "two directory leaders assign members", "after the faults ended"},
-		{cells.CertificateIgnored, "joined without a certificate", "has valid leases in cells"},
+		{cells.CertificateIgnored, "join without a certificate accepted", "has valid leases in cells"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/modelcheck/cells_world.go
+++ b/internal/lab/modelcheck/cells_world.go
@@ -15,7 +15,7 @@
 	budget          CellsBudget // events that may still happen
 	random          *rand.Rand
 	now             int64 // µs
-	commands        []agreedCommand
+	commands        []committedCommand
 	term            uint64
 	leader          int                 // index of the directory's leader in directories
 	leaderChanged   bool                // the directory has had a second leader
@@ -26,9 +26,9 @@
 	lastOpened      cells.ID
 	processes       []*cellProcess
 	leaseRequests   []cellLeaseRequest
-	formerFences    map[string]agreedFence // highest fence of the cells that a member has left, by member name
-	removedAt       map[string]int64       // time at which a cell reported that a member is removed, µs
-	reassignedAt    map[string]int64       // time at which a removed member was assigned to a cell again, µs
+	formerFences    map[string]committedFence // highest fence of the cells that a member has left, by member name
+	removedAt       map[string]int64          // time at which a cell reported that a member is removed, µs
+	reassignedAt    map[string]int64          // time at which a removed member was assigned to a cell again, µs
 	requests        []*cellRequest
 	lastIncarnation uint64
 	settling        bool // no more faults are injected
@@ -37,8 +37,8 @@
 	coverage        Coverage
 }
 
-// agreedCommand is a committed entry of the directory's log.
-type agreedCommand struct {
+// committedCommand is a committed entry of the directory's log.
+type committedCommand struct {
 	version cells.Version
 	command cells.Command
 }
@@ -51,7 +51,7 @@
 	applied     [2]int       // index of the last applied state in log, by leader
 	leaseTables [2]*cells.LeaseTable
 	records     map[int]*requestRecord // by request index
-	fences      []agreedFence
+	fences      []committedFence
 	movedAt     map[string]int64 // time of the last arrival or departure of a member, µs
 	partitioned bool             // from all other cells and the relays
 }
@@ -67,8 +67,8 @@
 	return at
 }
 
-// agreedFence is a fence and the time in µs at which its cell committed it.
-type agreedFence struct {
+// committedFence is a fence and the time in µs at which its cell committed it.
+type committedFence struct {
 	number uint64
 	at     int64
 }
@@ -135,7 +135,7 @@
 // newCellsWorld returns the initial state, in which all members have joined and hold leases.
 func newCellsWorld(c *CellsConfig, seed uint64) *cellsWorld {
 	w := &cellsWorld{
-		conf: c, budget: c.Budget, random: rand.New(rand.NewPCG(seed, 9)), term: 1, formerFences: map[string]agreedFence{},
+		conf: c, budget: c.Budget, random: rand.New(rand.NewPCG(seed, 9)), term: 1, formerFences: map[string]committedFence{},
 		removedAt: map[string]int64{}, reassignedAt: map[string]int64{},
 	}
 	for i := range w.directories {
--- a/internal/lab/modelcheck/fence.go
+++ b/internal/lab/modelcheck/fence.go
@@ -69,7 +69,7 @@
 	conf          *FenceConfig
 	now           int             // in ticks
 	log           []*rollout.Plan // the plan after each entry
-	agreedAt      []int           // in ticks, by entry
+	committedAt   []int           // in ticks, by entry
 	leader        int             // index of the current leader
 	leaderChanges int
 	restarts      int
@@ -83,14 +83,14 @@
 // clone returns a copy that shares no mutable state.
 func (w *fenceWorld) clone() *fenceWorld {
 	c := *w
-	c.log, c.agreedAt = slices.Clone(w.log), slices.Clone(w.agreedAt)
+	c.log, c.committedAt = slices.Clone(w.log), slices.Clone(w.committedAt)
 	c.members, c.requests = slices.Clone(w.members), slices.Clone(w.requests)
 	return &c
 }
 
 // key returns a text that identifies a state: states with equal keys have equal successors.
 func (w *fenceWorld) key() string {
-	return fmt.Sprint(w.now, len(w.log), w.agreedAt, w.leader, w.leaderChanges, w.restarts, w.requested, w.applied, w.members, w.requests)
+	return fmt.Sprint(w.now, len(w.log), w.committedAt, w.leader, w.leaderChanges, w.restarts, w.requested, w.applied, w.members, w.requests)
 }
 
 // plan returns the plan after a number of entries of the log.
@@ -107,15 +107,15 @@
 // checkFence checks, for a member that acts, that no fence above the number of its settings was committed more than one lease duration ago.
 func (w *fenceWorld) checkFence(m *fenceMember) {
 	for i, p := range w.log {
-		if p.Fence > m.active && w.now > w.agreedAt[i]+fenceLease {
-			w.violation = fmt.Sprintf("a member acts on settings %d at tick %d, fence %d was committed at tick %d", m.active, w.now, p.Fence, w.agreedAt[i])
+		if p.Fence > m.active && w.now > w.committedAt[i]+fenceLease {
+			w.violation = fmt.Sprintf("a member acts on settings %d at tick %d, fence %d was committed at tick %d", m.active, w.now, p.Fence, w.committedAt[i])
 			return
 		}
 	}
 }
 
-// agree commits the next command to the log and applies it at the current leader.
-func (w *fenceWorld) agree() {
+// commit commits the next command to the log and applies it at the current leader.
+func (w *fenceWorld) commit() {
 	names := make([]string, len(w.members))
 	for i := range names {
 		names[i] = memberName(i)
@@ -130,7 +130,7 @@
 	if err != nil {
 		w.violation = err.Error()
 	}
-	w.log, w.agreedAt = append(w.log, next), append(w.agreedAt, w.now)
+	w.log, w.committedAt = append(w.log, next), append(w.committedAt, w.now)
 	w.applied[w.leader] = len(w.log)
 }
 
@@ -155,7 +155,7 @@
 		s.add("tick", func(w *fenceWorld) { w.now++ })
 	}
 	if len(w.log) < len(w.conf.Commands) {
-		s.add("agree", (*fenceWorld).agree)
+		s.add("agree", (*fenceWorld).commit)
 	}
 	if w.leaderChanges < w.conf.LeaderChanges {
 		s.add("change the leader", func(w *fenceWorld) { w.leader, w.leaderChanges = 1-w.leader, w.leaderChanges+1 })
--- a/internal/lab/modelcheck/takeover_moves.go
+++ b/internal/lab/modelcheck/takeover_moves.go
@@ -52,11 +52,11 @@
 		if slices.ContainsFunc(w.net[:i], func(o message) bool { return sameMessage(o, m) }) {
 			continue
 		}
-		what := fmt.Sprintf("%s%d to %s: %s of %s, ballot %d, seq %d", m.from.Name, m.from.Incarnation, m.to, messageKindNames[m.body.Kind], m.body.ID,
+		label := fmt.Sprintf("%s%d to %s: %s of %s, ballot %d, seq %d", m.from.Name, m.from.Incarnation, m.to, messageKindNames[m.body.Kind], m.body.ID,
 			m.body.Ballot.Round, m.body.Seq)
-		l.add("deliver "+what, func(w *takeoverWorld) { w.deliver(i, true) })
-		l.addWithBudget(w.budget.Duplicates, "deliver and duplicate "+what, func(w *takeoverWorld) { w.budget.Duplicates--; w.deliver(i, false) })
-		l.addWithBudget(w.budget.Losses, "lose "+what, func(w *takeoverWorld) { w.budget.Losses--; w.net = slices.Delete(w.net, i, i+1) })
+		l.add("deliver "+label, func(w *takeoverWorld) { w.deliver(i, true) })
+		l.addWithBudget(w.budget.Duplicates, "deliver and duplicate "+label, func(w *takeoverWorld) { w.budget.Duplicates--; w.deliver(i, false) })
+		l.addWithBudget(w.budget.Losses, "lose "+label, func(w *takeoverWorld) { w.budget.Losses--; w.net = slices.Delete(w.net, i, i+1) })
 	}
 }
 
--- a/internal/lab/modelcheck/takeover_requests.go
+++ b/internal/lab/modelcheck/takeover_requests.go
@@ -29,7 +29,7 @@
 	p := w.processes[n]
 	w.budget.Attempts--
 	w.requests[i].attempts++
-	p.waitingClients[i], p.askedAt[i] = true, w.step
+	p.waitingClients[i], p.sentAt[i] = true, w.step
 	if p.attempts[i] != nil {
 		return // the client waits for the attempt in flight
 	}
@@ -90,7 +90,7 @@
 	delete(p.waitingClients, i)
 	r := w.requests[i]
 	w.responses = append(w.responses, Response{
-		Request: i, StartStep: p.askedAt[i], EndStep: w.step, Answer: fmt.Sprint(a.Status, a.Body),
+		Request: i, StartStep: p.sentAt[i], EndStep: w.step, Answer: fmt.Sprint(a.Status, a.Body),
 		Indeterminate: a.Status == takeover.Rejected || a.Reason == outcomeUnknown || r.idempotency == takeover.Idempotent,
 	})
 	r.answers = append(r.answers, fmt.Sprint(a.Status, string(a.Body)))
--- a/internal/lab/modelcheck/takeover_state.go
+++ b/internal/lab/modelcheck/takeover_state.go
@@ -30,7 +30,7 @@
 	if p.node != nil {
 		c.node = p.node.Clone()
 	}
-	c.waitingClients, c.askedAt = maps.Clone(p.waitingClients), maps.Clone(p.askedAt)
+	c.waitingClients, c.sentAt = maps.Clone(p.waitingClients), maps.Clone(p.sentAt)
 	c.attempts = map[int]*attempt{}
 	for i, a := range p.attempts {
 		copied := *a
--- a/internal/lab/modelcheck/takeover_test.go
+++ b/internal/lab/modelcheck/takeover_test.go
@@ -76,9 +76,9 @@
 		with  TakeoverBudget
 	}{
 		{takeover.IgnoreLease, "lease not checked", LargeBudget},
-		{takeover.SendBeforeQuorum, "sent before a quorum has the record", TakeoverBudget{Attempts: 2, Losses: 4}},
-		{takeover.InvertMembership, "epoch compared the wrong way", LargeBudget},
-		{takeover.ForgetResponse, "answer forgotten", TakeoverBudget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
+		{takeover.SendBeforeQuorum, "sent before a quorum stores the record", TakeoverBudget{Attempts: 2, Losses: 4}},
+		{takeover.InvertMembership, "members treated as evicted", LargeBudget},
+		{takeover.ForgetResponse, "stored response ignored", TakeoverBudget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
 	} {
 		found, seed := "", uint64(0)
 		for ; seed < 5_000 && found == ""; seed++ {
--- a/internal/lab/modelcheck/takeover_world.go
+++ b/internal/lab/modelcheck/takeover_world.go
@@ -38,7 +38,7 @@
 	node           *takeover.Node
 	attempts       map[int]*attempt // by request index
 	waitingClients map[int]bool     // requests whose clients wait for an answer of this process, by index
-	askedAt        map[int]int      // step of the latest attempt, by request index
+	sentAt         map[int]int      // step of the latest attempt, by request index
 }
 
 // attempt is a request that a process may send to a server.
@@ -96,7 +96,7 @@
 func (w *takeoverWorld) newProcess(name string, incarnation uint64) *process {
 	self := takeover.Member{Name: name, Incarnation: incarnation}
 	return &process{
-		up: true, self: self, lease: true, attempts: map[int]*attempt{}, waitingClients: map[int]bool{}, askedAt: map[int]int{},
+		up: true, self: self, lease: true, attempts: map[int]*attempt{}, waitingClients: map[int]bool{}, sentAt: map[int]int{},
 		node: takeover.New(takeover.Config{
 			Self: self, MemberNames: memberNames, ReplicationFactor: 3, MaxRecords: 100, MaxBytes: 1 << 20, Retention: maxAge, MaxRequestAge: maxAge,
 			QuorumTimeout: quorumTimeout, ResendInterval: resendInterval, TakeoverStagger: resendInterval, Fault: w.conf.Fault,
