--- a/internal/lab/modelcheck/cells_membership.go
+++ b/internal/lab/modelcheck/cells_membership.go
@@ -8,7 +8,7 @@
 	"damsonscale/internal/takeover"
 )
 
-// commit commits an entry to a cell's log, and reports whether the entry changed the state of the cell.
+// commit appends an entry to a cell's log, and reports whether the entry changed the state of the cell.
 func (w *cellsWorld) commit(c *cellState, e cells.Entry) bool {
 	before, next := c.state(), c.state().Clone()
 	if !next.Apply(&e) {
--- a/internal/lab/modelcheck/cells_world.go
+++ b/internal/lab/modelcheck/cells_world.go
@@ -52,8 +52,8 @@
 	leaseTables [2]*cells.LeaseTable
 	records     map[int]*requestRecord // by request index
 	fences      []committedFence
-	movedAt     map[string]int64 // time of the last arrival or departure of a member, µs
-	partitioned bool             // from all other cells and the relays
+	movedAt     map[string]int64 // time of the last arrival or departure, by member name, µs
+	partitioned bool             // cut off from all other cells, the relays and the directory
 }
 
 // state returns the state after the last entry of the log.
@@ -67,7 +67,7 @@
 	return at
 }
 
-// committedFence is a fence and the time in µs at which its cell committed it.
+// committedFence is a fence with the time in µs at which its cell committed it.
 type committedFence struct {
 	number uint64
 	at     int64
@@ -90,9 +90,9 @@
 	firstMember string // name of the member to which the client sent the first attempt
 	firstSentAt int64  // µs; -1: not sent yet
 	runs        int    // number of executions at a server that had an effect
-	started     bool
-	servedRun   int  // number of the run whose answer the client received; 0: none
-	answered    bool // the client received an answer, also a failure
+	started     bool   // a cell has created a record with an owner
+	servedRun   int    // number of the run whose answer the client received; 0: none
+	answered    bool   // the client received an answer, also a failure
 }
 
 // requestRecord is the state of one request that the replicas of a cell agree on. The replicas are not modelled separately here: the model of
@@ -120,7 +120,7 @@
 	request     int
 	route       *cells.Lookup // nil: not started
 	transferred *requestRecord
-	hops        int
+	hops        int // visited cells, at most cellMaxHops
 }
 
 // cellLeaseRequest is a lease request in flight.
--- a/internal/lab/modelcheck/fence.go
+++ b/internal/lab/modelcheck/fence.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// commit commits the next command to the log and applies it at the current leader.
+// commit appends the next command to the log and applies it at the current leader.
 func (w *fenceWorld) commit() {
 	names := make([]string, len(w.members))
 	for i := range names {
--- a/internal/lab/modelcheck/takeover_config.go
+++ b/internal/lab/modelcheck/takeover_config.go
@@ -14,7 +14,7 @@
 // TakeoverConfig configures the model of takeover.
 type TakeoverConfig struct {
 	Idempotency []takeover.Idempotency // by request
-	Strict      bool                   // also send requests that are idempotent by key only after a quorum has their record
+	Strict      bool                   // requests that are idempotent by key are also sent only after a quorum stores their record
 	Fault       takeover.InjectedFault
 	Budget      TakeoverBudget
 }
