--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -5,33 +5,34 @@
 	"slices"
 )
 
-// SizeLimits bound a cell's members.
+// SizeLimits bound the number of members of a cell.
 type SizeLimits struct{ Min, Target, Max int }
 
-// DefaultSizeLimits keep a leader under 3.7% of a core: docs/cells.md.
+// DefaultSizeLimits keep the load of a cell's leader under 3.7% of a core; see docs/cells.md.
 var DefaultSizeLimits = SizeLimits{Min: 10, Target: 24, Max: 30}
 
-// minZonesToSpread is how many zones a region must have for its cells to be spread over them.
+// minZonesToSpread is the number of zones from which the members and voters of a cell are spread over zones.
 const minZonesToSpread = 3
 
-// Group is a cell as a plan sees it: its members by zone.
-type Group struct {
+// PlannedCell is the input of the planner for one cell.
+type PlannedCell struct {
 	ID    ID
 	Slots []MemberSlot
 }
 
-// Action is one step of a plan: a Move, a Split or a Merge, which become commands.
+// Action is one step of a plan: a Move, a Split or a Merge. The caller turns it into directory commands.
 type Action struct {
 	Kind     CommandKind
-	Name     string // with Move
-	SwapName string // with Move: the member that goes the other way, since sizes allow no more; empty: none
+	Name     string // with Move: the member to move
+	SwapName string // with Move: a member that moves in the opposite direction if the size limits require a swap; else empty
 	From     ID
 	To       ID       // with Move and Merge
-	Names    []string // with Split: those of the first half
+	Names    []string // with Split: the members of the first half
 }
 
-// PlaceMember returns the cell for a new member of a zone: the one with the fewest of that zone, and of these the smallest. 0: none has room.
-func PlaceMember(groups []Group, zone string, l SizeLimits) ID {
+// PlaceMember returns the cell for a new member of a zone: the cell with the fewest members of that zone, and the smallest among equals. It
+// returns 0 if no cell is below its maximum size.
+func PlaceMember(groups []PlannedCell, zone string, l SizeLimits) ID {
 	best := -1
 	for i := range groups {
 		if len(groups[i].Slots) >= l.Max {
@@ -48,14 +49,16 @@
 	return groups[best].ID
 }
 
-// NextAction returns the first thing to do to bring a region's cells within the limits and spread them over its zones; false: there is none. It
-// changes as few assignments as it can.
-func NextAction(groups []Group, l SizeLimits) (Action, bool) {
+// NextAction returns the next action that brings the cells of a region within the size limits and spreads them over the zones, or false if no
+// action is needed. It changes as few assignments as possible.
+func NextAction(groups []PlannedCell, l SizeLimits) (Action, bool) {
 	if len(groups) == 0 {
 		return Action{}, false
 	}
 	sorted := slices.Clone(groups)
-	slices.SortFunc(sorted, func(a, b Group) int { return cmp.Or(cmp.Compare(len(a.Slots), len(b.Slots)), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(sorted, func(a, b PlannedCell) int {
+		return cmp.Or(cmp.Compare(len(a.Slots), len(b.Slots)), cmp.Compare(a.ID, b.ID))
+	})
 	small, large := &sorted[0], &sorted[len(sorted)-1]
 	switch {
 	case len(large.Slots) >= l.Max && len(large.Slots) >= 2*l.Min:
@@ -69,8 +72,8 @@
 	return spreadZones(sorted, l)
 }
 
-// splitHalf returns the names of one of two halves that have the same share of each zone.
-func splitHalf(g *Group) (names []string) {
+// splitHalf returns the names of half the members, such that both halves have about the same number of each zone.
+func splitHalf(g *PlannedCell) (names []string) {
 	slots := slices.Clone(g.Slots)
 	slices.SortFunc(slots, func(a, b MemberSlot) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
 	for i := 0; i < len(slots); i += 2 {
@@ -79,10 +82,10 @@
 	return names
 }
 
-// memberToGive returns the member that a cell gives to another: of the zone of which it has most more.
-func memberToGive(from, to *Group) string {
+// memberToGive returns the member to move from one cell to another: a member of the zone in which the first cell has the largest surplus.
+func memberToGive(from, to *PlannedCell) string {
 	bestZone, most := "", 0
-	for _, zone := range zonesOf([]Group{*from}) {
+	for _, zone := range zonesOf([]PlannedCell{*from}) {
 		if n := 2*from.countIn(zone) - to.countIn(zone); from.countIn(zone) > 0 && n > most {
 			bestZone, most = zone, n
 		}
@@ -90,9 +93,9 @@
 	return firstOfZone(from, bestZone)
 }
 
-// spreadZones gives a cell that lacks a zone a member of it, from the cell that has most of them. Where sizes allow no more, another member goes
-// the other way.
-func spreadZones(groups []Group, l SizeLimits) (Action, bool) {
+// spreadZones returns a move that gives a cell without members of some zone a member of that zone, from the cell that has the most of them. If
+// the size limits do not allow a plain move, the action swaps two members.
+func spreadZones(groups []PlannedCell, l SizeLimits) (Action, bool) {
 	zones := zonesOf(groups)
 	if len(zones) < minZonesToSpread {
 		return Action{}, false
@@ -106,7 +109,7 @@
 			if g.countIn(zone) > 0 {
 				continue
 			}
-			donor := richestIn(groups, zone)
+			donor := donorOf(groups, zone)
 			if donor == nil {
 				continue
 			}
@@ -122,18 +125,18 @@
 	return Action{}, false
 }
 
-// richestIn returns the group with most members of a zone, if it has two or more.
-func richestIn(groups []Group, zone string) (richest *Group) {
+// donorOf returns the cell with the most members of a zone, or nil if no cell has two or more.
+func donorOf(groups []PlannedCell, zone string) (donor *PlannedCell) {
 	for i := range groups {
-		if n := groups[i].countIn(zone); n > 1 && (richest == nil || n > richest.countIn(zone)) {
-			richest = &groups[i]
+		if n := groups[i].countIn(zone); n > 1 && (donor == nil || n > donor.countIn(zone)) {
+			donor = &groups[i]
 		}
 	}
-	return richest
+	return donor
 }
 
-// memberToSwap returns a member of the zone of which a group has most, if it has two or more; empty: there is none.
-func memberToSwap(g *Group, zones []string) string {
+// memberToSwap returns a member of the zone that has the most members in a cell, or an empty name if no zone has two or more.
+func memberToSwap(g *PlannedCell, zones []string) string {
 	name, most := "", 1
 	for _, zone := range zones {
 		if n := g.countIn(zone); n > most {
@@ -143,8 +146,8 @@
 	return name
 }
 
-// countIn returns the number of members of a zone.
-func (g *Group) countIn(zone string) (n int) {
+// countIn returns the number of the cell's members in a zone.
+func (g *PlannedCell) countIn(zone string) (n int) {
 	for _, s := range g.Slots {
 		if s.Zone == zone {
 			n++
@@ -153,8 +156,8 @@
 	return n
 }
 
-// zonesOf returns the zones of some groups, sorted.
-func zonesOf(groups []Group) (zones []string) {
+// zonesOf returns the zones of all members of some cells, sorted.
+func zonesOf(groups []PlannedCell) (zones []string) {
 	for _, g := range groups {
 		for _, s := range g.Slots {
 			zones = append(zones, s.Zone)
@@ -164,8 +167,8 @@
 	return slices.Compact(zones)
 }
 
-// firstOfZone returns the first member of a zone by name; empty: there is none.
-func firstOfZone(g *Group, zone string) string {
+// firstOfZone returns the first member of a zone by name, or an empty name if the cell has none.
+func firstOfZone(g *PlannedCell, zone string) string {
 	name := ""
 	for _, s := range g.Slots {
 		if s.Zone == zone && (name == "" || s.Name < name) {
--- a/internal/lab/modelcheck/cells_requests.go
+++ b/internal/lab/modelcheck/cells_requests.go
@@ -82,7 +82,7 @@
 	if l.route == nil {
 		w.beginLookup(p, l, own)
 	}
-	c := w.cell(l.route.At)
+	c := w.cell(l.route.Cell)
 	if c == nil && l.route.CellForgotten() == cells.Forward {
 		return
 	}
@@ -112,7 +112,7 @@
 	}
 	p.appliedIndex = len(own.log) - 1
 	if _, ok := own.state().LookupStart(firstMember); !ok && !own.partitioned {
-		l.route.At = w.relays[w.random.IntN(2)].CurrentCell(firstMember)
+		l.route.Cell = w.relays[w.random.IntN(2)].CurrentCell(firstMember)
 	}
 }
 
@@ -177,8 +177,8 @@
 		w.failLookup(p, l)
 	case step == cells.Forward && assign:
 		w.coverage.Assigned++
-		c.records[l.request] = &requestRecord{assignedTo: l.route.At}
-		w.log("r%d was never started in cell %d: it is assigned to cell %d", l.request, c.id, l.route.At)
+		c.records[l.request] = &requestRecord{assignedTo: l.route.Cell}
+		w.log("r%d was never started in cell %d: it is assigned to cell %d", l.request, c.id, l.route.Cell)
 	case step == cells.SearchHere:
 		w.takeOver(c, p, l)
 	}
