--- a/internal/lab/callchain/balancer.go
+++ b/internal/lab/callchain/balancer.go
@@ -18,7 +18,7 @@
 	retriedAt  []int64
 }
 
-// pendingRequest is an accepted request that lacks an answer or has attempts in flight.
+// pendingRequest is an accepted request that is unanswered or has attempts in flight.
 type pendingRequest struct {
 	id       string
 	deadline int64 // µs
--- a/internal/lab/callchain/doc.go
+++ b/internal/lab/callchain/doc.go
@@ -1,6 +1,6 @@
-// Package callchain simulates a deep chain of calls: services one below the other, each called through real balancers (decide.Balancer, by its
-// interface), in simulated time and without sockets. It counts from outside what the balancers do: how many attempts reach the deepest service for
-// each client's request. It also adds up the latency of the hops of a chain. docs/chain.md explains both.
+// Package callchain simulates a deep chain of service calls. Each service calls the next one through real balancers (decide.Balancer), in simulated
+// time and without sockets. The simulation itself counts the attempts that reach the deepest service for each client request. The package also
+// computes the latency that the hops of a chain add. docs/chain.md explains both.
 //
-// A run is a function of its configuration: it has one goroutine and one generator of random numbers.
+// A run depends only on its configuration: it uses one goroutine and one random number generator.
 package callchain
--- a/internal/lab/callchain/simulation.go
+++ b/internal/lab/callchain/simulation.go
@@ -40,7 +40,7 @@
 	return last
 }
 
-// simulation is the whole chain.
+// simulation is the state of a simulated chain.
 type simulation struct {
 	conf      Config
 	now       int64 // µs
--- a/internal/lab/modelcheck/cells_directory.go
+++ b/internal/lab/modelcheck/cells_directory.go
@@ -24,7 +24,7 @@
 	d := w.directories[node]
 	for ; w.applied[node] < len(w.commands); w.applied[node]++ {
 		c := w.commands[w.applied[node]]
-		d.Apply(c.version, &c.command) // the error is ignored: it is the same at all nodes
+		d.Apply(c.version, &c.command) // the error is ignored: all nodes return the same one
 		for _, id := range d.CellIDs() {
 			if id > w.lastOpened { // cell IDs increase in the order in which cells are opened
 				w.lastOpened = id
@@ -85,7 +85,7 @@
 	return open
 }
 
-// randomCommand issues a random command of an operator or of a rollout plan.
+// randomCommand proposes a random command of an operator or of a rollout plan.
 func (w *cellsWorld) randomCommand() {
 	d := w.directories[w.leader]
 	open := w.openCells()
@@ -115,7 +115,7 @@
 	case 7:
 		c = cells.Command{Kind: cells.SetFence, Number: d.Global().Settings}
 	case 8:
-		if len(slots) < 2 { // the last member of a cell is not removed: it tells other processes their cell
+		if len(slots) < 2 { // the last member of a cell is not removed, because other processes learn their cell from it
 			return
 		}
 		c = cells.Command{Kind: cells.Remove, Names: pickName()}
--- a/internal/lab/modelcheck/cells_leases.go
+++ b/internal/lab/modelcheck/cells_leases.go
@@ -38,7 +38,7 @@
 	w.leaseRequests = append(w.leaseRequests, cellLeaseRequest{process: n, request: request, leader: leader, confirmedIndex: -1})
 }
 
-// confirmLeader lets a quorum confirm the leader that received a request, if it is the current leader.
+// confirmLeader lets a quorum confirm that the leader that received a request is still the current leader.
 func (w *cellsWorld) confirmLeader(i int) {
 	r := &w.leaseRequests[i]
 	if c := w.cell(r.request.Cell); c != nil && r.confirmedIndex < 0 && c.leader == r.leader {
@@ -46,7 +46,7 @@
 	}
 }
 
-// answerLease lets a confirmed leader grant or reject a request after it has applied the log up to the confirmed index.
+// answerLease lets a confirmed leader apply the log up to the confirmed index, and grant or reject a request.
 func (w *cellsWorld) answerLease(i int) {
 	r := &w.leaseRequests[i]
 	c := w.cell(r.request.Cell)
--- a/internal/lab/modelcheck/fence.go
+++ b/internal/lab/modelcheck/fence.go
@@ -59,7 +59,7 @@
 // fenceMember is the state of a member.
 type fenceMember struct {
 	incarnation int
-	active      uint64 // number of the settings that it acts on
+	active      uint64 // number of the settings on which the member acts
 	leaseEnd    int    // in ticks; 0: no lease
 	applied     int    // number of applied entries of the log
 }
--- a/internal/lab/modelcheck/takeover_world.go
+++ b/internal/lab/modelcheck/takeover_world.go
@@ -60,7 +60,7 @@
 	idempotency takeover.Idempotency
 	attempts    int  // attempts of its client
 	runs        int  // executions at a server that had an effect
-	ownedRuns   int  // executions for a process that owned the request; after one the request must not be rejected
+	ownedRuns   int  // executions for a process that owned the request; if there is one, the request must not be rejected
 	servedRun   int  // number of the run whose answer the client received; 0: none
 	replicated  bool // a quorum has that answer
 	answers     []string
