--- a/internal/lab/modelcheck/takeover_state.go
+++ b/internal/lab/modelcheck/takeover_state.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// clone returns a copy that shares nothing that changes.
-func (w *world) clone() *world {
+// clone returns a copy that shares no mutable state.
+func (w *takeoverWorld) clone() *takeoverWorld {
 	c := *w
 	c.log, c.net, c.responses = slices.Clone(w.log), slices.Clone(w.net), slices.Clone(w.responses)
 	c.incarnations = maps.Clone(w.incarnations)
@@ -24,13 +24,13 @@
 	return &c
 }
 
-// clone returns a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable state.
 func (p *process) clone() *process {
 	c := *p
 	if p.node != nil {
 		c.node = p.node.Clone()
 	}
-	c.waitingClients, c.askedAt = maps.Clone(p.waitingClients), maps.Clone(p.askedAt)
+	c.waitingClients, c.sentAt = maps.Clone(p.waitingClients), maps.Clone(p.sentAt)
 	c.attempts = map[int]*attempt{}
 	for i, a := range p.attempts {
 		copied := *a
@@ -39,8 +39,8 @@
 	return &c
 }
 
-// fingerprint returns a hash of a state: states with the same one have the same future.
-func (w *world) fingerprint() (sum [16]byte) {
+// fingerprint returns a hash that identifies a state: states with equal fingerprints have equal successors, except for hash collisions.
+func (w *takeoverWorld) fingerprint() (sum [16]byte) {
 	h := fnv.New128a()
 	fmt.Fprint(h, w.budget, w.log)
 	for _, p := range w.processes {
@@ -62,8 +62,8 @@
 	return sum
 }
 
-// netTexts returns the messages in flight as text, sorted: their order does not matter.
-func (w *world) netTexts() (texts []string) {
+// netTexts returns the messages in flight as sorted texts, because the network may deliver them in any order.
+func (w *takeoverWorld) netTexts() (texts []string) {
 	for _, m := range w.net {
 		body := m.body
 		body.Record = nil
