--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -109,7 +109,7 @@
 	}
 	due := leases.DueEntries(maxLeaseSpan(leaseMicros), a)
 	if len(due) != 1 || due[0].Kind != Depart {
-		t.Fatalf("%+v", due)
+		t.Fatalf("due entries: got %+v, want one entry of kind %d", due, Depart)
 	}
 	if a.Apply(&Entry{Kind: Depart, Member: one, MoveIndex: due[0].MoveIndex - 1}) {
 		t.Error("member departed with the MoveIndex of another move")
@@ -226,7 +226,7 @@
 	}
 	due := leases.DueEntries(10+maxLeaseSpan(leaseMicros), a)
 	if len(due) != 1 || due[0].Kind != Seal {
-		t.Fatalf("%+v", due)
+		t.Fatalf("due entries: got %+v, want one entry of kind %d", due, Seal)
 	}
 	mustApplyEntries(t, a, &due[0])
 	if a.Apply(j.updateEntry(a)) || a.Apply(&due[0]) || len(a.Members) > 0 || leases.Grant(2*leaseMicros, a, member(all[0].Name, 1), 0) {
@@ -287,7 +287,7 @@
 	leases.MarkRelinquished(m)
 	due := leases.DueEntries(1, a)
 	if len(due) != 1 || due[0].Kind != Depart {
-		t.Fatalf("%+v", due)
+		t.Fatalf("due entries: got %+v, want one entry of kind %d", due, Depart)
 	}
 	mustApplyEntries(t, a, &due[0])
 	if err := j.tryApply(Command{Kind: Removed, Names: []string{m.Name}, Number: a.Departures[m.Name].MoveIndex - 1}); !errors.Is(err, ErrNoChange) {
--- a/internal/cells/departure.go
+++ b/internal/cells/departure.go
@@ -8,7 +8,7 @@
 	_         struct{} `cbor:",toarray"`
 	Cell      ID
 	Epoch     uint64          // of the departure's entry in the cell's log
-	Member    takeover.Member // its last evicted incarnation in the cell; 0 if it never joined
+	Member    takeover.Member // the last evicted incarnation of the member in the cell; incarnation 0 if the member never joined
 	To        ID              // the cell that the member moves to, or RemovedID
 	MoveIndex uint64          // of the member's slot in the cell To, or of the removal
 }
--- a/internal/cells/scale_test.go
+++ b/internal/cells/scale_test.go
@@ -89,7 +89,7 @@
 // The state of a member and of a leader depends on the size of their cell, not on whether the fleet has 300 or 18,000 members. The state of a
 // relay grows with its region and the state of the directory with the fleet; both stay within their bounds.
 func TestStateSizeByRole(t *testing.T) {
-	var first [2]int // bytes for each member of the cell
+	var first [2]int // bytes of a member's and a leader's state, per member of the cell, in the smallest fleet
 	for _, n := range []int{300, 3_000, 18_000} {
 		f := newFleet(t, n)
 		for _, r := range f.relays {
@@ -99,18 +99,18 @@
 		for _, m := range f.largestCell.membersOf("") {
 			leases.Grant(1, f.largestCell, m, 0)
 		}
-		own, lead, size := f.largestCell.EncodedBytes(), f.largestCell.EncodedBytes()+leases.EncodedBytes(), len(f.largestCell.Members)
+		memberBytes, leaderBytes, cellSize := f.largestCell.EncodedBytes(), f.largestCell.EncodedBytes()+leases.EncodedBytes(), len(f.largestCell.Members)
 		relay := 0
 		for _, r := range f.relays {
 			relay = max(relay, r.EncodedBytes())
 		}
 		t.Logf("%d members: %d cells of %d to %d members; bytes: member %d, leader %d, relay %d, directory %d", n, len(f.logs), slices.Min(f.sizes),
-			slices.Max(f.sizes), own, lead, relay, f.commands.directory.EncodedBytes())
+			slices.Max(f.sizes), memberBytes, leaderBytes, relay, f.commands.directory.EncodedBytes())
 		if first[0] == 0 {
-			first = [2]int{own / size, lead / size}
+			first = [2]int{memberBytes / cellSize, leaderBytes / cellSize}
 		}
-		if own/size > first[0]*11/10 || lead/size > first[1]*11/10 || own/size > 120 || lead/size > 160 || size > DefaultSizeLimits.Max {
-			t.Errorf("%d members, cell of %d: a member stores %d bytes, a leader %d; a fleet of 300 stores %v bytes per member of the cell", n, size, own, lead, first)
+		if memberBytes/cellSize > first[0]*11/10 || leaderBytes/cellSize > first[1]*11/10 || memberBytes/cellSize > 120 || leaderBytes/cellSize > 160 || cellSize > DefaultSizeLimits.Max {
+			t.Errorf("%d members, cell of %d: a member stores %d bytes, a leader %d; a fleet of 300 stores %v bytes per member of the cell", n, cellSize, memberBytes, leaderBytes, first)
 		}
 		if f.commands.directory.EncodedBytes() > 200*n || relay > f.commands.directory.EncodedBytes() {
 			t.Errorf("%d members: the directory stores %d bytes, want at most %d; a relay stores %d, want at most the directory's size", n, f.commands.directory.EncodedBytes(), 200*n, relay)
