--- a/internal/lab/modelcheck/takeover_test.go
+++ b/internal/lab/modelcheck/takeover_test.go
@@ -11,14 +11,14 @@
 )
 
 var (
-	one  = []takeover.Idempotency{takeover.NotIdempotent}
-	both = []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}
+	oneRequest  = []takeover.Idempotency{takeover.NotIdempotent}
+	twoRequests = []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey}
 )
 
-// No order of events violates an invariant: all short ones, and many long ones.
-func TestNoOrderBreaksAnInvariant(t *testing.T) {
+// No short sequence of events and no long random walk violates an invariant.
+func TestTakeoverKeepsInvariants(t *testing.T) {
 	for _, strict := range []bool{false, true} {
-		f, err := Exhaust(context.Background(), Config{Idempotency: one, Strict: strict, Budget: SmallBudget}, 4)
+		f, err := ExhaustiveSearch(context.Background(), TakeoverConfig{Idempotency: oneRequest, Strict: strict, Budget: SmallBudget}, 4)
 		if err != nil || f.Violation != "" {
 			t.Fatalf("strict %t: %v %s\n%s", strict, err, f.Violation, strings.Join(f.Trace, "\n"))
 		}
@@ -26,19 +26,19 @@
 	}
 	steps := 0
 	for seed := range uint64(400) {
-		f := Walk(Config{Idempotency: both, Strict: seed%2 == 0, Budget: LargeBudget}, seed, 200)
+		f := RandomWalk(TakeoverConfig{Idempotency: twoRequests, Strict: seed%2 == 0, Budget: LargeBudget}, seed, 200)
 		if steps += f.States; f.Violation != "" {
 			t.Fatalf("seed %d: %s\n%s", seed, f.Violation, strings.Join(f.Trace, "\n"))
 		}
 	}
-	t.Logf("%d steps at random", steps)
+	t.Logf("%d steps in random walks", steps)
 }
 
-// What clients are answered is what a single server would answer that runs each request once: each random history is linearizable.
+// The responses to clients are linearizable with respect to a server that runs each request once.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	model := porcupine.Model{
 		Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
-			parts := make([][]porcupine.Operation, len(both))
+			parts := make([][]porcupine.Operation, len(twoRequests))
 			for _, o := range all {
 				parts[o.Input.(int)] = append(parts[o.Input.(int)], o)
 			}
@@ -51,41 +51,41 @@
 	check := func(all []Response) bool {
 		var ops []porcupine.Operation
 		for _, h := range all {
-			if !h.Undecided {
-				ops = append(ops, porcupine.Operation{Input: h.Request, Output: h.Answer, Call: int64(h.From), Return: int64(h.To)})
+			if !h.Indeterminate {
+				ops = append(ops, porcupine.Operation{Input: h.Request, Output: h.Answer, Call: int64(h.StartStep), Return: int64(h.EndStep)})
 			}
 		}
 		decided += len(ops)
 		return porcupine.CheckOperations(model, ops)
 	}
 	for seed := range uint64(1000) {
-		if f := Walk(Config{Idempotency: both, Strict: true, Budget: LargeBudget}, 1_000_000+seed, 150); !check(f.Responses) {
+		if f := RandomWalk(TakeoverConfig{Idempotency: twoRequests, Strict: true, Budget: LargeBudget}, 1_000_000+seed, 150); !check(f.Responses) {
 			t.Fatalf("seed %d: %+v\n%s", seed, f.Responses, strings.Join(f.Trace, "\n"))
 		}
 	}
-	if two := []Response{{0, 1, 2, "a", false}, {0, 3, 4, "b", false}}; decided < 200 || check(two) {
-		t.Errorf("%d answers, or two that differ pass", decided)
+	if contradictory := []Response{{0, 1, 2, "a", false}, {0, 3, 4, "b", false}}; decided < 200 || check(contradictory) {
+		t.Errorf("checked %d responses, want at least 200, and two contradictory responses must not be linearizable", decided)
 	}
 }
 
-// Each injected fault is found: else the search might find nothing at all.
-func TestInjectedFaultsAreFound(t *testing.T) {
+// Each injected fault leads to a violation: this shows that the search can detect faults.
+func TestInjectedTakeoverFaultsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		fault takeover.InjectedFault
 		name  string
-		with  Budget
+		with  TakeoverBudget
 	}{
 		{takeover.IgnoreLease, "lease not checked", LargeBudget},
-		{takeover.SendBeforeQuorum, "sent before a quorum has it", Budget{Attempts: 2, Losses: 4}},
-		{takeover.InvertMembership, "epoch compared the wrong way", LargeBudget},
-		{takeover.ForgetResponse, "answer forgotten", Budget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
+		{takeover.SendBeforeQuorum, "sent before a quorum stores the record", TakeoverBudget{Attempts: 2, Losses: 4}},
+		{takeover.InvertMembership, "members treated as evicted", LargeBudget},
+		{takeover.ForgetResponse, "stored response ignored", TakeoverBudget{Attempts: 2, Crashes: 1, LeaseExpiries: 1, Ticks: 2}},
 	} {
 		found, seed := "", uint64(0)
 		for ; seed < 5_000 && found == ""; seed++ {
-			found = Walk(Config{Idempotency: both, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
+			found = RandomWalk(TakeoverConfig{Idempotency: twoRequests, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
 		}
 		if found == "" {
-			t.Errorf("%s: not found", c.name)
+			t.Errorf("%s: no violation in %d random walks", c.name, seed)
 		}
 		t.Logf("%s: seed %d: %s", c.name, seed-1, found)
 	}
--- a/internal/lab/modelcheck/takeover_world.go
+++ b/internal/lab/modelcheck/takeover_world.go
@@ -7,16 +7,16 @@
 	"damsonscale/internal/takeover"
 )
 
-// world is one state of a world of takeover.
-type world struct {
-	conf         *Config
-	budget       Budget // what is left
+// takeoverWorld is a state of the model of takeover.
+type takeoverWorld struct {
+	conf         *TakeoverConfig
+	budget       TakeoverBudget // events that may still happen
 	log          []logEntry
-	incarnations map[string]uint64 // the last one, by name
-	processes    []*process        // the last one of each name
+	incarnations map[string]uint64 // latest incarnation, by member name
+	processes    []*process        // the latest process of each member
 	net          []message
 	requests     []*request
-	violation    string // the first one; empty: none
+	violation    string // the first violated invariant; empty: none
 	step         int
 	responses    []Response
 }
@@ -32,21 +32,21 @@
 type process struct {
 	up             bool
 	self           takeover.Member
-	lease          bool // until the world says that it has expired
+	lease          bool // lasts until the model expires it
 	now            int64
-	epoch          int // of the log, as far as it has learned it
+	epoch          int // number of applied entries of the log
 	node           *takeover.Node
-	attempts       map[int]*attempt // by request
-	waitingClients map[int]bool     // requests whose clients wait here
-	askedAt        map[int]int      // the step at which they asked
+	attempts       map[int]*attempt // by request index
+	waitingClients map[int]bool     // requests whose clients wait for an answer of this process, by index
+	sentAt         map[int]int      // step of the latest attempt, by request index
 }
 
 // attempt is a request that a process may send to a server.
 type attempt struct {
-	owned        bool // a quorum has its record: the lease counts
+	owned        bool // a quorum has the record of the request: the attempt needs a lease
 	leaseChecked bool
 	sent         bool
-	run          int // at the server; 0: none
+	run          int // number of the run at the server; 0: none
 }
 
 // logEntry is an entry of the log: a member joins or is evicted.
@@ -55,28 +55,28 @@
 	evicted bool
 }
 
-// request is what the world knows of a request.
+// request is a request with its history.
 type request struct {
 	idempotency takeover.Idempotency
-	attempts    int  // of its client
-	runs        int  // with an effect
-	ownedRuns   int  // of processes that owned it; after one the request must not be rejected
-	servedRun   int  // the run whose answer its client was given; 0: none
+	attempts    int  // attempts of its client
+	runs        int  // executions at a server that had an effect
+	ownedRuns   int  // executions for a process that owned the request; if there is one, the request must not be rejected
+	servedRun   int  // number of the run whose answer the client received; 0: none
 	replicated  bool // a quorum has that answer
 	answers     []string
 }
 
-// Response is what a client was told by one member, between two steps.
+// Response is the response of one member to an attempt of a client.
 type Response struct {
-	Request   int
-	From, To  int // steps: asked, answered
-	Answer    string
-	Undecided bool // rejected, or the outcome is unknown: this says nothing about the request
+	Request            int
+	StartStep, EndStep int // steps at which the attempt was sent and answered
+	Answer             string
+	Indeterminate      bool // rejected, outcome unknown, or idempotent without a key: not part of the checked history
 }
 
-// newWorld returns a world in which all members have joined and hold leases.
-func newWorld(c *Config) *world {
-	w := &world{conf: c, budget: c.Budget, incarnations: map[string]uint64{}}
+// newWorld returns the initial state, in which all members have joined and hold leases.
+func newWorld(c *TakeoverConfig) *takeoverWorld {
+	w := &takeoverWorld{conf: c, budget: c.Budget, incarnations: map[string]uint64{}}
 	for _, idempotency := range c.Idempotency {
 		w.requests = append(w.requests, &request{idempotency: idempotency})
 	}
@@ -87,16 +87,16 @@
 	for _, name := range memberNames {
 		p := w.newProcess(name, 1)
 		w.processes = append(w.processes, p)
-		w.learn(p)
+		w.applyLog(p)
 	}
 	return w
 }
 
-// newProcess returns a process that has just started and holds a lease.
-func (w *world) newProcess(name string, incarnation uint64) *process {
+// newProcess returns a newly started process that holds a lease.
+func (w *takeoverWorld) newProcess(name string, incarnation uint64) *process {
 	self := takeover.Member{Name: name, Incarnation: incarnation}
 	return &process{
-		up: true, self: self, lease: true, attempts: map[int]*attempt{}, waitingClients: map[int]bool{}, askedAt: map[int]int{},
+		up: true, self: self, lease: true, attempts: map[int]*attempt{}, waitingClients: map[int]bool{}, sentAt: map[int]int{},
 		node: takeover.New(takeover.Config{
 			Self: self, MemberNames: memberNames, ReplicationFactor: 3, MaxRecords: 100, MaxBytes: 1 << 20, Retention: maxAge, MaxRequestAge: maxAge,
 			QuorumTimeout: quorumTimeout, ResendInterval: resendInterval, TakeoverStagger: resendInterval, Fault: w.conf.Fault,
@@ -104,21 +104,21 @@
 	}
 }
 
-// restart starts another process of a name, once the one before is evicted.
-func (w *world) restart(n int) {
+// restart starts a new incarnation of a member if the previous one has been evicted.
+func (w *takeoverWorld) restart(n int) {
 	old := w.processes[n]
-	if old.lease || w.view(len(w.log)).Contains(old.self) {
+	if old.lease || w.membershipAt(len(w.log)).Contains(old.self) {
 		return
 	}
 	w.incarnations[old.self.Name]++
 	p := w.newProcess(old.self.Name, w.incarnations[old.self.Name])
 	w.log = append(w.log, logEntry{member: p.self})
 	w.processes[n] = p
-	w.learn(p)
+	w.applyLog(p)
 }
 
-// view returns the membership after so many entries of the log.
-func (w *world) view(epoch int) *takeover.View {
+// membershipAt returns the membership after a number of entries of the log.
+func (w *takeoverWorld) membershipAt(epoch int) *takeover.View {
 	v := &takeover.View{Epoch: uint64(epoch), Members: map[takeover.Member]takeover.MemberInfo{}}
 	seen := map[string]bool{}
 	for i, e := range w.log[:epoch] {
@@ -132,23 +132,23 @@
 	return v
 }
 
-// learn has a process apply the whole log.
-func (w *world) learn(p *process) {
+// applyLog lets a process apply all entries of the log.
+func (w *takeoverWorld) applyLog(p *process) {
 	p.epoch = len(w.log)
-	p.node.ApplyView(p.now, w.view(p.epoch))
-	w.carryOut(p)
+	p.node.ApplyView(p.now, w.membershipAt(p.epoch))
+	w.processOutput(p)
 }
 
-// tick lets time pass for a process.
-func (w *world) tick(n int, by int64) {
+// tick advances a process's clock.
+func (w *takeoverWorld) tick(n int, by int64) {
 	p := w.processes[n]
 	p.now += by
 	p.node.Tick(p.now)
-	w.carryOut(p)
+	w.processOutput(p)
 }
 
-// deliver delivers a message, and removes it from the network unless it is to be delivered again.
-func (w *world) deliver(i int, remove bool) {
+// deliver delivers a message, and removes it from the network unless it is duplicated.
+func (w *takeoverWorld) deliver(i int, remove bool) {
 	m := w.net[i]
 	if remove {
 		w.net = slices.Delete(w.net, i, i+1)
@@ -158,16 +158,16 @@
 			continue
 		}
 		body := m.body
-		if body.Epoch > uint64(p.epoch) { // the program fetches the log first
-			w.learn(p)
+		if body.Epoch > uint64(p.epoch) { // the sidecar also fetches the log before it handles such a message
+			w.applyLog(p)
 		}
 		p.node.Handle(p.now, m.from, &body)
-		w.carryOut(p)
+		w.processOutput(p)
 	}
 }
 
-// carryOut sends a node's messages and handles its events.
-func (w *world) carryOut(p *process) {
+// processOutput sends a node's messages and handles its events, until there are none.
+func (w *takeoverWorld) processOutput(p *process) {
 	for {
 		for _, out := range p.node.TakeMessages() {
 			w.net = append(w.net, message{p.self, out.To, out.Message})
@@ -182,8 +182,8 @@
 	}
 }
 
-// violate notes that an invariant is violated, unless another one was before.
-func (w *world) violate(format string, args ...any) {
+// recordViolation records the first violation of an invariant and ignores later ones.
+func (w *takeoverWorld) recordViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, args...)
 	}
