--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -6,13 +6,13 @@
 import "slices"
 
 const (
-	maxListedCapacity = 1e9 // larger values count as 1, since sums over a fleet of them would lose precision
-	maxSpeedRatio     = 8.0 // bound of an endpoint's speed relative to the mean, in both directions
+	maxListedCapacity = 1e9 // larger values count as 1, since sums of them would lose precision
+	maxSpeedRatio     = 8.0 // bound of an endpoint's speed relative to the mean, and of its inverse
 )
 
 // scaleCapacities derives the capacities from the endpoint list. If listed capacities follow the load, an
-// endpoint counts with its peak, or with the median peak of its machine kind. Otherwise all balancers would
-// move their traffic at the same time.
+// endpoint's capacity is its highest listed one, or the median of these peaks over its machine kind. With
+// the current values, all balancers would move their traffic at the same time.
 func (b *Balancer) scaleCapacities() {
 	peaks := b.peaksByKind()
 	sum := 0.0
@@ -32,8 +32,8 @@
 	b.scaleBySpeed()
 }
 
-// peaksByKind returns the sorted peak capacities of each machine kind, or none if listed capacities don't
-// follow the load.
+// peaksByKind returns the sorted peak capacities of each machine kind, or an empty map if listed
+// capacities don't follow the load.
 func (b *Balancer) peaksByKind() map[string][]float64 {
 	peaks := map[string][]float64{}
 	if !b.settings.CapacityFollowsLoad {
--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Live capacities count with their peak, at the median of the machine kind. Extreme figures change nothing.
+// If listed capacities follow the load, an endpoint's capacity is the median, over its machine kind, of the
+// highest capacities listed. Extreme listed capacities change nothing.
 func TestLiveCapacityIsMedianPeakOfMachineKind(t *testing.T) {
 	set := testSettings()
 	set.CapacityListed, set.CapacityFollowsLoad = true, true
@@ -14,22 +15,23 @@
 		{ID: "d", MachineKind: "small", Capacity: 1}}
 	w := newWorkload(t, set, list...)
 	for _, extreme := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300, 0.4, 1e8} {
-		list[0].Capacity, list[3].Capacity = 0.5, min(extreme, 1) // load lowers the live capacities
+		list[0].Capacity, list[3].Capacity = 0.5, min(extreme, 1) // load lowers the listed capacities
 		list[1].Capacity = extreme
 		w.updateEndpoints(false, list...)
 		assertNear(t, fmt.Sprint("capacity of big relative to small after a listed capacity of ", extreme), w.b.knownEndpoints["a"].Capacity/w.b.knownEndpoints["d"].Capacity, 3, 1e-9)
 	}
 }
 
-// Endpoints with equal listed capacities get different ones by the latency that they report: 100, 100 and 400
-// ms have a mean of 200 ms, so the capacities are as 2, 2 and 0.5. An endpoint without a report counts as the
-// mean of its machine kind. Invalid reports change nothing.
+// Capacities that are listed as equal are corrected by the reported service times: 100, 100 and 400 ms have
+// a mean of 200 ms, so the speeds are 2, 2 and 0.5. An endpoint without a report gets the mean service time
+// of its machine kind, here 400 ms. Scaled to a mean of 1, the capacities are 1.6, 1.6, 0.4 and 0.4. Invalid
+// reports change nothing.
 func TestCapacityFollowsReportedLatency(t *testing.T) {
 	list := testEndpoints(4)
 	list[2].MachineKind, list[3].MachineKind = "old", "old"
 	w := newWorkload(t, testSettings(), list...)
-	for id, latencyMs := range map[string]float64{"s0": 100, "s1": 100, "s2": 400} {
-		w.b.recordLoadReport(w.b.knownEndpoints[id], newLoadReport(-1, -1, latencyMs))
+	for id, serviceTimeMs := range map[string]float64{"s0": 100, "s1": 100, "s2": 400} {
+		w.b.recordLoadReport(w.b.knownEndpoints[id], newLoadReport(-1, -1, serviceTimeMs))
 	}
 	for _, invalid := range []float64{math.NaN(), math.Inf(1), -5, 0, 1e12} {
 		w.b.recordLoadReport(w.b.knownEndpoints["s0"], newLoadReport(invalid, invalid, invalid))
--- a/decide/key_affinity_test.go
+++ b/decide/key_affinity_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Balancers with the same endpoint list prefer the same replica for a key, whatever their seeds.
+// Two balancers with the same endpoint list prefer the same replica for a key.
 func TestBalancersAgreeOnPreferredReplica(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
@@ -43,8 +43,8 @@
 	t.Error("the preferred replica was not drawn in 100 draws")
 }
 
-// A key with a tenth of 2,000 requests at 50 endpoints gets 1 + 2*50*200/2020 = 10 replicas, a key with two
-// requests has one, and balancers agree on the replicas.
+// With 50 endpoints, a key with a tenth of 2,000 requests gets 1 + 2*50*200/2020 = 10 replicas, a key with
+// two requests has one replica, and balancers with different seeds agree on the replicas.
 func TestHotKeyHasSeveralReplicas(t *testing.T) {
 	set := testSettings()
 	set.KeyAffinity = true
--- a/decide/load_reports_test.go
+++ b/decide/load_reports_test.go
@@ -4,13 +4,15 @@
 	"testing"
 )
 
-// newLoadReport returns a report with the given figures; the others are absent.
-func newLoadReport(inFlight, queue, latency float64) *LoadReport {
-	return &LoadReport{InFlight: inFlight, QueueLength: queue, Utilization: -1, ServiceTimeMs: latency, RequestRate: -1, ErrorRate: -1}
+// newLoadReport returns a report of the given values, where -1 means that the value is absent. All other
+// values are absent.
+func newLoadReport(inFlight, queueLength, serviceTimeMs float64) *LoadReport {
+	return &LoadReport{InFlight: inFlight, QueueLength: queueLength, Utilization: -1,
+		ServiceTimeMs: serviceTimeMs, RequestRate: -1, ErrorRate: -1}
 }
 
-// An endpoint that reports three times the mean of requests in flight has a quarter of its weight at the
-// mean: ((1+1)/(3+1)) squared. A queue counts with its square root, so less.
+// With a mean of 1 request in flight, an endpoint that reports 3 has the load weight ((1+1)/(3+1))^2 = 0.25.
+// A reported queue of 3 requests counts as only sqrt(1+3) - 1 = 1 request in flight.
 func TestDrawWeightFollowsReportedInFlight(t *testing.T) {
 	w := newWorkload(t, testSettings(), testEndpoints(2)...)
 	w.b.loadReports.meanInFlight = 1
@@ -23,8 +25,8 @@
 	assertNear(t, "load weight at a queue of 3 requests", w.b.loadWeight(q), 1, 1e-9)
 }
 
-// Health checks go to the subset if endpoints report load to health checks alone. In each case they cost at
-// most two thousandths of the service objective over two minutes.
+// Health checks are sent only if endpoints report load only in them and the limits allow them. Over two
+// minutes they cost at most two thousandths of the service objective.
 func TestHealthCheckRateFollowsPrice(t *testing.T) {
 	for _, c := range []struct {
 		fromHealthChecks, allowed bool
@@ -39,9 +41,9 @@
 		w.advance(120*second - int64(120*c.rate)*10_000)
 		checks := w.countActions("probe")
 		if c.wantChecks != (checks > 0) {
-			t.Errorf("%+v: %d health checks", c, checks)
+			t.Errorf("%+v: %d health checks, want some: %t", c, checks, c.wantChecks)
 		}
-		maxChecks := 6 + 6*120.0 // at most one per second
+		maxChecks := 6 + 6*120.0 // at most one per second and endpoint
 		if c.price > 0 {
 			maxChecks = min(maxChecks, 12+maxHealthCheckCost*120*c.rate/c.price*1.2)
 		}
@@ -56,5 +58,5 @@
 		t.Error("the load report of a failed health check was used")
 	}
 	w.b.OnHealthCheck(w.now, HealthCheckOutcome{Server: "s0", Result: Succeeded, Load: newLoadReport(1, -1, 5)})
-	assertNear(t, "latency in ms reported to a health check", w.b.knownEndpoints["s0"].reportedServiceTimeMs, 5, 1e-9)
+	assertNear(t, "service time in ms reported in a health check", w.b.knownEndpoints["s0"].reportedServiceTimeMs, 5, 1e-9)
 }
--- a/decide/outlier_detection.go
+++ b/decide/outlier_detection.go
@@ -1,5 +1,5 @@
-// When an endpoint is ejected and when it is restored, based on the results of this balancer's attempts and
-// separately for each class.
+// Ejection and restoration of endpoints, based on the results of this balancer's attempts and separately for
+// each class.
 //
 // An endpoint is ejected from a class after consecutive failures. After its ejection time it gets a trial,
 // one attempt at a time. A success restores it, and a failure ejects it for longer. An endpoint that is
@@ -14,12 +14,12 @@
 
 const (
 	// ejectAfterFailures is the number of consecutive failures that eject an endpoint. A single failure may
-	// be chance, and a quiet balancer sees few.
+	// be chance, and a balancer with little traffic would take long to see more than two.
 	ejectAfterFailures = 2
 
-	// The duration of the first ejection, in µs. It doubles after each failed trial, up to
-	// maxEjectionMicros, with a jitter of a quarter. An endpoint that has recovered is found within the
-	// longest duration and its jitter.
+	// baseEjectionMicros is the duration of the first ejection, in µs. It doubles after each failed trial,
+	// up to maxEjectionMicros, and each duration has a jitter of ±25%. So an endpoint that has recovered
+	// may have a trial after at most 1.25 times maxEjectionMicros.
 	baseEjectionMicros = 0.5e6
 	maxEjectionMicros  = 8e6
 
@@ -28,8 +28,7 @@
 	restartAssumedAfter = 2 * second
 
 	// minHealthyShare is the share of the subset that must remain healthy after an ejection, unless another
-	// endpoint has just responded (see mayEject). If more endpoints look unhealthy, they have a common
-	// cause.
+	// endpoint has just responded (see mayEject). If more endpoints fail, a common cause is assumed.
 	minHealthyShare = 0.25
 )
 
@@ -72,7 +71,7 @@
 	}
 }
 
-// eject ejects s from a class, or extends its ejection after a failed trial.
+// eject ejects s from a class if mayEject permits it, or extends its ejection after a failed trial.
 func (b *Balancer) eject(now int64, s *endpointState, class int) {
 	e := &s.ejections[class]
 	if !e.ejected && !b.mayEject(now, s, class) {
@@ -105,8 +104,8 @@
 }
 
 // mayEject reports whether s may be ejected from a class: enough of the subset remains, or another endpoint
-// has just responded. In the latter case there is no common cause, and most of the subset may be ejected,
-// as after the loss of a zone.
+// has responded within the last half second and not failed since. In the latter case there is no common
+// cause, and most of the subset may be ejected, as after the loss of a zone.
 func (b *Balancer) mayEject(now int64, s *endpointState, class int) bool {
 	healthy := 0
 	for _, other := range b.subset {
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -6,8 +6,8 @@
 import "slices"
 
 const (
-	// maxQueueShare is the share of the latency objective that a request may wait for its first attempt.
-	// The rest is for the response.
+	// maxQueueShare is the share of the remaining latency objective that a request may wait for its first
+	// attempt. The rest is for the response.
 	maxQueueShare = 0.35
 	// minQueueLength is the number of requests that may wait regardless of the throughput, which is unknown
 	// after a start.
@@ -37,8 +37,8 @@
 	}
 }
 
-// dispatchQueued sends queued requests while there is capacity, highest priority first. It answers requests
-// that have reached their queue deadline or have no permitted endpoint left.
+// dispatchQueued sends queued requests while there is capacity, highest priority first. It rejects or
+// fails requests that have reached their queue deadline or have no permitted endpoint left.
 func (b *Balancer) dispatchQueued(now int64) {
 	waiting := b.queue
 	b.queue = b.queue[:0]
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -1,11 +1,11 @@
-// Tenants over their quota. Their excess requests wait behind others (see Settings.OverQuotaWeight) but are
-// not rejected for that reason alone.
+// Quotas of tenants. Requests over a tenant's quota have a lower priority (see Settings.OverQuotaWeight) but
+// are not rejected for that reason alone.
 
 package decide
 
-// overQuota counts a request of a tenant and reports whether the request is over the tenant's quota. The
-// share of such requests, which are chosen at random, is the share by which the tenant's part of the
-// requests exceeds its part of all allowances.
+// overQuota counts a request of a tenant and reports whether the request is over the tenant's quota.
+// The quota is the tenant's share of the sum of all allowances. If the tenant sends a larger share of all
+// requests, each of its requests is over the quota with the probability 1 - quota/share of requests.
 func (b *Balancer) overQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(b.tenantRequests) {
 		return false
@@ -21,7 +21,7 @@
 	return b.rng.Float64() > fairShare
 }
 
-// decayTenantRequests decays the request counts, once per second.
+// decayTenantRequests decays the tenants' request counts. It runs once per second.
 func (b *Balancer) decayTenantRequests() {
 	for i := range b.tenantRequests {
 		b.tenantRequests[i] *= requestRetention
--- a/decide/work_hint.go
+++ b/decide/work_hint.go
@@ -1,5 +1,5 @@
-// Work hints: clients may state how much work a request is. Latencies are scaled to those of a request of
-// mean size.
+// Work hints: clients may state how much work a request takes. Latencies are scaled to that of a
+// request of mean work.
 
 package decide
 
@@ -8,8 +8,8 @@
 	workProportionalShare = 0.5  // share of a request's latency that is proportional to its work
 )
 
-// workFactor records a work hint and returns how many times longer than the mean such a request takes.
-// Without it, large requests would look like congestion.
+// workFactor records a work hint and returns the expected latency of a request with that hint, as a multiple
+// of the latency of a request of mean work. Without this factor, large requests would look like congestion.
 func (c *classState) workFactor(work int64) float64 {
 	if work <= 0 {
 		return 1
