--- a/internal/fleet/replicator_messages.go
+++ b/internal/fleet/replicator_messages.go
@@ -18,8 +18,8 @@
 
 func (m membershipChanged) handle(r *auditReplicator) { r.onMembership(m.membership) }
 
-// incarnationStarted reports that this process has a new incarnation. done, if not nil, is closed once the audit records of the
-// previous incarnation have ended.
+// incarnationStarted reports that this process has a new incarnation. done, if not nil, is closed once the audit replicator has
+// ended the audit records of the previous incarnation.
 type incarnationStarted struct {
 	self takeover.Member
 	done chan struct{}
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// ReplicationPolicy returns whether and how requests of a class are replicated before they are sent: by the options if they name
-// the class, else by the idempotency.
+// ReplicationPolicy returns whether and how requests of a class are replicated before they are sent. The options decide if they
+// name the class, otherwise the class's idempotency does.
 func (f *Fleet) ReplicationPolicy(class string, i takeover.Idempotency) options.ReplicationPolicy {
 	if policy, ok := f.options.Takeover.PolicyByClass[class]; ok {
 		return policy
@@ -58,7 +58,7 @@
 	return options.NoReplication
 }
 
-// RequiredLease returns the lease without which no request at all is accepted or sent; nil: none is required.
+// RequiredLease returns the lease that must be valid for any request to be accepted or sent, or nil if no lease is required.
 func (f *Fleet) RequiredLease() takeover.Lease {
 	if f.replicator == nil {
 		return nil
@@ -78,5 +78,6 @@
 	}
 }
 
-// MaxRequestAge returns the longest time for which a request's record may be needed: by default the longest deadline of a class.
+// MaxRequestAge returns the longest time for which a request's record may be needed. The default is the longest deadline of a
+// class.
 func (f *Fleet) MaxRequestAge() time.Duration { return f.maxRequestAge }
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -44,8 +44,8 @@
 }
 
 // followPlan applies the version that the plan assigns to this member, and suspends the lease while the plan does not let this
-// member act. The active version number never decreases, since leases are granted for the reported one. followPlan runs on
-// runLeaseRenewal's goroutine.
+// member act. The active version number never decreases, since a lease is granted for the version number that the member has
+// reported. followPlan runs on runLeaseRenewal's goroutine.
 func (f *Fleet) followPlan() {
 	if f.replicator == nil {
 		return
--- a/internal/takeover/replica.go
+++ b/internal/takeover/replica.go
@@ -3,7 +3,8 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// maxExpiredIDs bounds each of the two sets of ids of expired records.
+	// maxExpiredIDs is the size at which the set of ids of expired entries is rotated even if the rotation is not due yet. A
+	// set can exceed this size by the entries that one sweep deletes.
 	maxExpiredIDs = 1 << 17
 	// sweepsPerRetention is the number of searches for expired entries within Config.Retention.
 	sweepsPerRetention = 20
@@ -27,7 +28,8 @@
 	// Hashes of the ids of expired entries, in two generations: each rotation drops the older one.
 	expiredIDs, olderExpiredIDs map[uint64]bool
 	rotatedAt, sweptAt          int64
-	scheduledTakeovers          map[string]bool // ids of entries with a takeoverAt
+	// Ids of all entries with a takeoverAt. startTakeovers removes the ids of deleted entries and of cancelled takeovers.
+	scheduledTakeovers map[string]bool
 }
 
 func newReplica() replica {
