--- a/cmd/damsonscale/builds_test.go
+++ b/cmd/damsonscale/builds_test.go
@@ -18,9 +18,10 @@
 // one and back.
 const otherBuild = "OTHER_BUILD"
 
-// Two builds of the program upgrade to each other, in both directions. A keep-alive connection is served by both in turn, a streamed
-// response continues in the new process, a request in flight is not run twice, and a drain continues. Without OTHER_BUILD the other
-// build is a copy of this one.
+// Two builds of the program upgrade to each other, in both directions. After SIGTERM a keep-alive connection gets one more response,
+// with Connection: close, and new connections are served by the new process. A streamed response continues in the new process, a
+// second request with the id of a request in flight gets 409, and a drain continues. Without OTHER_BUILD the other build is a copy of
+// this one.
 func TestUpgradeBetweenBuilds(t *testing.T) {
 	other := os.Getenv(otherBuild)
 	if other == "" {
@@ -163,7 +164,8 @@
 	eventually(t, "409 for a request with the id of the one in flight", func() bool {
 		second := next.dial(t)
 		io.WriteString(second, text)
-		second.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // accepted and blocked until the new process learns of the id
+		// Until the new process has received the ids in flight, it forwards the request, and the server does not respond.
+		second.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 		resp, err := http.ReadResponse(second.br, nil)
 		second.Close()
 		return err == nil && resp.StatusCode == 409
--- a/cmd/damsonscale/descriptors_test.go
+++ b/cmd/damsonscale/descriptors_test.go
@@ -82,7 +82,7 @@
 	}()
 }
 
-// serve handles one call; restored says whether it arrived after the outage.
+// serve handles one call; restored is true if the call arrived after the outage.
 func (o *discoveryOutage) serve(c net.Conn, restored bool) {
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// restore ends the outage: later calls are sent l.
+// restore ends the outage: later calls get the list l.
 func (o *discoveryOutage) restore(t *testing.T, l list) {
 	t.Helper()
 	text, _ := json.Marshal(l)
--- a/cmd/damsonscale/disconnect_test.go
+++ b/cmd/damsonscale/disconnect_test.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// hasSeenClose reports whether the kernel has delivered the end of a client's connection to the program, by /proc/net/tcp.
+// hasSeenClose reports whether the kernel has delivered the end of a client's connection to the program. It reads /proc/net/tcp.
 func (p *program) hasSeenClose(t *testing.T, client net.Addr) bool {
 	t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
@@ -107,7 +107,7 @@
 	}
 }
 
-const settleDelay = 50 * time.Millisecond // for sent bytes to reach the state under test
+const settleDelay = 50 * time.Millisecond // time for the program to read the sent bytes and reach the state under test
 
 // sendAll sends the request of every client.
 func sendAll(t *testing.T, all []*disconnectingClient) {
@@ -117,7 +117,8 @@
 	}
 }
 
-// disconnect closes all clients while the program is stopped, and returns once the kernel has delivered the end of each connection.
+// disconnect closes the connections of all clients while the program is stopped, and returns once the kernel has delivered the end
+// of each connection.
 func (p *program) disconnect(t *testing.T, all []*disconnectingClient) {
 	t.Helper()
 	for _, l := range all {
@@ -199,7 +200,7 @@
 	return w
 }
 
-// behindColdServer keeps the requests waiting in the balancer for the slow start ration of a cold server, until the list has another
+// behindColdServer keeps the requests waiting in the balancer for slow start tokens of a cold server, until the list has another
 // server.
 func (s *setup) behindColdServer(t *testing.T) *waitScenario {
 	cold, server := standin.NewServer(t, standin.EchoRequestID), standin.NewServer(t, standin.EchoRequestID)
@@ -283,7 +284,7 @@
 		{"not read yet", (*setup).unreadRequest},
 		{"not read yet, on keep-alive connections", (*setup).unreadRequestOnKeepAlive},
 		{"half a body read", (*setup).halfReadBody},
-		{"waiting for a cold server's ration", (*setup).behindColdServer},
+		{"waiting for slow start tokens of a cold server", (*setup).behindColdServer},
 		{"waiting for a dial", (*setup).duringDial},
 		{"between two attempts, first declined", (*setup).betweenAttemptsDeclined},
 		{"between two attempts, first closed", (*setup).betweenAttemptsClosed},
--- a/cmd/damsonscale/discovery_faults_test.go
+++ b/cmd/damsonscale/discovery_faults_test.go
@@ -18,16 +18,16 @@
 	timelineDuration = 25 * time.Second
 	settleTime       = updateDeadline + stopSendingGrace // from the last event to the end of a timeline
 	faultSpacing     = 7 * time.Second                   // minimum time between faults that make calls fail
-	pauseDuration    = 150 * time.Millisecond            // of the process, by SIGSTOP
+	pauseDuration    = 150 * time.Millisecond            // time for which the process is stopped by SIGSTOP
 )
 
 // faultTimeline is a sidecar under load, discovery faults drawn from a seed, and the state that checkRequest needs.
 type faultTimeline struct {
 	*loadedSidecar
 	random  *rand.Rand
-	other   *standin.Registry // discovery's next address, with the same lists
+	other   *standin.Registry // the address to which discovery moves next, with the same lists
 	seq     int64
-	removed bool
+	removed bool // the list is without the second server, or has it as Terminating
 	events  []string
 
 	mu             sync.Mutex
@@ -35,10 +35,10 @@
 	absent         []absence
 	started        time.Time // start of the process
 	reachableAt    time.Time // since when discovery has been reachable; zero: it is not reachable
-	noFaultsBefore time.Time // no fault that fails calls is injected before this time
+	noFaultsBefore time.Time // no fault that makes calls fail is injected before this time
 }
 
-// absence is a period in which the second server is not listed.
+// absence is a period in which the second server is not listed, or is listed as Terminating.
 type absence struct{ from, to time.Time }
 
 func (d *faultTimeline) logEvent(format string, args ...any) {
@@ -69,8 +69,9 @@
 	d.logEvent("list version %d, second server removed %v", d.seq, d.removed)
 }
 
-// checkRequest records a request at the second server, and adds a violation if the server was removed too long ago. A removal binds
-// updateDeadline after discovery has had it and been reachable, and no earlier than stopSendingGrace after the process start.
+// checkRequest records a request at the second server, and adds a violation if the server was removed too long ago. A removed
+// server must get no request later than updateDeadline after discovery has the removal and is reachable. A process that has just started has
+// at least stopSendingGrace from its start.
 func (d *faultTimeline) checkRequest(at time.Time) {
 	d.leaving.last.Store(at.UnixNano())
 	d.mu.Lock()
@@ -102,7 +103,7 @@
 		d.toggleSecondServer()
 	case event < 7 && mayFail:
 		how, fault, calls := standin.WatchBreak(d.random.IntN(4)), callFaults[d.random.IntN(len(callFaults))], d.random.IntN(3)
-		d.logEvent("open watches end, kind %d, then %d calls meet fault %d", how, calls, fault)
+		d.logEvent("open watches break in way %d, then %d calls get fault %d", how, calls, fault)
 		d.noFaultsBefore = time.Now().Add(faultSpacing)
 		d.registry.BreakWatches(how, fault, calls)
 		if d.random.IntN(2) == 0 {
@@ -147,7 +148,7 @@
 
 // moveDiscovery reloads the sidecar with discovery's other address, where the first calls may fail.
 func (d *faultTimeline) moveDiscovery(t *testing.T, fault standin.Fault, calls int) {
-	d.logEvent("discovery moves, then %d calls meet fault %d", calls, fault)
+	d.logEvent("discovery moves, then %d calls get fault %d", calls, fault)
 	d.registry, d.other = d.other, d.registry
 	d.registry.BreakWatches(standin.WatchSilent, fault, calls)
 	d.reload(t, d.registry.Addr)
@@ -210,10 +211,10 @@
 	return violations
 }
 
-// Plays random timelines of discovery faults: watches that end in four ways, calls that fail in eight, outages of five kinds, older
-// lists, restarts with an old list, moves to another address whose first calls may fail, and pauses of 0.15 s, with changes of the
-// list in between. A removed server must get no request later than 6 s after discovery has had the removal and been reachable.
-// DRAWN sets the number of timelines (300, for example, instead of 4) and DRAWN_SEED the first seed.
+// Plays random timelines of discovery faults: watches that break in four ways, calls that fail in eight ways, outages of five kinds,
+// older lists, restarts with an old list, moves to another address whose first calls may fail, and pauses of 0.15 s, with changes of
+// the list in between. A removed server must get no request later than 6 s after discovery has the removal and is reachable. DRAWN
+// sets the number of timelines (300, for example, instead of 4) and DRAWN_SEED the first seed.
 func TestRandomDiscoveryFaults(t *testing.T) {
 	t.Parallel()
 	timelines, first := 4, 1
--- a/cmd/damsonscale/endpoint_updates_test.go
+++ b/cmd/damsonscale/endpoint_updates_test.go
@@ -26,12 +26,12 @@
 type loadedSidecar struct {
 	*program
 	name           string
-	path           string // used by this sidecar's requests only
+	path           string // path and query of this sidecar's requests; no other sidecar's requests have them
 	registry       *standin.Registry
-	remaining      string
+	remaining      string // address of the server that stays in the list
 	leaving        *leavingServer
 	reachableAt    time.Time // when discovery had the change and was reachable
-	stop           chan bool
+	stop           chan bool // closed to end the load
 	failedRequests atomic.Int64
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// removeServer publishes a list without the second server in r.
+// removeServer publishes, in registry r, a list without the second server.
 func (a *loadedSidecar) removeServer(r *standin.Registry) {
 	r.SetList(50, encodeList(&list{Seq: 50, Whole: true, Hosts: []host{hostAt("s1", a.remaining, "Ready")}}))
 }
@@ -156,7 +156,7 @@
 	}
 	took := at.Sub(a.reachableAt)
 	if !ok || took > updateDeadline {
-		t.Errorf("%s: change received %v, after %v, want it within %v\n%s", a.name, ok, took, updateDeadline, a.log.String())
+		t.Errorf("%s: change received: %v, after %v, want it received within %v\n%s", a.name, ok, took, updateDeadline, a.log.String())
 	}
 	if ok {
 		time.Sleep(time.Until(at.Add(stopSendingGrace + 500*time.Millisecond)))
@@ -206,8 +206,8 @@
 	}
 }
 
-// A change that is made when the watch falls silent, once or twice in a row, is received within 6 s, as discovery serves calls all the
-// time. The test guards against detecting the silence too late for another call within the limit.
+// A change that is made when the watch falls silent, once or twice in a row, is received within 6 s, since discovery serves calls all
+// the time. The test guards against detecting the silence too late for another call within the limit.
 func TestChangesAfterASilentWatchAreAppliedInTime(t *testing.T) {
 	t.Parallel()
 	silenceOnce := func(a *loadedSidecar) {
@@ -238,7 +238,7 @@
 
 // A silent watch is followed by a call that hangs, or a reload moves the sidecar to a discovery whose first calls hang or fail. A change
 // is received within 6 s of the time when discovery has it and is reachable, by a new call in place of the one that hangs. The test
-// guards against a first failure, after a silent watch or a move, whose next call waits for the sidecar's slot in the fleet.
+// guards against a schedule in which the call after such a first failure waits for a time slot that each sidecar of the fleet has.
 func TestChangesAfterFailedCallsAreAppliedInTime(t *testing.T) {
 	t.Parallel()
 	for name, injectFault := range map[string]func(a *loadedSidecar){
@@ -283,10 +283,10 @@
 	}
 }
 
-// A discovery that handles calls one after another, and was stuck or down for a while, sends each of ten sidecars its list within
-// 6 s, in response to their first calls. After being stuck, all calls are queued at its return, 4.2 s of work in total. After being
-// down, some calls arrive as late as 4.5 s, and the ones before them take up time too. The test guards against sidecars that give up
-// queued calls and make new ones.
+// A discovery that handles calls one after another, and was stuck or down for a while, sends each of ten sidecars its list within 6
+// s, in response to their first calls. After being stuck, all calls are queued at its return, 4.2 s of work in total. After being
+// down, some calls arrive as late as 4.5 s after its return, and the calls before them take up time too. The test guards against
+// sidecars that give up queued calls and make new ones.
 func TestChangesFromOverloadedDiscoveryAreAppliedInTime(t *testing.T) {
 	t.Parallel()
 	const n = 10
@@ -325,21 +325,21 @@
 
 // A watch ends without reporting a change, and the next two calls fail. The change still applies within 6 s, for each way in which a
 // watch ends and a call fails. Incident incident-1: after a silent watch there was time for one call, and none to repeat it if it
-// failed; in a fleet of 294, a few sidecars met such a sequence and sent to servers that had left the list over 8 s before.
+// failed; in a fleet of 294 sidecars, a few had such a sequence and sent requests to servers that had left the list over 8 s before.
 func TestChangesAfterTwoFailedCallsAreAppliedInTime(t *testing.T) {
 	type fleet struct {
 		balancers int
 		pushed    bool
 	}
 	fleets := []fleet{{300, false}, {300, true}}
-	if os.Getenv("TOLD") != "" { // covers all fleet sizes of the design note
+	if os.Getenv("TOLD") != "" { // covers fleets of 1 to 900 balancers
 		fleets = []fleet{{1, false}, {30, false}, {300, false}, {900, false}}
 	}
 	breaks := map[string]standin.WatchBreak{
-		"silent": standin.WatchSilent, "half a line": standin.WatchStallsWithinList, "reset": standin.WatchReset, "ended": standin.WatchEnded,
+		"silent": standin.WatchSilent, "part of a list": standin.WatchStallsWithinList, "reset": standin.WatchReset, "ended": standin.WatchEnded,
 	}
 	faults := map[string]standin.Fault{
-		"503": standin.RespondUnavailable, "reset": standin.ResetConnections, "hangs": standin.NeverRespond, "head alone": standin.StallAfterHeaders, "half a list": standin.StallWithinList,
+		"503": standin.RespondUnavailable, "reset": standin.ResetConnections, "hangs": standin.NeverRespond, "response headers only": standin.StallAfterHeaders, "part of a list": standin.StallWithinList,
 	}
 	for breakName, how := range breaks {
 		t.Run(breakName, func(t *testing.T) {
@@ -363,8 +363,9 @@
 }
 
 // A process that starts with a known list asks for the current list at once. A change made over 6 s before the start counts as
-// received from the start on, and binds stopSendingGrace later. Incident incident-1: restarted processes waited for their slot in
-// the fleet, up to 7 s after their start, and sent to servers that had left the list before it.
+// received at the start, so a removed server must get no request later than stopSendingGrace after the start. Incident incident-1:
+// restarted processes waited for their time slot in the fleet, up to 7 s after their start, and sent requests to servers that had left
+// the list before the start.
 func TestStartWithStaleEndpointsPollsInTime(t *testing.T) {
 	t.Parallel()
 	var done sync.WaitGroup
--- a/cmd/damsonscale/main_test.go
+++ b/cmd/damsonscale/main_test.go
@@ -23,8 +23,8 @@
 	"damsonscale/internal/lab/standin"
 )
 
-// TestMain runs the test binary in the role that DAMSONSCALE_RUN_MAIN names, so that tests can start it as the program and talk to
-// it on loopback.
+// TestMain runs the test binary in the role that DAMSONSCALE_RUN_MAIN names, so that tests can start the test binary as the program and
+// connect to the program on loopback.
 func TestMain(m *testing.M) {
 	switch os.Getenv("DAMSONSCALE_RUN_MAIN") {
 	case "1":
@@ -509,7 +509,8 @@
 	}
 }
 
-// A server that never responds delays its client no longer than the request's deadline.
+// A request that its server never responds to ends with 502 or 504 and is not retried. The test does not check that the request ends by
+// its deadline.
 func TestUnresponsiveServerFailsByDeadlineWithoutRetry(t *testing.T) {
 	var attempts atomic.Int64
 	p, _ := startWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -570,7 +571,7 @@
 	}
 }
 
-// A watch that ends is reopened from the last version seen. After invalid data the sidecar asks for the complete list.
+// A watch that ends is reopened from the last list version received. After invalid data the sidecar asks for the complete list.
 func TestEndpointWatchIsReopened(t *testing.T) {
 	p, d := startWithServer(t, func(_ http.ResponseWriter, _ *http.Request) {})
 	<-d.watches
@@ -671,7 +672,7 @@
 	}
 	p.reload(t, "nowhere")
 	p.reload(t, second.addr)
-	if q := <-second.watches; q != "watch=1" { // one service's versions mean nothing to another
+	if q := <-second.watches; q != "watch=1" { // the list versions of one discovery service mean nothing to another
 		t.Fatalf("first watch at the new address has query %q, want %q", q, "watch=1")
 	}
 	if got := served(); got != "yes" {
@@ -683,7 +684,7 @@
 	p.reload(t, third.addr)
 	<-third.watches
 	third.sendList(t, list{Seq: 9, Whole: true, Hosts: []host{hostAt("s1", respondingYes, "Ready")}})
-	eventually(t, "the list of the address of the second reload", func() bool { return served() == "yes" })
+	eventually(t, "the list of the third address", func() bool { return served() == "yes" })
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-p.done; err != nil {
 		t.Fatalf("process exited with %v, want 0", err)
@@ -762,7 +763,7 @@
 	}
 }
 
-// With more client connections than the limit on sockets, idle ones are closed to make room and every request is served.
+// With more client connections than the limit on sockets, idle connections are closed to make room and every request is served.
 func TestMoreClientsThanSockets(t *testing.T) {
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
 		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 48}
@@ -856,7 +857,8 @@
 	}
 }
 
-// Clients that keep sending for a while after SIGTERM, on existing and new connections, lose no request.
+// Clients send on existing connections after SIGTERM, and open new ones for up to 250 ms. Every request gets a response, with status 200
+// or 503.
 func TestSIGTERMUnderTrafficLosesNoRequest(t *testing.T) {
 	p, _ := startWithServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(3 * time.Millisecond)
@@ -893,8 +895,9 @@
 	}
 }
 
-// Settings under watch are compared with the ones in force in shadow mode: the result is logged and requests are served as before.
-// Invalid settings under watch end the start with an error that names the key.
+// The settings of the configuration key watch run in shadow mode: their decisions are compared with those of the active settings, the
+// result is logged, and requests are served as before. If the settings under watch are invalid, the program exits at its start with an
+// error that names their key.
 func TestShadowSettingsAreCompared(t *testing.T) {
 	watched := func(every float64, weights string) func(map[string]any) {
 		return func(c map[string]any) {
--- a/cmd/damsonscale/operations_test.go
+++ b/cmd/damsonscale/operations_test.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// A successor that dies before it can serve, twice, does not disturb the running process. If the running process dies first, the
-// starting successor takes over the connections that arrive.
+// Two successors that die, one after the other, before they can serve do not disturb the running process. If the running process
+// dies first, the starting successor takes over the connections that arrive.
 func TestUpgradeWhenOneProcessDies(t *testing.T) {
 	p, d := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, withAdmin(t))
 	p.waitHealthy(t)
@@ -270,7 +270,7 @@
 }
 
 // A stale regular file in place of the handover socket does not prevent an upgrade: both processes share the listen address, and the
-// log says so.
+// new process logs address_shared=true.
 func TestUpgradeWithoutHandover(t *testing.T) {
 	dir := t.TempDir()
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }, func(c map[string]any) {
@@ -376,7 +376,8 @@
 	check()
 }
 
-// The new process rejects a request whose id is in flight in the old process, so that the request is not run twice.
+// Once the new process has received the ids of the old process's requests in flight, it responds with 409 to requests with these ids,
+// so that they are not run twice.
 func TestDuplicateRequestIDAcrossUpgradeGets409(t *testing.T) {
 	arrived, finish := make(chan bool, 4), make(chan bool)
 	p, _ := startWithServerAndConfig(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -396,7 +397,8 @@
 	eventually(t, "409 for a request with the id of the one in flight", func() bool {
 		second := next.dial(t)
 		io.WriteString(second, text)
-		second.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // accepted and blocked until the new process learns of the id
+		// Until the new process has received the ids in flight, it forwards the request, and the server does not respond.
+		second.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 		resp, err := http.ReadResponse(second.br, nil)
 		second.Close()
 		return err == nil && resp.StatusCode == 409
--- a/cmd/damsonscale/slow_start_test.go
+++ b/cmd/damsonscale/slow_start_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Slow start settings of the fleet, and the capacity of a warm server.
+// Slow start settings of the fleet, and the load that a warm server gets.
 const (
 	slowStartMinShare = 0.9  // share of its capacity that a server gets at its start
 	slowStartSeconds  = 20.0 // duration of slow start in s
-	overloadFactor    = 3.0
-	windowSeconds     = 0.5 // in s
-	warmRate          = 6.0 // requests per second that a warm server can handle
+	overloadFactor    = 3.0  // multiple of its reached capacity that a server may get within a window
+	windowSeconds     = 0.5  // duration of the window in which requests are counted, in s
+	warmRate          = 6.0  // requests per second for each warm server; counts as its capacity
 )
 
 // coldServer is a server that records when requests arrive.
@@ -48,8 +48,8 @@
 }
 
 // checkSlowStart checks the number of requests in every window that begins with a request, by the server's own clock, and returns the
-// number of all requests. Requests delayed by a busy machine arrive later and bunched: a delay adds at most the mean number of requests
-// of its duration, and the bound leaves room for a delay of about one window.
+// number of all requests. A busy machine can delay requests, which then arrive together: a delay adds at most as many requests to a
+// window as arrive on average in a time as long as the delay, and the bound leaves room for a delay of about one window.
 func (s *coldServer) checkSlowStart(t *testing.T) (arrived int) {
 	t.Helper()
 	s.mu.Lock()
@@ -121,7 +121,7 @@
 	}()
 }
 
-// sendSteadily sends requests to the targets in turn for the given time, at the rate that the warm servers can handle.
+// sendSteadily sends requests to the targets in turn for the given time, at warmRate per warm server.
 func (f *testFleet) sendSteadily(seconds float64, targets ...*program) {
 	gap := time.Duration(float64(time.Second) / (warmRate * float64(len(f.warm))))
 	for end := time.Now().Add(time.Duration(seconds * 1e9)); time.Now().Before(end); time.Sleep(gap) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// burst sends that many requests to each sidecar at once.
+// burst sends each sidecar the given number of requests at once.
 func (f *testFleet) burst(each int) {
 	for _, p := range f.sidecars {
 		for range each {
@@ -144,7 +144,7 @@
 	f.discoveries[i].sendList(f.t, list{Seq: seq, Whole: true, Hosts: hosts})
 }
 
-// Many sidecars together do not exceed a cold server's slow start limit. The servers count the requests in every window.
+// Many sidecars together do not exceed a cold server's slow start limit. Each cold server records when its requests arrive.
 func TestSlowStartAcrossManySidecars(t *testing.T) {
 	for _, n := range []int{20, 30} {
 		arrived := 0
--- a/cmd/damsonscale/startup_test.go
+++ b/cmd/damsonscale/startup_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "DAMSONSCALE_RUN_MAIN="+runBurner)
-	in, err := cmd.StdinPipe() // also ends with this process
+	in, err := cmd.StdinPipe() // closes when this process exits, which ends the other process
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 	})
 }
 
-// startRegistry starts a registry that handles one call at a time, each for the given duration, and returns its address. With each of
-// 0 it handles all calls at once.
+// startRegistry starts a registry that handles one call at a time, each for the given duration, and returns its address. If each is
+// 0, it handles all calls at once.
 func startRegistry(t *testing.T, each time.Duration, l list) string {
 	r := standin.NewRegistry(t, standin.NoFault)
 	r.SetList(int64(l.Seq), encodeList(&l))
@@ -84,7 +84,7 @@
 const (
 	sidecarCount      = 30                // sidecars that are restarted
 	plainCount        = 6                 // plain processes that are restarted among them
-	readyDeadline     = 10 * time.Second  // nine in ten restarted sidecars must be ready within this time
+	readyDeadline     = 10 * time.Second  // time from the start within which nine in ten restarted sidecars must be ready
 	plainReadyLimit   = readyDeadline / 3 // a plain process that takes longer shows that the machine is too slow
 	maxRounds         = 3                 // rounds of a case before the test fails
 	readyPollInterval = 20 * time.Millisecond
@@ -166,9 +166,9 @@
 	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))].Round(time.Millisecond)
 }
 
-// On a busy machine, nine in ten restarted sidecars are ready within 10 s and all of them become ready, whatever state discovery is in.
-// If more are late, and so is a plain process restarted among them, the machine is too slow to tell: the round is void and repeated.
-// After three void rounds the test fails.
+// On a busy machine, nine in ten restarted sidecars are ready within 10 s and all of them become ready, whatever state discovery is
+// in. If more are late, and a plain process restarted among them takes longer than plainReadyLimit, the machine is too slow for a
+// result: the round is void and repeated. After three void rounds the test fails.
 func TestRestartedProcessesBecomeReadyInTime(t *testing.T) {
 	server := standin.NewServer(t, standin.EchoRequestID)
 	l := list{Seq: 41, Whole: true, Hosts: []host{hostAt("s1", server.Addr, "Ready")}}
@@ -199,7 +199,7 @@
 		discovery func(t *testing.T) (addr string, started func())
 		known     bool // the configuration has a known list
 		pushed    bool
-		rolling   bool // restarts by SIGTERM in ten waves; false: SIGKILL to all at once
+		rolling   bool // restarts by SIGTERM in twelve waves of three processes; false: SIGKILL to all at once
 	}{
 		{"at once, down", down, true, false, false},
 		{"at once, overloaded", overloaded, true, false, false},
@@ -256,7 +256,7 @@
 					return
 				}
 				if !plainWereLate(t, starts) {
-					t.Fatal("too many sidecars were late, but no plain process was")
+					t.Fatal("more than one in ten sidecars were late, but no plain process was")
 				}
 				if round == maxRounds {
 					t.Fatalf("%d void rounds: plain processes were late too, so this machine is too slow for the test", maxRounds)
--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -26,7 +26,7 @@
 // a mean of 200 ms, so the speeds are 2, 2 and 0.5. An endpoint without a report gets the mean service time
 // of its machine kind, here 400 ms. Scaled to a mean of 1, the capacities are 1.6, 1.6, 0.4 and 0.4. Invalid
 // reports change nothing.
-func TestCapacityFollowsReportedLatency(t *testing.T) {
+func TestCapacityFollowsReportedServiceTime(t *testing.T) {
 	list := testEndpoints(4)
 	list[2].MachineKind, list[3].MachineKind = "old", "old"
 	w := newWorkload(t, testSettings(), list...)
