--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -8,8 +8,8 @@
 )
 
 // Execute replicates a request, executes it with execute if this member is its owner, and returns the outcome for its client.
-// clientGone is closed when the client disconnects. Execute blocks until there is an outcome. If the
-// client disconnects, the request times out or the member stops before that, Execute returns OutcomeClientGone.
+// clientGone is closed when the client disconnects. Execute blocks until there is an outcome. If the client disconnects,
+// the request times out or the member stops before that, Execute returns OutcomeClientGone.
 func (f *Fleet) Execute(r takeover.Request, clientGone <-chan struct{}, execute func(takeover.SendPermit) takeover.Result) takeover.Outcome {
 	waiter := make(chan takeover.Outcome, 1)
 	timeout := time.NewTimer(r.Timeout)
--- a/internal/takeover/replica.go
+++ b/internal/takeover/replica.go
@@ -151,7 +151,7 @@
 }
 
 // refusePrepare returns the reason for refusing a Prepare, or Promised if there is none. e is nil if the id has no entry. A
-// request stays with an owner that is a member and has no response yet.
+// request stays with its owner while the owner is a member and the record has no response yet.
 func (n *Node) refusePrepare(now int64, e *entry, m *Message) MessageKind {
 	if e == nil {
 		switch {
