--- a/internal/discovery/limited_log.go
+++ b/internal/discovery/limited_log.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	logBurst          = 40                     // log lines that may be written at once
-	logRefillInterval = 500 * time.Millisecond // until the rate limit allows one more line
+	logBurst          = 40                     // number of log lines that may be written at once
+	logRefillInterval = 500 * time.Millisecond // time after which the rate limit allows one more line
 )
 
 // limitedLog is a log with a rate limit (a token bucket); it counts the lines that it drops. It is not safe for concurrent
@@ -28,14 +28,14 @@
 	dropped    int // lines dropped since the last line that was written
 }
 
-// info logs an event of normal operation with eventlog.Info.
+// info calls eventlog.Info for an event of normal operation, unless the rate limit drops the line.
 func (l *limitedLog) info(now time.Time, event string, args ...any) {
 	if l.allow(now) {
 		eventlog.Info(event, l.withDropped(args)...)
 	}
 }
 
-// warn logs a fault that the client recovers from with eventlog.Warn.
+// warn calls eventlog.Warn for a fault from which the client recovers, unless the rate limit drops the line.
 func (l *limitedLog) warn(now time.Time, event string, cause error, args ...any) {
 	if l.allow(now) {
 		eventlog.Warn(event, cause, l.withDropped(args)...)
@@ -58,7 +58,7 @@
 	return true
 }
 
-// withDropped adds the number of lines dropped since the last written line, if any.
+// withDropped adds the number of lines dropped since the last written line to args, unless that is 0, and resets the number.
 func (l *limitedLog) withDropped(args []any) []any {
 	if l.dropped > 0 {
 		args = append(args, "lines_left_out", l.dropped)
--- a/internal/discovery/watch_call.go
+++ b/internal/discovery/watch_call.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	dialTimeout = time.Second      // for the connection to the discovery service
-	maxHeadWait = 12 * time.Second // from the established connection to the end of the response's header
+	dialTimeout = time.Second      // time limit for connecting to the discovery service
+	maxHeadWait = 12 * time.Second // time limit from the established connection to the end of the response's header
 )
 
 var (
 	errMalformed = errors.New("malformed endpoint list")
-	errSilent    = errors.New("no heartbeat on the watch")
+	errSilent    = errors.New("no complete update and no heartbeat on the watch in time")
 	errStale     = errors.New("endpoint list is older than the list in force")
 )
 
-// watchCall is a request for a watch. onHeartbeat and onUpdate run on the goroutine of run, onQuiet on a goroutine of its
-// own; none of them may be nil.
+// watchCall is an HTTP request that opens a watch. onHeartbeat and onUpdate run on the goroutine of run, onQuiet on a
+// goroutine of its own; none of them may be nil.
 type watchCall struct {
 	addr        string
 	fromSeq     int64         // last sequence number received; -1: request the full list
-	dialTimeout time.Duration // for the connection
-	headTimeout time.Duration // from the established connection to the end of the response's header
+	dialTimeout time.Duration // time limit for connecting
+	headTimeout time.Duration // time limit from the established connection to the end of the response's header
 	onQuiet     func()        // called after quietTimeout without a heartbeat or update
 	onHeartbeat func()        // called for each empty line outside an update
 	onUpdate    func(*Update)
@@ -67,6 +67,7 @@
 	return readUpdates(reader, c.onUpdate)
 }
 
+// sendRequest writes the HTTP request to the connection.
 func (c *watchCall) sendRequest(conn net.Conn) error {
 	target := "/registry/instances?watch=1"
 	if c.fromSeq >= 0 {
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -15,7 +15,7 @@
 const (
 	maxBodyBytes = upstream.MaxBodyBytes
 
-	// minBufferedBytes is the part of a body that is buffered even if the budget is used up.
+	// minBufferedBytes is the number of bytes of a body that are buffered even if the budget is used up.
 	minBufferedBytes = 8 << 10
 )
 
@@ -47,7 +47,7 @@
 	readBytes int64     // bytes read from source so far
 	buffered  []byte
 	remainder *upstream.BodyRemainder // nil if buffered is the complete body
-	stopped   atomic.Bool             // set by stop: reads fail
+	stopped   atomic.Bool             // set by stop; if true, reads fail
 }
 
 // newRequestBody returns the body of a request whose head was read.
@@ -60,8 +60,9 @@
 	return b
 }
 
-// buffer reads up to upstream.MaxBufferedBytes bytes, or up to minBufferedBytes if the budget is used up. The rest of the
-// body becomes the remainder.
+// buffer reads the first bytes of the body from the client: up to upstream.MaxBufferedBytes, or up to minBufferedBytes if the
+// budget has too few bytes left. The rest of the body becomes the remainder. buffer returns a rejection if the body is too
+// long or can't be read.
 func (b *requestBody) buffer() *rejection {
 	if b.source == nil {
 		return nil
@@ -114,7 +115,7 @@
 func (b *requestBody) Read(p []byte) (n int, err error) {
 	b.conn.stopWatch()
 	b.conn.Conn.SetReadDeadline(time.Now().Add(bodyStallTimeout))
-	if b.stopped.Load() { // stop may have set expiredDeadline before this deadline
+	if b.stopped.Load() { // the deadline set above may have replaced the expiredDeadline of stop
 		b.conn.Conn.SetReadDeadline(expiredDeadline)
 	}
 	n, err = b.source.Read(p)
@@ -139,8 +140,8 @@
 	return reject(fasthttp.StatusBadRequest, "malformed body")
 }
 
-// finish ends the reading of the remainder. It returns an error if the remainder was not read completely; the connection
-// can't be used for further requests then.
+// finish ends the reading of the remainder. It returns an error if the remainder was not read completely; the client's
+// connection can't be used for further requests then.
 func (b *requestBody) finish() error {
 	if b.remainder == nil {
 		return nil
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -37,7 +37,7 @@
 	target   []byte        // path and query
 }
 
-// parseRequest validates a head and parses the fields that the decision module needs.
+// parseRequest validates a head and parses the fields that package decide needs.
 func (f *Frontend) parseRequest(h *fasthttp.RequestHeader) (*parsedRequest, *rejection) {
 	if rejected := checkFraming(h); rejected != nil {
 		return nil, rejected
--- a/internal/sidecar/messages.go
+++ b/internal/sidecar/messages.go
@@ -24,10 +24,10 @@
 
 func (m clientDisconnected) handle(s *Sidecar, now int64) { s.onClientDisconnected(now, m.call) }
 
-// streamStarted reports that an attempt has a response that is streamed.
+// streamStarted reports that the response to an attempt is streamed.
 type streamStarted struct {
 	call   *Call
-	number int // of the attempt, from 0 in the order of sending
+	number int // number of the attempt, counted from 0 in the order of sending
 	stream *upstream.Stream
 }
 
@@ -36,7 +36,7 @@
 // attemptEnded reports the end of an attempt.
 type attemptEnded struct {
 	call    *Call
-	number  int // of the attempt, from 0 in the order of sending
+	number  int // number of the attempt, counted from 0 in the order of sending
 	attempt *upstream.Attempt
 	result  upstream.AttemptResult
 }
@@ -64,7 +64,8 @@
 
 func (m endpointsUpdated) handle(s *Sidecar, now int64) { s.onEndpointsUpdated(now, m.update) }
 
-// configChanged puts a configuration in force. notify runs on the goroutine of Run; done is closed after it.
+// configChanged puts a configuration in force. notify runs on the goroutine of Run; done is closed after
+// notify has returned.
 type configChanged struct {
 	config *config.Config
 	notify func(*decide.Settings)
@@ -103,7 +104,8 @@
 	}
 }
 
-// socketShortage reports that an attempt waits for a socket. Each server endpoint then closes its longest idle connection.
+// socketShortage reports that no socket is available for an attempt. Each server endpoint then closes the connection that
+// has been idle longest.
 type socketShortage struct{}
 
 func (socketShortage) handle(s *Sidecar, _ int64) {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -168,7 +168,7 @@
 			select {
 			case ok := <-done:
 				if !ok {
-					t.Fatal("unexpected status, or abandoned is wrong")
+					t.Fatalf("got another result than status DeadlineExceeded and abandoned %v", c.abandoned)
 				}
 			case <-time.After(10 * time.Second):
 				t.Fatal("Do did not return within 10 s")
@@ -188,7 +188,7 @@
 	c := newTestCall("a", 0, time.Hour)
 	c.gate.Close()
 	if askActor(s, func() bool { s.onRequest(s.now(), c); return s.balancer.IsOpen("a") }) {
-		t.Fatal("the balancer has the request, although it ended before")
+		t.Fatal("the balancer has the request, although the request ended before its admission")
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 	(<-s.mailbox).handle(s, s.now())
 	if out := s.serverEndpoints["s1"].inFlight; out != 0 {
-		t.Errorf("%d in flight after the end of the health check, want 0", out)
+		t.Errorf("%d attempts and health checks in flight after the end of the health check, want 0", out)
 	}
 }
 
@@ -275,8 +275,8 @@
 	}
 }
 
-// A call that was read before a change of the settings keeps its class by name. If the class no longer exists or has other
-// semantics, the call is rejected and nothing is sent.
+// A call that was read before a change of the settings keeps its class by name. If the class has other semantics by then, the
+// call is rejected.
 func TestCallReadBeforeConfigChangeIsMappedByClassName(t *testing.T) {
 	s := newTestSidecar(t, startServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "yes") }))
 	runSidecar(t, s)
@@ -370,7 +370,8 @@
 	eventually(t, func() bool { return len(s.InFlightIDs()) == 0 })
 }
 
-// A call that requires a lease is rejected at once if the lease is missing at its admission or lost after it.
+// A call that requires a lease is rejected at once if this process does not hold the lease when the call is
+// admitted, or loses the lease later.
 func TestCallWithoutRequiredLeaseIsRejected(t *testing.T) {
 	var received atomic.Bool
 	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, _ *http.Request) { received.Store(true) }))
@@ -418,8 +419,8 @@
 	}
 }
 
-// Audit events have the configuration version in force at their time, servers get the reference of the event, and an attempt
-// that was not sent is recorded.
+// Audit events have the configuration version in force at their time, a server gets the reference of the event of its
+// attempt, and an attempt that was not sent is recorded.
 func TestAuditEventsAreRecorded(t *testing.T) {
 	auditRefs := make(chan string, 4)
 	s := newTestSidecar(t, startServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -450,7 +451,7 @@
 	got := askActor(s, func() []string { return slices.Clone(rec.events) })
 	want := []string{"took 1 a look", "sent 1 a s1", "took 301 b look", "sent 301 b s1", "unsent 301 b s1"}
 	if len(got) < len(want) || !slices.Equal(got[:len(want)], want) {
-		t.Errorf("audit events %q, want first %q", got, want)
+		t.Errorf("got audit events %q, want a list that begins with %q", got, want)
 	}
 	if !strings.HasPrefix(auditRef, "n/0/2/") {
 		t.Errorf("the server got the audit reference %q, want the prefix n/0/2/", auditRef)
--- a/internal/sidecar/start_times_test.go
+++ b/internal/sidecar/start_times_test.go
@@ -7,10 +7,9 @@
 	"damsonscale/internal/discovery"
 )
 
-// After a step of the wall clock a server never counts as older than it is, nor as started in the future. A start keeps its
-// converted time however often it is listed.
+// After a step of the wall clock a server never counts as older than it is, nor as started in the future. A reported
+// start time is converted only once, however often the server is listed.
 func TestServerAgeIsNeverOverstatedAfterWallClockStep(t *testing.T) {
-	const warm = 5 * time.Second
 	start := time.Now()
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		b := newServerStartTimes()
@@ -27,7 +26,7 @@
 		if age < 0 || age > 1001*time.Millisecond {
 			t.Errorf("step %v: age of a server that started 1 s ago is %v, want 0 to 1.001 s", step, age)
 		}
-		again := now + warm.Microseconds()
+		again := now + (5 * time.Second).Microseconds()
 		if b.startTime(after, again) != b.startTime(after, now) || b.startTime(before, again) != before.StartedAtMs*1000 {
 			t.Errorf("step %v: the start time changed when it was listed again", step)
 		}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -34,13 +34,13 @@
 // AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Reason        EndReason
-	ObservedAt    time.Time // time at which the response or the attempt ended; for a streamed response, when it began
-	NewConnection bool      // whether the attempt needed a new connection
-	Body          []byte    // body of a buffered response with the reason Succeeded
-	ContentType   []byte
+	ObservedAt    time.Time          // time at which the response or the attempt ended; for a streamed response, when OnStream was called
+	NewConnection bool               // whether the attempt needed a new connection
+	Body          []byte             // body of a complete buffered response
+	ContentType   []byte             // value of the response's Content-Type header; nil unless the status is 200
 	Load          *decide.LoadReport // nil if the response has no load report
-	BodySentAt    time.Time          // time after the last byte of a streamed request body was written; zero if there is none
-	BodyConsumed  bool               // whether part of a streamed request body was read, so that it can't be sent again
+	BodySentAt    time.Time          // time after the last byte of a streamed request body was written; zero if no body was streamed
+	BodyConsumed  bool               // whether part of a streamed request body was read, so that the body can't be sent again
 }
 
 // Cancel cancels the attempt. It never blocks.
@@ -71,7 +71,7 @@
 // isCancelled reports whether the attempt was cancelled rather than timed out.
 func (a *Attempt) isCancelled() bool { return context.Cause(a.ctx) == context.Canceled }
 
-// interruptReason returns the end reason if the context ends after the last byte of the request is written.
+// interruptReason returns the end reason of an attempt whose context ended after the last byte of the request was written.
 func (a *Attempt) interruptReason() EndReason {
 	if a.isCancelled() {
 		return Cancelled
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -26,7 +26,7 @@
 	if shortage {
 		e.config.OnSocketShortage()
 	}
-	for isTransient(err) && ctx.Err() == nil { // retries on other endpoints would fail as fast and use up the request's attempts
+	for isTransient(err) && ctx.Err() == nil { // without this loop, retries at other servers would fail as fast and use up the request's attempts
 		select {
 		case <-ctx.Done():
 		case <-time.After(redialDelay):
@@ -52,8 +52,8 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// isTransient reports whether the cause of a dial error may pass soon: a resource shortage on this machine, or a missing
-// route.
+// isTransient reports whether the cause of a dial error may pass soon: a shortage of sockets on this machine, or a
+// network that is down or unreachable.
 func isTransient(err error) bool {
 	return IsSocketShortage(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
 }
--- a/internal/upstream/end_reason.go
+++ b/internal/upstream/end_reason.go
@@ -40,7 +40,7 @@
 	return "unknown"
 }
 
-// DecisionResult maps the reason to a result of the decision module.
+// DecisionResult maps the reason to a result of package decide.
 func (r EndReason) DecisionResult() decide.Result {
 	switch r {
 	case Succeeded:
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -101,7 +101,7 @@
 		case until.IsZero() && length < 0 && mayStream && err == nil:
 			until = time.Now().Add(maxBufferTime)
 			c.SetReadDeadline(until)
-			if a.ctx.Err() != nil { // expiredDeadline may have been set before this deadline
+			if a.ctx.Err() != nil { // the deadline set above may have replaced expiredDeadline
 				return nil, false, errRequestEnded
 			}
 		case err != nil && !until.IsZero() && timedOut(a.ctx, err):
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -30,7 +30,7 @@
 	forwarded int64 // number of bytes read from body
 	err       error // error that ended the reading; io.EOF after the last byte
 	closeOnce sync.Once
-	done      chan error // receives one value when the stream is closed: io.EOF if it was read completely
+	done      chan error // receives one value when the stream is closed: io.EOF if the stream was read completely
 }
 
 // Read implements io.Reader. The error is io.EOF only after the last byte of a complete response, and ErrDetached while
@@ -48,7 +48,7 @@
 		return 0, s.err
 	}
 	s.conn.SetReadDeadline(time.Now().Add(stallTimeout))
-	if s.attempt.ctx.Err() != nil { // expiredDeadline may have been set before this deadline
+	if s.attempt.ctx.Err() != nil { // the deadline set above may have replaced expiredDeadline
 		s.err = errRequestEnded
 		return 0, s.err
 	}
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -76,7 +76,7 @@
 // writePiece sends one piece of the request body.
 func (c *conn) writePiece(a *Attempt, piece []byte, last bool) EndReason {
 	c.SetWriteDeadline(time.Now().Add(stallTimeout))
-	if a.ctx.Err() != nil { // expiredDeadline may have been set before this deadline
+	if a.ctx.Err() != nil { // the deadline set above may have replaced expiredDeadline
 		return NotSent
 	}
 	parts := EncodeBodyPiece(piece, a.Message.isChunked(), last)
