--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -22,10 +22,10 @@
 	KnownEvents   []EventRange       `json:"Known"`  // events whose segments were read, in ascending order
 	LastEvent     uint64             `json:"Last"`   // number of the incarnation's last known event
 	Ended         bool               `json:"Ended"`  // the incarnation ended cleanly: there are no events after LastEvent
-	Counts        []VersionCounts    `json:"Counts"` // of the events up to LastEvent
+	Counts        []VersionCounts    `json:"Counts"` // numbers of the events up to LastEvent, by version and kind
 	Faults        []string           `json:"Faults"` // descriptions of corrupt or inconsistent segments
-	Events        []auditevent.Event `json:"Acts"`   // selected by the query
-	CutUnixMillis int64              `json:"Wall"`   // time of the last segment, by the member's wall clock; 0 if unknown
+	Events        []auditevent.Event `json:"Acts"`   // events that the query selects
+	CutUnixMillis int64              `json:"Wall"`   // time at which the last segment with a known time was cut, by the member's wall clock; 0 if unknown
 }
 
 // Gaps returns the ranges of events up to LastEvent whose segments are missing. Events before the first known event were evicted to save
@@ -47,10 +47,10 @@
 // Query selects events. The zero value selects all events.
 type Query struct {
 	_               struct{} `cbor:",toarray"`
-	ID              string   // of the request; empty for any
+	ID              string   // id of the request; empty for any
 	Member          string   // name of the member that recorded the event; empty for any
 	Version         *uint64  // number of the settings; nil for any
-	SinceUnixMillis int64    // lower bound, by the wall clock of the member that recorded the event; 0 for none
+	SinceUnixMillis int64    // excludes segments known to have been cut earlier, by the wall clock of the member that recorded them; 0 for none
 }
 
 // matches reports whether a query selects an event by request id and version.
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	segmentBytes    = 64 << 10 // bytes of encoded events at which a segment is cut; its last event may exceed them
-	eventSlackBytes = 4 << 10  // buffer capacity above segmentBytes, for that last event
+	segmentBytes    = 64 << 10 // size of the encoded events at which a segment is cut; the last event may exceed the size
+	eventSlackBytes = 4 << 10  // buffer capacity above segmentBytes, for the last event of a segment
 	maxFieldBytes   = 255      // bytes of an event's id or note; longer values are truncated
-	maxUncollected  = 1024     // number of cut segments that wait for collection; above it the oldest are dropped
+	maxUncollected  = 1024     // maximum number of cut segments that wait for collection; the oldest are dropped if there are more
 )
 
 // InjectedFault is a fault that tests inject to check that the auditor detects it. Values are those of DAMSONSCALE_PLANT minus 10.
@@ -48,7 +48,7 @@
 	counts       eventCounter
 	lastEvent    uint64          // number of the last event
 	skipped      uint64          // events not recorded because of EventDropped
-	index        uint64          // of the last segment that was cut
+	index        uint64          // index of the last segment that was cut
 	previousHash Hash            // hash of that segment
 	uncollected  []SealedSegment // cut segments, oldest first
 	collectErr   error           // last error since segments were collected
@@ -61,7 +61,8 @@
 	usedVersions []auditevent.ConfigVersionID
 }
 
-// NewSegmentWriter returns a writer for a member of a fleet. now returns the time since the process started in µs.
+// NewSegmentWriter returns a writer for a member of a fleet. now returns the time since the start of
+// the process, in µs.
 func NewSegmentWriter(fleet uint64, member takeover.Member, build string, protocol uint16, now func() int64, fault InjectedFault) (*SegmentWriter, error) {
 	codec, err := NewCodec()
 	if err != nil {
@@ -97,7 +98,8 @@
 	return auditevent.ConfigVersionID(len(w.versions) - 1)
 }
 
-// Record implements auditevent.Recorder. An unknown kind or version records nothing and returns an empty reference.
+// Record implements auditevent.Recorder. For an unknown kind or version it records nothing and returns
+// an empty reference.
 func (w *SegmentWriter) Record(k auditevent.Kind, version auditevent.ConfigVersionID, id, note string) auditevent.Ref {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -170,7 +172,8 @@
 }
 
 // Cut cuts the open segment if it has events, and returns the segments cut since segments were last collected. unixMillis is the wall clock
-// time. An error means that events were lost.
+// time. An error means that cut segments were dropped because too many waited for collection, or that a segment could not be
+// encoded.
 func (w *SegmentWriter) Cut(unixMillis int64) ([]SealedSegment, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/cells/relay.go
+++ b/internal/cells/relay.go
@@ -12,9 +12,9 @@
 	version         Version
 	global          GlobalState
 	records         map[ID]summedRecord
-	staged          map[ID]summedRecord // records of an incomplete transfer; nil if no page has been received
+	staged          map[ID]summedRecord // records after the pages received so far of an incomplete delta; nil if there is none
 	stagedTo        Version             // version up to which pages have been received
-	stagingComplete bool                // the pages belong to a complete delta
+	stagingComplete bool                // the staged pages belong to a complete delta
 	wantComplete    bool                // request a complete delta, since the last digest did not match
 	fault           InjectedFault
 }
@@ -77,14 +77,14 @@
 	records := r.staged
 	r.staged, r.stagingComplete, r.stagedTo = nil, false, Version{}
 	if digestOf(records) != d.Digest && r.fault != DigestIgnored {
-		r.wantComplete = true // a record is missing or outdated, and later deltas would not repair it
+		r.wantComplete = true // a record is missing or outdated, and later deltas would not correct that record
 		return true
 	}
 	r.records, r.version, r.global, r.wantComplete = records, d.To, d.Global, false
 	return false
 }
 
-// expects reports whether a delta answers the last request.
+// expects reports whether a delta answers the last request and, if the delta is the last page, is not older than this relay's version.
 func (r *Relay) expects(d *Delta) bool {
 	since := r.version
 	if r.staged != nil && !r.stagingComplete {
@@ -99,7 +99,7 @@
 	return true
 }
 
-// digestOf returns the XOR of the checksums of some records.
+// digestOf returns the XOR of the checksums of records.
 func digestOf(records map[ID]summedRecord) (digest uint64) {
 	for _, p := range records {
 		digest ^= p.sum
@@ -144,7 +144,7 @@
 	return found
 }
 
-// EncodedBytes returns the approximate size of the encoded records in bytes.
+// EncodedBytes returns the approximate size of the encoded records with their checksums, in bytes.
 func (r *Relay) EncodedBytes() (n int) {
 	for _, p := range r.records {
 		n += len(Encode(p.CellRecord)) + 8
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -2,7 +2,7 @@
 // the audit trail. docs/fleet.md is its manual.
 //
 // Commands connect to the members' fleet ports, whose addresses they read from the options file of any member. Only the leader executes
-// commands that change the rollout plan; any member can answer the others.
+// commands that change the rollout plan; any member can answer the other commands.
 package operator
 
 import (
@@ -19,12 +19,12 @@
 const (
 	ExitDone       = 0
 	ExitRejected   = 1 // the fleet rejected the command, which has had no effect
-	ExitUsage      = 2 // invalid arguments, options or files: no request was sent
-	ExitNoAnswer   = 3 // no member answered, or the outcome of the command is unknown
+	ExitUsage      = 2 // invalid arguments, options or files: no request was sent; also other local errors, such as a failure to write the output
+	ExitNoAnswer   = 3 // no member that can execute the command answered, or the outcome of the command is unknown
 	ExitAuditFault = 4 // an audit trail has faults
 )
 
-// exitError is an error with the exit code that it leads to.
+// exitError is an error with the exit code with which the program ends.
 type exitError struct {
 	code int
 	err  error
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -31,7 +31,8 @@
 	return s.printStatus(r.Status)
 }
 
-// newCommandID returns a random nonzero id. Its highest bit is clear, because the ids of the leader's own commands have it set.
+// newCommandID returns a random nonzero id. Its highest bit is clear, because this bit is set in the ids of the leader's own
+// commands.
 func newCommandID() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -45,7 +46,7 @@
 	File   string        `arg:"" type:"existingfile" help:"File with the settings: a platform's configuration file, or {\"settings\": {...}}. Each member keeps its own Me and Zone."`
 	Share  float64       `help:"Share of the members that adopt the settings first, above 0 and up to 1." default:"0.1"`
 	Settle time.Duration `help:"Time for which all of these members must have used the settings before the others adopt them." default:"30s"`
-	Grace  time.Duration `help:"Time from then on, after which members that have not adopted the settings lose their lease." default:"30s"`
+	Grace  time.Duration `help:"Time from the promotion of the settings to all members, after which members that have not adopted the settings lose their lease." default:"30s"`
 	Why    string        `help:"Reason for the command, for the log."`
 }
 
--- a/internal/operator/session.go
+++ b/internal/operator/session.go
@@ -57,7 +57,7 @@
 
 // askLeader sends a request to one member after the other until the leader answers. Once a member has named the leader, the leader is next. If
 // the leader can't be reached, the answer of another member to a status request is returned. Members that forward a command keep its id, so
-// that the command is applied once even if several members receive it.
+// that a command which several members receive is applied once.
 func (s *session) askLeader(request fleet.AdminRequest) (*fleet.AdminResponse, error) {
 	if err := s.loadMembers(); err != nil {
 		return nil, err
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -14,7 +14,7 @@
 	Audit    Audit
 }
 
-// Fleet is the table [fleet]: the sidecars of the fleet and this member's place in it.
+// Fleet is the table [fleet]: the members of the fleet, and the address, state directory and leases of this member.
 type Fleet struct {
 	// Address (address) is the address:port on which this member listens for other members. Default: empty, no fleet.
 	Address string
@@ -39,7 +39,7 @@
 // Replication policies, with their names in the file.
 const (
 	NoReplication         ReplicationPolicy = "none"        // requests are never replicated
-	BestEffortReplication ReplicationPolicy = "best_effort" // requests proceed without replication, and are counted
+	BestEffortReplication ReplicationPolicy = "best_effort" // requests proceed without replication, and the sidecar counts them
 	StrictReplication     ReplicationPolicy = "strict"      // requests are rejected before anything is sent
 )
 
--- a/internal/options/options_test.go
+++ b/internal/options/options_test.go
@@ -13,7 +13,7 @@
 members = [{name = "n1", address = "127.0.0.1:7101"}, {name = "n2", address = "127.0.0.1:7102"}, {name = "n3", address = "127.0.0.1:7103"}]
 `
 
-// Parse reports each fault with its line and key, and all faults at once.
+// Parse reports all faults at once, each with its line and key if the file contains them.
 func TestErrorsNameLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[fleet]\naddres = 'x'\n", "line 2: fleet.addres: unknown key"},
@@ -44,7 +44,7 @@
 	}
 }
 
-// The example file states the default values, and without the variable there are no options.
+// The example file states the default values. If the environment variable is not set, there are no options.
 func TestExampleFileHasTheDefaults(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/options.toml")
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	unset := func(string) string { return "" }
 	if o, err := Load(unset, "n1"); o != nil || err != nil {
-		t.Errorf("Load without the variable: options %v, error %v, want neither", o, err)
+		t.Errorf("Load without the environment variable: options %v, error %v, want neither", o, err)
 	}
 	if _, err := Load(func(string) string { return "/nowhere/options" }, "n1"); err == nil || !strings.Contains(err.Error(), EnvVar) {
 		t.Errorf("Load of a missing file: error %v, want one that names %s", err, EnvVar)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -13,14 +13,14 @@
 // lastCommandID is the id of the last command that newCommand returned.
 var lastCommandID uint64
 
-// newCommand returns a command of a kind with a new id and an author.
+// newCommand returns a copy of c with the given kind, a new id and an author.
 func newCommand(k Kind, c Command) *Command {
 	lastCommandID++
 	c.Kind, c.ID, c.Author = k, lastCommandID, "me"
 	return &c
 }
 
-// applyAll returns the plan of ten living members after commands.
+// applyAll applies commands to the plan of a fleet of ten living members, and returns the resulting plan.
 func applyAll(t *testing.T, p *Plan, commands ...*Command) *Plan {
 	t.Helper()
 	for _, c := range commands {
@@ -33,12 +33,13 @@
 	return p
 }
 
-// rollOutOf returns a rollout of settings without its kind, with a settle time of 500 ms and a grace period of 1 s.
+// rollOutOf returns a rollout command, still without its kind, with a settle time of 500 ms and a grace period of 1 s. sharePermille is the share of
+// the canaries, in thousandths of the members.
 func rollOutOf(settings string, sharePermille int) Command {
 	return Command{Settings: []byte(settings), SharePermille: sharePermille, GraceMs: 1000, SettleMs: 500}
 }
 
-// memberNames returns n1 up to the given number.
+// memberNames returns n names: n1, n2 and so on.
 func memberNames(n int) (names []string) {
 	for i := range n {
 		names = append(names, fmt.Sprintf("n%d", i+1))
@@ -53,7 +54,7 @@
 	first := newCommand(RollOut, rollOutOf("one", FullSharePermille))
 	p := applyAll(t, &Plan{}, first, newCommand(RollOut, rollOutOf("two", 200)))
 	if n := p.Canaries; len(n) != 2 || p.TargetFor(n[0]) != 2 || p.Base != 1 {
-		t.Fatalf("canaries %v of plan %+v, want 2 that are to use version 2, and base 1", n, p)
+		t.Fatalf("canaries %v of plan %+v, want 2 canaries with target version 2, and base 1", n, p)
 	}
 	if next, err := p.Apply(newCommand(RollOut, rollOutOf("three", 900)), all, all[:1]); err != nil || len(next.Canaries) != 1 || next.Canaries[0] != all[0] || next.Base != 1 {
 		t.Errorf("plan with one living member %+v, error %v, want that member as the only canary, and base 1", next, err)
@@ -65,7 +66,7 @@
 		}
 	}
 	if targeted != 2 {
-		t.Errorf("%d members are to use version 2, want 2", targeted)
+		t.Errorf("%d members have target version 2, want 2", targeted)
 	}
 	if _, err := p.Apply(first, all, all); !errors.Is(err, ErrAlreadyApplied) {
 		t.Errorf("second application of a command: error %v, want %v", err, ErrAlreadyApplied)
@@ -107,8 +108,8 @@
 	}
 }
 
-// reportsActing returns reports received at now, in which all named members use a version, except those with a report in exceptions.
-func reportsActing(now time.Time, names []string, version uint64, exceptions map[string]Report) map[string]ReceivedReport {
+// reportsUsing returns reports received at now: members in exceptions have the report given there, all other named members use a version.
+func reportsUsing(now time.Time, names []string, version uint64, exceptions map[string]Report) map[string]ReceivedReport {
 	reports := map[string]ReceivedReport{}
 	for _, n := range names {
 		reports[n] = ReceivedReport{Report{ActiveVersion: version}, now}
@@ -119,8 +120,8 @@
 	return reports
 }
 
-// The controller promotes a version after the settle time, raises the fence after the grace period, and pauses a rollout that members reject or
-// that serves fewer requests, all within the guard's limit of members without a lease.
+// The controller promotes a version after the settle time, raises the fence after the grace period, and pauses a rollout if members reject its
+// settings or if a smaller share of requests is served under them. The guard limits how many members the fence may leave without a lease.
 func TestControllerPromotesFencesAndPauses(t *testing.T) {
 	all := memberNames(9)
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
@@ -139,7 +140,7 @@
 		}
 		return reports
 	}
-	servedPercent := func(served uint64) map[string]Report { // 95 % before
+	servedPercent := func(served uint64) map[string]Report { // first member: this percentage is served under version 2, 95 % under the version before
 		return map[string]Report{all[0]: {ActiveVersion: 2, Current: ServiceCounts{Answered: 100, Served: served}, Previous: ServiceCounts{Answered: 100, Served: 95}}}
 	}
 	guard := Guard{MaxUnleasedPermille: 340} // 3 of 9 members
@@ -149,29 +150,29 @@
 		want    Kind // 0: no command within 5 s
 		ms      int  // earliest time of the command
 	}{
-		"not adopted yet":         {onCanaries, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, nil) }, 0, 0},
-		"no canary has a process": {onCanaries, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, nil) }, ReselectCanaries, 0},
-		"settled":                 {onCanaries, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, canaryReports) }, Promote, 500},
-		"all have adopted":        {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, nil) }, Fence, 0},
+		"not adopted yet":         {onCanaries, func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 1, nil) }, 0, 0},
+		"no canary has a process": {onCanaries, func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 1, nil) }, ReselectCanaries, 0},
+		"settled":                 {onCanaries, func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 1, canaryReports) }, Promote, 500},
+		"all have adopted":        {promoted, func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 2, nil) }, Fence, 0},
 		"three behind": {promoted, func(ms int) map[string]ReceivedReport {
-			return reportsActing(at(ms), all, 2, map[string]Report{"n1": {ActiveVersion: 1}, "n2": {ActiveVersion: 1}, "n3": {ActiveVersion: 1}})
+			return reportsUsing(at(ms), all, 2, map[string]Report{"n1": {ActiveVersion: 1}, "n2": {ActiveVersion: 1}, "n3": {ActiveVersion: 1}})
 		}, Fence, 1000},
 		"four behind": {promoted, func(ms int) map[string]ReceivedReport {
-			return reportsActing(at(ms), all, 2, map[string]Report{"n1": {ActiveVersion: 1}, "n2": {ActiveVersion: 1}, "n3": {ActiveVersion: 1}, "n4": {ActiveVersion: 1}})
+			return reportsUsing(at(ms), all, 2, map[string]Report{"n1": {ActiveVersion: 1}, "n2": {ActiveVersion: 1}, "n3": {ActiveVersion: 1}, "n4": {ActiveVersion: 1}})
 		}, 0, 0},
-		"all behind": {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, nil) }, 0, 0},
+		"all behind": {promoted, func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 1, nil) }, 0, 0},
 		"no reports": {promoted, func(int) map[string]ReceivedReport { return nil }, 0, 0},
 		"four excluded": {func() *Plan {
 			p := *promoted
 			p.Excluded = all[:4]
 			return &p
-		}(), func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, nil) }, 0, 0},
-		"three reject":          {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, rejectedBy(3)) }, Fence, 1000},
-		"four reject":           {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, rejectedBy(4)) }, Pause, 0},
-		"all canaries reject":   {applyAll(t, base, newCommand(RollOut, rollOutOf("three", 1))), func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, rejectedBy(9)) }, Pause, 0},
-		"service falls by 15 %": {onCanaries, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 1, servedPercent(80)) }, Pause, 0},
-		"service falls by 5 %":  {promoted, func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, servedPercent(90)) }, Fence, 0},
-		"paused":                {applyAll(t, promoted, newCommand(Pause, Command{})), func(ms int) map[string]ReceivedReport { return reportsActing(at(ms), all, 2, nil) }, 0, 0},
+		}(), func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 2, nil) }, 0, 0},
+		"three reject":                    {promoted, func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 2, rejectedBy(3)) }, Fence, 1000},
+		"four reject":                     {promoted, func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 2, rejectedBy(4)) }, Pause, 0},
+		"all canaries reject":             {applyAll(t, base, newCommand(RollOut, rollOutOf("three", 1))), func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 1, rejectedBy(9)) }, Pause, 0},
+		"served share falls by 15 points": {onCanaries, func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 1, servedPercent(80)) }, Pause, 0},
+		"served share falls by 5 points":  {promoted, func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 2, servedPercent(90)) }, Fence, 0},
+		"paused":                          {applyAll(t, promoted, newCommand(Pause, Command{})), func(ms int) map[string]ReceivedReport { return reportsUsing(at(ms), all, 2, nil) }, 0, 0},
 	} {
 		living := all
 		if c.want == ReselectCanaries {
@@ -196,18 +197,18 @@
 		}
 	}
 	controller := &Controller{Guard: guard}
-	if err := controller.CheckExclude("n1", promoted, all, reportsActing(at(0), all, 2, nil), at(0)); err != nil {
+	if err := controller.CheckExclude("n1", promoted, all, reportsUsing(at(0), all, 2, nil), at(0)); err != nil {
 		t.Errorf("exclusion of the first of 9 members: %v", err)
 	}
-	if err := controller.CheckExclude("n1", promoted, all, reportsActing(at(0), all[3:], 2, nil), at(0)); err != nil {
+	if err := controller.CheckExclude("n1", promoted, all, reportsUsing(at(0), all[3:], 2, nil), at(0)); err != nil {
 		t.Errorf("exclusion of n1, one of three members without a report: %v", err)
 	}
-	if err := controller.CheckExclude("n9", promoted, all, reportsActing(at(0), all[3:], 2, nil), at(0)); err == nil {
-		t.Error("a fourth of 9 members may be without a lease, want at most 3")
+	if err := controller.CheckExclude("n9", promoted, all, reportsUsing(at(0), all[3:], 2, nil), at(0)); err == nil {
+		t.Error("exclusion of n9 accepted: 4 of 9 members would be without a lease, want at most 3")
 	}
 }
 
-// Under random commands the plan stays valid, its numbers never decrease, and the target of each member is a known version that is not below the
+// Under random commands the plan stays valid, its version numbers never decrease, and the target of each member is a known version that is not below the
 // fence.
 func TestPlanStaysValidUnderRandomCommands(t *testing.T) {
 	all := memberNames(7)
