--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -15,7 +15,8 @@
 	}
 }
 
-// Clients and servers get at least one socket each. If there are enough descriptors, their sum is what the program leaves.
+// Clients and servers get at least one socket each. If there are enough descriptors, the sum of both is the number of
+// descriptors that the program itself does not use.
 func TestSocketsAreDividedBetweenClientsAndServers(t *testing.T) {
 	for all := range 2048 {
 		clients, servers := divideSockets(all, programSockets)
--- a/internal/app/settings.go
+++ b/internal/app/settings.go
@@ -15,8 +15,8 @@
 	"damsonscale/internal/sidecar"
 )
 
-// SettingsManager owns the configuration in force. It is the configuration of the file, in which a version of the settings
-// that the fleet rolls out replaces the file's settings. Its methods may be called from any goroutine.
+// SettingsManager owns the configuration in force, which comes from the configuration file. While a version of settings that
+// the fleet rolls out is in force, this version replaces the file's settings. The methods may be called from any goroutine.
 type SettingsManager struct {
 	sidecar  *sidecar.Sidecar
 	frontend *frontend.Frontend
@@ -80,8 +80,8 @@
 	m.config = next
 }
 
-// digest returns the digest of the text of the settings in force, which is the fleet's file or the file of c. Without an
-// audit log it returns 0.
+// digest returns the digest of the settings' text: of the fleet's settings if they are in force, otherwise of the file that c
+// was read from. Without an audit log it returns 0.
 func (m *SettingsManager) digest(c *config.Config) uint64 {
 	switch {
 	case m.digestOf == nil:
--- a/internal/app/upgrade.go
+++ b/internal/app/upgrade.go
@@ -16,7 +16,7 @@
 	"damsonscale/internal/sidecar"
 )
 
-// transferBuffer is the number of the predecessor's transfers that are queued before this process handles them.
+// transferBuffer is the maximum number of transfers from the predecessor that are queued in this process.
 const transferBuffer = 16
 
 // upgrade owns the socket that listens for clients. It takes the socket over from the predecessor, which is the running
@@ -35,7 +35,7 @@
 	frontend  *frontend.Frontend
 	lifecycle *lifecycle.Tracker
 	shares    *resourceShares
-	failed    chan<- error
+	failed    chan<- error // receives errors that end the process
 
 	mu       sync.Mutex
 	listener net.Listener // nil: the process does not accept clients yet
@@ -74,8 +74,8 @@
 	u.shares = shares
 }
 
-// start accepts clients at once if no other process has the address. Otherwise it returns, and clients are accepted as soon
-// as this process can serve.
+// start accepts clients at once if no other process listens at the address. Otherwise clients are accepted later, by
+// becomeReady.
 func (u *upgrade) start(ctx context.Context) error {
 	switch {
 	case u.predecessor != nil:
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// followPredecessor continues the predecessor's drain, if there is one, and shares resources with the predecessor until it
-// exits.
+// followPredecessor starts draining if the predecessor drains, and shares resources with the predecessor until the
+// predecessor exits.
 func (u *upgrade) followPredecessor() {
 	var state predecessorState
 	if err := json.Unmarshal(u.predecessor.State, &state); err != nil {
@@ -139,7 +139,7 @@
 }
 
 // becomeReady accepts clients from the predecessor's socket once this process can serve or the predecessor has exited. Once
-// this process can serve, becomeReady notifies the predecessor and marks this process as ready.
+// this process can serve, becomeReady binds a shared address, notifies the predecessor and marks this process as ready.
 func (u *upgrade) becomeReady(ctx context.Context) error {
 	if u.predecessor != nil {
 		select {
@@ -173,7 +173,7 @@
 	return err
 }
 
-// accept accepts clients from ln, and offers it to a successor.
+// accept accepts clients from ln and offers ln to a successor.
 func (u *upgrade) accept(ln net.Listener) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/shadow/counts.go
+++ b/internal/shadow/counts.go
@@ -11,9 +11,9 @@
 // Kinds of differences.
 const (
 	DifferentServer    DifferenceKind = iota // both send an attempt, to different servers
-	OnlyOneSends                             // only one sends an attempt; the other keeps the request waiting
-	OnlyOneRejects                           // only one rejects the request
-	OnlyOneFails                             // only one fails the request
+	OnlyOneSends                             // only one balancer sends an attempt; the other keeps the request waiting
+	OnlyOneRejects                           // only one balancer rejects the request
+	OnlyOneFails                             // only one balancer fails the request
 	DifferentTimeout                         // both send an attempt to the same server, with different timeouts
 	DifferentHedging                         // the numbers of hedged attempts of a request differ
 	DifferentIdleClose                       // the numbers of servers with idle connections to close differ
@@ -28,8 +28,8 @@
 
 // Counts are the numbers of compared decisions and of differences.
 type Counts struct {
-	Compared    int                  // decisions on requests
-	Differences [differenceKinds]int // by kind
+	Compared    int                  // number of compared decisions on requests
+	Differences [differenceKinds]int // number of differences by kind
 }
 
 // fields returns the counts as alternating keys and values of a log line.
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -56,7 +56,8 @@
 	a.end(appendInt(b, int64(attempt)))
 }
 
-// Reject rejects a request of which no attempt was sent. The client may retry after retryAfter, in µs.
+// Reject rejects a request that the client can safely send again. retryAfter is the delay of the retry in µs; 0 means that
+// the rejection has no delay.
 func (a actions) Reject(request string, retryAfter int64) {
 	b := append(append(a.start(wordReject), request...), fieldSeparator)
 	a.end(appendInt(b, retryAfter))
@@ -93,9 +94,9 @@
 	}
 }
 
-// SetTimer sets a timer that expires after in, in µs. The event of its expiry has the token.
-func (a actions) SetTimer(in, token int64) {
-	b := append(appendInt(a.start(wordSetTimer), in), fieldSeparator)
+// SetTimer sets a timer that expires after a delay in µs. The event of the expiry has the token.
+func (a actions) SetTimer(delay, token int64) {
+	b := append(appendInt(a.start(wordSetTimer), delay), fieldSeparator)
 	a.end(appendInt(b, token))
 }
 
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -6,6 +6,6 @@
 // in the batch. The fields of a line are separated by tabs; "-" is an absent field. wire.go has the keywords of the
 // protocol, each with the corresponding term of package decide.
 //
-// Run reads, calls the balancers and writes on a single goroutine. Its memory is bounded by the number of instances and
-// the length of the longest line.
+// Run reads, calls the balancers and writes on a single goroutine. Its memory depends on the state of the instances, the
+// endpoint lists, the number of different server addresses and the longest line, but not on the length of a batch.
 package simwire
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxQuoted = 60 // bytes of a field that an error quotes
-	maxDigits = 18 // digits of a whole number, so that it fits into 64 bits
+	maxQuoted = 60 // maximum number of bytes of a field that an error quotes
+	maxDigits = 18 // maximum number of digits of a whole number, so that the number fits into 64 bits
 )
 
 // absent returns whether a field is absent.
@@ -52,11 +52,11 @@
 	return parseInt(b)
 }
 
-// parseIndex parses a whole number that is not negative. what names the field in the error.
-func parseIndex(b []byte, what string) (int, error) {
+// parseIndex parses a whole number from 0 to math.MaxInt32. expected describes the number in the error.
+func parseIndex(b []byte, expected string) (int, error) {
 	n, err := parseInt(b)
 	if err != nil || n < 0 || n > math.MaxInt32 {
-		return 0, fmt.Errorf("expected %s, got %q", what, clip(b))
+		return 0, fmt.Errorf("expected %s, got %q", expected, clip(b))
 	}
 	return int(n), nil
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,18 +1,19 @@
 package simwire
 
-// Keywords of the lines that frame a batch or a reply, or that define what later events refer to, and special fields.
+// Keywords of the lines that begin or end a batch or a reply, that select or start an instance, or that transfer an endpoint
+// list; and fields with a special value.
 const (
-	wordBatch      = "ROUND"         // begins a batch: time in µs
+	wordBatch      = "ROUND"         // begins a batch; field: time in µs
 	wordBatchEnd   = "YOUR_TURN"     // ends a batch and requests the reply
 	wordInstance   = "ABOUT"         // selects the instance of the following events
-	wordCreate     = "CREATE"        // starts an instance: seed, settings
-	wordEndpoints  = "SNAPSHOT_ROWS" // fills a slot with the endpoint list in the following rows: slot, number of rows
+	wordCreate     = "CREATE"        // starts an instance; fields: seed, settings
+	wordEndpoints  = "SNAPSHOT_ROWS" // fills a slot with the endpoint list in the following rows; fields: slot, number of rows
 	wordEndpoint   = "ROW"           // an endpoint of the list
 	wordReplyEnd   = "ACK"           // ends a reply
 	wordOnBehalf   = "ON_BEHALF"     // names the instance of the following actions
-	wordAllPeers   = '*'
-	wordAbsent     = '-'
-	wordTrue       = "1"
+	wordAllPeers   = '*'             // a message to all other balancers
+	wordAbsent     = '-'             // an absent field
+	wordTrue       = "1"             // a flag that is set
 	fieldSeparator = '\t'
 )
 
