--- a/internal/lab/fleetscale/fault.go
+++ b/internal/lab/fleetscale/fault.go
@@ -12,18 +12,20 @@
 // FaultReport describes an injected fault and the recovery from it.
 type FaultReport struct {
 	Name             string
-	Process          string  `json:"Who,omitempty"` // name of the process the fault hit
-	Member           string  `json:",omitempty"`
-	NewLeaderMs      float64 `json:",omitempty"`      // until the election of a new leader
-	Evictions        int     `json:"PutOut"`          // incarnations evicted after the fault
-	RecoveryMs       float64 `json:"WholeMs"`         // until the last of: new leader elected, new lease granted, members evicted
-	CallsAfterReturn int64   `json:"Calls,omitempty"` // calls to the list service in the first second after it returns
+	Process          string  `json:"Who,omitempty"`   // name of the process of the killed or paused leader
+	Member           string  `json:",omitempty"`      // name of that leader
+	NewLeaderMs      float64 `json:",omitempty"`      // from the start of the fault to the election of a new leader
+	Evictions        int     `json:"PutOut"`          // number of incarnations evicted after the start of the fault
+	RecoveryMs       float64 `json:"WholeMs"`         // from the start of the fault to the latest election, first lease of an incarnation or eviction
+	CallsAfterReturn int64   `json:"Calls,omitempty"` // calls to the list service in the first second after it accepts connections again
 
-	startedAt, returnedAt time.Time
+	startedAt  time.Time
+	returnedAt time.Time // when the list service accepted connections again, after ListDown
 }
 
 var errNoLeader = errors.New("--fault: no leader of the first fleet with a process of its own was found")
 
+// inFirstFleet reports whether a process runs a single member, which belongs to the first fleet, and is not a relay.
 func (r *run) inFirstFleet(process *child) bool {
 	return len(process.members) == 1 && r.layout.members[process.members[0]].fleet == 0 && !process.isRelay
 }
@@ -64,7 +66,7 @@
 	return f, leader.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// markKilled records the member that a fault kills permanently.
+// markKilled records the leader that KillLeader kills: no changes are expected at it. For other faults it does nothing.
 func (r *run) markKilled(f *FaultReport) {
 	if f.Name == KillLeader {
 		r.mu.Lock()
--- a/internal/lab/fleetscale/report.go
+++ b/internal/lab/fleetscale/report.go
@@ -59,7 +59,7 @@
 	ForS, LeaseMs                  float64
 	Audit                          bool
 	Servers                        int
-	StartS                         float64 // from the start until each member had a lease and a list
+	StartS                         float64 // from the start until each member had a lease and each hollow member had a list
 	Leases                         int     // members that have been granted a lease
 	Evictions                      int     `json:"PutOut"` // evicted incarnations in the whole run
 	MembershipChanges              int     `json:"Unrest"` // evictions, and elections in the first fleet, during the measurement
--- a/internal/lab/fleetscale/run.go
+++ b/internal/lab/fleetscale/run.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	startTimeout        = 2 * time.Minute  // from the start until each member has a lease and a list
+	startTimeout        = 2 * time.Minute  // from the start until each member has a lease and each hollow member has a list
 	settleTimeout       = 30 * time.Second // from the end of the measurement until all changes are applied; later changes count as missing
 	memoryCheckInterval = 250 * time.Millisecond
 	commandTimeout      = 5 * time.Second // from the end of the measurement, for a rollout command in progress
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	started := time.Since(r.startedAt)
-	sleep(ctx, max(1500*time.Millisecond, 3*r.conf.Lease)) // until all connections are open and the roster with the last member is distributed
+	sleep(ctx, max(1500*time.Millisecond, 3*r.conf.Lease)) // until all connections are open and the membership with the last member is distributed
 	before, err := r.sample(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/lab/fleetscale/scale.go
+++ b/internal/lab/fleetscale/scale.go
@@ -1,7 +1,8 @@
-// Package fleetscale measures the cost of the control plane by the number of fleet members. Real members are processes of the
-// program. Hollow members run the program's control packages without a data path, several in one process. All figures are measured from
-// outside the members: from /proc, at relays between the members, in the list service, and by the time at which each member applied
-// a settings version or an endpoint list. The sidecar does not use this package. docs/scale.md describes the measurements.
+// Package fleetscale measures how the cost of the control plane depends on the number of fleet members. Real members are processes of
+// the program. Hollow members run the program's control packages without a data path, several in one process. The figures come from
+// /proc, from relays between the members, from the list service that publishes the endpoint list, and from the events that the members
+// report or log, such as the settings versions that they applied. Only hollow members report the endpoint lists that they applied. The
+// sidecar does not use this package. docs/scale.md describes the measurements.
 package fleetscale
 
 import (
@@ -18,25 +19,25 @@
 	MaxReal             = 200
 	MaxHollow           = 20_000
 	MaxFleet            = 1024 // members of one fleet, the limit of the program's options
-	MinCell             = 3
+	MinCell             = 3    // members, for a CellSize other than 0
 	MaxCell             = MaxFleet
-	MaxServers          = 20_000
-	MaxChangesPerSecond = 100.0 // settings versions or list changes per second
+	MaxServers          = 20_000 // endpoints on the list
+	MaxChangesPerSecond = 100.0  // settings versions or list changes per second
 	MinDuration         = time.Second
 	MaxDuration         = 10 * time.Minute
 	MinMemory           = 64 // MB
 )
 
-// Faults. A run injects at most one, after a third of the measurement.
+// Faults. A run injects at most one fault, after a third of the measurement.
 const (
 	NoFault             = "none"
-	KillLeader          = "leader-killed"  // by SIGKILL, without a restart
-	StopLeader          = "leader-stopped" // by SIGSTOP for leaderPauseDuration
+	KillLeader          = "leader-killed"  // the leader of the first fleet is killed by SIGKILL and not restarted
+	StopLeader          = "leader-stopped" // the leader of the first fleet is paused by SIGSTOP for leaderPauseDuration
 	ListDown            = "list-down"      // the list service refuses connections for listDownDuration
 	leaderPauseDuration = 2 * time.Second
 	listDownDuration    = 5 * time.Second
-	faultTimeDivisor    = 3
-	maxVoters           = 5 // voters of the first fleet; each of them has a process of its own
+	faultTimeDivisor    = 3 // a fault starts after Duration/faultTimeDivisor; a temporary fault lasts at most that long
+	maxVoters           = 5 // maximum number of voters in a fleet; each voter of the first fleet has a process of its own
 )
 
 // FaultNames are the valid values of Config.Fault.
@@ -46,16 +47,16 @@
 type Config struct {
 	Real, Hollow         int           // number of members
 	CellSize             int           // members of each independent fleet with its own log; 0: one fleet of all members
-	Duration             time.Duration // of the measurement
-	SettingsPerSecond    float64       // settings versions committed by each fleet
+	Duration             time.Duration // length of the measurement
+	SettingsPerSecond    float64       // settings versions that each fleet commits
 	ListChangesPerSecond float64       // changes of the endpoint list
 	Servers              int           // endpoints on the list
 	Lease                time.Duration
-	Audit                bool   // members keep an audit log; implied by SettingsPerSecond
+	Audit                bool   // members keep an audit log; implied by SettingsPerSecond above 0
 	Fault                string // one of FaultNames
 	MemoryMB             int    // limit on the resident memory of all processes together, past which the run ends; 0: a quarter of the machine's memory
 	PerProcess           int    // limit on the hollow members of a shared process
-	CountedCells         int    // number of fleets, from the first, whose frames are counted by relays
+	CountedCells         int    // the first CountedCells fleets have relays between their members that count frames
 	Cores                int    // GOMAXPROCS of a shared process
 
 	Binary string   // path of the program, for real members
@@ -63,7 +64,8 @@
 	Worker []string // command line of a process that runs WorkerMain
 }
 
-// Defaults returns the configuration with defaults for fields that are zero.
+// Defaults returns the configuration with the zero fields that have a default set to it: Servers, PerProcess, Cores, Lease, Fault and
+// MemoryMB.
 func (c Config) Defaults() Config {
 	set := func(p *int, n int) {
 		if *p == 0 {
@@ -140,20 +142,20 @@
 var ErrResourceEstimate = errors.New("the run needs more resources than allowed")
 
 // Resources that a run is expected to need, rounded up. A connection holds a queue of 1,024 frames and two buffers of 64 KiB. Each
-// member of a fleet opens a connection to each voter and has one from the leader, one in the tree that distributes rosters and two for
-// the audit log.
+// member of a fleet opens a connection to each voter and has one from the leader, one in the tree that distributes the membership and
+// two for the audit log.
 const (
-	realMB            = 30.0
-	processMB         = 15.0
-	connMB            = 0.14
-	relayedConnMB     = 0.03
-	memberMB          = 0.10
-	memberPairMB      = 0.0006 // per pair of members of a fleet: each member stores a name of each other in its options and in its roster
-	watchMB           = 0.05
-	baseDescriptors   = 64 // per process, without those of its members
-	memberDescriptors = 4  // per member: listener, log and watch among them
-	maxTransferPeers  = 40 // approximate number of peers from which a member requests settings content in a run
-	connDescriptors   = 2  // both ends of a connection are in one process
+	realMB            = 30.0   // per real member
+	processMB         = 15.0   // per worker process, and for the measuring process
+	connMB            = 0.14   // per connection
+	relayedConnMB     = 0.03   // more per connection that passes through a relay
+	memberMB          = 0.10   // per member
+	memberPairMB      = 0.0006 // per pair of members of a fleet: each member stores the name of each other member in its options and in its membership
+	watchMB           = 0.05   // per member, for its watch of the endpoint list
+	baseDescriptors   = 64     // per process, without those of its members
+	memberDescriptors = 4      // per member, for its listener, its log and its watch among others
+	maxTransferPeers  = 40     // approximate number of peers from which a member requests settings content in a run
+	connDescriptors   = 2      // per connection, as both ends may be in one process
 )
 
 // connections estimates the open connections within a fleet of n members.
@@ -169,13 +171,14 @@
 	return out
 }
 
-// votersOf returns the number of voters in a fleet of n members.
+// votersOf returns the number of voters in a fleet of n members: the largest odd number up to n and maxVoters.
 func votersOf(n int) int {
 	n = min(n, maxVoters)
 	return n - (n+1)%2
 }
 
-// Estimate returns the expected memory of all processes, in MB, and the expected descriptors of the process with most.
+// Estimate returns the expected memory of all processes, in MB, and the expected number of descriptors of the process
+// that needs the most.
 func (c *Config) Estimate(l *layout) (mb float64, files int) {
 	mb = processMB
 	for _, f := range l.fleets {
--- a/internal/lab/fleetscale/start.go
+++ b/internal/lab/fleetscale/start.go
@@ -15,7 +15,8 @@
 	"damsonscale/internal/lab/faultinjection"
 )
 
-// start starts the list service and all processes, relays first, and waits until each member has a lease and a list.
+// start starts the list service and all processes, relays first, and waits until each member has a lease and
+// each hollow member has applied a list. Real members do not report their lists.
 func (r *run) start(ctx context.Context) (err error) {
 	r.settings = memberSettings(len(r.layout.members), 0)
 	servers, err := net.Listen("tcp", "127.0.0.1:0") // address of all endpoints; nothing listens there, because no requests are sent
@@ -61,7 +62,7 @@
 			}
 		}
 	}
-	return r.waitFor(ctx, "each member to have a lease and a list", func() bool {
+	return r.waitFor(ctx, "each member to have a lease and each hollow member to have a list", func() bool {
 		return len(r.observations.leaseCounts) == len(r.layout.members) && len(r.observations.appliedLists) == r.conf.Hollow
 	})
 }
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// memberOptions returns the program's options of member i of a fleet.
+// memberOptions returns the text of the program's options file for member i of the run, which belongs to the fleet with the given index.
 func (r *run) memberOptions(fleet int, i int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[fleet]\naddress = %q\nstate_dir = %q\nlease_ms = %d\nmembers = [\n", r.layout.members[i].address, r.stateDir(i), r.conf.Lease.Milliseconds())
@@ -146,7 +147,7 @@
 	return err
 }
 
-// memberConfig returns the platform's configuration of member i.
+// memberConfig returns the text of the program's configuration file for member i, which listens for clients at the given address.
 func (r *run) memberConfig(i int, listen string) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": r.layout.members[i].name, "listen": listen, "discovery": r.list.addr, "seed": fmt.Sprintf("%016x", i+1),
@@ -181,7 +182,8 @@
 	return err
 }
 
-// memberSettings returns the settings of all members. Settings with different numbers differ in the allowance of the tenant only.
+// memberSettings returns the settings that all members share. Settings with different numbers differ only in the request rate that the
+// tenant is allowed.
 func memberSettings(balancers int, number int) json.RawMessage {
 	class := func(name, semantics string) map[string]any {
 		return map[string]any{"Name": name, "Semantics": semantics, "AimUs": 1_000_000, "DeadlineUs": 2_000_000, "LateShare": 0.3, "Worth": 1}
@@ -206,7 +208,8 @@
 	return text
 }
 
-// waitFor waits until ok, which is called with the observations locked, and fails after startTimeout or if a process has failed.
+// waitFor waits until ok returns true. It calls ok with the observations locked. It returns an error after startTimeout, or if a process
+// has failed. what describes the condition in the error.
 func (r *run) waitFor(ctx context.Context, what string, ok func() bool) error {
 	timeout := time.NewTimer(startTimeout)
 	defer timeout.Stop()
