--- a/internal/lab/faultinjection/evaluate.go
+++ b/internal/lab/faultinjection/evaluate.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	finalResponseGrace = 500 * time.Millisecond // a final response that arrives this long after the deadline still counts
+	finalResponseGrace = 500 * time.Millisecond // a final response that arrives up to this long after the deadline still counts
 	minUptime          = time.Second            // a member that runs this long between the start and the deadline of a request can respond to it
-	maxStall           = 250 * time.Millisecond // longest stall of this process in a conclusive run; less than half of a lease
+	maxStall           = 250 * time.Millisecond // longest stall of this process, which runs the clients and servers, in a conclusive run; less than half of the default lease
 	maxDescribed       = 20                     // violations of each kind that a report describes; further ones are only counted
 )
 
@@ -37,27 +37,27 @@
 
 	CPUUs   int64   `json:"cpu_us"`             // CPU time per request in µs, of the processes alive at the end
 	RSSMB   float64 `json:"rss_mb"`             // largest resident memory of a process alive at the end, in MiB
-	StallMs int64   `json:"stall_ms,omitempty"` // longest stall of this process
+	StallMs int64   `json:"stall_ms,omitempty"` // longest time for which this process, which runs the clients and servers, was not scheduled
 
 	AuditEvents        int              `json:"acts,omitempty"`        // events in the audit logs of all members
 	AuditMatches       int              `json:"matched,omitempty"`     // executions and responses that agree with their audit event
 	AuditGaps          int              `json:"in_gaps,omitempty"`     // executions and responses whose audit event is in a known gap of the log
 	AuditMismatches    int              `json:"misstated,omitempty"`   // disagreements between audit log and observations, and events missing outside of known gaps
-	BelowFence         int              `json:"below_fence,omitempty"` // executions under a version below the fence, more than a lease after the fence was reported
-	OverExclusionLimit int              `json:"over_guard,omitempty"`  // largest number of members without a lease at a time, in excess of the allowed share
+	BelowFence         int              `json:"below_fence,omitempty"` // executions under a settings version below the fence, more than a lease after a member first reported the fence
+	OverExclusionLimit int              `json:"over_guard,omitempty"`  // largest number of members that got no lease at the same time, less the number that may be without one
 	NotConverged       int              `json:"unagreed,omitempty"`    // members that had not adopted the target version at the end
 	Steps              []string         `json:"steps,omitempty"`       // commands of operators with their replies
-	RolloutMs          map[uint64]int64 `json:"turn_ms,omitempty"`     // by version: time from its command to the last execution under an older version
+	RolloutMs          map[uint64]int64 `json:"turn_ms,omitempty"`     // by version: time from the command to roll it out to the last execution under an older version, ms
 	PauseReason        string           `json:"held,omitempty"`        // why the last rollout was paused
 	WaitingFor         string           `json:"waits,omitempty"`       // what an unfinished rollout was waiting for
 
-	P50Ms, P99Ms float64  // latency of served requests
+	P50Ms, P99Ms float64  // median and 99th percentile of the latency of served requests
 	RetryP50Ms   float64  `json:"AgainP50Ms"`       // median time from the first retry to the response, of retried requests that were served
-	RetryP99Ms   float64  `json:"AgainP99Ms"`       // 99th percentile of that time
+	RetryP99Ms   float64  `json:"AgainP99Ms"`       // 99th percentile of the time from the first retry to the response
 	Violations   []string `json:"breaks,omitempty"` // descriptions of the first maxDescribed violations of each kind
 }
 
-// Passed reports whether there was no violation.
+// Passed reports whether there was no violation. Members that did not converge are no violation.
 func (r *Report) Passed() bool {
 	return r.Lost+r.DuplicateEffects+r.FalseRejections+r.ConflictingResponses+r.CorruptResponses+r.Crashes+r.AuditMismatches+r.BelowFence+r.OverExclusionLimit == 0
 }
@@ -87,11 +87,11 @@
 	requests   []*Request
 	executions map[string][]Execution // by request ID
 	uptimes    [][]interval           // by process index
-	deadline   time.Duration          // of each request
+	deadline   time.Duration          // from the start of each request to its deadline
 	crashes    []string               // a description of each crash
 }
 
-// evaluate classifies each request by its outcome and counts violations.
+// evaluate classifies each request by its outcome, and counts the violations by requests and the crashes.
 func evaluate(observed *observations) *Report {
 	r := &Report{Requests: len(observed.requests), Crashes: len(observed.crashes), Violations: observed.crashes}
 	latency, retryLatency := hdrhistogram.New(1, 3_600_000_000, 3), hdrhistogram.New(1, 3_600_000_000, 3)
@@ -158,7 +158,7 @@
 	}
 }
 
-// violatedRules describes the kinds of violations by requests, by their key in the report.
+// violatedRules describes each kind of violation by a request, by the key of the kind in the report.
 var violatedRules = map[string]string{
 	"lost":           "no final response, although a member ran long enough to respond",
 	"twice":          "more than one execution had an effect",
@@ -167,7 +167,7 @@
 	"spoilt":         "no server produced the response with status 200",
 }
 
-// addViolation counts a violation, and describes it if it is among the first of its kind.
+// addViolation counts a violation, and describes it in the report if it is among the first maxDescribed of its kind.
 func (r *Report) addViolation(count *int, kind string, q *Request, runs []Execution) {
 	if *count++; *count > maxDescribed {
 		return
@@ -183,7 +183,8 @@
 	r.Violations = append(r.Violations, b.String())
 }
 
-// effects returns how many of the executions had an effect.
+// effects returns how many of the executions had an effect. Executions of a safe request (class look) have none, nor have executions whose
+// idempotency key the server already knew.
 func effects(class string, runs []Execution) (n int) {
 	for _, run := range runs {
 		if class != "look" && !run.Repeat {
@@ -222,7 +223,8 @@
 	return b
 }
 
-// Add adds the counts of another report, and takes the larger value of latencies, stalls, CPU time and memory.
+// Add adds the counts of another report, and takes the larger value of latencies, stalls, CPU time and memory. It does not take over the
+// other report's texts and rollout times.
 func (r *Report) Add(o *Report) {
 	for _, p := range []struct{ to, from *int }{
 		{&r.Requests, &o.Requests}, {&r.Retried, &o.Retried}, {&r.Served, &o.Served}, {&r.RetriedServed, &o.RetriedServed},
--- a/internal/lab/faultinjection/overhead.go
+++ b/internal/lab/faultinjection/overhead.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	overheadWarmup  = 2 * time.Second // calls in this time are not measured: connections are opened and limits adapt
+	overheadWarmup  = 2 * time.Second // calls in this time are not measured, because connections are opened and concurrency limits adapt
 	overheadTimeout = 2 * time.Second // deadline of each call
-	maxListeners    = 16              // listeners of test servers; a longer endpoint list has each of them several times
+	maxListeners    = 16              // listeners of test servers; a longer endpoint list contains the address of each listener several times
 )
 
 // OverheadConfig configures a measurement of the latency that the sidecar adds. Calls are sent alternately to a server directly and
 // through the sidecar.
 type OverheadConfig struct {
 	PerSecond int           // calls per second on each of the two paths; 1 to 20000
-	Duration  time.Duration // of the measurement, after 2 s of warm-up; 1 s to 10 min
+	Duration  time.Duration // length of the measurement, after 2 s of warm-up; 1 s to 10 min
 	Servers   int           // length of the endpoint list; 1 to 20000
 	Balancers int           // number of balancers in the settings, 0 to 100000; 0: the number of members
 	Members   int           // members of a fleet with takeover, 3 to 9, one of which gets all calls; 0: no fleet
 	Class     string        // look (safe), make (unsafe, with an idempotency key) or once (unsafe, executed at most once)
 	ServerMs  int           // service time of the servers; 0 to 1000 ms
-	Seed      uint64        // of the request IDs
+	Seed      uint64        // seed of the random request IDs
 }
 
 // Validate returns an error for the first value that is out of range. Its message starts with the name of the command-line flag.
@@ -75,11 +75,11 @@
 type OverheadReport struct {
 	Direct   PathStats `json:"direct"`
 	Sidecar  PathStats `json:"sidecar"`
-	AddedP50 int64     `json:"added_p50_us"` // median latency through the sidecar minus the direct one
-	AddedP99 int64     `json:"added_p99_us"` // difference of the 99th percentiles
+	AddedP50 int64     `json:"added_p50_us"` // median latency through the sidecar minus the median of direct calls, µs
+	AddedP99 int64     `json:"added_p99_us"` // the same difference of the 99th percentiles, µs
 	CPU      float64   `json:"cpu"`          // cores used by the sidecar that gets the calls
 	RSSMB    float64   `json:"rss_mb"`       // resident memory of that sidecar in MiB
-	StallMs  int64     `json:"stall_ms"`     // longest stall of this process
+	StallMs  int64     `json:"stall_ms"`     // longest time for which this process, which sends the calls, was not scheduled
 }
 
 func (r *OverheadReport) String() string {
@@ -154,7 +154,7 @@
 	}
 }
 
-// sendCall sends one call, and records it if it is measured.
+// sendCall sends one call, and records its latency and result if measured is set.
 func (l *measuredPath) sendCall(class class, id string, measured bool) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/lab/faultinjection/random_timeline.go
+++ b/internal/lab/faultinjection/random_timeline.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// KillsAndPause returns the standard takeover experiment: two processes are killed, and one is paused for 3 s.
+// KillsAndPause returns the standard takeover experiment: two processes are killed one after the other and restarted 1 s later, and the
+// third is paused for 3 s.
 func KillsAndPause(seed uint64, fleet bool) *Timeline {
 	return &Timeline{
 		Seed: seed, Note: "two processes are killed, one is stopped for 3 s", Processes: 3, Fleet: fleet, LengthMs: 14_000, PerSecond: 200,
@@ -30,8 +31,8 @@
 }
 
 // Rollouts returns the standard rollout experiment: two versions are rolled out one after the other while a member is partitioned
-// (condition "cut"), is paused ("stopped") or rejects the first version ("refused"). With the condition "barred", two members are
-// excluded instead. Any other condition adds no fault.
+// (condition "cut"), is paused ("stopped") or rejects both versions ("refused"). With the condition "barred", two members are excluded
+// instead, without a rollout. Any other condition adds no fault.
 func Rollouts(seed uint64, condition string) *Timeline {
 	t := &Timeline{
 		Seed: seed, Note: "rollouts, " + condition, Processes: 3, Fleet: true, Audit: true, LengthMs: 12_000, PerSecond: 200, DeadlineMs: 2000, SilenceMs: 700,
@@ -56,7 +57,8 @@
 	return t
 }
 
-// WithOperatorSteps adds commands of operators to a timeline, generated from the timeline's seed, and turns on its audit log.
+// WithOperatorSteps adds commands of operators to a timeline, generated from the timeline's seed, and turns on its audit log. For a third
+// of the seeds the audit log is kept in memory only.
 func WithOperatorSteps(t *Timeline) *Timeline {
 	steps := rapid.Custom(func(r *rapid.T) []Step {
 		var generated []Step
@@ -145,8 +147,8 @@
 	return f
 }
 
-// Shrink looks for a smaller timeline that still fails. Runs are not deterministic, so a timeline counts as passing only after it
-// has passed the given number of tries. Shrink calls progress with a description of each smaller timeline that fails.
+// Shrink looks for a smaller timeline that still fails. Runs are not deterministic, so a timeline counts as passing only if it
+// passes as often as tries says, one run after the other. Shrink calls progress with a description of each smaller timeline that fails.
 func Shrink(ctx context.Context, t *Timeline, tries int, fails func(*Timeline) (bool, error), progress func(string)) (*Timeline, error) {
 	stillFails := func(c *Timeline) (bool, error) {
 		for range tries {
--- a/internal/lab/faultinjection/run.go
+++ b/internal/lab/faultinjection/run.go
@@ -37,7 +37,7 @@
 	return p.runFaults(ctx)
 }
 
-// experiment is a timeline that runs, with its servers, processes and links.
+// experiment is the state of a running timeline: its servers, processes and links, and what was observed.
 type experiment struct {
 	setup               Setup
 	timeline            *Timeline
@@ -54,8 +54,8 @@
 	crashes      []string             // a description of each crash
 	fenceSeenAt  map[uint64]time.Time // by fence: when a member first reported it
 	stepResults  []string             // commands of operators with their replies, in order of the replies
-	rolloutTimes map[uint64]time.Time // by version: when its command was sent
-	maxOverLimit int                  // largest number of members without a lease at a time, in excess of the allowed share
+	rolloutTimes map[uint64]time.Time // by version: when the command to roll it out was sent
+	maxOverLimit int                  // largest number of members that got no lease at the same time, less the number that may be without one
 }
 
 func newExperiment(setup Setup, t *Timeline) *experiment {
@@ -103,7 +103,7 @@
 }
 
 // FreeAddrs returns n distinct free addresses on a random loopback host. On 127.0.0.1, an outgoing connection could take the port before
-// the process listens, or while it is down.
+// the process listens, or while the process is down.
 func FreeAddrs(n int) ([]string, error) {
 	var addrs []string
 	host := fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
@@ -120,7 +120,7 @@
 
 func processName(i int) string { return fmt.Sprintf("n%d", i+1) }
 
-// newProcess writes the files of process i, without starting it.
+// newProcess writes the files of process i and returns the process without starting it.
 func (p *experiment) newProcess(i int, listen string, members []string) (*process, error) {
 	sidecar := &process{
 		name: processName(i), binary: p.setup.Binary, listen: listen, dir: filepath.Join(p.setup.Dir, processName(i)), starter: p.starter,
@@ -141,7 +141,7 @@
 	settings := p.settings(i, ValidSettings)
 	for _, s := range p.timeline.Steps {
 		if slices.Contains(s.RejectingMembers, i) {
-			settings["Aside"] = true // the version does not have this key, so that this process rejects it
+			settings["Aside"] = true // the versions of rollouts lack this key, so that this process rejects them
 		}
 	}
 	return map[string]any{
@@ -229,7 +229,8 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-// stateDir returns the path of the state directory of process i, prepared so that writes fail if the timeline demands it.
+// stateDir returns the path of the state directory of process i. If the timeline gives the process a read-only or a full disk, the path is
+// prepared so that writes fail.
 func (p *experiment) stateDir(i int, dir string) (string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
--- a/internal/lab/faultinjection/timeline.go
+++ b/internal/lab/faultinjection/timeline.go
@@ -115,7 +115,7 @@
 	Share            int          `json:"share,omitempty"`     // share of the members that are canaries, in thousandths, for rollout
 	SettleMs         int64        `json:"settle_ms,omitempty"` // how long all canaries must run the version before it is promoted
 	GraceMs          int64        `json:"grace_ms,omitempty"`  // time from the promotion of the version to the fence
-	RejectingMembers []int        `json:"refusers,omitempty"`  // members that reject the version: their own settings have a key that it does not have
+	RejectingMembers []int        `json:"refusers,omitempty"`  // members that reject this version and every other version of the timeline: their own settings have a key that no version has
 }
 
 // SettingsKind selects the settings that a rollout sends.
--- a/internal/lab/standin/registry.go
+++ b/internal/lab/standin/registry.go
@@ -43,13 +43,14 @@
 	WatchEnded                              // the response ends regularly
 )
 
-// Registry is a discovery service with injectable faults. A call keeps the fault under which it arrived after the registry has recovered.
+// Registry is a discovery service with injectable faults. The fault at the arrival of a call applies to this call to its
+// end, even after the registry has recovered.
 type Registry struct {
 	Addr string
 
-	socketFD int // stays bound throughout, so that no other process gets the port while the registry refuses connections
-	closed   chan bool
-	pending  chan *Watch // calls in order of arrival; nil: all calls are served at once
+	socketFD int         // stays bound throughout, so that no other process gets the port while the registry refuses connections
+	closed   chan bool   // closed when the test ends
+	pending  chan *Watch // calls that ServeSequentially has still to serve, in order of arrival; nil: all calls are served at once
 
 	mu           sync.Mutex
 	fault        Fault
@@ -60,13 +61,13 @@
 	changed      chan struct{} // closed and replaced when the list or the fault changes
 	firstIntact  int           // watches with a smaller index are broken
 	watchBreak   WatchBreak    // how these watches fail
-	faultyCalls  int           // calls left that get the fault before it ends by itself; 0: it does not
+	faultyCalls  int           // number of further calls that get the fault, which then ends by itself; 0: the fault lasts until Recover
 	calls        int
-	served       int                 // calls served sequentially
+	served       int                 // number of calls served sequentially
 	firstSent    map[int64]time.Time // when a list version was first written to a watch, by sequence number
 }
 
-// NewRegistry returns a registry with that fault. It listens unless the fault is RefuseConnections.
+// NewRegistry returns a registry with the given fault. The registry listens unless the fault is RefuseConnections.
 func NewRegistry(t testing.TB, fault Fault) *Registry {
 	t.Helper()
 	r := &Registry{fault: fault, changed: make(chan struct{}), closed: make(chan bool), firstSent: map[int64]time.Time{}}
@@ -89,7 +90,8 @@
 }
 
 // ServeSequentially makes the registry serve its calls one after another, in order of arrival and each for serviceTime, including calls
-// that the client has abandoned. It serves only while there is no fault. It must be called before the first call arrives.
+// that the client has abandoned. The registry serves them only while there is no fault. ServeSequentially must be called
+// before the first call arrives.
 func (r *Registry) ServeSequentially(serviceTime time.Duration) {
 	r.pending = make(chan *Watch, 1<<16)
 	go func() {
@@ -143,7 +145,7 @@
 	return v
 }
 
-// SetList sets the full list, encoded on one line. Intact watches get it at once.
+// SetList sets the full list, encoded on one line, and its sequence number. Intact watches get the list at once.
 func (r *Registry) SetList(seq int64, list string) {
 	r.update(func() { r.seq, r.list, r.previousList = seq, list, r.list })
 }
@@ -176,13 +178,14 @@
 }
 
 // SilenceWatches breaks the open watches, which become silent unless BreakWatches or InjectFault has set another break, and applies a
-// fault to the calls that follow. The fault may be NoFault.
+// fault to the calls that follow. The fault may be NoFault. SilenceWatches returns the time at which the watches were broken.
 func (r *Registry) SilenceWatches(fault Fault) time.Time {
 	r.update(func() { r.fault, r.firstIntact = fault, r.calls })
 	return time.Now()
 }
 
-// BreakWatches breaks the open watches and applies a fault to the next calls, as many as given. Later calls are served.
+// BreakWatches breaks the open watches in the given way and applies a fault to the given number of next calls. Later calls are served. It
+// returns the time at which the watches were broken.
 func (r *Registry) BreakWatches(how WatchBreak, fault Fault, calls int) time.Time {
 	r.update(func() {
 		r.watchBreak, r.firstIntact, r.staleList = how, r.calls, r.previousList
@@ -193,7 +196,7 @@
 	return time.Now()
 }
 
-// FirstSent returns when that version of the list was first written to a watch.
+// FirstSent returns when the list with the given sequence number was first written to a watch, and whether it was written at all.
 func (r *Registry) FirstSent(seq int64) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,7 +204,7 @@
 	return at, ok
 }
 
-// Calls returns how many calls have arrived, whatever became of them.
+// Calls returns how many calls have arrived, whether or not they were served.
 func (r *Registry) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -215,6 +218,7 @@
 	return r.served
 }
 
+// update calls f under the lock and wakes all goroutines that wait for a change.
 func (r *Registry) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,7 +227,7 @@
 	r.changed = make(chan struct{})
 }
 
-// waitUntil waits until ok, which is called under the lock, and returns false if the test ends before.
+// waitUntil waits until ok returns true. It calls ok under the lock, and returns false if the test ends first.
 func (r *Registry) waitUntil(ok func() bool) bool {
 	for {
 		r.mu.Lock()
@@ -301,7 +305,8 @@
 	}
 }
 
-// serveStaleList serves a watch as a replica that has not received the latest change.
+// serveStaleList serves a watch like a replica of the discovery service that has not received the latest change: it sends the previous list
+// and then only heartbeats.
 func (r *Registry) serveStaleList(w *Watch) {
 	w.WriteHeaders()
 	r.mu.Lock()
@@ -320,7 +325,8 @@
 // partialList is the first part of a list whose rest is never sent.
 const partialList = `{"seq":50,"whole":true,"hosts":[{"host":"s1",`
 
-// serveWatch sends the list and each later version of it, with heartbeats in between, until the watch is broken or closed.
+// serveWatch sends the list and each later list, with heartbeats in between, until the watch is broken, the client closes it or the test
+// ends. A watch that WatchSilent or WatchStallsWithinList breaks stays open.
 func (r *Registry) serveWatch(w *Watch) {
 	defer w.Close()
 	gone := make(chan bool)
--- a/internal/lab/standin/socket.go
+++ b/internal/lab/standin/socket.go
@@ -7,8 +7,9 @@
 )
 
 // BindLoopback returns a socket that is bound to a loopback port, but not listening, and its address. Port 0 chooses a free port.
-// As long as the socket is open, the system gives the port to no other socket and refuses connections to it. The given SOL_SOCKET
-// options are enabled before the bind. The caller closes the socket.
+// As long as the socket is open, the system chooses this port for no other socket and refuses connections to it. The given SOL_SOCKET
+// options are enabled before the bind: with SO_REUSEADDR on both, a second socket can be bound to the port by number. The caller closes
+// the socket.
 func BindLoopback(t testing.TB, port int, options ...int) (fd int, addr string) {
 	t.Helper()
 	fd = must(t, func() (int, error) {
