--- a/internal/lab/callchain/report.go
+++ b/internal/lab/callchain/report.go
@@ -37,14 +37,14 @@
 	SteadyAmplification float64 `json:"Steady"`        // over the second half of the fault
 	WorstAmplification  float64 `json:"Worst"`         // in the worst window of one second
 	SteadyServedShare   float64 `json:"Served"`        // share of client requests that were served, over the second half of the fault
-	AmplificationBound  float64 `json:"Product"`       // upper bound of Amplification by the attempt budgets
-	WorstBound          float64 `json:"WorstBound"`    // approximate upper bound of WorstAmplification
-	SettledMs           int64   `json:"SettledMs"`     // time from the end of the fault until amplification stays below settledAmplification; -1: never, or the fault does not end
-	ServingMs           int64   `json:"ServingMs"`     // time from the end of the fault until the served share stays at or above settledServedShare; -1 as for SettledMs
+	AmplificationBound  float64 `json:"Product"`       // upper bound of Amplification that follows from the maximum number of attempts and the attempt budgets
+	WorstBound          float64 `json:"WorstBound"`    // approximate upper bound of WorstAmplification that follows from the same limits
+	SettledMs           int64   `json:"SettledMs"`     // ms from the end of the fault until amplification stays below settledAmplification; -1: never, or the fault does not end
+	ServingMs           int64   `json:"ServingMs"`     // ms from the end of the fault until the served share stays at or above settledServedShare; -1: never, or the fault does not end
 }
 
-// GuaranteesMet reports whether the balancers answered each request exactly once and in time, sent no attempt after an answer, and stayed within
-// their attempt budgets.
+// GuaranteesMet reports whether the balancers answered each client request in time and no request twice, sent no attempt after an answer, and
+// stayed within their attempt budgets.
 func (r *Report) GuaranteesMet() bool {
 	return r.DuplicateAnswers == 0 && r.SentAfterAnswer == 0 && r.Unanswered == 0 && r.OverBudget == 0
 }
@@ -90,7 +90,7 @@
 	r.AmplificationBound, r.WorstBound = c.amplificationBound(r.Requests), c.worstBound()
 }
 
-// amplification returns the attempts at the deepest level per client request, over a range of slots.
+// amplification returns the number of attempts at the deepest level per client request, over a range of slots.
 func (s *simulation) amplification(from, to int) float64 {
 	return ratio(sum(s.deepestAttemptsBySlot[from:to]), sum(s.requestsBySlot[from:to]))
 }
@@ -100,7 +100,8 @@
 	return ratio(sum(s.servedBySlot[from:to]), sum(s.requestsBySlot[from:to]))
 }
 
-// firstSlotOfTail returns the first slot from which every window of one second meets a condition, or end if the last window does not.
+// firstSlotOfTail returns the first slot from which on every window of one second before end meets a condition, or end if the last window
+// does not.
 func firstSlotOfTail(end int, met func(from, to int) bool) int {
 	first := end
 	for at := end - slotsPerSecond; at >= 0 && met(at, at+slotsPerSecond); at-- {
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -11,9 +11,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// CheckCBOR checks that messages encode to the canonical CBOR in a golden file, and that the golden CBOR decodes to the messages. The file is a JSON
-// object that maps the name of each message to its CBOR in hex, and must contain exactly the given messages. Tests never write the file: a new
-// encoding needs a new file.
+// CheckCBOR checks that messages encode to the canonical CBOR in a golden file, and that the CBOR in the file decodes to the messages. The file is a JSON
+// object that maps the name of each message to its CBOR in hex, and must contain exactly the given messages. CheckCBOR never writes the file:
+// a new encoding needs a new file.
 func CheckCBOR(t *testing.T, path string, messages map[string]any) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if len(want) != len(messages) {
-		t.Errorf("%d messages in the golden file, want %d as in the test", len(want), len(messages))
+		t.Errorf("golden file holds %d messages, want the %d messages of the test", len(want), len(messages))
 	}
 	encoder, err := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
 	if err != nil {
--- a/internal/lab/modelcheck/cells_config.go
+++ b/internal/lab/modelcheck/cells_config.go
@@ -6,9 +6,19 @@
 )
 
 // CellsBudget is the maximum number of events of each kind in one random walk through the model of cells.
-type CellsBudget struct{ Commands, LeaderChanges, Crashes, Duplicates, Partitions, CorruptDeltas, Ticks, Attempts int }
+type CellsBudget struct {
+	Commands      int // commands to the directory
+	LeaderChanges int // leader changes in cells and in the directory
+	Crashes       int // killed processes
+	Duplicates    int // second processes of a member
+	Partitions    int // partitioned cells
+	CorruptDeltas int // deltas from the directory that lack a record
+	Ticks         int // advances of the clock, by one tick or by four
+	Attempts      int // first attempts and retries of clients
+}
 
-// Budgets for random walks of a few hundred steps: one with many faults, one with many requests during moves, splits and merges.
+// Budgets for random walks of a few hundred steps: one with many faults, one with many attempts of
+// clients during moves, splits and merges.
 var (
 	ManyFaultsCellsBudget = CellsBudget{
 		Commands: 8, LeaderChanges: 4, Crashes: 3, Duplicates: 1, Partitions: 3, CorruptDeltas: 2, Ticks: 30, Attempts: 24,
@@ -23,7 +33,7 @@
 	Budget      CellsBudget
 }
 
-// CellsConfigFor returns the configuration for a seed: even seeds get many faults, odd seeds many requests.
+// CellsConfigFor returns the configuration for a seed: even seeds get many faults, odd seeds many attempts of clients.
 func CellsConfigFor(seed uint64) CellsConfig {
 	return CellsConfig{
 		Idempotency: []takeover.Idempotency{takeover.NotIdempotent, takeover.IdempotentByKey, takeover.NotIdempotent, takeover.NotIdempotent},
@@ -35,7 +45,7 @@
 	cellTickMicros      = 100_000
 	cellLeaseMicros     = 2 * cellTickMicros
 	cellDeadlineMicros  = 10 * cellTickMicros                    // deadline of each request
-	cellRetentionMicros = cellDeadlineMicros + 2*cellLeaseMicros // time from a move until its former cells are deleted
+	cellRetentionMicros = cellDeadlineMicros + 2*cellLeaseMicros // time from the move of a member until the entries that name its former cell are deleted
 	cellPageBytes       = 400                                    // maximum size of a page of a delta
 	cellSettleRounds    = 60                                     // rounds without faults in which the model must converge
 	cellMaxHops         = 40                                     // cells that a lookup may visit
--- a/internal/lab/modelcheck/cells_events.go
+++ b/internal/lab/modelcheck/cells_events.go
@@ -99,8 +99,8 @@
 func (w *cellsWorld) leaseEvents(l *eventList) {
 	for n, p := range w.processes {
 		if p.up && len(w.leaseRequests) < 4 {
-			for leader := range 2 {
-				l.add(fmt.Sprintf("%s requests a lease from leader %d", p.name, leader), func() { w.requestLease(n, leader) })
+			for node := range 2 {
+				l.add(fmt.Sprintf("%s requests a lease from node %d", p.name, node), func() { w.requestLease(n, node) })
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 			continue
 		}
 		l.addWithBudget(&w.budget.Crashes, "kill "+p.name, func() { w.kill(n) })
-		l.addWithBudget(&w.budget.Duplicates, "second process of "+p.name, func() { // the first one is paused and continues later
+		l.addWithBudget(&w.budget.Duplicates, "second process of "+p.name, func() { // the first process keeps running, as after a pause
 			w.processes = append(w.processes, w.newIncarnation(p))
 		})
 	}
--- a/internal/lab/modelcheck/cells_leases.go
+++ b/internal/lab/modelcheck/cells_leases.go
@@ -28,7 +28,8 @@
 	w.deliverLease(i)
 }
 
-// requestLease lets a process request a lease from one of its cell's two leaders.
+// requestLease lets a process request a lease from one of its cell's two nodes. The node gets no confirmation from a
+// quorum while it is not the leader.
 func (w *cellsWorld) requestLease(n, leader int) {
 	p := w.processes[n]
 	if w.cell(p.node.Cell) == nil {
@@ -67,7 +68,8 @@
 	}
 }
 
-// proposeDue commits the entries that are due according to the lease table of a cell's leader.
+// proposeDue commits the entries that are due according to the lease table of a cell's leader: evictions and
+// departures, or the seal.
 func (w *cellsWorld) proposeDue(c *cellState) {
 	for _, e := range c.leaseTables[c.leader].DueEntries(w.now, c.log[c.applied[c.leader]]) {
 		w.commit(c, e)
--- a/internal/lab/modelcheck/cells_search.go
+++ b/internal/lab/modelcheck/cells_search.go
@@ -2,7 +2,17 @@
 
 // Coverage counts the events and outcomes of random walks through the model of cells. A search shows nothing about an event that never occurred.
 type Coverage struct {
-	Moves, Seals, Fences, ForgottenDepartures, ForgottenCells, Assigned, Transferred, Answers, Failed, Unknown, CompleteDeltas int
+	Moves               int // members that arrived in a cell with a certificate
+	Seals               int // sealed cells
+	Fences              int // fences that a cell committed
+	ForgottenDepartures int // deletions of a member's departures from a cell
+	ForgottenCells      int // deleted cells
+	Assigned            int // requests that a cell without a record of them assigned to another cell
+	Transferred         int // records that a sealed cell transferred to its successor
+	Answers             int // answers of servers that clients received
+	Failed              int // failures that clients received
+	Unknown             int // lookups that no cell could answer
+	CompleteDeltas      int // complete deltas that a relay pulled although it already had a version
 }
 
 // Add returns the sum of two coverages.
@@ -15,7 +25,7 @@
 	}
 }
 
-// RandomWalkCells performs a number of random steps from a seed, then ends all faults and checks that the model converges.
+// RandomWalkCells performs at most the given number of random steps from a seed, then ends all faults and checks that the model converges.
 func RandomWalkCells(c CellsConfig, seed uint64, steps int) Result {
 	w := newCellsWorld(&c, seed)
 	result := Result{}
@@ -40,8 +50,8 @@
 	return result
 }
 
-// settle ends all faults, runs rounds without faults, and checks that the model converges: all members are in their cells with a lease and the newest
-// settings, and each request that was first sent during the last tick has an answer.
+// settle ends all faults and all second processes of members, runs rounds without faults, and checks that the model converges: all members are in their cells with a lease and the newest
+// settings, and each request that was first sent at most one tick before has an answer.
 func (w *cellsWorld) settle() {
 	w.settling, w.leaseRequests = true, nil
 	w.log("all faults end")
@@ -69,12 +79,13 @@
 	}
 	for _, r := range open {
 		if !w.requests[r].answered {
-			w.recordViolation("r%d has no answer", r)
+			w.recordViolation("r%d has no answer %d rounds after the faults ended", r, cellSettleRounds)
 		}
 	}
 }
 
-// settleDirectory restarts processes that are down, synchronizes the directory, and assigns removed members to a cell.
+// settleDirectory restarts processes that are down, synchronizes the directory, and deletes its expired entries. When no removed member waits
+// for deletion any more, it assigns members without a cell to open cells.
 func (w *cellsWorld) settleDirectory() {
 	for n, p := range w.processes {
 		if !p.up {
@@ -108,7 +119,8 @@
 	}
 }
 
-// settleRequests advances all lookups and attempts by eight steps, and sends a retry for each unanswered request.
+// settleRequests advances all lookups and attempts by eight steps, and sends a retry for each unanswered request that
+// a client has sent and whose deadline has not passed.
 func (w *cellsWorld) settleRequests() {
 	for range 8 {
 		for n, p := range w.processes {
--- a/internal/lab/modelcheck/cells_world.go
+++ b/internal/lab/modelcheck/cells_world.go
@@ -46,10 +46,10 @@
 // cellState is a cell: its committed log, and two nodes that alternate as leader, each with its own applied index and lease table.
 type cellState struct {
 	id          cells.ID
-	log         []*cells.Log // the state of the cell after each entry
-	leader      int          // index of the current leader
-	applied     [2]int       // index of the last applied state in log, by leader
-	leaseTables [2]*cells.LeaseTable
+	log         []*cells.Log           // the state of the cell after each entry
+	leader      int                    // index of the node that is the current leader
+	applied     [2]int                 // index of the last applied state in log, by node
+	leaseTables [2]*cells.LeaseTable   // by node
 	records     map[int]*requestRecord // by request index
 	fences      []committedFence
 	movedAt     map[string]int64 // time of the last arrival or departure, by member name, µs
@@ -79,7 +79,7 @@
 	up           bool
 	node         *cells.Node
 	appliedIndex int   // index of the last applied state in its cell's log
-	unread       []int // first attempts that wait in a socket
+	unread       []int // indexes of the requests whose first attempt waits in a socket
 	attempts     []*cellAttempt
 	lookups      []*cellLookup
 }
@@ -90,17 +90,17 @@
 	firstMember string // name of the member to which the client sent the first attempt
 	firstSentAt int64  // µs; -1: not sent yet
 	runs        int    // number of executions at a server that had an effect
-	started     bool   // a cell has created a record with an owner
+	started     bool   // a cell has created a record of the request with an owner
 	servedRun   int    // number of the run whose answer the client received; 0: none
-	answered    bool   // the client received an answer, also a failure
+	answered    bool   // the client received an answer or a failure
 }
 
 // requestRecord is the state of one request that the replicas of a cell agree on. The replicas are not modelled separately here: the model of
 // takeover checks their protocol.
 type requestRecord struct {
 	owner       takeover.Member
-	answer      int // number of the run that gave the answer; 0: none yet
-	failed      bool
+	answer      int            // number of the run that gave the answer; 0: none yet
+	failed      bool           // the request may have run and must not run again
 	assignedTo  cells.ID       // the cell that now decides the request; 0: the cell of this record
 	transferred *requestRecord // the record that the assigned cell receives
 }
@@ -112,22 +112,22 @@
 	owner        takeover.Member
 	leaseChecked bool
 	sent         bool
-	run          int
+	run          int // number of the run at the server; 0: not sent yet
 }
 
 // cellLookup is a process's search for the record of a request.
 type cellLookup struct {
 	request     int
-	route       *cells.Lookup // nil: not started
-	transferred *requestRecord
-	hops        int // visited cells, at most cellMaxHops
+	route       *cells.Lookup  // nil: not started
+	transferred *requestRecord // record that a sealed cell passed on to the cell now searched; nil: none
+	hops        int            // visited cells, at most cellMaxHops
 }
 
 // cellLeaseRequest is a lease request in flight.
 type cellLeaseRequest struct {
 	process        int
 	request        cells.LeaseRequest
-	leader         int
+	leader         int // index of the node that received the request
 	confirmedIndex int // index of the log at which a quorum confirmed the leader; -1: not confirmed
 	granted        bool
 }
@@ -169,14 +169,15 @@
 	return w
 }
 
-// newProcess returns a newly started process, with the cell from its options.
+// newProcess returns a newly started process of a member, whose options name the given cell.
 func (w *cellsWorld) newProcess(name string, cell cells.ID) *cellProcess {
 	w.lastIncarnation++
 	node := cells.NewNode(takeover.Member{Name: name, Incarnation: w.lastIncarnation}, cell)
 	return &cellProcess{name: name, up: true, node: node}
 }
 
-// newIncarnation returns a new process of a member, in the cell that a relay returns for the member.
+// newIncarnation returns a new process of the member of p, in the cell that a relay returns for the member or, if there is none, in the cell
+// of p.
 func (w *cellsWorld) newIncarnation(p *cellProcess) *cellProcess {
 	next := w.newProcess(p.name, p.node.Cell)
 	if id := w.relays[w.random.IntN(2)].AssignedCell(p.name); id != 0 && w.cell(id) != nil {
--- a/internal/lab/modelcheck/result.go
+++ b/internal/lab/modelcheck/result.go
@@ -2,7 +2,7 @@
 
 // Result is the result of a search.
 type Result struct {
-	States    int        // number of visited states; of steps in a random walk
+	States    int        // number of visited states or, of a random walk, number of steps
 	Violation string     // the violated invariant; empty: none
 	Trace     []string   // the events that led to the violation
 	Responses []Response // all responses to clients; only from RandomWalk
--- a/internal/lab/modelcheck/takeover_requests.go
+++ b/internal/lab/modelcheck/takeover_requests.go
@@ -41,7 +41,8 @@
 	w.processOutput(p)
 }
 
-// handleEvent handles an event of a node as the sidecar does, and checks that no process takes over a request from a member.
+// handleEvent handles an event of a node as the sidecar does, and checks that no process takes over a request from a process that is still a
+// member.
 func (w *takeoverWorld) handleEvent(p *process, e takeover.Event) {
 	i := requestIndex(e.ID)
 	concluded := e.Decision == takeover.Execute || e.Decision == takeover.ReturnStored && e.FailedOnTakeover
@@ -113,7 +114,8 @@
 	}
 }
 
-// endOtherAttempts ends all attempts of a client whose request was rejected.
+// endOtherAttempts ends the wait of a client whose request was rejected at all processes. Processes that have not sent the request yet give
+// it up.
 func (w *takeoverWorld) endOtherAttempts(i int) {
 	for _, p := range w.processes {
 		if delete(p.waitingClients, i); p.up && p.node.IsPreparing(requestID(i)) {
--- a/internal/lab/modelcheck/takeover_test.go
+++ b/internal/lab/modelcheck/takeover_test.go
@@ -20,7 +20,7 @@
 	for _, strict := range []bool{false, true} {
 		f, err := ExhaustiveSearch(context.Background(), TakeoverConfig{Idempotency: oneRequest, Strict: strict, Budget: SmallBudget}, 4)
 		if err != nil || f.Violation != "" {
-			t.Fatalf("strict %t: %v %s\n%s", strict, err, f.Violation, strings.Join(f.Trace, "\n"))
+			t.Fatalf("strict %t: error %v, violation %q, want neither\n%s", strict, err, f.Violation, strings.Join(f.Trace, "\n"))
 		}
 		t.Logf("strict %t: %d states", strict, f.States)
 	}
@@ -71,9 +71,9 @@
 // Each injected fault leads to a violation: this shows that the search can detect faults.
 func TestInjectedTakeoverFaultsAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		fault takeover.InjectedFault
-		name  string
-		with  TakeoverBudget
+		fault  takeover.InjectedFault
+		name   string
+		budget TakeoverBudget
 	}{
 		{takeover.IgnoreLease, "lease not checked", LargeBudget},
 		{takeover.SendBeforeQuorum, "sent before a quorum stores the record", TakeoverBudget{Attempts: 2, Losses: 4}},
@@ -82,7 +82,7 @@
 	} {
 		found, seed := "", uint64(0)
 		for ; seed < 5_000 && found == ""; seed++ {
-			found = RandomWalk(TakeoverConfig{Idempotency: twoRequests, Strict: true, Fault: c.fault, Budget: c.with}, seed, 200).Violation
+			found = RandomWalk(TakeoverConfig{Idempotency: twoRequests, Strict: true, Fault: c.fault, Budget: c.budget}, seed, 200).Violation
 		}
 		if found == "" {
 			t.Errorf("%s: no violation in %d random walks", c.name, seed)
