--- a/internal/lab/faultinjection/overhead_test.go
+++ b/internal/lab/faultinjection/overhead_test.go
@@ -45,9 +45,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, p := range []PathStats{r.Direct, r.Sidecar} {
+			for path, p := range map[string]PathStats{"direct": r.Direct, "sidecar": r.Sidecar} {
 				if p.Calls != 20 || p.Failed != 0 || p.P50 < 1 || p.Max < p.P99 {
-					t.Errorf("path: got %+v, want 20 calls, none failed, a median of at least 1 us and a maximum no lower than the 99th percentile", p)
+					t.Errorf("%s path: got %+v, want 20 calls, none failed, a median of at least 1 us and a maximum no lower than the 99th percentile", path, p)
 				}
 			}
 		})
