--- a/decide/api.go
+++ b/decide/api.go
@@ -117,8 +117,8 @@
 	SendAttempt(request, server string, timeout int64)
 	// CancelAttempt cancels an attempt in flight. Its Outcome is still reported.
 	CancelAttempt(request string, attempt int)
-	// Reject gives the final response to a request that the client may send again, after retryAfter µs
-	// unless that is 0.
+	// Reject gives the final response to a request that the client may send again. If retryAfter is not 0,
+	// the client should wait for this time in µs.
 	Reject(request string, retryAfter int64)
 	// Fail gives the final response to a request without saying whether it ran.
 	Fail(request string)
@@ -132,8 +132,8 @@
 	CloseIdleConnections(server string)
 	// WatchEndpoints polls the endpoint list and then watches it for changes.
 	WatchEndpoints(on bool)
-	// SetTimer calls OnTimer with the token after in µs.
-	SetTimer(in int64, token int64)
+	// SetTimer calls OnTimer with the token after a delay, in µs.
+	SetTimer(delay int64, token int64)
 	// Log writes a log line: the name of an event, then fields as key=value.
 	Log(line string)
 }
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -34,12 +34,12 @@
 	Index         uint64            // position in the chain, from 1
 	FirstEvent    uint64            // number of the first event
 	LastEvent     uint64            // number of the last event; FirstEvent-1 if the segment has no events
-	StartMicros   int64             // since the process started; base of the times in Body
-	CutUnixMillis int64             // by the member's wall clock, informational only; 0 if unknown
+	StartMicros   int64             // time since the process started; base of the times in Body
+	CutUnixMillis int64             // time of the cut by the member's wall clock, used only to sort trails and select segments; 0 if unknown
 	Final         bool              // the incarnation ended cleanly: no segment follows
 	PreviousHash  Hash              // hash of the preceding segment; zero in the first segment
-	Counts        []VersionCounts   // of the incarnation up to LastEvent
-	Versions      []numberedVersion // used in Body
+	Counts        []VersionCounts   // numbers of the incarnation's events up to LastEvent, by version and kind
+	Versions      []numberedVersion // versions that the events in Body refer to
 	Body          []byte            // encoded events, compressed with S2
 }
 
--- a/internal/discovery/heartbeat_reader.go
+++ b/internal/discovery/heartbeat_reader.go
@@ -44,7 +44,7 @@
 // heartbeatReader reads the body of a watch and enforces silenceTimeout between complete messages. While an update is
 // incomplete the read deadline does not move: neither single bytes nor empty lines within the update extend it.
 type heartbeatReader struct {
-	conn       net.Conn // for the read deadline
+	conn       net.Conn // connection whose read deadline is set
 	body       io.Reader
 	midUpdate  bool // an update is incomplete
 	updateSize int  // bytes of the incomplete update read so far
--- a/internal/discovery/limited_log.go
+++ b/internal/discovery/limited_log.go
@@ -23,9 +23,9 @@
 // limitedLog is a log with a rate limit (a token bucket); it counts the lines that it drops. It is not safe for concurrent
 // use.
 type limitedLog struct {
-	tokensUsed int // tokens taken and not refilled yet
-	refilledAt time.Time
-	dropped    int // lines dropped since the last line that was written
+	tokensUsed int       // tokens taken and not refilled yet
+	refilledAt time.Time // time up to which tokens have been refilled
+	dropped    int       // lines dropped since the last line that was written
 }
 
 // info calls eventlog.Info for an event of normal operation, unless the rate limit drops the line.
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -26,9 +26,9 @@
 // Limits on requests and connections. A request that exceeds a limit is rejected, see response.go.
 const (
 	maxHeadBytes     = 8 << 10
-	headTimeout      = 2500 * time.Millisecond // for the complete head, from the accept or from the head's first byte
-	bodyStartTimeout = 1500 * time.Millisecond // for the first 8 KiB of a body
-	bodyStallTimeout = 1200 * time.Millisecond // between two bytes of a body
+	headTimeout      = 2500 * time.Millisecond // time limit for the complete head, from the accept or from the head's first byte
+	bodyStartTimeout = 1500 * time.Millisecond // time limit for the first 8 KiB of a body
+	bodyStallTimeout = 1200 * time.Millisecond // maximum time without a byte of a body that has not ended
 
 	// idleTimeout exceeds the 2 s for which clients may rely on an idle connection. A longer timeout would keep sockets
 	// that other clients need.
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -38,7 +38,7 @@
 	Leader     string // name of the leader, for the author of commands
 	WaitReason string // condition that the rollout waits for after the last Step, for operators; empty for none
 
-	plan       *Plan     // of the last call of Step
+	plan       *Plan     // plan at the last call of Step
 	waitSince  time.Time // begin of the settle time or of the grace period; zero if neither runs
 	proposedAt time.Time // time of the last command; zero for none since the target or its share changed
 }
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -9,17 +9,17 @@
 	ActiveVersion   uint64        `json:"Acts"`    // number of the version in use
 	RejectedVersion uint64        `json:"Refused"` // number of the version that the member failed to adopt; 0 for none
 	RejectReason    string        `json:"Why"`     // error of the rejected version
-	Digest          uint64        `json:"Digest"`  // of the settings in use
+	Digest          uint64        `json:"Digest"`  // digest of the settings in use
 	Build           string        `json:"Build"`   // build of the program
-	Current         ServiceCounts `json:"Now"`     // since the member adopted the settings in use
-	Previous        ServiceCounts `json:"Before"`  // under the settings in use before that
+	Current         ServiceCounts `json:"Now"`     // counts since the member adopted the settings in use
+	Previous        ServiceCounts `json:"Before"`  // counts under the settings that the member used before
 }
 
 // ServiceCounts counts answered requests.
 type ServiceCounts struct {
 	_        struct{} `cbor:",toarray"`
-	Answered uint64   `json:"Ended"`  // with a server's response or with an error of this member
-	Served   uint64   `json:"Served"` // with a server's response
+	Answered uint64   `json:"Ended"`  // number of requests answered with a server's response or with an error of this member
+	Served   uint64   `json:"Served"` // number of requests answered with a server's response
 }
 
 // add adds the counts of o to s.
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -42,7 +42,7 @@
 
 	settings         *decide.Settings // the settings that the class and tenant indices of Request refer to
 	class            *decide.Class    // the class of Request in settings
-	timeout          time.Duration    // of the client, from the last byte of the request
+	timeout          time.Duration    // the client's timeout, counted from the last byte of the request
 	decisionDeadline time.Time        // when the balancer's time for the call ends; zero: the body is not complete yet
 	responseDeadline time.Time        // when Do returns at the latest, even if the balancer has not decided
 	gate             upstream.Gate
