--- a/internal/lab/faultinjection/evaluate_test.go
+++ b/internal/lab/faultinjection/evaluate_test.go
@@ -81,7 +81,7 @@
 		"who":       {func(t *Timeline) { t.Faults[0].Process = 3 }, "faults[0]: kill: got who 3, want the index of one of 3"},
 		"kind":      {func(t *Timeline) { t.Faults[1].Kind = "burn" }, `faults[1]: kind: "burn" is not a fault kind`},
 		"link":      {func(t *Timeline) { t.Faults[0] = Fault{Kind: Partition, Process: 1, Peer: 1} }, "faults[0]: cut: there is no link from process 1 to process 1"},
-		"servers":   {func(t *Timeline) { t.Servers = nil }, "servers: got none"},
+		"servers":   {func(t *Timeline) { t.Servers = nil }, "servers: got none, want at least one"},
 	} {
 		timeline := KillsAndPause(1, true)
 		c.change(timeline)
